--- a/cmd/wirehost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost runs governors on the simulator's wire: events on standard input, orders on standard output.
+// Command simadapter runs governors on the simulator's wire: events on standard input, orders on standard output.
 package main
 
 import (
@@ -8,20 +8,20 @@
 	"io"
 	"os"
 
-	"zincloft.example/zincloft/internal/wire"
+	"zincloft.example/zincloft/internal/simadapter"
 	"zincloft.example/zincloft/rules"
 )
 
 func main() {
 	if err := run(bufio.NewReaderSize(os.Stdin, 1<<16), os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(in)
-	governors := map[wire.InstanceID]*rules.Governor{}
+	dec := simadapter.NewDecoder(in)
+	governors := map[simadapter.InstanceID]*rules.Governor{}
 	for {
 		batch, err := dec.Next()
 		if errors.Is(err, io.EOF) {
@@ -29,7 +29,7 @@
 		} else if err != nil {
 			return err
 		}
-		var reply wire.Reply
+		var reply simadapter.Reply
 		for _, share := range batch.Shares {
 			g := governors[share.Instance]
 			if g == nil {
@@ -47,7 +47,7 @@
 }
 
 // answer adds one governor's orders to the reply. A failure of the decision code becomes a bug report.
-func answer(reply *wire.Reply, g *rules.Governor, now rules.Time, share *wire.Share) error {
+func answer(reply *simadapter.Reply, g *rules.Governor, now rules.Time, share *simadapter.Share) error {
 	orders, fault := step(g, now, share)
 	if fault == "" && len(orders) == 0 {
 		return nil
@@ -65,7 +65,7 @@
 	return nil
 }
 
-func step(g *rules.Governor, now rules.Time, share *wire.Share) (orders []rules.Order, fault string) {
+func step(g *rules.Governor, now rules.Time, share *simadapter.Share) (orders []rules.Order, fault string) {
 	defer func() {
 		if p := recover(); p != nil {
 			orders, fault = nil, fmt.Sprint("panic: ", p)
--- a/cmd/wirehost/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"zincloft.example/zincloft/internal/wire"
+	"zincloft.example/zincloft/internal/simadapter"
 	"zincloft.example/zincloft/rules"
 )
 
@@ -27,7 +27,7 @@
 }
 
 func TestPanicBecomesBug(t *testing.T) {
-	share := &wire.Share{Events: []rules.Event{rules.Start{Settings: rules.Settings{Zones: 1}}, rules.Joined{Proxy: 1}}}
+	share := &simadapter.Share{Events: []rules.Event{rules.Start{Settings: rules.Settings{Zones: 1}}, rules.Joined{Proxy: 1}}}
 	var broken *rules.Governor
 	if _, fault := step(broken, 0, share); !strings.HasPrefix(fault, "panic: ") {
 		t.Errorf("got %q", fault)
--- a/cmd/beekeeper/main.go
+++ b/cmd/zincloftctl/main.go
@@ -1,4 +1,4 @@
-// Command beekeeper is the operators' tool of the gateway.
+// Command zincloftctl is the command line of the operators of the gateway.
 package main
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/integrii/flaggy"
 
-	"zincloft.example/zincloft/hive/config"
-	"zincloft.example/zincloft/hive/core"
-	"zincloft.example/zincloft/internal/caller"
-	"zincloft.example/zincloft/internal/cell"
+	"zincloft.example/zincloft/controlplane/coordinator"
+	"zincloft.example/zincloft/gatewayconfig"
+	"zincloft.example/zincloft/internal/controlclient"
 	"zincloft.example/zincloft/internal/demo"
 	"zincloft.example/zincloft/internal/program"
+	"zincloft.example/zincloft/internal/statestore"
 )
 
 // callees is what an address of combs may be.
@@ -28,13 +28,13 @@
 
 func main() {
 	if err := run(os.Args[1:], os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "beekeeper:", err)
+		fmt.Fprintln(os.Stderr, "zincloftctl:", err)
 		os.Exit(1)
 	}
 }
 
 func run(args []string, out io.Writer) error {
-	p := flaggy.NewParser("beekeeper")
+	p := flaggy.NewParser("zincloftctl")
 	p.Description = "operators' tool of the gateway"
 	p.Version = program.Version
 	var file, addr, zone string
@@ -110,21 +110,21 @@
 	return merry.New("no verb; see --help")
 }
 
-func read(file string) (*config.Config, error) {
+func read(file string) (*gatewayconfig.Config, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	return config.Parse(raw)
+	return gatewayconfig.Parse(raw)
 }
 
 // inspect reads what a comb keeps on disk.
 func inspect(out io.Writer, folder string, export bool) error {
-	copies, err := cell.Inspect(folder)
+	copies, err := statestore.Inspect(folder)
 	if err != nil {
 		return err
 	}
-	var newest *cell.Copy
+	var newest *statestore.Copy
 	for i, c := range copies {
 		if !export && c.Err != nil {
 			fmt.Fprintf(out, "%s: damaged: %v\n", c.Name, c.Err)
@@ -135,7 +135,7 @@
 		if newest == nil || c.Number > newest.Number {
 			newest = &copies[i]
 		}
-		k, err := core.Decode(c.Values["state"])
+		k, err := coordinator.Decode(c.Values["state"])
 		if err != nil {
 			return merry.Prepend(err, c.Name)
 		}
@@ -150,7 +150,7 @@
 	if !export {
 		return nil
 	}
-	k, err := core.Decode(newest.Values["state"])
+	k, err := coordinator.Decode(newest.Values["state"])
 	if err != nil {
 		return err
 	}
@@ -180,7 +180,7 @@
 
 // call gives a call to the combs at addrs and prints the answer.
 func call(out io.Writer, addrs, name, of string, body []byte) error {
-	c, err := caller.New(addrs)
+	c, err := controlclient.New(addrs)
 	if err != nil {
 		return err
 	}
@@ -211,7 +211,7 @@
 	for _, front := range g.Fronts {
 		fmt.Fprintf(out, "a forager answers at http://%s/   (curl -H 'X-Attempt-Id: 1' http://%s/)\n", front, front)
 	}
-	fmt.Fprintf(out, "the comb is called at %s   (bin/beekeeper show %s)\n", g.Control, g.Control)
+	fmt.Fprintf(out, "the comb is called at %s   (bin/zincloftctl show %s)\n", g.Control, g.Control)
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt, syscall.SIGTERM)
 	<-stop
--- a/cmd/beekeeper/windows.go
+++ b/cmd/zincloftctl/windows.go
@@ -14,11 +14,11 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/integrii/flaggy"
 
-	"zincloft.example/zincloft/hive/comb"
-	"zincloft.example/zincloft/hive/timetable"
-	"zincloft.example/zincloft/hive/windows"
-	"zincloft.example/zincloft/internal/caller"
-	"zincloft.example/zincloft/internal/windowfile"
+	"zincloft.example/zincloft/controlplane/controller"
+	"zincloft.example/zincloft/controlplane/maintenance"
+	"zincloft.example/zincloft/controlplane/maintenanceplanner"
+	"zincloft.example/zincloft/internal/controlclient"
+	"zincloft.example/zincloft/internal/maintenancefile"
 )
 
 const lookEvery = time.Second
@@ -70,7 +70,7 @@
 }
 
 func (w *windowVerbs) run(out io.Writer) error {
-	send := func(c windows.Command) error {
+	send := func(c maintenance.Command) error {
 		body, err := json.Marshal(c)
 		if err != nil {
 			return err
@@ -89,7 +89,7 @@
 		}
 		return nil
 	case w.agree.Used:
-		f, err := windowfile.Read(w.file)
+		f, err := maintenancefile.Read(w.file)
 		if err != nil {
 			return err
 		}
@@ -109,23 +109,23 @@
 		if w.resume.Used {
 			verb = "resume"
 		}
-		return send(windows.Command{Verb: verb})
+		return send(maintenance.Command{Verb: verb})
 	case w.ask.Used:
-		return send(windows.Command{Verb: "ask", Nodes: nodes, Name: w.name, Takes: int64(w.takes / time.Second)})
+		return send(maintenance.Command{Verb: "ask", Nodes: nodes, Name: w.name, Takes: int64(w.takes / time.Second)})
 	case w.finish.Used:
-		return send(windows.Command{Verb: "finish", Nodes: nodes})
+		return send(maintenance.Command{Verb: "finish", Nodes: nodes})
 	case w.cancel.Used:
-		return send(windows.Command{Verb: "cancel", Nodes: nodes})
+		return send(maintenance.Command{Verb: "cancel", Nodes: nodes})
 	}
 	return merry.New("windows: no verb; see --help")
 }
 
-func (w *windowVerbs) timetable() (*windowfile.File, timetable.Timetable, error) {
-	f, err := windowfile.Read(w.file)
+func (w *windowVerbs) timetable() (*maintenancefile.File, maintenanceplanner.Timetable, error) {
+	f, err := maintenancefile.Read(w.file)
 	if err != nil {
-		return nil, timetable.Timetable{}, err
+		return nil, maintenanceplanner.Timetable{}, err
 	}
-	tt, proof := timetable.Plan(&f.Request)
+	tt, proof := maintenanceplanner.Plan(&f.Request)
 	if proof != nil {
 		return nil, tt, proof
 	}
@@ -134,12 +134,12 @@
 
 // follow asks for each window at its time and tells what becomes of it. The core ends a window that has taken its time, so
 // nothing hangs if this ends early.
-func (w *windowVerbs) follow(ctx context.Context, out io.Writer, f *windowfile.File, tt timetable.Timetable, send func(windows.Command) error) error {
+func (w *windowVerbs) follow(ctx context.Context, out io.Writer, f *maintenancefile.File, tt maintenanceplanner.Timetable, send func(maintenance.Command) error) error {
 	asked, seen := 0, ""
 	for {
 		for asked < len(tt.Turns) && !time.Now().Before(f.At(tt.Turns[asked].From)) {
 			x := tt.Turns[asked]
-			if err := send(windows.Command{Verb: "ask", Nodes: []string{x.Node}, Name: x.Window, Takes: int64(f.Takes[x.Window] / time.Second)}); err != nil {
+			if err := send(maintenance.Command{Verb: "ask", Nodes: []string{x.Node}, Name: x.Window, Takes: int64(f.Takes[x.Window] / time.Second)}); err != nil {
 				return err
 			}
 			fmt.Fprintf(out, "%s asked for %s\n", x.Window, x.Node)
@@ -174,8 +174,8 @@
 	return lines
 }
 
-func (w *windowVerbs) shown(ctx context.Context) (s comb.Shown, err error) {
-	c, err := caller.New(w.addr)
+func (w *windowVerbs) shown(ctx context.Context) (s controller.Shown, err error) {
+	c, err := controlclient.New(w.addr)
 	if err != nil {
 		return s, err
 	}
--- a/hive/chain/chain.go
+++ b/controlplane/chainreplication/chain.go
@@ -1,4 +1,4 @@
-// Package chain keeps the core's lasting state: a register that only grows (the newest configuration and the
+// Package chainreplication keeps the core's lasting state: a register that only grows (the newest configuration and the
 // evacuations), passed from head to tail and on stable storage at every member before it counts as committed. It is
 // free of I/O: events in, actions out.
 //
@@ -7,7 +7,7 @@
 // very view: an old head, or one cut off, commits nothing. At a new view the head passes its register down once
 // more. Its own is at least as new as any other's in the chain, so what it passes replaces what a member held,
 // also what an earlier head had entered and nobody was promised.
-package chain
+package chainreplication
 
 import (
 	"cmp"
@@ -17,7 +17,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"zincloft.example/zincloft/hive/view"
+	"zincloft.example/zincloft/controlplane/membership"
 )
 
 // passAgain is how long a pass may stay without its commit before it is repeated: links lose what was under way.
@@ -184,7 +184,7 @@
 // Engine is one machine's part.
 type Engine struct {
 	id        string
-	view      view.View
+	view      membership.View
 	held      Register
 	committed Register
 	known     bool // committed holds something
@@ -240,7 +240,7 @@
 func (e *Engine) Head() bool { return len(e.view.Chain) > 0 && e.view.Chain[0] == e.id }
 
 // Adopt takes on a view.
-func (e *Engine) Adopt(now time.Duration, v view.View) Output {
+func (e *Engine) Adopt(now time.Duration, v membership.View) Output {
 	if v.N <= e.view.N {
 		return e.flush()
 	}
--- a/hive/comb/comb.go
+++ b/controlplane/controller/comb.go
@@ -1,8 +1,8 @@
-// Package comb is what a control-plane governor decides: it joins the lasting state (hive/core), the replicas' lives
-// (hive/registry), the tables (hive/steer) and the streams of its proxy governors, called foragers. It is free of
+// Package controller is what a control-plane governor decides: it joins the lasting state (controlplane/coordinator), the replicas' lives
+// (controlplane/registry), the tables (controlplane/weighting) and the streams of its proxy governors, called foragers. It is free of
 // I/O: events in, actions out, clock and chance handed in. The daemon and the apiary drive the same code, and the
 // same events always give the same actions.
-package comb
+package controller
 
 import (
 	"cmp"
@@ -12,15 +12,15 @@
 	"slices"
 	"time"
 
-	"zincloft.example/zincloft/hive/chain"
-	"zincloft.example/zincloft/hive/config"
-	"zincloft.example/zincloft/hive/core"
-	"zincloft.example/zincloft/hive/falls"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/steer"
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/hive/windows"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/chainreplication"
+	"zincloft.example/zincloft/controlplane/coordinator"
+	"zincloft.example/zincloft/controlplane/maintenance"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/controlplane/weighting"
+	"zincloft.example/zincloft/dataplane/outlier"
+	"zincloft.example/zincloft/gatewayconfig"
+	"zincloft.example/zincloft/messages"
 )
 
 const (
@@ -55,30 +55,30 @@
 
 // Message is what combs say to one another.
 type Message struct {
-	Core  *core.Message   `cbor:"1,keyasint,omitempty"`
-	Lives []registry.Life `cbor:"2,keyasint,omitempty"`
-	Fleet *words.Fleet    `cbor:"3,keyasint,omitempty"`
-	Fell  []falls.Out     `cbor:"4,keyasint,omitempty"`
+	Core  *coordinator.Message `cbor:"1,keyasint,omitempty"`
+	Lives []registry.Life      `cbor:"2,keyasint,omitempty"`
+	Fleet *messages.Fleet      `cbor:"3,keyasint,omitempty"`
+	Fell  []outlier.Out        `cbor:"4,keyasint,omitempty"`
 }
 
 // Event is something that happened. One of its fields is set; an event with none lets time pass.
 type Event struct {
-	Start   bool           `cbor:"1,keyasint,omitempty"`
-	Beat    *registry.Life `cbor:"2,keyasint,omitempty"` // a replica's own word
-	Leave   string         `cbor:"3,keyasint,omitempty"` // a replica's word that it ends
-	Order   *chain.Order   `cbor:"4,keyasint,omitempty"`
-	Read    bool           `cbor:"5,keyasint,omitempty"`
-	Joined  *Joined        `cbor:"6,keyasint,omitempty"`
-	Left    uint64         `cbor:"7,keyasint,omitempty"` // a stream has ended
-	Report  *words.Report  `cbor:"8,keyasint,omitempty"`
-	Message *Message       `cbor:"9,keyasint,omitempty"`
-	Written *Written       `cbor:"10,keyasint,omitempty"`
-	Met     []string       `cbor:"11,keyasint,omitempty"` // addresses where other combs may be
-	Token   uint64         `cbor:"12,keyasint,omitempty"` // with Beat, Leave, Order, Read: the answer carries it
-	Stream  uint64         `cbor:"13,keyasint,omitempty"` // with Report
-	From    *view.Member   `cbor:"14,keyasint,omitempty"` // with Message
-
-	Windows *windows.Command `cbor:"15,keyasint,omitempty"` // with Token
+	Start   bool                    `cbor:"1,keyasint,omitempty"`
+	Beat    *registry.Life          `cbor:"2,keyasint,omitempty"` // a replica's own word
+	Leave   string                  `cbor:"3,keyasint,omitempty"` // a replica's word that it ends
+	Order   *chainreplication.Order `cbor:"4,keyasint,omitempty"`
+	Read    bool                    `cbor:"5,keyasint,omitempty"`
+	Joined  *Joined                 `cbor:"6,keyasint,omitempty"`
+	Left    uint64                  `cbor:"7,keyasint,omitempty"` // a stream has ended
+	Report  *messages.Report        `cbor:"8,keyasint,omitempty"`
+	Message *Message                `cbor:"9,keyasint,omitempty"`
+	Written *Written                `cbor:"10,keyasint,omitempty"`
+	Met     []string                `cbor:"11,keyasint,omitempty"` // addresses where other combs may be
+	Token   uint64                  `cbor:"12,keyasint,omitempty"` // with Beat, Leave, Order, Read: the answer carries it
+	Stream  uint64                  `cbor:"13,keyasint,omitempty"` // with Report
+	From    *membership.Member      `cbor:"14,keyasint,omitempty"` // with Message
+
+	Windows *maintenance.Command `cbor:"15,keyasint,omitempty"` // with Token
 
 	Leaving bool          `cbor:"16,keyasint,omitempty"` // it has been told to end
 	Wall    time.Duration `cbor:"17,keyasint,omitempty"` // the time of day, beside any event; 0: not told
@@ -104,8 +104,8 @@
 
 // Tell is a message for some foragers.
 type Tell struct {
-	Streams []uint64    `cbor:"1,keyasint"`
-	State   words.State `cbor:"2,keyasint"`
+	Streams []uint64       `cbor:"1,keyasint"`
+	State   messages.State `cbor:"2,keyasint"`
 }
 
 // Answer ends a call.
@@ -144,14 +144,14 @@
 type Comb struct {
 	set    Settings
 	chance rand.PCG
-	core   *core.Core
+	core   *coordinator.Core
 	reg    *registry.Registry
-	config *config.Config // committed
+	config *gatewayconfig.Config // committed
 	wasOut []string
 
 	calls map[uint64]uint64 // the core's tokens, to the callers'
 
-	steer    *steer.Steer
+	steer    *weighting.Steer
 	steerRev uint64
 
 	streams  []*stream      // by number
@@ -171,7 +171,7 @@
 	joining  []Joined // foragers that wait for a question to the others to begin, and those that wait for the one at hand
 	asking   []Joined
 	question uint64 // the core's token; 0: none
-	falls    *falls.Falls
+	falls    *outlier.Falls
 	hived    hived
 	out      Actions
 }
@@ -182,9 +182,9 @@
 }
 
 // New makes a comb from what was on disk.
-func New(now time.Duration, set Settings, self view.Member, k core.Kept) *Comb {
-	site := steer.Site{Seed: set.Seed, Zone: set.Zone, Zones: set.Zones, Combs: max(len(set.Seeds), 1), LinkMbps: set.LinkMbps, DrainGrace: set.DrainDeadline}
-	c := &Comb{set: set, chance: *rand.NewPCG(set.Seed, 1), steer: steer.New(site), falls: falls.New(), calls: map[uint64]uint64{}, fleets: map[string]int{},
+func New(now time.Duration, set Settings, self membership.Member, k coordinator.Kept) *Comb {
+	site := weighting.Site{Seed: set.Seed, Zone: set.Zone, Zones: set.Zones, Combs: max(len(set.Seeds), 1), LinkMbps: set.LinkMbps, DrainGrace: set.DrainDeadline}
+	c := &Comb{set: set, chance: *rand.NewPCG(set.Seed, 1), steer: weighting.New(site), falls: outlier.New(), calls: map[uint64]uint64{}, fleets: map[string]int{},
 		touched: map[string]bool{}, alone: true, reg: registry.New(time.Duration(silentBeats * float64(set.Heartbeat)))}
 	for i := range k.Lives {
 		k.Lives[i].Age = 0 // heard now, as far as anyone knows; those that do not beat go as any silent one
@@ -193,7 +193,7 @@
 	c.wasOut = sortedKeys(k.Register.Out) // a zone that was given back while this comb was away is doubted too
 	c.ticked, c.woke = now, now-lateFor
 	c.hived = hived{open: map[uint64]change{}, elsewhat: map[string]elsewhere{}, drained: map[string]time.Duration{}}
-	c.core = core.New(self, k, set.Seeds, rand.New(&c.chance).Float64, hints{c})
+	c.core = coordinator.New(self, k, set.Seeds, rand.New(&c.chance).Float64, hints{c})
 	return c
 }
 
@@ -217,13 +217,13 @@
 func (c *Comb) Kept() ([]byte, error) { return c.core.Kept() }
 
 // Describe tells how the core stands, as this machine knows.
-func (c *Comb) Describe(now time.Duration) core.Standing { return c.core.Describe(now) }
+func (c *Comb) Describe(now time.Duration) coordinator.Standing { return c.core.Describe(now) }
 
 // Core is the lasting state's part, to look at.
-func (c *Comb) Core() *core.Core { return c.core }
+func (c *Comb) Core() *coordinator.Core { return c.core }
 
 // Config is what is committed; nil: nothing yet.
-func (c *Comb) Config() *config.Config { return c.config }
+func (c *Comb) Config() *gatewayconfig.Config { return c.config }
 
 func (c *Comb) note(event string, kv ...any) { c.noted(false, event, kv) }
 func (c *Comb) warn(event string, kv ...any) { c.noted(true, event, kv) }
@@ -366,7 +366,7 @@
 }
 
 // do carries on what the core has decided.
-func (c *Comb) do(now time.Duration, a core.Actions) {
+func (c *Comb) do(now time.Duration, a coordinator.Actions) {
 	if a.Stood {
 		c.warn("clock_stood")
 		c.woke = now
@@ -407,7 +407,7 @@
 func (c *Comb) committed(now time.Duration) {
 	r, _ := c.core.Register()
 	if (c.config == nil || c.config.Version != r.Version) && len(r.Body) > 0 {
-		conf, err := config.Parse(r.Body)
+		conf, err := gatewayconfig.Parse(r.Body)
 		if err != nil {
 			c.warn("config_unreadable", "version", r.Version, "error", err.Error())
 		} else {
@@ -422,7 +422,7 @@
 }
 
 // evacuated has the replicas of zones that were given back spared until they have said how they are.
-func (c *Comb) evacuated(now time.Duration, r chain.Register) {
+func (c *Comb) evacuated(now time.Duration, r chainreplication.Register) {
 	for _, zone := range c.wasOut {
 		if !r.Out[zone] {
 			c.reg.Doubt(now, zone)
@@ -475,7 +475,7 @@
 }
 
 // message takes what another comb says.
-func (c *Comb) message(now time.Duration, from view.Member, m *Message) {
+func (c *Comb) message(now time.Duration, from membership.Member, m *Message) {
 	if m.Core != nil {
 		c.do(now, c.core.Receive(now, from, *m.Core))
 	}
@@ -516,7 +516,7 @@
 		c.revs = c.revs[1:]
 	}
 	lately := c.reg.Changes(now, c.revs[0].rev)
-	fleet := words.Fleet{Foragers: len(c.streams)}
+	fleet := messages.Fleet{Foragers: len(c.streams)}
 	if c.windows().On() {
 		fleet = c.own(now)
 	}
--- a/hive/comb/streams.go
+++ b/controlplane/controller/streams.go
@@ -1,4 +1,4 @@
-package comb
+package controller
 
 import (
 	"maps"
@@ -8,18 +8,18 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"zincloft.example/zincloft/hive/falls"
-	"zincloft.example/zincloft/hive/forage"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/dataplane/outlier"
+	"zincloft.example/zincloft/dataplane/router"
+	"zincloft.example/zincloft/messages"
 )
 
 // coldPart is the part of what a cold replica bears that is dealt out.
 const coldPart = 0.9
 
 // dealsAfter is for how long a comb that is newly in touch deals nothing.
-const dealsAfter = forage.GrantsHold + 100*time.Millisecond
+const dealsAfter = router.GrantsHold + 100*time.Millisecond
 
 // stream is a forager that holds to this comb, with what it has been told.
 type stream struct {
@@ -35,7 +35,7 @@
 	foragers int
 	grants   map[string]float32
 	saidAt   time.Duration
-	bee      *words.Bee // where windows are used
+	bee      *messages.Bee // where windows are used
 	beeAt    time.Duration
 }
 
@@ -103,7 +103,7 @@
 }
 
 // reported takes what a forager met. What it was told by a comb before us is taken like another comb's word.
-func (c *Comb) reported(now time.Duration, s *stream, r *words.Report) {
+func (c *Comb) reported(now time.Duration, s *stream, r *messages.Report) {
 	c.steer.Report(now, s.name, r)
 	if r.Bee != nil {
 		s.bee, s.beeAt = r.Bee, now
@@ -113,7 +113,7 @@
 			c.note("fell", "id", o.Replica, "out_ms", o.Millis, "by", s.name)
 			c.fell(o)
 			for _, m := range c.core.Peers(now) {
-				c.send(m.Addr, Message{Fell: []falls.Out{o}})
+				c.send(m.Addr, Message{Fell: []outlier.Out{o}})
 			}
 		}
 	}
@@ -142,8 +142,8 @@
 }
 
 // fell tells the foragers of a replica that broke.
-func (c *Comb) fell(o falls.Out) {
-	t := Tell{State: words.State{Fell: []falls.Out{o}}}
+func (c *Comb) fell(o outlier.Out) {
+	t := Tell{State: messages.State{Fell: []outlier.Out{o}}}
 	for _, s := range c.streams {
 		if s.whole {
 			t.Streams = append(t.Streams, s.n)
@@ -182,7 +182,7 @@
 		grants = c.deal(now)
 	}
 	for _, s := range c.streams {
-		st := words.State{}
+		st := messages.State{}
 		say := now-s.saidAt >= signEvery
 		if !s.whole {
 			st.Whole, st.Young, st.Granted, s.whole, say = true, c.young(now), true, true, true
@@ -195,7 +195,7 @@
 			s.known, s.seq, s.version = true, r.Seq, r.Version
 			if wins := c.windows(); wins.On() {
 				w := wins.Orders()[s.name]
-				st.Windows, st.Window = true, words.Window{Phase: w.Phase, Fence: w.Fence}
+				st.Windows, st.Window = true, messages.Window{Phase: w.Phase, Fence: w.Fence}
 			}
 		}
 		if news {
@@ -218,7 +218,7 @@
 			if g := grants[s]; st.Whole || !maps.Equal(g, s.grants) {
 				st.Granted, s.grants, say = true, g, true
 				for _, id := range sortedKeys(g) {
-					st.Grants = append(st.Grants, words.Line{Replica: id, Grant: g[id]})
+					st.Grants = append(st.Grants, messages.Line{Replica: id, Grant: g[id]})
 				}
 			}
 		}
@@ -238,8 +238,8 @@
 	return total
 }
 
-func (c *Comb) combs(now time.Duration) []view.Member {
-	all := []view.Member{c.core.Self()}
+func (c *Comb) combs(now time.Duration) []membership.Member {
+	all := []membership.Member{c.core.Self()}
 	for _, m := range c.core.Peers(now) {
 		if m.ID != "" && m.Zone != "" {
 			all = append(all, m)
--- a/hive/comb/streams_test.go
+++ b/controlplane/controller/streams_test.go
@@ -1,4 +1,4 @@
-package comb
+package controller
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"zincloft.example/zincloft/hive/chain"
-	"zincloft.example/zincloft/hive/core"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/chainreplication"
+	"zincloft.example/zincloft/controlplane/coordinator"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/messages"
 )
 
 const body = `{"version":"00000002","services":[{"name":"svc","max_connections":100,"cold_start":"3s","cold_per_s":10}],"virtual_hosts":[{"hostname":"h","path_routes":[` +
@@ -23,32 +23,32 @@
 	addrs []string
 	now   time.Duration
 	cut   map[int]bool
-	told  map[uint64]*words.State // newest by stream, with what was told before
+	told  map[uint64]*messages.State // newest by stream, with what was told before
 	ended map[uint64]bool
 	wrote [3][][]byte
 	token uint64
 }
 
 func newFew() *few {
-	x := &few{cut: map[int]bool{}, told: map[uint64]*words.State{}, ended: map[uint64]bool{}}
+	x := &few{cut: map[int]bool{}, told: map[uint64]*messages.State{}, ended: map[uint64]bool{}}
 	for i := range 3 {
 		x.addrs = append(x.addrs, fmt.Sprintf("10.0.0.%d:1", i+1))
 	}
 	for i := range 3 {
-		var k core.Kept
+		var k coordinator.Kept
 		k.Begin(x.addrs[i], x.addrs, true, "x")
 		x.combs = append(x.combs, New(0, Settings{Zone: "a", Zones: []string{"a"}, Seeds: x.addrs, LinkMbps: 1000, Heartbeat: 1500 * time.Millisecond, Seed: uint64(i)},
-			view.Member{ID: k.Disk, Addr: x.addrs[i], Zone: "a", Call: x.addrs[i]}, k))
+			membership.Member{ID: k.Disk, Addr: x.addrs[i], Zone: "a", Call: x.addrs[i]}, k))
 	}
 	for i := range x.combs {
 		x.step(i, Event{Start: true})
 	}
 	x.run(4 * time.Second)
-	x.order(chain.Order{Version: 2, Body: []byte(body)})
+	x.order(chainreplication.Order{Version: 2, Body: []byte(body)})
 	return x
 }
 
-func (x *few) order(o chain.Order) {
+func (x *few) order(o chainreplication.Order) {
 	x.token++
 	x.step(0, Event{Token: x.token, Order: &o})
 	x.run(2 * time.Second)
@@ -198,12 +198,12 @@
 	Convey("Given a comb that wrote as a zone was given back", t, func() {
 		x := newFew()
 		x.beat(0, 1, 0)
-		x.order(chain.Order{Zone: "a", Out: true})
-		x.order(chain.Order{Zone: "a"})
+		x.order(chainreplication.Order{Zone: "a", Out: true})
+		x.order(chainreplication.Order{Zone: "a"})
 		for i := range 3 {
-			var given core.Kept
+			var given coordinator.Kept
 			for _, raw := range x.wrote[i] {
-				k, err := core.Decode(raw)
+				k, err := coordinator.Decode(raw)
 				So(err, ShouldBeNil)
 				if k.Register.Seq == 3 && given.Disk == "" {
 					given = k
--- a/hive/comb/windows.go
+++ b/controlplane/controller/windows.go
@@ -1,4 +1,4 @@
-package comb
+package controller
 
 import (
 	"encoding/json"
@@ -8,9 +8,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"zincloft.example/zincloft/hive/chain"
-	"zincloft.example/zincloft/hive/windows"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/chainreplication"
+	"zincloft.example/zincloft/controlplane/maintenance"
+	"zincloft.example/zincloft/messages"
 )
 
 const (
@@ -24,7 +24,7 @@
 // hived is what the head has begun and waits for, and what it knows of nodes elsewhere.
 type hived struct {
 	rev      uint64
-	state    windows.State
+	state    maintenance.State
 	drivesAt time.Duration
 	open     map[uint64]change        // by the core's token
 	elsewhat map[string]elsewhere     // by a comb's identity
@@ -34,26 +34,26 @@
 
 type elsewhere struct {
 	at    time.Duration
-	fleet words.Fleet
+	fleet messages.Fleet
 }
 
 // change is a proposal for a note that waits for its commit.
 type change struct {
 	by      string
-	command *windows.Command // an operator's, that must be answered; nil: our own
+	command *maintenance.Command // an operator's, that must be answered; nil: our own
 	token   uint64
 	tries   int
 }
 
 // windows is the state that is committed.
-func (c *Comb) windows() windows.State {
+func (c *Comb) windows() maintenance.State {
 	r, known := c.core.Register()
 	n, ok := r.Notes[windowsNote]
 	if !known || !ok {
-		return windows.State{}
+		return maintenance.State{}
 	}
 	if n.Rev != c.hived.rev {
-		var s windows.State
+		var s maintenance.State
 		if err := cbor.Unmarshal(n.Value, &s); err != nil {
 			c.warn("windows_unreadable", "error", err.Error())
 		}
@@ -63,7 +63,7 @@
 }
 
 // propose has the chain take another state of the windows, if nobody was faster.
-func (c *Comb) propose(now time.Duration, s windows.State, x change) {
+func (c *Comb) propose(now time.Duration, s maintenance.State, x change) {
 	value, err := cbor.Marshal(s)
 	if err != nil {
 		c.warn("windows_unwritable", "error", err.Error())
@@ -72,7 +72,7 @@
 	r, _ := c.core.Register()
 	c.hived.proposed++
 	x.by = fmt.Sprintf("%s %d %d", c.core.Self().ID, c.set.Seed, c.hived.proposed)
-	token, a := c.core.Order(now, chain.Order{Note: windowsNote, If: r.Notes[windowsNote].Rev, By: x.by, Value: value})
+	token, a := c.core.Order(now, chainreplication.Order{Note: windowsNote, If: r.Notes[windowsNote].Rev, By: x.by, Value: value})
 	c.hived.open[token] = x
 	c.do(now, a)
 }
@@ -94,7 +94,7 @@
 }
 
 // command takes an operator's.
-func (c *Comb) command(now time.Duration, token uint64, w *windows.Command, tries int) {
+func (c *Comb) command(now time.Duration, token uint64, w *maintenance.Command, tries int) {
 	if _, known := c.core.Register(); !known || !c.core.InTouch(now) {
 		c.answer(Answer{Token: token, Status: http.StatusServiceUnavailable})
 		return
@@ -120,7 +120,7 @@
 	}
 	next, changed := s.Next(c.fleet(now))
 	for _, w := range s.Windows { // a window that was drained for as long as it was to take is over
-		if changed || w.Phase != windows.Drained || w.Takes <= 0 {
+		if changed || w.Phase != maintenance.Drained || w.Takes <= 0 {
 			continue
 		}
 		if _, ok := c.hived.drained[w.Node]; !ok {
@@ -140,14 +140,14 @@
 }
 
 // own lists the nodes of this comb's streams.
-func (c *Comb) own(now time.Duration) words.Fleet {
-	f := words.Fleet{Foragers: len(c.streams)}
+func (c *Comb) own(now time.Duration) messages.Fleet {
+	f := messages.Fleet{Foragers: len(c.streams)}
 	load := map[[2]string]float64{}
 	for _, s := range c.streams {
 		if s.bee == nil || now-s.beeAt > freshFor {
 			continue
 		}
-		n := windows.Node{Serving: s.bee.Ready && s.bee.Phase == windows.Serving, Phase: s.bee.Phase, Fence: s.bee.Fence}
+		n := maintenance.Node{Serving: s.bee.Ready && s.bee.Phase == maintenance.Serving, Phase: s.bee.Phase, Fence: s.bee.Fence}
 		n.Name, n.Zone, n.Region, n.Carries = s.name, s.zone, c.set.Regions[s.zone], s.bee.Carries
 		f.Nodes = append(f.Nodes, n)
 		for g, x := range s.bee.Load {
@@ -156,17 +156,17 @@
 	}
 	for _, l := range c.windows().Agreed {
 		if x := load[[2]string{l.Region, l.Group}]; x > 0 {
-			f.Load = append(f.Load, words.Load{Region: l.Region, Group: l.Group, Rate: x})
+			f.Load = append(f.Load, messages.Load{Region: l.Region, Group: l.Group, Rate: x})
 		}
 	}
 	return f
 }
 
 // fleet is what is known of all nodes.
-func (c *Comb) fleet(now time.Duration) windows.Fleet {
-	f := windows.Fleet{Load: map[string]map[string]float64{}, Sure: now > sureAfter}
+func (c *Comb) fleet(now time.Duration) maintenance.Fleet {
+	f := maintenance.Fleet{Load: map[string]map[string]float64{}, Sure: now > sureAfter}
 	named := map[string]bool{}
-	take := func(x words.Fleet) {
+	take := func(x messages.Fleet) {
 		for _, n := range x.Nodes {
 			if !named[n.Name] { // it may just have changed sides
 				named[n.Name] = true
@@ -196,7 +196,7 @@
 
 // Shown is what operators see of windows.
 type Shown struct {
-	windows.State
+	maintenance.State
 	Nodes   []ShownNode                   `json:"fleet"`
 	Load    map[string]map[string]float64 `json:"load"`
 	Missing []string                      `json:"missing"` // floors that are not kept now
@@ -209,7 +209,7 @@
 	Zone    string             `json:"zone"`
 	Region  string             `json:"region"`
 	Serving bool               `json:"serving"`
-	Phase   windows.Phase      `json:"phase"`
+	Phase   maintenance.Phase  `json:"phase"`
 	Carries map[string]float64 `json:"carries"`
 }
 
--- a/hive/core/core.go
+++ b/controlplane/coordinator/core.go
@@ -1,7 +1,7 @@
-// Package core is what one core machine decides about the lasting state: it joins the agreed view, the chain, the
+// Package coordinator is what one core machine decides about the lasting state: it joins the agreed view, the chain, the
 // disk and the callers' orders and questions. It is free of I/O: calls tell what happened, and the actions they
 // return tell what to do. A daemon and a simulation drive the same code.
-package core
+package coordinator
 
 import (
 	"fmt"
@@ -13,10 +13,10 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"zincloft.example/zincloft/hive/chain"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/chainreplication"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/messages"
 )
 
 const (
@@ -34,10 +34,10 @@
 
 // Kept is what lies on disk.
 type Kept struct {
-	Disk     string         `cbor:"1,keyasint"` // its identity
-	View     view.Durable   `cbor:"2,keyasint"`
-	Register chain.Register `cbor:"3,keyasint"`
-	SyncedIn uint64         `cbor:"4,keyasint"`
+	Disk     string                    `cbor:"1,keyasint"` // its identity
+	View     membership.Durable        `cbor:"2,keyasint"`
+	Register chainreplication.Register `cbor:"3,keyasint"`
+	SyncedIn uint64                    `cbor:"4,keyasint"`
 
 	// Lives are kept as a hint only: a comb that comes back after a loss of all machines would else know those few
 	// replicas that beat first, and have all traffic sent to them.
@@ -63,13 +63,13 @@
 
 // Message is what core machines say to one another about the lasting state.
 type Message struct {
-	View      *view.Message    `cbor:"1,keyasint,omitempty"`
-	Chain     *chain.Message   `cbor:"2,keyasint,omitempty"`
-	Enter     *words.Enter     `cbor:"3,keyasint,omitempty"`
-	Entered   *words.Entered   `cbor:"4,keyasint,omitempty"`
-	Confirm   *words.Confirm   `cbor:"5,keyasint,omitempty"`
-	Confirmed *words.Confirm   `cbor:"6,keyasint,omitempty"`
-	Committed *words.Committed `cbor:"7,keyasint,omitempty"`
+	View      *membership.Message       `cbor:"1,keyasint,omitempty"`
+	Chain     *chainreplication.Message `cbor:"2,keyasint,omitempty"`
+	Enter     *messages.Enter           `cbor:"3,keyasint,omitempty"`
+	Entered   *messages.Entered         `cbor:"4,keyasint,omitempty"`
+	Confirm   *messages.Confirm         `cbor:"5,keyasint,omitempty"`
+	Confirmed *messages.Confirm         `cbor:"6,keyasint,omitempty"`
+	Committed *messages.Committed       `cbor:"7,keyasint,omitempty"`
 }
 
 // Send is a message for the machine at an address.
@@ -98,9 +98,9 @@
 }
 
 type order struct {
-	o        chain.Order
+	o        chainreplication.Order
 	entered  bool
-	at       chain.Entered
+	at       chainreplication.Entered
 	came     time.Duration
 	sentAt   time.Duration // to another machine; never: nothing of it is under way
 	again    time.Duration // when it may be sent once more
@@ -117,14 +117,14 @@
 
 type gated struct {
 	gen uint64
-	to  view.Member
+	to  membership.Member
 	m   Message
 }
 
 // Core is one machine's part. Its calls are not made side by side.
 type Core struct {
-	view  *view.Engine
-	chain *chain.Engine
+	view  *membership.Engine
+	chain *chainreplication.Engine
 	hints Hints
 
 	gen, saved, writing uint64
@@ -152,8 +152,8 @@
 }
 
 // New makes a core from what was on disk.
-func New(self view.Member, k Kept, seeds []string, chance func() float64, hints Hints) *Core {
-	c := &Core{view: view.New(self, k.View, seeds, chance), chain: chain.New(k.Disk, k.Register, k.SyncedIn), hints: hints,
+func New(self membership.Member, k Kept, seeds []string, chance func() float64, hints Hints) *Core {
+	c := &Core{view: membership.New(self, k.View, seeds, chance), chain: chainreplication.New(k.Disk, k.Register, k.SyncedIn), hints: hints,
 		orders: map[uint64]*order{}, reads: map[uint64]*read{}, told: map[string]uint64{}}
 	c.hintRev = hints.Revision()
 	c.life = uint64(chance() * (1 << 53))
@@ -161,10 +161,10 @@
 }
 
 // First is the view with which a system starts for the first time: its seeds, in order.
-func First(addrs []string) view.View {
-	v := view.View{N: 1}
+func First(addrs []string) membership.View {
+	v := membership.View{N: 1}
 	for _, addr := range slices.Compact(slices.Sorted(slices.Values(addrs))) {
-		v.Roster = append(v.Roster, view.Member{ID: addr + "/0", Addr: addr})
+		v.Roster = append(v.Roster, membership.Member{ID: addr + "/0", Addr: addr})
 		v.Chain = append(v.Chain, addr+"/0")
 	}
 	return v
@@ -184,9 +184,9 @@
 }
 
 // Self is this machine; View the view held; Register what is committed, if anything is known to be.
-func (c *Core) Self() view.Member                { return c.view.Self() }
-func (c *Core) View() view.View                  { return c.view.View() }
-func (c *Core) Register() (chain.Register, bool) { return c.chain.Committed() }
+func (c *Core) Self() membership.Member                     { return c.view.Self() }
+func (c *Core) View() membership.View                       { return c.view.View() }
+func (c *Core) Register() (chainreplication.Register, bool) { return c.chain.Committed() }
 
 // Leave has the others do without this machine. Left tells whether they can: a view without it in the chain has settled, so
 // that a majority holds on disk what this one holds, and no caller waits here any more.
@@ -205,7 +205,7 @@
 	}
 	// Its seat must be somebody's, or one that nobody is there to take: a learner is about to, and an even roster drops it. That goes
 	// for the seat of a disk that this machine had before, too.
-	seat := slices.ContainsFunc(v.Roster, func(m view.Member) bool { return m.Addr == c.view.Self().Addr })
+	seat := slices.ContainsFunc(v.Roster, func(m membership.Member) bool { return m.Addr == c.view.Self().Addr })
 	if v.Place(id) >= 0 || v.In(id) && !c.view.Vouches(v.N) || seat && (len(v.Roster)%2 == 0 || len(v.Learners) > 0) {
 		return false
 	}
@@ -226,8 +226,8 @@
 func (c *Core) InTouch(now time.Duration) bool { return c.view.InTouch(now) }
 
 // Peers lists the other machines; Heard tells whether one hears and is heard.
-func (c *Core) Peers(now time.Duration) []view.Member   { return c.view.Peers(now) }
-func (c *Core) Heard(now time.Duration, id string) bool { return c.view.Heard(now, id) }
+func (c *Core) Peers(now time.Duration) []membership.Member { return c.view.Peers(now) }
+func (c *Core) Heard(now time.Duration, id string) bool     { return c.view.Heard(now, id) }
 
 // Meet tells of addresses where other machines may be; they are greeted.
 func (c *Core) Meet(addrs []string) { c.view.Meet(addrs) }
@@ -311,12 +311,12 @@
 }
 
 // Receive takes a message of another machine.
-func (c *Core) Receive(now time.Duration, from view.Member, m Message) Actions {
+func (c *Core) Receive(now time.Duration, from membership.Member, m Message) Actions {
 	c.receive(now, from, m)
 	return c.flush(now)
 }
 
-func (c *Core) receive(now time.Duration, from view.Member, m Message) {
+func (c *Core) receive(now time.Duration, from membership.Member, m Message) {
 	switch {
 	case m.View != nil:
 		c.viewed(now, c.view.Receive(now, *m.View))
@@ -331,7 +331,7 @@
 		// An order that was held up may have been given again by another way, answered, and undone since: operators' calls
 		// have no number, so it must not take effect any more. Its age is told by this machine's own clock, since its sender
 		// last heard it; the sender answers nobody before what it sent is too old to count.
-		ans := &words.Entered{Token: m.Enter.Token, Clock: c.view.Clock(now)}
+		ans := &messages.Entered{Token: m.Enter.Token, Clock: c.view.Clock(now)}
 		if c.view.Younger(now, m.Enter.Echo, enterStale) && c.chain.Head() && c.view.InTouch(now) && !c.sick {
 			at, out := c.chain.Enter(now, m.Enter.Order)
 			ans.N, ans.Seq, ans.Conflicts, ans.OK = at.N, at.Seq, at.Conflicts, true
@@ -344,12 +344,12 @@
 		c.view.Heed(now, from.ID, m.Entered.Clock)
 		c.stood()
 		if o := c.orders[m.Entered.Token]; o != nil && m.Entered.OK {
-			o.entered, o.at = true, chain.Entered{N: m.Entered.N, Seq: m.Entered.Seq, Conflicts: m.Entered.Conflicts}
+			o.entered, o.at = true, chainreplication.Entered{N: m.Entered.N, Seq: m.Entered.Seq, Conflicts: m.Entered.Conflicts}
 		} else if o != nil && !o.prompt { // now that its clock is known, at once
 			o.prompt, o.again = true, now
 		}
 	case m.Confirm != nil:
-		c.send(from, Message{Confirmed: &words.Confirm{Token: m.Confirm.Token, N: m.Confirm.N, OK: c.view.Vouches(m.Confirm.N)}}, true)
+		c.send(from, Message{Confirmed: &messages.Confirm{Token: m.Confirm.Token, N: m.Confirm.N, OK: c.view.Vouches(m.Confirm.N)}}, true)
 	case m.Confirmed != nil:
 		if r := c.reads[m.Confirmed.Token]; r != nil && m.Confirmed.OK && m.Confirmed.N == r.n {
 			r.votes[from.ID] = true
@@ -371,7 +371,7 @@
 
 // Order takes a caller's order. Its Answer comes now or later: 200 once it is committed, or, where others were confirmed
 // under its number with other content, 409 once that is; else 503.
-func (c *Core) Order(now time.Duration, o chain.Order) (uint64, Actions) {
+func (c *Core) Order(now time.Duration, o chainreplication.Order) (uint64, Actions) {
 	c.token++
 	o.ID = xxhash.Sum64String(fmt.Sprint(c.view.Self().ID, " ", c.life, " ", c.token))
 	c.orders[c.token] = &order{o: o, came: now, deadline: now + AnswerWithin, sentAt: never, again: now}
@@ -434,7 +434,7 @@
 
 // send hands a message over, or keeps it until what is held now is on stable storage: nothing may be promised that a
 // loss of power would undo.
-func (c *Core) send(to view.Member, m Message, durable bool) {
+func (c *Core) send(to membership.Member, m Message, durable bool) {
 	if durable && c.gen != c.saved {
 		c.gated = append(c.gated, gated{c.gen, to, m})
 		return
@@ -446,15 +446,15 @@
 	c.out.Send = append(c.out.Send, Send{to.Addr, m})
 }
 
-func (c *Core) viewed(now time.Duration, o view.Output) {
+func (c *Core) viewed(now time.Duration, o membership.Output) {
 	if o.Save {
 		c.gen++
 	}
 	for _, s := range o.Send {
 		m := Message{View: &s.Message}
-		if s.Message.Kind == view.Beat {
+		if s.Message.Kind == membership.Beat {
 			r, known := c.chain.Committed()
-			m.Committed = &words.Committed{Seq: r.Seq, Known: known}
+			m.Committed = &messages.Committed{Seq: r.Seq, Known: known}
 		}
 		c.send(s.To, m, s.Durable)
 	}
@@ -468,7 +468,7 @@
 	c.chained(c.chain.Adopt(now, c.view.View()))
 }
 
-func (c *Core) chained(o chain.Output) {
+func (c *Core) chained(o chainreplication.Output) {
 	if o.Save {
 		c.gen++
 	}
@@ -480,7 +480,7 @@
 	c.out.Committed = c.out.Committed || o.Committed
 }
 
-func (c *Core) member(id string) (view.Member, bool) {
+func (c *Core) member(id string) (membership.Member, bool) {
 	if id == c.view.Self().ID {
 		return c.view.Self(), true
 	}
@@ -521,7 +521,7 @@
 	v := c.view.View()
 	touch := c.view.InTouch(now)
 	r, known := c.chain.Committed()
-	var outs []chain.Output
+	var outs []chainreplication.Output
 	for _, token := range slices.Sorted(maps.Keys(c.orders)) {
 		x := c.orders[token]
 		if x.entered && v.N != x.at.N {
@@ -541,7 +541,7 @@
 			if v.Chain[0] != c.view.Self().ID {
 				if m, ok := c.member(v.Chain[0]); ok {
 					x.sentAt = now
-					c.send(m, Message{Enter: &words.Enter{Token: token, Order: x.o, Echo: c.view.ClockOf(m.ID)}}, false)
+					c.send(m, Message{Enter: &messages.Enter{Token: token, Order: x.o, Echo: c.view.ClockOf(m.ID)}}, false)
 				}
 			} else if !c.sick {
 				at, out := c.chain.Enter(now, x.o)
@@ -567,7 +567,7 @@
 		case !x.asked:
 			x.asked = true
 			for _, m := range v.Roster {
-				c.send(m, Message{Confirm: &words.Confirm{Token: token, N: v.N}}, false)
+				c.send(m, Message{Confirm: &messages.Confirm{Token: token, N: v.N}}, false)
 			}
 		}
 		if a.Status != 0 {
--- a/hive/core/core_test.go
+++ b/controlplane/coordinator/core_test.go
@@ -1,4 +1,4 @@
-package core
+package coordinator
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"zincloft.example/zincloft/hive/chain"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/view"
+	"zincloft.example/zincloft/controlplane/chainreplication"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/controlplane/registry"
 )
 
 type noHints struct{}
@@ -86,7 +86,7 @@
 	}
 	k.Begin(addr, n.seeds, first, fmt.Sprint("w", b.life))
 	r := rand.New(rand.NewPCG(uint64(len(addr)), uint64(n.seq)))
-	b.core = New(view.Member{ID: k.Disk, Addr: addr, Zone: "z", Call: addr}, k, n.seeds, r.Float64, noHints{})
+	b.core = New(membership.Member{ID: k.Disk, Addr: addr, Zone: "z", Call: addr}, k, n.seeds, r.Float64, noHints{})
 	b.disk, _ = b.core.Kept()
 	n.do(b, b.core.Start(n.local(b)))
 	n.tick(b, b.life)
@@ -164,7 +164,7 @@
 	}
 }
 
-func (n *net) order(addr, what string, o chain.Order) {
+func (n *net) order(addr, what string, o chainreplication.Order) {
 	b := n.boxes[addr]
 	n.run(b, b.life, func() {
 		token, a := b.core.Order(n.local(b), o)
@@ -205,8 +205,8 @@
 	}
 }
 
-func config(version uint64, body string) chain.Order {
-	return chain.Order{Version: version, Body: []byte(body)}
+func config(version uint64, body string) chainreplication.Order {
+	return chainreplication.Order{Version: version, Body: []byte(body)}
 }
 
 func (n *net) voters(addr string) (ids []string) {
@@ -438,19 +438,19 @@
 // TestTakenOnce guards against an order that is entered at a second head after its first had taken it: an evacuation was begun
 // again although it had been taken back, and acknowledged, in between.
 func TestTakenOnce(t *testing.T) {
-	out, in := chain.Order{ID: 1, Zone: "z", Out: true}, chain.Order{ID: 2, Zone: "z"}
-	r := chain.Register{}.Apply(out).Apply(in)
+	out, in := chainreplication.Order{ID: 1, Zone: "z", Out: true}, chainreplication.Order{ID: 2, Zone: "z"}
+	r := chainreplication.Register{}.Apply(out).Apply(in)
 	if again := r.Apply(out); again.Out["z"] || again.Seq != r.Seq {
 		t.Error("an order that was taken takes effect again")
 	}
 	for i := range uint64(500) {
-		r = r.Apply(chain.Order{ID: 10 + i, Version: 1 + i, Body: []byte(fmt.Sprint(i))})
+		r = r.Apply(chainreplication.Order{ID: 10 + i, Version: 1 + i, Body: []byte(fmt.Sprint(i))})
 	}
 	if len(r.Taken) > 64 || len(r.Claims) > 64 {
 		t.Errorf("%d orders and %d numbers are remembered after 500 changes", len(r.Taken), len(r.Claims))
 	}
 	// Guards a number that many lower ones, which come after it and change nothing, would push out: found by the apiary.
-	high := chain.Register{}.Apply(config(9000, "one"))
+	high := chainreplication.Register{}.Apply(config(9000, "one"))
 	for i := range uint64(200) {
 		high = high.Apply(config(8000+i, fmt.Sprint(i)))
 	}
@@ -472,16 +472,16 @@
 			}
 			return time.Millisecond
 		}
-		n.order("c", "start", chain.Order{Zone: "z", Out: true})
+		n.order("c", "start", chainreplication.Order{Zone: "z", Out: true})
 		for range 20 { // as soon as the caller is let go it goes to another machine, and then takes it back
 			if n.pass(50 * time.Millisecond); n.answers["start"].Status != 0 {
 				break
 			}
 		}
-		n.order("b", "start again", chain.Order{Zone: "z", Out: true})
+		n.order("b", "start again", chainreplication.Order{Zone: "z", Out: true})
 		n.pass(20 * time.Millisecond)
 		n.wants("start again", http.StatusOK)
-		n.order("b", "finish", chain.Order{Zone: "z"})
+		n.order("b", "finish", chainreplication.Order{Zone: "z"})
 		n.pass(20 * time.Millisecond)
 		n.wants("finish", http.StatusOK)
 		n.pass(2 * time.Second)
@@ -647,7 +647,7 @@
 }
 
 // TestLeaverOfFour guards against a leaver that ends while it still makes the voters an even number: the next loss left two of
-// four. Found by hive/model.
+// four. Found by internal/modelcheck/membershipmodel.
 func TestLeaverOfFour(t *testing.T) {
 	n := newNet(t, "a", "b", "c")
 	n.start("d", false)
@@ -667,7 +667,7 @@
 }
 
 // TestOutOfUnsettled guards against views that follow each other before the head has passed: those who came in the last one were
-// marked as fresh again, and where the head was lost nobody could lead, though all held everything. Found by hive/model.
+// marked as fresh again, and where the head was lost nobody could lead, though all held everything. Found by internal/modelcheck/membershipmodel.
 func TestOutOfUnsettled(t *testing.T) {
 	for at := time.Duration(0); at < 1200*time.Millisecond; at += 7 * time.Millisecond {
 		n := newNet(t, "a", "b", "c")
@@ -721,7 +721,7 @@
 		for _, addr := range []string{"b", "c", "a"} {
 			x := n.boxes[addr]
 			x.still = true
-			late := func() { n.order(addr, "late "+addr, chain.Order{Zone: "z", Out: true}) }
+			late := func() { n.order(addr, "late "+addr, chainreplication.Order{Zone: "z", Out: true}) }
 			if order == "before" {
 				n.run(x, x.life, late)
 			}
@@ -750,7 +750,7 @@
 		n := newNet(t, "a", "b", "c")
 		n.pass(3 * time.Second)
 		n.writes = 10 * time.Millisecond
-		n.order("b", "lost", chain.Order{Zone: "z", Out: true})
+		n.order("b", "lost", chainreplication.Order{Zone: "z", Out: true})
 		n.pass(at)
 		n.start("a", false)
 		n.order("c", "other", config(1, "one"))
@@ -776,14 +776,14 @@
 			n.pass(20 * time.Millisecond)
 		}
 		n.delay = func(_, to string, m Message) time.Duration {
-			if to == "a" && m.View != nil && m.View.Kind == view.Decided {
+			if to == "a" && m.View != nil && m.View.Kind == membership.Decided {
 				return 300 * time.Millisecond
 			}
 			return time.Millisecond
 		}
 		n.cutOff("a", false)
 		n.pass(after)
-		n.order("a", "old head's", chain.Order{Zone: "z", Out: true})
+		n.order("a", "old head's", chainreplication.Order{Zone: "z", Out: true})
 		n.pass(2 * time.Second)
 		r, _ := n.boxes["b"].core.Register()
 		if n.answers["old head's"].Status == http.StatusOK && !r.Out["z"] {
--- a/hive/windows/windows.go
+++ b/controlplane/maintenance/windows.go
@@ -1,11 +1,11 @@
-// Package windows grants maintenance windows to nodes of the gateway. A plan says when a window is wished; only a grant
+// Package maintenance grants maintenance windows to nodes of the gateway. A plan says when a window is wished; only a grant
 // drains a node, and grants together never leave less than the agreed capacity after the worst loss that must be borne.
 // It is free of I/O and of clocks of the day: whoever decides holds a copy of the state, proposes the next one, and
 // the core's chain takes it only if nobody was faster.
 //
 // A node counts as out from its grant until it has said itself, under the newest fence, that it serves again. So neither a
 // dead grantor, nor a grant told twice, nor clocks that differ can have it counted in while it is out.
-package windows
+package maintenance
 
 import (
 	"cmp"
@@ -15,7 +15,7 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"zincloft.example/zincloft/hive/capacity"
+	"zincloft.example/zincloft/dataplane/capacity"
 )
 
 // Phase of a node's window.
--- a/hive/windows/windows_test.go
+++ b/controlplane/maintenance/windows_test.go
@@ -1,4 +1,4 @@
-package windows
+package maintenance
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"zincloft.example/zincloft/hive/capacity"
+	"zincloft.example/zincloft/dataplane/capacity"
 )
 
 // site is three regions of three zones with three nodes each, of which each carries 10 orders a second.
--- a/hive/timetable/solve.go
+++ b/controlplane/maintenanceplanner/solve.go
@@ -1,4 +1,4 @@
-package timetable
+package maintenanceplanner
 
 import (
 	"math"
--- a/hive/timetable/timetable.go
+++ b/controlplane/maintenanceplanner/timetable.go
@@ -1,10 +1,10 @@
-// Package timetable plans maintenance windows: when each node is to be out so that what was agreed is carried in every
+// Package maintenanceplanner plans maintenance windows: when each node is to be out so that what was agreed is carried in every
 // slot, also after the worst loss that must be borne, in as short a time as can be. It is free of I/O and of clocks; time
 // is in slots.
 //
 // Machines that may be lost are counted as the strongest of their region, whether or not one of them is out at the time.
-// So a timetable never hopes for more than the grant will look at (hive/windows).
-package timetable
+// So a timetable never hopes for more than the grant will look at (controlplane/maintenance).
+package maintenanceplanner
 
 import (
 	"cmp"
@@ -14,7 +14,7 @@
 	"slices"
 	"strings"
 
-	"zincloft.example/zincloft/hive/capacity"
+	"zincloft.example/zincloft/dataplane/capacity"
 )
 
 // Wish asks for windows of some nodes.
--- a/hive/timetable/timetable_test.go
+++ b/controlplane/maintenanceplanner/timetable_test.go
@@ -1,4 +1,4 @@
-package timetable
+package maintenanceplanner
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"zincloft.example/zincloft/hive/capacity"
+	"zincloft.example/zincloft/dataplane/capacity"
 )
 
 // fleet is n nodes over zones of one region, each carrying 10 lookups and 3 orders a second.
--- a/hive/timetable/week.go
+++ b/controlplane/maintenanceplanner/week.go
@@ -1,11 +1,11 @@
-package timetable
+package maintenanceplanner
 
 import (
 	"fmt"
 	"math"
 	"math/rand/v2"
 
-	"zincloft.example/zincloft/hive/capacity"
+	"zincloft.example/zincloft/dataplane/capacity"
 )
 
 // SlotsADay is how a drawn week is cut: in slots of half an hour.
--- a/hive/view/view.go
+++ b/controlplane/membership/view.go
@@ -1,4 +1,4 @@
-// Package view agrees on who forms the chain of core machines, and mends it. It is free of I/O: events in, actions
+// Package membership agrees on who forms the chain of core machines, and mends it. It is free of I/O: events in, actions
 // out, clock and chance handed in.
 //
 // A view is a number, a roster (the voters: every core machine whose word counts), the chain, an ordered part of the
@@ -10,7 +10,7 @@
 // Two things are told apart. Suspicion rests on arrivals: who is heard, and hears, stays in the chain; a mistake there
 // costs a view, no more. Contact rests on echoes: a machine counts itself in touch only while a majority of the voters has
 // answered words of its own that it sent within a second. What lay in a socket while a machine stood still proves nothing.
-package view
+package membership
 
 import (
 	"cmp"
--- a/hive/registry/capacity_test.go
+++ b/controlplane/registry/capacity_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"zincloft.example/zincloft/hive/registry"
+	"zincloft.example/zincloft/controlplane/registry"
 	"zincloft.example/zincloft/internal/sizes"
 )
 
--- a/hive/steer/capacity_test.go
+++ b/controlplane/weighting/capacity_test.go
@@ -1,4 +1,4 @@
-package steer_test
+package weighting_test
 
 import (
 	"fmt"
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"zincloft.example/zincloft/hive/config"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/steer"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/controlplane/weighting"
+	"zincloft.example/zincloft/gatewayconfig"
 	"zincloft.example/zincloft/internal/sizes"
+	"zincloft.example/zincloft/messages"
 )
 
 func heap() uint64 {
@@ -28,18 +28,18 @@
 }
 
 type table struct {
-	*steer.Steer
+	*weighting.Steer
 	lives []registry.Life
 	f     sizes.Fleet
 }
 
 func steered(b *testing.B, f sizes.Fleet) *table {
-	c, err := config.Parse(f.Configuration(1, 8))
+	c, err := gatewayconfig.Parse(f.Configuration(1, 8))
 	if err != nil {
 		b.Fatal(err)
 	}
 	zones := []string{sizes.Zone(0), sizes.Zone(1), sizes.Zone(2)}
-	t := &table{steer.New(steer.Site{Seed: 1, Zone: zones[0], Zones: zones, Combs: 10, LinkMbps: 1000, DrainGrace: 2 * time.Second}), f.Lives(), f}
+	t := &table{weighting.New(weighting.Site{Seed: 1, Zone: zones[0], Zones: zones, Combs: 10, LinkMbps: 1000, DrainGrace: 2 * time.Second}), f.Lives(), f}
 	t.Configure(time.Second, c, f.Foragers*10)
 	t.Lives(time.Second, t.lives)
 	for i := range f.Foragers {
@@ -49,12 +49,12 @@
 }
 
 // report is what a forager met in a second: 70 requests, each to another replica.
-func (t *table) report(i int) *words.Report {
-	r := &words.Report{Over: 1000, Requests: map[string]int{}}
+func (t *table) report(i int) *messages.Report {
+	r := &messages.Report{Over: 1000, Requests: map[string]int{}}
 	for j := range min(70, len(t.lives)) {
 		l := t.lives[(i*70+j*7919)%len(t.lives)]
 		r.Requests[l.Service]++
-		r.Sums = append(r.Sums, words.Sum{Replica: l.ID, Tries: 1, Took: 200000, Running: 2, Slots: 6})
+		r.Sums = append(r.Sums, messages.Sum{Replica: l.ID, Tries: 1, Took: 200000, Running: 2, Slots: 6})
 	}
 	return r
 }
@@ -124,12 +124,12 @@
 	for _, x := range capacityParts {
 		f := part(x)
 		b.Run(fmt.Sprintf("n=%d", f.Replicas), func(b *testing.B) {
-			c, err := config.Parse(f.Configuration(1, 8))
+			c, err := gatewayconfig.Parse(f.Configuration(1, 8))
 			if err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				steer.New(steer.Site{Seed: 1, Zone: sizes.Zone(0), Zones: []string{sizes.Zone(0)}, Combs: 10, LinkMbps: 1000}).Configure(time.Second, c, f.Foragers*10)
+				weighting.New(weighting.Site{Seed: 1, Zone: sizes.Zone(0), Zones: []string{sizes.Zone(0)}, Combs: 10, LinkMbps: 1000}).Configure(time.Second, c, f.Foragers*10)
 			}
 		})
 	}
--- a/hive/steer/steer.go
+++ b/controlplane/weighting/steer.go
@@ -1,4 +1,4 @@
-// Package steer has the decision module of the governor in service (rules) steer the gateway: one governor a service,
+// Package weighting has the decision module of the governor in service (rules) steer the gateway: one governor a service,
 // fed with the lives of replicas and with what foragers report, whose tables go to the foragers. It is free of I/O
 // and decides nothing itself; it translates.
 //
@@ -6,7 +6,7 @@
 // forager of this comb has met counts as busy as the fleet, and so does one that tells no load. Combs do not
 // exchange tables or loads: each has the foragers of its zone, whose requests stay there while there is room, so its
 // own foragers meet what matters to them; where they spill over, their reports tell of the others.
-package steer
+package weighting
 
 import (
 	"cmp"
@@ -14,10 +14,10 @@
 	"slices"
 	"time"
 
-	"zincloft.example/zincloft/hive/config"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/gatewayconfig"
 	"zincloft.example/zincloft/intake"
+	"zincloft.example/zincloft/messages"
 	"zincloft.example/zincloft/rules"
 )
 
@@ -94,7 +94,7 @@
 func at(now time.Duration) rules.Time { return rules.Time(now + time.Hour) } // a governor's clock does not start at nothing
 
 // Configure starts a governor for each service that has none, and ends those of services that are gone.
-func (s *Steer) Configure(now time.Duration, c *config.Config, foragers int) {
+func (s *Steer) Configure(now time.Duration, c *gatewayconfig.Config, foragers int) {
 	for name := range s.fleets {
 		if _, ok := c.Services[name]; !ok {
 			delete(s.fleets, name)
@@ -118,7 +118,7 @@
 	}
 }
 
-func (s *Steer) settings(c *config.Config, service string, foragers int) rules.Settings {
+func (s *Steer) settings(c *gatewayconfig.Config, service string, foragers int) rules.Settings {
 	svc := c.Services[service]
 	budget, expiry := 2*time.Second, 10*time.Second
 	for _, r := range c.RoutesTo(service) {
@@ -216,7 +216,7 @@
 }
 
 // Report takes what a forager met. It also tells that the forager has applied what it was told before.
-func (s *Steer) Report(now time.Duration, forager string, r *words.Report) {
+func (s *Steer) Report(now time.Duration, forager string, r *messages.Report) {
 	id, ok := s.proxies[forager]
 	if !ok || r.Over <= 0 {
 		return
@@ -340,29 +340,29 @@
 }
 
 // Lines takes what a forager is to be told, in the order of the replicas' names.
-func (s *Steer) Lines(forager string) []words.Line {
+func (s *Steer) Lines(forager string) []messages.Line {
 	d := s.dirty[forager]
 	if len(d) == 0 {
 		return nil
 	}
-	lines := make([]words.Line, 0, len(d))
+	lines := make([]messages.Line, 0, len(d))
 	for name, w := range d {
-		lines = append(lines, words.Line{Replica: name, Weight: float32(w)})
+		lines = append(lines, messages.Line{Replica: name, Weight: float32(w)})
 	}
-	slices.SortFunc(lines, func(a, b words.Line) int { return cmp.Compare(a.Replica, b.Replica) })
+	slices.SortFunc(lines, func(a, b messages.Line) int { return cmp.Compare(a.Replica, b.Replica) })
 	clear(d)
 	return lines
 }
 
 // Shuns takes which replicas a forager is to shut out, or to let in again, for itself alone: in the order of their names.
-func (s *Steer) Shuns(forager string) []words.Shun {
+func (s *Steer) Shuns(forager string) []messages.Shun {
 	d := s.shuns[forager]
 	if len(d) == 0 {
 		return nil
 	}
-	out := make([]words.Shun, 0, len(d))
+	out := make([]messages.Shun, 0, len(d))
 	for _, name := range slices.Sorted(maps.Keys(d)) {
-		out = append(out, words.Shun{Replica: name, Out: d[name]})
+		out = append(out, messages.Shun{Replica: name, Out: d[name]})
 	}
 	clear(d)
 	return out
--- a/hive/steer/steer_test.go
+++ b/controlplane/weighting/steer_test.go
@@ -1,4 +1,4 @@
-package steer
+package weighting
 
 import (
 	"fmt"
@@ -8,15 +8,15 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"zincloft.example/zincloft/hive/config"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/gatewayconfig"
+	"zincloft.example/zincloft/messages"
 )
 
 const s = time.Second
 
-func configuration() *config.Config {
-	c, err := config.Parse([]byte(`{"version":"00000001","services":[{"name":"svc","max_connections":100,"cold_start":"3s","cold_per_s":4}],
+func configuration() *gatewayconfig.Config {
+	c, err := gatewayconfig.Parse([]byte(`{"version":"00000001","services":[{"name":"svc","max_connections":100,"cold_start":"3s","cold_per_s":4}],
 "virtual_hosts":[{"hostname":"h","path_routes":[{"path_prefix":"/","kind":"safe","timeout":"3s","target_latency":"800ms","service":"svc"}]}]}`))
 	if err != nil {
 		panic(err)
@@ -62,9 +62,9 @@
 		c.now += s / 4
 		if c.now%s == 0 {
 			for _, f := range c.foragers {
-				r := &words.Report{Over: 1000, Requests: map[string]int{"svc": 100}}
+				r := &messages.Report{Over: 1000, Requests: map[string]int{"svc": 100}}
 				for id := range c.Weights("svc", f) {
-					x := words.Sum{Replica: id, Tries: 10, Took: 200000}
+					x := messages.Sum{Replica: id, Tries: 10, Took: 200000}
 					if n, ok := c.load[id]; ok {
 						x.Running, x.Slots = n, 4
 					}
--- a/hive/gate/gate.go
+++ b/dataplane/admission/gate.go
@@ -1,10 +1,10 @@
-// Package gate decides how deep a request may queue at a replica before it is refused instead, and when a refused
+// Package admission decides how deep a request may queue at a replica before it is refused instead, and when a refused
 // client is told to come back. It is free of I/O; clock and chance are handed in.
 //
 // A request that would be answered late takes as much of a replica as one answered in time and is worth a part of it.
 // So what cannot be answered within its route's target is refused at once, while its client can still be served by a
 // new try; what has been refused before is refused last.
-package gate
+package admission
 
 import "time"
 
--- a/hive/gate/gate_test.go
+++ b/dataplane/admission/gate_test.go
@@ -1,4 +1,4 @@
-package gate
+package admission
 
 import (
 	"testing"
--- a/hive/spread/capacity_test.go
+++ b/dataplane/loadbalancer/capacity_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package loadbalancer_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"zincloft.example/zincloft/hive/spread"
+	"zincloft.example/zincloft/dataplane/loadbalancer"
 	"zincloft.example/zincloft/internal/sizes"
 )
 
@@ -39,7 +39,7 @@
 			b.Run(fmt.Sprintf("%s/n=%d", layout, n), func(b *testing.B) {
 				before := heap()
 				lives := f.Lives()
-				s := spread.New(sizes.Zone(0))
+				s := loadbalancer.New(sizes.Zone(0))
 				s.Lives(0, true, lives)
 				lives = nil
 				held := float64(heap()) - float64(before)
@@ -52,7 +52,7 @@
 						b.Fatal("nobody")
 					}
 					s.Begin(now, r)
-					s.End(now, r, spread.Good, time.Millisecond)
+					s.End(now, r, loadbalancer.Good, time.Millisecond)
 				}
 				b.ReportMetric(max(held, 0), "heap-B")
 			})
@@ -67,13 +67,13 @@
 		for _, n := range capacitySizes {
 			b.Run(fmt.Sprintf("%s/n=%d", what, n), func(b *testing.B) {
 				lives := sized(n, n/36).Lives()
-				s := spread.New(sizes.Zone(0))
+				s := loadbalancer.New(sizes.Zone(0))
 				s.Lives(0, true, lives)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					switch what {
 					case "first":
-						spread.New(sizes.Zone(0)).Lives(0, true, lives)
+						loadbalancer.New(sizes.Zone(0)).Lives(0, true, lives)
 					case "again":
 						s.Lives(0, true, lives)
 					case "change":
--- a/hive/spread/cold_test.go
+++ b/dataplane/loadbalancer/cold_test.go
@@ -1,4 +1,4 @@
-package spread
+package loadbalancer
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"zincloft.example/zincloft/hive/registry"
+	"zincloft.example/zincloft/controlplane/registry"
 )
 
 // TestColdWords has words of one replica come from combs that know more or less of it.
--- a/hive/spread/spread.go
+++ b/dataplane/loadbalancer/spread.go
@@ -1,6 +1,6 @@
-// Package spread chooses the replica that a request goes to, from the tables that a control-plane governor sends and
+// Package loadbalancer chooses the replica that a request goes to, from the tables that a control-plane governor sends and
 // what this proxy governor meets itself. It is free of I/O; clock and chance are handed in.
-package spread
+package loadbalancer
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/messages"
 )
 
 const (
@@ -213,7 +213,7 @@
 }
 
 // Shuns shuts replicas out as the last choice, or lets them in again. A whole state begins with none.
-func (s *Spread) Shuns(whole bool, shuns []words.Shun) {
+func (s *Spread) Shuns(whole bool, shuns []messages.Shun) {
 	if whole {
 		for _, r := range s.all {
 			r.shunned = false
--- a/hive/spread/spread_test.go
+++ b/dataplane/loadbalancer/spread_test.go
@@ -1,4 +1,4 @@
-package spread
+package loadbalancer
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"zincloft.example/zincloft/hive/registry"
+	"zincloft.example/zincloft/controlplane/registry"
 )
 
 const s = time.Second
--- a/hive/falls/falls.go
+++ b/dataplane/outlier/falls.go
@@ -1,6 +1,6 @@
-// Package falls tells all foragers of a replica that broke under one of them, so that not each must find out by a
+// Package outlier tells all foragers of a replica that broke under one of them, so that not each must find out by a
 // request of its own, and has one that comes and goes earn its way back slower each time. It is free of I/O.
-package falls
+package outlier
 
 import (
 	"maps"
--- a/hive/falls/falls_test.go
+++ b/dataplane/outlier/falls_test.go
@@ -1,4 +1,4 @@
-package falls
+package outlier
 
 import (
 	"fmt"
--- a/hive/spill/spill.go
+++ b/dataplane/overflow/spill.go
@@ -1,10 +1,10 @@
-// Package spill decides what a site sends to a neighbouring one, and what that one takes. It is free of I/O; clocks are
+// Package overflow decides what a site sends to a neighbouring one, and what that one takes. It is free of I/O; clocks are
 // handed in, and every span is measured by one clock only.
 //
 // Room is lent by leases that run out: what a site has promised is off what it can promise to others, whether or not it is
 // used. A site that refuses its own clients, or borrows itself, lends nothing; a guest is never sent on. So nobody spills
 // at each other, and everything makes one hop at most.
-package spill
+package overflow
 
 import (
 	"cmp"
--- a/hive/spill/spill_test.go
+++ b/dataplane/overflow/spill_test.go
@@ -1,4 +1,4 @@
-package spill
+package overflow
 
 import (
 	"testing"
--- a/hive/tries/tries.go
+++ b/dataplane/retry/tries.go
@@ -1,6 +1,6 @@
-// Package tries decides what follows a try at a replica: whether a request may go to another one, and what a client
+// Package retry decides what follows a try at a replica: whether a request may go to another one, and what a client
 // is told when it may not. It is free of I/O.
-package tries
+package retry
 
 import (
 	"net/http"
--- a/hive/tries/tries_test.go
+++ b/dataplane/retry/tries_test.go
@@ -1,4 +1,4 @@
-package tries
+package retry
 
 import (
 	"testing"
--- a/hive/forage/forage.go
+++ b/dataplane/router/forage.go
@@ -1,22 +1,22 @@
-// Package forage is what a proxy governor decides: which replica a request goes to, whether to another one, what is
-// refused, and what it holds in force of what its control-plane governor tells. It joins hive/spread, hive/gate and
-// hive/tries. It is free of I/O; clock and chance are handed in, and the same calls always bring the same results.
-package forage
+// Package router is what a proxy governor decides: which replica a request goes to, whether to another one, what is
+// refused, and what it holds in force of what its control-plane governor tells. It joins dataplane/loadbalancer, dataplane/admission and
+// dataplane/retry. It is free of I/O; clock and chance are handed in, and the same calls always bring the same results.
+package router
 
 import (
 	"math/rand/v2"
 	"slices"
 	"time"
 
-	"zincloft.example/zincloft/hive/capacity"
-	"zincloft.example/zincloft/hive/config"
-	"zincloft.example/zincloft/hive/falls"
-	"zincloft.example/zincloft/hive/gate"
-	"zincloft.example/zincloft/hive/spread"
-	"zincloft.example/zincloft/hive/tries"
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/hive/windows"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/maintenance"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/dataplane/admission"
+	"zincloft.example/zincloft/dataplane/capacity"
+	"zincloft.example/zincloft/dataplane/loadbalancer"
+	"zincloft.example/zincloft/dataplane/outlier"
+	"zincloft.example/zincloft/dataplane/retry"
+	"zincloft.example/zincloft/gatewayconfig"
+	"zincloft.example/zincloft/messages"
 )
 
 const (
@@ -55,10 +55,10 @@
 
 // Ask is a request that looks for a replica.
 type Ask struct {
-	Service string       `cbor:"1,keyasint"`
-	Tried   []string     `cbor:"2,keyasint,omitempty"` // replicas that it was at
-	Request gate.Request `cbor:"3,keyasint"`
-	Spare   bool         `cbor:"4,keyasint,omitempty"` // only one with free slots will do
+	Service string            `cbor:"1,keyasint"`
+	Tried   []string          `cbor:"2,keyasint,omitempty"` // replicas that it was at
+	Request admission.Request `cbor:"3,keyasint"`
+	Spare   bool              `cbor:"4,keyasint,omitempty"` // only one with free slots will do
 }
 
 // Picked is a replica for a request; each one that has an ID must be ended by End.
@@ -71,31 +71,31 @@
 
 // End is a try's end.
 type End struct {
-	N           uint64         `cbor:"1,keyasint"` // of Picked
-	Outcome     spread.Outcome `cbor:"2,keyasint,omitempty"`
-	Took        time.Duration  `cbor:"3,keyasint,omitempty"`
-	Refused     bool           `cbor:"4,keyasint,omitempty"` // nobody listens there
-	Misdirected bool           `cbor:"5,keyasint,omitempty"` // another replica answered there
-	Load        [3]int         `cbor:"6,keyasint,omitempty"` // running, waiting, slots by the replica's word; no slots: not told
+	N           uint64               `cbor:"1,keyasint"` // of Picked
+	Outcome     loadbalancer.Outcome `cbor:"2,keyasint,omitempty"`
+	Took        time.Duration        `cbor:"3,keyasint,omitempty"`
+	Refused     bool                 `cbor:"4,keyasint,omitempty"` // nobody listens there
+	Misdirected bool                 `cbor:"5,keyasint,omitempty"` // another replica answered there
+	Load        [3]int               `cbor:"6,keyasint,omitempty"` // running, waiting, slots by the replica's word; no slots: not told
 }
 
 // Ended is what follows from a try's end for others.
 type Ended struct {
-	Fell *falls.Word `cbor:"1,keyasint,omitempty"` // the comb is to know at once
-	Gone string      `cbor:"2,keyasint,omitempty"` // likewise: this replica's address is another's
+	Fell *outlier.Word `cbor:"1,keyasint,omitempty"` // the comb is to know at once
+	Gone string        `cbor:"2,keyasint,omitempty"` // likewise: this replica's address is another's
 }
 
 // Taken is what follows from a comb's word.
 type Taken struct {
-	Ended   []string       `cbor:"1,keyasint,omitempty"` // replicas to which no connection is wanted any more
-	Config  *config.Config `cbor:"-"`                    // another one is in force; nil: the same as before
-	Problem string         `cbor:"3,keyasint,omitempty"` // of a configuration that was not taken
-	Table   bool           `cbor:"4,keyasint,omitempty"` // a whole state came
-	Late    bool           `cbor:"5,keyasint,omitempty"` // the stream is to be left; nothing was taken from it
+	Ended   []string              `cbor:"1,keyasint,omitempty"` // replicas to which no connection is wanted any more
+	Config  *gatewayconfig.Config `cbor:"-"`                    // another one is in force; nil: the same as before
+	Problem string                `cbor:"3,keyasint,omitempty"` // of a configuration that was not taken
+	Table   bool                  `cbor:"4,keyasint,omitempty"` // a whole state came
+	Late    bool                  `cbor:"5,keyasint,omitempty"` // the stream is to be left; nothing was taken from it
 }
 
 type pick struct {
-	r       *spread.Replica
+	r       *loadbalancer.Replica
 	service string
 	fill    float64 // requests to a slot that it had
 }
@@ -105,16 +105,16 @@
 	set      Settings
 	pcg      rand.PCG
 	chance   func() float64
-	config   *config.Config
-	spread   *spread.Spread
-	budgets  map[string]*tries.Budget
-	gates    map[string]*gate.Gate
+	config   *gatewayconfig.Config
+	spread   *loadbalancer.Spread
+	budgets  map[string]*retry.Budget
+	gates    map[string]*admission.Gate
 	requests map[string]int
 	told     map[string]time.Duration // when the comb was told of a replica that broke
 	open     map[uint64]pick
 	picks    uint64
 	seq      uint64 // of the register in force
-	combs    []view.Member
+	combs    []membership.Member
 	foragers int
 	tabled   bool
 	heardAt  time.Duration // a comb, last
@@ -127,15 +127,15 @@
 	meter    capacity.Meter
 	load     map[string]int
 	underway int
-	phase    windows.Phase
+	phase    maintenance.Phase
 	fence    uint64
 	drainsAt time.Duration
 }
 
 // New makes one that holds nothing.
 func New(set Settings) *Forager {
-	f := &Forager{set: set, pcg: *rand.NewPCG(set.Seed, 1), spread: spread.New(set.Zone), budgets: map[string]*tries.Budget{}, gates: map[string]*gate.Gate{},
-		requests: map[string]int{}, told: map[string]time.Duration{}, open: map[uint64]pick{}, load: map[string]int{}, phase: windows.Serving}
+	f := &Forager{set: set, pcg: *rand.NewPCG(set.Seed, 1), spread: loadbalancer.New(set.Zone), budgets: map[string]*retry.Budget{}, gates: map[string]*admission.Gate{},
+		requests: map[string]int{}, told: map[string]time.Duration{}, open: map[uint64]pick{}, load: map[string]int{}, phase: maintenance.Serving}
 	f.chance = rand.New(&f.pcg).Float64
 	return f
 }
@@ -146,7 +146,7 @@
 	f.apart(now)
 	g := f.gate(a.Service)
 	had := func(id string) bool { return slices.Contains(a.Tried, id) }
-	var r *spread.Replica
+	var r *loadbalancer.Replica
 	if a.Spare {
 		r = f.spread.Spare(now, a.Service, had, f.chance)
 	} else {
@@ -196,17 +196,17 @@
 	return f.spread.Right(id)
 }
 
-func (f *Forager) gate(service string) *gate.Gate {
+func (f *Forager) gate(service string) *admission.Gate {
 	if f.gates[service] == nil {
-		f.gates[service] = gate.New()
+		f.gates[service] = admission.New()
 	}
 	return f.gates[service]
 }
 
-func (f *Forager) budget(service string) *tries.Budget {
+func (f *Forager) budget(service string) *retry.Budget {
 	b := f.budgets[service]
 	if b == nil {
-		b = tries.NewBudget(f.set.RetryRatio/2, max(f.set.RetrySlack/float64(max(f.foragers, fewest))/2, 1))
+		b = retry.NewBudget(f.set.RetryRatio/2, max(f.set.RetrySlack/float64(max(f.foragers, fewest))/2, 1))
 		f.budgets[service] = b
 	}
 	return b
@@ -237,32 +237,32 @@
 
 // Serves tells whether this node calls itself ready, as far as its window goes; Refuses, whether it turns requests away:
 // by then the platform has had the time to look elsewhere.
-func (f *Forager) Serves() bool { return f.phase == windows.Serving }
+func (f *Forager) Serves() bool { return f.phase == maintenance.Serving }
 func (f *Forager) Refuses(now time.Duration) bool {
-	return f.phase != windows.Serving && now-f.drainsAt > LeaveFor
+	return f.phase != maintenance.Serving && now-f.drainsAt > LeaveFor
 }
 
 // window takes the word on this node's window. Only a newer one counts; one that is not there any more is over.
-func (f *Forager) window(now time.Duration, w words.Window) {
+func (f *Forager) window(now time.Duration, w messages.Window) {
 	switch {
-	case w.Phase == "" || w.Phase == windows.Returning:
-		if f.phase, f.fence = windows.Serving, max(w.Fence, f.fence); w.Phase == "" {
+	case w.Phase == "" || w.Phase == maintenance.Returning:
+		if f.phase, f.fence = maintenance.Serving, max(w.Fence, f.fence); w.Phase == "" {
 			f.fence = 0
 		}
-	case w.Fence > f.fence || f.phase == windows.Serving && w.Fence == f.fence:
-		if f.fence = w.Fence; f.phase == windows.Serving {
-			f.phase, f.drainsAt = windows.Draining, now
+	case w.Fence > f.fence || f.phase == maintenance.Serving && w.Fence == f.fence:
+		if f.fence = w.Fence; f.phase == maintenance.Serving {
+			f.phase, f.drainsAt = maintenance.Draining, now
 		}
 	}
 }
 
 // bee is what this node tells of itself. It says that it is drained once nothing is under way and nobody has come for
 // as long as the platform takes to look elsewhere.
-func (f *Forager) bee(now, over time.Duration, busy float64) *words.Bee {
-	if f.phase == windows.Draining && f.underway == 0 && now-f.drainsAt > LeaveFor {
-		f.phase = windows.Drained
+func (f *Forager) bee(now, over time.Duration, busy float64) *messages.Bee {
+	if f.phase == maintenance.Draining && f.underway == 0 && now-f.drainsAt > LeaveFor {
+		f.phase = maintenance.Drained
 	}
-	b := &words.Bee{Ready: f.config != nil && f.tabled, Phase: f.phase, Fence: f.fence, Carries: f.meter.Sample(over, busy), Load: map[string]float64{}}
+	b := &messages.Bee{Ready: f.config != nil && f.tabled, Phase: f.phase, Fence: f.fence, Carries: f.meter.Sample(over, busy), Load: map[string]float64{}}
 	for g, n := range f.load {
 		b.Load[g] = float64(n) / max(over.Seconds(), 0.1)
 	}
@@ -281,11 +281,11 @@
 	}
 	delete(f.open, e.N)
 	f.spread.End(now, p.r, e.Outcome, e.Took)
-	if e.Outcome == spread.Good {
+	if e.Outcome == loadbalancer.Good {
 		f.gate(p.service).Answered(e.Took, p.fill)
 	}
-	if e.Outcome == spread.Silent || e.Outcome == spread.Uncalled {
-		out.Fell = f.broke(now, falls.Word{Replica: p.r.ID, Refused: e.Refused})
+	if e.Outcome == loadbalancer.Silent || e.Outcome == loadbalancer.Uncalled {
+		out.Fell = f.broke(now, outlier.Word{Replica: p.r.ID, Refused: e.Refused})
 	}
 	if e.Misdirected && f.spread.Misdirected(now, p.r.ID) {
 		out.Gone = p.r.ID
@@ -297,7 +297,7 @@
 }
 
 // broke has the comb told of a replica that broke, once in a while.
-func (f *Forager) broke(now time.Duration, w falls.Word) *falls.Word {
+func (f *Forager) broke(now time.Duration, w outlier.Word) *outlier.Word {
 	if at, ok := f.told[w.Replica]; ok && now-at < tellFalls {
 		return nil
 	}
@@ -309,7 +309,7 @@
 }
 
 // Take puts in force what a comb tells. Within a life nothing goes back: an older register is passed over.
-func (f *Forager) Take(now time.Duration, s *words.State) (t Taken) {
+func (f *Forager) Take(now time.Duration, s *messages.State) (t Taken) {
 	switch {
 	case s.Whole:
 		f.streamed, f.silence = true, now-f.heardAt
@@ -319,7 +319,7 @@
 	}
 	f.heardAt = now
 	if len(s.Body) > 0 && (f.config == nil || f.config.Version < s.Version) {
-		c, err := config.Parse(s.Body)
+		c, err := gatewayconfig.Parse(s.Body)
 		if err != nil {
 			t.Problem = err.Error()
 		} else {
@@ -359,7 +359,7 @@
 		caps := map[string]int{}
 		for name, svc := range f.config.Services {
 			if svc.MaxConnections > 0 {
-				caps[name] = spread.Part(svc.MaxConnections, f.foragers, f.set.Zones)
+				caps[name] = loadbalancer.Part(svc.MaxConnections, f.foragers, f.set.Zones)
 			}
 		}
 		f.spread.Caps(caps)
@@ -379,8 +379,8 @@
 }
 
 // Report is what was met since the last one, so long ago, and how busy this node was meanwhile, from 0 to 1.
-func (f *Forager) Report(now, over time.Duration, busy float64) *words.Report {
-	rep := &words.Report{Over: over.Milliseconds(), Requests: f.requests}
+func (f *Forager) Report(now, over time.Duration, busy float64) *messages.Report {
+	rep := &messages.Report{Over: over.Milliseconds(), Requests: f.requests}
 	if f.measured {
 		rep.Bee = f.bee(now, over, busy)
 	}
@@ -389,7 +389,7 @@
 		if r.Tries == 0 && r.Good == 0 && r.Dropped == 0 {
 			continue
 		}
-		s := words.Sum{Replica: r.ID, Tries: r.Good + r.Dropped, Dropped: r.Dropped, Running: r.Running, Waiting: r.Waiting, Slots: r.Told}
+		s := messages.Sum{Replica: r.ID, Tries: r.Good + r.Dropped, Dropped: r.Dropped, Running: r.Running, Waiting: r.Waiting, Slots: r.Told}
 		if r.Good > 0 {
 			s.Took = (r.Took / time.Duration(r.Good)).Microseconds()
 		}
@@ -401,8 +401,8 @@
 
 // First is what a comb that may have lost it is told at the beginning of a stream. That a replica is cold is told too:
 // else a comb that knows of it by us alone has all foragers take it for warm until it beats again.
-func (f *Forager) First(now time.Duration) *words.Report {
-	rep := &words.Report{Seq: f.seq}
+func (f *Forager) First(now time.Duration) *messages.Report {
+	rep := &messages.Report{Seq: f.seq}
 	for _, r := range f.spread.All() {
 		l := r.Life(now)
 		l.Old = l.Old || f.silence > unsureAfter
@@ -436,7 +436,7 @@
 
 // Combs lists the combs that were told of. Seq is the number of the register in force, and Config the configuration;
 // nil: none yet. Spread is the replicas' part, to look at.
-func (f *Forager) Combs() []view.Member   { return f.combs }
-func (f *Forager) Seq() uint64            { return f.seq }
-func (f *Forager) Config() *config.Config { return f.config }
-func (f *Forager) Spread() *spread.Spread { return f.spread }
+func (f *Forager) Combs() []membership.Member    { return f.combs }
+func (f *Forager) Seq() uint64                   { return f.seq }
+func (f *Forager) Config() *gatewayconfig.Config { return f.config }
+func (f *Forager) Spread() *loadbalancer.Spread  { return f.spread }
--- a/hive/forage/forage_test.go
+++ b/dataplane/router/forage_test.go
@@ -1,4 +1,4 @@
-package forage
+package router
 
 import (
 	"strings"
@@ -7,9 +7,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"zincloft.example/zincloft/hive/gate"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/dataplane/admission"
+	"zincloft.example/zincloft/messages"
 )
 
 const s = time.Second
@@ -22,12 +22,12 @@
 }
 
 // whole is a comb's first word to a forager.
-func whole(lives ...registry.Life) *words.State {
-	return &words.State{Whole: true, Seq: 7, Version: 2, Body: []byte(body), Lives: lives}
+func whole(lives ...registry.Life) *messages.State {
+	return &messages.State{Whole: true, Seq: 7, Version: 2, Body: []byte(body), Lives: lives}
 }
 
 func picks(f *Forager, now time.Duration, id string) bool {
-	p := f.Pick(now, Ask{Service: "svc", Request: gate.Request{Route: "r", Target: s, Left: 3 * s}})
+	p := f.Pick(now, Ask{Service: "svc", Request: admission.Request{Route: "r", Target: s, Left: 3 * s}})
 	if p.N > 0 {
 		f.End(now, End{N: p.N, Took: time.Millisecond})
 	}
@@ -40,9 +40,9 @@
 		cold := life("i1", 3)
 		cold.Cold = 60000
 		w := whole(cold)
-		w.Granted, w.Grants = true, []words.Line{{Replica: "i1", Grant: 2}}
+		w.Granted, w.Grants = true, []messages.Line{{Replica: "i1", Grant: 2}}
 		f.Take(1*s, w)
-		f.Take(2*s-1, &words.State{})
+		f.Take(2*s-1, &messages.State{})
 		So(f.Right(2*s, "i1"), ShouldEqual, 2)
 		So(picks(f, 2*s, "i1"), ShouldBeTrue)
 		// Guards against rights that two hold: their comb deals them to another one once the stream has ended.
@@ -61,7 +61,7 @@
 		})
 		// Guards a forager that was frozen: what lay in its sockets meanwhile must not be put in force, nor renew its rights.
 		Convey("words that come after a silence are not taken", func() {
-			late := f.Take(20*s, &words.State{Granted: true, Grants: []words.Line{{Replica: "i1", Grant: 2}}, Seq: 8, Out: []string{"a"}})
+			late := f.Take(20*s, &messages.State{Granted: true, Grants: []messages.Line{{Replica: "i1", Grant: 2}}, Seq: 8, Out: []string{"a"}})
 			So(late.Late, ShouldBeTrue)
 			So(f.Seq(), ShouldEqual, 7)
 			So(f.Right(20*s, "i1"), ShouldEqual, 0)
@@ -93,7 +93,7 @@
 		Convey("a replica that the next comb does not know is let go, and taken in once it does", func() {
 			f.Take(1*s, whole(life("i2", 4)))
 			So(f.Spread().Get("i1"), ShouldBeNil)
-			f.Take(1*s, &words.State{Lives: []registry.Life{life("i1", 10)}})
+			f.Take(1*s, &messages.State{Lives: []registry.Life{life("i1", 10)}})
 			So(f.Spread().Get("i1"), ShouldNotBeNil)
 		})
 	})
@@ -111,8 +111,8 @@
 			lives = append(lives, registry.Life{ID: id, Service: "svc", Addr: id, Zone: "a", Slots: 100, Seq: 1})
 		}
 		const s = time.Second
-		f.Take(s, &words.State{Whole: true, Seq: 1, Version: 1, Body: body, Lives: lives, Foragers: 10,
-			Lines: []words.Line{{Replica: "i1", Weight: 50}, {Replica: "i2", Weight: 50}}})
+		f.Take(s, &messages.State{Whole: true, Seq: 1, Version: 1, Body: body, Lives: lives, Foragers: 10,
+			Lines: []messages.Line{{Replica: "i1", Weight: 50}, {Replica: "i2", Weight: 50}}})
 		sent := func(from, to time.Duration) (n int) {
 			for now := from; now < to; now += 10 * time.Millisecond {
 				if p := f.Pick(now, Ask{Service: "svc"}); p.ID != "" {
@@ -125,8 +125,8 @@
 		// Guards a fleet whose combs are all gone: where replicas are never cold there is nothing to spare, and all is served on.
 		Convey("where replicas bear any rate it goes on as it likes", func() {
 			f := New(Settings{Zone: "a", Zones: 1, ColdTimes: 1.5, ColdSlack: 5, Seed: 1})
-			f.Take(s, &words.State{Whole: true, Seq: 1, Version: 1, Body: []byte(strings.Replace(string(body), `,"cold_per_s":4`, "", 1)), Lives: lives, Foragers: 10,
-				Lines: []words.Line{{Replica: "i1", Weight: 50}, {Replica: "i2", Weight: 50}}})
+			f.Take(s, &messages.State{Whole: true, Seq: 1, Version: 1, Body: []byte(strings.Replace(string(body), `,"cold_per_s":4`, "", 1)), Lives: lives, Foragers: 10,
+				Lines: []messages.Line{{Replica: "i1", Weight: 50}, {Replica: "i2", Weight: 50}}})
 			n := 0
 			for now := 5 * s; now < 6*s; now += 10 * time.Millisecond {
 				if p := f.Pick(now, Ask{Service: "svc"}); p.ID != "" {
@@ -144,7 +144,7 @@
 			So(sent(4*s, 14*s)*10, ShouldBeBetween, 2*10*8, 2*10*11)
 			Convey("until a comb is heard", func() {
 				f.Left(14 * s)
-				f.Take(14*s, &words.State{Whole: true, Lives: lives})
+				f.Take(14*s, &messages.State{Whole: true, Lives: lives})
 				So(sent(14*s, 15*s), ShouldEqual, 100)
 			})
 		})
--- a/hive/config/capacity_test.go
+++ b/gatewayconfig/capacity_test.go
@@ -1,11 +1,11 @@
-package config_test
+package gatewayconfig_test
 
 import (
 	"fmt"
 	"runtime"
 	"testing"
 
-	"zincloft.example/zincloft/hive/config"
+	"zincloft.example/zincloft/gatewayconfig"
 	"zincloft.example/zincloft/internal/sizes"
 )
 
@@ -37,14 +37,14 @@
 			b.Run(fmt.Sprintf("%s/n=%d", l.name, n), func(b *testing.B) {
 				raw := sized(n).Configuration(1, l.of(n))
 				before := heap()
-				c, err := config.Parse(raw)
+				c, err := gatewayconfig.Parse(raw)
 				if err != nil {
 					b.Fatal(err)
 				}
 				held := float64(heap()) - float64(before)
 				b.ReportAllocs()
 				for b.Loop() {
-					if _, err := config.Parse(raw); err != nil {
+					if _, err := gatewayconfig.Parse(raw); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -61,7 +61,7 @@
 	for _, l := range layouts {
 		for _, n := range capacityRoutes {
 			b.Run(fmt.Sprintf("%s/n=%d", l.name, n), func(b *testing.B) {
-				c, err := config.Parse(sized(n).Configuration(1, l.of(n)))
+				c, err := gatewayconfig.Parse(sized(n).Configuration(1, l.of(n)))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -85,7 +85,7 @@
 func BenchmarkCapacityRoutesTo(b *testing.B) {
 	for _, n := range capacityRoutes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			c, err := config.Parse(sized(n).Configuration(1, 8))
+			c, err := gatewayconfig.Parse(sized(n).Configuration(1, 8))
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/hive/config/config.go
+++ b/gatewayconfig/config.go
@@ -1,8 +1,8 @@
-// Package config reads, checks and searches an operator's configuration. It is free of I/O.
+// Package gatewayconfig reads, checks and searches an operator's configuration. It is free of I/O.
 //
 // A configuration is read by gjson paths. What makes one invalid is what the protocol page lists, and whatever
 // would leave a field unreadable; each message names the path at fault, so that an operator finds it.
-package config
+package gatewayconfig
 
 import (
 	"maps"
--- a/hive/config/config_test.go
+++ b/gatewayconfig/config_test.go
@@ -1,4 +1,4 @@
-package config
+package gatewayconfig
 
 import (
 	"strings"
--- a/internal/collectd/collectd_test.go
+++ b/internal/collectd/collectd_test.go
@@ -19,7 +19,7 @@
 	"zincloft.example/zincloft/intake"
 	"zincloft.example/zincloft/internal/counts"
 	"zincloft.example/zincloft/internal/exchange"
-	"zincloft.example/zincloft/internal/stand"
+	"zincloft.example/zincloft/internal/standin"
 	"zincloft.example/zincloft/internal/testkit"
 	"zincloft.example/zincloft/rules"
 )
@@ -50,8 +50,8 @@
 	return out.String()
 }
 
-func whole() stand.Packet {
-	return stand.Packet{}.Text(0, "web-1").Number(1, 1_700_000_000).Number(7, 10).Text(2, "cpu").Text(3, "0").Text(4, "percent").Text(5, "idle").
+func whole() standin.Packet {
+	return standin.Packet{}.Text(0, "web-1").Number(1, 1_700_000_000).Number(7, 10).Text(2, "cpu").Text(3, "0").Text(4, "percent").Text(5, "idle").
 		Gauges(40.5).Part(0x0999, []byte("of another day")).Text(5, "user").Gauges(2, math.NaN()).
 		Time(time.Unix(1_700_000_001, 500_000_000)).Number(9, 3<<29).Text(3, "").Counts(0, 7, math.MaxUint64).Counts(2, 8).Counts(3, 9)
 }
@@ -59,7 +59,9 @@
 // TestPacket has all parts of the protocol in one packet, and parts that nobody knows.
 func TestPacket(t *testing.T) {
 	var trace strings.Builder
-	add := func(what string, level Level, p stand.Packet) { fmt.Fprintf(&trace, "# %s\n%s", what, show(level, p)) }
+	add := func(what string, level Level, p standin.Packet) {
+		fmt.Fprintf(&trace, "# %s\n%s", what, show(level, p))
+	}
 	add("whole", None, whole())
 	add("unsigned, where signatures are required", Sign, whole())
 	add("a value of kind 4", None, whole().Counts(4, 1).Gauges(1))
@@ -69,8 +71,8 @@
 	add("a text without its end", None, whole().Part(0, []byte("host")))
 	add("a text that is too long", None, whole().Text(0, strings.Repeat("x", 200)))
 	add("a time that can't be", None, whole().Number(1, math.MaxUint64))
-	add("a signature cut short", None, stand.Packet{}.Part(0x0200, make([]byte, 10)))
-	add("something encrypted, cut short", None, stand.Packet{}.Part(0x0210, []byte{0, 200, 1, 2}))
+	add("a signature cut short", None, standin.Packet{}.Part(0x0200, make([]byte, 10)))
+	add("something encrypted, cut short", None, standin.Packet{}.Part(0x0210, []byte{0, 200, 1, 2}))
 	testkit.Compare(t, trace.String())
 }
 
@@ -203,8 +205,8 @@
 	x, n := &inbox{}, &counts.Counts{}
 	s := New(options(), x, n)
 	now := time.Unix(1_700_000_000, 0)
-	one := func(host string) stand.Packet {
-		return stand.Packet{}.Text(0, host).Number(1, 1_700_000_000).Text(2, "cpu").Text(4, "percent").Text(5, "idle").Gauges(40).
+	one := func(host string) standin.Packet {
+		return standin.Packet{}.Text(0, host).Number(1, 1_700_000_000).Text(2, "cpu").Text(4, "percent").Text(5, "idle").Gauges(40).
 			Text(5, "user").Gauges(30).Text(2, "http").Text(4, "requests").Text(5, "").Gauges(9, 12).Gauges(9)
 	}
 	s.Packet(from("127.0.0.1:1"), one("web-1"), now)
@@ -244,7 +246,7 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	for _, p := range []stand.Packet{{1}, stand.Packet{}.Text(0, "web-1").Number(1, 5).Text(2, "cpu").Text(4, "percent").Text(5, "idle").Gauges(40)} {
+	for _, p := range []standin.Packet{{1}, standin.Packet{}.Text(0, "web-1").Number(1, 5).Text(2, "cpu").Text(4, "percent").Text(5, "idle").Gauges(40)} {
 		if _, err := peer.Write(p); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/caller/caller.go
+++ b/internal/controlclient/caller.go
@@ -1,6 +1,6 @@
-// Package caller calls the control interface of combs as the protocol page has all callers do it: any of them, and on to another
+// Package controlclient calls the control interface of combs as the protocol page has all callers do it: any of them, and on to another
 // after a failure, a 5xx, a 408 or 429, or a second of silence, with a pause that grows.
-package caller
+package controlclient
 
 import (
 	"bytes"
--- a/internal/caller/caller_test.go
+++ b/internal/controlclient/caller_test.go
@@ -1,4 +1,4 @@
-package caller
+package controlclient
 
 import (
 	"context"
@@ -73,7 +73,7 @@
 	return answer, err, c
 }
 
-// The protocol page names after which answers a caller goes on to another comb and which end a call: beekeeper knew one comb only, so an
+// The protocol page names after which answers a caller goes on to another comb and which end a call: zincloftctl knew one comb only, so an
 // operator had to do this by hand, and one that was cut off held the call for five seconds.
 func TestCallGoesOnToAnotherComb(t *testing.T) {
 	for _, first := range []string{"failed", "silent", "Service Unavailable", "Internal Server Error", "Gateway Timeout", "Request Timeout", "Too Many Requests", "Not Found"} {
--- a/internal/combd/calls.go
+++ b/internal/controlserver/calls.go
@@ -1,4 +1,4 @@
-package combd
+package controlserver
 
 import (
 	"encoding/json"
@@ -11,11 +11,11 @@
 	"github.com/go-chi/chi/v5"
 	"github.com/tidwall/gjson"
 
-	"zincloft.example/zincloft/hive/chain"
-	"zincloft.example/zincloft/hive/comb"
-	"zincloft.example/zincloft/hive/config"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/windows"
+	"zincloft.example/zincloft/controlplane/chainreplication"
+	"zincloft.example/zincloft/controlplane/controller"
+	"zincloft.example/zincloft/controlplane/maintenance"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/gatewayconfig"
 )
 
 const (
@@ -76,11 +76,11 @@
 
 // called has the brain answer a caller, unless that one has left by the time: it calls another comb then, and what it
 // asked for here might undo what has come since.
-func (c *Comb) called(r *http.Request, e comb.Event) comb.Answer {
-	done := make(chan comb.Answer, 1)
+func (c *Comb) called(r *http.Request, e controller.Event) controller.Answer {
+	done := make(chan controller.Answer, 1)
 	c.post(func() {
 		if r.Context().Err() != nil {
-			done <- comb.Answer{Status: gone}
+			done <- controller.Answer{Status: gone}
 			return
 		}
 		c.token++
@@ -133,7 +133,7 @@
 		say(w, http.StatusUnprocessableEntity, "heartbeat: sequence, slots or cold_remaining is no such number")
 		return
 	}
-	a := c.called(r, comb.Event{Beat: &l})
+	a := c.called(r, controller.Event{Beat: &l})
 	if a.Status != http.StatusOK {
 		say(w, a.Status, "out of touch with the other combs")
 		return
@@ -153,7 +153,7 @@
 		say(w, http.StatusBadRequest, "of: names no replica")
 		return
 	}
-	if a := c.called(r, comb.Event{Leave: id}); a.Status != http.StatusOK {
+	if a := c.called(r, controller.Event{Leave: id}); a.Status != http.StatusOK {
 		say(w, a.Status, "out of touch with the other combs")
 		return
 	}
@@ -165,13 +165,13 @@
 	if !ok {
 		return
 	}
-	conf, err := config.Parse(body)
+	conf, err := gatewayconfig.Parse(body)
 	if err != nil {
 		c.log.Info().Str("event", "config_refused").Err(err).Msg("")
 		say(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	say(w, c.called(r, comb.Event{Order: &chain.Order{Version: conf.Version, Body: body}}).Status, "")
+	say(w, c.called(r, controller.Event{Order: &chainreplication.Order{Version: conf.Version, Body: body}}).Status, "")
 }
 
 func (c *Comb) evacuate(w http.ResponseWriter, r *http.Request, out bool) {
@@ -180,7 +180,7 @@
 		say(w, http.StatusUnprocessableEntity, "of: names no zone")
 		return
 	}
-	say(w, c.called(r, comb.Event{Order: &chain.Order{Zone: zone, Out: out}}).Status, "")
+	say(w, c.called(r, controller.Event{Order: &chainreplication.Order{Zone: zone, Out: out}}).Status, "")
 }
 
 // standing tells an operator how the core stands, as this comb knows; also while it is out of touch.
@@ -194,12 +194,12 @@
 	if !ok {
 		return
 	}
-	var x windows.Command
+	var x maintenance.Command
 	if json.Unmarshal(body, &x) != nil {
 		say(w, http.StatusBadRequest, "windows: the command cannot be read")
 		return
 	}
-	a := c.called(r, comb.Event{Windows: &x})
+	a := c.called(r, controller.Event{Windows: &x})
 	say(w, a.Status, string(a.Body))
 }
 
@@ -223,7 +223,7 @@
 }
 
 func (c *Comb) describe(w http.ResponseWriter, r *http.Request) {
-	a := c.called(r, comb.Event{Read: true})
+	a := c.called(r, controller.Event{Read: true})
 	switch a.Status {
 	case http.StatusTemporaryRedirect:
 		w.Header().Set("Location", "http://"+a.Where+"/api/rpc?call=configuration.describe")
--- a/internal/combd/calls_test.go
+++ b/internal/controlserver/calls_test.go
@@ -1,4 +1,4 @@
-package combd
+package controlserver
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"zincloft.example/zincloft/internal/nodefile"
+	"zincloft.example/zincloft/internal/nodesettings"
 	"zincloft.example/zincloft/internal/program"
 )
 
@@ -48,7 +48,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	set, err := nodefile.Parse([]byte(fmt.Sprintf(callSettings, dir, control, inner, inner+4, control)))
+	set, err := nodesettings.Parse([]byte(fmt.Sprintf(callSettings, dir, control, inner, inner+4, control)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/combd/combd.go
+++ b/internal/controlserver/combd.go
@@ -1,8 +1,8 @@
-// Package combd is a control-plane governor: it takes the beats of replicas and the orders of operators, keeps the
+// Package controlserver is a control-plane governor: it takes the beats of replicas and the orders of operators, keeps the
 // lasting state with the other combs, and steers its proxy governors (foragers).
 //
-// One goroutine drives what decides (hive/comb); sockets and the disk talk to it through a channel.
-package combd
+// One goroutine drives what decides (controlplane/controller); sockets and the disk talk to it through a channel.
+package controlserver
 
 import (
 	"context"
@@ -22,16 +22,16 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/phuslu/log"
 
-	"zincloft.example/zincloft/hive/comb"
-	"zincloft.example/zincloft/hive/core"
-	"zincloft.example/zincloft/hive/neighbours"
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/hive/words"
-	"zincloft.example/zincloft/internal/cell"
-	"zincloft.example/zincloft/internal/link"
-	"zincloft.example/zincloft/internal/nodefile"
+	"zincloft.example/zincloft/controlplane/controller"
+	"zincloft.example/zincloft/controlplane/coordinator"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/internal/gossip"
+	"zincloft.example/zincloft/internal/nodesettings"
+	"zincloft.example/zincloft/internal/peertransport"
 	"zincloft.example/zincloft/internal/program"
-	"zincloft.example/zincloft/internal/waggle"
+	"zincloft.example/zincloft/internal/statestore"
+	"zincloft.example/zincloft/messages"
+	"zincloft.example/zincloft/peersampling"
 )
 
 const (
@@ -47,37 +47,37 @@
 
 // Comb is one control-plane governor.
 type Comb struct {
-	set   *nodefile.Settings
+	set   *nodesettings.Settings
 	log   *log.Logger
 	start time.Time
 	loop  chan func()
-	store *cell.Cell
+	store *statestore.Cell
 
-	brain *comb.Comb
-	peers map[string]*link.Peer // by address
-	hello words.Hello
-	ends  link.Ends // of other combs' connections
+	brain *controller.Comb
+	peers map[string]*peertransport.Peer // by address
+	hello messages.Hello
+	ends  peertransport.Ends // of other combs' connections
 
 	token   uint64
-	waiting map[uint64]chan comb.Answer
-	streams map[uint64]*link.Conn
+	waiting map[uint64]chan controller.Answer
+	streams map[uint64]*peertransport.Conn
 	metAt   time.Duration
 	sentAt  map[string]time.Duration // to peers, by address
 	ended   bool
-	dance   *waggle.Dance
+	dance   *gossip.Dance
 	failed  chan error
 }
 
 // New makes a comb from its settings.
-func New(set *nodefile.Settings, logger *log.Logger) (*Comb, error) {
+func New(set *nodesettings.Settings, logger *log.Logger) (*Comb, error) {
 	if set.Control == "" {
 		return nil, merry.New("settings: network_settings.listen_addresses.control: a comb needs it")
 	}
 	if set.DataDir == "" {
 		return nil, merry.New("settings: self_settings.data_directory: a comb needs a disk")
 	}
-	return &Comb{set: set, log: logger, start: time.Now(), loop: make(chan func(), 1024), peers: map[string]*link.Peer{}, sentAt: map[string]time.Duration{},
-		waiting: map[uint64]chan comb.Answer{}, streams: map[uint64]*link.Conn{}, failed: make(chan error, 4)}, nil
+	return &Comb{set: set, log: logger, start: time.Now(), loop: make(chan func(), 1024), peers: map[string]*peertransport.Peer{}, sentAt: map[string]time.Duration{},
+		waiting: map[uint64]chan controller.Answer{}, streams: map[uint64]*peertransport.Conn{}, failed: make(chan error, 4)}, nil
 }
 
 func (c *Comb) now() time.Duration { return time.Since(c.start) }
@@ -91,7 +91,7 @@
 
 // open reads the disk, or begins anew.
 func (c *Comb) open() error {
-	store, err := cell.Open(cell.Folder(c.set.DataDir))
+	store, err := statestore.Open(statestore.Folder(c.set.DataDir))
 	if err != nil {
 		return err
 	}
@@ -99,9 +99,9 @@
 	for _, name := range store.SetAside {
 		c.log.Error().Str("event", "file_set_aside").Str("file", name).Msg("")
 	}
-	var k core.Kept
+	var k coordinator.Kept
 	if raw, ok := store.Get(keptKey); ok {
-		if k, err = core.Decode(raw); err != nil {
+		if k, err = coordinator.Decode(raw); err != nil {
 			return merry.Prepend(err, "reading the kept state")
 		}
 	}
@@ -109,10 +109,10 @@
 	var b [6]byte
 	rand.Read(b[:])
 	k.Begin(c.addr(), seeds, c.set.FirstStart, hex.EncodeToString(b[:]))
-	self := view.Member{ID: k.Disk, Addr: c.addr(), Zone: c.set.Zone, Call: c.set.Control}
-	c.brain = comb.New(c.now(), comb.Settings{Zone: c.set.Zone, Control: c.set.Control, Zones: slices.Sorted(maps.Keys(c.set.Zones)), Seeds: seeds,
+	self := membership.Member{ID: k.Disk, Addr: c.addr(), Zone: c.set.Zone, Call: c.set.Control}
+	c.brain = controller.New(c.now(), controller.Settings{Zone: c.set.Zone, Control: c.set.Control, Zones: slices.Sorted(maps.Keys(c.set.Zones)), Seeds: seeds,
 		LinkMbps: c.set.LinkMbps, DrainDeadline: c.set.Bounds.DrainDeadline, Heartbeat: c.set.Heartbeat, Seed: mrand.Uint64(), Regions: c.set.Zones}, self, k)
-	c.hello = words.Hello{Member: self, Life: mrand.Uint64()}
+	c.hello = messages.Hello{Member: self, Life: mrand.Uint64()}
 	raw, err := c.brain.Kept()
 	if err != nil {
 		return err
@@ -155,11 +155,11 @@
 		}
 	}()
 	go c.accept(inner)
-	if c.dance, err = waggle.Start(ctx, neighbours.Node{Addr: c.addr(), Kind: neighbours.Comb, Zone: c.set.Zone}, c.set.Governors()); err != nil {
+	if c.dance, err = gossip.Start(ctx, peersampling.Node{Addr: c.addr(), Kind: peersampling.Comb, Zone: c.set.Zone}, c.set.Governors()); err != nil {
 		return err
 	}
-	c.step(comb.Event{Start: true})
-	ticks := time.NewTicker(comb.TickEvery)
+	c.step(controller.Event{Start: true})
+	ticks := time.NewTicker(controller.TickEvery)
 	leave := ctx.Done()
 	var enough <-chan time.Time
 	for !c.ended {
@@ -174,7 +174,7 @@
 			c.reload()
 		case <-leave: // what it alone holds must be with others before it ends
 			leave, enough = nil, time.After(max(c.set.Bounds.GracePeriod-endWithin, 0))
-			c.step(comb.Event{Leaving: true})
+			c.step(controller.Event{Leaving: true})
 		case <-enough:
 			c.log.Warn().Str("event", "left_early").Msg("")
 			c.ended = true
@@ -210,7 +210,7 @@
 }
 
 func (c *Comb) reload() {
-	set, err := nodefile.Load()
+	set, err := nodesettings.Load()
 	if err != nil {
 		c.log.Error().Str("event", "settings_refused").Err(err).Msg("")
 		return
@@ -222,14 +222,14 @@
 func (c *Comb) tick() {
 	if now := c.now(); now-c.metAt > meetEvery {
 		c.metAt = now
-		if nodefile.Changed() { // without a signal
+		if nodesettings.Changed() { // without a signal
 			c.reload()
 		}
 		met := c.set.Governors()
-		for _, n := range c.dance.Known(neighbours.Comb) {
+		for _, n := range c.dance.Known(peersampling.Comb) {
 			met = append(met, n.Addr)
 		}
-		c.step(comb.Event{Met: met})
+		c.step(controller.Event{Met: met})
 		for addr, at := range c.sentAt { // machines come and go
 			if now-at > dropAfter {
 				c.peers[addr].Stop()
@@ -238,11 +238,11 @@
 			}
 		}
 	}
-	c.step(comb.Event{})
+	c.step(controller.Event{})
 }
 
 // step has the brain decide, and carries out what it says. It runs on the deciding goroutine only.
-func (c *Comb) step(e comb.Event) {
+func (c *Comb) step(e controller.Event) {
 	e.Wall = time.Duration(time.Now().UnixNano())
 	a := c.brain.Step(c.now(), e)
 	for _, n := range a.Notes {
@@ -256,7 +256,7 @@
 	}
 	for i := range a.Send {
 		m := &a.Send[i].Message
-		c.to(a.Send[i].To, &link.Msg{Core: m.Core, Lives: m.Lives, Fleet: m.Fleet, Fell: m.Fell})
+		c.to(a.Send[i].To, &peertransport.Msg{Core: m.Core, Lives: m.Lives, Fleet: m.Fleet, Fell: m.Fell})
 	}
 	if a.Write != nil {
 		go func() {
@@ -264,11 +264,11 @@
 			if err := c.store.Put(map[string][]byte{keptKey: a.Write}); err != nil {
 				problem = err.Error()
 			}
-			c.post(func() { c.step(comb.Event{Written: &comb.Written{Problem: problem}}) })
+			c.post(func() { c.step(controller.Event{Written: &controller.Written{Problem: problem}}) })
 		}()
 	}
 	for i := range a.Tell {
-		b, err := link.Frame(&link.Msg{State: &a.Tell[i].State})
+		b, err := peertransport.Frame(&peertransport.Msg{State: &a.Tell[i].State})
 		if err != nil {
 			c.log.Error().Str("event", "encode").Err(err).Msg("")
 			continue
@@ -293,15 +293,15 @@
 	}
 }
 
-func (c *Comb) to(addr string, m *link.Msg) {
-	b, err := link.Frame(m)
+func (c *Comb) to(addr string, m *peertransport.Msg) {
+	b, err := peertransport.Frame(m)
 	if err != nil {
 		c.log.Error().Str("event", "encode").Err(err).Msg("")
 		return
 	}
 	p := c.peers[addr]
 	if p == nil {
-		p = link.To(addr, c.hello)
+		p = peertransport.To(addr, c.hello)
 		c.peers[addr] = p
 	}
 	c.sentAt[addr] = c.now()
@@ -319,7 +319,7 @@
 			return
 		}
 		if raw, err := conn.(*net.TCPConn).SyscallConn(); err == nil {
-			link.Unacked(raw, time.Second)
+			peertransport.Unacked(raw, time.Second)
 		}
 		go c.receive(conn)
 	}
@@ -328,7 +328,7 @@
 func (c *Comb) receive(conn net.Conn) {
 	defer conn.Close()
 	conn.SetReadDeadline(time.Now().Add(2 * time.Second))
-	first, err := link.Read(conn)
+	first, err := peertransport.Read(conn)
 	if err != nil || first.Hello == nil {
 		return
 	}
@@ -345,7 +345,7 @@
 	defer c.post(func() { c.ends.End(from.Addr, conn) })
 	for {
 		conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-		m, err := link.Read(conn)
+		m, err := peertransport.Read(conn)
 		if err != nil {
 			return
 		}
@@ -353,34 +353,34 @@
 			if !c.ends.Holds(from.Addr, conn) {
 				return // of an earlier connection
 			}
-			c.step(comb.Event{From: &from, Message: &comb.Message{Core: m.Core, Lives: m.Lives, Fleet: m.Fleet, Fell: m.Fell}})
+			c.step(controller.Event{From: &from, Message: &controller.Message{Core: m.Core, Lives: m.Lives, Fleet: m.Fleet, Fell: m.Fell}})
 		})
 	}
 }
 
 // forager holds a forager's stream until it ends.
-func (c *Comb) forager(conn net.Conn, h *words.Hello) {
-	x := link.Wrap(conn)
+func (c *Comb) forager(conn net.Conn, h *messages.Hello) {
+	x := peertransport.Wrap(conn)
 	defer x.End()
 	var n uint64
 	c.post(func() {
 		c.token++
 		n = c.token
 		c.streams[n] = x
-		c.step(comb.Event{Joined: &comb.Joined{Stream: n, Forager: h.Forager, Zone: h.Member.Zone}})
+		c.step(controller.Event{Joined: &controller.Joined{Stream: n, Forager: h.Forager, Zone: h.Member.Zone}})
 	})
 	for {
 		conn.SetReadDeadline(time.Now().Add(4 * time.Second))
-		m, err := link.Read(conn)
+		m, err := peertransport.Read(conn)
 		if err != nil {
 			break
 		}
 		if m.Report != nil {
-			c.post(func() { c.step(comb.Event{Stream: n, Report: m.Report}) })
+			c.post(func() { c.step(controller.Event{Stream: n, Report: m.Report}) })
 		}
 	}
 	c.post(func() {
 		delete(c.streams, n)
-		c.step(comb.Event{Left: n})
+		c.step(controller.Event{Left: n})
 	})
 }
--- a/internal/daemon/fronts_test.go
+++ b/internal/daemon/fronts_test.go
@@ -14,7 +14,7 @@
 	"zincloft.example/zincloft/internal/collectd"
 	"zincloft.example/zincloft/internal/config"
 	"zincloft.example/zincloft/internal/exchange"
-	"zincloft.example/zincloft/internal/stand"
+	"zincloft.example/zincloft/internal/standin"
 	"zincloft.example/zincloft/internal/testkit"
 	"zincloft.example/zincloft/rules"
 
@@ -45,7 +45,7 @@
 
 // TestFronts runs a governor with both fronts on: a machine's packet is taken in, and what Graphite is sent tells of it.
 func TestFronts(t *testing.T) {
-	g, err := stand.ListenGraphite("127.0.0.1:0")
+	g, err := standin.ListenGraphite("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,8 +75,8 @@
 	defer peer.Close()
 	heard := false
 	for ctx.Err() == nil && !heard {
-		_, _ = peer.Write(stand.Packet{}.Text(0, "r1").Time(time.Now()).Text(2, "cpu").Text(4, "percent").Gauges(40)) // refused until it listens
-		time.Sleep(20 * time.Millisecond)                                                                             // between packets of a machine
+		_, _ = peer.Write(standin.Packet{}.Text(0, "r1").Time(time.Now()).Text(2, "cpu").Text(4, "percent").Gauges(40)) // refused until it listens
+		time.Sleep(20 * time.Millisecond)                                                                               // between packets of a machine
 		for _, l := range g.Lines() {
 			heard = heard || strings.HasPrefix(l, "zincloft.n0.intake.kept ") && !strings.HasPrefix(l, "zincloft.n0.intake.kept 0 ")
 		}
@@ -94,14 +94,14 @@
 // proxies comes back each time and is bound: alone, with a Graphite that reads, and with one that has stopped reading.
 // Snapshots are taken each second, ten times as often as usual.
 func BenchmarkSteps(b *testing.B) {
-	for name, manner := range map[string]stand.Manner{"alone": -1, "graphite reads": stand.Reads, "graphite stalls": stand.Stalls} {
+	for name, manner := range map[string]standin.Manner{"alone": -1, "graphite reads": standin.Reads, "graphite stalls": standin.Stalls} {
 		b.Run(name, func(b *testing.B) {
 			c := conf()
 			c.Settings.Proxies, c.Settings.LinePace, c.Settings.LineCap = 200, 1e12, 1e12
 			c.Settings.MessageSpan, c.Settings.MessageCap = time.Millisecond, 0
 			c.Operator, _ = config.ReadOperator("") // nothing is read
 			if manner >= 0 {
-				g, err := stand.ListenGraphite("127.0.0.1:0")
+				g, err := standin.ListenGraphite("127.0.0.1:0")
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -15,12 +15,12 @@
 
 	"github.com/ansel1/merry/v2"
 
-	"zincloft.example/zincloft/internal/combd"
-	"zincloft.example/zincloft/internal/forager"
-	"zincloft.example/zincloft/internal/nodefile"
+	"zincloft.example/zincloft/internal/controlserver"
+	"zincloft.example/zincloft/internal/gateway"
+	"zincloft.example/zincloft/internal/nodesettings"
 	"zincloft.example/zincloft/internal/program"
-	"zincloft.example/zincloft/internal/stand/hostile"
-	"zincloft.example/zincloft/internal/stand/upstream"
+	"zincloft.example/zincloft/internal/standin/hostile"
+	"zincloft.example/zincloft/internal/standin/upstream"
 )
 
 const settings = `
@@ -100,18 +100,18 @@
 	if err := os.MkdirAll(data, 0o700); err != nil {
 		return nil, merry.Prepend(err, "making the comb's folder")
 	}
-	set, err := nodefile.Parse([]byte(fmt.Sprintf(settings, "comb-1", data, "", "", g.Control, inner, inner+4, g.Control)))
+	set, err := nodesettings.Parse([]byte(fmt.Sprintf(settings, "comb-1", data, "", "", g.Control, inner, inner+4, g.Control)))
 	if err == nil {
-		var c *combd.Comb
-		c, err = combd.New(set, program.Logger(w, "comb"))
+		var c *controlserver.Comb
+		c, err = controlserver.New(set, program.Logger(w, "comb"))
 		err = run(c, err)
 	}
 	for i := 0; i < 2 && err == nil; i++ {
 		front := at(p[2+2*i])
-		set, err = nodefile.Parse([]byte(fmt.Sprintf(settings, fmt.Sprintf("forager-%d", i+1), "", front, at(p[3+2*i]), "", inner, inner+4, g.Control)))
+		set, err = nodesettings.Parse([]byte(fmt.Sprintf(settings, fmt.Sprintf("forager-%d", i+1), "", front, at(p[3+2*i]), "", inner, inner+4, g.Control)))
 		if err == nil {
-			var f *forager.Forager
-			f, err = forager.New(set, program.Logger(w, "forager"))
+			var f *gateway.Forager
+			f, err = gateway.New(set, program.Logger(w, "forager"))
 			err = run(f, err)
 		}
 		g.Fronts, g.Ready = append(g.Fronts, front), append(g.Ready, at(p[3+2*i]))
--- a/internal/demo/hostile_test.go
+++ b/internal/demo/hostile_test.go
@@ -4,7 +4,7 @@
 	"io"
 	"testing"
 
-	"zincloft.example/zincloft/internal/stand/hostile"
+	"zincloft.example/zincloft/internal/standin/hostile"
 )
 
 // Guards the demo with hostile replicas: it comes up, and no client hears another's answer.
--- a/internal/demo/windows_test.go
+++ b/internal/demo/windows_test.go
@@ -13,18 +13,18 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"zincloft.example/zincloft/hive/capacity"
-	"zincloft.example/zincloft/hive/comb"
-	"zincloft.example/zincloft/hive/windows"
+	"zincloft.example/zincloft/controlplane/controller"
+	"zincloft.example/zincloft/controlplane/maintenance"
+	"zincloft.example/zincloft/dataplane/capacity"
 )
 
-func (g *Gateway) command(c windows.Command) int {
+func (g *Gateway) command(c maintenance.Command) int {
 	body, _ := json.Marshal(c)
 	status, _ := g.call("windows.command", "", body)
 	return status
 }
 
-func (g *Gateway) shown() (s comb.Shown) {
+func (g *Gateway) shown() (s controller.Shown) {
 	resp, err := http.Post("http://"+g.Control+"/api/rpc?call=windows.describe", "application/json", nil)
 	if err == nil {
 		json.NewDecoder(resp.Body).Decode(&s)
@@ -96,14 +96,14 @@
 			o.wg.Add(1)
 			go o.run(w)
 		}
-		So(g.command(windows.Command{Verb: "ask", Nodes: []string{"forager-1"}}), ShouldEqual, http.StatusConflict)
-		So(g.command(windows.Command{Verb: "agree", Agreed: []capacity.Floor{{Region: "here", Group: capacity.Orders, Least: 1}}}), ShouldEqual, http.StatusOK)
+		So(g.command(maintenance.Command{Verb: "ask", Nodes: []string{"forager-1"}}), ShouldEqual, http.StatusConflict)
+		So(g.command(maintenance.Command{Verb: "agree", Agreed: []capacity.Floor{{Region: "here", Group: capacity.Orders, Least: 1}}}), ShouldEqual, http.StatusOK)
 		So(until("both measured", func() bool {
 			s := g.shown()
 			return len(s.Nodes) == 2 && s.Nodes[0].Carries[capacity.Orders] > 1 && s.Nodes[1].Carries[capacity.Orders] > 1
 		}), ShouldBeNil)
-		So(g.command(windows.Command{Verb: "ask", Name: "kernel", Nodes: []string{"forager-1", "forager-2"}}), ShouldEqual, http.StatusOK)
-		phase := func(node string) windows.Phase {
+		So(g.command(maintenance.Command{Verb: "ask", Name: "kernel", Nodes: []string{"forager-1", "forager-2"}}), ShouldEqual, http.StatusOK)
+		phase := func(node string) maintenance.Phase {
 			for _, w := range g.shown().Windows {
 				if w.Node == node {
 					return w.Phase
@@ -111,14 +111,14 @@
 			}
 			return ""
 		}
-		So(until("the first drained", func() bool { return phase("forager-1") == windows.Drained }), ShouldBeNil)
-		So(phase("forager-2"), ShouldEqual, windows.Asked)
+		So(until("the first drained", func() bool { return phase("forager-1") == maintenance.Drained }), ShouldBeNil)
+		So(phase("forager-2"), ShouldEqual, maintenance.Asked)
 		So(g.ready(0), ShouldBeFalse)
 		So(g.ready(1), ShouldBeTrue)
-		So(g.command(windows.Command{Verb: "finish", Nodes: []string{"forager-1"}}), ShouldEqual, http.StatusOK)
-		So(until("the second drained", func() bool { return phase("forager-2") == windows.Drained }), ShouldBeNil)
+		So(g.command(maintenance.Command{Verb: "finish", Nodes: []string{"forager-1"}}), ShouldEqual, http.StatusOK)
+		So(until("the second drained", func() bool { return phase("forager-2") == maintenance.Drained }), ShouldBeNil)
 		So(g.ready(0), ShouldBeTrue)
-		So(g.command(windows.Command{Verb: "finish", Nodes: []string{"forager-2"}}), ShouldEqual, http.StatusOK)
+		So(g.command(maintenance.Command{Verb: "finish", Nodes: []string{"forager-2"}}), ShouldEqual, http.StatusOK)
 		So(until("all serving", func() bool { return len(g.shown().Windows) == 0 && g.ready(0) && g.ready(1) }), ShouldBeNil)
 		o.stop.Store(true)
 		o.wg.Wait()
--- a/internal/forager/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -1,4 +1,4 @@
-package forager
+package gateway
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/words"
-	"zincloft.example/zincloft/internal/nodefile"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/internal/nodesettings"
 	"zincloft.example/zincloft/internal/program"
-	"zincloft.example/zincloft/internal/stand/upstream"
+	"zincloft.example/zincloft/internal/standin/upstream"
+	"zincloft.example/zincloft/messages"
 )
 
 // plain is a forwarder on net/http alone, to measure against.
@@ -47,7 +47,7 @@
 		b.Fatal(err)
 	}
 	defer up.Close()
-	set, err := nodefile.Parse([]byte(settings))
+	set, err := nodesettings.Parse([]byte(settings))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 		b.Fatal(err)
 	}
 	f.front.Do(func() {})
-	f.take(&words.State{Whole: true, Seq: 1, Version: 1, Body: configured(1, "safe"),
+	f.take(&messages.State{Whole: true, Seq: 1, Version: 1, Body: configured(1, "safe"),
 		Lives: []registry.Life{{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4}}})
 	for _, x := range []struct {
 		name string
--- a/internal/forager/bodies.go
+++ b/internal/gateway/bodies.go
@@ -1,4 +1,4 @@
-package forager
+package gateway
 
 import (
 	"errors"
--- a/internal/forager/client.go
+++ b/internal/gateway/client.go
@@ -1,4 +1,4 @@
-package forager
+package gateway
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"zincloft.example/zincloft/hive/framing"
+	"zincloft.example/zincloft/dataplane/framing"
 )
 
 // clients wraps the connections of clients.
--- a/internal/forager/follow.go
+++ b/internal/gateway/follow.go
@@ -1,4 +1,4 @@
-package forager
+package gateway
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 	"syscall"
 	"time"
 
-	"zincloft.example/zincloft/hive/falls"
-	"zincloft.example/zincloft/hive/neighbours"
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/hive/words"
-	"zincloft.example/zincloft/internal/link"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/dataplane/outlier"
+	"zincloft.example/zincloft/internal/peertransport"
+	"zincloft.example/zincloft/messages"
+	"zincloft.example/zincloft/peersampling"
 )
 
 const (
@@ -29,7 +29,7 @@
 
 // candidates are the combs to call, best first: those of the own zone, then the others by chance.
 func (f *Forager) candidates() []string {
-	known := f.dance.Known(neighbours.Comb)
+	known := f.dance.Known(peersampling.Comb)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	also := f.set.Governors()
@@ -65,25 +65,25 @@
 
 // listen holds a stream until it breaks. It tells whether the comb had let us in.
 func (f *Forager) listen(ctx context.Context, addr string) (stood bool) {
-	nc, err := link.Dialer(dialComb, silentMost).DialContext(ctx, "tcp", addr)
+	nc, err := peertransport.Dialer(dialComb, silentMost).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return false
 	}
-	c := link.Wrap(nc)
+	c := peertransport.Wrap(nc)
 	defer c.End()
-	send := func(m *link.Msg) {
-		if b, err := link.Frame(m); err == nil {
+	send := func(m *peertransport.Msg) {
+		if b, err := peertransport.Frame(m); err == nil {
 			c.Send(b)
 		}
 	}
-	send(&link.Msg{Hello: &words.Hello{Forager: f.set.Name, Member: view.Member{Addr: f.set.IP.String(), Zone: f.set.Zone}}})
+	send(&peertransport.Msg{Hello: &messages.Hello{Forager: f.set.Name, Member: membership.Member{Addr: f.set.IP.String(), Zone: f.set.Zone}}})
 	done := make(chan struct{})
 	defer close(done)
 	defer f.left()
 	began := time.Now()
 	for {
 		nc.SetReadDeadline(time.Now().Add(silentMost))
-		m, err := link.Read(nc)
+		m, err := peertransport.Read(nc)
 		if err != nil {
 			if stood {
 				f.log.Info().Str("event", "comb_lost").Str("comb", addr).Err(err).Msg("")
@@ -100,7 +100,7 @@
 		if !stood && m.State.Whole {
 			stood = true
 			f.log.Info().Str("event", "comb_joined").Str("comb", addr).Uint64("seq", m.State.Seq).Msg("")
-			send(&link.Msg{Report: f.first()})
+			send(&peertransport.Msg{Report: f.first()})
 			go f.report(send, done)
 		}
 		if known, home := f.home(addr); known && !home && time.Since(began) > homeAgain {
@@ -120,13 +120,13 @@
 	f.brain.Left(f.now())
 }
 
-func (f *Forager) first() *words.Report {
+func (f *Forager) first() *messages.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.brain.First(f.now())
 }
 
-func (f *Forager) report(send func(*link.Msg), done chan struct{}) {
+func (f *Forager) report(send func(*peertransport.Msg), done chan struct{}) {
 	t := time.NewTicker(ReportEvery)
 	defer t.Stop()
 	last := time.Now()
@@ -135,19 +135,19 @@
 		case <-done:
 			return
 		case w := <-f.fell:
-			send(&link.Msg{Report: &words.Report{Falls: []falls.Word{w}}})
+			send(&peertransport.Msg{Report: &messages.Report{Falls: []outlier.Word{w}}})
 		case id := <-f.gone:
 			f.replicas.Drop(id)
-			send(&link.Msg{Report: &words.Report{Gone: []string{id}}})
+			send(&peertransport.Msg{Report: &messages.Report{Gone: []string{id}}})
 		case <-t.C:
-			send(&link.Msg{Report: f.sums(time.Since(last))})
+			send(&peertransport.Msg{Report: f.sums(time.Since(last))})
 			last = time.Now()
 		}
 	}
 }
 
 // sums takes what was met at replicas since the last report.
-func (f *Forager) sums(over time.Duration) *words.Report {
+func (f *Forager) sums(over time.Duration) *messages.Report {
 	var u syscall.Rusage
 	busy := 0.0
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err == nil {
@@ -161,7 +161,7 @@
 }
 
 // take puts in force what a comb tells. It tells whether that came too late, and the stream must be left.
-func (f *Forager) take(s *words.State) (late bool) {
+func (f *Forager) take(s *messages.State) (late bool) {
 	f.mu.Lock()
 	t := f.brain.Take(f.now(), s)
 	drains := !f.brain.Serves()
--- a/internal/forager/forager.go
+++ b/internal/gateway/forager.go
@@ -1,6 +1,6 @@
-// Package forager is a proxy governor: it takes the requests of clients, sends them to replicas by the tables of a
+// Package gateway is a proxy governor: it takes the requests of clients, sends them to replicas by the tables of a
 // control-plane governor (a comb), and reports what it met.
-package forager
+package gateway
 
 import (
 	"context"
@@ -20,13 +20,13 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/time/rate"
 
-	"zincloft.example/zincloft/hive/config"
-	"zincloft.example/zincloft/hive/falls"
-	"zincloft.example/zincloft/hive/forage"
-	"zincloft.example/zincloft/hive/neighbours"
-	"zincloft.example/zincloft/internal/nodefile"
+	"zincloft.example/zincloft/dataplane/outlier"
+	"zincloft.example/zincloft/dataplane/router"
+	"zincloft.example/zincloft/gatewayconfig"
+	"zincloft.example/zincloft/internal/gossip"
+	"zincloft.example/zincloft/internal/nodesettings"
 	"zincloft.example/zincloft/internal/replica"
-	"zincloft.example/zincloft/internal/waggle"
+	"zincloft.example/zincloft/peersampling"
 )
 
 const (
@@ -45,10 +45,10 @@
 
 // Forager is one proxy governor.
 type Forager struct {
-	set      *nodefile.Settings
+	set      *nodesettings.Settings
 	log      *log.Logger
 	start    time.Time
-	config   atomic.Pointer[config.Config]
+	config   atomic.Pointer[gatewayconfig.Config]
 	replicas *replica.Pool
 	stopping atomic.Bool
 	draining atomic.Bool   // for a maintenance window
@@ -58,28 +58,28 @@
 	server   *http.Server
 	frontLn  net.Listener
 	failed   chan error
-	dance    *waggle.Dance
+	dance    *gossip.Dance
 	bodies   bodies
-	fell     chan falls.Word
+	fell     chan outlier.Word
 	gone     chan string // replicas whose address another one has
 
 	unused unused
 	lines  *rate.Limiter // of what others cause in the log
 
 	mu     sync.Mutex
-	brain  *forage.Forager
+	brain  *router.Forager
 	counts map[string]int
 }
 
 // New makes a forager from its settings.
-func New(set *nodefile.Settings, logger *log.Logger) (*Forager, error) {
+func New(set *nodesettings.Settings, logger *log.Logger) (*Forager, error) {
 	if set.Front == "" || set.Ready == "" {
 		return nil, merry.New("settings: network_settings.listen_addresses: a forager needs front and readiness")
 	}
-	brain := forage.New(forage.Settings{Zone: set.Zone, Zones: len(set.Zones), RetryRatio: set.Bounds.RetryRatio, RetrySlack: set.Bounds.RetrySlack,
+	brain := router.New(router.Settings{Zone: set.Zone, Zones: len(set.Zones), RetryRatio: set.Bounds.RetryRatio, RetrySlack: set.Bounds.RetrySlack,
 		ColdTimes: set.Bounds.ColdOverage, ColdSlack: set.Bounds.ColdSlack, Seed: rand.Uint64()})
 	return &Forager{set: set, log: logger, start: time.Now(), replicas: replica.NewPool(), brain: brain,
-		counts: map[string]int{}, failed: make(chan error, 4), gone: make(chan string, 64), fell: make(chan falls.Word, 64),
+		counts: map[string]int{}, failed: make(chan error, 4), gone: make(chan string, 64), fell: make(chan outlier.Word, 64),
 		lines: rate.NewLimiter(linesRate, linesBurst), bodies: bodies{most: int64(float64(set.MemoryMB<<20) * bodyPart)}}, nil
 }
 
@@ -91,7 +91,7 @@
 	f.mu.Unlock()
 }
 
-func (f *Forager) pick(a forage.Ask) forage.Picked {
+func (f *Forager) pick(a router.Ask) router.Picked {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.brain.Pick(f.now(), a)
@@ -140,8 +140,8 @@
 	following, cancel := context.WithCancel(context.Background()) // also while it ends: drains still count
 	defer cancel()
 	for port := f.set.PortEnd; f.dance == nil; port-- { // another process of this machine may have some of them
-		self := neighbours.Node{Addr: netip.AddrPortFrom(f.set.IP, uint16(port)).String(), Kind: neighbours.Forager, Zone: f.set.Zone}
-		if f.dance, err = waggle.Start(following, self, f.set.Governors()); err != nil && port <= f.set.PortFirst {
+		self := peersampling.Node{Addr: netip.AddrPortFrom(f.set.IP, uint16(port)).String(), Kind: peersampling.Forager, Zone: f.set.Zone}
+		if f.dance, err = gossip.Start(following, self, f.set.Governors()); err != nil && port <= f.set.PortFirst {
 			return err
 		}
 	}
@@ -154,7 +154,7 @@
 			return merry.Prepend(err, "serving")
 		case <-sweep.C:
 			f.replicas.Sweep(time.Now())
-			if nodefile.Changed() { // without a signal
+			if nodesettings.Changed() { // without a signal
 				f.reload()
 			}
 		case <-counts.C:
@@ -172,7 +172,7 @@
 }
 
 // open starts to serve clients, with the limits of the first configuration.
-func (f *Forager) open(c *config.Config) {
+func (f *Forager) open(c *gatewayconfig.Config) {
 	f.front.Do(func() {
 		mux := chi.NewRouter()
 		mux.Handle("/*", http.HandlerFunc(f.serve))
@@ -199,7 +199,7 @@
 func (f *Forager) stop() {
 	f.stopping.Store(true)
 	end := time.Now().Add(f.set.Bounds.GracePeriod - leastGrace)
-	time.Sleep(min(forage.LeaveFor, f.set.Bounds.GracePeriod/2))
+	time.Sleep(min(router.LeaveFor, f.set.Bounds.GracePeriod/2))
 	if f.server == nil {
 		return
 	}
@@ -226,7 +226,7 @@
 }
 
 func (f *Forager) reload() {
-	set, err := nodefile.Load()
+	set, err := nodesettings.Load()
 	if err != nil {
 		f.log.Error().Str("event", "settings_refused").Err(err).Msg("")
 		return
--- a/internal/forager/front.go
+++ b/internal/gateway/front.go
@@ -1,4 +1,4 @@
-package forager
+package gateway
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"syscall"
 	"time"
 
-	"zincloft.example/zincloft/hive/config"
-	"zincloft.example/zincloft/hive/forage"
-	"zincloft.example/zincloft/hive/gate"
-	"zincloft.example/zincloft/hive/spread"
-	"zincloft.example/zincloft/hive/tries"
+	"zincloft.example/zincloft/dataplane/admission"
+	"zincloft.example/zincloft/dataplane/loadbalancer"
+	"zincloft.example/zincloft/dataplane/retry"
+	"zincloft.example/zincloft/dataplane/router"
+	"zincloft.example/zincloft/gatewayconfig"
 	"zincloft.example/zincloft/internal/replica"
 )
 
@@ -171,7 +171,7 @@
 // A safe request that waits long for its answer is offered to a second replica beside the first: against replicas that
 // went dark under it, and answers that got lost. Whoever answers first is heard; the other connection is closed, and
 // with it the work there.
-func (f *Forager) forward(w http.ResponseWriter, r *http.Request, uri string, route config.Route, body []byte, deadline time.Time) {
+func (f *Forager) forward(w http.ResponseWriter, r *http.Request, uri string, route gatewayconfig.Route, body []byte, deadline time.Time) {
 	service := route.Pick(rand.Float64())
 	q := replica.Request{Method: r.Method, URI: uri, Host: r.Host, Header: replica.EndToEnd(r.Header), Body: body,
 		Attempt: r.Header.Get("X-Attempt-Id"), Deadline: deadline, Service: service, Patient: !route.Safe}
@@ -180,7 +180,7 @@
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
 		q.Stop = ctx
-		if wait, ok := tries.HedgeAfter(route.Target, time.Until(deadline)); ok && route.MaxAttempts > 1 {
+		if wait, ok := retry.HedgeAfter(route.Target, time.Until(deadline)); ok && route.MaxAttempts > 1 {
 			timer := time.NewTimer(wait)
 			defer timer.Stop()
 			hedge = timer.C
@@ -189,11 +189,11 @@
 	f.arrived(service)
 	began, there := time.Now(), time.Duration(0)
 	defer func() { f.done(route.Safe, time.Since(began), there) }()
-	t := tries.Request{Safe: route.Safe, MaxAttempts: route.MaxAttempts, Target: route.Target}
+	t := retry.Request{Safe: route.Safe, MaxAttempts: route.MaxAttempts, Target: route.Target}
 	var tried []string
-	ends := make(chan attempt, route.MaxAttempts+tries.UnsentMost+1)
+	ends := make(chan attempt, route.MaxAttempts+retry.UnsentMost+1)
 	pending := 0
-	last := replica.Result{Verdict: tries.NotRun}
+	last := replica.Result{Verdict: retry.NotRun}
 	defer func() {
 		last.Drop()
 		if pending > 0 { // beaten ones: what they still bring is let go of
@@ -205,8 +205,8 @@
 		}
 	}()
 	offer := func(spare bool) (bool, time.Duration) {
-		p := f.pick(forage.Ask{Service: service, Tried: tried, Spare: spare,
-			Request: gate.Request{Route: route.Name, Target: route.Target, Priority: route.Priority, Left: time.Until(deadline)}})
+		p := f.pick(router.Ask{Service: service, Tried: tried, Spare: spare,
+			Request: admission.Request{Route: route.Name, Target: route.Target, Priority: route.Priority, Left: time.Until(deadline)}})
 		if p.ID == "" {
 			return false, p.Wait
 		}
@@ -227,7 +227,7 @@
 		f.count("left")
 		panic(http.ErrAbortHandler)
 	}
-	if !tries.Offers(time.Until(deadline), route.Target) {
+	if !retry.Offers(time.Until(deadline), route.Target) {
 		f.count("no_time")
 		refuse(w, http.StatusServiceUnavailable, comeBack)
 		return
@@ -261,7 +261,7 @@
 				last, res = res, last
 			}
 			res.Drop()
-			if res = e.Result; res.Verdict == tries.Answered && !t.Failed {
+			if res = e.Result; res.Verdict == retry.Answered && !t.Failed {
 				pass(w, r, res.Answer)
 				return
 			}
@@ -271,7 +271,7 @@
 				}
 				continue // nobody waits: what has not run is not offered again
 			}
-			if !tries.Again(res.Verdict, t) || pending > 0 {
+			if !retry.Again(res.Verdict, t) || pending > 0 {
 				continue
 			}
 			if !res.Unsent && !f.spend(service) {
@@ -281,11 +281,11 @@
 			offer(false)
 		}
 	}
-	if last.Verdict == tries.Answered {
+	if last.Verdict == retry.Answered {
 		pass(w, r, last.Answer)
 		return
 	}
-	switch status := tries.Final(last.Verdict, last.Expired); status {
+	switch status := retry.Final(last.Verdict, last.Expired); status {
 	case http.StatusServiceUnavailable:
 		refuse(w, status, comeBack)
 	default:
@@ -319,23 +319,23 @@
 }
 
 // outcome books what became of a try.
-func (f *Forager) outcome(p forage.Picked, attempt string, res replica.Result, took time.Duration, stopped bool) {
-	e := forage.End{N: p.N, Outcome: spread.Good, Took: took, Refused: res.Refused}
+func (f *Forager) outcome(p router.Picked, attempt string, res replica.Result, took time.Duration, stopped bool) {
+	e := router.End{N: p.N, Outcome: loadbalancer.Good, Took: took, Refused: res.Refused}
 	switch {
 	case res.Unsent && (res.Expired || stopped):
-		e.Outcome = spread.Left
+		e.Outcome = loadbalancer.Left
 	case res.Unsent:
-		e.Outcome = spread.Uncalled
+		e.Outcome = loadbalancer.Uncalled
 	case res.Full:
-		e.Outcome = spread.Full
-	case stopped && res.Verdict != tries.Answered:
-		e.Outcome = spread.Left
-	case res.Verdict == tries.MayHaveRun && (res.Cause == "spoilt" || res.Cause == "cut" || res.Cause == "surplus" || res.Cause == "unproven" || res.Cause == "nameless" || res.Cause == "not_http"):
-		e.Outcome = spread.Spoilt
-	case res.Verdict == tries.MayHaveRun:
-		e.Outcome = spread.Silent
+		e.Outcome = loadbalancer.Full
+	case stopped && res.Verdict != retry.Answered:
+		e.Outcome = loadbalancer.Left
+	case res.Verdict == retry.MayHaveRun && (res.Cause == "spoilt" || res.Cause == "cut" || res.Cause == "surplus" || res.Cause == "unproven" || res.Cause == "nameless" || res.Cause == "not_http"):
+		e.Outcome = loadbalancer.Spoilt
+	case res.Verdict == retry.MayHaveRun:
+		e.Outcome = loadbalancer.Silent
 	case res.Answer.Status >= 500:
-		e.Outcome = spread.Spoilt
+		e.Outcome = loadbalancer.Spoilt
 	}
 	if res.Answer != nil {
 		e.Misdirected, e.Load = res.Answer.Status == http.StatusMisdirectedRequest, loadOf(res.Answer.Header)
@@ -343,7 +343,7 @@
 	if res.Cause != "" {
 		f.count("try_" + res.Cause)
 	}
-	if (res.Verdict == tries.MayHaveRun && !stopped || res.Skipped > 0) && f.lines.Allow() {
+	if (res.Verdict == retry.MayHaveRun && !stopped || res.Skipped > 0) && f.lines.Allow() {
 		f.log.Info().Str("event", "try").Str("attempt", attempt[:min(len(attempt), 64)]).Str("replica", p.ID).Uint64("conn", res.Conn).Int("use", res.Use).
 			Str("verdict", res.Verdict.String()).Str("cause", res.Cause).Int("skipped", res.Skipped).Msg("")
 	}
--- a/internal/forager/front_test.go
+++ b/internal/gateway/front_test.go
@@ -1,4 +1,4 @@
-package forager
+package gateway
 
 import (
 	"fmt"
@@ -11,11 +11,11 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/words"
-	"zincloft.example/zincloft/internal/nodefile"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/internal/nodesettings"
 	"zincloft.example/zincloft/internal/program"
-	"zincloft.example/zincloft/internal/stand/upstream"
+	"zincloft.example/zincloft/internal/standin/upstream"
+	"zincloft.example/zincloft/messages"
 )
 
 const settings = `
@@ -36,13 +36,13 @@
 }
 
 func newRig(kind string, replicas int) *rig {
-	set, err := nodefile.Parse([]byte(settings))
+	set, err := nodesettings.Parse([]byte(settings))
 	So(err, ShouldBeNil)
 	f, err := New(set, program.Logger(io.Discard, "forager"))
 	So(err, ShouldBeNil)
 	f.front.Do(func() {}) // requests come by the handler here, not by a listener
 	r := &rig{f: f}
-	st := &words.State{Whole: true, Seq: 1, Version: 1, Body: configured(1, kind)}
+	st := &messages.State{Whole: true, Seq: 1, Version: 1, Body: configured(1, kind)}
 	for i := range replicas {
 		up, err := upstream.Start(fmt.Sprintf("i%d", i))
 		So(err, ShouldBeNil)
@@ -110,7 +110,7 @@
 			So(r.do("POST", "/x/1", "order").Code, ShouldEqual, 200)
 		})
 		Convey("is refused at once where no replica may take it", func() {
-			r.f.take(&words.State{Seq: 2, Version: 1, Out: []string{"a"}})
+			r.f.take(&messages.State{Seq: 2, Version: 1, Out: []string{"a"}})
 			w := r.do("POST", "/x/1", "order")
 			So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(w.Header().Get("Retry-After"), ShouldNotEqual, "")
@@ -167,17 +167,17 @@
 func TestVersions(t *testing.T) {
 	Convey("Within a life no older register takes hold", t, func() {
 		r := newRig("safe", 1)
-		r.f.take(&words.State{Seq: 5, Version: 9, Body: configured(9, "unsafe"), Out: []string{"a"}})
-		r.f.take(&words.State{Whole: true, Young: true, Seq: 3, Version: 4, Body: configured(4, "safe")})
+		r.f.take(&messages.State{Seq: 5, Version: 9, Body: configured(9, "unsafe"), Out: []string{"a"}})
+		r.f.take(&messages.State{Whole: true, Young: true, Seq: 3, Version: 4, Body: configured(4, "safe")})
 		So(r.f.config.Load().Version, ShouldEqual, 9)
 		So(r.do("GET", "/x/1", "").Code, ShouldEqual, http.StatusServiceUnavailable)
 		Convey("nor does a spoilt one", func() {
-			r.f.take(&words.State{Seq: 6, Version: 12, Body: []byte("{")})
+			r.f.take(&messages.State{Seq: 6, Version: 12, Body: []byte("{")})
 			So(r.f.config.Load().Version, ShouldEqual, 9)
 		})
 	})
 	Convey("It is ready only with a configuration and a table", t, func() {
-		set, _ := nodefile.Parse([]byte(settings))
+		set, _ := nodesettings.Parse([]byte(settings))
 		f, _ := New(set, program.Logger(io.Discard, "forager"))
 		f.front.Do(func() {})
 		code := func() int {
@@ -186,9 +186,9 @@
 			return w.Code
 		}
 		So(code(), ShouldEqual, 503)
-		f.take(&words.State{Seq: 1, Version: 1, Body: configured(1, "safe")})
+		f.take(&messages.State{Seq: 1, Version: 1, Body: configured(1, "safe")})
 		So(code(), ShouldEqual, 503)
-		f.take(&words.State{Whole: true})
+		f.take(&messages.State{Whole: true})
 		So(code(), ShouldEqual, 200)
 		f.stopping.Store(true)
 		So(code(), ShouldEqual, 503)
--- a/internal/forager/hostile_test.go
+++ b/internal/gateway/hostile_test.go
@@ -1,4 +1,4 @@
-package forager
+package gateway
 
 import (
 	"fmt"
@@ -14,11 +14,11 @@
 	"testing"
 	"time"
 
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/words"
-	"zincloft.example/zincloft/internal/nodefile"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/internal/nodesettings"
 	"zincloft.example/zincloft/internal/program"
-	"zincloft.example/zincloft/internal/stand/hostile"
+	"zincloft.example/zincloft/internal/standin/hostile"
+	"zincloft.example/zincloft/messages"
 )
 
 const (
@@ -58,7 +58,7 @@
 		most = n
 	}
 	seed, _ := strconv.ParseUint(os.Getenv("ZINCLOFT_SEED"), 10, 64)
-	set, err := nodefile.Parse([]byte(settings))
+	set, err := nodesettings.Parse([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 	}
 	// release replaces all replicas by others, at the same addresses: their bad name goes with them.
 	release := func(n int) {
-		st := &words.State{Whole: true, Seq: 1, Version: 1, Body: []byte(hostileConfiguration)}
+		st := &messages.State{Whole: true, Seq: 1, Version: 1, Body: []byte(hostileConfiguration)}
 		for i, r := range replicas {
 			id := fmt.Sprintf("i%d.%d", i, n)
 			r.Become(id)
--- a/internal/waggle/waggle.go
+++ b/internal/gossip/waggle.go
@@ -1,5 +1,5 @@
-// Package waggle carries the shuffles of hive/neighbours: one datagram out and one back a round.
-package waggle
+// Package gossip carries the shuffles of peersampling: one datagram out and one back a round.
+package gossip
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/ansel1/merry/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"zincloft.example/zincloft/hive/neighbours"
+	"zincloft.example/zincloft/peersampling"
 )
 
 const (
@@ -23,19 +23,19 @@
 )
 
 type datagram struct {
-	Answer bool              `cbor:"1,keyasint,omitempty"`
-	Nodes  []neighbours.Node `cbor:"2,keyasint"`
+	Answer bool                `cbor:"1,keyasint,omitempty"`
+	Nodes  []peersampling.Node `cbor:"2,keyasint"`
 }
 
 // Dance is one governor's part.
 type Dance struct {
 	mu   sync.Mutex
-	view *neighbours.View
+	view *peersampling.View
 	conn *net.UDPConn
 }
 
 // Start listens at the node's address and shuffles until the context ends.
-func Start(ctx context.Context, self neighbours.Node, seeds []string) (*Dance, error) {
+func Start(ctx context.Context, self peersampling.Node, seeds []string) (*Dance, error) {
 	addr, err := net.ResolveUDPAddr("udp4", self.Addr)
 	if err != nil {
 		return nil, merry.Prepend(err, "neighbours' address")
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, merry.Prepend(err, "listening for neighbours")
 	}
-	d := &Dance{view: neighbours.New(self, seeds, rand.IntN), conn: conn}
+	d := &Dance{view: peersampling.New(self, seeds, rand.IntN), conn: conn}
 	go d.receive()
 	go d.rounds(ctx)
 	return d, nil
@@ -108,7 +108,7 @@
 }
 
 // Known lists the neighbours of a kind, those heard of last first.
-func (d *Dance) Known(k neighbours.Kind) []neighbours.Node {
+func (d *Dance) Known(k peersampling.Kind) []peersampling.Node {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.view.Known(k)
--- a/internal/graphite/graphite_test.go
+++ b/internal/graphite/graphite_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"zincloft.example/zincloft/internal/stand"
+	"zincloft.example/zincloft/internal/standin"
 	"zincloft.example/zincloft/internal/testkit"
 	"zincloft.example/zincloft/rules"
 )
@@ -120,9 +120,9 @@
 // TestReceivers has receivers that read, end their half, trickle, reset and stall, and one that comes and goes: the
 // sender never holds more than it may, counts what it drops, and gets through whenever there is somebody who reads.
 func TestReceivers(t *testing.T) {
-	for name, m := range map[string]stand.Manner{"reads": stand.Reads, "half ends": stand.HalfEnds, "trickles": stand.Trickles} {
+	for name, m := range map[string]standin.Manner{"reads": standin.Reads, "half ends": standin.HalfEnds, "trickles": standin.Trickles} {
 		t.Run(name, func(t *testing.T) {
-			g, err := stand.ListenGraphite("127.0.0.1:0")
+			g, err := standin.ListenGraphite("127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -135,21 +135,21 @@
 		})
 	}
 	t.Run("resets", func(t *testing.T) {
-		g, err := stand.ListenGraphite("127.0.0.1:0")
+		g, err := standin.ListenGraphite("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer g.Close()
-		g.Be(stand.Resets)
+		g.Be(standin.Resets)
 		played(t, New(senderOptions(g.Address()), names(), testkit.Logger(&strings.Builder{})), 3, func(c Counts) bool { return c.Failures > 3 })
 	})
 	t.Run("stalls, then reads", func(t *testing.T) {
-		g, err := stand.ListenGraphite("127.0.0.1:0")
+		g, err := standin.ListenGraphite("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer g.Close()
-		g.Be(stand.Stalls)
+		g.Be(standin.Stalls)
 		var log logged
 		s := New(senderOptions(g.Address()), Names{Replica: func(id rules.ReplicaID) (string, bool) { return fmt.Sprint("r", id), true }}, testkit.Logger(&log))
 		var read time.Time
@@ -162,7 +162,7 @@
 			}
 			if c.Failures > 1 && c.Dropped > 3000 && read.IsZero() {
 				read = time.Now()
-				g.Be(stand.Reads)
+				g.Be(standin.Reads)
 			}
 			said := strings.Split(strings.TrimSpace(log.String()), "\n") // its line comes after one period, on a busy machine later
 			return !read.IsZero() && len(g.Lines()) > 100 && time.Since(read) > 4*s.opts.WriteMost && strings.Contains(said[len(said)-1], "graphite is back")
@@ -173,16 +173,16 @@
 		}
 	})
 	t.Run("gone at the start", func(t *testing.T) {
-		g, err := stand.ListenGraphite("127.0.0.1:0")
+		g, err := standin.ListenGraphite("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		address := g.Address()
 		g.Close()
-		var later *stand.Graphite
+		var later *standin.Graphite
 		played(t, New(senderOptions(address), names(), testkit.Logger(&strings.Builder{})), 3, func(c Counts) bool {
 			if c.Failures > 2 && later == nil {
-				if later, err = stand.ListenGraphite(address); err != nil {
+				if later, err = standin.ListenGraphite(address); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/windowfile/windowfile.go
+++ b/internal/maintenancefile/windowfile.go
@@ -1,6 +1,6 @@
-// Package windowfile reads the file in which operators write down agreed capacity, forecasts and wished maintenance windows,
+// Package maintenancefile reads the file in which operators write down agreed capacity, forecasts and wished maintenance windows,
 // and shows the timetable made of it.
-package windowfile
+package maintenancefile
 
 import (
 	"fmt"
@@ -17,9 +17,9 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"zincloft.example/zincloft/hive/capacity"
-	"zincloft.example/zincloft/hive/timetable"
-	"zincloft.example/zincloft/hive/windows"
+	"zincloft.example/zincloft/controlplane/maintenance"
+	"zincloft.example/zincloft/controlplane/maintenanceplanner"
+	"zincloft.example/zincloft/dataplane/capacity"
 )
 
 const (
@@ -32,7 +32,7 @@
 type File struct {
 	Begins  time.Time
 	Slot    time.Duration
-	Request timetable.Request
+	Request maintenanceplanner.Request
 	Takes   map[string]time.Duration // by window, as it was written
 }
 
@@ -172,7 +172,7 @@
 		return g
 	}
 	each("agreed", func(v gjson.Result, at string) {
-		q.Need = append(q.Need, timetable.Need{Region: r.text(v, at, "region"), Group: group(v, at), Agreed: r.number(v, at, "least", 0)})
+		q.Need = append(q.Need, maintenanceplanner.Need{Region: r.text(v, at, "region"), Group: group(v, at), Agreed: r.number(v, at, "least", 0)})
 	})
 	each("nodes", func(v gjson.Result, at string) {
 		n := capacity.Node{Name: r.text(v, at, "node"), Zone: r.text(v, at, "zone"), Region: r.text(v, at, "region"), Carries: map[string]float64{}}
@@ -191,7 +191,7 @@
 		return int(d / f.Slot)
 	}
 	each("windows", func(v gjson.Result, at string) {
-		w := timetable.Wish{Name: r.text(v, at, "window"), Nodes: r.names(v, at, "nodes"), Together: int(r.number(v, at, "together", 0)),
+		w := maintenanceplanner.Wish{Name: r.text(v, at, "window"), Nodes: r.names(v, at, "nodes"), Together: int(r.number(v, at, "together", 0)),
 			After: r.names(v, at, "after"), Apart: r.names(v, at, "apart")}
 		early, late := r.moment(v, at, "earliest", f.Begins), r.moment(v, at, "latest", time.Time{})
 		if late.IsZero() {
@@ -219,7 +219,7 @@
 			return
 		}
 		spread := r.number(v, at, "spread", 0)
-		n := timetable.Need{Region: region, Group: g}
+		n := maintenanceplanner.Need{Region: region, Group: g}
 		for s := range min(q.Slots, slotsMost) {
 			n.At = append(n.At, by[f.Begins.Add(time.Duration(s)*f.Slot).UTC().Hour()].Num*(1+spread))
 		}
@@ -251,8 +251,8 @@
 }
 
 // Agree is the command that has the core keep what the file says is agreed.
-func (f *File) Agree() windows.Command {
-	c := windows.Command{Verb: "agree", Losses: f.Request.Losses, Told: f.Request.Nodes}
+func (f *File) Agree() maintenance.Command {
+	c := maintenance.Command{Verb: "agree", Losses: f.Request.Losses, Told: f.Request.Nodes}
 	for _, n := range f.Request.Need {
 		c.Agreed = append(c.Agreed, capacity.Floor{Region: n.Region, Group: n.Group, Least: n.Agreed})
 	}
@@ -263,7 +263,7 @@
 func (f *File) At(slot int) time.Time { return f.Begins.Add(time.Duration(slot) * f.Slot) }
 
 // Text shows a timetable: a line a turn, and a bar a node.
-func (f *File) Text(tt timetable.Timetable) string {
+func (f *File) Text(tt maintenanceplanner.Timetable) string {
 	t := table.NewWriter()
 	t.AppendHeader(table.Row{"window", "node", "from", "to", ""})
 	first, last := f.Request.Slots, 0
@@ -284,7 +284,7 @@
 }
 
 // Chart draws a timetable: a line a node, a stroke a turn; the file's ending tells the format (svg, png, pdf).
-func (f *File) Chart(tt timetable.Timetable, path string) error {
+func (f *File) Chart(tt maintenanceplanner.Timetable, path string) error {
 	p := plot.New()
 	p.Title.Text = "maintenance windows"
 	p.X.Label.Text = "hours from " + f.Begins.Format(time.RFC3339)
--- a/internal/windowfile/windowfile_test.go
+++ b/internal/maintenancefile/windowfile_test.go
@@ -1,4 +1,4 @@
-package windowfile
+package maintenancefile
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"zincloft.example/zincloft/hive/timetable"
+	"zincloft.example/zincloft/controlplane/maintenanceplanner"
 )
 
 func TestFile(t *testing.T) {
@@ -17,7 +17,7 @@
 		So(err, ShouldBeNil)
 		f, err := Parse(raw)
 		So(err, ShouldBeNil)
-		tt, proof := timetable.Plan(&f.Request)
+		tt, proof := maintenanceplanner.Plan(&f.Request)
 		So(proof, ShouldBeNil)
 		So(f.Request.Holds(tt), ShouldBeNil)
 		Convey("is shown with a bar a node and drawn as a chart", func() {
--- a/hive/model/members.go
+++ b/internal/modelcheck/membershipmodel/members.go
@@ -1,4 +1,4 @@
-package model
+package membershipmodel
 
 import (
 	"fmt"
--- a/hive/model/model.go
+++ b/internal/modelcheck/membershipmodel/model.go
@@ -1,7 +1,7 @@
-// Package model is the rules of views and chain as a small state machine, explored exhaustively: every order of
+// Package membershipmodel is the rules of views and chain as a small state machine, explored exhaustively: every order of
 // messages (late, lost, repeated), of writes reaching the disk, of kills and of lost disks, within bounds. The engines
-// in hive/view and hive/chain follow these rules; faults can be put in to see that the check finds them.
-package model
+// in controlplane/membership and controlplane/chainreplication follow these rules; faults can be put in to see that the check finds them.
+package membershipmodel
 
 import (
 	"fmt"
--- a/hive/trymodel/trymodel.go
+++ b/internal/modelcheck/requestmodel/trymodel.go
@@ -1,18 +1,18 @@
-// Package trymodel is the way of requests to replicas and back as a small state machine without I/O, explored
+// Package requestmodel is the way of requests to replicas and back as a small state machine without I/O, explored
 // exhaustively: two clients, two replicas, two connections, two tries each, and every order of what may happen between
 // them (deliveries, answers that are whole, cut, surplus, late, nobody's or another's, resets, silence, clients that
-// leave, connections that are forgotten). The decisions are those of hive/tries; what internal/replica makes of a
+// leave, connections that are forgotten). The decisions are those of dataplane/retry; what internal/replica makes of a
 // connection's bytes is told here once more, as rules. Faults can be put in to see that the check finds them.
 //
 // Against what a replica may say the model has it tell the truth in one point: it refuses only what it does not run.
-package trymodel
+package requestmodel
 
 import (
 	"fmt"
 	"hash/maphash"
 	"time"
 
-	"zincloft.example/zincloft/hive/tries"
+	"zincloft.example/zincloft/dataplane/retry"
 )
 
 // Fault is a bug put in on purpose.
@@ -77,14 +77,14 @@
 	try struct {
 		state   uint8 // not made, under way, ended
 		replica uint8
-		verdict tries.Verdict
+		verdict retry.Verdict
 	}
 	client struct {
 		state   uint8 // to come, under way, told
 		gone    bool
 		tries   [2]try
 		told    uint8
-		last    tries.Verdict
+		last    retry.Verdict
 		runs    uint8
 		flying  uint8 // bits of replicas that a closed connection's request may still reach
 		offered uint8
@@ -289,8 +289,8 @@
 	return offered
 }
 
-// ended takes a try's verdict and goes on as internal/forager does.
-func (m *machine) ended(s state, k int, v tries.Verdict, keep bool, label string) {
+// ended takes a try's verdict and goes on as internal/gateway does.
+func (m *machine) ended(s state, k int, v retry.Verdict, keep bool, label string) {
 	c := s.k[k]
 	i, n := int(c.client), int(c.try)
 	if keep {
@@ -305,7 +305,7 @@
 		return
 	}
 	cl.tries[n].state, cl.tries[n].verdict = over, v
-	if v == tries.Answered {
+	if v == retry.Answered {
 		for j := range s.k { // the beaten one is closed
 			if b := &s.k[j]; b.state == busy && int(b.client) == i {
 				if m.fault == KeepsBeatenTry {
@@ -328,7 +328,7 @@
 		return
 	}
 	safe := m.b.Safe[i] || m.fault == RepeatsAfterSilence
-	again := tries.Again(v, tries.Request{Safe: safe, MaxAttempts: 2, Sent: int(cl.offered), Left: time.Second})
+	again := retry.Again(v, retry.Request{Safe: safe, MaxAttempts: 2, Sent: int(cl.offered), Left: time.Second})
 	if cl.gone && m.fault != OffersForNobody {
 		again = false
 	}
@@ -339,7 +339,7 @@
 	switch {
 	case cl.gone:
 		cl.told = toldLeft
-	case tries.Final(cl.last, false) == 503:
+	case retry.Final(cl.last, false) == 503:
 		cl.told = toldNotRun
 	default:
 		cl.told = toldDoubt
@@ -360,19 +360,19 @@
 	quiet := c.buf[0].what == nothing && !c.ended || m.fault == ReusesWithBytes
 	switch {
 	case x.what == noAnswer || x.what == cutShort:
-		m.ended(s, k, tries.MayHaveRun, false, label)
+		m.ended(s, k, retry.MayHaveRun, false, label)
 	case id != 0 && id != i+1:
 		c.taint = true
 		m.add(s, "%s: another's", label)
 	case x.what == refusal && (id != 0 || m.fault == BelievesNameless):
-		m.ended(s, k, tries.NotRun, quiet && !c.taint, label)
+		m.ended(s, k, retry.NotRun, quiet && !c.taint, label)
 	case x.what == refusal || id == 0:
-		m.ended(s, k, tries.MayHaveRun, false, label)
+		m.ended(s, k, retry.MayHaveRun, false, label)
 	default:
 		if x.of != i+1 {
 			s.wrong = wrongCaller
 		}
-		m.ended(s, k, tries.Answered, quiet && !c.taint, label)
+		m.ended(s, k, retry.Answered, quiet && !c.taint, label)
 	}
 }
 
@@ -420,15 +420,15 @@
 		case c.state == busy && c.buf[0].what != nothing:
 			m.read(s, k)
 		case c.state == busy && c.ended:
-			v := tries.MayHaveRun
+			v := retry.MayHaveRun
 			if m.fault == PromisesAfterReset {
-				v = tries.NotRun
+				v = retry.NotRun
 			}
 			m.ended(s, k, v, false, m.say("connection %d ended", k))
 		case c.state == busy && s.breaks > 0:
 			t := s
 			t.breaks--
-			m.ended(t, k, tries.MayHaveRun, m.fault == ReusesAfterSilence, m.say("silence on connection %d", k))
+			m.ended(t, k, retry.MayHaveRun, m.fault == ReusesAfterSilence, m.say("silence on connection %d", k))
 		case c.state == idle && !c.past:
 			t := s
 			t.k[k].past = true
--- a/hive/trymodel/trymodel_test.go
+++ b/internal/modelcheck/requestmodel/trymodel_test.go
@@ -1,4 +1,4 @@
-package trymodel
+package requestmodel
 
 import (
 	"os"
--- a/internal/nodefile/nodefile.go
+++ b/internal/nodesettings/nodefile.go
@@ -1,8 +1,8 @@
-// Package nodefile reads and checks the settings file that tells a process of the gateway who and where it is.
+// Package nodesettings reads and checks the settings file that tells a process of the gateway who and where it is.
 //
 // The file is YAML. It is turned into JSON by a library and then read by gjson paths; each message names the path
 // at fault. Fields that are not known are skipped.
-package nodefile
+package nodesettings
 
 import (
 	"math"
--- a/internal/nodefile/nodefile_test.go
+++ b/internal/nodesettings/nodefile_test.go
@@ -1,4 +1,4 @@
-package nodefile
+package nodesettings
 
 import (
 	"os"
--- a/internal/link/ends.go
+++ b/internal/peertransport/ends.go
@@ -1,9 +1,9 @@
-package link
+package peertransport
 
 import (
 	"io"
 
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/messages"
 )
 
 // Ends knows, for each peer, its newest connection by the epoch that its hello carries: the peer's life, and the time of that
@@ -17,7 +17,7 @@
 }
 
 // Begin takes a peer's connection and closes the one before it, or tells that a newer one has been there.
-func (e *Ends) Begin(h *words.Hello, conn io.Closer) bool {
+func (e *Ends) Begin(h *messages.Hello, conn io.Closer) bool {
 	if e.newest == nil {
 		e.newest = map[string]end{}
 	}
--- a/internal/link/ends_test.go
+++ b/internal/peertransport/ends_test.go
@@ -1,10 +1,10 @@
-package link
+package peertransport
 
 import (
 	"testing"
 
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/messages"
 )
 
 type closed struct{ n int }
@@ -14,8 +14,8 @@
 // TestEnds guards against words of an earlier connection that are taken after those of a newer one: they lay in its socket.
 func TestEnds(t *testing.T) {
 	var e Ends
-	hello := func(life, dial uint64) *words.Hello {
-		return &words.Hello{Member: view.Member{Addr: "a"}, Life: life, Dial: dial}
+	hello := func(life, dial uint64) *messages.Hello {
+		return &messages.Hello{Member: membership.Member{Addr: "a"}, Life: life, Dial: dial}
 	}
 	first, second, late, reborn := &closed{}, &closed{}, &closed{}, &closed{}
 	if !e.Begin(hello(7, 10), first) || !e.Holds("a", first) {
--- a/internal/link/fuzz_test.go
+++ b/internal/peertransport/fuzz_test.go
@@ -1,4 +1,4 @@
-package link
+package peertransport
 
 import (
 	"bytes"
@@ -6,9 +6,9 @@
 	"runtime"
 	"testing"
 
-	"zincloft.example/zincloft/hive/falls"
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/dataplane/outlier"
+	"zincloft.example/zincloft/messages"
 )
 
 // Guards memory against a length that nothing follows: whoever reaches the port could have eight MiB for four bytes.
@@ -24,7 +24,7 @@
 	if n := after.TotalAlloc - before.TotalAlloc; n > 2<<20 {
 		t.Errorf("%d bytes for eight frames that never came", n)
 	}
-	b, err := Frame(&Msg{State: &words.State{Body: make([]byte, 1<<20)}})
+	b, err := Frame(&Msg{State: &messages.State{Body: make([]byte, 1<<20)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 
 // FuzzRead reads what another governor may send: it ends in a message that can be sent on, or in an error.
 func FuzzRead(f *testing.F) {
-	for _, m := range []*Msg{{}, {Hello: &words.Hello{Forager: "f", Member: view.Member{ID: "d", Addr: "a:1", Zone: "z"}}}, {State: &words.State{Whole: true, Seq: 4, Body: []byte("{}")}}, {Fell: []falls.Out{{}}}} {
+	for _, m := range []*Msg{{}, {Hello: &messages.Hello{Forager: "f", Member: membership.Member{ID: "d", Addr: "a:1", Zone: "z"}}}, {State: &messages.State{Whole: true, Seq: 4, Body: []byte("{}")}}, {Fell: []outlier.Out{{}}}} {
 		b, err := Frame(m)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/link/link.go
+++ b/internal/peertransport/link.go
@@ -1,5 +1,5 @@
-// Package link carries messages between the gateway's governors: frames of CBOR over TCP.
-package link
+// Package peertransport carries messages between the gateway's governors: frames of CBOR over TCP.
+package peertransport
 
 import (
 	"encoding/binary"
@@ -13,10 +13,10 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
-	"zincloft.example/zincloft/hive/core"
-	"zincloft.example/zincloft/hive/falls"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/coordinator"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/dataplane/outlier"
+	"zincloft.example/zincloft/messages"
 )
 
 const (
@@ -32,13 +32,13 @@
 
 // Msg is one frame; the fields that are set tell what it is. An empty one is a sign of life.
 type Msg struct {
-	Hello  *words.Hello    `cbor:"1,keyasint,omitempty"`
-	Core   *core.Message   `cbor:"2,keyasint,omitempty"`
-	Lives  []registry.Life `cbor:"3,keyasint,omitempty"`
-	State  *words.State    `cbor:"4,keyasint,omitempty"`
-	Report *words.Report   `cbor:"5,keyasint,omitempty"`
-	Fleet  *words.Fleet    `cbor:"6,keyasint,omitempty"`
-	Fell   []falls.Out     `cbor:"7,keyasint,omitempty"`
+	Hello  *messages.Hello      `cbor:"1,keyasint,omitempty"`
+	Core   *coordinator.Message `cbor:"2,keyasint,omitempty"`
+	Lives  []registry.Life      `cbor:"3,keyasint,omitempty"`
+	State  *messages.State      `cbor:"4,keyasint,omitempty"`
+	Report *messages.Report     `cbor:"5,keyasint,omitempty"`
+	Fleet  *messages.Fleet      `cbor:"6,keyasint,omitempty"`
+	Fell   []outlier.Out        `cbor:"7,keyasint,omitempty"`
 }
 
 var decMode = func() cbor.DecMode {
@@ -166,7 +166,7 @@
 var began = time.Now()
 
 // To starts sending to an address; each connection begins with hello, which is told when it was dialled.
-func To(addr string, hello words.Hello) *Peer {
+func To(addr string, hello messages.Hello) *Peer {
 	p := &Peer{queue: make(chan []byte, queueMost), stop: make(chan struct{})}
 	go p.run(addr, hello)
 	return p
@@ -183,7 +183,7 @@
 // Stop ends the peer.
 func (p *Peer) Stop() { p.once.Do(func() { close(p.stop) }) }
 
-func (p *Peer) run(addr string, hello words.Hello) {
+func (p *Peer) run(addr string, hello messages.Hello) {
 	d := Dialer(dialMost, userTimeout)
 	pause := pauseLeast
 	for {
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -16,7 +16,7 @@
 	"github.com/integrii/flaggy"
 	"github.com/phuslu/log"
 
-	"zincloft.example/zincloft/internal/nodefile"
+	"zincloft.example/zincloft/internal/nodesettings"
 )
 
 // Version is told by --version.
@@ -71,12 +71,12 @@
 }
 
 // Main runs a daemon. Without a verb, or with `run`, it serves; `check` reads the settings and says what is wrong.
-func Main(name, what string, build func(*nodefile.Settings, *log.Logger) (Runner, error)) {
+func Main(name, what string, build func(*nodesettings.Settings, *log.Logger) (Runner, error)) {
 	p := flaggy.NewParser(name)
 	p.Description = what
 	p.Version = Version
-	path := os.Getenv(nodefile.Variable)
-	p.String(&path, "s", "settings", "path of the settings file; "+nodefile.Variable+" names it too")
+	path := os.Getenv(nodesettings.Variable)
+	p.String(&path, "s", "settings", "path of the settings file; "+nodesettings.Variable+" names it too")
 	check := flaggy.NewSubcommand("check")
 	check.Description = "read the settings, say what is wrong, and end"
 	run := flaggy.NewSubcommand("run")
@@ -88,9 +88,9 @@
 		os.Exit(2)
 	}
 	if path != "" {
-		os.Setenv(nodefile.Variable, path)
+		os.Setenv(nodesettings.Variable, path)
 	}
-	set, err := nodefile.Load()
+	set, err := nodesettings.Load()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
--- a/internal/replica/fuzz_test.go
+++ b/internal/replica/fuzz_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"zincloft.example/zincloft/hive/tries"
+	"zincloft.example/zincloft/dataplane/retry"
 )
 
 // heard is a connection on which everything has come at once.
@@ -42,10 +42,10 @@
 			q.Method = "HEAD"
 		}
 		r := c.exchange(q)
-		if r.Unsent || r.Verdict == tries.MayHaveRun && r.Answer != nil {
+		if r.Unsent || r.Verdict == retry.MayHaveRun && r.Answer != nil {
 			t.Fatalf("%+v", r)
 		}
-		if r.Verdict == tries.MayHaveRun {
+		if r.Verdict == retry.MayHaveRun {
 			if c.fit() {
 				t.Fatalf("used again after a doubt: %q", b)
 			}
@@ -61,11 +61,11 @@
 			}
 		}
 		switch {
-		case r.Verdict == tries.NotRun && (a.Status < 400 || a.Header.Get("X-Not-Executed") == "" && a.Status != 421):
+		case r.Verdict == retry.NotRun && (a.Status < 400 || a.Header.Get("X-Not-Executed") == "" && a.Status != 421):
 			t.Fatalf("not run, by %d: %q", a.Status, b)
-		case r.Verdict == tries.Answered && a.Status/100 == 2 && a.Header.Get("X-Response-Seal") == "":
+		case r.Verdict == retry.Answered && a.Status/100 == 2 && a.Header.Get("X-Response-Seal") == "":
 			t.Fatalf("a success without a seal: %q", b)
-		case r.Verdict == tries.Answered && (a.Status == 503 || a.Status == 429 || a.Status == 408 || a.Status == 421 || a.Status < 200 || a.Status > 599):
+		case r.Verdict == retry.Answered && (a.Status == 503 || a.Status == 429 || a.Status == 408 || a.Status == 421 || a.Status < 200 || a.Status > 599):
 			t.Fatalf("%d passed on: %q", a.Status, b)
 		case c.fit() && (src.Len() > 0 || r.Skipped > 0 || head):
 			t.Fatalf("used again with %d bytes behind, %d skipped: %q", src.Len(), r.Skipped, b)
--- a/internal/replica/hostile_test.go
+++ b/internal/replica/hostile_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"zincloft.example/zincloft/hive/tries"
+	"zincloft.example/zincloft/dataplane/retry"
 )
 
 // scripted is a replica that says what it is told to: for the n-th request of all, from 1 on, bytes, and whether it
@@ -72,9 +72,9 @@
 	return p.Do("i1", addr, q)
 }
 
-func expect(t *testing.T, r Result, v tries.Verdict, body string) {
+func expect(t *testing.T, r Result, v retry.Verdict, body string) {
 	t.Helper()
-	if r.Verdict != v || v == tries.Answered && string(r.Answer.Body) != body {
+	if r.Verdict != v || v == retry.Answered && string(r.Answer.Body) != body {
 		t.Fatalf("%s %q (%s), want %s %q", r.Verdict, bodyOf(r), r.Cause, v, body)
 	}
 }
@@ -93,7 +93,7 @@
 	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) {
 		return whole("other", strings.Repeat("x", skipBytes)+forged) + whole("2", "ours"), false
 	})
-	expect(t, try(NewPool(), addr, "2", "POST"), tries.MayHaveRun, "")
+	expect(t, try(NewPool(), addr, "2", "POST"), retry.MayHaveRun, "")
 }
 
 // Guards the same by methods: a surplus answer of a HEAD has a length and no body, so under another method it swallows
@@ -120,7 +120,7 @@
 	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) {
 		return "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\nX-Response-Seal: s\r\n\r\n", false
 	})
-	expect(t, try(NewPool(), addr, "1", "HEAD"), tries.Answered, "")
+	expect(t, try(NewPool(), addr, "1", "HEAD"), retry.Answered, "")
 }
 
 // Guards the promise that a request has not run: what proves it must be an answer to this request, on a connection on
@@ -138,25 +138,25 @@
 	}
 	for _, x := range []struct {
 		name, say string
-		v         tries.Verdict
+		v         retry.Verdict
 	}{
-		{"its own word", no(503, "1"), tries.NotRun},
-		{"no id, the first words of a new connection", no(400, ""), tries.MayHaveRun},
-		{"no id, behind an answer of another", whole("other", "x") + no(503, ""), tries.MayHaveRun},
-		{"another's refusal", no(503, "other") + whole("1", "ours"), tries.Answered},
-		{"a success that says it was none", strings.Replace(whole("1", "x"), "Content", "X-Not-Executed: 1\r\nContent", 1), tries.MayHaveRun},
-		{"two ids", "HTTP/1.1 503 X\r\nX-Attempt-Id: 1\r\nX-Attempt-Id: 2\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", tries.MayHaveRun},
-		{"503 without a word on whether it ran", plain(503), tries.MayHaveRun},
-		{"429 without a word on whether it ran", plain(429), tries.MayHaveRun},
-		{"408 without a word on whether it ran", plain(408), tries.MayHaveRun},
-		{"421: it is another one", plain(421), tries.NotRun},
-		{"a failure of its own", plain(500), tries.Answered},
+		{"its own word", no(503, "1"), retry.NotRun},
+		{"no id, the first words of a new connection", no(400, ""), retry.MayHaveRun},
+		{"no id, behind an answer of another", whole("other", "x") + no(503, ""), retry.MayHaveRun},
+		{"another's refusal", no(503, "other") + whole("1", "ours"), retry.Answered},
+		{"a success that says it was none", strings.Replace(whole("1", "x"), "Content", "X-Not-Executed: 1\r\nContent", 1), retry.MayHaveRun},
+		{"two ids", "HTTP/1.1 503 X\r\nX-Attempt-Id: 1\r\nX-Attempt-Id: 2\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", retry.MayHaveRun},
+		{"503 without a word on whether it ran", plain(503), retry.MayHaveRun},
+		{"429 without a word on whether it ran", plain(429), retry.MayHaveRun},
+		{"408 without a word on whether it ran", plain(408), retry.MayHaveRun},
+		{"421: it is another one", plain(421), retry.NotRun},
+		{"a failure of its own", plain(500), retry.Answered},
 	} {
 		addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) { return x.say, false })
-		if r := try(NewPool(), addr, "", "POST"); x.name == "no id, the first words of a new connection" && r.Verdict != tries.NotRun {
+		if r := try(NewPool(), addr, "", "POST"); x.name == "no id, the first words of a new connection" && r.Verdict != retry.NotRun {
 			t.Errorf("a request without an identity: %s (%s)", r.Verdict, r.Cause)
 		}
-		if r := try(NewPool(), addr, "1", "POST"); r.Verdict != x.v || x.v == tries.Answered && bodyOf(r) == "x" {
+		if r := try(NewPool(), addr, "1", "POST"); r.Verdict != x.v || x.v == retry.Answered && bodyOf(r) == "x" {
 			t.Errorf("%s: %s (%s), want %s", x.name, r.Verdict, r.Cause, x.v)
 		}
 	}
@@ -177,7 +177,7 @@
 		"a head without end":                               "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Y: "+strings.Repeat("z", 1000)+"\r\n", 200) + "X-Attempt-Id: 1\r\nX-Response-Seal: s\r\nContent-Length: 0\r\n\r\n",
 	} {
 		addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) { return say, n > 1 })
-		if r := try(NewPool(), addr, "1", "POST"); r.Verdict != tries.MayHaveRun || r.Expired {
+		if r := try(NewPool(), addr, "1", "POST"); r.Verdict != retry.MayHaveRun || r.Expired {
 			t.Errorf("%s: %s %q (%s)", name, r.Verdict, bodyOf(r), r.Cause)
 		}
 	}
@@ -208,7 +208,7 @@
 	q.Header.Set("X-Early", "1")
 	q.Body = make([]byte, 32<<20)
 	began := time.Now()
-	expect(t, p.Do("i1", addr, q), tries.NotRun, "")
+	expect(t, p.Do("i1", addr, q), retry.NotRun, "")
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("heard after %v", took)
 	}
@@ -259,11 +259,11 @@
 	q.Stop = ctx
 	for _, q := range []*Request{q, request("1", -time.Second)} {
 		p := NewPool()
-		if r := try(p, addr, "0", "POST"); r.Verdict != tries.Answered && r.Verdict != tries.MayHaveRun {
+		if r := try(p, addr, "0", "POST"); r.Verdict != retry.Answered && r.Verdict != retry.MayHaveRun {
 			t.Fatal(r)
 		}
 		seen.Store(0)
-		if r := p.Do("i1", addr, q); r.Verdict != tries.NotRun || !r.Unsent || seen.Load() != 0 {
+		if r := p.Do("i1", addr, q); r.Verdict != retry.NotRun || !r.Unsent || seen.Load() != 0 {
 			t.Errorf("%+v, %d seen", r, seen.Load())
 		}
 	}
@@ -319,7 +319,7 @@
 	for _, patient := range []bool{true, false} {
 		q := request(fmt.Sprint(patient), time.Second)
 		q.Patient = patient
-		expect(t, p.Do("i1", addr, q), tries.Answered, "")
+		expect(t, p.Do("i1", addr, q), retry.Answered, "")
 		if got := <-during; got == patient || !asks() {
 			t.Errorf("patient %v: asks while it waits: %v, while it rests: %v", patient, got, asks())
 		}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -2,7 +2,7 @@
 // time on each, and a verdict on what became of it.
 //
 // Requests are never repeated here. A library's transport may send a request again where it thinks that harmless;
-// here every arrival at a replica is decided by hive/tries.
+// here every arrival at a replica is decided by dataplane/retry.
 package replica
 
 import (
@@ -22,8 +22,8 @@
 	"syscall"
 	"time"
 
-	"zincloft.example/zincloft/hive/tries"
-	"zincloft.example/zincloft/internal/link"
+	"zincloft.example/zincloft/dataplane/retry"
+	"zincloft.example/zincloft/internal/peertransport"
 )
 
 const (
@@ -70,7 +70,7 @@
 
 // Result is a try's outcome.
 type Result struct {
-	Verdict tries.Verdict
+	Verdict retry.Verdict
 	Answer  *Answer
 	Cause   string // for counts; empty: answered
 	Unsent  bool   // nothing was sent
@@ -243,7 +243,7 @@
 }
 
 func (p *Pool) dial(addr string, deadline time.Time) (*conn, error) {
-	d := link.Dialer(min(dialMost, time.Until(deadline)), unackedMost)
+	d := peertransport.Dialer(min(dialMost, time.Until(deadline)), unackedMost)
 	nc, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -265,16 +265,16 @@
 // Do sends a request to the replica at addr and waits for its answer.
 func (p *Pool) Do(id, addr string, q *Request) Result {
 	if q.Stop != nil && q.Stop.Err() != nil {
-		return Result{Verdict: tries.NotRun, Cause: "left", Unsent: true}
+		return Result{Verdict: retry.NotRun, Cause: "left", Unsent: true}
 	}
 	if !time.Now().Before(q.Deadline) {
-		return Result{Verdict: tries.NotRun, Cause: "late", Unsent: true, Expired: true}
+		return Result{Verdict: retry.NotRun, Cause: "late", Unsent: true, Expired: true}
 	}
 	c := p.take(id, q)
 	if c == nil {
 		var err error
 		if c, err = p.dial(addr, q.Deadline); err != nil {
-			return Result{Verdict: tries.NotRun, Cause: "dial", Unsent: true, Refused: errors.Is(err, syscall.ECONNREFUSED), Expired: !time.Now().Before(q.Deadline)}
+			return Result{Verdict: retry.NotRun, Cause: "dial", Unsent: true, Refused: errors.Is(err, syscall.ECONNREFUSED), Expired: !time.Now().Before(q.Deadline)}
 		}
 	}
 	c.SetDeadline(q.Deadline)
@@ -342,7 +342,7 @@
 	w := <-written
 	if w.err != nil {
 		c.unfit = true
-		if res.Verdict == tries.MayHaveRun && w.n == 0 {
+		if res.Verdict == retry.MayHaveRun && w.n == 0 {
 			return unwritten(w.n, w.err)
 		}
 	}
@@ -352,7 +352,7 @@
 func unwritten(n int, err error) Result {
 	res := failed(err, "write")
 	if n == 0 {
-		res.Verdict, res.Unsent = tries.NotRun, true
+		res.Verdict, res.Unsent = retry.NotRun, true
 	}
 	return res
 }
@@ -367,7 +367,7 @@
 		}
 		c.taint = true
 		if skipped >= skipMost {
-			return Result{Verdict: tries.MayHaveRun, Cause: "surplus", Skipped: skipped}
+			return Result{Verdict: retry.MayHaveRun, Cause: "surplus", Skipped: skipped}
 		}
 	}
 }
@@ -377,10 +377,10 @@
 	if expired {
 		cause = "deadline"
 	}
-	return Result{Verdict: tries.MayHaveRun, Cause: cause, Expired: expired}
+	return Result{Verdict: retry.MayHaveRun, Cause: cause, Expired: expired}
 }
 
-func spoilt() Result { return Result{Verdict: tries.MayHaveRun, Cause: "spoilt"} }
+func spoilt() Result { return Result{Verdict: retry.MayHaveRun, Cause: "spoilt"} }
 
 var errHead = errors.New("a head that can be read in two ways, or has no end")
 
@@ -526,15 +526,15 @@
 	refused := a.Header.Get("X-Not-Executed") != "" || a.Status == http.StatusMisdirectedRequest
 	switch {
 	case refused && a.Status >= 400 && (id != "" || q.Attempt == "" && !c.taint):
-		return Result{Verdict: tries.NotRun, Answer: a, Cause: "refused_" + strconv.Itoa(a.Status), Full: true}
+		return Result{Verdict: retry.NotRun, Answer: a, Cause: "refused_" + strconv.Itoa(a.Status), Full: true}
 	case refused && id == "":
-		return Result{Verdict: tries.MayHaveRun, Cause: "nameless"}
+		return Result{Verdict: retry.MayHaveRun, Cause: "nameless"}
 	case refused, id == "", !delimited, a.Header.Get("Content-Encoding") != "", a.Status/100 == 2 && a.Header.Get("X-Response-Seal") == "":
 		return spoilt()
 	case a.Status == http.StatusRequestTimeout, a.Status == http.StatusTooManyRequests, a.Status == http.StatusServiceUnavailable:
-		return Result{Verdict: tries.MayHaveRun, Cause: "unproven"}
+		return Result{Verdict: retry.MayHaveRun, Cause: "unproven"}
 	}
-	return Result{Verdict: tries.Answered, Answer: a}
+	return Result{Verdict: retry.Answered, Answer: a}
 }
 
 // keepAlive reads the timeout of a Keep-Alive header.
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -8,8 +8,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"zincloft.example/zincloft/hive/tries"
-	"zincloft.example/zincloft/internal/stand/upstream"
+	"zincloft.example/zincloft/dataplane/retry"
+	"zincloft.example/zincloft/internal/standin/upstream"
 )
 
 func request(id string, most time.Duration) *Request {
@@ -28,7 +28,7 @@
 		Convey("a whole answer is passed on, and the connection used again", func() {
 			for _, id := range []string{"1", "2", "3"} {
 				res := do(id)
-				So(res.Verdict, ShouldEqual, tries.Answered)
+				So(res.Verdict, ShouldEqual, retry.Answered)
 				So(string(res.Answer.Body), ShouldEqual, "body of "+id+" from i1\n")
 			}
 			So(r.Opens(), ShouldEqual, 1)
@@ -41,22 +41,22 @@
 		Convey("what bad replicas send gets the verdict that is safe", func() {
 			for _, x := range []struct {
 				b upstream.Behaviour
-				v tries.Verdict
+				v retry.Verdict
 			}{
-				{upstream.Sheds, tries.NotRun}, {upstream.Other, tries.NotRun},
-				{upstream.Cut, tries.MayHaveRun}, {upstream.Garbage, tries.MayHaveRun}, {upstream.Unsealed, tries.MayHaveRun},
-				{upstream.Encoded, tries.MayHaveRun}, {upstream.Lost, tries.MayHaveRun}, {upstream.NoIdentity, tries.MayHaveRun},
-				{upstream.Fails, tries.Answered}, {upstream.Late, tries.Answered}, {upstream.Surplus, tries.Answered},
+				{upstream.Sheds, retry.NotRun}, {upstream.Other, retry.NotRun},
+				{upstream.Cut, retry.MayHaveRun}, {upstream.Garbage, retry.MayHaveRun}, {upstream.Unsealed, retry.MayHaveRun},
+				{upstream.Encoded, retry.MayHaveRun}, {upstream.Lost, retry.MayHaveRun}, {upstream.NoIdentity, retry.MayHaveRun},
+				{upstream.Fails, retry.Answered}, {upstream.Late, retry.Answered}, {upstream.Surplus, retry.Answered},
 			} {
 				r.Then(x.b)
 				res := do(string(x.b))
 				So(string(x.b)+" "+res.Verdict.String(), ShouldEqual, string(x.b)+" "+x.v.String())
-				if x.v == tries.Answered && res.Answer.Status == 200 {
+				if x.v == retry.Answered && res.Answer.Status == 200 {
 					So(string(res.Answer.Body), ShouldEqual, "body of "+string(x.b)+" from i1\n")
 				}
 				// Guards answers that belong to another request: whatever was left over must not meet the next one.
 				next := do("after-" + string(x.b))
-				So(next.Verdict, ShouldEqual, tries.Answered)
+				So(next.Verdict, ShouldEqual, retry.Answered)
 				So(string(next.Answer.Body), ShouldEqual, "body of after-"+string(x.b)+" from i1\n")
 				// Guards hidden repeats: each attempt has run at most once.
 				So(r.Ran()[string(x.b)], ShouldBeLessThanOrEqualTo, 1)
@@ -64,10 +64,10 @@
 		})
 		Convey("a connection that the replica closed while it lay idle is not used", func() {
 			r.Then(upstream.Closes)
-			So(do("1").Verdict, ShouldEqual, tries.Answered)
+			So(do("1").Verdict, ShouldEqual, retry.Answered)
 			for p.mustBeQuiet("i1") { // until its end has arrived
 			}
-			So(do("2").Verdict, ShouldEqual, tries.Answered)
+			So(do("2").Verdict, ShouldEqual, retry.Answered)
 			So(r.Opens(), ShouldEqual, 2)
 		})
 		// Guards replicas that forget idle connections sooner than they tell: what is sent next is a doubt.
@@ -77,10 +77,10 @@
 				q.Service = "svc"
 				return q
 			}
-			So(p.Do("i1", r.Addr(), q("1")).Verdict, ShouldEqual, tries.Answered)
+			So(p.Do("i1", r.Addr(), q("1")).Verdict, ShouldEqual, retry.Answered)
 			p.idle["i1"][0].idleSince = time.Now().Add(-time.Second)
 			r.Then(upstream.Lost)
-			So(p.Do("i1", r.Addr(), q("2")).Verdict, ShouldEqual, tries.MayHaveRun)
+			So(p.Do("i1", r.Addr(), q("2")).Verdict, ShouldEqual, retry.MayHaveRun)
 			So(p.restMost("svc", time.Now()), ShouldBeBetween, 400*time.Millisecond, 600*time.Millisecond)
 			So(p.restMost("other", time.Now()), ShouldEqual, idleMost)
 			So(p.restMost("svc", time.Now().Add(time.Minute)), ShouldEqual, idleMost)
@@ -88,7 +88,7 @@
 		Convey("silence ends at the deadline, as a doubt", func() {
 			r.Then(upstream.Silent)
 			res := p.Do("i1", r.Addr(), request("1", 50*time.Millisecond))
-			So(res.Verdict, ShouldEqual, tries.MayHaveRun)
+			So(res.Verdict, ShouldEqual, retry.MayHaveRun)
 			So(res.Expired, ShouldBeTrue)
 		})
 		Convey("a try whose client left ends at once", func() {
@@ -101,12 +101,12 @@
 				}
 				cancel()
 			}()
-			So(p.Do("i1", r.Addr(), q).Verdict, ShouldEqual, tries.MayHaveRun)
+			So(p.Do("i1", r.Addr(), q).Verdict, ShouldEqual, retry.MayHaveRun)
 		})
 		Convey("one that cannot be called has not run it", func() {
 			r.Close()
 			res := do("1")
-			So(res.Verdict, ShouldEqual, tries.NotRun)
+			So(res.Verdict, ShouldEqual, retry.NotRun)
 			So(res.Unsent, ShouldBeTrue)
 		})
 	})
--- a/internal/scalerun/hollow.go
+++ b/internal/scalerun/hollow.go
@@ -18,13 +18,13 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"zincloft.example/zincloft/hive/forage"
-	"zincloft.example/zincloft/hive/neighbours"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/hive/words"
-	"zincloft.example/zincloft/internal/link"
-	"zincloft.example/zincloft/internal/waggle"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/dataplane/router"
+	"zincloft.example/zincloft/internal/gossip"
+	"zincloft.example/zincloft/internal/peertransport"
+	"zincloft.example/zincloft/messages"
+	"zincloft.example/zincloft/peersampling"
 )
 
 // Count is how many words of a kind went over sockets, and their bytes, lengths of frames included.
@@ -58,7 +58,7 @@
 }
 
 // Said names what a forager's frame is.
-func Said(m *link.Msg) string {
+func Said(m *peertransport.Msg) string {
 	switch r := m.Report; {
 	case m.Hello != nil:
 		return "hello"
@@ -95,9 +95,9 @@
 	Chance    func() float64
 }
 
-// Report is what a forager with such requests says, as hive/forage makes it.
-func (r Requests) Report(lives []registry.Life, over time.Duration) *words.Report {
-	rep := &words.Report{Over: over.Milliseconds(), Requests: map[string]int{}}
+// Report is what a forager with such requests says, as dataplane/router makes it.
+func (r Requests) Report(lives []registry.Life, over time.Duration) *messages.Report {
+	rep := &messages.Report{Over: over.Milliseconds(), Requests: map[string]int{}}
 	met := map[string]int{}
 	if len(lives) > 0 {
 		for range int(r.PerSecond*over.Seconds() + r.Chance()) {
@@ -109,7 +109,7 @@
 				continue
 			}
 			met[l.ID] = len(rep.Sums)
-			rep.Sums = append(rep.Sums, words.Sum{Replica: l.ID, Tries: 1, Took: 200000, Running: 2, Slots: l.Slots})
+			rep.Sums = append(rep.Sums, messages.Sum{Replica: l.ID, Tries: 1, Took: 200000, Running: 2, Slots: l.Slots})
 		}
 	}
 	return rep
@@ -147,7 +147,7 @@
 	return k.zone[zone]
 }
 
-// Forager is a hollow one: it holds a stream from a comb and says what a real one says (internal/forager, follow.go), with the
+// Forager is a hollow one: it holds a stream from a comb and says what a real one says (internal/gateway, follow.go), with the
 // same codec in the same sequence, but carries no requests and keeps no tables. What its reports tell is made up.
 type Forager struct {
 	Name, Zone string
@@ -157,7 +157,7 @@
 	In, Out    *Counts
 
 	share *known
-	brain *forage.Forager // knows the combs, and chooses among them
+	brain *router.Forager // knows the combs, and chooses among them
 
 	mu      sync.Mutex
 	comb    string // it holds to; empty: none
@@ -174,19 +174,19 @@
 
 func (f *Forager) begin(zones int) {
 	f.seen = map[uint64]time.Time{}
-	f.brain = forage.New(forage.Settings{Zone: f.Zone, Zones: zones, Seed: rand.Uint64()})
+	f.brain = router.New(router.Settings{Zone: f.Zone, Zones: zones, Seed: rand.Uint64()})
 }
 
 // Run follows combs until the context ends. Port is where it shuffles neighbours; 0: it does not.
 func (f *Forager) Run(ctx context.Context, port int) error {
 	var also func() []string
 	if port > 0 {
-		d, err := waggle.Start(ctx, neighbours.Node{Addr: netip.AddrPortFrom(f.IP, uint16(port)).String(), Kind: neighbours.Forager, Zone: f.Zone}, f.Seeds)
+		d, err := gossip.Start(ctx, peersampling.Node{Addr: netip.AddrPortFrom(f.IP, uint16(port)).String(), Kind: peersampling.Forager, Zone: f.Zone}, f.Seeds)
 		if err != nil {
 			return err
 		}
 		also = func() (out []string) {
-			for _, n := range d.Known(neighbours.Comb) {
+			for _, n := range d.Known(peersampling.Comb) {
 				out = append(out, n.Addr)
 			}
 			return
@@ -214,20 +214,20 @@
 }
 
 func (f *Forager) listen(ctx context.Context, addr string, candidates func() []string) (stood bool) {
-	nc, err := link.Dialer(dialComb, silentMost).DialContext(ctx, "tcp", addr)
+	nc, err := peertransport.Dialer(dialComb, silentMost).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return false
 	}
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	c := link.Wrap(nc)
+	c := peertransport.Wrap(nc)
 	defer c.End()
-	send := func(m *link.Msg) {
-		if b, err := link.Frame(m); err == nil {
+	send := func(m *peertransport.Msg) {
+		if b, err := peertransport.Frame(m); err == nil {
 			f.Out.add(Said(m), len(b))
 			c.Send(b)
 		}
 	}
-	send(&link.Msg{Hello: &words.Hello{Forager: f.Name, Member: view.Member{Addr: f.IP.String(), Zone: f.Zone}}})
+	send(&peertransport.Msg{Hello: &messages.Hello{Forager: f.Name, Member: membership.Member{Addr: f.IP.String(), Zone: f.Zone}}})
 	done := make(chan struct{})
 	defer close(done)
 	defer f.at("", false)
@@ -245,7 +245,7 @@
 		if !stood && s.Whole {
 			stood = true
 			f.at(addr, true)
-			send(&link.Msg{Report: &words.Report{Seq: 1, Lives: f.share.all()}})
+			send(&peertransport.Msg{Report: &messages.Report{Seq: 1, Lives: f.share.all()}})
 			go f.report(send, done)
 		}
 		near, home := false, false
@@ -307,7 +307,7 @@
 	}
 	if s.Whole {
 		m := &struct {
-			State *words.State `cbor:"4,keyasint"`
+			State *messages.State `cbor:"4,keyasint"`
 		}{}
 		if err := whole.Unmarshal(body, m); err != nil {
 			return nil, err
@@ -315,16 +315,16 @@
 		f.share.take(m.State.Lives)
 	}
 	if len(s.Combs) > 0 {
-		var combs []view.Member
+		var combs []membership.Member
 		if err := cbor.Unmarshal(s.Combs, &combs); err != nil {
 			return nil, err
 		}
-		f.brain.Take(0, &words.State{Combs: combs})
+		f.brain.Take(0, &messages.State{Combs: combs})
 	}
 	return s, nil
 }
 
-// whole reads lists as long as internal/link does.
+// whole reads lists as long as internal/peertransport does.
 var whole = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20}.DecMode()
 	if err != nil {
@@ -333,7 +333,7 @@
 	return m
 }()
 
-func (f *Forager) report(send func(*link.Msg), done chan struct{}) {
+func (f *Forager) report(send func(*peertransport.Msg), done chan struct{}) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	last := time.Now()
@@ -342,7 +342,7 @@
 		case <-done:
 			return
 		case <-t.C:
-			send(&link.Msg{Report: f.Requests.Report(f.share.near(f.Zone), time.Since(last))})
+			send(&peertransport.Msg{Report: f.Requests.Report(f.share.near(f.Zone), time.Since(last))})
 			last = time.Now()
 		}
 	}
--- a/internal/scalerun/hollow_test.go
+++ b/internal/scalerun/hollow_test.go
@@ -13,14 +13,14 @@
 	"testing"
 	"time"
 
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/hive/words"
-	"zincloft.example/zincloft/internal/forager"
-	"zincloft.example/zincloft/internal/link"
-	"zincloft.example/zincloft/internal/nodefile"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/internal/gateway"
+	"zincloft.example/zincloft/internal/nodesettings"
+	"zincloft.example/zincloft/internal/peertransport"
 	"zincloft.example/zincloft/internal/program"
-	"zincloft.example/zincloft/internal/stand/upstream"
+	"zincloft.example/zincloft/internal/standin/upstream"
+	"zincloft.example/zincloft/messages"
 )
 
 const configured = `{"version":"00000001","services":[{"name":"svc","max_connections":100,"cold_per_s":4}],"limits":{"max_body_bytes":100},
@@ -34,10 +34,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := link.Wrap(nc)
+	c := peertransport.Wrap(nc)
 	defer c.End()
-	send := func(st words.State) {
-		b, err := link.Frame(&link.Msg{State: &st})
+	send := func(st messages.State) {
+		b, err := peertransport.Frame(&peertransport.Msg{State: &st})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,7 +50,7 @@
 		for {
 			select {
 			case <-signs.C:
-				send(words.State{})
+				send(messages.State{})
 			case <-c.Done():
 				return
 			}
@@ -58,18 +58,18 @@
 	}()
 	for n := 0; n < reports; {
 		nc.SetReadDeadline(time.Now().Add(10 * time.Second))
-		m, err := link.Read(nc)
+		m, err := peertransport.Read(nc)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, err := link.Frame(m)
+		b, err := peertransport.Frame(m)
 		if err != nil {
 			t.Fatal(err)
 		}
 		said.add(Said(m), len(b))
 		if m.Hello != nil {
-			send(words.State{Whole: true, Seq: 1, Version: 1, Body: []byte(configured), Lives: lives, Foragers: 1,
-				Combs: []view.Member{{ID: "c/0", Addr: ln.Addr().String(), Zone: "a", Call: "127.0.0.1:1"}}})
+			send(messages.State{Whole: true, Seq: 1, Version: 1, Body: []byte(configured), Lives: lives, Foragers: 1,
+				Combs: []membership.Member{{ID: "c/0", Addr: ln.Addr().String(), Zone: "a", Call: "127.0.0.1:1"}}})
 		}
 		if Said(m) == "report" {
 			n++
@@ -108,7 +108,7 @@
 	ready.Close()
 	port := ln.Addr().(*net.TCPAddr).Port
 	last := min(port, 65500)
-	set, err := nodefile.Parse(fmt.Appendf(nil, `
+	set, err := nodesettings.Parse(fmt.Appendf(nil, `
 self_settings: {node_name: edge-a-1, zone: a, ip_address: 127.0.0.1, limits: {memory_mb: 64}}
 network_settings: {listen_addresses: {front: %q, readiness: %q}, internal_port_range: [%d, %d], seed_nodes: [%q], zones: {a: r}}
 rule_terms: {bounds: {grace_period: 600ms}}
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := forager.New(set, program.Logger(io.Discard, "forager"))
+	f, err := gateway.New(set, program.Logger(io.Discard, "forager"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scalerun/run.go
+++ b/internal/scalerun/run.go
@@ -196,7 +196,7 @@
 func (r *run) startCombs(ctx context.Context) error {
 	for i := range r.Combs {
 		ip, name := fmt.Sprintf("127.%d.250.%d", r.net, i+1), fmt.Sprintf("comb-%d", i+1)
-		p := &process{name: name, program: filepath.Join(r.Bin, "comb"), dir: filepath.Join(r.dir, name), control: r.control(i), zone: sizes.Zone(i)}
+		p := &process{name: name, program: filepath.Join(r.Bin, "controlplane"), dir: filepath.Join(r.dir, name), control: r.control(i), zone: sizes.Zone(i)}
 		p.settings = r.settings(name, ip, p.zone, filepath.Join(p.dir, "data"), "", "", p.control)
 		if err := p.start(true); err != nil {
 			return merry.Prepend(err, name)
@@ -247,7 +247,7 @@
 	}
 	for i := range r.Real {
 		ip, name := fmt.Sprintf("127.%d.251.%d", r.net, i+1), fmt.Sprintf("forager-%d", i+1)
-		p := &process{name: name, program: filepath.Join(r.Bin, "forager"), dir: filepath.Join(r.dir, name), zone: sizes.Zone(i % r.Combs)}
+		p := &process{name: name, program: filepath.Join(r.Bin, "gateway"), dir: filepath.Join(r.dir, name), zone: sizes.Zone(i % r.Combs)}
 		p.settings = r.settings(name, ip, p.zone, "", ip+":18548", ip+":18542", "")
 		if err := p.start(true); err != nil {
 			return merry.Prepend(err, name)
--- a/internal/wire/wire.go
+++ b/internal/simadapter/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads and writes the simulator's frames and puts its words into those of package rules.
+// Package simadapter reads and writes the simulator's frames and puts its words into those of package rules.
 // It decides nothing.
-package wire
+package simadapter
 
 import (
 	"encoding/binary"
--- a/internal/wire/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simadapter
 
 import (
 	"bytes"
--- a/internal/apiary/apiary.go
+++ b/internal/simulation/apiary.go
@@ -1,8 +1,8 @@
-// Package apiary plays many governors in simulated time: combs with their real decisions (hive/comb) on their real store
-// (internal/cell), and foragers (hive/forage), over simulated links, disks, clocks and replicas. One seed is one schedule
+// Package simulation plays many governors in simulated time: combs with their real decisions (controlplane/controller) on their real store
+// (internal/statestore), and foragers (dataplane/router), over simulated links, disks, clocks and replicas. One seed is one schedule
 // of delays, losses, late messages, cuts, freezes, kills, losses of power and of disks. It watches what the gateway
 // promises and writes a trace that reads like a story.
-package apiary
+package simulation
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"zincloft.example/zincloft/hive/config"
-	"zincloft.example/zincloft/hive/windows"
+	"zincloft.example/zincloft/controlplane/maintenance"
+	"zincloft.example/zincloft/gatewayconfig"
 )
 
 const (
@@ -175,7 +175,7 @@
 
 	hard hard
 
-	windows    windows.State // as committed
+	windows    maintenance.State // as committed
 	windowsRev uint64
 	windowsAt  time.Duration
 }
@@ -444,7 +444,7 @@
 var spoilt = []string{`{"version":"ffffffff"}`, `{"version":"fffffff0","services":[],"virtual_hosts":[{"hostname":"","path_routes":[]}]}`}
 
 func versionOf(body string) uint64 {
-	c, err := config.Parse([]byte(body))
+	c, err := gatewayconfig.Parse([]byte(body))
 	if err != nil {
 		return 0
 	}
--- a/internal/apiary/disk.go
+++ b/internal/simulation/disk.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 import (
 	"errors"
@@ -7,8 +7,8 @@
 	"os"
 	"slices"
 
-	"zincloft.example/zincloft/hive/core"
-	"zincloft.example/zincloft/internal/cell"
+	"zincloft.example/zincloft/controlplane/coordinator"
+	"zincloft.example/zincloft/internal/statestore"
 )
 
 const sector = 512
@@ -25,7 +25,7 @@
 	lax     bool // fault: the folder's sync does nothing
 
 	rev, keptRev uint64 // moves with what a loss of power would leave, and when kept was read
-	kept         *core.Kept
+	kept         *coordinator.Kept
 }
 
 type file struct {
@@ -62,7 +62,7 @@
 	name string
 }
 
-func (d *disk) Create(name string) (cell.File, error) {
+func (d *disk) Create(name string) (statestore.File, error) {
 	if d.refuse {
 		return nil, errRefuse
 	}
@@ -183,18 +183,18 @@
 }
 
 // lasting is what a comb would find after a loss of power; nil: nothing.
-func (d *disk) lasting() *core.Kept {
+func (d *disk) lasting() *coordinator.Kept {
 	if d.keptRev == d.rev+1 {
 		return d.kept
 	}
 	d.kept, d.keptRev = nil, d.rev+1
-	store, err := cell.Open(d.after())
+	store, err := statestore.Open(d.after())
 	if err != nil {
 		return nil
 	}
 	defer store.Close()
 	if raw, ok := store.Get(keptKey); ok {
-		if k, err := core.Decode(raw); err == nil {
+		if k, err := coordinator.Decode(raw); err == nil {
 			d.kept = &k
 		}
 	}
