--- a/internal/apiary/edge.go
+++ b/internal/simulation/edge.go
@@ -1,17 +1,17 @@
-package apiary
+package simulation
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"zincloft.example/zincloft/hive/comb"
-	"zincloft.example/zincloft/hive/falls"
-	"zincloft.example/zincloft/hive/forage"
-	"zincloft.example/zincloft/hive/gate"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/spread"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/controller"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/dataplane/admission"
+	"zincloft.example/zincloft/dataplane/loadbalancer"
+	"zincloft.example/zincloft/dataplane/outlier"
+	"zincloft.example/zincloft/dataplane/router"
+	"zincloft.example/zincloft/messages"
 )
 
 const (
@@ -30,7 +30,7 @@
 type bee struct {
 	node
 	i       int
-	brain   *forage.Forager
+	brain   *router.Forager
 	comb    *machine // whose stream it holds; nil: none
 	stream  uint64
 	whole   bool
@@ -45,7 +45,7 @@
 
 func (w *world) wake(b *bee) {
 	w.begins(&b.node)
-	b.brain = forage.New(forage.Settings{Zone: w.zone(b.i), Zones: w.zones(), RetryRatio: 0.2, RetrySlack: 60,
+	b.brain = router.New(router.Settings{Zone: w.zone(b.i), Zones: w.zones(), RetryRatio: 0.2, RetrySlack: 60,
 		ColdTimes: coldTimes, ColdSlack: coldSlack, Seed: w.r.Uint64()})
 	b.comb, b.stream, b.version, b.seq, b.at, b.seeds = nil, 0, 0, 0, 0, w.seeds(false)
 	life := b.life
@@ -113,9 +113,9 @@
 		}
 		m.streams[n] = b
 		if r, known := m.brain.Core().Register(); (w.s.Unasked || w.s.Fault == ToldUnasked) && known {
-			w.tell(m, b, n, &words.State{Whole: true, Young: true, Seq: r.Seq, Version: r.Version, Body: r.Body, Out: sortedKeys(r.Out)})
+			w.tell(m, b, n, &messages.State{Whole: true, Young: true, Seq: r.Seq, Version: r.Version, Body: r.Body, Out: sortedKeys(r.Out)})
 		}
-		w.step(m, comb.Event{Joined: &comb.Joined{Stream: n, Forager: b.name, Zone: w.zone(b.i)}})
+		w.step(m, controller.Event{Joined: &controller.Joined{Stream: n, Forager: b.name, Zone: w.zone(b.i)}})
 	})
 	if !m.up {
 		w.after(time.Millisecond, func() { w.lost(b, n) })
@@ -141,17 +141,17 @@
 func (w *world) ends(m *machine, n uint64) {
 	if m.streams[n] != nil {
 		delete(m.streams, n)
-		w.step(m, comb.Event{Left: n})
+		w.step(m, controller.Event{Left: n})
 	}
 }
 
 // tell brings a comb's word to a forager. A stream that loses one has ended: the next would not fit on.
-func (w *world) tell(m *machine, b *bee, n uint64, s *words.State) {
+func (w *world) tell(m *machine, b *bee, n uint64, s *messages.State) {
 	w.tells(m, b, s)
 	if w.cut[[2]string{m.name, b.name}] > 0 || severed(&m.node, &b.node) {
 		delete(m.streams, n)
 		life := m.life
-		w.after(silence, func() { w.run(&m.node, life, func() { w.step(m, comb.Event{Left: n}) }) })
+		w.after(silence, func() { w.run(&m.node, life, func() { w.step(m, controller.Event{Left: n}) }) })
 		return
 	}
 	if w.s.Fault == OwnGrants && len(s.Grants) > 0 {
@@ -189,18 +189,18 @@
 	})
 }
 
-func (w *world) report(m *machine, b *bee, n uint64, r *words.Report) {
+func (w *world) report(m *machine, b *bee, n uint64, r *messages.Report) {
 	w.carry(&b.node, &m.node, 0, 0, func() {
 		if m.streams[n] == b {
-			w.step(m, comb.Event{Stream: n, Report: r})
+			w.step(m, controller.Event{Stream: n, Report: r})
 		}
 	})
 }
 
 // takes puts a word in force, and watches that the forager does not go back and holds nothing that is not committed.
-func (w *world) takes(b *bee, s *words.State) {
+func (w *world) takes(b *bee, s *messages.State) {
 	if w.s.Fault == StaleTables && s.Seq > 0 && s.Seq < b.seq {
-		b.brain = forage.New(forage.Settings{Zone: w.zone(b.i), Zones: w.zones(), Seed: 1})
+		b.brain = router.New(router.Settings{Zone: w.zone(b.i), Zones: w.zones(), Seed: 1})
 	}
 	if t := b.brain.Take(w.local(&b.node), s); t.Late {
 		w.lost(b, b.stream)
@@ -246,7 +246,7 @@
 		return
 	}
 	b.brain.Arrived(service)
-	p := b.brain.Pick(now, forage.Ask{Service: service, Request: gate.Request{Route: "r", Target: time.Second, Left: 3 * time.Second}})
+	p := b.brain.Pick(now, router.Ask{Service: service, Request: admission.Request{Route: "r", Target: time.Second, Left: 3 * time.Second}})
 	w.judge(b)
 	if p.ID == "" {
 		b.brain.Done(now, true, false)
@@ -263,16 +263,16 @@
 	}
 	r, life := w.replicas[i], b.life
 	w.arrives(b, r)
-	end := forage.End{N: p.N, Outcome: spread.Good, Took: work, Load: [3]int{slots, 1, slots}}
+	end := router.End{N: p.N, Outcome: loadbalancer.Good, Took: work, Load: [3]int{slots, 1, slots}}
 	took := work
 	if !r.alive {
-		end, took = forage.End{N: p.N, Outcome: spread.Uncalled, Refused: true}, time.Millisecond
+		end, took = router.End{N: p.N, Outcome: loadbalancer.Uncalled, Refused: true}, time.Millisecond
 	}
 	w.after(took, func() {
 		w.run(&b.node, life, func() {
 			b.brain.Done(w.local(&b.node), true, false)
 			if out := b.brain.End(w.local(&b.node), end); out.Fell != nil && b.comb != nil {
-				w.report(b.comb, b, b.stream, &words.Report{Falls: []falls.Word{*out.Fell}})
+				w.report(b.comb, b, b.stream, &messages.Report{Falls: []outlier.Word{*out.Fell}})
 			}
 		})
 	})
--- a/internal/apiary/families.go
+++ b/internal/simulation/families.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 import (
 	"math/rand/v2"
--- a/internal/apiary/hard.go
+++ b/internal/simulation/hard.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 import (
 	"net/http"
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
-	"zincloft.example/zincloft/hive/chain"
-	"zincloft.example/zincloft/hive/comb"
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/hive/words"
+	"zincloft.example/zincloft/controlplane/chainreplication"
+	"zincloft.example/zincloft/controlplane/controller"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/messages"
 )
 
 const (
@@ -191,7 +191,7 @@
 }
 
 // unclear takes an answer that is neither yes nor no.
-func (w *world) unclear(c *call, a comb.Answer) {
+func (w *world) unclear(c *call, a controller.Answer) {
 	w.givenUp(c)
 	if w.s.Tolerance == 0 {
 		return
@@ -205,7 +205,7 @@
 }
 
 // loses has an answer lost on its way, once, where the schedule says so.
-func (w *world) loses(m *machine, c *call, a comb.Answer) bool {
+func (w *world) loses(m *machine, c *call, a controller.Answer) bool {
 	if !c.act.Lost || c.lost || a.Status != http.StatusOK {
 		return false
 	}
@@ -215,7 +215,7 @@
 }
 
 // answers takes a clear answer down, and watches what it says.
-func (w *world) answers(m *machine, c *call, a comb.Answer) {
+func (w *world) answers(m *machine, c *call, a controller.Answer) {
 	if w.s.Tolerance == 0 {
 		return
 	}
@@ -269,7 +269,7 @@
 }
 
 // tells watches what a forager that is new to a comb is told there: nothing older than what was acknowledged some time ago.
-func (w *world) tells(m *machine, b *bee, s *words.State) {
+func (w *world) tells(m *machine, b *bee, s *messages.State) {
 	if w.s.Tolerance == 0 || !s.Whole || b.comb != m {
 		return
 	}
@@ -285,7 +285,7 @@
 }
 
 // observe takes the newest committed register down as what could be read at this moment.
-func (w *world) observe(m *machine, r chain.Register) {
+func (w *world) observe(m *machine, r chainreplication.Register) {
 	h := &w.hard
 	if w.s.Tolerance == 0 || h.seen && r.Seq <= h.top {
 		return
@@ -312,7 +312,7 @@
 }
 
 // newestView is the newest view held by a process that runs.
-func (w *world) newestView() (v view.View) {
+func (w *world) newestView() (v membership.View) {
 	for _, m := range w.combs {
 		if m.up && m.brain != nil && m.brain.Core().View().N > v.N {
 			v = m.brain.Core().View()
@@ -432,7 +432,7 @@
 }
 
 // timed strikes with what waited for a view.
-func (w *world) timed(v view.View) {
+func (w *world) timed(v membership.View) {
 	if len(w.hard.waits) == 0 {
 		return
 	}
@@ -577,7 +577,7 @@
 func spareAddr(n int) string { return "10.0.1." + string(rune('0'+n)) + ":7000" }
 
 // planted puts a bug in what the machines say to one another.
-func (w *world) planted(m *machine, e comb.Event) comb.Event {
+func (w *world) planted(m *machine, e controller.Event) controller.Event {
 	msg, c := *e.Message, *e.Message.Core
 	switch f := w.s.Fault; {
 	case f == VouchesAnyway && c.Confirmed != nil:
@@ -607,7 +607,7 @@
 		w.kill(m, "kill", -1)
 		return
 	}
-	w.run(&m.node, life, func() { w.step(m, comb.Event{Leaving: true}) })
+	w.run(&m.node, life, func() { w.step(m, controller.Event{Leaving: true}) })
 	w.after(grace, func() {
 		if m.up && m.life == life {
 			w.say("%s has not ended within the grace", m.name)
--- a/internal/apiary/machine.go
+++ b/internal/simulation/machine.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 	"strings"
 	"time"
 
-	"zincloft.example/zincloft/hive/chain"
-	"zincloft.example/zincloft/hive/comb"
-	"zincloft.example/zincloft/hive/core"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/internal/cell"
+	"zincloft.example/zincloft/controlplane/chainreplication"
+	"zincloft.example/zincloft/controlplane/controller"
+	"zincloft.example/zincloft/controlplane/coordinator"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/internal/statestore"
 )
 
 const (
@@ -26,12 +26,12 @@
 	node
 	i       int
 	addr    string
-	brain   *comb.Comb
-	store   *cell.Cell
+	brain   *controller.Comb
+	store   *statestore.Cell
 	disk    *disk
 	wiped   int
 	seen    uint64 // newest committed number in this life
-	calls   map[uint64]func(comb.Answer)
+	calls   map[uint64]func(controller.Answer)
 	callers map[uint64]*call // operators' calls that wait here
 	streams map[uint64]*bee
 	seeds   []string
@@ -51,16 +51,16 @@
 	w.begins(&m.node)
 	w.event()
 	m.seen, m.brain, m.caught = 0, nil, first
-	m.calls, m.callers, m.streams = map[uint64]func(comb.Answer){}, map[uint64]*call{}, map[uint64]*bee{}
-	store, err := cell.Open(m.disk)
+	m.calls, m.callers, m.streams = map[uint64]func(controller.Answer){}, map[uint64]*call{}, map[uint64]*bee{}
+	store, err := statestore.Open(m.disk)
 	if err != nil {
 		w.broken("%s cannot open its store: %v", m.name, err)
 		return
 	}
 	m.store = store
-	var k core.Kept
+	var k coordinator.Kept
 	if raw, ok := store.Get(keptKey); ok {
-		if k, err = core.Decode(raw); err != nil {
+		if k, err = coordinator.Decode(raw); err != nil {
 			w.broken("%s cannot read its disk: %v", m.name, err)
 			return
 		}
@@ -73,8 +73,8 @@
 		k.Register.Claims = nil
 	}
 	k.Begin(m.addr, seeds, first || w.s.Fault == Amnesia, fmt.Sprintf("w%d", m.wiped))
-	m.brain = comb.New(w.local(&m.node), comb.Settings{Zone: w.zone(m.i), Control: m.addr, Zones: []string{"a", "b", "c"}, Regions: map[string]string{"a": "r0", "b": "r1", "c": "r2"}, Seeds: seeds, LinkMbps: 1000,
-		DrainDeadline: drainIn, Heartbeat: beatEvery, Seed: w.r.Uint64()}, view.Member{ID: k.Disk, Addr: m.addr, Zone: w.zone(m.i), Call: m.addr}, k)
+	m.brain = controller.New(w.local(&m.node), controller.Settings{Zone: w.zone(m.i), Control: m.addr, Zones: []string{"a", "b", "c"}, Regions: map[string]string{"a": "r0", "b": "r1", "c": "r2"}, Seeds: seeds, LinkMbps: 1000,
+		DrainDeadline: drainIn, Heartbeat: beatEvery, Seed: w.r.Uint64()}, membership.Member{ID: k.Disk, Addr: m.addr, Zone: w.zone(m.i), Call: m.addr}, k)
 	w.say("%s starts as %s, view %d, register %d (version %d)", m.name, k.Disk, k.View.View.N, k.Register.Seq, k.Register.Version)
 	raw, err := m.brain.Kept()
 	if err != nil {
@@ -95,7 +95,7 @@
 				return
 			}
 			m.brain = brain
-			w.step(m, comb.Event{Start: true})
+			w.step(m, controller.Event{Start: true})
 			w.tock(m, m.life)
 		})
 	}
@@ -104,16 +104,16 @@
 
 func (w *world) tock(m *machine, life int) {
 	if m.frozen && w.s.Tolerance > 0 {
-		m.ticks = func() { w.step(m, comb.Event{}) }
+		m.ticks = func() { w.step(m, controller.Event{}) }
 	} else {
-		w.run(&m.node, life, func() { w.step(m, comb.Event{}) })
+		w.run(&m.node, life, func() { w.step(m, controller.Event{}) })
 	}
 	if m.up && m.life == life {
 		late := time.Duration(w.r.IntN(5)) * time.Millisecond
 		if w.r.IntN(200) == 0 {
 			late += 60 * time.Millisecond
 		}
-		w.after(comb.TickEvery+late, func() { w.tock(m, life) })
+		w.after(controller.TickEvery+late, func() { w.tock(m, life) })
 	}
 }
 
@@ -168,7 +168,7 @@
 }
 
 // step has a comb decide and carries out what it says.
-func (w *world) step(m *machine, e comb.Event) {
+func (w *world) step(m *machine, e controller.Event) {
 	if m.brain == nil {
 		return
 	}
@@ -198,10 +198,10 @@
 			continue
 		}
 		from, msg := m.brain.Core().Self(), s.Message
-		w.carry(&m.node, &to.node, w.s.Loss, w.s.Reorder, func() { w.step(to, comb.Event{From: &from, Message: &msg}) })
+		w.carry(&m.node, &to.node, w.s.Loss, w.s.Reorder, func() { w.step(to, controller.Event{From: &from, Message: &msg}) })
 	}
 	if a.Write != nil {
-		w.write(m, a.Write, func(problem string) { w.step(m, comb.Event{Written: &comb.Written{Problem: problem}}) })
+		w.write(m, a.Write, func(problem string) { w.step(m, controller.Event{Written: &controller.Written{Problem: problem}}) })
 	}
 	if v := m.brain.Core().View(); v.N != views {
 		w.viewed(m, v)
@@ -236,19 +236,19 @@
 }
 
 // anyView is a fault: a pass, or the tail's word that it is committed, counts whatever view it is of.
-func anyView(m *machine, e comb.Event) comb.Event {
+func anyView(m *machine, e controller.Event) controller.Event {
 	v := m.brain.Core().View()
 	msg, inner, word := *e.Message, *e.Message.Core, *e.Message.Core.Chain
 	inner.Chain, msg.Core, e.Message = &word, &inner, &msg
-	if i := v.Place(m.brain.Core().Self().ID); word.Kind == chain.Pass && i > 0 {
+	if i := v.Place(m.brain.Core().Self().ID); word.Kind == chainreplication.Pass && i > 0 {
 		word.N, word.From = v.N, v.Chain[i-1]
-	} else if word.Kind == chain.Done {
+	} else if word.Kind == chainreplication.Done {
 		word.N = v.N
 	}
 	return e
 }
 
-func (w *world) viewed(m *machine, v view.View) {
+func (w *world) viewed(m *machine, v membership.View) {
 	w.timed(v)
 	for _, t := range w.onView {
 		w.onView, w.trouble = nil, w.now+t.For+restart
@@ -267,7 +267,7 @@
 
 // holds watches that no two machines hold different states to be committed under one number, that nobody goes back, and
 // that nothing is held that nobody sent.
-func (w *world) holds(m *machine, r chain.Register) {
+func (w *world) holds(m *machine, r chainreplication.Register) {
 	what := fmt.Sprintf("version %d %q, out %v", r.Version, short(string(r.Body)), r.Out)
 	if had, ok := w.bySeq[r.Seq]; ok && had != what {
 		w.broken("number %d is committed as %s at %s, and as %s elsewhere", r.Seq, what, m.name, had)
@@ -415,7 +415,7 @@
 		return
 	}
 	w.tokens++
-	e := comb.Event{Token: w.tokens}
+	e := controller.Event{Token: w.tokens}
 	w.tried(c)
 	switch c.act.Kind {
 	case "read":
@@ -424,13 +424,13 @@
 	case "agree", "ask", "finish", "cancel":
 		e.Windows = w.command(c.act)
 	case "put":
-		e.Order = &chain.Order{Version: c.version, Body: []byte(c.body)}
+		e.Order = &chainreplication.Order{Version: c.version, Body: []byte(c.body)}
 	default:
-		e.Order = &chain.Order{Zone: w.zone(c.act.On), Out: c.act.Kind == "evacuate"}
+		e.Order = &chainreplication.Order{Zone: w.zone(c.act.On), Out: c.act.Kind == "evacuate"}
 	}
 	m.callers[e.Token] = c
 	tries := c.tries
-	m.calls[e.Token] = func(a comb.Answer) {
+	m.calls[e.Token] = func(a controller.Answer) {
 		if w.s.Tolerance == 0 || c.tries == tries && !w.loses(m, c, a) {
 			w.answered(m, c, a)
 		}
@@ -454,7 +454,7 @@
 	})
 }
 
-func (w *world) answered(m *machine, c *call, a comb.Answer) {
+func (w *world) answered(m *machine, c *call, a controller.Answer) {
 	if c.done {
 		return
 	}
@@ -572,11 +572,11 @@
 // beats has a replica's word reach a comb; done is told whether it was acknowledged.
 func (w *world) beats(m *machine, l registry.Life, leave bool, done func(ok bool, next string)) {
 	w.tokens++
-	e := comb.Event{Token: w.tokens, Beat: &l}
+	e := controller.Event{Token: w.tokens, Beat: &l}
 	if leave {
-		e = comb.Event{Token: w.tokens, Leave: l.ID}
+		e = controller.Event{Token: w.tokens, Leave: l.ID}
 	}
-	m.calls[e.Token] = func(a comb.Answer) {
+	m.calls[e.Token] = func(a controller.Answer) {
 		if a.Status == http.StatusOK && m.cutOff() {
 			w.res.Beats = append(w.res.Beats, w.now-m.cutAt)
 		}
--- a/internal/apiary/rights.go
+++ b/internal/simulation/rights.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 // rightsMost is how much of what a cold replica bears may be out in rights at one moment: nine tenths are dealt, by the
 // roster's size, which combs learn of one after the other when it changes.
--- a/internal/apiary/schedule.go
+++ b/internal/simulation/schedule.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 import (
 	"encoding/json"
--- a/internal/apiary/sites.go
+++ b/internal/simulation/sites.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 import (
 	"fmt"
@@ -6,14 +6,14 @@
 	"slices"
 	"time"
 
-	"zincloft.example/zincloft/hive/spill"
+	"zincloft.example/zincloft/dataplane/overflow"
 )
 
 // Way is how sites spill in a rush.
 type Way string
 
 const (
-	ByLeases Way = "leases" // hive/spill
+	ByLeases Way = "leases" // dataplane/overflow
 	Nowhere  Way = "none"
 	AtRandom Way = "random" // to any neighbour, without asking
 	Oracle   Way = "oracle" // to whoever has room at the moment, seen without delay
@@ -70,11 +70,11 @@
 	queue                    []*siteReq
 	rate                     float64 // requests a second that come
 	refused, spilled, served int     // in the second at hand
-	lender                   *spill.Lender
-	borrower                 *spill.Borrower
-	purse                    *spill.Purse
-	door                     *spill.Door
-	stats                    spill.Stats
+	lender                   *overflow.Lender
+	borrower                 *overflow.Borrower
+	purse                    *overflow.Purse
+	door                     *overflow.Door
+	stats                    overflow.Stats
 	swamped                  bool
 }
 
@@ -151,8 +151,8 @@
 
 func (w *rush) boot(s *rushSite) {
 	s.up, s.life = true, s.life+1
-	s.lender, s.borrower = spill.NewLender(fmt.Sprintf("s%d.%d", s.i, s.life)), spill.NewBorrower()
-	s.purse, s.door = spill.NewPurse(fmt.Sprintf("p%d.%d", s.i, s.life)), spill.NewDoor()
+	s.lender, s.borrower = overflow.NewLender(fmt.Sprintf("s%d.%d", s.i, s.life)), overflow.NewBorrower()
+	s.purse, s.door = overflow.NewPurse(fmt.Sprintf("p%d.%d", s.i, s.life)), overflow.NewDoor()
 	s.running, s.guests, s.queue = 0, 0, nil
 }
 
@@ -247,7 +247,7 @@
 }
 
 // target chooses where to send what there is no room for.
-func (w *rush) target(s *rushSite, q *siteReq) (int, spill.Token, bool) {
+func (w *rush) target(s *rushSite, q *siteReq) (int, overflow.Token, bool) {
 	switch w.r.Way {
 	case ByLeases:
 		t, ok := s.purse.Take(w.now, "svc", !q.order)
@@ -259,20 +259,20 @@
 		return to, t, true
 	case AtRandom:
 		to := w.c.IntN(w.r.Sites)
-		return to, spill.Token{Serial: fmt.Sprint(q.id, q.tries)}, to != s.i
+		return to, overflow.Token{Serial: fmt.Sprint(q.id, q.tries)}, to != s.i
 	case Oracle:
 		for _, o := range w.sites {
 			if o != s && o.up && o.running < int(0.85*float64(o.slots)) {
-				return o.i, spill.Token{}, true
+				return o.i, overflow.Token{}, true
 			}
 		}
 	}
-	return 0, spill.Token{}, false
+	return 0, overflow.Token{}, false
 }
 
 // send hands a request over. The home side hears what became of it, or nothing: then it is a doubt, and an order is tried
 // nowhere else.
-func (w *rush) send(s *rushSite, to int, q *siteReq, token spill.Token, again func()) {
+func (w *rush) send(s *rushSite, to int, q *siteReq, token overflow.Token, again func()) {
 	o, life, heard := w.sites[to], s.life, false
 	back := func(f func()) {
 		w.over(to, s.i, func() {
@@ -300,16 +300,16 @@
 }
 
 // guest is a request of another site at the door.
-func (w *rush) guest(o *rushSite, q *siteReq, token spill.Token, back func(func()), again func()) {
+func (w *rush) guest(o *rushSite, q *siteReq, token overflow.Token, back func(func()), again func()) {
 	if !o.up {
 		return
 	}
 	if w.r.Way == ByLeases {
 		switch o.door.Open(w.now, token, "svc") {
-		case spill.NotRun:
+		case overflow.NotRun:
 			back(again)
 			return
-		case spill.Doubt:
+		case overflow.Doubt:
 			return
 		}
 	}
@@ -369,7 +369,7 @@
 		if !s.up {
 			return
 		}
-		s.stats = spill.Stats{Slots: float64(s.slots), Rate: float64(s.served), Took: siteWork.Seconds(), Refused: float64(s.refused)}
+		s.stats = overflow.Stats{Slots: float64(s.slots), Rate: float64(s.served), Took: siteWork.Seconds(), Refused: float64(s.refused)}
 		busy := s.refused > 0
 		if busy {
 			for _, o := range w.sites {
@@ -388,10 +388,10 @@
 		if w.r.Way != ByLeases {
 			return
 		}
-		var near []spill.Neighbour
+		var near []overflow.Neighbour
 		for _, o := range w.sites {
 			if o != s {
-				near = append(near, spill.Neighbour{Site: fmt.Sprint(o.i), Distance: distance(s.i, o.i)})
+				near = append(near, overflow.Neighbour{Site: fmt.Sprint(o.i), Distance: distance(s.i, o.i)})
 			}
 		}
 		for _, x := range s.borrower.Wants(w.now, near) {
--- a/internal/apiary/windows.go
+++ b/internal/simulation/windows.go
@@ -1,4 +1,4 @@
-package apiary
+package simulation
 
 import (
 	"fmt"
@@ -9,10 +9,10 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"zincloft.example/zincloft/hive/capacity"
-	"zincloft.example/zincloft/hive/chain"
-	"zincloft.example/zincloft/hive/timetable"
-	"zincloft.example/zincloft/hive/windows"
+	"zincloft.example/zincloft/controlplane/chainreplication"
+	"zincloft.example/zincloft/controlplane/maintenance"
+	"zincloft.example/zincloft/controlplane/maintenanceplanner"
+	"zincloft.example/zincloft/dataplane/capacity"
 )
 
 const (
@@ -22,8 +22,8 @@
 )
 
 // command is an operator's word on windows.
-func (w *world) command(a Act) *windows.Command {
-	c := &windows.Command{Verb: a.Kind, Name: "work"}
+func (w *world) command(a Act) *maintenance.Command {
+	c := &maintenance.Command{Verb: a.Kind, Name: "work"}
 	if a.Kind == "agree" {
 		for i := range zones {
 			c.Agreed = append(c.Agreed, capacity.Floor{Region: fmt.Sprintf("r%d", i), Group: capacity.Lookups, Least: agreedRate})
@@ -38,12 +38,12 @@
 }
 
 // granted watches what the core has granted: never so many at once that a floor breaks, and fences that only rise.
-func (w *world) granted(m *machine, r chain.Register) {
+func (w *world) granted(m *machine, r chainreplication.Register) {
 	n, ok := r.Notes["windows"]
 	if !ok || n.Rev <= w.windowsRev {
 		return
 	}
-	var s windows.State
+	var s maintenance.State
 	if err := cbor.Unmarshal(n.Value, &s); err != nil {
 		w.broken("%s holds windows that cannot be read: %v", m.name, err)
 		return
@@ -53,15 +53,15 @@
 	}
 	out := map[string]int{}
 	for _, x := range s.Windows {
-		if x.Phase != windows.Asked {
+		if x.Phase != maintenance.Asked {
 			out[w.zone(int(x.Node[len(x.Node)-1]-'0'))]++
 		}
-		if old := w.windows.Orders()[x.Node]; old.Phase != x.Phase && x.Phase != windows.Asked {
+		if old := w.windows.Orders()[x.Node]; old.Phase != x.Phase && x.Phase != maintenance.Asked {
 			w.say("%s: window of %s is %s (fence %d) %s", m.name, x.Node, x.Phase, x.Fence, x.Why)
-			if x.Phase == windows.Drained {
+			if x.Phase == maintenance.Drained {
 				w.res.Drained++
 			}
-			if x.Phase == windows.Draining {
+			if x.Phase == maintenance.Draining {
 				for _, t := range w.onGrant {
 					w.onGrant, w.trouble = w.onGrant[1:], w.now+t.For+restart
 					t.On, t.Kind = m.i, strings.TrimPrefix(t.Kind, "grant")
@@ -92,9 +92,9 @@
 // node after another, in slots.
 func Week(seed uint64) (s Schedule, plan, best, serial int) {
 	r := rand.New(rand.NewPCG(seed, 5))
-	q := &timetable.Request{Slots: 60, Losses: capacity.Losses{Machines: 1}}
+	q := &maintenanceplanner.Request{Slots: 60, Losses: capacity.Losses{Machines: 1}}
 	for i := range zones {
-		q.Need = append(q.Need, timetable.Need{Region: fmt.Sprintf("r%d", i), Group: capacity.Lookups, Agreed: agreedRate})
+		q.Need = append(q.Need, maintenanceplanner.Need{Region: fmt.Sprintf("r%d", i), Group: capacity.Lookups, Agreed: agreedRate})
 	}
 	for i := range 9 {
 		q.Nodes = append(q.Nodes, capacity.Node{Name: fmt.Sprintf("forager %d", i), Zone: string(rune('a' + i%zones)), Region: fmt.Sprintf("r%d", i%zones), Carries: map[string]float64{capacity.Lookups: 70 + 20*r.Float64()}})
@@ -102,11 +102,11 @@
 	order := r.Perm(9)[:3+r.IntN(7)]
 	for _, i := range order {
 		takes := 6 + r.IntN(5)
-		q.Wishes = append(q.Wishes, timetable.Wish{Name: q.Nodes[i].Name, Nodes: []string{q.Nodes[i].Name}, Latest: 60, Takes: takes})
+		q.Wishes = append(q.Wishes, maintenanceplanner.Wish{Name: q.Nodes[i].Name, Nodes: []string{q.Nodes[i].Name}, Latest: 60, Takes: takes})
 		serial += takes
 	}
-	greedy, _ := timetable.Greedy(q)
-	tt, proof := timetable.Plan(q)
+	greedy, _ := maintenanceplanner.Greedy(q)
+	tt, proof := maintenanceplanner.Plan(q)
 	if proof != nil {
 		return s, 0, 0, 0
 	}
@@ -131,7 +131,7 @@
 	if !has && !b.brain.Serves() {
 		w.broken("%s does not serve, though it has no window any more", b.name)
 	}
-	if has && (x.Phase == windows.Draining || x.Phase == windows.Returning) {
+	if has && (x.Phase == maintenance.Draining || x.Phase == maintenance.Returning) {
 		w.broken("the window of %s is still %s, %.1f s after the last change", b.name, x.Phase, (w.now - w.windowsAt).Seconds())
 	}
 }
--- a/internal/sizes/sizes.go
+++ b/internal/sizes/sizes.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"zincloft.example/zincloft/hive/registry"
+	"zincloft.example/zincloft/controlplane/registry"
 )
 
 // Fleet is how much there is of each thing.
--- a/internal/sizes/sizes_test.go
+++ b/internal/sizes/sizes_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"zincloft.example/zincloft/hive/config"
+	"zincloft.example/zincloft/gatewayconfig"
 )
 
 // Benchmarks and the scale run lean on it: what is made is valid and as large as was asked for.
@@ -13,7 +13,7 @@
 		t.Fatalf("a hundredth is %+v", f)
 	}
 	for _, routesOfHost := range []int{8, f.Routes} {
-		c, err := config.Parse(f.Configuration(7, routesOfHost))
+		c, err := gatewayconfig.Parse(f.Configuration(7, routesOfHost))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/stand/collectd.go
+++ b/internal/standin/collectd.go
@@ -1,4 +1,4 @@
-package stand
+package standin
 
 import (
 	"encoding/binary"
--- a/internal/stand/graphite.go
+++ b/internal/standin/graphite.go
@@ -1,6 +1,6 @@
-// Package stand holds stand-ins of outside systems, for tests: they do as the published protocol says, and also what
+// Package standin holds stand-ins of outside systems, for tests: they do as the published protocol says, and also what
 // it does not foresee.
-package stand
+package standin
 
 import (
 	"bufio"
--- a/internal/cell/buntdb_test.go
+++ b/internal/statestore/buntdb_test.go
@@ -1,4 +1,4 @@
-package cell
+package statestore
 
 import (
 	"os"
--- a/internal/cell/capacity_test.go
+++ b/internal/statestore/capacity_test.go
@@ -1,4 +1,4 @@
-package cell_test
+package statestore_test
 
 import (
 	"bytes"
@@ -12,13 +12,13 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"zincloft.example/zincloft/hive/chain"
-	"zincloft.example/zincloft/hive/core"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/internal/cell"
-	"zincloft.example/zincloft/internal/link"
+	"zincloft.example/zincloft/controlplane/chainreplication"
+	"zincloft.example/zincloft/controlplane/coordinator"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/internal/peertransport"
 	"zincloft.example/zincloft/internal/sizes"
+	"zincloft.example/zincloft/internal/statestore"
 )
 
 // memory is a disk that counts what is written to it.
@@ -33,9 +33,9 @@
 	}
 	return nil, &fs.PathError{Op: "open", Path: name, Err: os.ErrNotExist}
 }
-func (d *memory) Create(name string) (cell.File, error) { return &page{d, name}, nil }
-func (d *memory) Rename(from, to string) error          { return nil }
-func (d *memory) SyncFolder() error                     { return nil }
+func (d *memory) Create(name string) (statestore.File, error) { return &page{d, name}, nil }
+func (d *memory) Rename(from, to string) error                { return nil }
+func (d *memory) SyncFolder() error                           { return nil }
 
 type page struct {
 	d    *memory
@@ -64,10 +64,10 @@
 func (h *hints) Lives() []registry.Life { return h.lives }
 
 type member struct {
-	core *core.Core
-	self view.Member
+	core *coordinator.Core
+	self membership.Member
 	disk *memory
-	cell *cell.Cell
+	cell *statestore.Cell
 	down bool
 }
 
@@ -78,7 +78,7 @@
 	all     []*member
 	passed  int // bytes from machine to machine, beside beats
 	most    int // bytes of the largest frame
-	refused int // frames that internal/link does not take
+	refused int // frames that internal/peertransport does not take
 	answers map[uint64]int
 	hints   *hints
 }
@@ -90,14 +90,14 @@
 		seeds = append(seeds, fmt.Sprintf("10.0.0.%d:7540", i+1))
 	}
 	for i, addr := range seeds {
-		x := &member{disk: &memory{files: map[string][]byte{}}, self: view.Member{ID: addr + "/0", Addr: addr, Zone: sizes.Zone(i), Call: addr}}
+		x := &member{disk: &memory{files: map[string][]byte{}}, self: membership.Member{ID: addr + "/0", Addr: addr, Zone: sizes.Zone(i), Call: addr}}
 		var err error
-		if x.cell, err = cell.Open(x.disk); err != nil {
+		if x.cell, err = statestore.Open(x.disk); err != nil {
 			b.Fatal(err)
 		}
-		k := core.Kept{}
+		k := coordinator.Kept{}
 		k.Begin(addr, seeds, true, "")
-		x.core = core.New(x.self, k, seeds, rand.New(rand.NewPCG(uint64(i), 1)).Float64, m.hints)
+		x.core = coordinator.New(x.self, k, seeds, rand.New(rand.NewPCG(uint64(i), 1)).Float64, m.hints)
 		m.all = append(m.all, x)
 	}
 	for _, x := range m.all {
@@ -114,7 +114,7 @@
 	return m
 }
 
-func (m *machines) do(x *member, a core.Actions) {
+func (m *machines) do(x *member, a coordinator.Actions) {
 	for _, s := range a.Answers {
 		m.answers[s.Token] = s.Status
 	}
@@ -125,7 +125,7 @@
 		m.do(x, x.core.Written(m.now, ""))
 	}
 	for _, s := range a.Send {
-		frame, err := link.Frame(&link.Msg{Core: &s.Message})
+		frame, err := peertransport.Frame(&peertransport.Msg{Core: &s.Message})
 		if err != nil {
 			m.b.Fatal(err)
 		}
@@ -135,10 +135,10 @@
 		}
 		for _, to := range m.all {
 			if to.self.Addr == s.To && !to.down {
-				got, err := link.Read(bytes.NewReader(frame))
+				got, err := peertransport.Read(bytes.NewReader(frame))
 				if err != nil { // too long: a real peer ends the connection. Here it goes on, to measure what it would cost
 					m.refused++
-					got = &link.Msg{}
+					got = &peertransport.Msg{}
 					if err := cbor.Unmarshal(frame[4:], got); err != nil {
 						m.b.Fatal(err)
 					}
@@ -162,7 +162,7 @@
 	}
 }
 
-func (m *machines) order(x *member, o chain.Order) {
+func (m *machines) order(x *member, o chainreplication.Order) {
 	token, a := x.core.Order(m.now, o)
 	m.do(x, a)
 	m.until(func() bool { return m.answers[token] != 0 })
@@ -195,16 +195,16 @@
 				m := newMachines(b, 3)
 				version := uint64(1)
 				raw := body(n, version)
-				m.order(m.all[2], chain.Order{Version: version, Body: raw})
+				m.order(m.all[2], chainreplication.Order{Version: version, Body: raw})
 				m.passed, m.most, m.refused = 0, 0, 0
 				before := m.written()
 				b.ReportAllocs()
 				i := 0
 				for ; b.Loop(); i++ {
-					o := chain.Order{Zone: sizes.Zone(0), Out: i%2 == 0}
+					o := chainreplication.Order{Zone: sizes.Zone(0), Out: i%2 == 0}
 					if what == "config" {
 						version++
-						o = chain.Order{Version: version, Body: raw}
+						o = chainreplication.Order{Version: version, Body: raw}
 					}
 					m.order(m.all[2], o)
 				}
@@ -224,7 +224,7 @@
 			m := newMachines(b, 3)
 			version := uint64(1)
 			raw := body(n, version)
-			m.order(m.all[0], chain.Order{Version: version, Body: raw})
+			m.order(m.all[0], chainreplication.Order{Version: version, Body: raw})
 			passed, disk, took, rounds := 0, 0, time.Duration(0), 0
 			b.ReportAllocs()
 			for b.Loop() {
@@ -233,7 +233,7 @@
 				m.until(func() bool { return m.all[0].core.View().Place(m.all[2].self.ID) < 0 })
 				for range 10 {
 					version++
-					m.order(m.all[0], chain.Order{Version: version, Body: raw})
+					m.order(m.all[0], chainreplication.Order{Version: version, Body: raw})
 				}
 				m.passed = 0
 				before, from := m.written(), m.now
--- a/internal/cell/cell.go
+++ b/internal/statestore/cell.go
@@ -1,10 +1,10 @@
-// Package cell keeps a process's lasting state on disk: a buntdb database, written whole by its Save into one of
+// Package statestore keeps a process's lasting state on disk: a buntdb database, written whole by its Save into one of
 // two files by turns and read by its Load.
 //
 // Why not buntdb's own file: it does not tell when a sync fails, and refuses a file whose last write is damaged
 // rather than torn. Here a write has been synced when Put returns without an error, and the file written before is
 // untouched until then, so that one good copy is always left. A damaged file is set aside, never deleted.
-package cell
+package statestore
 
 import (
 	"bytes"
--- a/hive/words/words.go
+++ b/messages/words.go
@@ -1,18 +1,18 @@
-// Package words holds what the gateway's governors say to one another, beside what their own packages define.
-package words
+// Package messages holds what the gateway's governors say to one another, beside what their own packages define.
+package messages
 
 import (
-	"zincloft.example/zincloft/hive/chain"
-	"zincloft.example/zincloft/hive/falls"
-	"zincloft.example/zincloft/hive/registry"
-	"zincloft.example/zincloft/hive/view"
-	"zincloft.example/zincloft/hive/windows"
+	"zincloft.example/zincloft/controlplane/chainreplication"
+	"zincloft.example/zincloft/controlplane/maintenance"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/dataplane/outlier"
 )
 
 // Hello begins a connection.
 type Hello struct {
-	Member  view.Member `cbor:"1,keyasint"` // a comb's; of a forager only Addr and Zone
-	Forager string      `cbor:"2,keyasint,omitempty"`
+	Member  membership.Member `cbor:"1,keyasint"` // a comb's; of a forager only Addr and Zone
+	Forager string            `cbor:"2,keyasint,omitempty"`
 
 	Life uint64 `cbor:"3,keyasint,omitempty"` // of a comb: drawn at each start
 	Dial uint64 `cbor:"4,keyasint,omitempty"` // when in that life the connection was dialled, in nanoseconds
@@ -21,9 +21,9 @@
 // Enter asks the head to take an order; Entered tells what must be committed for it to hold. Echo is the head's own clock
 // as the sender last heard it, so that one that was long on its way is known for it.
 type Enter struct {
-	Token uint64      `cbor:"1,keyasint"`
-	Order chain.Order `cbor:"2,keyasint"`
-	Echo  view.Stamp  `cbor:"3,keyasint,omitempty"`
+	Token uint64                 `cbor:"1,keyasint"`
+	Order chainreplication.Order `cbor:"2,keyasint"`
+	Echo  membership.Stamp       `cbor:"3,keyasint,omitempty"`
 }
 
 type Entered struct {
@@ -34,7 +34,7 @@
 
 	Conflicts bool `cbor:"6,keyasint,omitempty"` // its number is others' already
 
-	Clock view.Stamp `cbor:"5,keyasint,omitempty"` // the head's
+	Clock membership.Stamp `cbor:"5,keyasint,omitempty"` // the head's
 }
 
 // Confirm asks whether view N is still the newest; Confirmed answers.
@@ -60,14 +60,14 @@
 
 // Window tells a forager of its maintenance window: the phase that it is to reach; empty: it has none.
 type Window struct {
-	Phase windows.Phase `cbor:"1,keyasint,omitempty"`
-	Fence uint64        `cbor:"2,keyasint,omitempty"`
+	Phase maintenance.Phase `cbor:"1,keyasint,omitempty"`
+	Fence uint64            `cbor:"2,keyasint,omitempty"`
 }
 
 // Bee is what a forager tells of itself where windows are used.
 type Bee struct {
 	Ready   bool               `cbor:"1,keyasint,omitempty"`
-	Phase   windows.Phase      `cbor:"2,keyasint,omitempty"`
+	Phase   maintenance.Phase  `cbor:"2,keyasint,omitempty"`
 	Fence   uint64             `cbor:"3,keyasint,omitempty"`
 	Carries map[string]float64 `cbor:"4,keyasint,omitempty"` // requests a second, by group
 	Load    map[string]float64 `cbor:"5,keyasint,omitempty"`
@@ -75,22 +75,22 @@
 
 // State tells a forager what is in force: whole at first, then what changed.
 type State struct {
-	Whole    bool            `cbor:"1,keyasint,omitempty"`
-	Seq      uint64          `cbor:"2,keyasint,omitempty"` // of the register; 0: not told here
-	Version  uint64          `cbor:"3,keyasint,omitempty"`
-	Body     []byte          `cbor:"4,keyasint,omitempty"` // where the version changed
-	Out      []string        `cbor:"5,keyasint,omitempty"`
-	Lives    []registry.Life `cbor:"6,keyasint,omitempty"`
-	Lines    []Line          `cbor:"7,keyasint,omitempty"`
-	Combs    []view.Member   `cbor:"8,keyasint,omitempty"`
-	Foragers int             `cbor:"9,keyasint,omitempty"` // known over all combs
-	Grants   []Line          `cbor:"10,keyasint,omitempty"`
-	Granted  bool            `cbor:"11,keyasint,omitempty"` // Grants are all that hold
-	Fell     []falls.Out     `cbor:"13,keyasint,omitempty"`
-	Windows  bool            `cbor:"15,keyasint,omitempty"` // with Seq: windows are used, and Window says what holds here
-	Window   Window          `cbor:"16,keyasint,omitempty"`
-	Shuns    []Shun          `cbor:"14,keyasint,omitempty"`
-	Young    bool            `cbor:"12,keyasint,omitempty"` // the comb has just started and may not know all lives
+	Whole    bool                `cbor:"1,keyasint,omitempty"`
+	Seq      uint64              `cbor:"2,keyasint,omitempty"` // of the register; 0: not told here
+	Version  uint64              `cbor:"3,keyasint,omitempty"`
+	Body     []byte              `cbor:"4,keyasint,omitempty"` // where the version changed
+	Out      []string            `cbor:"5,keyasint,omitempty"`
+	Lives    []registry.Life     `cbor:"6,keyasint,omitempty"`
+	Lines    []Line              `cbor:"7,keyasint,omitempty"`
+	Combs    []membership.Member `cbor:"8,keyasint,omitempty"`
+	Foragers int                 `cbor:"9,keyasint,omitempty"` // known over all combs
+	Grants   []Line              `cbor:"10,keyasint,omitempty"`
+	Granted  bool                `cbor:"11,keyasint,omitempty"` // Grants are all that hold
+	Fell     []outlier.Out       `cbor:"13,keyasint,omitempty"`
+	Windows  bool                `cbor:"15,keyasint,omitempty"` // with Seq: windows are used, and Window says what holds here
+	Window   Window              `cbor:"16,keyasint,omitempty"`
+	Shuns    []Shun              `cbor:"14,keyasint,omitempty"`
+	Young    bool                `cbor:"12,keyasint,omitempty"` // the comb has just started and may not know all lives
 }
 
 // Sum is what a forager met at a replica since its last report.
@@ -112,16 +112,16 @@
 	Failed   map[string]int  `cbor:"4,keyasint,omitempty"`
 	Lives    []registry.Life `cbor:"5,keyasint,omitempty"` // what it was told, to a comb that may not know
 	Seq      uint64          `cbor:"6,keyasint,omitempty"`
-	Falls    []falls.Word    `cbor:"8,keyasint,omitempty"`
+	Falls    []outlier.Word  `cbor:"8,keyasint,omitempty"`
 	Gone     []string        `cbor:"7,keyasint,omitempty"` // another replica answered at their addresses
 	Bee      *Bee            `cbor:"9,keyasint,omitempty"`
 }
 
 // Fleet tells other combs which foragers are with one.
 type Fleet struct {
-	Foragers int            `cbor:"1,keyasint"`
-	Nodes    []windows.Node `cbor:"2,keyasint,omitempty"` // where windows are used
-	Load     []Load         `cbor:"3,keyasint,omitempty"`
+	Foragers int                `cbor:"1,keyasint"`
+	Nodes    []maintenance.Node `cbor:"2,keyasint,omitempty"` // where windows are used
+	Load     []Load             `cbor:"3,keyasint,omitempty"`
 }
 
 // Load is what came of a group of traffic in a region, in requests a second.
--- a/hive/neighbours/neighbours.go
+++ b/peersampling/neighbours.go
@@ -1,11 +1,11 @@
-// Package neighbours has governors know each other by partial views that are shuffled between neighbours: nobody holds
+// Package peersampling has governors know each other by partial views that are shuffled between neighbours: nobody holds
 // a list of all, and nobody is asked for one. It is free of I/O; chance is handed in.
 //
 // Each round a node calls the neighbour that it has heard of least lately, leaves it out until it answers, and offers
 // itself and some of what it knows; the other answers with some of its own. So a dead node is called once by each that
 // knows it and is forgotten, and a newcomer spreads. Combs are few and matter most, so they have a view of their own,
 // which the many foragers cannot crowd out.
-package neighbours
+package peersampling
 
 import (
 	"cmp"
--- a/hive/neighbours/neighbours_test.go
+++ b/peersampling/neighbours_test.go
@@ -1,4 +1,4 @@
-package neighbours
+package peersampling
 
 import (
 	"fmt"
