--- a/cmd/zincloftctl/main.go
+++ b/cmd/zincloftctl/main.go
@@ -140,8 +140,8 @@
 			return merry.Prepend(err, c.Name)
 		}
 		if !export {
-			fmt.Fprintf(out, "%s: whole, write %d: disk %s, view %d, %d orders, version %08x, %d replicas\n", c.Name, c.Number, k.Disk, k.View.View.N,
-				k.Register.Seq, k.Register.Version, len(k.Lives))
+			fmt.Fprintf(out, "%s: whole, write %d: disk %s, view %d, %d orders, version %08x, %d replicas\n", c.Name, c.Number, k.Disk, k.View.View.Number,
+				k.Register.Sequence, k.Register.Version, len(k.Lives))
 		}
 	}
 	if newest == nil {
@@ -154,7 +154,7 @@
 	if err != nil {
 		return err
 	}
-	body, err := json.MarshalIndent(map[string]any{"disk": k.Disk, "view": k.View.View, "orders": k.Register.Seq, "evacuated": k.Register.Out,
+	body, err := json.MarshalIndent(map[string]any{"disk": k.Disk, "view": k.View.View, "orders": k.Register.Sequence, "evacuated": k.Register.EvacuatedZones,
 		"configuration": json.RawMessage(orNull(k.Register.Body)), "replicas": k.Lives}, "", "  ")
 	if err != nil {
 		return err
--- a/controlplane/chainreplication/chain.go
+++ b/controlplane/chainreplication/chain.go
@@ -20,81 +20,81 @@
 	"zincloft.example/zincloft/controlplane/membership"
 )
 
-// passAgain is how long a pass may stay without its commit before it is repeated: links lose what was under way.
-const passAgain = 300 * time.Millisecond
+// forwardRetryInterval is how long a pass may stay without its commit before it is repeated: links lose what was under way.
+const forwardRetryInterval = 300 * time.Millisecond
 
 const (
-	tellAgain = time.Second          // a register that was told to one that lacks it
-	byteTakes = 30 * time.Nanosecond // of a register on its way and on disk, at the slowest: a large one is not passed again sooner
+	catchUpRetryInterval = time.Second          // a register that was told to one that lacks it
+	transferTimePerByte  = 30 * time.Nanosecond // of a register on its way and on disk, at the slowest: a large one is not passed again sooner
 )
 
 // Register is the lasting state. It is not changed once made.
 type Register struct {
-	Seq     uint64          `cbor:"1,keyasint"` // orders so far
-	Version uint64          `cbor:"2,keyasint"`
-	Body    []byte          `cbor:"3,keyasint,omitempty"` // of the configuration, as it was sent
-	Out     map[string]bool `cbor:"4,keyasint,omitempty"` // zones being emptied
+	Sequence       uint64          `cbor:"1,keyasint"` // orders so far
+	Version        uint64          `cbor:"2,keyasint"`
+	Body           []byte          `cbor:"3,keyasint,omitempty"` // of the configuration, as it was sent
+	EvacuatedZones map[string]bool `cbor:"4,keyasint,omitempty"` // zones being emptied
 
 	// Notes are small states that the gateway keeps for itself (grants of maintenance windows, roll-outs), by name.
-	Notes map[string]Note `cbor:"5,keyasint,omitempty"`
+	Records map[string]Record `cbor:"5,keyasint,omitempty"`
 
 	// Taken names the orders lately taken, newest last: one that is entered again, after a view change or late, changes
 	// nothing. Claims are the highest numbers that operators were confirmed under, with what they sent. Both
 	// are bounded, and part of what is passed and kept.
-	Taken  []uint64 `cbor:"6,keyasint,omitempty"`
-	Claims []Claim  `cbor:"7,keyasint,omitempty"`
+	AppliedCommands []uint64 `cbor:"6,keyasint,omitempty"`
+	Claims          []Claim  `cbor:"7,keyasint,omitempty"`
 }
 
 // Claim is a configuration's number and the checksum of its bytes.
 type Claim struct {
-	Version uint64 `cbor:"1,keyasint"`
-	Sum     uint64 `cbor:"2,keyasint"`
+	Version  uint64 `cbor:"1,keyasint"`
+	Checksum uint64 `cbor:"2,keyasint"`
 }
 
 func byVersion(a, b Claim) int { return cmp.Compare(a.Version, b.Version) }
 
 const (
-	takenMost  = 64 // orders are entered again for half a second; eight at once may be under way
-	claimsMost = 64 // the highest numbers; a lower one that comes again cannot be told from a new one
+	maxAppliedCommands = 64 // orders are entered again for half a second; eight at once may be under way
+	maxClaims          = 64 // the highest numbers; a lower one that comes again cannot be told from a new one
 )
 
-// Note is one of them. Whoever changes it names the revision that it saw: of two at once one is taken.
-type Note struct {
-	Rev   uint64   `cbor:"1,keyasint"`
-	Value []byte   `cbor:"2,keyasint,omitempty"`
-	By    []string `cbor:"3,keyasint,omitempty"` // the latest changes, newest last, so that a proposer finds its own
+// Record is one of them. Whoever changes it names the revision that it saw: of two at once one is taken.
+type Record struct {
+	Revision      uint64   `cbor:"1,keyasint"`
+	Value         []byte   `cbor:"2,keyasint,omitempty"`
+	RecentChanges []string `cbor:"3,keyasint,omitempty"` // the latest changes, newest last, so that a proposer finds its own
 }
 
-// byMost is how many changes of a note are remembered by name.
-const byMost = 8
+// maxRecentChanges is how many changes of a note are remembered by name.
+const maxRecentChanges = 8
 
-// TookBy tells whether a change was taken.
-func (n Note) TookBy(by string) bool { return slices.Contains(n.By, by) }
+// HasChange tells whether a change was taken.
+func (n Record) HasChange(by string) bool { return slices.Contains(n.RecentChanges, by) }
 
-// Order is one change. Each may be given again without harm.
-type Order struct {
+// Command is one change. Each may be given again without harm.
+type Command struct {
 	ID uint64 `cbor:"9,keyasint,omitempty"` // given where it came in: entered twice, it is taken once; 0: not known again
 
-	Body    []byte `cbor:"1,keyasint,omitempty"`
-	Version uint64 `cbor:"2,keyasint,omitempty"`
-	Zone    string `cbor:"3,keyasint,omitempty"` // with Out: an evacuation begins or ends
-	Out     bool   `cbor:"4,keyasint,omitempty"`
+	Body      []byte `cbor:"1,keyasint,omitempty"`
+	Version   uint64 `cbor:"2,keyasint,omitempty"`
+	Zone      string `cbor:"3,keyasint,omitempty"` // with Out: an evacuation begins or ends
+	Evacuated bool   `cbor:"4,keyasint,omitempty"`
 
-	Note  string `cbor:"5,keyasint,omitempty"` // with the next three: a note is changed
-	If    uint64 `cbor:"6,keyasint,omitempty"` // the revision that it must have
-	By    string `cbor:"7,keyasint,omitempty"`
-	Value []byte `cbor:"8,keyasint,omitempty"`
+	Record           string `cbor:"5,keyasint,omitempty"` // with the next three: a note is changed
+	ExpectedRevision uint64 `cbor:"6,keyasint,omitempty"` // the revision that it must have
+	ChangeID         string `cbor:"7,keyasint,omitempty"`
+	Value            []byte `cbor:"8,keyasint,omitempty"`
 }
 
-// Conflicts tells whether an order claims a number that others were confirmed under with other content: the two cannot
+// ConflictsWith tells whether an order claims a number that others were confirmed under with other content: the two cannot
 // both be confirmed.
-func (r Register) Conflicts(o Order) bool {
-	c, ok := r.claimed(o)
-	return ok && c.Sum != xxhash.Sum64(o.Body)
+func (r Register) ConflictsWith(o Command) bool {
+	c, ok := r.claimFor(o)
+	return ok && c.Checksum != xxhash.Sum64(o.Body)
 }
 
-func (r Register) claimed(o Order) (Claim, bool) {
-	if o.Version == 0 || o.Note != "" || o.Zone != "" {
+func (r Register) claimFor(o Command) (Claim, bool) {
+	if o.Version == 0 || o.Record != "" || o.Zone != "" {
 		return Claim{}, false
 	}
 	if i := slices.IndexFunc(r.Claims, func(c Claim) bool { return c.Version == o.Version }); i >= 0 {
@@ -104,265 +104,269 @@
 }
 
 // Apply returns the register after an order; an order that changes nothing leaves Seq as it is.
-func (r Register) Apply(o Order) Register {
-	if o.ID != 0 && slices.Contains(r.Taken, o.ID) {
+func (r Register) Apply(o Command) Register {
+	if o.ID != 0 && slices.Contains(r.AppliedCommands, o.ID) {
 		return r
 	}
 	switch {
-	case o.Note != "":
-		n := r.Notes[o.Note]
-		if n.Rev != o.If || n.TookBy(o.By) {
+	case o.Record != "":
+		n := r.Records[o.Record]
+		if n.Revision != o.ExpectedRevision || n.HasChange(o.ChangeID) {
 			return r
 		}
-		by := append(slices.Clone(n.By), o.By)
-		notes := maps.Clone(r.Notes)
+		by := append(slices.Clone(n.RecentChanges), o.ChangeID)
+		notes := maps.Clone(r.Records)
 		if notes == nil {
-			notes = map[string]Note{}
+			notes = map[string]Record{}
 		}
-		notes[o.Note] = Note{n.Rev + 1, o.Value, by[max(len(by)-byMost, 0):]}
-		r.Notes = notes
+		notes[o.Record] = Record{n.Revision + 1, o.Value, by[max(len(by)-maxRecentChanges, 0):]}
+		r.Records = notes
 	case o.Zone != "":
-		if r.Out[o.Zone] == o.Out {
+		if r.EvacuatedZones[o.Zone] == o.Evacuated {
 			return r
 		}
-		out := maps.Clone(r.Out)
+		out := maps.Clone(r.EvacuatedZones)
 		if out == nil {
 			out = map[string]bool{}
 		}
-		if o.Out {
+		if o.Evacuated {
 			out[o.Zone] = true
 		} else {
 			delete(out, o.Zone)
 		}
-		r.Out = out
+		r.EvacuatedZones = out
 	default:
-		if _, ok := r.claimed(o); ok || o.Version == 0 {
+		if _, ok := r.claimFor(o); ok || o.Version == 0 {
 			return r
 		}
 		if o.Version > r.Version {
 			r.Version, r.Body = o.Version, o.Body
 		} // else it was overtaken: its number is claimed all the same, so that nobody else is confirmed under it
 		r.Claims = append(slices.Clone(r.Claims), Claim{o.Version, xxhash.Sum64(o.Body)})
-		if len(r.Claims) > claimsMost { // the lowest goes: of many numbers that were overtaken, none pushes out the newest
+		if len(r.Claims) > maxClaims { // the lowest goes: of many numbers that were overtaken, none pushes out the newest
 			lowest := slices.MinFunc(r.Claims, byVersion).Version
 			r.Claims = slices.DeleteFunc(r.Claims, func(c Claim) bool { return c.Version == lowest })
 		}
 	}
 	if o.ID != 0 {
-		r.Taken = append(slices.Clone(r.Taken[max(len(r.Taken)-takenMost+1, 0):]), o.ID)
+		r.AppliedCommands = append(slices.Clone(r.AppliedCommands[max(len(r.AppliedCommands)-maxAppliedCommands+1, 0):]), o.ID)
 	}
-	r.Seq++
+	r.Sequence++
 	return r
 }
 
-// Kind tells messages apart.
-type Kind uint8
+// MessageKind tells messages apart.
+type MessageKind uint8
 
 const (
-	Pass Kind = iota + 1
-	Done      // from the tail: committed
-	Told      // the committed register whole, to one that lacks it, and the view in which its commit was seen
+	Forward MessageKind = iota + 1
+	Commit              // from the tail: committed
+	CatchUp             // the committed register whole, to one that lacks it, and the view in which its commit was seen
 )
 
 // Message is what members say to one another.
 type Message struct {
-	Kind Kind      `cbor:"1,keyasint"`
-	From string    `cbor:"2,keyasint"`
-	N    uint64    `cbor:"3,keyasint,omitempty"` // the view
-	Seq  uint64    `cbor:"4,keyasint,omitempty"`
-	Reg  *Register `cbor:"5,keyasint,omitempty"`
+	Kind       MessageKind `cbor:"1,keyasint"`
+	From       string      `cbor:"2,keyasint"`
+	ViewNumber uint64      `cbor:"3,keyasint,omitempty"` // the view
+	Sequence   uint64      `cbor:"4,keyasint,omitempty"`
+	Register   *Register   `cbor:"5,keyasint,omitempty"`
 }
 
-// Send is an action. With Durable set it must wait until what is held now is on stable storage. To may be this
+// Outbound is an action. With Durable set it must wait until what is held now is on stable storage. To may be this
 // machine itself.
-type Send struct {
-	To      string // identity
-	Message Message
-	Durable bool
+type Outbound struct {
+	To        string // identity
+	Message   Message
+	AfterSave bool
 }
 
-// Engine is one machine's part.
-type Engine struct {
-	id        string
-	view      membership.View
-	held      Register
-	committed Register
-	known     bool // committed holds something
-	at        uint64
-	syncedIn  uint64 // the last view of which a pass was taken, or whose head this was
-	passedAt  time.Duration
-	out       []Send
-	changed   bool
-	news      bool
-	told      map[string]told
-	pending   []Register // passed in this view, not committed yet, oldest first
+// Replica is one machine's part.
+type Replica struct {
+	id               string
+	view             membership.View
+	held             Register
+	committed        Register
+	hasCommitted     bool // committed holds something
+	committedView    uint64
+	syncedView       uint64 // the last view of which a pass was taken, or whose head this was
+	forwardedAt      time.Duration
+	outbound         []Outbound
+	heldChanged      bool
+	committedChanged bool
+	catchUps         map[string]catchUp
+	pending          []Register // passed in this view, not committed yet, oldest first
 }
 
-type told struct {
-	seq uint64
-	at  time.Duration
+type catchUp struct {
+	sequence uint64
+	sentAt   time.Duration
 }
 
 // New makes an engine from what was on disk.
 //
 // SyncedIn is kept beside the register: without it a member that was killed and came back would take a late pass of
 // the same view for the first one, and fall behind what it had already vouched for.
-func New(id string, held Register, syncedIn uint64) *Engine {
-	return &Engine{id: id, held: held, syncedIn: syncedIn, told: map[string]told{}}
+func New(id string, held Register, syncedIn uint64) *Replica {
+	return &Replica{id: id, held: held, syncedView: syncedIn, catchUps: map[string]catchUp{}}
 }
 
-// Output is what a step brings.
-type Output struct {
-	Send      []Send
-	Save      bool // Held changed
-	Committed bool // Committed changed
+// Ready is what a step brings.
+type Ready struct {
+	Messages         []Outbound
+	MustSave         bool // Held changed
+	CommittedChanged bool // Committed changed
 }
 
-func (e *Engine) flush() Output {
-	o := Output{e.out, e.changed, e.news}
-	e.out, e.changed, e.news = nil, false, false
+func (replica *Replica) ready() Ready {
+	o := Ready{replica.outbound, replica.heldChanged, replica.committedChanged}
+	replica.outbound, replica.heldChanged, replica.committedChanged = nil, false, false
 	return o
 }
 
 // Held is what must be kept on disk.
-func (e *Engine) Held() Register { return e.held }
+func (replica *Replica) Held() Register { return replica.held }
 
-// SyncedIn is kept beside it.
-func (e *Engine) SyncedIn() uint64 { return e.syncedIn }
+// SyncedView is kept beside it.
+func (replica *Replica) SyncedView() uint64 { return replica.syncedView }
 
 // Committed is the newest register known to be committed, and whether any is.
-func (e *Engine) Committed() (Register, bool) { return e.committed, e.known }
+func (replica *Replica) Committed() (Register, bool) { return replica.committed, replica.hasCommitted }
 
-// CommittedIn is the view in which this machine last saw a commit.
-func (e *Engine) CommittedIn() uint64 { return e.at }
+// CommittedView is the view in which this machine last saw a commit.
+func (replica *Replica) CommittedView() uint64 { return replica.committedView }
 
-// Head tells whether orders enter here.
-func (e *Engine) Head() bool { return len(e.view.Chain) > 0 && e.view.Chain[0] == e.id }
+// IsHead tells whether orders enter here.
+func (replica *Replica) IsHead() bool {
+	return len(replica.view.Chain) > 0 && replica.view.Chain[0] == replica.id
+}
 
-// Adopt takes on a view.
-func (e *Engine) Adopt(now time.Duration, v membership.View) Output {
-	if v.N <= e.view.N {
-		return e.flush()
+// InstallView takes on a view.
+func (replica *Replica) InstallView(now time.Duration, v membership.View) Ready {
+	if v.Number <= replica.view.Number {
+		return replica.ready()
 	}
-	e.view, e.pending = v, nil
-	if e.Head() {
-		e.syncedIn, e.changed = v.N, true
-		e.pending = []Register{e.held}
-		e.pass(now)
+	replica.view, replica.pending = v, nil
+	if replica.IsHead() {
+		replica.syncedView, replica.heldChanged = v.Number, true
+		replica.pending = []Register{replica.held}
+		replica.forward(now)
 	}
-	return e.flush()
+	return replica.ready()
 }
 
-// pass sends the register on, or, at the tail, tells that it is committed.
-func (e *Engine) pass(now time.Duration) {
-	e.passedAt = now
-	i := e.view.Place(e.id)
+// forward sends the register on, or, at the tail, tells that it is committed.
+func (replica *Replica) forward(now time.Duration) {
+	replica.forwardedAt = now
+	i := replica.view.Position(replica.id)
 	if i < 0 {
 		return
 	}
-	reg := e.held
-	if i+1 < len(e.view.Chain) {
-		e.out = append(e.out, Send{e.view.Chain[i+1], Message{Kind: Pass, From: e.id, N: e.view.N, Seq: reg.Seq, Reg: &reg}, true})
+	reg := replica.held
+	if i+1 < len(replica.view.Chain) {
+		replica.outbound = append(replica.outbound, Outbound{replica.view.Chain[i+1], Message{Kind: Forward, From: replica.id, ViewNumber: replica.view.Number, Sequence: reg.Sequence, Register: &reg}, true})
 		return
 	}
-	for _, m := range e.view.Members() {
-		msg := Message{Kind: Done, From: e.id, N: e.view.N, Seq: reg.Seq}
-		if e.view.Place(m.ID) < 0 {
-			msg.Reg = &reg
+	for _, m := range replica.view.Members() {
+		msg := Message{Kind: Commit, From: replica.id, ViewNumber: replica.view.Number, Sequence: reg.Sequence}
+		if replica.view.Position(m.ID) < 0 {
+			msg.Register = &reg
 		}
-		e.out = append(e.out, Send{m.ID, msg, true})
+		replica.outbound = append(replica.outbound, Outbound{m.ID, msg, true})
 	}
 }
 
-// Entered is what became of an order at the head: the number that must be committed in view N for it to hold, or, where
+// Proposed is what became of an order at the head: the number that must be committed in view N for it to hold, or, where
 // it conflicts, for its refusal to hold.
-type Entered struct {
-	N, Seq    uint64
-	Conflicts bool
+type Proposed struct {
+	ViewNumber, Sequence uint64
+	Conflicts            bool
 }
 
-// Enter takes an order at the head.
-func (e *Engine) Enter(now time.Duration, o Order) (Entered, Output) {
-	conflicts := e.held.Conflicts(o)
-	if next := e.held.Apply(o); next.Seq != e.held.Seq {
-		e.held, e.changed = next, true
-		e.pending = append(e.pending, next)
-		e.pass(now)
+// Propose takes an order at the head.
+func (replica *Replica) Propose(now time.Duration, o Command) (Proposed, Ready) {
+	conflicts := replica.held.ConflictsWith(o)
+	if next := replica.held.Apply(o); next.Sequence != replica.held.Sequence {
+		replica.held, replica.heldChanged = next, true
+		replica.pending = append(replica.pending, next)
+		replica.forward(now)
 	}
-	return Entered{e.view.N, e.held.Seq, conflicts}, e.flush()
+	return Proposed{replica.view.Number, replica.held.Sequence, conflicts}, replica.ready()
 }
 
-// Receive takes in a message.
-func (e *Engine) Receive(now time.Duration, m Message) Output {
+// Step takes in a message.
+func (replica *Replica) Step(now time.Duration, m Message) Ready {
 	switch m.Kind {
-	case Pass:
-		i := e.view.Place(e.id)
-		if m.N != e.view.N || m.Reg == nil || i < 1 || e.view.Chain[i-1] != m.From {
+	case Forward:
+		i := replica.view.Position(replica.id)
+		if m.ViewNumber != replica.view.Number || m.Register == nil || i < 1 || replica.view.Chain[i-1] != m.From {
 			break // of another view: its sender may not commit through us
 		}
-		synced := e.syncedIn == e.view.N
-		if synced && m.Reg.Seq < e.held.Seq {
+		synced := replica.syncedView == replica.view.Number
+		if synced && m.Register.Sequence < replica.held.Sequence {
 			break // late
 		}
-		if !synced || m.Reg.Seq > e.held.Seq {
-			e.held, e.changed, e.syncedIn = *m.Reg, true, e.view.N
+		if !synced || m.Register.Sequence > replica.held.Sequence {
+			replica.held, replica.heldChanged, replica.syncedView = *m.Register, true, replica.view.Number
 		}
-		if !slices.ContainsFunc(e.pending, func(r Register) bool { return r.Seq == e.held.Seq }) &&
-			(e.at != e.view.N || e.committed.Seq < e.held.Seq) {
-			e.pending = append(e.pending, e.held)
+		if !slices.ContainsFunc(replica.pending, func(r Register) bool { return r.Sequence == replica.held.Sequence }) &&
+			(replica.committedView != replica.view.Number || replica.committed.Sequence < replica.held.Sequence) {
+			replica.pending = append(replica.pending, replica.held)
 		}
-		e.pass(now)
-	case Done:
-		if m.N != e.view.N {
+		replica.forward(now)
+	case Commit:
+		if m.ViewNumber != replica.view.Number {
 			break
 		}
-		if m.Reg != nil {
-			e.commit(*m.Reg, m.N)
+		if m.Register != nil {
+			replica.commit(*m.Register, m.ViewNumber)
 			break
 		}
-		for i, r := range e.pending {
-			if r.Seq == m.Seq {
-				e.pending = e.pending[i+1:]
-				e.commit(r, m.N)
+		for i, r := range replica.pending {
+			if r.Sequence == m.Sequence {
+				replica.pending = replica.pending[i+1:]
+				replica.commit(r, m.ViewNumber)
 				break
 			}
 		}
-	case Told:
+	case CatchUp:
 		// Never as a commit of this machine's own view, which may be an older one: what was entered here would count as committed.
-		if m.Reg != nil {
-			e.commit(*m.Reg, max(m.N, e.at))
+		if m.Register != nil {
+			replica.commit(*m.Register, max(m.ViewNumber, replica.committedView))
 		}
 	}
-	return e.flush()
+	return replica.ready()
 }
 
-func (e *Engine) commit(r Register, n uint64) {
-	if e.known && r.Seq < e.committed.Seq {
+func (replica *Replica) commit(r Register, n uint64) {
+	if replica.hasCommitted && r.Sequence < replica.committed.Sequence {
 		return
 	}
-	e.news = e.news || !e.known || r.Seq > e.committed.Seq || n != e.at
-	e.committed, e.known, e.at = r, true, n
+	replica.committedChanged = replica.committedChanged || !replica.hasCommitted || r.Sequence > replica.committed.Sequence || n != replica.committedView
+	replica.committed, replica.hasCommitted, replica.committedView = r, true, n
 }
 
-// Lacks answers a machine that has committed less than this one: once in a while, as the register may be large.
-func (e *Engine) Lacks(now time.Duration, id string, seq uint64, known bool) Output {
-	t, ok := e.told[id]
-	if e.known && (!known || seq < e.committed.Seq) && id != e.id && (!ok || t.seq < e.committed.Seq || now-t.at >= tellAgain) {
-		e.told[id] = told{e.committed.Seq, now}
-		reg := e.committed
-		e.out = append(e.out, Send{id, Message{Kind: Told, From: e.id, N: e.at, Reg: &reg}, false})
+// SendCatchUp answers a machine that has committed less than this one: once in a while, as the register may be large.
+func (replica *Replica) SendCatchUp(now time.Duration, id string, seq uint64, known bool) Ready {
+	t, ok := replica.catchUps[id]
+	if replica.hasCommitted && (!known || seq < replica.committed.Sequence) && id != replica.id && (!ok || t.sequence < replica.committed.Sequence || now-t.sentAt >= catchUpRetryInterval) {
+		replica.catchUps[id] = catchUp{replica.committed.Sequence, now}
+		reg := replica.committed
+		replica.outbound = append(replica.outbound, Outbound{id, Message{Kind: CatchUp, From: replica.id, ViewNumber: replica.committedView, Register: &reg}, false})
 	}
-	return e.flush()
+	return replica.ready()
 }
 
 // Tick repeats what was passed and is not committed.
-func (e *Engine) Tick(now time.Duration) Output {
-	if e.syncedIn == e.view.N && len(e.pending) > 0 && now-e.passedAt >= passAgain+time.Duration(len(e.held.Body))*byteTakes {
-		e.pass(now)
+func (replica *Replica) Tick(now time.Duration) Ready {
+	if replica.syncedView == replica.view.Number && len(replica.pending) > 0 && now-replica.forwardedAt >= forwardRetryInterval+time.Duration(len(replica.held.Body))*transferTimePerByte {
+		replica.forward(now)
 	}
-	return e.flush()
+	return replica.ready()
 }
 
-// Settled tells whether a commit was seen in the present view by one who was filled in it: by then every member of the
+// ChainSynced tells whether a commit was seen in the present view by one who was filled in it: by then every member of the
 // chain has been, as a commit is what all of them have on stable storage.
-func (e *Engine) Settled() bool { return e.syncedIn == e.view.N && e.known && e.at == e.view.N }
+func (replica *Replica) ChainSynced() bool {
+	return replica.syncedView == replica.view.Number && replica.hasCommitted && replica.committedView == replica.view.Number
+}
--- a/controlplane/controller/comb.go
+++ b/controlplane/controller/comb.go
@@ -63,20 +63,20 @@
 
 // Event is something that happened. One of its fields is set; an event with none lets time pass.
 type Event struct {
-	Start   bool                    `cbor:"1,keyasint,omitempty"`
-	Beat    *registry.Life          `cbor:"2,keyasint,omitempty"` // a replica's own word
-	Leave   string                  `cbor:"3,keyasint,omitempty"` // a replica's word that it ends
-	Order   *chainreplication.Order `cbor:"4,keyasint,omitempty"`
-	Read    bool                    `cbor:"5,keyasint,omitempty"`
-	Joined  *Joined                 `cbor:"6,keyasint,omitempty"`
-	Left    uint64                  `cbor:"7,keyasint,omitempty"` // a stream has ended
-	Report  *messages.Report        `cbor:"8,keyasint,omitempty"`
-	Message *Message                `cbor:"9,keyasint,omitempty"`
-	Written *Written                `cbor:"10,keyasint,omitempty"`
-	Met     []string                `cbor:"11,keyasint,omitempty"` // addresses where other combs may be
-	Token   uint64                  `cbor:"12,keyasint,omitempty"` // with Beat, Leave, Order, Read: the answer carries it
-	Stream  uint64                  `cbor:"13,keyasint,omitempty"` // with Report
-	From    *membership.Member      `cbor:"14,keyasint,omitempty"` // with Message
+	Start   bool                      `cbor:"1,keyasint,omitempty"`
+	Beat    *registry.Life            `cbor:"2,keyasint,omitempty"` // a replica's own word
+	Leave   string                    `cbor:"3,keyasint,omitempty"` // a replica's word that it ends
+	Order   *chainreplication.Command `cbor:"4,keyasint,omitempty"`
+	Read    bool                      `cbor:"5,keyasint,omitempty"`
+	Joined  *Joined                   `cbor:"6,keyasint,omitempty"`
+	Left    uint64                    `cbor:"7,keyasint,omitempty"` // a stream has ended
+	Report  *messages.Report          `cbor:"8,keyasint,omitempty"`
+	Message *Message                  `cbor:"9,keyasint,omitempty"`
+	Written *Written                  `cbor:"10,keyasint,omitempty"`
+	Met     []string                  `cbor:"11,keyasint,omitempty"` // addresses where other combs may be
+	Token   uint64                    `cbor:"12,keyasint,omitempty"` // with Beat, Leave, Order, Read: the answer carries it
+	Stream  uint64                    `cbor:"13,keyasint,omitempty"` // with Report
+	From    *membership.Member        `cbor:"14,keyasint,omitempty"` // with Message
 
 	Windows *maintenance.Command `cbor:"15,keyasint,omitempty"` // with Token
 
@@ -190,7 +190,7 @@
 		k.Lives[i].Age = 0 // heard now, as far as anyone knows; those that do not beat go as any silent one
 	}
 	c.reg.Merge(now, k.Lives)
-	c.wasOut = sortedKeys(k.Register.Out) // a zone that was given back while this comb was away is doubted too
+	c.wasOut = sortedKeys(k.Register.EvacuatedZones) // a zone that was given back while this comb was away is doubted too
 	c.ticked, c.woke = now, now-lateFor
 	c.hived = hived{open: map[uint64]change{}, elsewhat: map[string]elsewhere{}, drained: map[string]time.Duration{}}
 	c.core = coordinator.New(self, k, set.Seeds, rand.New(&c.chance).Float64, hints{c})
@@ -358,7 +358,7 @@
 		return
 	}
 	c.alone = alone
-	c.note("in_touch", "now", !alone, "view", c.core.View().N)
+	c.note("in_touch", "now", !alone, "view", c.core.View().Number)
 	if !alone {
 		c.reg.Excuse(now)
 		c.backAt = now
@@ -382,7 +382,7 @@
 	}
 	if a.Viewed {
 		v := c.core.View()
-		c.note("view", "n", v.N, "chain", v.Chain, "roster", len(v.Roster))
+		c.note("view", "n", v.Number, "chain", v.Chain, "roster", len(v.Voters))
 		for _, s := range c.streams {
 			s.combs = false
 		}
@@ -414,7 +414,7 @@
 			c.config = conf
 			c.steer.Configure(now, conf, c.foragers())
 			c.steerRev = registry.All
-			c.note("config", "version", r.Version, "seq", r.Seq, "routes", conf.Routes)
+			c.note("config", "version", r.Version, "seq", r.Sequence, "routes", conf.Routes)
 		}
 	}
 	c.evacuated(now, r)
@@ -424,12 +424,12 @@
 // evacuated has the replicas of zones that were given back spared until they have said how they are.
 func (c *Comb) evacuated(now time.Duration, r chainreplication.Register) {
 	for _, zone := range c.wasOut {
-		if !r.Out[zone] {
+		if !r.EvacuatedZones[zone] {
 			c.reg.Doubt(now, zone)
 		}
 	}
-	if out := sortedKeys(r.Out); !slices.Equal(out, c.wasOut) {
-		c.note("evacuations", "zones", out, "seq", r.Seq)
+	if out := sortedKeys(r.EvacuatedZones); !slices.Equal(out, c.wasOut) {
+		c.note("evacuations", "zones", out, "seq", r.Sequence)
 		c.wasOut = out
 	}
 }
@@ -458,8 +458,8 @@
 		return c.set.Control
 	}
 	for _, m := range c.core.Peers(now) {
-		if m.Zone == zone && m.Call != "" && c.core.Heard(now, m.ID) {
-			return m.Call
+		if m.Zone == zone && m.APIAddr != "" && c.core.Heard(now, m.ID) {
+			return m.APIAddr
 		}
 	}
 	return ""
--- a/controlplane/controller/streams.go
+++ b/controlplane/controller/streams.go
@@ -187,12 +187,12 @@
 		if !s.whole {
 			st.Whole, st.Young, st.Granted, s.whole, say = true, c.young(now), true, true, true
 		}
-		if !s.known || r.Seq > s.seq {
-			st.Seq, st.Version, st.Out, say = r.Seq, r.Version, sortedKeys(r.Out), true
+		if !s.known || r.Sequence > s.seq {
+			st.Seq, st.Version, st.Out, say = r.Sequence, r.Version, sortedKeys(r.EvacuatedZones), true
 			if r.Version != s.version {
 				st.Body = r.Body
 			}
-			s.known, s.seq, s.version = true, r.Seq, r.Version
+			s.known, s.seq, s.version = true, r.Sequence, r.Version
 			if wins := c.windows(); wins.On() {
 				w := wins.Orders()[s.name]
 				st.Windows, st.Window = true, messages.Window{Phase: w.Phase, Fence: w.Fence}
@@ -255,10 +255,10 @@
 func (c *Comb) deal(now time.Duration) map[*stream]map[string]float32 {
 	grants := map[*stream]map[string]float32{}
 	v := c.core.View()
-	if c.config == nil || len(c.streams) == 0 || !v.In(c.core.Self().ID) || c.alone || now-c.backAt < dealsAfter {
+	if c.config == nil || len(c.streams) == 0 || !v.HasVoter(c.core.Self().ID) || c.alone || now-c.backAt < dealsAfter {
 		return grants
 	}
-	part := coldPart / float64(len(v.Roster))
+	part := coldPart / float64(len(v.Voters))
 	c.reg.Each(now, func(l registry.Life) {
 		if l.Cold == 0 && !l.Doubt && !l.Old || l.Draining {
 			return
--- a/controlplane/controller/streams_test.go
+++ b/controlplane/controller/streams_test.go
@@ -38,17 +38,17 @@
 		var k coordinator.Kept
 		k.Begin(x.addrs[i], x.addrs, true, "x")
 		x.combs = append(x.combs, New(0, Settings{Zone: "a", Zones: []string{"a"}, Seeds: x.addrs, LinkMbps: 1000, Heartbeat: 1500 * time.Millisecond, Seed: uint64(i)},
-			membership.Member{ID: k.Disk, Addr: x.addrs[i], Zone: "a", Call: x.addrs[i]}, k))
+			membership.Member{ID: k.Disk, Addr: x.addrs[i], Zone: "a", APIAddr: x.addrs[i]}, k))
 	}
 	for i := range x.combs {
 		x.step(i, Event{Start: true})
 	}
 	x.run(4 * time.Second)
-	x.order(chainreplication.Order{Version: 2, Body: []byte(body)})
+	x.order(chainreplication.Command{Version: 2, Body: []byte(body)})
 	return x
 }
 
-func (x *few) order(o chainreplication.Order) {
+func (x *few) order(o chainreplication.Command) {
 	x.token++
 	x.step(0, Event{Token: x.token, Order: &o})
 	x.run(2 * time.Second)
@@ -198,18 +198,18 @@
 	Convey("Given a comb that wrote as a zone was given back", t, func() {
 		x := newFew()
 		x.beat(0, 1, 0)
-		x.order(chainreplication.Order{Zone: "a", Out: true})
-		x.order(chainreplication.Order{Zone: "a"})
+		x.order(chainreplication.Command{Zone: "a", Evacuated: true})
+		x.order(chainreplication.Command{Zone: "a"})
 		for i := range 3 {
 			var given coordinator.Kept
 			for _, raw := range x.wrote[i] {
 				k, err := coordinator.Decode(raw)
 				So(err, ShouldBeNil)
-				if k.Register.Seq == 3 && given.Disk == "" {
+				if k.Register.Sequence == 3 && given.Disk == "" {
 					given = k
 				}
 			}
-			So(given.Register.Out, ShouldBeEmpty)
+			So(given.Register.EvacuatedZones, ShouldBeEmpty)
 			Convey(fmt.Sprint("it starts with its replicas as old, comb ", i), func() {
 				self := x.combs[i].Core().Self()
 				c := New(0, x.combs[i].set, self, given)
--- a/controlplane/controller/windows.go
+++ b/controlplane/controller/windows.go
@@ -48,16 +48,16 @@
 // windows is the state that is committed.
 func (c *Comb) windows() maintenance.State {
 	r, known := c.core.Register()
-	n, ok := r.Notes[windowsNote]
+	n, ok := r.Records[windowsNote]
 	if !known || !ok {
 		return maintenance.State{}
 	}
-	if n.Rev != c.hived.rev {
+	if n.Revision != c.hived.rev {
 		var s maintenance.State
 		if err := cbor.Unmarshal(n.Value, &s); err != nil {
 			c.warn("windows_unreadable", "error", err.Error())
 		}
-		c.hived.rev, c.hived.state = n.Rev, s
+		c.hived.rev, c.hived.state = n.Revision, s
 	}
 	return c.hived.state
 }
@@ -72,7 +72,7 @@
 	r, _ := c.core.Register()
 	c.hived.proposed++
 	x.by = fmt.Sprintf("%s %d %d", c.core.Self().ID, c.set.Seed, c.hived.proposed)
-	token, a := c.core.Order(now, chainreplication.Order{Note: windowsNote, If: r.Notes[windowsNote].Rev, By: x.by, Value: value})
+	token, a := c.core.Order(now, chainreplication.Command{Record: windowsNote, ExpectedRevision: r.Records[windowsNote].Revision, ChangeID: x.by, Value: value})
 	c.hived.open[token] = x
 	c.do(now, a)
 }
@@ -84,7 +84,7 @@
 	case x.command == nil:
 	case status != http.StatusOK:
 		c.answer(Answer{Token: x.token, Status: status})
-	case r.Notes[windowsNote].TookBy(x.by):
+	case r.Records[windowsNote].HasChange(x.by):
 		c.answer(Answer{Token: x.token, Status: http.StatusOK})
 	case x.tries < triesMost:
 		c.command(now, x.token, x.command, x.tries+1)
@@ -114,7 +114,7 @@
 	}
 	c.hived.drivesAt = now + driveEvery
 	s := c.windows()
-	if !s.On() || c.core.View().Place(c.core.Self().ID) != 0 || !c.core.InTouch(now) {
+	if !s.On() || c.core.View().Position(c.core.Self().ID) != 0 || !c.core.InTouch(now) {
 		clear(c.hived.drained)
 		return
 	}
--- a/controlplane/coordinator/core.go
+++ b/controlplane/coordinator/core.go
@@ -35,7 +35,7 @@
 // Kept is what lies on disk.
 type Kept struct {
 	Disk     string                    `cbor:"1,keyasint"` // its identity
-	View     membership.Durable        `cbor:"2,keyasint"`
+	View     membership.DurableState   `cbor:"2,keyasint"`
 	Register chainreplication.Register `cbor:"3,keyasint"`
 	SyncedIn uint64                    `cbor:"4,keyasint"`
 
@@ -55,7 +55,7 @@
 	}
 	if k.Disk = addr + "/" + chance; firstStart {
 		k.Disk = addr + "/0"
-		if first := First(seeds); first.In(k.Disk) {
+		if first := First(seeds); first.HasVoter(k.Disk) {
 			k.View.View = first
 		}
 	}
@@ -98,9 +98,9 @@
 }
 
 type order struct {
-	o        chainreplication.Order
+	o        chainreplication.Command
 	entered  bool
-	at       chainreplication.Entered
+	at       chainreplication.Proposed
 	came     time.Duration
 	sentAt   time.Duration // to another machine; never: nothing of it is under way
 	again    time.Duration // when it may be sent once more
@@ -123,8 +123,8 @@
 
 // Core is one machine's part. Its calls are not made side by side.
 type Core struct {
-	view  *membership.Engine
-	chain *chainreplication.Engine
+	view  *membership.Node
+	chain *chainreplication.Replica
 	hints Hints
 
 	gen, saved, writing uint64
@@ -162,9 +162,9 @@
 
 // First is the view with which a system starts for the first time: its seeds, in order.
 func First(addrs []string) membership.View {
-	v := membership.View{N: 1}
+	v := membership.View{Number: 1}
 	for _, addr := range slices.Compact(slices.Sorted(slices.Values(addrs))) {
-		v.Roster = append(v.Roster, membership.Member{ID: addr + "/0", Addr: addr})
+		v.Voters = append(v.Voters, membership.Member{ID: addr + "/0", Addr: addr})
 		v.Chain = append(v.Chain, addr+"/0")
 	}
 	return v
@@ -172,7 +172,7 @@
 
 // Start begins with the view that was on disk.
 func (c *Core) Start(now time.Duration) Actions {
-	if c.view.View().N > 0 {
+	if c.view.View().Number > 0 {
 		c.adopted(now)
 	}
 	return c.flush(now)
@@ -180,7 +180,7 @@
 
 // Kept encodes what must be on disk now.
 func (c *Core) Kept() ([]byte, error) {
-	return cbor.Marshal(Kept{c.view.Self().ID, c.view.Durable(), c.chain.Held(), c.chain.SyncedIn(), c.hints.Lives()})
+	return cbor.Marshal(Kept{c.view.Self().ID, c.view.State(), c.chain.Held(), c.chain.SyncedView(), c.hints.Lives()})
 }
 
 // Self is this machine; View the view held; Register what is committed, if anything is known to be.
@@ -197,40 +197,40 @@
 // know what is committed here. Where its seat makes the number of voters even, it waits until that has been dropped.
 func (c *Core) Left(now time.Duration) bool {
 	v, id := c.view.View(), c.view.Self().ID
-	if !c.view.Leaving() || len(c.orders)+len(c.reads) > 0 {
+	if !c.view.IsLeaving() || len(c.orders)+len(c.reads) > 0 {
 		return false
 	}
-	if c.view.Forsaken(now) {
+	if c.view.HasNoSuccessor(now) {
 		return true
 	}
 	// Its seat must be somebody's, or one that nobody is there to take: a learner is about to, and an even roster drops it. That goes
 	// for the seat of a disk that this machine had before, too.
-	seat := slices.ContainsFunc(v.Roster, func(m membership.Member) bool { return m.Addr == c.view.Self().Addr })
-	if v.Place(id) >= 0 || v.In(id) && !c.view.Vouches(v.N) || seat && (len(v.Roster)%2 == 0 || len(v.Learners) > 0) {
+	seat := slices.ContainsFunc(v.Voters, func(m membership.Member) bool { return m.Addr == c.view.Self().Addr })
+	if v.Position(id) >= 0 || v.HasVoter(id) && !c.view.ConfirmsLatestView(v.Number) || seat && (len(v.Voters)%2 == 0 || len(v.Learners) > 0) {
 		return false
 	}
 	r, _ := c.chain.Committed()
 	hold := 0
-	for _, m := range v.Roster {
-		if v.Place(m.ID) >= 0 && c.view.Contact(now, m.ID) && c.view.Filled(m.ID, v.N) && c.told[m.ID] >= r.Seq {
+	for _, m := range v.Voters {
+		if v.Position(m.ID) >= 0 && c.view.HasContact(now, m.ID) && c.view.IsSynced(m.ID, v.Number) && c.told[m.ID] >= r.Sequence {
 			hold++
 		}
 	}
-	return hold >= v.Majority()
+	return hold >= v.Quorum()
 }
 
 // Lost has all contact with the others made anew, where this machine's clock may have stood still with it.
-func (c *Core) Lost(now time.Duration) { c.view.Lost(now) }
+func (c *Core) Lost(now time.Duration) { c.view.ResetContact(now) }
 
 // InTouch tells whether this machine's word counts and reaches a majority.
-func (c *Core) InTouch(now time.Duration) bool { return c.view.InTouch(now) }
+func (c *Core) InTouch(now time.Duration) bool { return c.view.HasQuorumContact(now) }
 
 // Peers lists the other machines; Heard tells whether one hears and is heard.
 func (c *Core) Peers(now time.Duration) []membership.Member { return c.view.Peers(now) }
-func (c *Core) Heard(now time.Duration, id string) bool     { return c.view.Heard(now, id) }
+func (c *Core) Heard(now time.Duration, id string) bool     { return c.view.IsReachable(now, id) }
 
 // Meet tells of addresses where other machines may be; they are greeted.
-func (c *Core) Meet(addrs []string) { c.view.Meet(addrs) }
+func (c *Core) Meet(addrs []string) { c.view.SetSeeds(addrs) }
 
 // Standing is what an operator sees of the core from one machine.
 type Standing struct {
@@ -265,31 +265,31 @@
 func (c *Core) Describe(now time.Duration) Standing {
 	v, self := c.view.View(), c.view.Self()
 	r, _ := c.chain.Committed()
-	s := Standing{Self: self.ID, InTouch: c.view.InTouch(now), View: v.N, Version: fmt.Sprintf("%08x", r.Version), Committed: r.Seq,
-		Held: c.chain.Held().Seq, Out: slices.Sorted(maps.Keys(r.Out)), Disk: "well"}
+	s := Standing{Self: self.ID, InTouch: c.view.HasQuorumContact(now), View: v.Number, Version: fmt.Sprintf("%08x", r.Version), Committed: r.Sequence,
+		Held: c.chain.Held().Sequence, Out: slices.Sorted(maps.Keys(r.EvacuatedZones)), Disk: "well"}
 	if c.sick {
 		s.Disk = "sick"
 	}
 	for _, m := range v.Members() {
-		if known, ok := c.view.Known(m.ID); ok {
+		if known, ok := c.view.KnownMember(m.ID); ok {
 			m = known
 		}
-		i := MemberInfo{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Call: m.Call, Place: v.Place(m.ID), Learns: v.Learns(m.ID), Fresh: slices.Contains(v.Fresh, m.ID) && c.chain.CommittedIn() != v.N,
-			Heard: c.view.Heard(now, m.ID), Lag: -1}
+		i := MemberInfo{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Call: m.APIAddr, Place: v.Position(m.ID), Learns: v.HasLearner(m.ID), Fresh: slices.Contains(v.Unsynced, m.ID) && c.chain.CommittedView() != v.Number,
+			Heard: c.view.IsReachable(now, m.ID), Lag: -1}
 		if m.ID == self.ID {
-			i.Zone, i.Call, i.Heard, i.Lag = self.Zone, self.Call, true, 0
+			i.Zone, i.Call, i.Heard, i.Lag = self.Zone, self.APIAddr, true, 0
 		} else if seq, ok := c.told[m.ID]; ok {
-			i.Lag = max(int64(r.Seq)-int64(seq), 0)
+			i.Lag = max(int64(r.Sequence)-int64(seq), 0)
 		}
 		if i.Place >= 0 && i.Heard && !i.Fresh && !i.Learns && i.Lag == 0 {
 			s.Disks++
 		}
 		s.Members = append(s.Members, i)
 	}
-	if most := len(v.Roster) - v.Majority(); s.Disks > most {
+	if most := len(v.Voters) - v.Quorum(); s.Disks > most {
 		s.Enough = true
 	} else {
-		s.Missing = fmt.Sprintf("%d of %d disks are known to hold what is committed; %d may be lost at once", s.Disks, len(v.Roster), most)
+		s.Missing = fmt.Sprintf("%d of %d disks are known to hold what is committed; %d may be lost at once", s.Disks, len(v.Voters), most)
 	}
 	return s
 }
@@ -299,11 +299,11 @@
 	if c.busy && now-c.busySince > slowDisk {
 		c.setSick(true, "slow")
 	}
-	if c.chain.Settled() {
-		c.view.SetSettled(c.chain.CommittedIn())
+	if c.chain.ChainSynced() {
+		c.view.SetCommittedView(c.chain.CommittedView())
 	}
 	if c.gen == c.saved {
-		c.view.SetFilled(c.chain.SyncedIn())
+		c.view.SetSyncedView(c.chain.SyncedView())
 	}
 	c.viewed(now, c.view.Tick(now))
 	c.chained(c.chain.Tick(now))
@@ -319,37 +319,37 @@
 func (c *Core) receive(now time.Duration, from membership.Member, m Message) {
 	switch {
 	case m.View != nil:
-		c.viewed(now, c.view.Receive(now, *m.View))
+		c.viewed(now, c.view.Step(now, *m.View))
 		c.stood()
 		if k := m.Committed; k != nil {
 			c.told[from.ID] = k.Seq
-			c.chained(c.chain.Lacks(now, from.ID, k.Seq, k.Known))
+			c.chained(c.chain.SendCatchUp(now, from.ID, k.Seq, k.Known))
 		}
 	case m.Chain != nil:
-		c.chained(c.chain.Receive(now, *m.Chain))
+		c.chained(c.chain.Step(now, *m.Chain))
 	case m.Enter != nil:
 		// An order that was held up may have been given again by another way, answered, and undone since: operators' calls
 		// have no number, so it must not take effect any more. Its age is told by this machine's own clock, since its sender
 		// last heard it; the sender answers nobody before what it sent is too old to count.
 		ans := &messages.Entered{Token: m.Enter.Token, Clock: c.view.Clock(now)}
-		if c.view.Younger(now, m.Enter.Echo, enterStale) && c.chain.Head() && c.view.InTouch(now) && !c.sick {
-			at, out := c.chain.Enter(now, m.Enter.Order)
-			ans.N, ans.Seq, ans.Conflicts, ans.OK = at.N, at.Seq, at.Conflicts, true
+		if c.view.IsRecentReading(now, m.Enter.Echo, enterStale) && c.chain.IsHead() && c.view.HasQuorumContact(now) && !c.sick {
+			at, out := c.chain.Propose(now, m.Enter.Order)
+			ans.N, ans.Seq, ans.Conflicts, ans.OK = at.ViewNumber, at.Sequence, at.Conflicts, true
 			c.chained(out)
 		}
 		// Not before it is on this disk: a head that is killed and back within the same view would else give its place to another
 		// order, by which this one would be acknowledged.
 		c.send(from, Message{Entered: ans}, ans.OK)
 	case m.Entered != nil:
-		c.view.Heed(now, from.ID, m.Entered.Clock)
+		c.view.ObserveClock(now, from.ID, m.Entered.Clock)
 		c.stood()
 		if o := c.orders[m.Entered.Token]; o != nil && m.Entered.OK {
-			o.entered, o.at = true, chainreplication.Entered{N: m.Entered.N, Seq: m.Entered.Seq, Conflicts: m.Entered.Conflicts}
+			o.entered, o.at = true, chainreplication.Proposed{ViewNumber: m.Entered.N, Sequence: m.Entered.Seq, Conflicts: m.Entered.Conflicts}
 		} else if o != nil && !o.prompt { // now that its clock is known, at once
 			o.prompt, o.again = true, now
 		}
 	case m.Confirm != nil:
-		c.send(from, Message{Confirmed: &messages.Confirm{Token: m.Confirm.Token, N: m.Confirm.N, OK: c.view.Vouches(m.Confirm.N)}}, true)
+		c.send(from, Message{Confirmed: &messages.Confirm{Token: m.Confirm.Token, N: m.Confirm.N, OK: c.view.ConfirmsLatestView(m.Confirm.N)}}, true)
 	case m.Confirmed != nil:
 		if r := c.reads[m.Confirmed.Token]; r != nil && m.Confirmed.OK && m.Confirmed.N == r.n {
 			r.votes[from.ID] = true
@@ -360,7 +360,7 @@
 // stood lets go of the orders at hand where this machine stood still with its clock: they may have lain in its sockets, been given
 // again elsewhere and undone since. What has entered the chain goes its way.
 func (c *Core) stood() {
-	if !c.view.Stood() {
+	if !c.view.TakeStandstill() {
 		return
 	}
 	c.out.Stood = true
@@ -371,7 +371,7 @@
 
 // Order takes a caller's order. Its Answer comes now or later: 200 once it is committed, or, where others were confirmed
 // under its number with other content, 409 once that is; else 503.
-func (c *Core) Order(now time.Duration, o chainreplication.Order) (uint64, Actions) {
+func (c *Core) Order(now time.Duration, o chainreplication.Command) (uint64, Actions) {
 	c.token++
 	o.ID = xxhash.Sum64String(fmt.Sprint(c.view.Self().ID, " ", c.life, " ", c.token))
 	c.orders[c.token] = &order{o: o, came: now, deadline: now + AnswerWithin, sentAt: never, again: now}
@@ -386,18 +386,18 @@
 	c.token++
 	v := c.view.View()
 	switch {
-	case !c.view.InTouch(now):
+	case !c.view.HasQuorumContact(now):
 		c.out.Answers = append(c.out.Answers, Answer{Token: c.token, Status: http.StatusServiceUnavailable})
-	case v.Place(c.view.Self().ID) < 0:
+	case v.Position(c.view.Self().ID) < 0:
 		a, tail := Answer{Token: c.token, Status: http.StatusServiceUnavailable}, ""
 		for _, p := range c.view.Peers(now) { // the last that votes: it holds all that is committed
-			if p.Call != "" && v.In(p.ID) && v.Place(p.ID) >= 0 && (a.Where == "" || v.Place(p.ID) > v.Place(tail)) {
-				a.Status, a.Where, tail = http.StatusTemporaryRedirect, p.Call, p.ID
+			if p.APIAddr != "" && v.HasVoter(p.ID) && v.Position(p.ID) >= 0 && (a.Where == "" || v.Position(p.ID) > v.Position(tail)) {
+				a.Status, a.Where, tail = http.StatusTemporaryRedirect, p.APIAddr, p.ID
 			}
 		}
 		c.out.Answers = append(c.out.Answers, a)
 	default:
-		c.reads[c.token] = &read{votes: map[string]bool{}, n: v.N, seq: c.chain.Held().Seq, deadline: now + AnswerWithin}
+		c.reads[c.token] = &read{votes: map[string]bool{}, n: v.Number, seq: c.chain.Held().Sequence, deadline: now + AnswerWithin}
 	}
 	return c.token, c.flush(now)
 }
@@ -426,7 +426,7 @@
 		return
 	}
 	c.sick = sick
-	c.view.SetSick(sick)
+	c.view.SetDiskUnhealthy(sick)
 	if c.out.Sick = "well"; sick {
 		c.out.Sick = why
 	}
@@ -446,38 +446,38 @@
 	c.out.Send = append(c.out.Send, Send{to.Addr, m})
 }
 
-func (c *Core) viewed(now time.Duration, o membership.Output) {
-	if o.Save {
+func (c *Core) viewed(now time.Duration, o membership.Ready) {
+	if o.MustSave {
 		c.gen++
 	}
-	for _, s := range o.Send {
+	for _, s := range o.Messages {
 		m := Message{View: &s.Message}
-		if s.Message.Kind == membership.Beat {
+		if s.Message.Kind == membership.Heartbeat {
 			r, known := c.chain.Committed()
-			m.Committed = &messages.Committed{Seq: r.Seq, Known: known}
+			m.Committed = &messages.Committed{Seq: r.Sequence, Known: known}
 		}
-		c.send(s.To, m, s.Durable)
+		c.send(s.To, m, s.AfterSave)
 	}
-	if o.Adopted {
+	if o.ViewInstalled {
 		c.adopted(now)
 	}
 }
 
 func (c *Core) adopted(now time.Duration) {
 	c.out.Viewed = true
-	c.chained(c.chain.Adopt(now, c.view.View()))
+	c.chained(c.chain.InstallView(now, c.view.View()))
 }
 
-func (c *Core) chained(o chainreplication.Output) {
-	if o.Save {
+func (c *Core) chained(o chainreplication.Ready) {
+	if o.MustSave {
 		c.gen++
 	}
-	for _, s := range o.Send {
+	for _, s := range o.Messages {
 		if to, ok := c.member(s.To); ok {
-			c.send(to, Message{Chain: &s.Message}, s.Durable)
+			c.send(to, Message{Chain: &s.Message}, s.AfterSave)
 		}
 	}
-	c.out.Committed = c.out.Committed || o.Committed
+	c.out.Committed = c.out.Committed || o.CommittedChanged
 }
 
 func (c *Core) member(id string) (membership.Member, bool) {
@@ -489,7 +489,7 @@
 			return m, true
 		}
 	}
-	return c.view.Known(id)
+	return c.view.KnownMember(id)
 }
 
 // flush brings everything as far as it goes and returns what is to be done.
@@ -519,17 +519,17 @@
 // advance moves orders and reads on as far as they go.
 func (c *Core) advance(now time.Duration) {
 	v := c.view.View()
-	touch := c.view.InTouch(now)
+	touch := c.view.HasQuorumContact(now)
 	r, known := c.chain.Committed()
-	var outs []chainreplication.Output
+	var outs []chainreplication.Ready
 	for _, token := range slices.Sorted(maps.Keys(c.orders)) {
 		x := c.orders[token]
-		if x.entered && v.N != x.at.N {
+		if x.entered && v.Number != x.at.ViewNumber {
 			x.entered = false // that head's word counts no more; each order may be entered again, and is taken once
 		}
 		status := 0
 		switch {
-		case x.entered && known && c.chain.CommittedIn() == x.at.N && r.Seq >= x.at.Seq:
+		case x.entered && known && c.chain.CommittedView() == x.at.ViewNumber && r.Sequence >= x.at.Sequence:
 			if status = http.StatusOK; x.at.Conflicts {
 				status = http.StatusConflict
 			}
@@ -541,10 +541,10 @@
 			if v.Chain[0] != c.view.Self().ID {
 				if m, ok := c.member(v.Chain[0]); ok {
 					x.sentAt = now
-					c.send(m, Message{Enter: &messages.Enter{Token: token, Order: x.o, Echo: c.view.ClockOf(m.ID)}}, false)
+					c.send(m, Message{Enter: &messages.Enter{Token: token, Order: x.o, Echo: c.view.PeerClock(m.ID)}}, false)
 				}
 			} else if !c.sick {
-				at, out := c.chain.Enter(now, x.o)
+				at, out := c.chain.Propose(now, x.o)
 				x.entered, x.at = true, at
 				outs = append(outs, out)
 			}
@@ -558,16 +558,16 @@
 		x := c.reads[token]
 		a := Answer{Token: token}
 		switch {
-		case !touch || now > x.deadline || v.N != x.n:
+		case !touch || now > x.deadline || v.Number != x.n:
 			a.Status = http.StatusServiceUnavailable
-		case len(x.votes) >= v.Majority() && c.chain.CommittedIn() == v.N && known && r.Seq >= x.seq:
+		case len(x.votes) >= v.Quorum() && c.chain.CommittedView() == v.Number && known && r.Sequence >= x.seq:
 			if a.Status, a.Body = http.StatusOK, r.Body; len(r.Body) == 0 {
 				a.Status = http.StatusNotFound
 			}
 		case !x.asked:
 			x.asked = true
-			for _, m := range v.Roster {
-				c.send(m, Message{Confirm: &messages.Confirm{Token: token, N: v.N}}, false)
+			for _, m := range v.Voters {
+				c.send(m, Message{Confirm: &messages.Confirm{Token: token, N: v.Number}}, false)
 			}
 		}
 		if a.Status != 0 {
--- a/controlplane/coordinator/core_test.go
+++ b/controlplane/coordinator/core_test.go
@@ -86,7 +86,7 @@
 	}
 	k.Begin(addr, n.seeds, first, fmt.Sprint("w", b.life))
 	r := rand.New(rand.NewPCG(uint64(len(addr)), uint64(n.seq)))
-	b.core = New(membership.Member{ID: k.Disk, Addr: addr, Zone: "z", Call: addr}, k, n.seeds, r.Float64, noHints{})
+	b.core = New(membership.Member{ID: k.Disk, Addr: addr, Zone: "z", APIAddr: addr}, k, n.seeds, r.Float64, noHints{})
 	b.disk, _ = b.core.Kept()
 	n.do(b, b.core.Start(n.local(b)))
 	n.tick(b, b.life)
@@ -164,7 +164,7 @@
 	}
 }
 
-func (n *net) order(addr, what string, o chainreplication.Order) {
+func (n *net) order(addr, what string, o chainreplication.Command) {
 	b := n.boxes[addr]
 	n.run(b, b.life, func() {
 		token, a := b.core.Order(n.local(b), o)
@@ -205,12 +205,12 @@
 	}
 }
 
-func config(version uint64, body string) chainreplication.Order {
-	return chainreplication.Order{Version: version, Body: []byte(body)}
+func config(version uint64, body string) chainreplication.Command {
+	return chainreplication.Command{Version: version, Body: []byte(body)}
 }
 
 func (n *net) voters(addr string) (ids []string) {
-	for _, m := range n.boxes[addr].core.View().Roster {
+	for _, m := range n.boxes[addr].core.View().Voters {
 		ids = append(ids, m.Addr)
 	}
 	slices.Sort(ids)
@@ -438,16 +438,16 @@
 // TestTakenOnce guards against an order that is entered at a second head after its first had taken it: an evacuation was begun
 // again although it had been taken back, and acknowledged, in between.
 func TestTakenOnce(t *testing.T) {
-	out, in := chainreplication.Order{ID: 1, Zone: "z", Out: true}, chainreplication.Order{ID: 2, Zone: "z"}
+	out, in := chainreplication.Command{ID: 1, Zone: "z", Evacuated: true}, chainreplication.Command{ID: 2, Zone: "z"}
 	r := chainreplication.Register{}.Apply(out).Apply(in)
-	if again := r.Apply(out); again.Out["z"] || again.Seq != r.Seq {
+	if again := r.Apply(out); again.EvacuatedZones["z"] || again.Sequence != r.Sequence {
 		t.Error("an order that was taken takes effect again")
 	}
 	for i := range uint64(500) {
-		r = r.Apply(chainreplication.Order{ID: 10 + i, Version: 1 + i, Body: []byte(fmt.Sprint(i))})
+		r = r.Apply(chainreplication.Command{ID: 10 + i, Version: 1 + i, Body: []byte(fmt.Sprint(i))})
 	}
-	if len(r.Taken) > 64 || len(r.Claims) > 64 {
-		t.Errorf("%d orders and %d numbers are remembered after 500 changes", len(r.Taken), len(r.Claims))
+	if len(r.AppliedCommands) > 64 || len(r.Claims) > 64 {
+		t.Errorf("%d orders and %d numbers are remembered after 500 changes", len(r.AppliedCommands), len(r.Claims))
 	}
 	// Guards a number that many lower ones, which come after it and change nothing, would push out: found by the apiary.
 	high := chainreplication.Register{}.Apply(config(9000, "one"))
@@ -455,7 +455,7 @@
 		high = high.Apply(config(8000+i, fmt.Sprint(i)))
 	}
 	high = high.Apply(config(9001, "next"))
-	if !high.Conflicts(config(9000, "two")) || high.Conflicts(config(9000, "one")) || len(high.Claims) > 64 {
+	if !high.ConflictsWith(config(9000, "two")) || high.ConflictsWith(config(9000, "one")) || len(high.Claims) > 64 {
 		t.Errorf("the highest number is forgotten after 200 lower ones")
 	}
 }
@@ -472,20 +472,20 @@
 			}
 			return time.Millisecond
 		}
-		n.order("c", "start", chainreplication.Order{Zone: "z", Out: true})
+		n.order("c", "start", chainreplication.Command{Zone: "z", Evacuated: true})
 		for range 20 { // as soon as the caller is let go it goes to another machine, and then takes it back
 			if n.pass(50 * time.Millisecond); n.answers["start"].Status != 0 {
 				break
 			}
 		}
-		n.order("b", "start again", chainreplication.Order{Zone: "z", Out: true})
+		n.order("b", "start again", chainreplication.Command{Zone: "z", Evacuated: true})
 		n.pass(20 * time.Millisecond)
 		n.wants("start again", http.StatusOK)
-		n.order("b", "finish", chainreplication.Order{Zone: "z"})
+		n.order("b", "finish", chainreplication.Command{Zone: "z"})
 		n.pass(20 * time.Millisecond)
 		n.wants("finish", http.StatusOK)
 		n.pass(2 * time.Second)
-		if r, _ := n.boxes["a"].core.Register(); r.Out["z"] {
+		if r, _ := n.boxes["a"].core.Register(); r.EvacuatedZones["z"] {
 			t.Errorf("an order that was %v on its way undid a newer one", late)
 		}
 	}
@@ -589,8 +589,8 @@
 	d := n.start("d", false)
 	for range 3000 {
 		n.pass(time.Millisecond)
-		if d.core.InTouch(n.local(d)) && !n.boxes["a"].core.View().In(d.core.Self().ID) {
-			t.Fatalf("in touch %v after its start, by view %d; the others are in %d", n.now-d.began, d.core.View().N, n.boxes["a"].core.View().N)
+		if d.core.InTouch(n.local(d)) && !n.boxes["a"].core.View().HasVoter(d.core.Self().ID) {
+			t.Fatalf("in touch %v after its start, by view %d; the others are in %d", n.now-d.began, d.core.View().Number, n.boxes["a"].core.View().Number)
 		}
 	}
 	if !d.core.InTouch(n.local(d)) {
@@ -640,7 +640,7 @@
 				taken++
 			}
 		}
-		if views := n.boxes["a"].core.View().N - before.N; views > 0 || taken < 20 {
+		if views := n.boxes["a"].core.View().Number - before.Number; views > 0 || taken < 20 {
 			t.Errorf("the link %v is cut: %d views in 20 s, %d of 20 orders taken", two, views, taken)
 		}
 	}
@@ -706,7 +706,7 @@
 		n.order("e", "order", config(1, "one"))
 		n.pass(time.Second)
 		n.wants("order", http.StatusOK)
-		if e := n.boxes["e"].core; e.View().Place(e.Self().ID) < 0 {
+		if e := n.boxes["e"].core; e.View().Position(e.Self().ID) < 0 {
 			t.Errorf("cut off for %v: not in the chain 4 s after", span)
 		}
 	}
@@ -721,7 +721,7 @@
 		for _, addr := range []string{"b", "c", "a"} {
 			x := n.boxes[addr]
 			x.still = true
-			late := func() { n.order(addr, "late "+addr, chainreplication.Order{Zone: "z", Out: true}) }
+			late := func() { n.order(addr, "late "+addr, chainreplication.Command{Zone: "z", Evacuated: true}) }
 			if order == "before" {
 				n.run(x, x.life, late)
 			}
@@ -732,7 +732,7 @@
 			x.lag += 20 * time.Second
 			n.thaw(addr)
 			n.pass(3 * time.Second)
-			if r, _ := n.boxes["a"].core.Register(); r.Out["z"] {
+			if r, _ := n.boxes["a"].core.Register(); r.EvacuatedZones["z"] {
 				t.Errorf("%s: an order that lay 20 s in the socket of %s takes effect", order, addr)
 			}
 			if n.answers["late "+addr].Status == http.StatusOK {
@@ -750,13 +750,13 @@
 		n := newNet(t, "a", "b", "c")
 		n.pass(3 * time.Second)
 		n.writes = 10 * time.Millisecond
-		n.order("b", "lost", chainreplication.Order{Zone: "z", Out: true})
+		n.order("b", "lost", chainreplication.Command{Zone: "z", Evacuated: true})
 		n.pass(at)
 		n.start("a", false)
 		n.order("c", "other", config(1, "one"))
 		n.pass(900 * time.Millisecond)
 		r, _ := n.boxes["a"].core.Register()
-		if a := n.answers["lost"]; a.Status == http.StatusOK && !r.Out["z"] {
+		if a := n.answers["lost"]; a.Status == http.StatusOK && !r.EvacuatedZones["z"] {
 			t.Fatalf("killed after %v: an order that nobody holds is acknowledged", at)
 		}
 	}
@@ -783,10 +783,10 @@
 		}
 		n.cutOff("a", false)
 		n.pass(after)
-		n.order("a", "old head's", chainreplication.Order{Zone: "z", Out: true})
+		n.order("a", "old head's", chainreplication.Command{Zone: "z", Evacuated: true})
 		n.pass(2 * time.Second)
 		r, _ := n.boxes["b"].core.Register()
-		if n.answers["old head's"].Status == http.StatusOK && !r.Out["z"] {
+		if n.answers["old head's"].Status == http.StatusOK && !r.EvacuatedZones["z"] {
 			t.Fatalf("%v after the cut: an order is acknowledged that the others do not hold", after)
 		}
 	}
--- a/controlplane/membership/view.go
+++ b/controlplane/membership/view.go
@@ -22,90 +22,90 @@
 type Time = time.Duration
 
 const (
-	BeatEvery    = 200 * time.Millisecond // beats go to every peer this often
-	suspectAfter = 800 * time.Millisecond // a peer silent for so long is taken for lost
-	sureAfter    = 200 * time.Millisecond // a change must have been wanted for so long
-	settleFor    = 300 * time.Millisecond // a joiner must have been in touch for so long
-	rankWait     = 300 * time.Millisecond // each further machine in the chain waits so much longer to propose
-	proposalMost = 500 * time.Millisecond // a proposal without an outcome is given up
-	forgetAfter  = 20 * time.Second       // a stranger that is not in the roster is forgotten
-	heldUp       = 400 * time.Millisecond // between two ticks: then it was we who were held up
-	stoodFor     = 500 * time.Millisecond // that another's clock gained on ours: then ours stood still
-	driftPart    = 100                    // clocks differ by less than one part in so many
-	contactFor   = time.Second            // contact by a word of ours that was answered lasts so long from its sending
-	goneAfter    = 2 * time.Second        // a voter out of the chain for so long may give its seat to a successor
-	emptyAfter   = 12 * time.Second       // two voters gone for so long are dropped without successors
-	fewest       = 3                      // voters below which none is dropped without a successor
+	HeartbeatInterval       = 200 * time.Millisecond // beats go to every peer this often
+	suspectTimeout          = 800 * time.Millisecond // a peer silent for so long is taken for lost
+	changeConfirmationDelay = 200 * time.Millisecond // a change must have been wanted for so long
+	joinStabilityPeriod     = 300 * time.Millisecond // a joiner must have been in touch for so long
+	proposerStagger         = 300 * time.Millisecond // each further machine in the chain waits so much longer to propose
+	proposalTimeout         = 500 * time.Millisecond // a proposal without an outcome is given up
+	forgetTimeout           = 20 * time.Second       // a stranger that is not in the roster is forgotten
+	maxTickGap              = 400 * time.Millisecond // between two ticks: then it was we who were held up
+	standstillThreshold     = 500 * time.Millisecond // that another's clock gained on ours: then ours stood still
+	clockDriftDivisor       = 100                    // clocks differ by less than one part in so many
+	contactLease            = time.Second            // contact by a word of ours that was answered lasts so long from its sending
+	replacementTimeout      = 2 * time.Second        // a voter out of the chain for so long may give its seat to a successor
+	pairRemovalTimeout      = 12 * time.Second       // two voters gone for so long are dropped without successors
+	minVoters               = 3                      // voters below which none is dropped without a successor
 )
 
 // Member is a core machine.
 type Member struct {
-	ID   string `cbor:"1,keyasint"` // its disk's identity
-	Addr string `cbor:"2,keyasint"` // where governors call it
-	Zone string `cbor:"3,keyasint,omitempty"`
-	Call string `cbor:"4,keyasint,omitempty"` // where replicas and operators call it
+	ID      string `cbor:"1,keyasint"` // its disk's identity
+	Addr    string `cbor:"2,keyasint"` // where governors call it
+	Zone    string `cbor:"3,keyasint,omitempty"`
+	APIAddr string `cbor:"4,keyasint,omitempty"` // where replicas and operators call it
 }
 
 // View is one agreed state of the core. It is not changed once made.
 type View struct {
-	N      uint64   `cbor:"1,keyasint"`
-	Roster []Member `cbor:"2,keyasint"`
+	Number uint64   `cbor:"1,keyasint"`
+	Voters []Member `cbor:"2,keyasint"`
 	Chain  []string `cbor:"3,keyasint"` // identities, head first
 
 	// Fresh names those of the chain that may not hold yet what their predecessors hold. None of them may become the
 	// head before a commit in this view has shown that it was filled.
-	Fresh []string `cbor:"4,keyasint,omitempty"`
+	Unsynced []string `cbor:"4,keyasint,omitempty"`
 
 	// Learners stand in the chain and are filled there; their word does not count. One at a time.
 	Learners []Member `cbor:"5,keyasint,omitempty"`
 }
 
-// In tells whether an identity's word counts in the view.
-func (v View) In(id string) bool {
-	return slices.ContainsFunc(v.Roster, func(m Member) bool { return m.ID == id })
+// HasVoter tells whether an identity's word counts in the view.
+func (v View) HasVoter(id string) bool {
+	return slices.ContainsFunc(v.Voters, func(m Member) bool { return m.ID == id })
 }
 
-// Learns tells whether an identity is a learner's.
-func (v View) Learns(id string) bool {
+// HasLearner tells whether an identity is a learner's.
+func (v View) HasLearner(id string) bool {
 	return slices.ContainsFunc(v.Learners, func(m Member) bool { return m.ID == id })
 }
 
 // Members lists voters and learners.
-func (v View) Members() []Member { return append(slices.Clone(v.Roster), v.Learners...) }
+func (v View) Members() []Member { return append(slices.Clone(v.Voters), v.Learners...) }
 
-// Place is an identity's place in the chain, or -1.
-func (v View) Place(id string) int { return slices.Index(v.Chain, id) }
+// Position is an identity's place in the chain, or -1.
+func (v View) Position(id string) int { return slices.Index(v.Chain, id) }
 
-// Majority is how many of the roster must agree.
-func (v View) Majority() int { return len(v.Roster)/2 + 1 }
+// Quorum is how many of the roster must agree.
+func (v View) Quorum() int { return len(v.Voters)/2 + 1 }
 
 // Ballot orders proposals.
 type Ballot struct {
-	Round uint64 `cbor:"1,keyasint"`
-	By    string `cbor:"2,keyasint"`
+	Round    uint64 `cbor:"1,keyasint"`
+	Proposer string `cbor:"2,keyasint"`
 }
 
 // Less tells whether b comes before c.
 func (b Ballot) Less(c Ballot) bool {
-	return cmp.Or(cmp.Compare(b.Round, c.Round), cmp.Compare(b.By, c.By)) < 0
+	return cmp.Or(cmp.Compare(b.Round, c.Round), cmp.Compare(b.Proposer, c.Proposer)) < 0
 }
 
-// Durable is what must be on stable storage before what rests on it is told.
-type Durable struct {
-	View     View   `cbor:"1,keyasint"`
-	Promised Ballot `cbor:"2,keyasint"` // of the agreement on view N+1, as the next two
-	Accepted Ballot `cbor:"3,keyasint"`
-	Value    *View  `cbor:"4,keyasint,omitempty"`
+// DurableState is what must be on stable storage before what rests on it is told.
+type DurableState struct {
+	View           View   `cbor:"1,keyasint"`
+	PromisedBallot Ballot `cbor:"2,keyasint"` // of the agreement on view N+1, as the next two
+	AcceptedBallot Ballot `cbor:"3,keyasint"`
+	AcceptedView   *View  `cbor:"4,keyasint,omitempty"`
 }
 
-// Kind tells messages apart.
-type Kind uint8
+// MessageKind tells messages apart.
+type MessageKind uint8
 
 const (
-	Beat Kind = iota + 1
+	Heartbeat MessageKind = iota + 1
 	Prepare
 	Promise
-	Refuse
+	Reject
 	Accept
 	Accepted
 	Decided
@@ -113,72 +113,72 @@
 
 // Message is what core machines say to one another about views.
 type Message struct {
-	Kind   Kind   `cbor:"1,keyasint"`
-	From   Member `cbor:"2,keyasint"`
-	N      uint64 `cbor:"3,keyasint,omitempty"` // beats: the view held; else the number agreed on
-	Ballot Ballot `cbor:"4,keyasint,omitempty"`
-	Held   Ballot `cbor:"5,keyasint,omitempty"` // Promise: accepted before; Refuse: promised
-	View   *View  `cbor:"6,keyasint,omitempty"` // Prepare: the view before; Accept, Decided: the view itself
-	Sick   bool   `cbor:"7,keyasint,omitempty"` // beats: its disk does not take writes
-
-	Clock   Stamp            `cbor:"8,keyasint,omitempty"`  // beats: the sender's, at sending
-	Heard   map[string]Stamp `cbor:"9,keyasint,omitempty"`  // beats: whom the sender hears, and their clocks as it last heard
-	Leaving bool             `cbor:"10,keyasint,omitempty"` // beats: it has been told to end
-	Ask     bool             `cbor:"11,keyasint,omitempty"` // beats: it is not in touch, and wants a beat at once
-	Filled  uint64           `cbor:"12,keyasint,omitempty"` // beats: the last view in which it was filled, on its disk
-}
-
-// Stamp is a reading of one life's steady clock. A machine that hears its own one back knows that whoever sent it has
+	Kind          MessageKind `cbor:"1,keyasint"`
+	From          Member      `cbor:"2,keyasint"`
+	ViewNumber    uint64      `cbor:"3,keyasint,omitempty"` // beats: the view held; else the number agreed on
+	Ballot        Ballot      `cbor:"4,keyasint,omitempty"`
+	PriorBallot   Ballot      `cbor:"5,keyasint,omitempty"` // Promise: accepted before; Refuse: promised
+	View          *View       `cbor:"6,keyasint,omitempty"` // Prepare: the view before; Accept, Decided: the view itself
+	DiskUnhealthy bool        `cbor:"7,keyasint,omitempty"` // beats: its disk does not take writes
+
+	Clock          ClockReading            `cbor:"8,keyasint,omitempty"`  // beats: the sender's, at sending
+	Echoes         map[string]ClockReading `cbor:"9,keyasint,omitempty"`  // beats: whom the sender hears, and their clocks as it last heard
+	Leaving        bool                    `cbor:"10,keyasint,omitempty"` // beats: it has been told to end
+	ReplyRequested bool                    `cbor:"11,keyasint,omitempty"` // beats: it is not in touch, and wants a beat at once
+	SyncedView     uint64                  `cbor:"12,keyasint,omitempty"` // beats: the last view in which it was filled, on its disk
+}
+
+// ClockReading is a reading of one life's steady clock. A machine that hears its own one back knows that whoever sent it has
 // heard a word that left after that time.
-type Stamp struct {
-	Life uint64 `cbor:"1,keyasint"` // drawn at each start: clocks begin at nothing
-	At   Time   `cbor:"2,keyasint"`
+type ClockReading struct {
+	Incarnation uint64 `cbor:"1,keyasint"` // drawn at each start: clocks begin at nothing
+	Elapsed     Time   `cbor:"2,keyasint"`
 }
 
-// Send is an action: a message to a peer's address. With Durable set it must wait until what is held now is on
+// Outbound is an action: a message to a peer's address. With Durable set it must wait until what is held now is on
 // stable storage.
-type Send struct {
-	To      Member
-	Message Message
-	Durable bool
+type Outbound struct {
+	To        Member
+	Message   Message
+	AfterSave bool
 }
 
 type peer struct {
 	Member
-	heard   Time // last beat
-	since   Time // in touch without a gap since
-	hearsMe bool
-	hears   map[string]Stamp // whom it hears
-	sick    bool
-	sickAt  Time // since
-	leaving bool
-	filled  uint64
-	clock   Stamp // its own, as last heard
-	ahead   Time  // of ours, as far as is believed, since aheadAt: words are late, never early
-	aheadAt Time
-	asked   Time // when the newest word of ours was sent that it is known to have heard; contact counts from there
-}
-
-// Engine is one core machine's part. Make it with New.
-type Engine struct {
-	self    Member
-	life    uint64
-	d       Durable
-	chance  func() float64
-	peers   map[string]*peer // by identity
-	sick    bool
-	leaving bool
-	ticked  Time
-	began   Time // the first tick, or the one after a standstill: before that, nobody could be heard
-	beatAt  Time
-	needed  Time // a change has been wanted since; 0: none is
-	round   uint64
-	out     []Send
-	adopted bool
-	changed bool
-	stood   bool
-
-	proposing struct {
+	lastHeard          Time // last beat
+	connectedSince     Time // in touch without a gap since
+	hearsMe            bool
+	echoes             map[string]ClockReading // whom it hears
+	diskUnhealthy      bool
+	diskUnhealthySince Time // since
+	leaving            bool
+	syncedView         uint64
+	clock              ClockReading // its own, as last heard
+	clockLead          Time         // of ours, as far as is believed, since aheadAt: words are late, never early
+	clockLeadAt        Time
+	lastEchoedSend     Time // when the newest word of ours was sent that it is known to have heard; contact counts from there
+}
+
+// Node is one core machine's part. Make it with New.
+type Node struct {
+	self              Member
+	incarnation       uint64
+	state             DurableState
+	random            func() float64
+	peers             map[string]*peer // by identity
+	diskUnhealthy     bool
+	leaving           bool
+	lastTick          Time
+	observingSince    Time // the first tick, or the one after a standstill: before that, nobody could be heard
+	nextHeartbeat     Time
+	changeWantedSince Time // a change has been wanted since; 0: none is
+	round             uint64
+	outbound          []Outbound
+	viewInstalled     bool
+	stateChanged      bool
+	stoodStill        bool
+
+	proposal struct {
 		on       bool
 		at       Time
 		ballot   Ballot
@@ -188,196 +188,198 @@
 		accepted map[string]bool
 		best     Ballot
 	}
-	waitUntil Time
-	settledIn uint64
-	filledIn  uint64
-	seeds     []string
+	backoffUntil  Time
+	committedView uint64
+	syncedView    uint64
+	seeds         []string
 }
 
 // New makes an engine from what was on disk. Seeds are addresses to greet until somebody is heard there.
-func New(self Member, d Durable, seeds []string, chance func() float64) *Engine {
-	return &Engine{self: self, life: uint64(chance() * (1 << 53)), d: d, seeds: seeds, chance: chance, peers: map[string]*peer{}, ticked: -1}
+func New(self Member, d DurableState, seeds []string, chance func() float64) *Node {
+	return &Node{self: self, incarnation: uint64(chance() * (1 << 53)), state: d, seeds: seeds, random: chance, peers: map[string]*peer{}, lastTick: -1}
 }
 
-// Meet replaces the addresses to greet until somebody is heard there.
-func (e *Engine) Meet(addrs []string) { e.seeds = addrs }
+// SetSeeds replaces the addresses to greet until somebody is heard there.
+func (node *Node) SetSeeds(addrs []string) { node.seeds = addrs }
 
-// Vouches tells whether this machine knows of no view after number n that may have been decided.
-func (e *Engine) Vouches(n uint64) bool {
-	return e.d.View.N == n && e.d.Value == nil && e.d.View.In(e.self.ID)
+// ConfirmsLatestView tells whether this machine knows of no view after number n that may have been decided.
+func (node *Node) ConfirmsLatestView(n uint64) bool {
+	return node.state.View.Number == n && node.state.AcceptedView == nil && node.state.View.HasVoter(node.self.ID)
 }
 
-// Known is a machine heard of, by its identity.
-func (e *Engine) Known(id string) (Member, bool) {
-	if p := e.peers[id]; p != nil {
+// KnownMember is a machine heard of, by its identity.
+func (node *Node) KnownMember(id string) (Member, bool) {
+	if p := node.peers[id]; p != nil {
 		return p.Member, true
 	}
 	return Member{}, false
 }
 
-// Heard tells whether a machine was heard lately and hears this one.
-func (e *Engine) Heard(now Time, id string) bool { return e.touch(now, id) }
+// IsReachable tells whether a machine was heard lately and hears this one.
+func (node *Node) IsReachable(now Time, id string) bool { return node.isReachable(now, id) }
 
-// Output is what a step brings.
-type Output struct {
-	Send    []Send
-	Save    bool // Durable changed
-	Adopted bool // another view is held now
+// Ready is what a step brings.
+type Ready struct {
+	Messages      []Outbound
+	MustSave      bool // Durable changed
+	ViewInstalled bool // another view is held now
 }
 
-func (e *Engine) flush() Output {
-	o := Output{Send: e.out, Save: e.changed, Adopted: e.adopted}
-	e.out, e.changed, e.adopted = nil, false, false
+func (node *Node) ready() Ready {
+	o := Ready{Messages: node.outbound, MustSave: node.stateChanged, ViewInstalled: node.viewInstalled}
+	node.outbound, node.stateChanged, node.viewInstalled = nil, false, false
 	return o
 }
 
-// Durable is the present state to be kept.
-func (e *Engine) Durable() Durable { return e.d }
+// State is the present state to be kept.
+func (node *Node) State() DurableState { return node.state }
 
 // View is the newest view known to be decided.
-func (e *Engine) View() View { return e.d.View }
+func (node *Node) View() View { return node.state.View }
 
-// SetSick tells whether the disk takes writes.
-func (e *Engine) SetSick(sick bool) { e.sick = sick }
+// SetDiskUnhealthy tells whether the disk takes writes.
+func (node *Node) SetDiskUnhealthy(sick bool) { node.diskUnhealthy = sick }
 
 // Leave has the others do without this machine; Leaving tells whether it was called.
-func (e *Engine) Leave()        { e.leaving = true }
-func (e *Engine) Leaving() bool { return e.leaving }
+func (node *Node) Leave()          { node.leaving = true }
+func (node *Node) IsLeaving() bool { return node.leaving }
 
-// Forsaken tells whether there is nobody to hand over to: every other voter that is heard has been told to end too, or
+// HasNoSuccessor tells whether there is nobody to hand over to: every other voter that is heard has been told to end too, or
 // there is no other one.
-func (e *Engine) Forsaken(now Time) bool {
+func (node *Node) HasNoSuccessor(now Time) bool {
 	heard := 0
-	for _, m := range e.d.View.Roster {
-		if p := e.peers[m.ID]; p != nil && e.touch(now, m.ID) {
+	for _, m := range node.state.View.Voters {
+		if p := node.peers[m.ID]; p != nil && node.isReachable(now, m.ID) {
 			if heard++; !p.leaving {
 				return false
 			}
 		}
 	}
-	return heard > 0 || len(e.d.View.Roster) <= 1
+	return heard > 0 || len(node.state.View.Voters) <= 1
 }
 
-// SetSettled tells the last view in which a commit was seen: by then all its chain was filled.
-func (e *Engine) SetSettled(n uint64) { e.settledIn = n }
+// SetCommittedView tells the last view in which a commit was seen: by then all its chain was filled.
+func (node *Node) SetCommittedView(n uint64) { node.committedView = n }
 
-// SetFilled tells the last view in which this machine's predecessor filled it, or whose head it was, once that is on its disk.
-func (e *Engine) SetFilled(n uint64) { e.filledIn = n }
+// SetSyncedView tells the last view in which this machine's predecessor filled it, or whose head it was, once that is on its disk.
+func (node *Node) SetSyncedView(n uint64) { node.syncedView = n }
 
 // Self is this machine.
-func (e *Engine) Self() Member { return e.self }
+func (node *Node) Self() Member { return node.self }
 
-func (e *Engine) touch(now Time, id string) bool {
-	p := e.peers[id]
-	return p != nil && now-p.heard < suspectAfter && p.hearsMe
+func (node *Node) isReachable(now Time, id string) bool {
+	p := node.peers[id]
+	return p != nil && now-p.lastHeard < suspectTimeout && p.hearsMe
 }
 
-func (e *Engine) sound(now Time, id string) bool {
-	if id == e.self.ID {
-		return !e.sick
+func (node *Node) isHealthy(now Time, id string) bool {
+	if id == node.self.ID {
+		return !node.diskUnhealthy
 	}
-	return e.touch(now, id) && !e.peers[id].sick
+	return node.isReachable(now, id) && !node.peers[id].diskUnhealthy
 }
 
-// InTouch tells whether this machine's word counts and a majority is known to have heard words of its own that are less
+// HasQuorumContact tells whether this machine's word counts and a majority is known to have heard words of its own that are less
 // than a second old. One that is not must refuse at once.
 //
 // The second is measured on this machine's own clock, from the sending: whatever lay in a socket while the machine stood
 // still or was cut off cannot prolong it. Should its clock have stood still with it, Lost is to be called.
-func (e *Engine) InTouch(now Time) bool {
-	if !e.d.View.In(e.self.ID) {
+func (node *Node) HasQuorumContact(now Time) bool {
+	if !node.state.View.HasVoter(node.self.ID) {
 		return false
 	}
 	n := 0
-	for _, m := range e.d.View.Roster {
-		if m.ID == e.self.ID || e.Contact(now, m.ID) {
+	for _, m := range node.state.View.Voters {
+		if m.ID == node.self.ID || node.HasContact(now, m.ID) {
 			n++
 		}
 	}
-	return n >= e.d.View.Majority()
+	return n >= node.state.View.Quorum()
 }
 
 // Clock is this machine's own clock, ClockOf another's as it was last heard. Heed takes a newer reading of another's clock
 // that came otherwise than with a beat.
-func (e *Engine) Clock(now Time) Stamp { return Stamp{e.life, now} }
+func (node *Node) Clock(now Time) ClockReading { return ClockReading{node.incarnation, now} }
 
-func (e *Engine) ClockOf(id string) Stamp {
-	if p := e.peers[id]; p != nil {
+func (node *Node) PeerClock(id string) ClockReading {
+	if p := node.peers[id]; p != nil {
 		return p.clock
 	}
-	return Stamp{}
+	return ClockReading{}
 }
 
-func (e *Engine) Heed(now Time, id string, s Stamp) {
-	if p := e.peers[id]; p != nil {
-		e.heed(now, p, s)
+func (node *Node) ObserveClock(now Time, id string, s ClockReading) {
+	if p := node.peers[id]; p != nil {
+		node.observeClock(now, p, s)
 	}
 }
 
-// heed takes a reading of another's clock. One that has gained on ours shows that ours stood still, with the machine: how late
+// observeClock takes a reading of another's clock. One that has gained on ours shows that ours stood still, with the machine: how late
 // words are changes, but none is early.
-func (e *Engine) heed(now Time, p *peer, s Stamp) {
-	ahead := s.At - now
-	drift := (now - p.aheadAt) / driftPart // what lay in a socket comes with each reading further ahead of the one before
+func (node *Node) observeClock(now Time, p *peer, s ClockReading) {
+	ahead := s.Elapsed - now
+	drift := (now - p.clockLeadAt) / clockDriftDivisor // what lay in a socket comes with each reading further ahead of the one before
 	switch {
-	case s.Life != p.clock.Life:
-		p.ahead = ahead
-	case ahead > p.ahead+drift+stoodFor:
-		e.Lost(now)
-		e.stood = true
-		p.ahead = ahead
+	case s.Incarnation != p.clock.Incarnation:
+		p.clockLead = ahead
+	case ahead > p.clockLead+drift+standstillThreshold:
+		node.ResetContact(now)
+		node.stoodStill = true
+		p.clockLead = ahead
 	default:
-		p.ahead = min(max(ahead, p.ahead-drift), p.ahead+drift)
+		p.clockLead = min(max(ahead, p.clockLead-drift), p.clockLead+drift)
 	}
-	p.aheadAt = now
+	p.clockLeadAt = now
 	p.clock = s
 }
 
-// Stood tells, once, that this machine was found to have stood still with its clock. Whatever comes from its sockets may be old.
-func (e *Engine) Stood() bool {
-	stood := e.stood
-	e.stood = false
+// TakeStandstill tells, once, that this machine was found to have stood still with its clock. Whatever comes from its sockets may be old.
+func (node *Node) TakeStandstill() bool {
+	stood := node.stoodStill
+	node.stoodStill = false
 	return stood
 }
 
-// Younger tells whether a reading of this machine's own clock, which others send back, is of this life and not older than most.
-func (e *Engine) Younger(now Time, s Stamp, most Time) bool {
-	return s.Life == e.life && s.At <= now && now-s.At <= most
+// IsRecentReading tells whether a reading of this machine's own clock, which others send back, is of this life and not older than most.
+func (node *Node) IsRecentReading(now Time, s ClockReading, most Time) bool {
+	return s.Incarnation == node.incarnation && s.Elapsed <= now && now-s.Elapsed <= most
 }
 
-// Contact tells whether one other machine is known to have heard a word of this one that is less than a second old.
-func (e *Engine) Contact(now Time, id string) bool {
-	p := e.peers[id]
-	return p != nil && p.asked > 0 && now-p.asked < contactFor
+// HasContact tells whether one other machine is known to have heard a word of this one that is less than a second old.
+func (node *Node) HasContact(now Time, id string) bool {
+	p := node.peers[id]
+	return p != nil && p.lastEchoedSend > 0 && now-p.lastEchoedSend < contactLease
 }
 
-// Lost has all contact made anew, by a new life's clock: answers to what was said before count no more.
-func (e *Engine) Lost(now Time) {
-	e.life++
-	e.began, e.needed = now, 0
-	for _, p := range e.peers {
-		p.asked = 0
+// ResetContact has all contact made anew, by a new life's clock: answers to what was said before count no more.
+func (node *Node) ResetContact(now Time) {
+	node.incarnation++
+	node.observingSince, node.changeWantedSince = now, 0
+	for _, p := range node.peers {
+		p.lastEchoedSend = 0
 	}
 }
 
-func (e *Engine) member(id string) bool { return e.d.View.In(id) || e.d.View.Learns(id) }
+func (node *Node) isMember(id string) bool {
+	return node.state.View.HasVoter(id) || node.state.View.HasLearner(id)
+}
 
 // Peers lists the machines heard of lately and all members of the view, this one excepted. A member is greeted however long it
 // has been silent: two that both forgot each other would stay mute for ever once their link is back.
-func (e *Engine) Peers(now Time) []Member {
+func (node *Node) Peers(now Time) []Member {
 	var all []Member
-	for _, p := range e.peers {
-		if now-p.heard < forgetAfter || e.member(p.ID) {
+	for _, p := range node.peers {
+		if now-p.lastHeard < forgetTimeout || node.isMember(p.ID) {
 			all = append(all, p.Member)
 		}
 	}
-	for _, m := range e.d.View.Members() {
-		if e.peers[m.ID] == nil && m.ID != e.self.ID {
+	for _, m := range node.state.View.Members() {
+		if node.peers[m.ID] == nil && m.ID != node.self.ID {
 			all = append(all, m)
 		}
 	}
-	for _, addr := range e.seeds {
-		if addr != e.self.Addr && !slices.ContainsFunc(all, func(m Member) bool { return m.Addr == addr }) {
+	for _, addr := range node.seeds {
+		if addr != node.self.Addr && !slices.ContainsFunc(all, func(m Member) bool { return m.Addr == addr }) {
 			all = append(all, Member{Addr: addr})
 		}
 	}
@@ -385,128 +387,128 @@
 	return all
 }
 
-func (e *Engine) send(to Member, m Message, durable bool) {
-	m.From = e.self
-	e.out = append(e.out, Send{to, m, durable})
+func (node *Node) send(to Member, m Message, durable bool) {
+	m.From = node.self
+	node.outbound = append(node.outbound, Outbound{to, m, durable})
 }
 
 // Tick lets time pass: beats, suspicion, proposals.
-func (e *Engine) Tick(now Time) Output {
-	if e.ticked < 0 || now-e.ticked > heldUp { // frozen or starved: silence meanwhile tells nothing of the others
-		e.began, e.needed = now, 0
-	}
-	e.ticked = now
-	if now >= e.beatAt {
-		e.beatAt = now + BeatEvery
-		b := e.word(now)
-		b.Ask = !e.InTouch(now)
-		for _, m := range e.Peers(now) {
-			e.send(m, b, false)
+func (node *Node) Tick(now Time) Ready {
+	if node.lastTick < 0 || now-node.lastTick > maxTickGap { // frozen or starved: silence meanwhile tells nothing of the others
+		node.observingSince, node.changeWantedSince = now, 0
+	}
+	node.lastTick = now
+	if now >= node.nextHeartbeat {
+		node.nextHeartbeat = now + HeartbeatInterval
+		b := node.heartbeat(now)
+		b.ReplyRequested = !node.HasQuorumContact(now)
+		for _, m := range node.Peers(now) {
+			node.send(m, b, false)
 		}
 	}
-	for id, p := range e.peers {
-		if now-p.heard > forgetAfter && !e.member(id) {
-			delete(e.peers, id)
+	for id, p := range node.peers {
+		if now-p.lastHeard > forgetTimeout && !node.isMember(id) {
+			delete(node.peers, id)
 		}
 	}
-	if e.proposing.on && now-e.proposing.at > proposalMost {
-		e.proposing.on = false
-		e.waitUntil = now + Time(e.chance()*float64(proposalMost))
+	if node.proposal.on && now-node.proposal.at > proposalTimeout {
+		node.proposal.on = false
+		node.backoffUntil = now + Time(node.random()*float64(proposalTimeout))
 	}
-	e.propose(now)
-	return e.flush()
+	node.propose(now)
+	return node.ready()
 }
 
-// word is a beat: that this machine lives, and whom it hears.
-func (e *Engine) word(now Time) Message {
-	b := Message{Kind: Beat, N: e.d.View.N, Sick: e.sick, Leaving: e.leaving, Filled: e.filledIn, Clock: e.Clock(now), Heard: map[string]Stamp{}}
-	for id, p := range e.peers {
-		if now-p.heard < suspectAfter {
-			b.Heard[id] = p.clock
+// heartbeat is a beat: that this machine lives, and whom it hears.
+func (node *Node) heartbeat(now Time) Message {
+	b := Message{Kind: Heartbeat, ViewNumber: node.state.View.Number, DiskUnhealthy: node.diskUnhealthy, Leaving: node.leaving, SyncedView: node.syncedView, Clock: node.Clock(now), Echoes: map[string]ClockReading{}}
+	for id, p := range node.peers {
+		if now-p.lastHeard < suspectTimeout {
+			b.Echoes[id] = p.clock
 		}
 	}
 	return b
 }
 
-// linked tells whether a machine and each one of a chain hear each other, as far as all have told: where the link between
+// isLinkedToAll tells whether a machine and each one of a chain hear each other, as far as all have told: where the link between
 // two is cut, one of them must stay out, though others hear both. Passes go from neighbour to neighbour, orders to the head,
 // and the tail's word to all.
-func (e *Engine) linked(chain []string, id string) bool {
+func (node *Node) isLinkedToAll(chain []string, id string) bool {
 	hears := func(a, b string) bool {
-		if a == e.self.ID {
+		if a == node.self.ID {
 			return true // sound by this machine's own ears
 		}
-		_, ok := e.peers[a].hears[b]
+		_, ok := node.peers[a].echoes[b]
 		return ok
 	}
 	return !slices.ContainsFunc(chain, func(o string) bool { return !hears(o, id) || !hears(id, o) })
 }
 
-// Filled tells whether a machine has said that it was filled in view n, on its disk: then it holds all that was acknowledged.
-func (e *Engine) Filled(id string, n uint64) bool { return e.filled(id) == n }
+// IsSynced tells whether a machine has said that it was filled in view n, on its disk: then it holds all that was acknowledged.
+func (node *Node) IsSynced(id string, n uint64) bool { return node.syncedViewOf(id) == n }
 
-func (e *Engine) filled(id string) uint64 {
-	if p := e.peers[id]; p != nil {
-		return p.filled
+func (node *Node) syncedViewOf(id string) uint64 {
+	if p := node.peers[id]; p != nil {
+		return p.syncedView
 	}
-	if id == e.self.ID {
-		return e.filledIn
+	if id == node.self.ID {
+		return node.syncedView
 	}
 	return 0
 }
 
-// absent is how long a machine has not been heard, or has been heard with a disk that takes no writes, as far as this one
+// absentFor is how long a machine has not been heard, or has been heard with a disk that takes no writes, as far as this one
 // can tell.
-func (e *Engine) absent(now Time, id string) Time {
-	p := e.peers[id]
+func (node *Node) absentFor(now Time, id string) Time {
+	p := node.peers[id]
 	switch {
 	case p == nil:
-		return now - e.began
-	case p.sick && e.touch(now, id):
-		return now - max(p.sickAt, e.began)
+		return now - node.observingSince
+	case p.diskUnhealthy && node.isReachable(now, id):
+		return now - max(p.diskUnhealthySince, node.observingSince)
 	}
-	return now - max(p.heard, e.began)
+	return now - max(p.lastHeard, node.observingSince)
 }
 
-func (e *Engine) leaves(id string) bool {
-	if id == e.self.ID {
-		return e.leaving
+func (node *Node) isPeerLeaving(id string) bool {
+	if id == node.self.ID {
+		return node.leaving
 	}
-	p := e.peers[id]
+	p := node.peers[id]
 	return p != nil && p.leaving
 }
 
-// want is the view that should follow, if one should.
+// nextView is the view that should follow, if one should.
 //
 // Membership changes by agreement only, one voter at a time (two where a pair is dropped). A stranger is first filled as a
 // learner; once a commit has shown that it was, it takes the seat of a voter that is gone, in the same step, so that the
 // number of voters that may be lost does not shrink in between. A leaver stays in the chain until the others can do
 // without it. An even number of voters bears no more losses than one less, so a voter that is gone is dropped from it.
-func (e *Engine) want(now Time) (View, bool) {
-	v := e.d.View
-	if v.Place(e.self.ID) < 0 || e.sick || !e.InTouch(now) || now-e.began < suspectAfter {
+func (node *Node) nextView(now Time) (View, bool) {
+	v := node.state.View
+	if v.Position(node.self.ID) < 0 || node.diskUnhealthy || !node.HasQuorumContact(now) || now-node.observingSince < suspectTimeout {
 		return View{}, false
 	}
-	settled := e.settledIn == v.N
-	next := View{N: v.N + 1, Roster: slices.Clone(v.Roster)}
+	settled := node.committedView == v.Number
+	next := View{Number: v.Number + 1, Voters: slices.Clone(v.Voters)}
 	for _, id := range v.Chain {
-		if e.sound(now, id) && e.linked(next.Chain, id) {
+		if node.isHealthy(now, id) && node.isLinkedToAll(next.Chain, id) {
 			next.Chain = append(next.Chain, id)
 		}
 	}
 	fresh := func(id string) bool { // by the view; one that was filled in it holds all that was acknowledged
-		return !settled && slices.Contains(v.Fresh, id) && e.filled(id) != v.N
+		return !settled && slices.Contains(v.Unsynced, id) && node.syncedViewOf(id) != v.Number
 	}
-	stay := slices.DeleteFunc(slices.Clone(next.Chain), e.leaves)
-	if next.voting(slices.DeleteFunc(slices.Clone(stay), fresh)) >= next.Majority() {
+	stay := slices.DeleteFunc(slices.Clone(next.Chain), node.isPeerLeaving)
+	if next.countVoters(slices.DeleteFunc(slices.Clone(stay), fresh)) >= next.Quorum() {
 		next.Chain = stay
 	}
 	for _, id := range next.Chain {
 		if fresh(id) {
-			next.Fresh = append(next.Fresh, id)
+			next.Unsynced = append(next.Unsynced, id)
 		}
 	}
-	if len(next.Chain) == 0 || slices.Contains(next.Fresh, next.Chain[0]) {
+	if len(next.Chain) == 0 || slices.Contains(next.Unsynced, next.Chain[0]) {
 		return View{}, false // nobody is left who surely holds what was promised: wait for one
 	}
 	for _, m := range v.Learners {
@@ -516,79 +518,79 @@
 	}
 	// Out of a view in which no commit was seen nobody is taken in, but where the chain would else be too short: should its
 	// head be lost before it passes in the next one, those who came in the last would be marked as fresh once more.
-	short := func() bool { return next.voting(next.Chain) < next.Majority() }
+	short := func() bool { return next.countVoters(next.Chain) < next.Quorum() }
 	joins := func(id string) bool {
-		return e.sound(now, id) && now-e.peers[id].since >= settleFor && e.linked(next.Chain, id) && (settled && !e.leaves(id) || short())
+		return node.isHealthy(now, id) && now-node.peers[id].connectedSince >= joinStabilityPeriod && node.isLinkedToAll(next.Chain, id) && (settled && !node.isPeerLeaving(id) || short())
 	}
-	for _, m := range v.Roster { // known, but out of the chain
-		if v.Place(m.ID) < 0 && joins(m.ID) {
-			next.Chain, next.Fresh = append(next.Chain, m.ID), append(next.Fresh, m.ID)
+	for _, m := range v.Voters { // known, but out of the chain
+		if v.Position(m.ID) < 0 && joins(m.ID) {
+			next.Chain, next.Unsynced = append(next.Chain, m.ID), append(next.Unsynced, m.ID)
 		}
 	}
 	gone := func(after Time) func(Member) bool { // a seat of nobody
 		return func(m Member) bool {
-			return !slices.Contains(next.Chain, m.ID) && !e.sound(now, m.ID) && e.absent(now, m.ID) >= after
+			return !slices.Contains(next.Chain, m.ID) && !node.isHealthy(now, m.ID) && node.absentFor(now, m.ID) >= after
 		}
 	}
-	left := func(m Member) bool { return !slices.Contains(next.Chain, m.ID) && e.leaves(m.ID) }
+	left := func(m Member) bool { return !slices.Contains(next.Chain, m.ID) && node.isPeerLeaving(m.ID) }
 	switch {
 	case settled && len(next.Learners) > 0:
 		m := next.Learners[0]
-		seat := slices.IndexFunc(next.Roster, func(o Member) bool { return o.Addr == m.Addr })
-		for _, free := range []func(Member) bool{left, gone(goneAfter)} {
+		seat := slices.IndexFunc(next.Voters, func(o Member) bool { return o.Addr == m.Addr })
+		for _, free := range []func(Member) bool{left, gone(replacementTimeout)} {
 			if seat < 0 {
-				seat = slices.IndexFunc(next.Roster, free)
+				seat = slices.IndexFunc(next.Voters, free)
 			}
 		}
 		switch {
 		case seat >= 0:
-			next.Roster[seat], next.Learners = m, nil
-		case next.voting(next.Chain) == len(next.Roster): // nobody is missing: the core grows
-			next.Roster, next.Learners = append(next.Roster, m), nil
+			next.Voters[seat], next.Learners = m, nil
+		case next.countVoters(next.Chain) == len(next.Voters): // nobody is missing: the core grows
+			next.Voters, next.Learners = append(next.Voters, m), nil
 		} // else it is waited until who is missing is back, or gone for good
 	case len(v.Learners) == 0:
-		for _, p := range e.strangers() {
-			i := slices.IndexFunc(next.Roster, func(m Member) bool { return m.Addr == p.Addr })
-			if joins(p.ID) && (i < 0 || !e.touch(now, next.Roster[i].ID)) {
+		for _, p := range node.nonMembers() {
+			i := slices.IndexFunc(next.Voters, func(m Member) bool { return m.Addr == p.Addr })
+			if joins(p.ID) && (i < 0 || !node.isReachable(now, next.Voters[i].ID)) {
 				next.Learners = []Member{p.Member}
-				next.Chain, next.Fresh = append(next.Chain, p.ID), append(next.Fresh, p.ID)
+				next.Chain, next.Unsynced = append(next.Chain, p.ID), append(next.Unsynced, p.ID)
 				break
 			}
 		}
 	}
-	if settled && len(next.Learners) == 0 && slices.EqualFunc(next.Roster, v.Roster, same) && len(next.Roster) > fewest {
-		if len(next.Roster)%2 == 0 {
-			seat := slices.IndexFunc(next.Roster, left)
+	if settled && len(next.Learners) == 0 && slices.EqualFunc(next.Voters, v.Voters, sameIdentity) && len(next.Voters) > minVoters {
+		if len(next.Voters)%2 == 0 {
+			seat := slices.IndexFunc(next.Voters, left)
 			if seat < 0 {
-				seat = slices.IndexFunc(next.Roster, gone(goneAfter))
+				seat = slices.IndexFunc(next.Voters, gone(replacementTimeout))
 			}
 			if seat >= 0 {
-				next.Roster = slices.Delete(next.Roster, seat, seat+1)
+				next.Voters = slices.Delete(next.Voters, seat, seat+1)
 			}
-		} else if rest := slices.DeleteFunc(slices.Clone(next.Roster), gone(emptyAfter)); len(rest) <= len(next.Roster)-2 && len(rest) >= fewest {
-			next.Roster = rest
+		} else if rest := slices.DeleteFunc(slices.Clone(next.Voters), gone(pairRemovalTimeout)); len(rest) <= len(next.Voters)-2 && len(rest) >= minVoters {
+			next.Voters = rest
 		}
 	}
-	changed := !slices.Equal(next.Chain, v.Chain) || !slices.EqualFunc(next.Roster, v.Roster, same) || !slices.EqualFunc(next.Learners, v.Learners, same)
-	return next, changed && next.voting(next.Chain) >= next.Majority()
+	changed := !slices.Equal(next.Chain, v.Chain) || !slices.EqualFunc(next.Voters, v.Voters, sameIdentity) || !slices.EqualFunc(next.Learners, v.Learners, sameIdentity)
+	return next, changed && next.countVoters(next.Chain) >= next.Quorum()
 }
 
-func same(a, b Member) bool { return a.ID == b.ID }
+func sameIdentity(a, b Member) bool { return a.ID == b.ID }
 
-// voting counts the voters among some.
-func (v View) voting(ids []string) (n int) {
+// countVoters counts the voters among some.
+func (v View) countVoters(ids []string) (n int) {
 	for _, id := range ids {
-		if v.In(id) {
+		if v.HasVoter(id) {
 			n++
 		}
 	}
 	return n
 }
 
-func (e *Engine) strangers() []*peer {
+func (node *Node) nonMembers() []*peer {
 	var all []*peer
-	for id, p := range e.peers {
-		if !e.member(id) {
+	for id, p := range node.peers {
+		if !node.isMember(id) {
 			all = append(all, p)
 		}
 	}
@@ -596,125 +598,125 @@
 	return all
 }
 
-func (e *Engine) propose(now Time) {
-	next, ok := e.want(now)
-	if !ok && e.d.Value != nil && e.InTouch(now) && !e.sick {
+func (node *Node) propose(now Time) {
+	next, ok := node.nextView(now)
+	if !ok && node.state.AcceptedView != nil && node.HasQuorumContact(now) && !node.diskUnhealthy {
 		// An agreement was begun and its proposer has gone: it may have been decided, so nobody who knows of it vouches
 		// for the present view, and no question can be answered until it is brought to an end.
-		next, ok = *e.d.Value, true
+		next, ok = *node.state.AcceptedView, true
 	}
 	if !ok {
-		e.needed = 0
+		node.changeWantedSince = 0
 		return
 	}
-	if e.needed == 0 {
-		e.needed = now
+	if node.changeWantedSince == 0 {
+		node.changeWantedSince = now
 	}
-	rank := slices.Index(next.Chain, e.self.ID)
+	rank := slices.Index(next.Chain, node.self.ID)
 	if rank < 0 {
 		rank = len(next.Chain)
 	}
-	if e.proposing.on || now < e.waitUntil || now-e.needed < sureAfter+Time(rank)*rankWait {
+	if node.proposal.on || now < node.backoffUntil || now-node.changeWantedSince < changeConfirmationDelay+Time(rank)*proposerStagger {
 		return
 	}
-	e.round = max(e.round, e.d.Promised.Round) + 1
-	p := &e.proposing
-	p.on, p.at, p.ballot, p.value, p.accept, p.best = true, now, Ballot{e.round, e.self.ID}, next, false, Ballot{}
+	node.round = max(node.round, node.state.PromisedBallot.Round) + 1
+	p := &node.proposal
+	p.on, p.at, p.ballot, p.value, p.accept, p.best = true, now, Ballot{node.round, node.self.ID}, next, false, Ballot{}
 	p.promised, p.accepted = map[string]bool{}, map[string]bool{}
-	base := e.d.View
-	for _, m := range base.Roster {
-		e.send(m, Message{Kind: Prepare, N: next.N, Ballot: p.ballot, View: &base}, false)
+	base := node.state.View
+	for _, m := range base.Voters {
+		node.send(m, Message{Kind: Prepare, ViewNumber: next.Number, Ballot: p.ballot, View: &base}, false)
 	}
 }
 
-func (e *Engine) adopt(v View) {
-	if v.N <= e.d.View.N {
+func (node *Node) installView(v View) {
+	if v.Number <= node.state.View.Number {
 		return
 	}
-	e.d = Durable{View: v}
-	e.proposing.on, e.needed, e.round = false, 0, 0
-	e.changed, e.adopted = true, true
+	node.state = DurableState{View: v}
+	node.proposal.on, node.changeWantedSince, node.round = false, 0, 0
+	node.stateChanged, node.viewInstalled = true, true
 }
 
-// Receive takes in a message.
-func (e *Engine) Receive(now Time, m Message) Output {
+// Step takes in a message.
+func (node *Node) Step(now Time, m Message) Ready {
 	from := m.From
 	switch m.Kind {
-	case Beat:
-		e.beat(now, m)
+	case Heartbeat:
+		node.handleHeartbeat(now, m)
 	case Decided:
 		if m.View != nil {
-			e.adopt(*m.View)
+			node.installView(*m.View)
 		}
 	case Prepare:
 		if m.View != nil {
-			e.adopt(*m.View)
+			node.installView(*m.View)
 		}
 		switch {
-		case m.N <= e.d.View.N:
-			v := e.d.View
-			e.send(from, Message{Kind: Decided, N: v.N, View: &v}, true)
-		case m.N != e.d.View.N+1 || !e.d.View.In(e.self.ID):
-		case !e.d.Promised.Less(m.Ballot):
-			e.send(from, Message{Kind: Refuse, N: m.N, Ballot: m.Ballot, Held: e.d.Promised}, false)
+		case m.ViewNumber <= node.state.View.Number:
+			v := node.state.View
+			node.send(from, Message{Kind: Decided, ViewNumber: v.Number, View: &v}, true)
+		case m.ViewNumber != node.state.View.Number+1 || !node.state.View.HasVoter(node.self.ID):
+		case !node.state.PromisedBallot.Less(m.Ballot):
+			node.send(from, Message{Kind: Reject, ViewNumber: m.ViewNumber, Ballot: m.Ballot, PriorBallot: node.state.PromisedBallot}, false)
 		default:
-			e.d.Promised, e.changed = m.Ballot, true
-			e.send(from, Message{Kind: Promise, N: m.N, Ballot: m.Ballot, Held: e.d.Accepted, View: e.d.Value}, true)
+			node.state.PromisedBallot, node.stateChanged = m.Ballot, true
+			node.send(from, Message{Kind: Promise, ViewNumber: m.ViewNumber, Ballot: m.Ballot, PriorBallot: node.state.AcceptedBallot, View: node.state.AcceptedView}, true)
 		}
 	case Accept:
-		if m.View == nil || m.N != e.d.View.N+1 || m.Ballot.Less(e.d.Promised) || !e.d.View.In(e.self.ID) {
-			return e.flush()
+		if m.View == nil || m.ViewNumber != node.state.View.Number+1 || m.Ballot.Less(node.state.PromisedBallot) || !node.state.View.HasVoter(node.self.ID) {
+			return node.ready()
 		}
-		e.d.Promised, e.d.Accepted, e.d.Value, e.changed = m.Ballot, m.Ballot, m.View, true
-		e.send(from, Message{Kind: Accepted, N: m.N, Ballot: m.Ballot}, true)
-	case Refuse:
-		if p := &e.proposing; p.on && m.Ballot == p.ballot {
-			e.round = max(e.round, m.Held.Round)
-			p.on, e.waitUntil = false, now+Time(e.chance()*float64(proposalMost)/2)
+		node.state.PromisedBallot, node.state.AcceptedBallot, node.state.AcceptedView, node.stateChanged = m.Ballot, m.Ballot, m.View, true
+		node.send(from, Message{Kind: Accepted, ViewNumber: m.ViewNumber, Ballot: m.Ballot}, true)
+	case Reject:
+		if p := &node.proposal; p.on && m.Ballot == p.ballot {
+			node.round = max(node.round, m.PriorBallot.Round)
+			p.on, node.backoffUntil = false, now+Time(node.random()*float64(proposalTimeout)/2)
 		}
 	case Promise, Accepted:
-		e.count(m)
+		node.countVote(m)
 	}
-	return e.flush()
+	return node.ready()
 }
 
-func (e *Engine) count(m Message) {
-	p := &e.proposing
-	if !p.on || m.Ballot != p.ballot || m.N != e.d.View.N+1 || !e.d.View.In(m.From.ID) {
+func (node *Node) countVote(m Message) {
+	p := &node.proposal
+	if !p.on || m.Ballot != p.ballot || m.ViewNumber != node.state.View.Number+1 || !node.state.View.HasVoter(m.From.ID) {
 		return
 	}
 	if m.Kind == Promise && !p.accept {
 		p.promised[m.From.ID] = true
-		if m.View != nil && p.best.Less(m.Held) {
-			p.best, p.value = m.Held, *m.View
+		if m.View != nil && p.best.Less(m.PriorBallot) {
+			p.best, p.value = m.PriorBallot, *m.View
 		}
-		if len(p.promised) >= e.d.View.Majority() {
+		if len(p.promised) >= node.state.View.Quorum() {
 			p.accept = true
 			value := p.value
-			for _, to := range e.d.View.Roster {
-				e.send(to, Message{Kind: Accept, N: m.N, Ballot: p.ballot, View: &value}, false)
+			for _, to := range node.state.View.Voters {
+				node.send(to, Message{Kind: Accept, ViewNumber: m.ViewNumber, Ballot: p.ballot, View: &value}, false)
 			}
 		}
 	}
 	if m.Kind == Accepted && p.accept {
 		p.accepted[m.From.ID] = true
-		if len(p.accepted) >= e.d.View.Majority() {
+		if len(p.accepted) >= node.state.View.Quorum() {
 			value := p.value
 			tell := map[string]Member{}
-			for _, to := range append(e.d.View.Members(), value.Members()...) {
+			for _, to := range append(node.state.View.Members(), value.Members()...) {
 				tell[to.ID] = to
 			}
-			for _, id := range sorted(tell) {
-				if id != e.self.ID {
-					e.send(tell[id], Message{Kind: Decided, N: value.N, View: &value}, false)
+			for _, id := range sortedIDs(tell) {
+				if id != node.self.ID {
+					node.send(tell[id], Message{Kind: Decided, ViewNumber: value.Number, View: &value}, false)
 				}
 			}
-			e.adopt(value)
+			node.installView(value)
 		}
 	}
 }
 
-func sorted(m map[string]Member) []string {
+func sortedIDs(m map[string]Member) []string {
 	var ids []string
 	for id := range m {
 		ids = append(ids, id)
@@ -723,36 +725,36 @@
 	return ids
 }
 
-func (e *Engine) beat(now Time, m Message) {
-	if m.From.ID == e.self.ID {
+func (node *Node) handleHeartbeat(now Time, m Message) {
+	if m.From.ID == node.self.ID {
 		return
 	}
-	p := e.peers[m.From.ID]
-	fresh := p == nil || now-p.heard >= suspectAfter
+	p := node.peers[m.From.ID]
+	fresh := p == nil || now-p.lastHeard >= suspectTimeout
 	if p == nil {
-		p = &peer{since: now}
-		e.peers[m.From.ID] = p
-	} else if now-p.heard >= suspectAfter {
-		p.since = now
+		p = &peer{connectedSince: now}
+		node.peers[m.From.ID] = p
+	} else if now-p.lastHeard >= suspectTimeout {
+		p.connectedSince = now
 	}
-	if m.Sick && !p.sick {
-		p.sickAt = now
+	if m.DiskUnhealthy && !p.diskUnhealthy {
+		p.diskUnhealthySince = now
 	}
-	e.heed(now, p, m.Clock)
-	p.Member, p.heard, p.sick, p.leaving, p.filled = m.From, now, m.Sick, m.Leaving, m.Filled
-	echo, hears := m.Heard[e.self.ID]
+	node.observeClock(now, p, m.Clock)
+	p.Member, p.lastHeard, p.diskUnhealthy, p.leaving, p.syncedView = m.From, now, m.DiskUnhealthy, m.Leaving, m.SyncedView
+	echo, hears := m.Echoes[node.self.ID]
 	if hears && !p.hearsMe {
-		p.since = now
+		p.connectedSince = now
 	}
-	p.hearsMe, p.hears = hears, m.Heard
-	if hears && e.Younger(now, echo, contactFor) {
-		p.asked = max(p.asked, echo.At)
+	p.hearsMe, p.echoes = hears, m.Echoes
+	if hears && node.IsRecentReading(now, echo, contactLease) {
+		p.lastEchoedSend = max(p.lastEchoedSend, echo.Elapsed)
 	}
-	if m.N < e.d.View.N { // before all else: an older view may have given it a vote that it has no more
-		v := e.d.View
-		e.send(m.From, Message{Kind: Decided, N: v.N, View: &v}, true)
+	if m.ViewNumber < node.state.View.Number { // before all else: an older view may have given it a vote that it has no more
+		v := node.state.View
+		node.send(m.From, Message{Kind: Decided, ViewNumber: v.Number, View: &v}, true)
 	}
-	if fresh || m.Ask { // it is told at once that it is heard: after a restart of all, nothing can begin before
-		e.send(m.From, e.word(now), false)
+	if fresh || m.ReplyRequested { // it is told at once that it is heard: after a restart of all, nothing can begin before
+		node.send(m.From, node.heartbeat(now), false)
 	}
 }
--- a/internal/controlserver/calls.go
+++ b/internal/controlserver/calls.go
@@ -171,7 +171,7 @@
 		say(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	say(w, c.called(r, controller.Event{Order: &chainreplication.Order{Version: conf.Version, Body: body}}).Status, "")
+	say(w, c.called(r, controller.Event{Order: &chainreplication.Command{Version: conf.Version, Body: body}}).Status, "")
 }
 
 func (c *Comb) evacuate(w http.ResponseWriter, r *http.Request, out bool) {
@@ -180,7 +180,7 @@
 		say(w, http.StatusUnprocessableEntity, "of: names no zone")
 		return
 	}
-	say(w, c.called(r, controller.Event{Order: &chainreplication.Order{Zone: zone, Out: out}}).Status, "")
+	say(w, c.called(r, controller.Event{Order: &chainreplication.Command{Zone: zone, Evacuated: out}}).Status, "")
 }
 
 // standing tells an operator how the core stands, as this comb knows; also while it is out of touch.
--- a/internal/controlserver/combd.go
+++ b/internal/controlserver/combd.go
@@ -109,7 +109,7 @@
 	var b [6]byte
 	rand.Read(b[:])
 	k.Begin(c.addr(), seeds, c.set.FirstStart, hex.EncodeToString(b[:]))
-	self := membership.Member{ID: k.Disk, Addr: c.addr(), Zone: c.set.Zone, Call: c.set.Control}
+	self := membership.Member{ID: k.Disk, Addr: c.addr(), Zone: c.set.Zone, APIAddr: c.set.Control}
 	c.brain = controller.New(c.now(), controller.Settings{Zone: c.set.Zone, Control: c.set.Control, Zones: slices.Sorted(maps.Keys(c.set.Zones)), Seeds: seeds,
 		LinkMbps: c.set.LinkMbps, DrainDeadline: c.set.Bounds.DrainDeadline, Heartbeat: c.set.Heartbeat, Seed: mrand.Uint64(), Regions: c.set.Zones}, self, k)
 	c.hello = messages.Hello{Member: self, Life: mrand.Uint64()}
@@ -120,8 +120,8 @@
 	if err := store.Put(map[string][]byte{keptKey: raw}); err != nil {
 		return merry.Prepend(err, "first write")
 	}
-	c.log.Info().Str("event", "start").Str("name", c.set.Name).Str("disk", k.Disk).Uint64("view", k.View.View.N).
-		Uint64("seq", k.Register.Seq).Uint64("version", k.Register.Version).Bool("first", c.set.FirstStart).Msg("")
+	c.log.Info().Str("event", "start").Str("name", c.set.Name).Str("disk", k.Disk).Uint64("view", k.View.View.Number).
+		Uint64("seq", k.Register.Sequence).Uint64("version", k.Register.Version).Bool("first", c.set.FirstStart).Msg("")
 	return nil
 }
 
--- a/internal/modelcheck/membershipmodel/members.go
+++ b/internal/modelcheck/membershipmodel/members.go
@@ -17,42 +17,42 @@
 
 // Bugs that only this machine knows; it knows FreshHead too.
 const (
-	LeaverNotWaited    Fault = iota + 100 // who leaves ends at once
-	JoinUnsettled                         // one is taken into the chain out of a view that hasn't settled, also where it isn't needed
-	LeaverDroppedEarly                    // who leaves is dropped from the chain while too few others in it are filled
-	LeaverTrustsTail                      // who leaves ends at the word of the tail, and hears nobody else after it
-	LeaverOldView                         // who leaves counts the word of those who know of a later view
-	LeaverStillVoter                      // who leaves ends while it is a voter beyond those that are needed
-	LeaverNotTaken                        // who leaves isn't taken back into the chain, also where it is needed
-	SeatUnfilled                          // a stranger has a voter's seat at once, while it is empty
-	AddedUnfilled                         // a stranger is added to the voters at once, while it is empty
-	LeaseRead                             // a reading trusts in contact, and asks nobody
-	AppliedAgain                          // an order's identity isn't remembered
-	OldSnapshotHead                       // a member that comes back with its disk has its old place at the head
-	TwoConfirmed                          // an order below the version held is acknowledged, whatever its body
-	ConflictAtOnce                        // a conflict is told before what it conflicts with is committed
+	LeaverExitsAtOnce      Fault = iota + 100 // who leaves ends at once
+	JoinBeforeCommit                          // one is taken into the chain out of a view that hasn't settled, also where it isn't needed
+	LeaverDroppedEarly                        // who leaves is dropped from the chain while too few others in it are filled
+	LeaverTrustsTail                          // who leaves ends at the word of the tail, and hears nobody else after it
+	LeaverIgnoresNewerView                    // who leaves counts the word of those who know of a later view
+	LeaverExitsAsVoter                        // who leaves ends while it is a voter beyond those that are needed
+	LeaverNotReadmitted                       // who leaves isn't taken back into the chain, also where it is needed
+	UnsyncedReplacement                       // a stranger has a voter's seat at once, while it is empty
+	UnsyncedAddition                          // a stranger is added to the voters at once, while it is empty
+	LeaseRead                                 // a reading trusts in contact, and asks nobody
+	CommandAppliedTwice                       // an order's identity isn't remembered
+	ReturningMemberLeads                      // a member that comes back with its disk has its old place at the head
+	ConflictAcknowledged                      // an order below the version held is acknowledged, whatever its body
+	ConflictReportedEarly                     // a conflict is told before what it conflicts with is committed
 )
 
 // Scope limits what happens around a core of Members machines, half of which less one may be lost.
 type Scope struct {
-	Members  int
-	Spares   int // machines started at new addresses
-	Gone     int // machines lost for good
-	Wipes    int // disks lost; the machine comes back under another identity
-	Kills    int // disk kept; may be started again
-	Blips    int // suspected while they run
-	Leaves   int
-	Returns  int // of those that had left, with their disk
-	Orders   int // different ones: the first two are for one version, the third for none
-	Enters   int // orders and repeats that reach a head
-	Readings int
-	Views    int       // agreed after the first
-	Tries    int       // values that a proposer may put in the place of another, for each number
-	States   int       // exploring ends after so many; 0: never
-	Until    time.Time // or then; zero: never
-	Passed   bool      // begins in a view whose members but the head are marked as fresh, just filled, which they have yet to hear
-	NoCalm   bool      // doesn't try whether the core would come to rest
-	Over     bool      // blips and kills beyond what may be lost; no promise but safety and coming to rest
+	Members             int
+	Newcomers           int // machines started at new addresses
+	Losses              int // machines lost for good
+	Wipes               int // disks lost; the machine comes back under another identity
+	Kills               int // disk kept; may be started again
+	Suspicions          int // suspected while they run
+	Leaves              int
+	Returns             int // of those that had left, with their disk
+	Commands            int // different ones: the first two are for one version, the third for none
+	Submissions         int // orders and repeats that reach a head
+	Reads               int
+	Views               int       // agreed after the first
+	SupersededProposals int       // values that a proposer may put in the place of another, for each number
+	MaxStates           int       // exploring ends after so many; 0: never
+	Deadline            time.Time // or then; zero: never
+	StartsUnsynced      bool      // begins in a view whose members but the head are marked as fresh, just filled, which they have yet to hear
+	SkipsLiveness       bool      // doesn't try whether the core would come to rest
+	ExceedsTolerance    bool      // blips and kills beyond what may be lost; no promise but safety and coming to rest
 }
 
 // String names what may happen.
@@ -61,89 +61,89 @@
 	for _, x := range []struct {
 		n    int
 		what string
-	}{{s.Spares, "new"}, {s.Gone, "gone"}, {s.Wipes, "wiped"}, {s.Kills, "killed"}, {s.Blips, "suspected"}, {s.Leaves, "leaving"}, {s.Returns, "returning"},
-		{s.Enters, "orders entered"}, {s.Readings, "readings"}, {s.Views, "views"}, {s.Tries, "values given up"}} {
+	}{{s.Newcomers, "new"}, {s.Losses, "gone"}, {s.Wipes, "wiped"}, {s.Kills, "killed"}, {s.Suspicions, "suspected"}, {s.Leaves, "leaving"}, {s.Returns, "returning"},
+		{s.Submissions, "orders entered"}, {s.Reads, "readings"}, {s.Views, "views"}, {s.SupersededProposals, "values given up"}} {
 		if x.n > 0 {
 			out += fmt.Sprintf(", %d %s", x.n, x.what)
 		}
 	}
-	if s.Over {
+	if s.ExceedsTolerance {
 		out += ", beyond what may be lost"
 	}
-	if s.Passed {
+	if s.StartsUnsynced {
 		out += ", all but the head marked as fresh"
 	}
 	return out
 }
 
 const (
-	idsMost   = 8
-	viewsMost = 8
-	regMost   = 3
-	pendMost  = 4
+	maxIdentities      = 8
+	maxViews           = 8
+	maxRegisterLength  = 3
+	maxPendingCommands = 4
 )
 
 const ( // what a machine has accepted
-	none uint8 = iota
-	dead
-	live
+	acceptedNothing uint8 = iota
+	acceptedSuperseded
+	acceptedLive
 )
 
 const ( // of a machine
-	unborn uint8 = iota
-	up
-	down // its disk is kept
-	gone
+	notStarted uint8 = iota
+	running
+	stopped // its disk is kept
+	lost
 )
 
 type (
-	register [regMost]uint8 // of each order taken: 1 + its number + 4 times the view that it entered in
-	idSet    uint8
-	config   struct {
-		voters, fresh idSet
-		chain         [idsMost]uint8 // 1 + identity; 0: none
+	register      [maxRegisterLength]uint8 // of each order taken: 1 + its number + 4 times the view that it entered in
+	idSet         uint8
+	configuration struct {
+		voters, unsynced idSet
+		chain            [maxIdentities]uint8 // 1 + identity; 0: none
 	}
 	machine struct {
-		status       uint8
-		addr         uint8
-		leaving      bool
-		suspect      bool
-		ok           bool // has caught up since its last trouble
-		hurt         bool // and it has had one
-		out          bool // gone, and no voter in a settled view
-		instead      bool // began when one was away
-		removed      bool // left or gone: it counts as lost until a successor has caught up
-		view, synced uint8
-		com          uint8 // 1 + how many orders it knows to be committed in its view; 0: none was seen
-		accepted     uint8 // of the agreement on view+1: a value that was given up, or the live one
-		told         idSet // who told this one, which leaves, that it saw a commit in its view
-		held         register
-	}
-	waiting struct { // an order, at whoever has sent it on
-		order, n, seq uint8
-		conflict      bool
-	}
-	reading struct {
-		on       bool
-		by, n    uint8
-		need, at uint8 // held here; acknowledged by then
-		votes    idSet
+		status           uint8
+		address          uint8
+		leaving          bool
+		suspected        bool
+		caughtUp         bool // has caught up since its last trouble
+		hadFault         bool // and it has had one
+		votedOut         bool // gone, and no voter in a settled view
+		isReplacement    bool // began when one was away
+		departed         bool // left or gone: it counts as lost until a successor has caught up
+		view, syncedView uint8
+		commitsSeen      uint8 // 1 + how many orders it knows to be committed in its view; 0: none was seen
+		accepted         uint8 // of the agreement on view+1: a value that was given up, or the live one
+		confirmedBy      idSet // who told this one, which leaves, that it saw a commit in its view
+		held             register
+	}
+	pendingCommand struct { // an order, at whoever has sent it on
+		command, view, sequence uint8
+		conflict                bool
+	}
+	readRequest struct {
+		active                         bool
+		member, view                   uint8
+		heldLength, acknowledgedLength uint8 // held here; acknowledged by then
+		confirmedBy                    idSet
 	}
 	world struct {
-		m         [idsMost]machine
-		born      uint8
-		newest    uint8
-		views     [viewsMost + 1]config
-		live      config // the one value that may be decided next
-		tries     uint8
-		committed register
-		in        uint8
-		pend      [pendMost]waiting
-		okd, refd uint8 // bits of orders
-		entered   [3]uint8
-		read      reading
+		machines              [maxIdentities]machine
+		started               uint8
+		newestView            uint8
+		views                 [maxViews + 1]configuration
+		proposal              configuration // the one value that may be decided next
+		superseded            uint8
+		committed             register
+		committedView         uint8
+		pending               [maxPendingCommands]pendingCommand
+		acknowledged, refused uint8 // bits of orders
+		submissions           [3]uint8
+		read                  readRequest
 
-		spares, gones, wipes, kills, blips, leaves, returns, readings uint8
+		newcomers, losses, wipes, kills, suspicions, leaves, returns, reads uint8
 	}
 )
 
@@ -151,7 +151,7 @@
 func (s idSet) count() int     { return bits.OnesCount8(uint8(s)) }
 
 func (r register) length() (n int) {
-	for n < regMost && r[n] != 0 {
+	for n < maxRegisterLength && r[n] != 0 {
 		n++
 	}
 	return n
@@ -166,18 +166,18 @@
 	return true
 }
 
-func orderOf(entry uint8) int { return int(entry-1) & 3 }
+func commandOf(entry uint8) int { return int(entry-1) & 3 }
 
-func (c *config) length() (n int) {
-	for n < idsMost && c.chain[n] != 0 {
+func (c *configuration) length() (n int) {
+	for n < maxIdentities && c.chain[n] != 0 {
 		n++
 	}
 	return n
 }
 
-func (c *config) place(i int) int { return slices.Index(c.chain[:], uint8(i+1)) }
+func (c *configuration) position(i int) int { return slices.Index(c.chain[:], uint8(i+1)) }
 
-func (c *config) members() (s idSet) {
+func (c *configuration) members() (s idSet) {
 	for _, x := range c.chain {
 		if x != 0 {
 			s |= 1 << (x - 1)
@@ -186,18 +186,18 @@
 	return s
 }
 
-func (c *config) majority() int { return c.voters.count()/2 + 1 }
+func (c *configuration) quorum() int { return c.voters.count()/2 + 1 }
 
-func (c config) String() string {
+func (c configuration) String() string {
 	s := "chain"
 	for _, x := range c.chain[:c.length()] {
 		s += fmt.Sprintf(" %d", x-1)
-		if c.fresh.has(int(x - 1)) {
+		if c.unsynced.has(int(x - 1)) {
 			s += "(fresh)"
 		}
 	}
 	s += ", voters"
-	for i := range idsMost {
+	for i := range maxIdentities {
 		if c.voters.has(i) {
 			s += fmt.Sprintf(" %d", i)
 		}
@@ -205,53 +205,53 @@
 	return s
 }
 
-type crowd struct {
-	s      Scope
-	f      int
-	fault  Fault
-	emit   func(y *world, what string, a, b, d int)
-	rests  map[uint64]struct{} // from there the core comes to rest
-	path   []uint64
-	broken string
-	views  []config // scratch
+type reconfigurationModel struct {
+	scope      Scope
+	tolerance  int
+	fault      Fault
+	emit       func(y *world, what string, a, b, d int)
+	quiescing  map[uint64]struct{} // from there the core comes to rest
+	path       []uint64
+	violation  string
+	candidates []configuration // scratch
 }
 
-func (c *crowd) start() *world {
+func (model *reconfigurationModel) initialWorld() *world {
 	old := register{1 + 3 + 4*1} // acknowledged before
-	w := &world{born: uint8(c.s.Members), newest: 1, committed: old, in: 1}
+	w := &world{started: uint8(model.scope.Members), newestView: 1, committed: old, committedView: 1}
 	v := &w.views[1]
-	for i := range c.s.Members {
+	for i := range model.scope.Members {
 		v.voters |= 1 << i
 		v.chain[i] = uint8(i + 1)
-		w.m[i] = machine{status: up, addr: uint8(i), ok: true, view: 1, synced: 1, held: old}
-		if c.s.Passed && i > 0 {
-			v.fresh |= 1 << i
+		w.machines[i] = machine{status: running, address: uint8(i), caughtUp: true, view: 1, syncedView: 1, held: old}
+		if model.scope.StartsUnsynced && i > 0 {
+			v.unsynced |= 1 << i
 		}
 	}
 	return w
 }
 
-// lost counts machines as the promise does: one that had trouble until it has caught up, a new one too; one that is gone,
+// countLost counts machines as the promise does: one that had trouble until it has caught up, a new one too; one that is gone,
 // or was let go, until a new one has caught up in its stead (and, if it is gone, until it is no voter). Caught up is a voter in whose chain a commit was seen and no
 // agreement is under way.
-func (c *crowd) lost(w *world) int {
+func (model *reconfigurationModel) countLost(w *world) int {
 	missing, seated, away, spareOK, spareNot := 0, 0, 0, 0, 0
-	for i := range int(w.born) {
-		m := &w.m[i]
+	for i := range int(w.started) {
+		m := &w.machines[i]
 		switch {
-		case m.status == gone && !m.removed: // another identity has its address
-		case int(m.addr) < c.s.Members && m.removed && slices.ContainsFunc(w.m[:w.born], func(x machine) bool { return x.addr == m.addr && x.status == gone && !x.out }):
+		case m.status == lost && !m.departed: // another identity has its address
+		case int(m.address) < model.scope.Members && m.departed && slices.ContainsFunc(w.machines[:w.started], func(x machine) bool { return x.address == m.address && x.status == lost && !x.votedOut }):
 			seated++
-		case int(m.addr) < c.s.Members && m.removed:
+		case int(m.address) < model.scope.Members && m.departed:
 			away++
-		case int(m.addr) < c.s.Members && !m.ok:
+		case int(m.address) < model.scope.Members && !m.caughtUp:
 			missing++
-		case int(m.addr) < c.s.Members:
-		case m.ok && !m.removed:
+		case int(m.address) < model.scope.Members:
+		case m.caughtUp && !m.departed:
 			spareOK++
-		case m.hurt && m.instead:
+		case m.hadFault && m.isReplacement:
 			spareNot++
-		case m.hurt:
+		case m.hadFault:
 			missing++
 		}
 	}
@@ -259,456 +259,458 @@
 	return missing + bare + max(spareNot-bare, 0)
 }
 
-// tidy does what is no choice: commits where the tail holds a register, answers, who has caught up, who may go.
-func (c *crowd) tidy(w *world) {
-	low := w.newest
-	for i := range int(w.born) {
-		m := &w.m[i]
+// normalize does what is no choice: commits where the tail holds a register, answers, who has caught up, who may go.
+func (model *reconfigurationModel) normalize(w *world) {
+	low := w.newestView
+	for i := range int(w.started) {
+		m := &w.machines[i]
 		v := &w.views[m.view]
-		if m.status == up && m.view > 0 && m.synced == m.view && v.length() > 0 && v.place(i) == v.length()-1 {
-			c.commit(w, m.view, m.held)
+		if m.status == running && m.view > 0 && m.syncedView == m.view && v.length() > 0 && v.position(i) == v.length()-1 {
+			model.commit(w, m.view, m.held)
 		}
-		if m.status != gone && m.view > 0 {
+		if m.status != lost && m.view > 0 {
 			low = min(low, m.view)
 		}
 	}
-	v := &w.views[w.newest]
-	for i := range int(w.born) {
-		m := &w.m[i]
-		if m.status == up && !m.suspect && w.in == w.newest && w.live.voters == 0 && v.voters.has(i) && v.place(i) >= 0 {
-			m.ok, m.hurt, m.removed = true, false, false
+	v := &w.views[w.newestView]
+	for i := range int(w.started) {
+		m := &w.machines[i]
+		if m.status == running && !m.suspected && w.committedView == w.newestView && w.proposal.voters == 0 && v.voters.has(i) && v.position(i) >= 0 {
+			m.caughtUp, m.hadFault, m.departed = true, false, false
 		}
-		if m.status == up && m.leaving && w.in == w.newest {
+		if m.status == running && m.leaving && w.committedView == w.newestView {
 			var run idSet
-			for j := range int(w.born) {
-				if x := &w.m[j]; x.status == up && x.synced == w.in {
+			for j := range int(w.started) {
+				if x := &w.machines[j]; x.status == running && x.syncedView == w.committedView {
 					run |= 1 << j
 				}
 			}
-			m.removed = m.removed || c.mayLeave(w, w.in, i, run)
+			m.departed = m.departed || model.mayLeave(w, w.committedView, i, run)
 		}
-		if m.status == gone && m.view < low {
-			*m = machine{status: gone, addr: m.addr, removed: m.removed, hurt: m.hurt, instead: m.instead, out: m.out}
+		if m.status == lost && m.view < low {
+			*m = machine{status: lost, address: m.address, departed: m.departed, hadFault: m.hadFault, isReplacement: m.isReplacement, votedOut: m.votedOut}
 		}
-		if m.status == gone && w.in == w.newest && !v.voters.has(i) {
-			m.out = true
+		if m.status == lost && w.committedView == w.newestView && !v.voters.has(i) {
+			m.votedOut = true
 		}
 	}
 	for n := uint8(0); n < low; n++ {
-		w.views[n] = config{}
+		w.views[n] = configuration{}
 	}
 	k := 0
-	for _, p := range w.pend {
-		if p.n >= low && p.n > 0 {
-			w.pend[k] = p
+	for _, p := range w.pending {
+		if p.view >= low && p.view > 0 {
+			w.pending[k] = p
 			k++
 		}
 	}
-	clear(w.pend[k:])
-	slices.SortFunc(w.pend[:k], func(a, b waiting) int {
-		return int(a.n)*64 + int(a.order)*16 + int(a.seq) - int(b.n)*64 - int(b.order)*16 - int(b.seq)
+	clear(w.pending[k:])
+	slices.SortFunc(w.pending[:k], func(a, b pendingCommand) int {
+		return int(a.view)*64 + int(a.command)*16 + int(a.sequence) - int(b.view)*64 - int(b.command)*16 - int(b.sequence)
 	})
 }
 
-func (c *crowd) commit(w *world, n uint8, r register) {
+func (model *reconfigurationModel) commit(w *world, n uint8, r register) {
 	old := w.committed
 	switch {
-	case old.holds(r) && (n <= w.in || r == old):
+	case old.holds(r) && (n <= w.committedView || r == old):
 	case !r.holds(old):
-		c.broken = fmt.Sprintf("acknowledged were %v; the tail of view %d acknowledges %v", old, n, r)
+		model.violation = fmt.Sprintf("acknowledged were %v; the tail of view %d acknowledges %v", old, n, r)
 	default:
 		w.committed = r
 		var seen uint8
 		for _, x := range r[:r.length()] {
-			if bit := uint8(1) << orderOf(x); seen&bit != 0 {
-				c.broken = fmt.Sprintf("order %d is applied twice: %v", orderOf(x)+1, r)
+			if bit := uint8(1) << commandOf(x); seen&bit != 0 {
+				model.violation = fmt.Sprintf("order %d is applied twice: %v", commandOf(x)+1, r)
 			} else {
 				seen |= bit
 			}
 		}
 	}
-	w.in = max(w.in, n)
-	for i := range w.pend {
-		p := &w.pend[i]
-		if p.n != n || int(p.seq) > r.length() {
+	w.committedView = max(w.committedView, n)
+	for i := range w.pending {
+		p := &w.pending[i]
+		if p.view != n || int(p.sequence) > r.length() {
 			continue
 		}
-		c.answer(w, *p)
-		*p = waiting{}
+		model.answerCommand(w, *p)
+		*p = pendingCommand{}
 	}
 }
 
-func (c *crowd) answer(w *world, p waiting) {
-	bit := uint8(1) << p.order
+func (model *reconfigurationModel) answerCommand(w *world, p pendingCommand) {
+	bit := uint8(1) << p.command
 	if !p.conflict {
-		w.okd |= bit
+		w.acknowledged |= bit
 	} else {
-		w.refd |= bit
+		w.refused |= bit
 	}
 	applied := func(o int) bool {
-		return slices.ContainsFunc(w.committed[:w.committed.length()], func(x uint8) bool { return orderOf(x) == o })
+		return slices.ContainsFunc(w.committed[:w.committed.length()], func(x uint8) bool { return commandOf(x) == o })
 	}
 	switch {
-	case w.okd&w.refd != 0 || p.conflict && applied(int(p.order)):
-		c.broken = fmt.Sprintf("order %d was taken, and refused", p.order+1)
-	case p.conflict && !applied(1-int(p.order)):
-		c.broken = fmt.Sprintf("order %d is refused for one that isn't committed", p.order+1)
-	case !p.conflict && !applied(int(p.order)):
-		c.broken = fmt.Sprintf("order %d is acknowledged and not in force; confirmed under one number: %02b", p.order+1, w.okd&3)
+	case w.acknowledged&w.refused != 0 || p.conflict && applied(int(p.command)):
+		model.violation = fmt.Sprintf("order %d was taken, and refused", p.command+1)
+	case p.conflict && !applied(1-int(p.command)):
+		model.violation = fmt.Sprintf("order %d is refused for one that isn't committed", p.command+1)
+	case !p.conflict && !applied(int(p.command)):
+		model.violation = fmt.Sprintf("order %d is acknowledged and not in force; confirmed under one number: %02b", p.command+1, w.acknowledged&3)
 	}
 }
 
 // mayLeave tells whether a machine may end that knows of some members that they saw a commit in a view.
-func (c *crowd) mayLeave(w *world, n uint8, i int, saw idSet) bool {
+func (model *reconfigurationModel) mayLeave(w *world, n uint8, i int, saw idSet) bool {
 	v := &w.views[n]
-	if v.place(i) >= 0 || (v.members()&v.voters&saw).count() < c.f+1 {
+	if v.position(i) >= 0 || (v.members()&v.voters&saw).count() < model.tolerance+1 {
 		return false
 	}
-	if v.voters.count() <= 2*c.f+1 && v.members()&^v.voters == 0 || c.fault == LeaverStillVoter {
+	if v.voters.count() <= 2*model.tolerance+1 && v.members()&^v.voters == 0 || model.fault == LeaverExitsAsVoter {
 		return true
 	}
-	for j := range int(w.born) {
-		if w.m[j].addr == w.m[i].addr && v.voters.has(j) {
+	for j := range int(w.started) {
+		if w.machines[j].address == w.machines[i].address && v.voters.has(j) {
 			return false // it, or what it was before it lost its disk
 		}
 	}
 	return true
 }
 
-func (c *crowd) check(w *world) string {
-	if c.broken != "" {
-		return c.broken
+func (model *reconfigurationModel) violatedInvariant(w *world) string {
+	if model.violation != "" {
+		return model.violation
 	}
-	v := &w.views[w.newest]
-	if !c.s.Over {
+	v := &w.views[w.newestView]
+	if !model.scope.ExceedsTolerance {
 		alive, holder := 0, false
-		for i := range int(w.born) {
-			m := &w.m[i]
-			if m.status != up {
+		for i := range int(w.started) {
+			m := &w.machines[i]
+			if m.status != running {
 				continue
 			}
 			if v.voters.has(i) {
 				alive++
 			}
-			if v.place(i) >= 0 && (!v.fresh.has(i) || m.synced == w.newest) && m.held.holds(w.committed) {
+			if v.position(i) >= 0 && (!v.unsynced.has(i) || m.syncedView == w.newestView) && m.held.holds(w.committed) {
 				holder = true
 			}
 		}
-		if alive < v.majority() {
-			return fmt.Sprintf("of the voters of view %d (%v) only %d run; counted as lost: %d", w.newest, v, alive, c.lost(w))
+		if alive < v.quorum() {
+			return fmt.Sprintf("of the voters of view %d (%v) only %d run; counted as lost: %d", w.newestView, v, alive, model.countLost(w))
 		}
 		if !holder {
-			return fmt.Sprintf("nobody who runs and is filled in view %d (%v) holds what was acknowledged; counted as lost: %d", w.newest, v, c.lost(w))
+			return fmt.Sprintf("nobody who runs and is filled in view %d (%v) holds what was acknowledged; counted as lost: %d", w.newestView, v, model.countLost(w))
 		}
 	}
-	if !c.s.NoCalm {
-		return c.rest(w)
+	if !model.scope.SkipsLiveness {
+		return model.violatedLiveness(w)
 	}
 	return ""
 }
 
-func (c *crowd) next(y *world, what string, a, b, d int) {
-	c.tidy(y)
-	c.emit(y, what, a, b, d)
+func (model *reconfigurationModel) emitNormalized(y *world, what string, a, b, d int) {
+	model.normalize(y)
+	model.emit(y, what, a, b, d)
 }
 
-func (c *crowd) adopt(w *world, i int, n uint8) {
-	m := &w.m[i]
-	m.view, m.com, m.accepted, m.told = n, 0, none, 0
-	if w.views[n].place(i) == 0 {
-		m.synced = n
+func (model *reconfigurationModel) installView(w *world, i int, n uint8) {
+	m := &w.machines[i]
+	m.view, m.commitsSeen, m.accepted, m.confirmedBy = n, 0, acceptedNothing, 0
+	if w.views[n].position(i) == 0 {
+		m.syncedView = n
 	}
-	if w.read.on && int(w.read.by) == i {
-		w.read = reading{} // answered with 503
+	if w.read.active && int(w.read.member) == i {
+		w.read = readRequest{} // answered with 503
 	}
 }
 
-// steps tries everything that can happen.
-func (c *crowd) steps(w *world) {
-	c.around(w)
-	for i := range int(w.born) {
-		m := &w.m[i]
-		if m.status != up {
+// expand tries everything that can happen.
+func (model *reconfigurationModel) expand(w *world) {
+	model.expandEnvironment(w)
+	for i := range int(w.started) {
+		m := &w.machines[i]
+		if m.status != running {
 			continue
 		}
-		for n := m.view + 1; n <= w.newest; n++ {
+		for n := m.view + 1; n <= w.newestView; n++ {
 			// Who has no place in a view loses by learning it only what it may still do in an older one; a voter learns it by
 			// voting, and must know it to vouch for it.
-			if v := &w.views[n]; v.place(i) < 0 && !(m.leaving && v.voters != 0) && !(c.s.Readings > 0 && v.voters.has(i)) {
+			if v := &w.views[n]; v.position(i) < 0 && !(m.leaving && v.voters != 0) && !(model.scope.Reads > 0 && v.voters.has(i)) {
 				continue
 			}
 			y := *w
-			c.adopt(&y, i, n)
-			c.next(&y, "%d learns view %d", i, int(n), 0)
+			model.installView(&y, i, n)
+			model.emitNormalized(&y, "%d learns view %d", i, int(n), 0)
 		}
-		c.data(w, i)
-		c.propose(w, i)
-		c.vote(w, i)
-		c.reads(w, i)
+		model.expandReplication(w, i)
+		model.expandProposals(w, i)
+		model.expandVotes(w, i)
+		model.expandReads(w, i)
 		if !m.leaving {
 			continue
 		}
-		for j := range int(w.born) {
-			if x := &w.m[j]; j != i && m.view > 0 && x.status == up && x.view == m.view && x.com > 0 && (x.accepted == none || c.fault == LeaverOldView) && !m.told.has(j) && w.views[m.view].place(j) >= 0 && w.views[m.view].voters.has(j) {
+		for j := range int(w.started) {
+			if x := &w.machines[j]; j != i && m.view > 0 && x.status == running && x.view == m.view && x.commitsSeen > 0 && (x.accepted == acceptedNothing || model.fault == LeaverIgnoresNewerView) && !m.confirmedBy.has(j) && w.views[m.view].position(j) >= 0 && w.views[m.view].voters.has(j) {
 				y := *w
-				y.m[i].told |= 1 << j
-				c.next(&y, "%d tells %d that view %d is settled, and that it knows of no later one", j, i, int(m.view))
+				y.machines[i].confirmedBy |= 1 << j
+				model.emitNormalized(&y, "%d tells %d that view %d is settled, and that it knows of no later one", j, i, int(m.view))
 			}
 		}
-		told := m.told
-		if c.fault == LeaverTrustsTail && m.com > 0 {
+		told := m.confirmedBy
+		if model.fault == LeaverTrustsTail && m.commitsSeen > 0 {
 			told = w.views[m.view].members()
 		}
-		if c.fault == LeaverNotWaited || m.view > 0 && (m.accepted == none || c.fault == LeaverOldView) && c.mayLeave(w, m.view, i, told) {
+		if model.fault == LeaverExitsAtOnce || m.view > 0 && (m.accepted == acceptedNothing || model.fault == LeaverIgnoresNewerView) && model.mayLeave(w, m.view, i, told) {
 			y := *w
-			z := &y.m[i]
-			z.status, z.com, z.told, z.suspect = down, 0, 0, false
-			if y.read.on && int(y.read.by) == i {
-				y.read = reading{}
+			z := &y.machines[i]
+			z.status, z.commitsSeen, z.confirmedBy, z.suspected = stopped, 0, 0, false
+			if y.read.active && int(y.read.member) == i {
+				y.read = readRequest{}
 			}
-			c.next(&y, "%d has left", i, 0, 0)
+			model.emitNormalized(&y, "%d has left", i, 0, 0)
 		}
 	}
 }
 
-// around is what happens to machines.
-func (c *crowd) around(w *world) {
+// expandEnvironment is what happens to machines.
+func (model *reconfigurationModel) expandEnvironment(w *world) {
 	try := func(y *world, what string, a, b int) {
-		c.tidy(y)
-		if c.s.Over || c.lost(y) <= c.f {
-			c.emit(y, what, a, b, 0)
+		model.normalize(y)
+		if model.scope.ExceedsTolerance || model.countLost(y) <= model.tolerance {
+			model.emit(y, what, a, b, 0)
 		}
 	}
 	stop := func(y *world, i int, status uint8) *machine {
-		z := &y.m[i]
-		z.status, z.ok, z.hurt, z.com, z.told, z.suspect = status, false, true, 0, 0, false
-		if y.read.on && int(y.read.by) == i {
-			y.read = reading{}
+		z := &y.machines[i]
+		z.status, z.caughtUp, z.hadFault, z.commitsSeen, z.confirmedBy, z.suspected = status, false, true, 0, 0, false
+		if y.read.active && int(y.read.member) == i {
+			y.read = readRequest{}
 		}
 		return z
 	}
-	if int(w.spares) < c.s.Spares && w.born < idsMost {
+	if int(w.newcomers) < model.scope.Newcomers && w.started < maxIdentities {
 		y := *w
-		away := slices.ContainsFunc(w.m[:c.s.Members], func(m machine) bool { return m.removed })
-		y.m[y.born] = machine{status: up, addr: uint8(c.s.Members) + y.spares, instead: away}
-		y.born++
-		y.spares++
-		c.next(&y, "%d starts at a new address", int(w.born), 0, 0)
-	}
-	for i := range int(w.born) {
-		m := &w.m[i]
-		if m.status == down {
+		away := slices.ContainsFunc(w.machines[:model.scope.Members], func(m machine) bool { return m.departed })
+		y.machines[y.started] = machine{status: running, address: uint8(model.scope.Members) + y.newcomers, isReplacement: away}
+		y.started++
+		y.newcomers++
+		model.emitNormalized(&y, "%d starts at a new address", int(w.started), 0, 0)
+	}
+	for i := range int(w.started) {
+		m := &w.machines[i]
+		if m.status == stopped {
 			y := *w
-			z := &y.m[i]
+			z := &y.machines[i]
 			if m.leaving {
-				if int(y.returns) >= c.s.Returns {
+				if int(y.returns) >= model.scope.Returns {
 					continue
 				}
 				y.returns++
-				z.leaving, z.ok = false, false // its successor, if it has one, stands for it until it is taken in again
+				z.leaving, z.caughtUp = false, false // its successor, if it has one, stands for it until it is taken in again
 			}
-			z.status = up
-			c.next(&y, "%d starts again with its disk", i, 0, 0)
+			z.status = running
+			model.emitNormalized(&y, "%d starts again with its disk", i, 0, 0)
 			continue
 		}
-		if m.status != up {
+		if m.status != running {
 			continue
 		}
-		if int(w.gones) < c.s.Gone {
+		if int(w.losses) < model.scope.Losses {
 			y := *w
-			y.gones++
-			stop(&y, i, gone).removed = true
+			y.losses++
+			stop(&y, i, lost).departed = true
 			try(&y, "%d is lost for good", i, 0)
 		}
-		if int(w.wipes) < c.s.Wipes && w.born < idsMost && !m.leaving {
+		if int(w.wipes) < model.scope.Wipes && w.started < maxIdentities && !m.leaving {
 			y := *w
 			y.wipes++
-			stop(&y, i, gone)
-			y.m[y.born] = machine{status: up, addr: m.addr, hurt: true, instead: m.instead}
-			y.born++
-			try(&y, "%d loses its disk and comes back as %d", i, int(w.born))
+			stop(&y, i, lost)
+			y.machines[y.started] = machine{status: running, address: m.address, hadFault: true, isReplacement: m.isReplacement}
+			y.started++
+			try(&y, "%d loses its disk and comes back as %d", i, int(w.started))
 		}
-		if int(w.kills) < c.s.Kills && !m.leaving {
+		if int(w.kills) < model.scope.Kills && !m.leaving {
 			y := *w
 			y.kills++
-			stop(&y, i, down)
+			stop(&y, i, stopped)
 			try(&y, "%d is killed", i, 0)
 		}
-		if m.suspect {
+		if m.suspected {
 			y := *w
-			y.m[i].suspect = false
-			c.next(&y, "%d is heard again", i, 0, 0)
-		} else if int(w.blips) < c.s.Blips {
+			y.machines[i].suspected = false
+			model.emitNormalized(&y, "%d is heard again", i, 0, 0)
+		} else if int(w.suspicions) < model.scope.Suspicions {
 			y := *w
-			y.blips++
-			y.m[i].suspect, y.m[i].ok, y.m[i].hurt = true, false, true
+			y.suspicions++
+			y.machines[i].suspected, y.machines[i].caughtUp, y.machines[i].hadFault = true, false, true
 			try(&y, "%d isn't heard", i, 0)
 		}
-		if int(w.leaves) < c.s.Leaves && !m.leaving && int(m.addr) < c.s.Members {
+		if int(w.leaves) < model.scope.Leaves && !m.leaving && int(m.address) < model.scope.Members {
 			y := *w
 			y.leaves++
-			y.m[i].leaving = true
-			c.next(&y, "%d is told to leave", i, 0, 0)
+			y.machines[i].leaving = true
+			model.emitNormalized(&y, "%d is told to leave", i, 0, 0)
 		}
 	}
 }
 
-// data is the chain's part.
-func (c *crowd) data(w *world, i int) {
-	m := &w.m[i]
+// expandReplication is the chain's part.
+func (model *reconfigurationModel) expandReplication(w *world, i int) {
+	m := &w.machines[i]
 	if m.view == 0 {
 		return
 	}
 	v := &w.views[m.view]
-	p := v.place(i)
+	p := v.position(i)
 	if p == 0 {
 		total := 0
-		for _, n := range w.entered {
+		for _, n := range w.submissions {
 			total += int(n)
 		}
-		for o := 0; o < c.s.Orders && total < c.s.Enters; o++ {
-			if w.entered[o] < 2 {
-				c.enter(w, i, o)
+		for o := 0; o < model.scope.Commands && total < model.scope.Submissions; o++ {
+			if w.submissions[o] < 2 {
+				model.submit(w, i, o)
 			}
 		}
 	}
 	if p > 0 { // a pass may be on its way though its sender has ended
-		from := &w.m[v.chain[p-1]-1]
-		if from.view == m.view && from.synced == m.view && (m.synced != m.view || from.held.length() > m.held.length()) {
+		from := &w.machines[v.chain[p-1]-1]
+		if from.view == m.view && from.syncedView == m.view && (m.syncedView != m.view || from.held.length() > m.held.length()) {
 			y := *w
-			y.m[i].held, y.m[i].synced = from.held, m.view
-			c.next(&y, "%d takes the pass of view %d from %d", i, int(m.view), int(v.chain[p-1]-1))
+			y.machines[i].held, y.machines[i].syncedView = from.held, m.view
+			model.emitNormalized(&y, "%d takes the pass of view %d from %d", i, int(m.view), int(v.chain[p-1]-1))
 		}
 	}
 	if p < 0 && !m.leaving {
 		return
 	}
 	// What the tail holds was told.
-	if tail := &w.m[v.chain[v.length()-1]-1]; tail.view == m.view && tail.synced == m.view && int(m.com) < 1+tail.held.length() {
+	if tail := &w.machines[v.chain[v.length()-1]-1]; tail.view == m.view && tail.syncedView == m.view && int(m.commitsSeen) < 1+tail.held.length() {
 		y := *w
-		y.m[i].com = uint8(1 + tail.held.length())
-		c.next(&y, "%d hears that in view %d the tail has %d orders", i, int(m.view), tail.held.length())
+		y.machines[i].commitsSeen = uint8(1 + tail.held.length())
+		model.emitNormalized(&y, "%d hears that in view %d the tail has %d orders", i, int(m.view), tail.held.length())
 	}
 }
 
-func (c *crowd) enter(w *world, i, o int) {
+func (model *reconfigurationModel) submit(w *world, i, o int) {
 	y := *w
-	z := &y.m[i]
-	y.entered[o]++
+	z := &y.machines[i]
+	y.submissions[o]++
 	n := z.held.length()
 	has := func(o int) bool {
-		return slices.ContainsFunc(z.held[:n], func(x uint8) bool { return orderOf(x) == o })
+		return slices.ContainsFunc(z.held[:n], func(x uint8) bool { return commandOf(x) == o })
 	}
-	p := waiting{order: uint8(o), n: z.view}
+	p := pendingCommand{command: uint8(o), view: z.view}
 	switch {
-	case has(o) && c.fault != AppliedAgain:
+	case has(o) && model.fault != CommandAppliedTwice:
 	case o < 2 && has(1-o):
-		p.conflict = c.fault != TwoConfirmed
-	case n < regMost:
+		p.conflict = model.fault != ConflictAcknowledged
+	case n < maxRegisterLength:
 		z.held[n] = uint8(1 + o + 4*int(z.view))
 	default:
 		return
 	}
-	p.seq = uint8(z.held.length())
-	if p.conflict && c.fault == ConflictAtOnce {
-		p.seq = 0
-		c.answer(&y, p)
+	p.sequence = uint8(z.held.length())
+	if p.conflict && model.fault == ConflictReportedEarly {
+		p.sequence = 0
+		model.answerCommand(&y, p)
 	} else {
-		k := slices.IndexFunc(y.pend[:], func(x waiting) bool { return x.n == 0 })
+		k := slices.IndexFunc(y.pending[:], func(x pendingCommand) bool { return x.view == 0 })
 		if k < 0 {
 			return
 		}
-		y.pend[k] = p
+		y.pending[k] = p
 	}
-	c.next(&y, "order %d enters at %d in view %d", o+1, i, int(z.view))
+	model.emitNormalized(&y, "order %d enters at %d in view %d", o+1, i, int(z.view))
 }
 
-func (c *crowd) reads(w *world, i int) {
-	m := &w.m[i]
+func (model *reconfigurationModel) expandReads(w *world, i int) {
+	m := &w.machines[i]
 	if m.view == 0 {
 		return
 	}
 	v := &w.views[m.view]
-	if !w.read.on && int(w.readings) < c.s.Readings && v.place(i) >= 0 {
+	if !w.read.active && int(w.reads) < model.scope.Reads && v.position(i) >= 0 {
 		y := *w
-		y.readings++
-		y.read = reading{on: true, by: uint8(i), n: m.view, need: uint8(m.held.length()), at: uint8(w.committed.length())}
-		c.next(&y, "%d is asked in view %d", i, int(m.view), 0)
+		y.reads++
+		y.read = readRequest{active: true, member: uint8(i), view: m.view, heldLength: uint8(m.held.length()), acknowledgedLength: uint8(w.committed.length())}
+		model.emitNormalized(&y, "%d is asked in view %d", i, int(m.view), 0)
 	}
 	r := &w.read
-	if !r.on {
+	if !r.active {
 		return
 	}
-	if m.view == r.n && w.views[r.n].voters.has(i) && !r.votes.has(i) && m.accepted == none {
+	if m.view == r.view && w.views[r.view].voters.has(i) && !r.confirmedBy.has(i) && m.accepted == acceptedNothing {
 		y := *w
-		y.read.votes |= 1 << i
-		c.next(&y, "%d knows of no later view than %d", i, int(r.n), 0)
+		y.read.confirmedBy |= 1 << i
+		model.emitNormalized(&y, "%d knows of no later view than %d", i, int(r.view), 0)
 	}
-	if int(r.by) == i && m.view == r.n && m.com > r.need && (r.votes.count() >= v.majority() || c.fault == LeaseRead) {
+	if int(r.member) == i && m.view == r.view && m.commitsSeen > r.heldLength && (r.confirmedBy.count() >= v.quorum() || model.fault == LeaseRead) {
 		y := *w
-		y.read = reading{}
-		if m.com-1 < r.at {
-			c.broken = fmt.Sprintf("%d answers with %d orders, %d were acknowledged before it was asked", i, m.com-1, r.at)
+		y.read = readRequest{}
+		if m.commitsSeen-1 < r.acknowledgedLength {
+			model.violation = fmt.Sprintf("%d answers with %d orders, %d were acknowledged before it was asked", i, m.commitsSeen-1, r.acknowledgedLength)
 		}
-		c.next(&y, "%d answers", i, 0, 0)
+		model.emitNormalized(&y, "%d answers", i, 0, 0)
 	}
 }
 
-// propose puts a value in the place of the live one, where a majority can promise that it has not accepted that.
-func (c *crowd) propose(w *world, i int) {
-	m := &w.m[i]
-	v := &w.views[w.newest]
-	if m.view != w.newest || v.place(i) < 0 || int(w.newest) > c.s.Views || w.live.voters != 0 && int(w.tries) >= c.s.Tries {
+// expandProposals puts a value in the place of the live one, where a majority can promise that it has not accepted that.
+func (model *reconfigurationModel) expandProposals(w *world, i int) {
+	m := &w.machines[i]
+	v := &w.views[w.newestView]
+	if m.view != w.newestView || v.position(i) < 0 || int(w.newestView) > model.scope.Views || w.proposal.voters != 0 && int(w.superseded) >= model.scope.SupersededProposals {
 		return
 	}
 	can := 0
-	for j := range int(w.born) {
-		if x := &w.m[j]; v.voters.has(j) && x.status == up && (x.view < w.newest || x.accepted != live) {
+	for j := range int(w.started) {
+		if x := &w.machines[j]; v.voters.has(j) && x.status == running && (x.view < w.newestView || x.accepted != acceptedLive) {
 			can++
 		}
 	}
-	if can < v.majority() {
+	if can < v.quorum() {
 		return
 	}
-	for _, next := range slices.Clone(c.wanted(w, i)) {
-		if next == w.live {
+	for _, next := range slices.Clone(model.candidateViews(w, i)) {
+		if next == w.proposal {
 			continue
 		}
 		y := *w
-		if y.live.voters != 0 {
-			y.tries++
+		if y.proposal.voters != 0 {
+			y.superseded++
 		}
-		c.offer(&y, next)
-		c.next(&y, "%d proposes view %d", i, int(w.newest)+1, 0)
+		model.replaceProposal(&y, next)
+		model.emitNormalized(&y, "%d proposes view %d", i, int(w.newestView)+1, 0)
 	}
 }
 
-func (c *crowd) offer(w *world, next config) {
-	w.live = next
-	for j := range w.m {
-		if x := &w.m[j]; x.view == w.newest && x.accepted == live {
-			x.accepted = dead
+func (model *reconfigurationModel) replaceProposal(w *world, next configuration) {
+	w.proposal = next
+	for j := range w.machines {
+		if x := &w.machines[j]; x.view == w.newestView && x.accepted == acceptedLive {
+			x.accepted = acceptedSuperseded
 		}
 	}
 }
 
-// wanted lists the views that a member may want after its own. What it hears of others is modelled by their trouble.
-func (c *crowd) wanted(w *world, self int) []config {
-	v := &w.views[w.newest]
-	settled := w.m[self].com > 0
-	well := func(j int) bool { return w.m[j].status == up && !w.m[j].suspect && !w.m[j].leaving }
+// candidateViews lists the views that a member may want after its own. What it hears of others is modelled by their trouble.
+func (model *reconfigurationModel) candidateViews(w *world, self int) []configuration {
+	v := &w.views[w.newestView]
+	settled := w.machines[self].commitsSeen > 0
+	well := func(j int) bool {
+		return w.machines[j].status == running && !w.machines[j].suspected && !w.machines[j].leaving
+	}
 	var bad idSet // in the chain
 	for _, x := range v.chain[:v.length()] {
-		if j := int(x - 1); !well(j) && (j != self || w.m[j].leaving) {
+		if j := int(x - 1); !well(j) && (j != self || w.machines[j].leaving) {
 			bad |= 1 << j
 		}
 	}
-	c.views = c.views[:0]
+	model.candidates = model.candidates[:0]
 	try := func(drop idSet, join int) {
-		next := config{voters: v.voters}
+		next := configuration{voters: v.voters}
 		k := 0
 		for _, x := range v.chain[:v.length()] {
-			if join >= 0 && w.m[join].addr == w.m[x-1].addr {
+			if join >= 0 && w.machines[join].address == w.machines[x-1].address {
 				continue // the machine has come back under another identity
 			}
 			if !drop.has(int(x - 1)) {
@@ -717,27 +719,27 @@
 			}
 		}
 		if !settled {
-			next.fresh = v.fresh & next.members()
+			next.unsynced = v.unsynced & next.members()
 		}
 		if join >= 0 {
-			if c.fault == OldSnapshotHead && v.voters.has(join) {
+			if model.fault == ReturningMemberLeads && v.voters.has(join) {
 				copy(next.chain[1:], next.chain[:k])
 				next.chain[0] = uint8(join + 1)
 			} else {
 				next.chain[k] = uint8(join + 1)
-				if c.fault != FreshHead {
-					next.fresh |= 1 << join
+				if model.fault != UnsyncedHead {
+					next.unsynced |= 1 << join
 				}
 			}
 			k++
 		}
-		if k == 0 || next.fresh.has(int(next.chain[0]-1)) {
+		if k == 0 || next.unsynced.has(int(next.chain[0]-1)) {
 			return
 		}
 		in := next.members()
-		if c.fault != LeaverDroppedEarly {
-			for j := range int(w.born) {
-				if m := &w.m[j]; drop.has(j) && m.leaving && m.status == up && !m.suspect && (in&v.voters&^next.fresh).count() < c.f+1 {
+		if model.fault != LeaverDroppedEarly {
+			for j := range int(w.started) {
+				if m := &w.machines[j]; drop.has(j) && m.leaving && m.status == running && !m.suspected && (in&v.voters&^next.unsynced).count() < model.tolerance+1 {
 					return
 				}
 			}
@@ -748,61 +750,61 @@
 			}
 			if x := next; x.chain != v.chain || voters != v.voters {
 				x.voters = voters
-				c.views = append(c.views, x)
+				model.candidates = append(model.candidates, x)
 			}
 		}
 		take(v.voters)
-		atOnce := (c.fault == SeatUnfilled || c.fault == AddedUnfilled) && join >= 0 && !v.voters.has(join)
+		atOnce := (model.fault == UnsyncedReplacement || model.fault == UnsyncedAddition) && join >= 0 && !v.voters.has(join)
 		if !settled && !atOnce {
 			return
 		}
 		var absent idSet // for long, or leaving
-		for j := range int(w.born) {
-			if v.voters.has(j) && !in.has(j) && !well(j) && (v.place(j) < 0 || w.m[j].leaving || atOnce) {
+		for j := range int(w.started) {
+			if v.voters.has(j) && !in.has(j) && !well(j) && (v.position(j) < 0 || w.machines[j].leaving || atOnce) {
 				absent |= 1 << j
 			}
 		}
-		for l := range int(w.born) {
-			if v.voters.has(l) || !in.has(l) || l == join && !atOnce || w.m[l].leaving || l != join && !settled {
+		for l := range int(w.started) {
+			if v.voters.has(l) || !in.has(l) || l == join && !atOnce || w.machines[l].leaving || l != join && !settled {
 				continue
 			}
 			same := idSet(0)
-			for j := range int(w.born) {
-				if absent.has(j) && w.m[j].addr == w.m[l].addr {
+			for j := range int(w.started) {
+				if absent.has(j) && w.machines[j].address == w.machines[l].address {
 					same |= 1 << j
 				}
 			}
 			if same == 0 {
 				same = absent
 			}
-			for j := range int(w.born) {
+			for j := range int(w.started) {
 				if same.has(j) {
 					take(v.voters&^(1<<j) | 1<<l)
 				}
 			}
-			if v.voters&^in == 0 && !atOnce || atOnce && c.fault == AddedUnfilled {
+			if v.voters&^in == 0 && !atOnce || atOnce && model.fault == UnsyncedAddition {
 				take(v.voters | 1<<l)
 			}
 		}
 		if !settled {
 			return
 		}
-		for j := range int(w.born) {
-			if absent.has(j) && v.voters.count()-1 >= 2*c.f+1 {
+		for j := range int(w.started) {
+			if absent.has(j) && v.voters.count()-1 >= 2*model.tolerance+1 {
 				take(v.voters &^ (1 << j))
 			}
 		}
-		if stay := in & v.voters; stay.count() == v.majority() && stay.count() >= 3 && v.voters&^stay == absent {
+		if stay := in & v.voters; stay.count() == v.quorum() && stay.count() >= 3 && v.voters&^stay == absent {
 			take(stay)
 		}
 	}
-	for join := -1; join < int(w.born); join++ {
+	for join := -1; join < int(w.started); join++ {
 		if join >= 0 {
-			j := &w.m[join]
-			if v.place(join) >= 0 || j.status != up || j.suspect || j.leaving && (c.fault == LeaverNotTaken || !v.voters.has(join) || !c.needed(w, v)) {
+			j := &w.machines[join]
+			if v.position(join) >= 0 || j.status != running || j.suspected || j.leaving && (model.fault == LeaverNotReadmitted || !v.voters.has(join) || !model.needsLeavers(w, v)) {
 				continue
 			}
-			if !settled && c.fault != JoinUnsettled && (!v.voters.has(join) || c.without(w, v) >= v.majority()) {
+			if !settled && model.fault != JoinBeforeCommit && (!v.voters.has(join) || model.countReachableVoters(w, v) >= v.quorum()) {
 				continue
 			}
 		}
@@ -810,220 +812,220 @@
 		if bad.count() > 1 {
 			try(bad, join)
 		}
-		for j := range int(w.born) {
+		for j := range int(w.started) {
 			if bad.has(j) {
 				try(1<<j, join)
 			}
 		}
 	}
-	return c.views
+	return model.candidates
 }
 
-// without counts the voters in the chain that seem well.
-func (c *crowd) without(w *world, v *config) (n int) {
-	for j := range int(w.born) {
-		if m := &w.m[j]; v.voters.has(j) && v.place(j) >= 0 && m.status == up && !m.suspect {
+// countReachableVoters counts the voters in the chain that seem well.
+func (model *reconfigurationModel) countReachableVoters(w *world, v *configuration) (n int) {
+	for j := range int(w.started) {
+		if m := &w.machines[j]; v.voters.has(j) && v.position(j) >= 0 && m.status == running && !m.suspected {
 			n++
 		}
 	}
 	return n
 }
 
-// needed tells whether too few voters would be in the chain without those that leave.
-func (c *crowd) needed(w *world, v *config) bool {
+// needsLeavers tells whether too few voters would be in the chain without those that leave.
+func (model *reconfigurationModel) needsLeavers(w *world, v *configuration) bool {
 	n := 0
-	for j := range int(w.born) {
-		if m := &w.m[j]; v.voters.has(j) && m.status == up && !m.suspect && !m.leaving {
+	for j := range int(w.started) {
+		if m := &w.machines[j]; v.voters.has(j) && m.status == running && !m.suspected && !m.leaving {
 			n++
 		}
 	}
-	return n < v.majority()
+	return n < v.quorum()
 }
 
-// vote has a voter accept the live value; the last of a majority decides it.
-func (c *crowd) vote(w *world, i int) {
-	v := &w.views[w.newest]
-	m := &w.m[i]
-	if w.live.voters == 0 || !v.voters.has(i) || m.view == w.newest && m.accepted == live {
+// expandVotes has a voter accept the live value; the last of a majority decides it.
+func (model *reconfigurationModel) expandVotes(w *world, i int) {
+	v := &w.views[w.newestView]
+	m := &w.machines[i]
+	if w.proposal.voters == 0 || !v.voters.has(i) || m.view == w.newestView && m.accepted == acceptedLive {
 		return
 	}
 	y := *w
-	if m.view < w.newest {
-		c.adopt(&y, i, w.newest)
+	if m.view < w.newestView {
+		model.installView(&y, i, w.newestView)
 	}
-	y.m[i].accepted = live
-	c.decide(&y)
-	c.next(&y, "%d accepts view %d", i, int(w.newest)+1, 0)
+	y.machines[i].accepted = acceptedLive
+	model.decide(&y)
+	model.emitNormalized(&y, "%d accepts view %d", i, int(w.newestView)+1, 0)
 }
 
-func (c *crowd) decide(w *world) bool {
-	v := &w.views[w.newest]
+func (model *reconfigurationModel) decide(w *world) bool {
+	v := &w.views[w.newestView]
 	n := 0
-	for j := range int(w.born) {
-		if x := &w.m[j]; v.voters.has(j) && x.view == w.newest && x.accepted == live {
+	for j := range int(w.started) {
+		if x := &w.machines[j]; v.voters.has(j) && x.view == w.newestView && x.accepted == acceptedLive {
 			n++
 		}
 	}
-	if n < v.majority() {
+	if n < v.quorum() {
 		return false
 	}
-	w.newest++
-	w.views[w.newest], w.live, w.tries = w.live, config{}, 0
+	w.newestView++
+	w.views[w.newestView], w.proposal, w.superseded = w.proposal, configuration{}, 0
 	return true
 }
 
-var worldSeed = maphash.MakeSeed()
+var fingerprintSeed = maphash.MakeSeed()
 
-// rest tries whether the core comes to rest when nothing more befalls it: a settled view that has all who run and stay,
+// violatedLiveness tries whether the core comes to rest when nothing more befalls it: a settled view that has all who run and stay,
 // as voters, no voter too many who doesn't, and nobody waiting to leave who needn't.
-func (c *crowd) rest(w *world) string {
+func (model *reconfigurationModel) violatedLiveness(w *world) string {
 	y := *w
-	c.path = c.path[:0]
+	model.path = model.path[:0]
 	for {
-		c.rebase(&y)
-		k := maphash.Comparable(worldSeed, y)
-		if _, ok := c.rests[k]; ok {
+		model.rebase(&y)
+		k := maphash.Comparable(fingerprintSeed, y)
+		if _, ok := model.quiescing[k]; ok {
 			break
 		}
-		if slices.Contains(c.path, k) {
-			if why := c.atRest(&y); why != "" {
-				c.broken = ""
+		if slices.Contains(model.path, k) {
+			if why := model.notAtRest(&y); why != "" {
+				model.violation = ""
 				return "left alone, the core doesn't come to rest: " + why
 			}
 			break
 		}
-		c.path = append(c.path, k)
-		c.calm(&y)
-		if c.broken != "" {
-			return "left alone: " + c.broken
+		model.path = append(model.path, k)
+		model.quiesce(&y)
+		if model.violation != "" {
+			return "left alone: " + model.violation
 		}
 	}
-	for _, k := range c.path {
-		c.rests[k] = struct{}{}
+	for _, k := range model.path {
+		model.quiescing[k] = struct{}{}
 	}
 	return ""
 }
 
 // rebase drops what no longer matters once nothing more befalls the core.
-func (c *crowd) rebase(w *world) {
-	if c.s.Over { // all come back
-		for i := range w.m {
-			if w.m[i].status == down && !w.m[i].leaving {
-				w.m[i].status = up
+func (model *reconfigurationModel) rebase(w *world) {
+	if model.scope.ExceedsTolerance { // all come back
+		for i := range w.machines {
+			if w.machines[i].status == stopped && !w.machines[i].leaving {
+				w.machines[i].status = running
 			}
 		}
 	}
-	for i := range w.m {
-		w.m[i].suspect = false
+	for i := range w.machines {
+		w.machines[i].suspected = false
 	}
 	known, voters := false, 0
-	for i := range w.m {
-		m := &w.m[i]
-		known = known || m.status == up && m.view == w.newest
-		if m.status == up && w.newest > 1 && w.views[w.newest-1].voters.has(i) {
+	for i := range w.machines {
+		m := &w.machines[i]
+		known = known || m.status == running && m.view == w.newestView
+		if m.status == running && w.newestView > 1 && w.views[w.newestView-1].voters.has(i) {
 			voters++
 		}
 	}
-	if known || voters >= w.views[w.newest-1].majority() && w.views[w.newest-1].voters != 0 {
-		for i := range w.m {
-			if m := &w.m[i]; m.status == up && m.view < w.newest {
-				c.adopt(w, i, w.newest)
+	if known || voters >= w.views[w.newestView-1].quorum() && w.views[w.newestView-1].voters != 0 {
+		for i := range w.machines {
+			if m := &w.machines[i]; m.status == running && m.view < w.newestView {
+				model.installView(w, i, w.newestView)
 			}
 		}
 	} else {
 		return
 	}
-	shift := w.newest - 1
-	y := world{born: w.born, newest: 1, live: w.live, committed: w.committed, m: w.m}
-	y.views[1] = w.views[w.newest]
-	if w.in == w.newest {
-		y.in = 1
+	shift := w.newestView - 1
+	y := world{started: w.started, newestView: 1, proposal: w.proposal, committed: w.committed, machines: w.machines}
+	y.views[1] = w.views[w.newestView]
+	if w.committedView == w.newestView {
+		y.committedView = 1
 	}
-	for i := range y.m {
-		m := &y.m[i]
-		if m.status == gone {
-			*m = machine{status: gone, addr: m.addr, removed: m.removed, hurt: m.hurt, instead: m.instead, out: m.out}
+	for i := range y.machines {
+		m := &y.machines[i]
+		if m.status == lost {
+			*m = machine{status: lost, address: m.address, departed: m.departed, hadFault: m.hadFault, isReplacement: m.isReplacement, votedOut: m.votedOut}
 			continue
 		}
-		if m.view != w.newest {
-			m.com, m.accepted = 0, none
+		if m.view != w.newestView {
+			m.commitsSeen, m.accepted = 0, acceptedNothing
 		}
-		m.view, m.synced = max(m.view, shift)-shift, max(m.synced, shift)-shift
+		m.view, m.syncedView = max(m.view, shift)-shift, max(m.syncedView, shift)-shift
 	}
 	*w = y
 }
 
-// calm lets the core do what it would do next.
-func (c *crowd) calm(w *world) {
-	v := &w.views[w.newest]
-	c.tidy(w)
-	if w.live.voters != 0 {
-		for i := range w.m {
-			if m := &w.m[i]; m.status == up && v.voters.has(i) && m.view == w.newest {
-				m.accepted = live
+// quiesce lets the core do what it would do next.
+func (model *reconfigurationModel) quiesce(w *world) {
+	v := &w.views[w.newestView]
+	model.normalize(w)
+	if w.proposal.voters != 0 {
+		for i := range w.machines {
+			if m := &w.machines[i]; m.status == running && v.voters.has(i) && m.view == w.newestView {
+				m.accepted = acceptedLive
 			}
 		}
-		if c.decide(w) {
+		if model.decide(w) {
 			return
 		}
 	}
 	n := v.length()
 	for p := 1; p < n; p++ {
-		from, to := &w.m[v.chain[p-1]-1], &w.m[v.chain[p]-1]
-		if from.status == up && to.status == up && from.view == w.newest && to.view == w.newest && from.synced == w.newest &&
-			(to.synced != w.newest || from.held.length() > to.held.length()) {
-			to.held, to.synced = from.held, w.newest
+		from, to := &w.machines[v.chain[p-1]-1], &w.machines[v.chain[p]-1]
+		if from.status == running && to.status == running && from.view == w.newestView && to.view == w.newestView && from.syncedView == w.newestView &&
+			(to.syncedView != w.newestView || from.held.length() > to.held.length()) {
+			to.held, to.syncedView = from.held, w.newestView
 		}
 	}
-	c.tidy(w)
-	if tail := &w.m[v.chain[n-1]-1]; tail.status == up && tail.view == w.newest && tail.synced == w.newest {
-		for i := range w.m {
-			if m := &w.m[i]; m.status == up && m.view == w.newest {
-				m.com = uint8(1 + tail.held.length())
+	model.normalize(w)
+	if tail := &w.machines[v.chain[n-1]-1]; tail.status == running && tail.view == w.newestView && tail.syncedView == w.newestView {
+		for i := range w.machines {
+			if m := &w.machines[i]; m.status == running && m.view == w.newestView {
+				m.commitsSeen = uint8(1 + tail.held.length())
 			}
 		}
 	}
 	var saw idSet
-	for i := range w.m {
-		if m := &w.m[i]; m.status == up && m.com > 0 {
+	for i := range w.machines {
+		if m := &w.machines[i]; m.status == running && m.commitsSeen > 0 {
 			saw |= 1 << i
 		}
 	}
 	voters := 0
-	for i := range w.m {
-		m := &w.m[i]
-		if m.status == up && m.leaving && m.com > 0 && c.mayLeave(w, w.newest, i, saw) {
-			m.status, m.com, m.ok = down, 0, false
+	for i := range w.machines {
+		m := &w.machines[i]
+		if m.status == running && m.leaving && m.commitsSeen > 0 && model.mayLeave(w, w.newestView, i, saw) {
+			m.status, m.commitsSeen, m.caughtUp = stopped, 0, false
 		}
-		if m.status == up && v.voters.has(i) {
+		if m.status == running && v.voters.has(i) {
 			voters++
 		}
 	}
-	if voters < v.majority() {
+	if voters < v.quorum() {
 		return
 	}
-	best, value := c.score(w, v), config{}
-	for i := range w.m {
-		if m := &w.m[i]; m.status == up && m.view == w.newest && v.place(i) >= 0 {
-			for _, x := range c.wanted(w, i) {
-				if s := c.score(w, &x); s > best {
+	best, value := model.score(w, v), configuration{}
+	for i := range w.machines {
+		if m := &w.machines[i]; m.status == running && m.view == w.newestView && v.position(i) >= 0 {
+			for _, x := range model.candidateViews(w, i) {
+				if s := model.score(w, &x); s > best {
 					best, value = s, x
 				}
 			}
 		}
 	}
 	if value.voters != 0 {
-		c.offer(w, value)
+		model.replaceProposal(w, value)
 	}
 }
 
-func (c *crowd) score(w *world, v *config) (s int) {
+func (model *reconfigurationModel) score(w *world, v *configuration) (s int) {
 	in := v.members()
-	for i := range int(w.born) {
-		m := &w.m[i]
+	for i := range int(w.started) {
+		m := &w.machines[i]
 		if in.has(i) {
 			switch {
-			case m.status != up:
+			case m.status != running:
 				s -= 30
 			case m.leaving:
 				s -= 10
@@ -1033,9 +1035,9 @@
 		}
 		if v.voters.has(i) {
 			switch {
-			case m.status == up && !m.leaving:
+			case m.status == running && !m.leaving:
 				s += 5
-			case m.status == gone:
+			case m.status == lost:
 				s -= 4
 			default:
 				s -= 3
@@ -1045,53 +1047,53 @@
 	return s
 }
 
-func (c *crowd) atRest(w *world) string {
-	v := &w.views[w.newest]
-	if w.in != w.newest {
+func (model *reconfigurationModel) notAtRest(w *world) string {
+	v := &w.views[w.newestView]
+	if w.committedView != w.newestView {
 		return fmt.Sprintf("nothing is committed in the newest view (%v)", v)
 	}
 	stay := 0
-	for i := range int(w.born) {
-		m := &w.m[i]
-		if m.status != up || m.leaving {
+	for i := range int(w.started) {
+		m := &w.machines[i]
+		if m.status != running || m.leaving {
 			continue
 		}
 		stay++
-		if v.place(i) < 0 || !v.voters.has(i) {
+		if v.position(i) < 0 || !v.voters.has(i) {
 			return fmt.Sprintf("%d runs, and isn't taken in (%v)", i, v)
 		}
 	}
-	for i := range int(w.born) {
-		if m := &w.m[i]; m.status == up && m.leaving && stay >= v.majority() && stay >= c.f+1 {
+	for i := range int(w.started) {
+		if m := &w.machines[i]; m.status == running && m.leaving && stay >= v.quorum() && stay >= model.tolerance+1 {
 			return fmt.Sprintf("%d can't leave (%v)", i, v)
 		}
 	}
-	if n := v.voters.count(); n > max(2*c.f+1, stay) {
+	if n := v.voters.count(); n > max(2*model.tolerance+1, stay) {
 		return fmt.Sprintf("%d voters, of whom %d run (%v)", n, stay, v)
 	}
 	return ""
 }
 
-// ExploreMembers searches breadth first.
-func ExploreMembers(s Scope, fault Fault) Result {
-	c := &crowd{s: s, f: (s.Members - 1) / 2, fault: fault, rests: map[uint64]struct{}{}}
-	start := *c.start()
-	seen := map[uint64]uint32{maphash.Comparable(worldSeed, start): 0}
-	parents, keys := []uint32{0}, []uint64{maphash.Comparable(worldSeed, start)}
+// ExploreReconfiguration searches breadth first.
+func ExploreReconfiguration(s Scope, fault Fault) Result {
+	model := &reconfigurationModel{scope: s, tolerance: (s.Members - 1) / 2, fault: fault, quiescing: map[uint64]struct{}{}}
+	start := *model.initialWorld()
+	seen := map[uint64]uint32{maphash.Comparable(fingerprintSeed, start): 0}
+	parents, keys := []uint32{0}, []uint64{maphash.Comparable(fingerprintSeed, start)}
 	layer, following := []world{start}, []world(nil)
 	res := Result{Complete: true}
 	at := uint32(0)
 	wrong, wrongAt, last := "", uint32(0), ""
-	c.emit = func(y *world, what string, a, b, d int) {
+	model.emit = func(y *world, what string, a, b, d int) {
 		if wrong != "" {
 			return
 		}
-		k := maphash.Comparable(worldSeed, *y)
-		if _, ok := seen[k]; ok && c.broken == "" {
+		k := maphash.Comparable(fingerprintSeed, *y)
+		if _, ok := seen[k]; ok && model.violation == "" {
 			return
 		}
-		if broken := c.check(y); broken != "" {
-			wrong, wrongAt, last = broken, at, step(what, a, b, d)
+		if broken := model.violatedInvariant(y); broken != "" {
+			wrong, wrongAt, last = broken, at, describeStep(what, a, b, d)
 			return
 		}
 		seen[k] = uint32(len(keys))
@@ -1100,11 +1102,11 @@
 	}
 	for len(layer) > 0 && wrong == "" {
 		for i := range layer {
-			at = seen[maphash.Comparable(worldSeed, layer[i])]
-			c.steps(&layer[i])
+			at = seen[maphash.Comparable(fingerprintSeed, layer[i])]
+			model.expand(&layer[i])
 			res.States++
-			res.Complete = s.States == 0 || res.States < s.States
-			if res.States%1024 == 0 && !s.Until.IsZero() && time.Now().After(s.Until) {
+			res.Complete = s.MaxStates == 0 || res.States < s.MaxStates
+			if res.States%1024 == 0 && !s.Deadline.IsZero() && time.Now().After(s.Deadline) {
 				res.Complete = false
 			}
 			if wrong != "" || !res.Complete {
@@ -1116,7 +1118,7 @@
 		}
 		layer, following = following, layer[:0]
 	}
-	if res.Broken = wrong; wrong == "" {
+	if res.Violation = wrong; wrong == "" {
 		return res
 	}
 	var way []uint64
@@ -1128,17 +1130,17 @@
 	for _, k := range way { // the same again, with words
 		var y world
 		found := ""
-		c.emit = func(z *world, what string, a, b, d int) {
-			if found == "" && maphash.Comparable(worldSeed, *z) == k {
-				if y, found = *z, step(what, a, b, d); z.live != w.live && z.live.voters != 0 {
-					found += ": " + z.live.String()
-				} else if z.newest > w.newest {
+		model.emit = func(z *world, what string, a, b, d int) {
+			if found == "" && maphash.Comparable(fingerprintSeed, *z) == k {
+				if y, found = *z, describeStep(what, a, b, d); z.proposal != w.proposal && z.proposal.voters != 0 {
+					found += ": " + z.proposal.String()
+				} else if z.newestView > w.newestView {
 					found += ", which decides it"
 				}
 			}
 		}
-		c.broken = ""
-		c.steps(&w)
+		model.violation = ""
+		model.expand(&w)
 		w = y
 		res.Trace = append(res.Trace, found)
 	}
@@ -1146,7 +1148,7 @@
 	return res
 }
 
-func step(what string, a, b, d int) string {
+func describeStep(what string, a, b, d int) string {
 	args := []any{a, b, d}
 	n := 0
 	for i := 0; i+1 < len(what); i++ {
