--- a/internal/modelcheck/membershipmodel/model.go
+++ b/internal/modelcheck/membershipmodel/model.go
@@ -15,96 +15,96 @@
 type Fault int
 
 const (
-	Sound           Fault = iota
-	NoViewNumber          // a pass of any view is taken, from anyone
-	Amnesia               // a machine that lost its disk keeps its vote
-	AckBeforeSync         // a pass or an acknowledgement leaves before its register is on disk
-	FreshHead             // a member that was never filled may become head
-	SplitMajorities       // a view is decided by the members of its new chain alone
-	OutsiderVotes         // a machine that is no voter promises and accepts, and its word counts
+	NoFault           Fault = iota
+	ViewNumberIgnored       // a pass of any view is taken, from anyone
+	WipedMemberVotes        // a machine that lost its disk keeps its vote
+	AckBeforeSync           // a pass or an acknowledgement leaves before its register is on disk
+	UnsyncedHead            // a member that was never filled may become head
+	QuorumOfNewChain        // a view is decided by the members of its new chain alone
+	NonVoterVotes           // a machine that is no voter promises and accepts, and its word counts
 )
 
 // Bounds limit what happens in a run.
 type Bounds struct {
-	Members   int
-	Orders    int // 2 at the most
-	Losses    int // lost disks; each waits until the one before has been made good
-	Proposals int
-	States    int // exploring ends after so many
+	Members    int
+	Commands   int // 2 at the most
+	DiskLosses int // lost disks; each waits until the one before has been made good
+	Proposals  int
+	MaxStates  int // exploring ends after so many
 
 	// Joining begins in view 2, whose second member has just come in and is empty, after an order was acknowledged in
 	// view 1.
-	Joining bool
+	StartsWithJoiner bool
 
 	// Swapped begins in view 2, in which the last member has the seat of the one before it; that one has not heard of it.
-	Swapped bool
+	StartsWithReplacement bool
 }
 
 // Result is what an exploration found.
 type Result struct {
-	States   int
-	Complete bool     // all states within the bounds were seen
-	Broken   string   // empty: nothing
-	Trace    []string // the shortest way there
+	States    int
+	Complete  bool     // all states within the bounds were seen
+	Violation string   // empty: nothing
+	Trace     []string // the shortest way there
 }
 
 const (
-	most    = 5 // members
-	maxView = 4
+	maxMembers = 5 // members
+	maxView    = 4
 
-	walkMost = 80 // steps
+	maxWalkSteps = 80 // steps
 )
 
 type (
-	reg  [2]uint8 // what entered under each number: 1 + the view it entered in, by whom; 0: nothing
-	view struct {
-		n     uint8
-		chain [most]int8 // members in order; -1: none
-		inc   [most]uint8
-		fresh uint8 // bits: those of the chain that may not be filled
+	slots [2]uint8 // what entered under each number: 1 + the view it entered in, by whom; 0: nothing
+	view  struct {
+		number       uint8
+		chain        [maxMembers]int8 // members in order; -1: none
+		incarnations [maxMembers]uint8
+		unsynced     uint8 // bits: those of the chain that may not be filled
 
 		voters uint8 // bits: who decides on the next view
 	}
 	member struct {
-		inc       uint8 // of its disk
-		view      view
-		promised  uint8
-		accB      uint8
-		accV      view
-		mem, disk reg
-		synced    uint8 // view; on disk with it
-		memSynced uint8
+		incarnation      uint8 // of its disk
+		view             view
+		promised         uint8
+		acceptedBallot   uint8
+		acceptedView     view
+		memory, disk     slots
+		syncedView       uint8 // view; on disk with it
+		memorySyncedView uint8
 	}
 	state struct {
-		m         [most]member
-		committed reg
-		in        uint8 // the newest view that acknowledged
-		orders    uint8
-		losses    uint8
-		proposals uint8
-		decided   [maxView + 2]view // as somebody has learnt
-	}
-	kind    uint8
-	message struct {
-		k    kind
-		n, b uint8
-		from int8
-		inc  uint8
-		accB uint8
-		v    view
-		r    reg
+		members       [maxMembers]member
+		committed     slots
+		committedView uint8 // the newest view that acknowledged
+		commands      uint8
+		diskLosses    uint8
+		proposals     uint8
+		decided       [maxView + 2]view // as somebody has learnt
+	}
+	messageKind uint8
+	message     struct {
+		kind               messageKind
+		viewNumber, ballot uint8
+		from               int8
+		incarnation        uint8
+		acceptedBallot     uint8
+		view               view
+		slots              slots
 	}
 )
 
 const (
-	prepare kind = iota + 1
+	prepare messageKind = iota + 1
 	promise
 	accept
 	accepted
-	pass
+	forward
 )
 
-func (r reg) length() int {
+func (r slots) length() int {
 	n := 0
 	for n < len(r) && r[n] != 0 {
 		n++
@@ -112,7 +112,7 @@
 	return n
 }
 
-func (v view) place(i int) int {
+func (v view) position(i int) int {
 	for p, x := range v.chain {
 		if int(x) == i {
 			return p
@@ -123,7 +123,7 @@
 
 func (v view) length() int {
 	n := 0
-	for n < most && v.chain[n] >= 0 {
+	for n < maxMembers && v.chain[n] >= 0 {
 		n++
 	}
 	return n
@@ -132,35 +132,35 @@
 // node is a state with the messages that were ever sent; they are never taken away, so each may come at any time, more
 // than once or never.
 type node struct {
-	s    state
-	sent []uint16 // numbers of messages, in order
+	state state
+	sent  []uint16 // numbers of messages, in order
 
-	broken string
+	violation string
 }
 
-// book gives messages numbers.
-type book struct {
-	number map[message]uint16
-	all    []message
+// messageTable gives messages numbers.
+type messageTable struct {
+	numbers  map[message]uint16
+	messages []message
 }
 
-func (b *book) of(m message) uint16 {
-	n, ok := b.number[m]
+func (b *messageTable) numberOf(m message) uint16 {
+	n, ok := b.numbers[m]
 	if !ok {
-		n = uint16(len(b.all))
-		b.number[m] = n
-		b.all = append(b.all, m)
+		n = uint16(len(b.messages))
+		b.numbers[m] = n
+		b.messages = append(b.messages, m)
 	}
 	return n
 }
 
-type key [2]uint64
+type fingerprint [2]uint64
 
-var keySeeds = [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}
+var fingerprintSeeds = [2]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}
 
-func (x *node) key() (k key) {
+func (x *node) fingerprint() (k fingerprint) {
 	for i := range k {
-		h := maphash.Comparable(keySeeds[i], x.s)
+		h := maphash.Comparable(fingerprintSeeds[i], x.state)
 		for _, n := range x.sent {
 			h = (h ^ uint64(n)) * 0x9e3779b97f4a7c15
 			h ^= h >> 29
@@ -170,68 +170,68 @@
 	return k
 }
 
-func (x *node) clone() *node { return &node{s: x.s, sent: slices.Clone(x.sent)} }
+func (x *node) clone() *node { return &node{state: x.state, sent: slices.Clone(x.sent)} }
 
-func (e *explorer) send(x *node, m message) {
-	n := e.book.of(m)
+func (model *messageModel) send(x *node, m message) {
+	n := model.table.numberOf(m)
 	if i, ok := slices.BinarySearch(x.sent, n); !ok {
 		x.sent = slices.Insert(x.sent, i, n)
 	}
 }
 
-type explorer struct {
-	b     Bounds
-	fault Fault
-	book  *book
-	msgs  []message // of the state at hand
-	next  func(y *node, what string, args ...any)
+type messageModel struct {
+	bounds   Bounds
+	fault    Fault
+	table    *messageTable
+	messages []message // of the state at hand
+	emit     func(y *node, what string, args ...any)
 }
 
-func begin(b Bounds) *node {
+func initialNode(b Bounds) *node {
 	start := &node{}
-	first := view{n: 1, voters: 1<<b.Members - 1}
-	for i := range most {
+	first := view{number: 1, voters: 1<<b.Members - 1}
+	for i := range maxMembers {
 		first.chain[i] = -1
 		if i < b.Members {
 			first.chain[i] = int8(i)
 		}
 	}
 	for i := range b.Members {
-		start.s.m[i] = member{view: first}
+		start.state.members[i] = member{view: first}
 		if i == 0 {
-			start.s.m[i].synced, start.s.m[i].memSynced = 1, 1
+			start.state.members[i].syncedView, start.state.members[i].memorySyncedView = 1, 1
 		}
 	}
-	if b.Joining {
+	if b.StartsWithJoiner {
 		const order = 1 + 1*8 + 1
-		v := view{n: 2, chain: [most]int8{0, int8(b.Members) - 1, -1, -1, -1}, fresh: 1 << (b.Members - 1), voters: first.voters}
+		v := view{number: 2, chain: [maxMembers]int8{0, int8(b.Members) - 1, -1, -1, -1}, unsynced: 1 << (b.Members - 1), voters: first.voters}
 		for i := range b.Members {
-			start.s.m[i] = member{view: v, mem: reg{order}, disk: reg{order}, synced: 1, memSynced: 1}
+			start.state.members[i] = member{view: v, memory: slots{order}, disk: slots{order}, syncedView: 1, memorySyncedView: 1}
 		}
-		start.s.m[0].synced, start.s.m[0].memSynced = 2, 2
-		start.s.m[b.Members-1] = member{view: v}
-		start.s.committed, start.s.in, start.s.orders = reg{order}, 1, 1
+		start.state.members[0].syncedView, start.state.members[0].memorySyncedView = 2, 2
+		start.state.members[b.Members-1] = member{view: v}
+		start.state.committed, start.state.committedView, start.state.commands = slots{order}, 1, 1
 	}
-	if b.Swapped {
+	if b.StartsWithReplacement {
 		in, out := b.Members-1, b.Members-2
 		first.voters &^= 1 << in
 		first.chain[in] = -1
 		second := first
-		second.n, second.chain[out], second.voters = 2, int8(in), first.voters&^(1<<out)|1<<in
+		second.number, second.chain[out], second.voters = 2, int8(in), first.voters&^(1<<out)|1<<in
 		for i := range b.Members {
-			start.s.m[i].view = second
+			start.state.members[i].view = second
 		}
-		start.s.m[0].synced, start.s.m[0].memSynced = 2, 2
-		start.s.m[out].view = first
-		start.s.decided[2] = second
+		start.state.members[0].syncedView, start.state.members[0].memorySyncedView = 2, 2
+		start.state.members[out].view = first
+		start.state.decided[2] = second
 	}
 	return start
 }
 
-// Walk takes random ways through the states, for faults that lie deeper than exploring reaches.
-func Walk(b Bounds, fault Fault, seed uint64, walks int) Result {
+// WalkMessages takes random ways through the states, for faults that lie deeper than exploring reaches.
+func WalkMessages(b Bounds, fault Fault, seed uint64, walks int) Result {
 	r := rand.New(rand.NewPCG(seed, 1))
-	e := &explorer{b: b, fault: fault, book: &book{number: map[message]uint16{}}}
+	model := &messageModel{bounds: b, fault: fault, table: &messageTable{numbers: map[message]uint16{}}}
 	var res Result
 	type step struct {
 		y    *node
@@ -239,24 +239,24 @@
 		args []any
 	}
 	var next []step
-	e.next = func(y *node, what string, args ...any) { next = append(next, step{y, what, args}) }
+	model.emit = func(y *node, what string, args ...any) { next = append(next, step{y, what, args}) }
 	for range walks {
-		x := begin(b)
+		x := initialNode(b)
 		var trace []step
 		for {
 			res.States++
-			e.msgs = e.msgs[:0]
+			model.messages = model.messages[:0]
 			for _, n := range x.sent {
-				e.msgs = append(e.msgs, e.book.all[n])
+				model.messages = append(model.messages, model.table.messages[n])
 			}
 			next = next[:0]
-			if res.Broken = e.steps(x); res.Broken != "" {
+			if res.Violation = model.expand(x); res.Violation != "" {
 				for _, s := range trace {
 					res.Trace = append(res.Trace, fmt.Sprintf(s.what, s.args...))
 				}
 				return res
 			}
-			if len(next) == 0 || len(trace) > walkMost {
+			if len(next) == 0 || len(trace) > maxWalkSteps {
 				break
 			}
 			s := next[r.IntN(len(next))]
@@ -266,21 +266,21 @@
 	return res
 }
 
-// Explore searches breadth first.
-func Explore(b Bounds, fault Fault) Result {
-	start := begin(b)
+// ExploreMessages searches breadth first.
+func ExploreMessages(b Bounds, fault Fault) Result {
+	start := initialNode(b)
 	type from struct {
-		at   key
+		at   fingerprint
 		what string
 		args []any
 	}
-	seen := map[key]from{start.key(): {}}
+	seen := map[fingerprint]from{start.fingerprint(): {}}
 	queue := []*node{start}
 	res := Result{Complete: true}
-	var at key
-	e := &explorer{b: b, fault: fault, book: &book{number: map[message]uint16{}}}
-	e.next = func(y *node, what string, args ...any) {
-		k := y.key()
+	var at fingerprint
+	model := &messageModel{bounds: b, fault: fault, table: &messageTable{numbers: map[message]uint16{}}}
+	model.emit = func(y *node, what string, args ...any) {
+		k := y.fingerprint()
 		if _, ok := seen[k]; !ok {
 			seen[k] = from{at, what, args}
 			queue = append(queue, y)
@@ -289,16 +289,16 @@
 	for head := 0; head < len(queue); head++ {
 		x := queue[head]
 		queue[head] = nil
-		if res.States++; res.States >= b.States {
+		if res.States++; res.States >= b.MaxStates {
 			res.Complete = false
 			break
 		}
-		at = x.key()
-		e.msgs = e.msgs[:0]
+		at = x.fingerprint()
+		model.messages = model.messages[:0]
 		for _, n := range x.sent {
-			e.msgs = append(e.msgs, e.book.all[n])
+			model.messages = append(model.messages, model.table.messages[n])
 		}
-		if res.Broken = e.steps(x); res.Broken != "" {
+		if res.Violation = model.expand(x); res.Violation != "" {
 			for k := at; seen[k].what != ""; k = seen[k].at {
 				res.Trace = append(res.Trace, fmt.Sprintf(seen[k].what, seen[k].args...))
 			}
@@ -309,57 +309,57 @@
 	return res
 }
 
-func (e *explorer) votes(m *member, i int, base view) bool {
-	if base.voters&(1<<i) == 0 && e.fault != OutsiderVotes {
+func (model *messageModel) mayVote(m *member, i int, base view) bool {
+	if base.voters&(1<<i) == 0 && model.fault != NonVoterVotes {
 		return false
 	}
-	return e.fault == Amnesia || base.inc[i] == m.inc
+	return model.fault == WipedMemberVotes || base.incarnations[i] == m.incarnation
 }
 
-// majority is how many of a view's voters decide on the next.
-func (v view) majority() int { return bits.OnesCount8(v.voters)/2 + 1 }
+// quorum is how many of a view's voters decide on the next.
+func (v view) quorum() int { return bits.OnesCount8(v.voters)/2 + 1 }
 
-// steps tries everything that can happen in a state.
-func (e *explorer) steps(x *node) string {
-	if e.settle(x) { // what may happen at once without taking anything else away does
-		if x.broken != "" {
-			return x.broken
+// expand tries everything that can happen in a state.
+func (model *messageModel) expand(x *node) string {
+	if model.forwardAndCommit(x) { // what may happen at once without taking anything else away does
+		if x.violation != "" {
+			return x.violation
 		}
-		e.next(x, "passes and acknowledgements go out")
+		model.emit(x, "passes and acknowledgements go out")
 		return ""
 	}
-	for i := range e.b.Members {
-		m := &x.s.m[i]
-		if m.mem != m.disk || m.memSynced != m.synced {
+	for i := range model.bounds.Members {
+		m := &x.state.members[i]
+		if m.memory != m.disk || m.memorySyncedView != m.syncedView {
 			y := x.clone()
-			y.s.m[i].disk, y.s.m[i].synced = m.mem, m.memSynced
-			e.next(y, "%d syncs", i)
+			y.state.members[i].disk, y.state.members[i].syncedView = m.memory, m.memorySyncedView
+			model.emit(y, "%d syncs", i)
 			y = x.clone()
-			y.s.m[i].mem, y.s.m[i].memSynced = m.disk, m.synced
-			e.next(y, "%d is killed before it syncs", i)
+			y.state.members[i].memory, y.state.members[i].memorySyncedView = m.disk, m.syncedView
+			model.emit(y, "%d is killed before it syncs", i)
 		}
-		if x.s.losses < uint8(e.b.Losses) && e.whole(x) {
+		if x.state.diskLosses < uint8(model.bounds.DiskLosses) && model.allSynced(x) {
 			y := x.clone()
-			z := &y.s.m[i]
-			y.s.losses++
-			*z = member{inc: z.inc + 1, view: view{chain: firstChain(0)}}
-			if e.fault == Amnesia {
-				z.inc--
-				z.view = view{n: 1, chain: firstChain(e.b.Members), voters: 1<<e.b.Members - 1}
+			z := &y.state.members[i]
+			y.state.diskLosses++
+			*z = member{incarnation: z.incarnation + 1, view: view{chain: firstChain(0)}}
+			if model.fault == WipedMemberVotes {
+				z.incarnation--
+				z.view = view{number: 1, chain: firstChain(model.bounds.Members), voters: 1<<model.bounds.Members - 1}
 			}
-			e.next(y, "%d loses its disk", i)
+			model.emit(y, "%d loses its disk", i)
 		}
-		e.order(x, i)
-		e.propose(x, i)
-		for _, msg := range e.msgs {
-			e.receive(x, i, msg)
+		model.enterCommand(x, i)
+		model.propose(x, i)
+		for _, msg := range model.messages {
+			model.deliver(x, i, msg)
 		}
-		e.learn(x, i)
+		model.learnDecision(x, i)
 	}
-	return x.broken
+	return x.violation
 }
 
-func firstChain(n int) (c [most]int8) {
+func firstChain(n int) (c [maxMembers]int8) {
 	for i := range c {
 		c[i] = -1
 		if i < n {
@@ -369,99 +369,99 @@
 	return c
 }
 
-// order has the head take one.
-func (e *explorer) order(x *node, i int) {
-	m := &x.s.m[i]
-	if m.view.place(i) != 0 || x.s.orders >= uint8(e.b.Orders) || m.inc != m.view.inc[i] || m.mem.length() >= len(m.mem) {
+// enterCommand has the head take one.
+func (model *messageModel) enterCommand(x *node, i int) {
+	m := &x.state.members[i]
+	if m.view.position(i) != 0 || x.state.commands >= uint8(model.bounds.Commands) || m.incarnation != m.view.incarnations[i] || m.memory.length() >= len(m.memory) {
 		return
 	}
 	y := x.clone()
-	y.s.orders++
-	z := &y.s.m[i]
-	z.mem[m.mem.length()], z.memSynced = 1+m.view.n*8+y.s.orders, m.view.n
-	e.write(z)
-	e.next(y, "order %d enters at %d in view %d", y.s.orders, i, m.view.n)
+	y.state.commands++
+	z := &y.state.members[i]
+	z.memory[m.memory.length()], z.memorySyncedView = 1+m.view.number*8+y.state.commands, m.view.number
+	model.syncAtOnce(z)
+	model.emit(y, "order %d enters at %d in view %d", y.state.commands, i, m.view.number)
 }
 
-// whole tells whether all members are in one view, filled and with the disks they had when it was agreed: only then may
+// allSynced tells whether all members are in one view, filled and with the disks they had when it was agreed: only then may
 // another one be lost.
-func (e *explorer) whole(x *node) bool {
-	for i := range e.b.Members {
-		m := &x.s.m[i]
-		if m.view.n != x.s.m[0].view.n || m.view.place(i) < 0 || m.inc != m.view.inc[i] || m.synced != m.view.n || m.disk.length() < x.s.committed.length() {
+func (model *messageModel) allSynced(x *node) bool {
+	for i := range model.bounds.Members {
+		m := &x.state.members[i]
+		if m.view.number != x.state.members[0].view.number || m.view.position(i) < 0 || m.incarnation != m.view.incarnations[i] || m.syncedView != m.view.number || m.disk.length() < x.state.committed.length() {
 			return false
 		}
 	}
 	return true
 }
 
-// settle has every member pass on what it holds, and the tail acknowledge it. Messages stay for ever, so sending them at
+// forwardAndCommit has every member pass on what it holds, and the tail acknowledge it. Messages stay for ever, so sending them at
 // once takes no other course of events away, and acknowledging early only makes promises that are harder to keep.
-func (e *explorer) settle(x *node) (changed bool) {
-	for i := range e.b.Members {
-		m := &x.s.m[i]
-		p := m.view.place(i)
-		if p < 0 || m.inc != m.view.inc[i] {
+func (model *messageModel) forwardAndCommit(x *node) (changed bool) {
+	for i := range model.bounds.Members {
+		m := &x.state.members[i]
+		p := m.view.position(i)
+		if p < 0 || m.incarnation != m.view.incarnations[i] {
 			continue
 		}
-		r, synced := m.disk, m.synced
-		if e.fault == AckBeforeSync {
-			r, synced = m.mem, m.memSynced
+		r, synced := m.disk, m.syncedView
+		if model.fault == AckBeforeSync {
+			r, synced = m.memory, m.memorySyncedView
 		}
-		if synced != m.view.n {
+		if synced != m.view.number {
 			continue
 		}
 		if p+1 < m.view.length() {
 			before := len(x.sent)
-			e.send(x, message{k: pass, n: m.view.n, from: int8(i), r: r})
+			model.send(x, message{kind: forward, viewNumber: m.view.number, from: int8(i), slots: r})
 			changed = changed || len(x.sent) > before
 			continue
 		}
-		old := x.s.committed
-		if r == old && x.s.in >= m.view.n || r.length() < old.length() && m.view.n <= x.s.in && r[0] == old[0]*min(r[0], 1) {
+		old := x.state.committed
+		if r == old && x.state.committedView >= m.view.number || r.length() < old.length() && m.view.number <= x.state.committedView && r[0] == old[0]*min(r[0], 1) {
 			continue // known, or the late word of an older view
 		}
 		for s := range old {
-			if old[s] != 0 && r[s] != old[s] && x.broken == "" {
-				x.broken = fmt.Sprintf("number %d was acknowledged as %d; the tail %d of view %d now acknowledges %d", s+1, old[s], i, m.view.n, r[s])
+			if old[s] != 0 && r[s] != old[s] && x.violation == "" {
+				x.violation = fmt.Sprintf("number %d was acknowledged as %d; the tail %d of view %d now acknowledges %d", s+1, old[s], i, m.view.number, r[s])
 			}
 		}
-		x.s.committed, x.s.in, changed = r, max(x.s.in, m.view.n), true
+		x.state.committed, x.state.committedView, changed = r, max(x.state.committedView, m.view.number), true
 	}
 	return changed
 }
 
-// write brings what a member holds on disk. Where nothing is told before that, a loss between the two is the same as not
+// syncAtOnce brings what a member holds on disk. Where nothing is told before that, a loss between the two is the same as not
 // having heard.
-func (e *explorer) write(m *member) {
-	if e.fault != AckBeforeSync {
-		m.disk, m.synced = m.mem, m.memSynced
+func (model *messageModel) syncAtOnce(m *member) {
+	if model.fault != AckBeforeSync {
+		m.disk, m.syncedView = m.memory, m.memorySyncedView
 	}
 }
 
 // propose has a member of the chain begin an agreement on a view without one other, or with one more.
-func (e *explorer) propose(x *node, i int) {
-	m := &x.s.m[i]
-	if m.view.place(i) < 0 || m.inc != m.view.inc[i] || x.s.proposals >= uint8(e.b.Proposals) || m.view.n >= maxView {
+func (model *messageModel) propose(x *node, i int) {
+	m := &x.state.members[i]
+	if m.view.position(i) < 0 || m.incarnation != m.view.incarnations[i] || x.state.proposals >= uint8(model.bounds.Proposals) || m.view.number >= maxView {
 		return
 	}
-	n := m.view.n + 1
+	n := m.view.number + 1
 	b := (m.promised/8+1)*8 + uint8(i) + 1
 	y := x.clone()
-	y.s.proposals++
-	e.send(y, message{k: prepare, n: n, b: b, from: int8(i), v: m.view})
-	e.next(y, "%d prepares view %d", i, n)
+	y.state.proposals++
+	model.send(y, message{kind: prepare, viewNumber: n, ballot: b, from: int8(i), view: m.view})
+	model.emit(y, "%d prepares view %d", i, n)
 }
 
-// wanted lists the views that a proposer may want after its own.
-func (e *explorer) wanted(m *member, i int, x *node) (out []view) {
-	settled := x.s.m[i].synced == m.view.n && m.view.fresh == 0
-	for drop := -1; drop < e.b.Members; drop++ {
-		for join := -1; join < e.b.Members; join++ {
+// candidateViews lists the views that a proposer may want after its own.
+func (model *messageModel) candidateViews(m *member, i int, x *node) (out []view) {
+	settled := x.state.members[i].syncedView == m.view.number && m.view.unsynced == 0
+	for drop := -1; drop < model.bounds.Members; drop++ {
+		for join := -1; join < model.bounds.Members; join++ {
 			if drop < 0 && join < 0 || drop == i {
 				continue
 			}
-			v := view{n: m.view.n + 1, inc: m.view.inc, voters: m.view.voters}
+			v := view{number: m.view.number + 1, incarnations: m.view.incarnations, voters: m.view.voters}
 			for k := range v.chain {
 				v.chain[k] = -1
 			}
@@ -469,28 +469,28 @@
 			for _, c := range m.view.chain {
 				if c >= 0 && int(c) != drop {
 					v.chain[k] = c
-					if m.view.fresh&(1<<c) != 0 && !settled {
-						v.fresh |= 1 << c
+					if m.view.unsynced&(1<<c) != 0 && !settled {
+						v.unsynced |= 1 << c
 					}
 					k++
 				}
 			}
-			if drop >= 0 && m.view.place(drop) < 0 {
+			if drop >= 0 && m.view.position(drop) < 0 {
 				continue
 			}
 			if join >= 0 {
-				if v.place(join) >= 0 {
+				if v.position(join) >= 0 {
 					continue
 				}
 				v.chain[k] = int8(join)
-				v.inc[join] = x.s.m[join].inc
-				v.fresh |= 1 << join
+				v.incarnations[join] = x.state.members[join].incarnation
+				v.unsynced |= 1 << join
 				k++
 			}
-			if k < m.view.majority() || k == 0 {
+			if k < m.view.quorum() || k == 0 {
 				continue
 			}
-			if v.fresh&(1<<v.chain[0]) != 0 && e.fault != FreshHead {
+			if v.unsynced&(1<<v.chain[0]) != 0 && model.fault != UnsyncedHead {
 				continue
 			}
 			out = append(out, v)
@@ -499,120 +499,122 @@
 	return out
 }
 
-func (e *explorer) receive(x *node, i int, msg message) {
-	m := &x.s.m[i]
-	switch msg.k {
+func (model *messageModel) deliver(x *node, i int, msg message) {
+	m := &x.state.members[i]
+	switch msg.kind {
 	case prepare:
-		base := msg.v
-		if m.view.n < base.n { // the base is decided: it may be learnt from the message
+		base := msg.view
+		if m.view.number < base.number { // the base is decided: it may be learnt from the message
 			y := x.clone()
-			adopt(&y.s.m[i], i, base)
-			e.next(y, "%d learns view %d", i, base.n)
+			installView(&y.state.members[i], i, base)
+			model.emit(y, "%d learns view %d", i, base.number)
 			return
 		}
-		if m.view.n != msg.n-1 || msg.b <= m.promised || !e.votes(m, i, m.view) {
+		if m.view.number != msg.viewNumber-1 || msg.ballot <= m.promised || !model.mayVote(m, i, m.view) {
 			return
 		}
 		y := x.clone()
-		y.s.m[i].promised = msg.b
-		e.send(y, message{k: promise, n: msg.n, b: msg.b, from: int8(i), inc: m.inc, accB: m.accB, v: m.accV})
-		e.next(y, "%d promises ballot %d of view %d", i, msg.b, msg.n)
+		y.state.members[i].promised = msg.ballot
+		model.send(y, message{kind: promise, viewNumber: msg.viewNumber, ballot: msg.ballot, from: int8(i), incarnation: m.incarnation, acceptedBallot: m.acceptedBallot, view: m.acceptedView})
+		model.emit(y, "%d promises ballot %d of view %d", i, msg.ballot, msg.viewNumber)
 	case promise:
-		if m.view.n != msg.n-1 || int(msg.b%8)-1 != i {
+		if m.view.number != msg.viewNumber-1 || int(msg.ballot%8)-1 != i {
 			return
 		}
 		have, best, value := 0, uint8(0), view{}
-		for _, o := range e.msgs {
-			if o.k == promise && o.n == msg.n && o.b == msg.b {
+		for _, o := range model.messages {
+			if o.kind == promise && o.viewNumber == msg.viewNumber && o.ballot == msg.ballot {
 				have++
-				if o.accB > best {
-					best, value = o.accB, o.v
+				if o.acceptedBallot > best {
+					best, value = o.acceptedBallot, o.view
 				}
 			}
 		}
-		if have < m.view.majority() || slices.ContainsFunc(e.msgs, func(o message) bool { return o.k == accept && o.n == msg.n && o.b == msg.b }) {
+		if have < m.view.quorum() || slices.ContainsFunc(model.messages, func(o message) bool {
+			return o.kind == accept && o.viewNumber == msg.viewNumber && o.ballot == msg.ballot
+		}) {
 			return
 		}
 		values := []view{value}
 		if best == 0 {
-			values = e.wanted(m, i, x)
+			values = model.candidateViews(m, i, x)
 		}
 		for _, v := range values {
 			y := x.clone()
-			e.send(y, message{k: accept, n: msg.n, b: msg.b, v: v})
-			e.next(y, "%d asks to accept view %d: chain %v", i, msg.n, v.chain[:v.length()])
+			model.send(y, message{kind: accept, viewNumber: msg.viewNumber, ballot: msg.ballot, view: v})
+			model.emit(y, "%d asks to accept view %d: chain %v", i, msg.viewNumber, v.chain[:v.length()])
 		}
 	case accept:
-		if m.view.n != msg.n-1 || msg.b < m.promised || m.accB == msg.b || !e.votes(m, i, m.view) {
+		if m.view.number != msg.viewNumber-1 || msg.ballot < m.promised || m.acceptedBallot == msg.ballot || !model.mayVote(m, i, m.view) {
 			return
 		}
 		y := x.clone()
-		z := &y.s.m[i]
-		z.promised, z.accB, z.accV = msg.b, msg.b, msg.v
-		e.send(y, message{k: accepted, n: msg.n, b: msg.b, from: int8(i), inc: m.inc, v: msg.v})
-		e.next(y, "%d accepts view %d", i, msg.n)
-	case pass:
-		p := m.view.place(i)
-		if p < 1 || m.inc != m.view.inc[i] {
+		z := &y.state.members[i]
+		z.promised, z.acceptedBallot, z.acceptedView = msg.ballot, msg.ballot, msg.view
+		model.send(y, message{kind: accepted, viewNumber: msg.viewNumber, ballot: msg.ballot, from: int8(i), incarnation: m.incarnation, view: msg.view})
+		model.emit(y, "%d accepts view %d", i, msg.viewNumber)
+	case forward:
+		p := m.view.position(i)
+		if p < 1 || m.incarnation != m.view.incarnations[i] {
 			return
 		}
-		if (msg.n != m.view.n || m.view.chain[p-1] != msg.from) && e.fault != NoViewNumber {
+		if (msg.viewNumber != m.view.number || m.view.chain[p-1] != msg.from) && model.fault != ViewNumberIgnored {
 			return
 		}
-		if m.memSynced == m.view.n && msg.r.length() <= m.mem.length() {
+		if m.memorySyncedView == m.view.number && msg.slots.length() <= m.memory.length() {
 			return
 		}
 		y := x.clone()
-		z := &y.s.m[i]
-		z.mem, z.memSynced = msg.r, m.view.n
-		e.write(z)
-		e.next(y, "%d takes a pass of view %d from %d", i, msg.n, msg.from)
+		z := &y.state.members[i]
+		z.memory, z.memorySyncedView = msg.slots, m.view.number
+		model.syncAtOnce(z)
+		model.emit(y, "%d takes a pass of view %d from %d", i, msg.viewNumber, msg.from)
 	}
 }
 
-func adopt(m *member, i int, v view) {
-	m.view, m.promised, m.accB, m.accV = v, 0, 0, view{}
-	if v.place(i) == 0 && m.inc == v.inc[i] {
-		m.synced, m.memSynced = v.n, v.n // the head has nobody to be filled by
-		m.mem = m.disk
+func installView(m *member, i int, v view) {
+	m.view, m.promised, m.acceptedBallot, m.acceptedView = v, 0, 0, view{}
+	if v.position(i) == 0 && m.incarnation == v.incarnations[i] {
+		m.syncedView, m.memorySyncedView = v.number, v.number // the head has nobody to be filled by
+		m.memory = m.disk
 	}
 }
 
-// base is the view whose voters decide on a number.
-func (e *explorer) base(x *node, n uint8) view {
-	if v := x.s.decided[n-1]; v.n != 0 {
+// baseView is the view whose voters decide on a number.
+func (model *messageModel) baseView(x *node, n uint8) view {
+	if v := x.state.decided[n-1]; v.number != 0 {
 		return v
 	}
-	return view{voters: 1<<e.b.Members - 1} // the first
+	return view{voters: 1<<model.bounds.Members - 1} // the first
 }
 
-// learn has a member hear of a decision.
-func (e *explorer) learn(x *node, i int) {
-	m := &x.s.m[i]
-	for _, msg := range e.msgs {
-		if msg.k != accepted || msg.n <= m.view.n {
+// learnDecision has a member hear of a decision.
+func (model *messageModel) learnDecision(x *node, i int) {
+	m := &x.state.members[i]
+	for _, msg := range model.messages {
+		if msg.kind != accepted || msg.viewNumber <= m.view.number {
 			continue
 		}
-		have, need := 0, e.base(x, msg.n).majority()
-		for _, o := range e.msgs {
-			if o.k == accepted && o.n == msg.n && o.b == msg.b {
+		have, need := 0, model.baseView(x, msg.viewNumber).quorum()
+		for _, o := range model.messages {
+			if o.kind == accepted && o.viewNumber == msg.viewNumber && o.ballot == msg.ballot {
 				have++
 			}
 		}
-		if e.fault == SplitMajorities {
-			need = max(msg.v.length()-1, 1)
+		if model.fault == QuorumOfNewChain {
+			need = max(msg.view.length()-1, 1)
 		}
 		if have < need {
 			continue
 		}
-		if x.s.decided[msg.n] != (view{}) && x.s.decided[msg.n] != msg.v {
-			x.broken = fmt.Sprintf("view %d is decided as chain %v and as chain %v", msg.n, x.s.decided[msg.n].chain, msg.v.chain)
+		if x.state.decided[msg.viewNumber] != (view{}) && x.state.decided[msg.viewNumber] != msg.view {
+			x.violation = fmt.Sprintf("view %d is decided as chain %v and as chain %v", msg.viewNumber, x.state.decided[msg.viewNumber].chain, msg.view.chain)
 			return
 		}
 		y := x.clone()
-		y.s.decided[msg.n] = msg.v
-		adopt(&y.s.m[i], i, msg.v)
-		e.next(y, "%d learns view %d: chain %v", i, msg.n, msg.v.chain[:msg.v.length()])
+		y.state.decided[msg.viewNumber] = msg.view
+		installView(&y.state.members[i], i, msg.view)
+		model.emit(y, "%d learns view %d: chain %v", i, msg.viewNumber, msg.view.chain[:msg.view.length()])
 		return
 	}
 }
--- a/internal/scalerun/hollow_test.go
+++ b/internal/scalerun/hollow_test.go
@@ -69,7 +69,7 @@
 		said.add(Said(m), len(b))
 		if m.Hello != nil {
 			send(messages.State{Whole: true, Seq: 1, Version: 1, Body: []byte(configured), Lives: lives, Foragers: 1,
-				Combs: []membership.Member{{ID: "c/0", Addr: ln.Addr().String(), Zone: "a", Call: "127.0.0.1:1"}}})
+				Combs: []membership.Member{{ID: "c/0", Addr: ln.Addr().String(), Zone: "a", APIAddr: "127.0.0.1:1"}}})
 		}
 		if Said(m) == "report" {
 			n++
--- a/internal/simulation/edge.go
+++ b/internal/simulation/edge.go
@@ -113,7 +113,7 @@
 		}
 		m.streams[n] = b
 		if r, known := m.brain.Core().Register(); (w.s.Unasked || w.s.Fault == ToldUnasked) && known {
-			w.tell(m, b, n, &messages.State{Whole: true, Young: true, Seq: r.Seq, Version: r.Version, Body: r.Body, Out: sortedKeys(r.Out)})
+			w.tell(m, b, n, &messages.State{Whole: true, Young: true, Seq: r.Sequence, Version: r.Version, Body: r.Body, Out: sortedKeys(r.EvacuatedZones)})
 		}
 		w.step(m, controller.Event{Joined: &controller.Joined{Stream: n, Forager: b.name, Zone: w.zone(b.i)}})
 	})
--- a/internal/simulation/hard.go
+++ b/internal/simulation/hard.go
@@ -263,7 +263,7 @@
 	if m.cutOff() {
 		w.res.Still = append(w.res.Still, w.now-m.cutAt)
 	}
-	if m.wokeAt > 0 && m.brain.Core().View().N < w.res.Views {
+	if m.wokeAt > 0 && m.brain.Core().View().Number < w.res.Views {
 		w.res.Thawed = append(w.res.Thawed, w.now-m.wokeAt)
 	}
 }
@@ -287,34 +287,34 @@
 // observe takes the newest committed register down as what could be read at this moment.
 func (w *world) observe(m *machine, r chainreplication.Register) {
 	h := &w.hard
-	if w.s.Tolerance == 0 || h.seen && r.Seq <= h.top {
+	if w.s.Tolerance == 0 || h.seen && r.Sequence <= h.top {
 		return
 	}
-	h.seen, h.top = true, r.Seq
-	h.tops = append(h.tops, moment{w.now, r.Seq})
-	w.res.Changes = r.Seq
+	h.seen, h.top = true, r.Sequence
+	h.tops = append(h.tops, moment{w.now, r.Sequence})
+	w.res.Changes = r.Sequence
 	if body := string(r.Body); body != "" {
 		if h.committed[body] == 0 {
-			h.committed[body] = r.Seq
+			h.committed[body] = r.Sequence
 		}
 		if h.refused[body] {
 			w.broken("%s: version %d %s is committed, which was refused", m.name, r.Version, short(body))
 		}
 	}
-	w.res.Tries = append(w.res.Tries, Try{Kind: "read", Version: r.Version, Body: h.id(string(r.Body)), Seq: r.Seq, Clear: true, Call: w.now, End: w.now})
+	w.res.Tries = append(w.res.Tries, Try{Kind: "read", Version: r.Version, Body: h.id(string(r.Body)), Seq: r.Sequence, Clear: true, Call: w.now, End: w.now})
 	for i := range w.zones() {
 		out := 0
-		if r.Out[w.zone(i)] {
+		if r.EvacuatedZones[w.zone(i)] {
 			out = 1
 		}
-		w.res.Tries = append(w.res.Tries, Try{Key: w.zone(i), Kind: "read", Body: out, Seq: r.Seq, Clear: true, Call: w.now, End: w.now})
+		w.res.Tries = append(w.res.Tries, Try{Key: w.zone(i), Kind: "read", Body: out, Seq: r.Sequence, Clear: true, Call: w.now, End: w.now})
 	}
 }
 
 // newestView is the newest view held by a process that runs.
 func (w *world) newestView() (v membership.View) {
 	for _, m := range w.combs {
-		if m.up && m.brain != nil && m.brain.Core().View().N > v.N {
+		if m.up && m.brain != nil && m.brain.Core().View().Number > v.Number {
 			v = m.brain.Core().View()
 		}
 	}
@@ -327,7 +327,7 @@
 		bytes += len(f.now)
 	}
 	if k := m.disk.lasting(); k != nil {
-		seq = k.Register.Seq
+		seq = k.Register.Sequence
 	}
 	return seq, bytes
 }
@@ -373,13 +373,13 @@
 		}
 		well++
 		id := m.brain.Core().Self().ID
-		if v.In(id) {
+		if v.HasVoter(id) {
 			voting++
 		}
 		seq, bytes := m.onDisk()
 		w.res.Kept = max(w.res.Kept, bytes)
 		if had := last(h.tops, w.now-time.Second); seq < had || !slices.Contains(v.Chain, id) {
-			w.broken("%s has been up since %.2f s, and is not filled: it holds %d of %d on disk, the chain of view %d is %s", m.name, m.began.Seconds(), seq, had, v.N, strings.Join(v.Chain, " > "))
+			w.broken("%s has been up since %.2f s, and is not filled: it holds %d of %d on disk, the chain of view %d is %s", m.name, m.began.Seconds(), seq, had, v.Number, strings.Join(v.Chain, " > "))
 			return
 		}
 		if bytes > diskMost {
@@ -394,8 +394,8 @@
 		return
 	}
 	// As many more may be lost as the tolerance leaves: with all there, that takes 2f+1 voters or more.
-	if more := max(w.s.Tolerance-max(w.s.Machines-well, out), 0); voting-more < v.Majority() {
-		w.broken("%d of %d voters of view %d are there, and %d more may be lost", voting, len(v.Roster), v.N, more)
+	if more := max(w.s.Tolerance-max(w.s.Machines-well, out), 0); voting-more < v.Quorum() {
+		w.broken("%d of %d voters of view %d are there, and %d more may be lost", voting, len(v.Voters), v.Number, more)
 	}
 }
 
@@ -440,7 +440,7 @@
 		return w.hard.spare != nil && slices.ContainsFunc(ids, func(id string) bool { return strings.HasPrefix(id, w.hard.spare.addr+"/") })
 	}
 	var voters []string
-	for _, m := range v.Roster {
+	for _, m := range v.Voters {
 		voters = append(voters, m.ID)
 	}
 	waits := w.hard.waits
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -101,7 +101,7 @@
 	local := w.local(&m.node)
 	core := m.brain.Core()
 	register, known := core.Register()
-	h.add(entryEvent, w.now, m.i, local, e, core.View().N, register.Seq, known, core.InTouch(local))
+	h.add(entryEvent, w.now, m.i, local, e, core.View().Number, register.Sequence, known, core.InTouch(local))
 }
 
 // answer takes down an answer to a caller. The text of a refusal is no part of the history.
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -74,8 +74,8 @@
 	}
 	k.Begin(m.addr, seeds, first || w.s.Fault == Amnesia, fmt.Sprintf("w%d", m.wiped))
 	m.brain = controller.New(w.local(&m.node), controller.Settings{Zone: w.zone(m.i), Control: m.addr, Zones: []string{"a", "b", "c"}, Regions: map[string]string{"a": "r0", "b": "r1", "c": "r2"}, Seeds: seeds, LinkMbps: 1000,
-		DrainDeadline: drainIn, Heartbeat: beatEvery, Seed: w.r.Uint64()}, membership.Member{ID: k.Disk, Addr: m.addr, Zone: w.zone(m.i), Call: m.addr}, k)
-	w.say("%s starts as %s, view %d, register %d (version %d)", m.name, k.Disk, k.View.View.N, k.Register.Seq, k.Register.Version)
+		DrainDeadline: drainIn, Heartbeat: beatEvery, Seed: w.r.Uint64()}, membership.Member{ID: k.Disk, Addr: m.addr, Zone: w.zone(m.i), APIAddr: m.addr}, k)
+	w.say("%s starts as %s, view %d, register %d (version %d)", m.name, k.Disk, k.View.View.Number, k.Register.Sequence, k.Register.Version)
 	raw, err := m.brain.Kept()
 	if err != nil {
 		w.broken("%s: %v", m.name, err)
@@ -181,7 +181,7 @@
 	if e.Message != nil && e.Message.Core != nil {
 		e = w.planted(m, e)
 	}
-	views, seq := m.brain.Core().View().N, m.seen
+	views, seq := m.brain.Core().View().Number, m.seen
 	if w.s.Tolerance > 0 {
 		e.Wall = w.wallClock(m)
 	}
@@ -207,10 +207,10 @@
 	if a.Write != nil {
 		w.write(m, a.Write, func(problem string) { w.step(m, controller.Event{Written: &controller.Written{Problem: problem}}) })
 	}
-	if v := m.brain.Core().View(); v.N != views {
+	if v := m.brain.Core().View(); v.Number != views {
 		w.viewed(m, v)
 	}
-	if r, known := m.brain.Core().Register(); known && r.Seq != seq {
+	if r, known := m.brain.Core().Register(); known && r.Sequence != seq {
 		w.holds(m, r)
 	}
 	for i := range a.Tell {
@@ -245,10 +245,10 @@
 	v := m.brain.Core().View()
 	msg, inner, word := *e.Message, *e.Message.Core, *e.Message.Core.Chain
 	inner.Chain, msg.Core, e.Message = &word, &inner, &msg
-	if i := v.Place(m.brain.Core().Self().ID); word.Kind == chainreplication.Pass && i > 0 {
-		word.N, word.From = v.N, v.Chain[i-1]
-	} else if word.Kind == chainreplication.Done {
-		word.N = v.N
+	if i := v.Position(m.brain.Core().Self().ID); word.Kind == chainreplication.Forward && i > 0 {
+		word.ViewNumber, word.From = v.Number, v.Chain[i-1]
+	} else if word.Kind == chainreplication.Commit {
+		word.ViewNumber = v.Number
 	}
 	return e
 }
@@ -260,8 +260,8 @@
 		w.after(time.Duration(w.r.Int64N(int64(6*time.Millisecond))), func() { t.Kind = "all"; w.strike(t) })
 		break
 	}
-	w.res.Views = max(w.res.Views, v.N)
-	w.say("%s is in view %d: chain %s", m.name, v.N, strings.Join(v.Chain, " > "))
+	w.res.Views = max(w.res.Views, v.Number)
+	w.say("%s is in view %d: chain %s", m.name, v.Number, strings.Join(v.Chain, " > "))
 	for i, at := range w.down {
 		if !slices.ContainsFunc(v.Chain, func(id string) bool { return strings.HasPrefix(id, w.combs[i].addr+"/") }) && i != m.i {
 			w.res.Mended = append(w.res.Mended, w.now-at)
@@ -273,17 +273,17 @@
 // holds watches that no two machines hold different states to be committed under one number, that nobody goes back, and
 // that nothing is held that nobody sent.
 func (w *world) holds(m *machine, r chainreplication.Register) {
-	what := fmt.Sprintf("version %d %q, out %v", r.Version, short(string(r.Body)), r.Out)
-	if had, ok := w.bySeq[r.Seq]; ok && had != what {
-		w.broken("number %d is committed as %s at %s, and as %s elsewhere", r.Seq, what, m.name, had)
+	what := fmt.Sprintf("version %d %q, out %v", r.Version, short(string(r.Body)), r.EvacuatedZones)
+	if had, ok := w.bySeq[r.Sequence]; ok && had != what {
+		w.broken("number %d is committed as %s at %s, and as %s elsewhere", r.Sequence, what, m.name, had)
 	} else if !ok {
-		w.bySeq[r.Seq] = what
-		w.say("%s: committed %d: %s", m.name, r.Seq, what)
+		w.bySeq[r.Sequence] = what
+		w.say("%s: committed %d: %s", m.name, r.Sequence, what)
 	}
-	if r.Seq < m.seen {
-		w.broken("%s went back from %d to %d within a life", m.name, m.seen, r.Seq)
+	if r.Sequence < m.seen {
+		w.broken("%s went back from %d to %d within a life", m.name, m.seen, r.Sequence)
 	}
-	m.seen = r.Seq
+	m.seen = r.Sequence
 	w.observe(m, r)
 	w.granted(m, r)
 	if _, ok := w.committed[r.Version]; !ok {
@@ -299,7 +299,7 @@
 	if !m.up {
 		return
 	}
-	if m.brain != nil && m.brain.Core().View().Place(m.brain.Core().Self().ID) >= 0 && back >= time.Second {
+	if m.brain != nil && m.brain.Core().View().Position(m.brain.Core().Self().ID) >= 0 && back >= time.Second {
 		w.down[m.i] = w.now
 	}
 	m.up, m.frozen = false, false
@@ -430,9 +430,9 @@
 	case "agree", "ask", "finish", "cancel":
 		e.Windows = w.command(c.act)
 	case "put":
-		e.Order = &chainreplication.Order{Version: c.version, Body: []byte(c.body)}
+		e.Order = &chainreplication.Command{Version: c.version, Body: []byte(c.body)}
 	default:
-		e.Order = &chainreplication.Order{Zone: w.zone(c.act.On), Out: c.act.Kind == "evacuate"}
+		e.Order = &chainreplication.Command{Zone: w.zone(c.act.On), Evacuated: c.act.Kind == "evacuate"}
 	}
 	m.callers[e.Token] = c
 	tries := c.tries
--- a/internal/simulation/windows.go
+++ b/internal/simulation/windows.go
@@ -39,8 +39,8 @@
 
 // granted watches what the core has granted: never so many at once that a floor breaks, and fences that only rise.
 func (w *world) granted(m *machine, r chainreplication.Register) {
-	n, ok := r.Notes["windows"]
-	if !ok || n.Rev <= w.windowsRev {
+	n, ok := r.Records["windows"]
+	if !ok || n.Revision <= w.windowsRev {
 		return
 	}
 	var s maintenance.State
@@ -76,7 +76,7 @@
 			w.broken("%s: %d foragers of zone %s are out at once, %d may be", m.name, out[z], z, mostOut)
 		}
 	}
-	w.windows, w.windowsRev, w.windowsAt = s, n.Rev, w.now
+	w.windows, w.windowsRev, w.windowsAt = s, n.Revision, w.now
 }
 
 // anyOut is 1 while a window is open.
--- a/internal/statestore/capacity_test.go
+++ b/internal/statestore/capacity_test.go
@@ -90,7 +90,7 @@
 		seeds = append(seeds, fmt.Sprintf("10.0.0.%d:7540", i+1))
 	}
 	for i, addr := range seeds {
-		x := &member{disk: &memory{files: map[string][]byte{}}, self: membership.Member{ID: addr + "/0", Addr: addr, Zone: sizes.Zone(i), Call: addr}}
+		x := &member{disk: &memory{files: map[string][]byte{}}, self: membership.Member{ID: addr + "/0", Addr: addr, Zone: sizes.Zone(i), APIAddr: addr}}
 		var err error
 		if x.cell, err = statestore.Open(x.disk); err != nil {
 			b.Fatal(err)
@@ -162,7 +162,7 @@
 	}
 }
 
-func (m *machines) order(x *member, o chainreplication.Order) {
+func (m *machines) order(x *member, o chainreplication.Command) {
 	token, a := x.core.Order(m.now, o)
 	m.do(x, a)
 	m.until(func() bool { return m.answers[token] != 0 })
@@ -195,16 +195,16 @@
 				m := newMachines(b, 3)
 				version := uint64(1)
 				raw := body(n, version)
-				m.order(m.all[2], chainreplication.Order{Version: version, Body: raw})
+				m.order(m.all[2], chainreplication.Command{Version: version, Body: raw})
 				m.passed, m.most, m.refused = 0, 0, 0
 				before := m.written()
 				b.ReportAllocs()
 				i := 0
 				for ; b.Loop(); i++ {
-					o := chainreplication.Order{Zone: sizes.Zone(0), Out: i%2 == 0}
+					o := chainreplication.Command{Zone: sizes.Zone(0), Evacuated: i%2 == 0}
 					if what == "config" {
 						version++
-						o = chainreplication.Order{Version: version, Body: raw}
+						o = chainreplication.Command{Version: version, Body: raw}
 					}
 					m.order(m.all[2], o)
 				}
@@ -224,16 +224,16 @@
 			m := newMachines(b, 3)
 			version := uint64(1)
 			raw := body(n, version)
-			m.order(m.all[0], chainreplication.Order{Version: version, Body: raw})
+			m.order(m.all[0], chainreplication.Command{Version: version, Body: raw})
 			passed, disk, took, rounds := 0, 0, time.Duration(0), 0
 			b.ReportAllocs()
 			for b.Loop() {
 				b.StopTimer()
 				m.all[2].down = true
-				m.until(func() bool { return m.all[0].core.View().Place(m.all[2].self.ID) < 0 })
+				m.until(func() bool { return m.all[0].core.View().Position(m.all[2].self.ID) < 0 })
 				for range 10 {
 					version++
-					m.order(m.all[0], chainreplication.Order{Version: version, Body: raw})
+					m.order(m.all[0], chainreplication.Command{Version: version, Body: raw})
 				}
 				m.passed = 0
 				before, from := m.written(), m.now
@@ -241,7 +241,7 @@
 				m.all[2].down = false
 				m.until(func() bool {
 					r, _ := m.all[2].core.Register()
-					return r.Version == version && m.all[0].core.View().Place(m.all[2].self.ID) >= 0 && m.all[2].core.InTouch(m.now)
+					return r.Version == version && m.all[0].core.View().Position(m.all[2].self.ID) >= 0 && m.all[2].core.InTouch(m.now)
 				})
 				passed, disk, took, rounds = passed+m.passed, disk+m.written()-before, took+m.now-from, rounds+1
 			}
--- a/messages/words.go
+++ b/messages/words.go
@@ -21,9 +21,9 @@
 // Enter asks the head to take an order; Entered tells what must be committed for it to hold. Echo is the head's own clock
 // as the sender last heard it, so that one that was long on its way is known for it.
 type Enter struct {
-	Token uint64                 `cbor:"1,keyasint"`
-	Order chainreplication.Order `cbor:"2,keyasint"`
-	Echo  membership.Stamp       `cbor:"3,keyasint,omitempty"`
+	Token uint64                   `cbor:"1,keyasint"`
+	Order chainreplication.Command `cbor:"2,keyasint"`
+	Echo  membership.ClockReading  `cbor:"3,keyasint,omitempty"`
 }
 
 type Entered struct {
@@ -34,7 +34,7 @@
 
 	Conflicts bool `cbor:"6,keyasint,omitempty"` // its number is others' already
 
-	Clock membership.Stamp `cbor:"5,keyasint,omitempty"` // the head's
+	Clock membership.ClockReading `cbor:"5,keyasint,omitempty"` // the head's
 }
 
 // Confirm asks whether view N is still the newest; Confirmed answers.
