--- a/cmd/zincloftctl/main.go
+++ b/cmd/zincloftctl/main.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	var newest *statestore.Copy
+	var newest *statestore.FileCopy
 	for i, c := range copies {
 		if !export && c.Err != nil {
 			fmt.Fprintf(out, "%s: damaged: %v\n", c.Name, c.Err)
@@ -132,16 +132,16 @@
 		if c.Err != nil {
 			continue
 		}
-		if newest == nil || c.Number > newest.Number {
+		if newest == nil || c.Generation > newest.Generation {
 			newest = &copies[i]
 		}
-		k, err := coordinator.Decode(c.Values["state"])
+		k, err := coordinator.DecodePersistentState(c.Values["state"])
 		if err != nil {
 			return merry.Prepend(err, c.Name)
 		}
 		if !export {
-			fmt.Fprintf(out, "%s: whole, write %d: disk %s, view %d, %d orders, version %08x, %d replicas\n", c.Name, c.Number, k.Disk, k.View.View.Number,
-				k.Register.Sequence, k.Register.Version, len(k.Lives))
+			fmt.Fprintf(out, "%s: whole, write %d: disk %s, view %d, %d orders, version %08x, %d replicas\n", c.Name, c.Generation, k.DiskID, k.View.View.Number,
+				k.Register.Sequence, k.Register.Version, len(k.Instances))
 		}
 	}
 	if newest == nil {
@@ -150,12 +150,12 @@
 	if !export {
 		return nil
 	}
-	k, err := coordinator.Decode(newest.Values["state"])
+	k, err := coordinator.DecodePersistentState(newest.Values["state"])
 	if err != nil {
 		return err
 	}
-	body, err := json.MarshalIndent(map[string]any{"disk": k.Disk, "view": k.View.View, "orders": k.Register.Sequence, "evacuated": k.Register.EvacuatedZones,
-		"configuration": json.RawMessage(orNull(k.Register.Body)), "replicas": k.Lives}, "", "  ")
+	body, err := json.MarshalIndent(map[string]any{"disk": k.DiskID, "view": k.View.View, "orders": k.Register.Sequence, "evacuated": k.Register.EvacuatedZones,
+		"configuration": json.RawMessage(orNull(k.Register.Body)), "replicas": k.Instances}, "", "  ")
 	if err != nil {
 		return err
 	}
--- a/controlplane/controller/comb.go
+++ b/controlplane/controller/comb.go
@@ -55,10 +55,10 @@
 
 // Message is what combs say to one another.
 type Message struct {
-	Core  *coordinator.Message `cbor:"1,keyasint,omitempty"`
-	Lives []registry.Life      `cbor:"2,keyasint,omitempty"`
-	Fleet *messages.Fleet      `cbor:"3,keyasint,omitempty"`
-	Fell  []outlier.Out        `cbor:"4,keyasint,omitempty"`
+	Core  *coordinator.Message     `cbor:"1,keyasint,omitempty"`
+	Lives []registry.Life          `cbor:"2,keyasint,omitempty"`
+	Fleet *messages.GatewaySummary `cbor:"3,keyasint,omitempty"`
+	Fell  []outlier.Out            `cbor:"4,keyasint,omitempty"`
 }
 
 // Event is something that happened. One of its fields is set; an event with none lets time pass.
@@ -70,7 +70,7 @@
 	Read    bool                      `cbor:"5,keyasint,omitempty"`
 	Joined  *Joined                   `cbor:"6,keyasint,omitempty"`
 	Left    uint64                    `cbor:"7,keyasint,omitempty"` // a stream has ended
-	Report  *messages.Report          `cbor:"8,keyasint,omitempty"`
+	Report  *messages.LoadReport      `cbor:"8,keyasint,omitempty"`
 	Message *Message                  `cbor:"9,keyasint,omitempty"`
 	Written *Written                  `cbor:"10,keyasint,omitempty"`
 	Met     []string                  `cbor:"11,keyasint,omitempty"` // addresses where other combs may be
@@ -104,8 +104,8 @@
 
 // Tell is a message for some foragers.
 type Tell struct {
-	Streams []uint64       `cbor:"1,keyasint"`
-	State   messages.State `cbor:"2,keyasint"`
+	Streams []uint64             `cbor:"1,keyasint"`
+	State   messages.StateUpdate `cbor:"2,keyasint"`
 }
 
 // Answer ends a call.
@@ -144,7 +144,7 @@
 type Comb struct {
 	set    Settings
 	chance rand.PCG
-	core   *coordinator.Core
+	core   *coordinator.Coordinator
 	reg    *registry.Registry
 	config *gatewayconfig.Config // committed
 	wasOut []string
@@ -182,14 +182,14 @@
 }
 
 // New makes a comb from what was on disk.
-func New(now time.Duration, set Settings, self membership.Member, k coordinator.Kept) *Comb {
+func New(now time.Duration, set Settings, self membership.Member, k coordinator.PersistentState) *Comb {
 	site := weighting.Site{Seed: set.Seed, Zone: set.Zone, Zones: set.Zones, Combs: max(len(set.Seeds), 1), LinkMbps: set.LinkMbps, DrainGrace: set.DrainDeadline}
 	c := &Comb{set: set, chance: *rand.NewPCG(set.Seed, 1), steer: weighting.New(site), falls: outlier.New(), calls: map[uint64]uint64{}, fleets: map[string]int{},
 		touched: map[string]bool{}, alone: true, reg: registry.New(time.Duration(silentBeats * float64(set.Heartbeat)))}
-	for i := range k.Lives {
-		k.Lives[i].Age = 0 // heard now, as far as anyone knows; those that do not beat go as any silent one
+	for i := range k.Instances {
+		k.Instances[i].Age = 0 // heard now, as far as anyone knows; those that do not beat go as any silent one
 	}
-	c.reg.Merge(now, k.Lives)
+	c.reg.Merge(now, k.Instances)
 	c.wasOut = sortedKeys(k.Register.EvacuatedZones) // a zone that was given back while this comb was away is doubted too
 	c.ticked, c.woke = now, now-lateFor
 	c.hived = hived{open: map[uint64]change{}, elsewhat: map[string]elsewhere{}, drained: map[string]time.Duration{}}
@@ -202,8 +202,8 @@
 
 func (h hints) Revision() uint64 { return h.c.reg.Rev() }
 
-// Lives marks as old what turns cold, or may have, as its zone is given back: this very write may be the one that does so.
-func (h hints) Lives() []registry.Life {
+// Instances marks as old what turns cold, or may have, as its zone is given back: this very write may be the one that does so.
+func (h hints) Instances() []registry.Life {
 	lives := h.c.reg.Changes(h.c.ticked, registry.All)
 	for i, l := range lives {
 		if l.Doubt || slices.Contains(h.c.wasOut, l.Zone) {
@@ -214,13 +214,13 @@
 }
 
 // Kept encodes what must be on disk now. The first one must be there before anything is listened on.
-func (c *Comb) Kept() ([]byte, error) { return c.core.Kept() }
+func (c *Comb) Kept() ([]byte, error) { return c.core.EncodeState() }
 
 // Describe tells how the core stands, as this machine knows.
-func (c *Comb) Describe(now time.Duration) coordinator.Standing { return c.core.Describe(now) }
+func (c *Comb) Describe(now time.Duration) coordinator.Status { return c.core.Status(now) }
 
 // Core is the lasting state's part, to look at.
-func (c *Comb) Core() *coordinator.Core { return c.core }
+func (c *Comb) Core() *coordinator.Coordinator { return c.core }
 
 // Config is what is committed; nil: nothing yet.
 func (c *Comb) Config() *gatewayconfig.Config { return c.config }
@@ -253,14 +253,14 @@
 	case e.Beat != nil:
 		c.beat(now, e.Token, *e.Beat)
 	case e.Leave != "":
-		if !c.core.InTouch(now) {
+		if !c.core.HasQuorumContact(now) {
 			c.answer(Answer{Token: e.Token, Status: http.StatusServiceUnavailable})
 			break
 		}
 		c.gone(now, e.Leave, "itself")
 		c.answer(Answer{Token: e.Token, Status: http.StatusOK})
 	case e.Order != nil:
-		token, a := c.core.Order(now, *e.Order)
+		token, a := c.core.Propose(now, *e.Order)
 		c.calls[token] = e.Token
 		c.do(now, a)
 	case e.Read:
@@ -282,12 +282,12 @@
 			c.message(now, *e.From, e.Message)
 		}
 	case e.Written != nil:
-		c.do(now, c.core.Written(now, e.Written.Problem))
+		c.do(now, c.core.StatePersisted(now, e.Written.Problem))
 	case e.Met != nil:
-		c.core.Meet(e.Met)
+		c.core.SetSeeds(e.Met)
 	case e.Leaving:
 		c.leaving = true
-		c.core.Leave()
+		c.core.BeginLeave()
 		c.note("leaving")
 	default:
 		c.tick(now)
@@ -309,7 +309,7 @@
 	if jump := (wall - c.wall) - (now - c.walledAt); c.wall != 0 && jump > lateBy {
 		c.warn("clock_stood", "for", jump)
 		c.woke = now
-		c.core.Lost(now)
+		c.core.ResetContact(now)
 	}
 	c.wall, c.walledAt = wall, now
 }
@@ -348,12 +348,12 @@
 	c.drive(now)
 	c.steer.Tick(now)
 	c.tell(now, false)
-	c.out.Ended = c.leaving && c.core.Left(now)
+	c.out.Ended = c.leaving && c.core.LeaveComplete(now)
 }
 
 // touch notes that this comb has lost a majority of the others, or has it back: then it could hear nobody meanwhile.
 func (c *Comb) touch(now time.Duration) {
-	alone := !c.core.InTouch(now)
+	alone := !c.core.HasQuorumContact(now)
 	if alone == c.alone {
 		return
 	}
@@ -367,37 +367,37 @@
 
 // do carries on what the core has decided.
 func (c *Comb) do(now time.Duration, a coordinator.Actions) {
-	if a.Stood {
+	if a.StandstillDetected {
 		c.warn("clock_stood")
 		c.woke = now
 	}
-	if a.Sick != "" {
-		c.warn("disk", "state", a.Sick)
+	if a.DiskHealth != "" {
+		c.warn("disk", "state", a.DiskHealth)
 	}
-	for _, s := range a.Send {
+	for _, s := range a.Messages {
 		c.send(s.To, Message{Core: &s.Message})
 	}
-	if a.Write != nil {
-		c.out.Write = a.Write
+	if a.StateToPersist != nil {
+		c.out.Write = a.StateToPersist
 	}
-	if a.Viewed {
+	if a.ViewInstalled {
 		v := c.core.View()
 		c.note("view", "n", v.Number, "chain", v.Chain, "roster", len(v.Voters))
 		for _, s := range c.streams {
 			s.combs = false
 		}
 	}
-	if a.Committed {
+	if a.RegisterCommitted {
 		c.committed(now)
 	}
-	for _, x := range a.Answers {
-		if x.Token == c.question {
+	for _, x := range a.Responses {
+		if x.RequestID == c.question {
 			c.admit(now, x.Status)
-		} else if token, ok := c.calls[x.Token]; ok {
-			delete(c.calls, x.Token)
-			c.answer(Answer{token, x.Status, x.Body, x.Where})
-		} else if x2, ok := c.hived.open[x.Token]; ok {
-			delete(c.hived.open, x.Token)
+		} else if token, ok := c.calls[x.RequestID]; ok {
+			delete(c.calls, x.RequestID)
+			c.answer(Answer{token, x.Status, x.Body, x.RedirectTo})
+		} else if x2, ok := c.hived.open[x.RequestID]; ok {
+			delete(c.hived.open, x.RequestID)
 			c.proposed(now, x2, x.Status)
 		}
 	}
@@ -436,7 +436,7 @@
 
 // beat takes a replica's own word.
 func (c *Comb) beat(now time.Duration, token uint64, l registry.Life) {
-	if !c.core.InTouch(now) {
+	if !c.core.HasQuorumContact(now) {
 		c.answer(Answer{Token: token, Status: http.StatusServiceUnavailable})
 		return
 	}
@@ -458,7 +458,7 @@
 		return c.set.Control
 	}
 	for _, m := range c.core.Peers(now) {
-		if m.Zone == zone && m.APIAddr != "" && c.core.Heard(now, m.ID) {
+		if m.Zone == zone && m.APIAddr != "" && c.core.IsReachable(now, m.ID) {
 			return m.APIAddr
 		}
 	}
@@ -477,10 +477,10 @@
 // message takes what another comb says.
 func (c *Comb) message(now time.Duration, from membership.Member, m *Message) {
 	if m.Core != nil {
-		c.do(now, c.core.Receive(now, from, *m.Core))
+		c.do(now, c.core.Step(now, from, *m.Core))
 	}
 	if m.Fleet != nil {
-		c.fleets[from.ID] = m.Fleet.Foragers
+		c.fleets[from.ID] = m.Fleet.GatewayCount
 		if len(m.Fleet.Nodes) > 0 || c.windows().On() {
 			c.hived.elsewhat[from.ID] = elsewhere{now, *m.Fleet}
 		}
@@ -516,7 +516,7 @@
 		c.revs = c.revs[1:]
 	}
 	lately := c.reg.Changes(now, c.revs[0].rev)
-	fleet := messages.Fleet{Foragers: len(c.streams)}
+	fleet := messages.GatewaySummary{GatewayCount: len(c.streams)}
 	if c.windows().On() {
 		fleet = c.own(now)
 	}
@@ -524,7 +524,7 @@
 		if m.ID == "" {
 			continue
 		}
-		touch := c.core.Heard(now, m.ID)
+		touch := c.core.IsReachable(now, m.ID)
 		msg := Message{Lives: lately, Fleet: &fleet}
 		if touch && !c.touched[m.ID] {
 			msg.Lives = c.reg.Changes(now, registry.All)
@@ -534,7 +534,7 @@
 		c.send(m.Addr, msg)
 	}
 	for _, id := range sortedKeys(c.fleets) {
-		if !c.core.Heard(now, id) {
+		if !c.core.IsReachable(now, id) {
 			delete(c.fleets, id)
 			delete(c.hived.elsewhat, id)
 		}
--- a/controlplane/controller/streams.go
+++ b/controlplane/controller/streams.go
@@ -35,7 +35,7 @@
 	foragers int
 	grants   map[string]float32
 	saidAt   time.Duration
-	bee      *messages.Bee // where windows are used
+	bee      *messages.GatewayStatus // where windows are used
 	beeAt    time.Duration
 }
 
@@ -103,12 +103,12 @@
 }
 
 // reported takes what a forager met. What it was told by a comb before us is taken like another comb's word.
-func (c *Comb) reported(now time.Duration, s *stream, r *messages.Report) {
+func (c *Comb) reported(now time.Duration, s *stream, r *messages.LoadReport) {
 	c.steer.Report(now, s.name, r)
-	if r.Bee != nil {
-		s.bee, s.beeAt = r.Bee, now
+	if r.Status != nil {
+		s.bee, s.beeAt = r.Status, now
 	}
-	for _, w := range r.Falls {
+	for _, w := range r.Observations {
 		if o, ok := c.falls.Told(now, s.name, w, c.peersOf(now, w.Replica)); ok {
 			c.note("fell", "id", o.Replica, "out_ms", o.Millis, "by", s.name)
 			c.fell(o)
@@ -117,11 +117,11 @@
 			}
 		}
 	}
-	for _, id := range r.Gone {
+	for _, id := range r.Deregistered {
 		c.gone(now, id, s.name)
 	}
-	if len(r.Lives) > 0 {
-		if news, urgent := c.reg.Merge(now, r.Lives); news {
+	if len(r.Instances) > 0 {
+		if news, urgent := c.reg.Merge(now, r.Instances); news {
 			c.tell(now, urgent)
 		}
 	}
@@ -143,7 +143,7 @@
 
 // fell tells the foragers of a replica that broke.
 func (c *Comb) fell(o outlier.Out) {
-	t := Tell{State: messages.State{Fell: []outlier.Out{o}}}
+	t := Tell{State: messages.StateUpdate{Ejections: []outlier.Out{o}}}
 	for _, s := range c.streams {
 		if s.whole {
 			t.Streams = append(t.Streams, s.n)
@@ -162,7 +162,7 @@
 // tell brings the foragers up to date: at once where it must not wait, else now and then.
 func (c *Comb) tell(now time.Duration, urgent bool) {
 	r, known := c.core.Register()
-	if !known || c.alone || !c.core.InTouch(now) || c.config == nil {
+	if !known || c.alone || !c.core.HasQuorumContact(now) || c.config == nil {
 		return
 	}
 	news := urgent || now-c.newsAt >= newsEvery
@@ -182,43 +182,43 @@
 		grants = c.deal(now)
 	}
 	for _, s := range c.streams {
-		st := messages.State{}
+		st := messages.StateUpdate{}
 		say := now-s.saidAt >= signEvery
 		if !s.whole {
-			st.Whole, st.Young, st.Granted, s.whole, say = true, c.young(now), true, true, true
+			st.Full, st.Bootstrapping, st.WarmupRatesComplete, s.whole, say = true, c.young(now), true, true, true
 		}
 		if !s.known || r.Sequence > s.seq {
-			st.Seq, st.Version, st.Out, say = r.Sequence, r.Version, sortedKeys(r.EvacuatedZones), true
+			st.Sequence, st.ConfigVersion, st.EvacuatedZones, say = r.Sequence, r.Version, sortedKeys(r.EvacuatedZones), true
 			if r.Version != s.version {
-				st.Body = r.Body
+				st.Config = r.Body
 			}
 			s.known, s.seq, s.version = true, r.Sequence, r.Version
 			if wins := c.windows(); wins.On() {
 				w := wins.Orders()[s.name]
-				st.Windows, st.Window = true, messages.Window{Phase: w.Phase, Fence: w.Fence}
+				st.MaintenanceEnabled, st.Maintenance = true, messages.MaintenanceWindow{Phase: w.Phase, FencingToken: w.Fence}
 			}
 		}
 		if news {
-			if rev := c.reg.Rev(); rev > s.rev || st.Whole {
-				st.Lives, say = c.reg.Changes(now, s.rev), true
+			if rev := c.reg.Rev(); rev > s.rev || st.Full {
+				st.Instances, say = c.reg.Changes(now, s.rev), true
 				s.rev = rev
 			}
 			if lines := c.steer.Lines(s.name); len(lines) > 0 {
-				st.Lines, say = lines, true
+				st.Weights, say = lines, true
 			}
 			if shuns := c.steer.Shuns(s.name); len(shuns) > 0 {
-				st.Shuns, say = shuns, true
+				st.PairEjections, say = shuns, true
 			}
 			if !s.combs {
-				st.Combs, s.combs, say = c.combs(now), true, true
+				st.Members, s.combs, say = c.combs(now), true, true
 			}
 			if total != s.foragers {
-				st.Foragers, s.foragers, say = total, total, true
+				st.GatewayCount, s.foragers, say = total, total, true
 			}
-			if g := grants[s]; st.Whole || !maps.Equal(g, s.grants) {
-				st.Granted, s.grants, say = true, g, true
+			if g := grants[s]; st.Full || !maps.Equal(g, s.grants) {
+				st.WarmupRatesComplete, s.grants, say = true, g, true
 				for _, id := range sortedKeys(g) {
-					st.Grants = append(st.Grants, messages.Line{Replica: id, Grant: g[id]})
+					st.WarmupRates = append(st.WarmupRates, messages.EndpointWeight{Replica: id, WarmupRate: g[id]})
 				}
 			}
 		}
--- a/controlplane/controller/streams_test.go
+++ b/controlplane/controller/streams_test.go
@@ -23,22 +23,22 @@
 	addrs []string
 	now   time.Duration
 	cut   map[int]bool
-	told  map[uint64]*messages.State // newest by stream, with what was told before
+	told  map[uint64]*messages.StateUpdate // newest by stream, with what was told before
 	ended map[uint64]bool
 	wrote [3][][]byte
 	token uint64
 }
 
 func newFew() *few {
-	x := &few{cut: map[int]bool{}, told: map[uint64]*messages.State{}, ended: map[uint64]bool{}}
+	x := &few{cut: map[int]bool{}, told: map[uint64]*messages.StateUpdate{}, ended: map[uint64]bool{}}
 	for i := range 3 {
 		x.addrs = append(x.addrs, fmt.Sprintf("10.0.0.%d:1", i+1))
 	}
 	for i := range 3 {
-		var k coordinator.Kept
-		k.Begin(x.addrs[i], x.addrs, true, "x")
+		var k coordinator.PersistentState
+		k.Initialize(x.addrs[i], x.addrs, true, "x")
 		x.combs = append(x.combs, New(0, Settings{Zone: "a", Zones: []string{"a"}, Seeds: x.addrs, LinkMbps: 1000, Heartbeat: 1500 * time.Millisecond, Seed: uint64(i)},
-			membership.Member{ID: k.Disk, Addr: x.addrs[i], Zone: "a", APIAddr: x.addrs[i]}, k))
+			membership.Member{ID: k.DiskID, Addr: x.addrs[i], Zone: "a", APIAddr: x.addrs[i]}, k))
 	}
 	for i := range x.combs {
 		x.step(i, Event{Start: true})
@@ -59,8 +59,8 @@
 	for _, t := range a.Tell {
 		for _, n := range t.Streams {
 			st := t.State
-			if had := x.told[n]; had != nil && !st.Granted {
-				st.Grants = had.Grants
+			if had := x.told[n]; had != nil && !st.WarmupRatesComplete {
+				st.WarmupRates = had.WarmupRates
 			}
 			x.told[n] = &st
 		}
@@ -114,8 +114,8 @@
 }
 
 func (x *few) right(n uint64) float64 {
-	if st := x.told[n]; st != nil && len(st.Grants) > 0 {
-		return float64(st.Grants[0].Grant)
+	if st := x.told[n]; st != nil && len(st.WarmupRates) > 0 {
+		return float64(st.WarmupRates[0].WarmupRate)
 	}
 	return 0
 }
@@ -138,7 +138,7 @@
 			So(x.ended[3], ShouldBeTrue)
 			x.step(2, Event{Left: 3})
 			x.cut[2] = false
-			for !x.combs[2].Core().InTouch(x.now) {
+			for !x.combs[2].Core().HasQuorumContact(x.now) {
 				x.run(10 * time.Millisecond)
 			}
 			back := x.now
@@ -154,8 +154,8 @@
 		// Guards a whole state that says nothing of rights: a forager that comes from another comb kept those it had.
 		Convey("a whole state says what is dealt, also where that is nothing", func() {
 			x.join(0, 7)
-			So(x.told[7].Whole, ShouldBeTrue)
-			So(x.told[7].Granted, ShouldBeTrue)
+			So(x.told[7].Full, ShouldBeTrue)
+			So(x.told[7].WarmupRatesComplete, ShouldBeTrue)
 		})
 	})
 	Convey("Given a comb that was cut off for long", t, func() {
@@ -171,7 +171,7 @@
 		x.cut[2] = false
 		// Guards against a fleet that is ended by one that could not hear it, where a forager comes first after the cut.
 		Convey("it takes nobody for gone or silent when it is back, also where a forager joins before its next tick", func() {
-			for !x.combs[2].Core().InTouch(x.now) {
+			for !x.combs[2].Core().HasQuorumContact(x.now) {
 				x.now += 10 * time.Millisecond
 				x.step(0, Event{})
 				x.step(1, Event{})
@@ -186,12 +186,12 @@
 		})
 		// Guards foragers that let go of replicas which began during the cut.
 		Convey("it says that it may not know all", func() {
-			for !x.combs[2].Core().InTouch(x.now) {
+			for !x.combs[2].Core().HasQuorumContact(x.now) {
 				x.run(10 * time.Millisecond)
 			}
 			n := x.comes(2, 9)
-			So(x.told[n].Whole, ShouldBeTrue)
-			So(x.told[n].Young, ShouldBeTrue)
+			So(x.told[n].Full, ShouldBeTrue)
+			So(x.told[n].Bootstrapping, ShouldBeTrue)
 		})
 	})
 	// Guards a comb that dies right after its zone was given back: nothing on its disk told that replicas may be cold there.
@@ -201,11 +201,11 @@
 		x.order(chainreplication.Command{Zone: "a", Evacuated: true})
 		x.order(chainreplication.Command{Zone: "a"})
 		for i := range 3 {
-			var given coordinator.Kept
+			var given coordinator.PersistentState
 			for _, raw := range x.wrote[i] {
-				k, err := coordinator.Decode(raw)
+				k, err := coordinator.DecodePersistentState(raw)
 				So(err, ShouldBeNil)
-				if k.Register.Sequence == 3 && given.Disk == "" {
+				if k.Register.Sequence == 3 && given.DiskID == "" {
 					given = k
 				}
 			}
--- a/controlplane/controller/windows.go
+++ b/controlplane/controller/windows.go
@@ -34,7 +34,7 @@
 
 type elsewhere struct {
 	at    time.Duration
-	fleet messages.Fleet
+	fleet messages.GatewaySummary
 }
 
 // change is a proposal for a note that waits for its commit.
@@ -72,7 +72,7 @@
 	r, _ := c.core.Register()
 	c.hived.proposed++
 	x.by = fmt.Sprintf("%s %d %d", c.core.Self().ID, c.set.Seed, c.hived.proposed)
-	token, a := c.core.Order(now, chainreplication.Command{Record: windowsNote, ExpectedRevision: r.Records[windowsNote].Revision, ChangeID: x.by, Value: value})
+	token, a := c.core.Propose(now, chainreplication.Command{Record: windowsNote, ExpectedRevision: r.Records[windowsNote].Revision, ChangeID: x.by, Value: value})
 	c.hived.open[token] = x
 	c.do(now, a)
 }
@@ -95,7 +95,7 @@
 
 // command takes an operator's.
 func (c *Comb) command(now time.Duration, token uint64, w *maintenance.Command, tries int) {
-	if _, known := c.core.Register(); !known || !c.core.InTouch(now) {
+	if _, known := c.core.Register(); !known || !c.core.HasQuorumContact(now) {
 		c.answer(Answer{Token: token, Status: http.StatusServiceUnavailable})
 		return
 	}
@@ -114,7 +114,7 @@
 	}
 	c.hived.drivesAt = now + driveEvery
 	s := c.windows()
-	if !s.On() || c.core.View().Position(c.core.Self().ID) != 0 || !c.core.InTouch(now) {
+	if !s.On() || c.core.View().Position(c.core.Self().ID) != 0 || !c.core.HasQuorumContact(now) {
 		clear(c.hived.drained)
 		return
 	}
@@ -140,23 +140,23 @@
 }
 
 // own lists the nodes of this comb's streams.
-func (c *Comb) own(now time.Duration) messages.Fleet {
-	f := messages.Fleet{Foragers: len(c.streams)}
+func (c *Comb) own(now time.Duration) messages.GatewaySummary {
+	f := messages.GatewaySummary{GatewayCount: len(c.streams)}
 	load := map[[2]string]float64{}
 	for _, s := range c.streams {
 		if s.bee == nil || now-s.beeAt > freshFor {
 			continue
 		}
-		n := maintenance.Node{Serving: s.bee.Ready && s.bee.Phase == maintenance.Serving, Phase: s.bee.Phase, Fence: s.bee.Fence}
-		n.Name, n.Zone, n.Region, n.Carries = s.name, s.zone, c.set.Regions[s.zone], s.bee.Carries
+		n := maintenance.Node{Serving: s.bee.Ready && s.bee.Phase == maintenance.Serving, Phase: s.bee.Phase, Fence: s.bee.FencingToken}
+		n.Name, n.Zone, n.Region, n.Carries = s.name, s.zone, c.set.Regions[s.zone], s.bee.CapacityByGroup
 		f.Nodes = append(f.Nodes, n)
-		for g, x := range s.bee.Load {
+		for g, x := range s.bee.LoadByGroup {
 			load[[2]string{n.Region, g}] += x
 		}
 	}
 	for _, l := range c.windows().Agreed {
 		if x := load[[2]string{l.Region, l.Group}]; x > 0 {
-			f.Load = append(f.Load, messages.Load{Region: l.Region, Group: l.Group, Rate: x})
+			f.Load = append(f.Load, messages.GroupLoad{Region: l.Region, Group: l.Group, RequestsPerSecond: x})
 		}
 	}
 	return f
@@ -166,7 +166,7 @@
 func (c *Comb) fleet(now time.Duration) maintenance.Fleet {
 	f := maintenance.Fleet{Load: map[string]map[string]float64{}, Sure: now > sureAfter}
 	named := map[string]bool{}
-	take := func(x messages.Fleet) {
+	take := func(x messages.GatewaySummary) {
 		for _, n := range x.Nodes {
 			if !named[n.Name] { // it may just have changed sides
 				named[n.Name] = true
@@ -177,12 +177,12 @@
 			if f.Load[l.Region] == nil {
 				f.Load[l.Region] = map[string]float64{}
 			}
-			f.Load[l.Region][l.Group] += l.Rate
+			f.Load[l.Region][l.Group] += l.RequestsPerSecond
 		}
 	}
 	take(c.own(now))
 	for _, m := range c.core.Peers(now) {
-		if m.ID == "" || !c.core.Heard(now, m.ID) {
+		if m.ID == "" || !c.core.IsReachable(now, m.ID) {
 			continue // its foragers go elsewhere within a second
 		}
 		if x, ok := c.hived.elsewhat[m.ID]; ok && now-x.at <= freshFor {
--- a/controlplane/weighting/capacity_test.go
+++ b/controlplane/weighting/capacity_test.go
@@ -49,12 +49,12 @@
 }
 
 // report is what a forager met in a second: 70 requests, each to another replica.
-func (t *table) report(i int) *messages.Report {
-	r := &messages.Report{Over: 1000, Requests: map[string]int{}}
+func (t *table) report(i int) *messages.LoadReport {
+	r := &messages.LoadReport{PeriodMillis: 1000, Requests: map[string]int{}}
 	for j := range min(70, len(t.lives)) {
 		l := t.lives[(i*70+j*7919)%len(t.lives)]
 		r.Requests[l.Service]++
-		r.Sums = append(r.Sums, messages.Sum{Replica: l.ID, Tries: 1, Took: 200000, Running: 2, Slots: 6})
+		r.Endpoints = append(r.Endpoints, messages.EndpointStats{Replica: l.ID, Attempts: 1, MeanLatencyMicros: 200000, Running: 2, Slots: 6})
 	}
 	return r
 }
--- a/controlplane/weighting/steer.go
+++ b/controlplane/weighting/steer.go
@@ -216,12 +216,12 @@
 }
 
 // Report takes what a forager met. It also tells that the forager has applied what it was told before.
-func (s *Steer) Report(now time.Duration, forager string, r *messages.Report) {
+func (s *Steer) Report(now time.Duration, forager string, r *messages.LoadReport) {
 	id, ok := s.proxies[forager]
-	if !ok || r.Over <= 0 {
+	if !ok || r.PeriodMillis <= 0 {
 		return
 	}
-	over := time.Duration(r.Over) * time.Millisecond
+	over := time.Duration(r.PeriodMillis) * time.Millisecond
 	for name, f := range s.fleets {
 		f.pending = append(f.pending, rules.Applied{Proxy: id, Version: f.version})
 		if n := r.Requests[name]; n > 0 {
@@ -229,24 +229,24 @@
 		}
 	}
 	batches := map[*fleet]*intake.Batch{}
-	for _, x := range r.Sums {
+	for _, x := range r.Endpoints {
 		for _, f := range s.fleets {
 			rid, ok := f.ids[x.Replica]
-			if !ok || x.Tries <= 0 {
+			if !ok || x.Attempts <= 0 {
 				continue
 			}
 			rep := rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
 			if x.Slots > 0 {
 				rep.Util, rep.InFlight = min(float64(x.Running)/float64(x.Slots), 1), float64(x.Running+x.Waiting)
 			}
-			f.pending = append(f.pending, rules.Sums{Replica: rid, Zone: s.joined[forager].Zone, Tries: x.Tries, Dropped: min(x.Dropped, x.Tries),
-				Took: time.Duration(x.Took) * time.Microsecond, Over: over, Report: rep})
+			f.pending = append(f.pending, rules.Sums{Replica: rid, Zone: s.joined[forager].Zone, Tries: x.Attempts, Dropped: min(x.Dropped, x.Attempts),
+				Took: time.Duration(x.MeanLatencyMicros) * time.Microsecond, Over: over, Report: rep})
 			b := batches[f]
 			if b == nil {
 				b = &intake.Batch{Proxy: id, Over: over, Read: at(now)}
 				batches[f] = b
 			}
-			b.Records = append(b.Records, intake.Record{Replica: rid, Tries: x.Tries, Dropped: min(x.Dropped, x.Tries), Took: time.Duration(x.Took) * time.Microsecond,
+			b.Records = append(b.Records, intake.Record{Replica: rid, Tries: x.Attempts, Dropped: min(x.Dropped, x.Attempts), Took: time.Duration(x.MeanLatencyMicros) * time.Microsecond,
 				Report: rep})
 		}
 	}
@@ -340,29 +340,29 @@
 }
 
 // Lines takes what a forager is to be told, in the order of the replicas' names.
-func (s *Steer) Lines(forager string) []messages.Line {
+func (s *Steer) Lines(forager string) []messages.EndpointWeight {
 	d := s.dirty[forager]
 	if len(d) == 0 {
 		return nil
 	}
-	lines := make([]messages.Line, 0, len(d))
+	lines := make([]messages.EndpointWeight, 0, len(d))
 	for name, w := range d {
-		lines = append(lines, messages.Line{Replica: name, Weight: float32(w)})
+		lines = append(lines, messages.EndpointWeight{Replica: name, Weight: float32(w)})
 	}
-	slices.SortFunc(lines, func(a, b messages.Line) int { return cmp.Compare(a.Replica, b.Replica) })
+	slices.SortFunc(lines, func(a, b messages.EndpointWeight) int { return cmp.Compare(a.Replica, b.Replica) })
 	clear(d)
 	return lines
 }
 
 // Shuns takes which replicas a forager is to shut out, or to let in again, for itself alone: in the order of their names.
-func (s *Steer) Shuns(forager string) []messages.Shun {
+func (s *Steer) Shuns(forager string) []messages.PairEjection {
 	d := s.shuns[forager]
 	if len(d) == 0 {
 		return nil
 	}
-	out := make([]messages.Shun, 0, len(d))
+	out := make([]messages.PairEjection, 0, len(d))
 	for _, name := range slices.Sorted(maps.Keys(d)) {
-		out = append(out, messages.Shun{Replica: name, Out: d[name]})
+		out = append(out, messages.PairEjection{Replica: name, Ejected: d[name]})
 	}
 	clear(d)
 	return out
--- a/controlplane/weighting/steer_test.go
+++ b/controlplane/weighting/steer_test.go
@@ -62,19 +62,19 @@
 		c.now += s / 4
 		if c.now%s == 0 {
 			for _, f := range c.foragers {
-				r := &messages.Report{Over: 1000, Requests: map[string]int{"svc": 100}}
+				r := &messages.LoadReport{PeriodMillis: 1000, Requests: map[string]int{"svc": 100}}
 				for id := range c.Weights("svc", f) {
-					x := messages.Sum{Replica: id, Tries: 10, Took: 200000}
+					x := messages.EndpointStats{Replica: id, Attempts: 10, MeanLatencyMicros: 200000}
 					if n, ok := c.load[id]; ok {
 						x.Running, x.Slots = n, 4
 					}
 					if c.bad[f] == id {
-						x.Dropped, x.Took = x.Tries, 0
+						x.Dropped, x.MeanLatencyMicros = x.Attempts, 0
 						if c.shut[f][id] {
 							continue // it is the last choice there
 						}
 					}
-					r.Sums = append(r.Sums, x)
+					r.Endpoints = append(r.Endpoints, x)
 				}
 				c.Report(c.now, f, r)
 			}
@@ -89,7 +89,7 @@
 				if c.shut[f] == nil {
 					c.shut[f] = map[string]bool{}
 				}
-				c.shut[f][x.Replica] = x.Out
+				c.shut[f][x.Replica] = x.Ejected
 			}
 		}
 	}
--- a/dataplane/loadbalancer/spread.go
+++ b/dataplane/loadbalancer/spread.go
@@ -213,7 +213,7 @@
 }
 
 // Shuns shuts replicas out as the last choice, or lets them in again. A whole state begins with none.
-func (s *Spread) Shuns(whole bool, shuns []messages.Shun) {
+func (s *Spread) Shuns(whole bool, shuns []messages.PairEjection) {
 	if whole {
 		for _, r := range s.all {
 			r.shunned = false
@@ -221,7 +221,7 @@
 	}
 	for _, x := range shuns {
 		if r := s.all[x.Replica]; r != nil {
-			r.shunned = x.Out
+			r.shunned = x.Ejected
 		}
 	}
 }
--- a/dataplane/router/forage.go
+++ b/dataplane/router/forage.go
@@ -243,14 +243,14 @@
 }
 
 // window takes the word on this node's window. Only a newer one counts; one that is not there any more is over.
-func (f *Forager) window(now time.Duration, w messages.Window) {
+func (f *Forager) window(now time.Duration, w messages.MaintenanceWindow) {
 	switch {
 	case w.Phase == "" || w.Phase == maintenance.Returning:
-		if f.phase, f.fence = maintenance.Serving, max(w.Fence, f.fence); w.Phase == "" {
+		if f.phase, f.fence = maintenance.Serving, max(w.FencingToken, f.fence); w.Phase == "" {
 			f.fence = 0
 		}
-	case w.Fence > f.fence || f.phase == maintenance.Serving && w.Fence == f.fence:
-		if f.fence = w.Fence; f.phase == maintenance.Serving {
+	case w.FencingToken > f.fence || f.phase == maintenance.Serving && w.FencingToken == f.fence:
+		if f.fence = w.FencingToken; f.phase == maintenance.Serving {
 			f.phase, f.drainsAt = maintenance.Draining, now
 		}
 	}
@@ -258,13 +258,13 @@
 
 // bee is what this node tells of itself. It says that it is drained once nothing is under way and nobody has come for
 // as long as the platform takes to look elsewhere.
-func (f *Forager) bee(now, over time.Duration, busy float64) *messages.Bee {
+func (f *Forager) bee(now, over time.Duration, busy float64) *messages.GatewayStatus {
 	if f.phase == maintenance.Draining && f.underway == 0 && now-f.drainsAt > LeaveFor {
 		f.phase = maintenance.Drained
 	}
-	b := &messages.Bee{Ready: f.config != nil && f.tabled, Phase: f.phase, Fence: f.fence, Carries: f.meter.Sample(over, busy), Load: map[string]float64{}}
+	b := &messages.GatewayStatus{Ready: f.config != nil && f.tabled, Phase: f.phase, FencingToken: f.fence, CapacityByGroup: f.meter.Sample(over, busy), LoadByGroup: map[string]float64{}}
 	for g, n := range f.load {
-		b.Load[g] = float64(n) / max(over.Seconds(), 0.1)
+		b.LoadByGroup[g] = float64(n) / max(over.Seconds(), 0.1)
 	}
 	clear(f.load)
 	return b
@@ -309,53 +309,53 @@
 }
 
 // Take puts in force what a comb tells. Within a life nothing goes back: an older register is passed over.
-func (f *Forager) Take(now time.Duration, s *messages.State) (t Taken) {
+func (f *Forager) Take(now time.Duration, s *messages.StateUpdate) (t Taken) {
 	switch {
-	case s.Whole:
+	case s.Full:
 		f.streamed, f.silence = true, now-f.heardAt
 	case f.streamed && now-f.heardAt > GrantsHold:
 		f.Left(now)
 		return Taken{Late: true}
 	}
 	f.heardAt = now
-	if len(s.Body) > 0 && (f.config == nil || f.config.Version < s.Version) {
-		c, err := gatewayconfig.Parse(s.Body)
+	if len(s.Config) > 0 && (f.config == nil || f.config.Version < s.ConfigVersion) {
+		c, err := gatewayconfig.Parse(s.Config)
 		if err != nil {
 			t.Problem = err.Error()
 		} else {
 			f.config, t.Config = c, c
 		}
 	}
-	t.Table = s.Whole
-	f.tabled = f.tabled || s.Whole
-	t.Ended = f.spread.Lives(now, s.Whole && !s.Young, s.Lives)
-	if s.Seq > 0 && s.Seq >= f.seq {
-		f.seq = s.Seq
-		f.spread.Evacuated(now, s.Out)
-		f.measured = s.Windows
-		f.window(now, s.Window)
+	t.Table = s.Full
+	f.tabled = f.tabled || s.Full
+	t.Ended = f.spread.Lives(now, s.Full && !s.Bootstrapping, s.Instances)
+	if s.Sequence > 0 && s.Sequence >= f.seq {
+		f.seq = s.Sequence
+		f.spread.Evacuated(now, s.EvacuatedZones)
+		f.measured = s.MaintenanceEnabled
+		f.window(now, s.Maintenance)
 	}
-	for _, l := range s.Lines {
+	for _, l := range s.Weights {
 		f.spread.Line(l.Replica, float64(l.Weight))
 	}
-	f.spread.Shuns(s.Whole, s.Shuns)
-	if s.Granted || s.Whole { // nothing that another comb, or this one in a former life, dealt holds on
+	f.spread.Shuns(s.Full, s.PairEjections)
+	if s.WarmupRatesComplete || s.Full { // nothing that another comb, or this one in a former life, dealt holds on
 		grants := map[string]float64{}
-		for _, l := range s.Grants {
-			grants[l.Replica] = float64(l.Grant)
+		for _, l := range s.WarmupRates {
+			grants[l.Replica] = float64(l.WarmupRate)
 		}
 		f.grants(now, grants)
 	}
-	for _, o := range s.Fell {
+	for _, o := range s.Ejections {
 		f.spread.Fell(now, o.Replica, time.Duration(o.Millis)*time.Millisecond)
 	}
-	if len(s.Combs) > 0 {
-		f.combs = s.Combs
+	if len(s.Members) > 0 {
+		f.combs = s.Members
 	}
-	if s.Foragers > 0 {
-		f.foragers = s.Foragers
+	if s.GatewayCount > 0 {
+		f.foragers = s.GatewayCount
 	}
-	if f.config != nil && (t.Config != nil || s.Foragers > 0) {
+	if f.config != nil && (t.Config != nil || s.GatewayCount > 0) {
 		caps := map[string]int{}
 		for name, svc := range f.config.Services {
 			if svc.MaxConnections > 0 {
@@ -379,34 +379,34 @@
 }
 
 // Report is what was met since the last one, so long ago, and how busy this node was meanwhile, from 0 to 1.
-func (f *Forager) Report(now, over time.Duration, busy float64) *messages.Report {
-	rep := &messages.Report{Over: over.Milliseconds(), Requests: f.requests}
+func (f *Forager) Report(now, over time.Duration, busy float64) *messages.LoadReport {
+	rep := &messages.LoadReport{PeriodMillis: over.Milliseconds(), Requests: f.requests}
 	if f.measured {
-		rep.Bee = f.bee(now, over, busy)
+		rep.Status = f.bee(now, over, busy)
 	}
 	f.requests = map[string]int{}
 	for _, r := range f.spread.All() {
 		if r.Tries == 0 && r.Good == 0 && r.Dropped == 0 {
 			continue
 		}
-		s := messages.Sum{Replica: r.ID, Tries: r.Good + r.Dropped, Dropped: r.Dropped, Running: r.Running, Waiting: r.Waiting, Slots: r.Told}
+		s := messages.EndpointStats{Replica: r.ID, Attempts: r.Good + r.Dropped, Dropped: r.Dropped, Running: r.Running, Waiting: r.Waiting, Slots: r.Told}
 		if r.Good > 0 {
-			s.Took = (r.Took / time.Duration(r.Good)).Microseconds()
+			s.MeanLatencyMicros = (r.Took / time.Duration(r.Good)).Microseconds()
 		}
 		r.Tries, r.Dropped, r.Good, r.Took, r.Told = 0, 0, 0, 0, 0
-		rep.Sums = append(rep.Sums, s)
+		rep.Endpoints = append(rep.Endpoints, s)
 	}
 	return rep
 }
 
 // First is what a comb that may have lost it is told at the beginning of a stream. That a replica is cold is told too:
 // else a comb that knows of it by us alone has all foragers take it for warm until it beats again.
-func (f *Forager) First(now time.Duration) *messages.Report {
-	rep := &messages.Report{Seq: f.seq}
+func (f *Forager) First(now time.Duration) *messages.LoadReport {
+	rep := &messages.LoadReport{Sequence: f.seq}
 	for _, r := range f.spread.All() {
 		l := r.Life(now)
 		l.Old = l.Old || f.silence > unsureAfter
-		rep.Lives = append(rep.Lives, l)
+		rep.Instances = append(rep.Instances, l)
 	}
 	return rep
 }
--- a/dataplane/router/forage_test.go
+++ b/dataplane/router/forage_test.go
@@ -22,8 +22,8 @@
 }
 
 // whole is a comb's first word to a forager.
-func whole(lives ...registry.Life) *messages.State {
-	return &messages.State{Whole: true, Seq: 7, Version: 2, Body: []byte(body), Lives: lives}
+func whole(lives ...registry.Life) *messages.StateUpdate {
+	return &messages.StateUpdate{Full: true, Sequence: 7, ConfigVersion: 2, Config: []byte(body), Instances: lives}
 }
 
 func picks(f *Forager, now time.Duration, id string) bool {
@@ -40,9 +40,9 @@
 		cold := life("i1", 3)
 		cold.Cold = 60000
 		w := whole(cold)
-		w.Granted, w.Grants = true, []messages.Line{{Replica: "i1", Grant: 2}}
+		w.WarmupRatesComplete, w.WarmupRates = true, []messages.EndpointWeight{{Replica: "i1", WarmupRate: 2}}
 		f.Take(1*s, w)
-		f.Take(2*s-1, &messages.State{})
+		f.Take(2*s-1, &messages.StateUpdate{})
 		So(f.Right(2*s, "i1"), ShouldEqual, 2)
 		So(picks(f, 2*s, "i1"), ShouldBeTrue)
 		// Guards against rights that two hold: their comb deals them to another one once the stream has ended.
@@ -61,7 +61,7 @@
 		})
 		// Guards a forager that was frozen: what lay in its sockets meanwhile must not be put in force, nor renew its rights.
 		Convey("words that come after a silence are not taken", func() {
-			late := f.Take(20*s, &messages.State{Granted: true, Grants: []messages.Line{{Replica: "i1", Grant: 2}}, Seq: 8, Out: []string{"a"}})
+			late := f.Take(20*s, &messages.StateUpdate{WarmupRatesComplete: true, WarmupRates: []messages.EndpointWeight{{Replica: "i1", WarmupRate: 2}}, Sequence: 8, EvacuatedZones: []string{"a"}})
 			So(late.Late, ShouldBeTrue)
 			So(f.Seq(), ShouldEqual, 7)
 			So(f.Right(20*s, "i1"), ShouldEqual, 0)
@@ -74,7 +74,7 @@
 		// Guards a register that a wiped or backward comb tells: nothing of it may come in force.
 		Convey("an older register changes nothing, neither its evacuations nor its configuration", func() {
 			w := whole(life("i1", 9))
-			w.Seq, w.Version, w.Out = 6, 1, []string{"a"}
+			w.Sequence, w.ConfigVersion, w.EvacuatedZones = 6, 1, []string{"a"}
 			f.Take(1*s, w)
 			So(f.Seq(), ShouldEqual, 7)
 			So(f.Config().Version, ShouldEqual, 2)
@@ -83,17 +83,17 @@
 		Convey("it tells the next comb of each replica's newest beat, and that it is old after a long silence", func() {
 			f.Take(1500*time.Millisecond, whole(life("i1", 9), life("i2", 4)))
 			r := f.First(1500 * time.Millisecond)
-			So(r.Lives[0].Seq, ShouldEqual, 9)
-			So(r.Lives[0].Old, ShouldBeFalse)
+			So(r.Instances[0].Seq, ShouldEqual, 9)
+			So(r.Instances[0].Old, ShouldBeFalse)
 			f.Left(2 * s)
 			f.Take(22*s, whole(life("i1", 9), life("i2", 4)))
-			So(f.First(22 * s).Lives[0].Old, ShouldBeTrue)
+			So(f.First(22 * s).Instances[0].Old, ShouldBeTrue)
 		})
 		// Guards against a replica that is lost for a minute, as a comb that had not heard of it yet was met.
 		Convey("a replica that the next comb does not know is let go, and taken in once it does", func() {
 			f.Take(1*s, whole(life("i2", 4)))
 			So(f.Spread().Get("i1"), ShouldBeNil)
-			f.Take(1*s, &messages.State{Lives: []registry.Life{life("i1", 10)}})
+			f.Take(1*s, &messages.StateUpdate{Instances: []registry.Life{life("i1", 10)}})
 			So(f.Spread().Get("i1"), ShouldNotBeNil)
 		})
 	})
@@ -111,8 +111,8 @@
 			lives = append(lives, registry.Life{ID: id, Service: "svc", Addr: id, Zone: "a", Slots: 100, Seq: 1})
 		}
 		const s = time.Second
-		f.Take(s, &messages.State{Whole: true, Seq: 1, Version: 1, Body: body, Lives: lives, Foragers: 10,
-			Lines: []messages.Line{{Replica: "i1", Weight: 50}, {Replica: "i2", Weight: 50}}})
+		f.Take(s, &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: body, Instances: lives, GatewayCount: 10,
+			Weights: []messages.EndpointWeight{{Replica: "i1", Weight: 50}, {Replica: "i2", Weight: 50}}})
 		sent := func(from, to time.Duration) (n int) {
 			for now := from; now < to; now += 10 * time.Millisecond {
 				if p := f.Pick(now, Ask{Service: "svc"}); p.ID != "" {
@@ -125,8 +125,8 @@
 		// Guards a fleet whose combs are all gone: where replicas are never cold there is nothing to spare, and all is served on.
 		Convey("where replicas bear any rate it goes on as it likes", func() {
 			f := New(Settings{Zone: "a", Zones: 1, ColdTimes: 1.5, ColdSlack: 5, Seed: 1})
-			f.Take(s, &messages.State{Whole: true, Seq: 1, Version: 1, Body: []byte(strings.Replace(string(body), `,"cold_per_s":4`, "", 1)), Lives: lives, Foragers: 10,
-				Lines: []messages.Line{{Replica: "i1", Weight: 50}, {Replica: "i2", Weight: 50}}})
+			f.Take(s, &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: []byte(strings.Replace(string(body), `,"cold_per_s":4`, "", 1)), Instances: lives, GatewayCount: 10,
+				Weights: []messages.EndpointWeight{{Replica: "i1", Weight: 50}, {Replica: "i2", Weight: 50}}})
 			n := 0
 			for now := 5 * s; now < 6*s; now += 10 * time.Millisecond {
 				if p := f.Pick(now, Ask{Service: "svc"}); p.ID != "" {
@@ -144,7 +144,7 @@
 			So(sent(4*s, 14*s)*10, ShouldBeBetween, 2*10*8, 2*10*11)
 			Convey("until a comb is heard", func() {
 				f.Left(14 * s)
-				f.Take(14*s, &messages.State{Whole: true, Lives: lives})
+				f.Take(14*s, &messages.StateUpdate{Full: true, Instances: lives})
 				So(sent(14*s, 15*s), ShouldEqual, 100)
 			})
 		})
--- a/internal/compatibility/disk_test.go
+++ b/internal/compatibility/disk_test.go
@@ -29,8 +29,8 @@
 )
 
 // controlPlaneState is what the newest file of the kept state store holds.
-func controlPlaneState() coordinator.Kept {
-	k := filled(reflect.TypeFor[coordinator.Kept]()).Interface().(coordinator.Kept)
+func controlPlaneState() coordinator.PersistentState {
+	k := filled(reflect.TypeFor[coordinator.PersistentState]()).Interface().(coordinator.PersistentState)
 	k.Register.Body = []byte(`{"version":"0000002a"}`) // a configuration, as exports print it
 	return k
 }
@@ -39,7 +39,7 @@
 func stateWrites(t *testing.T) [2]map[string][]byte {
 	t.Helper()
 	var states [2][]byte
-	for i, k := range []coordinator.Kept{{Disk: "first"}, controlPlaneState()} {
+	for i, k := range []coordinator.PersistentState{{DiskID: "first"}, controlPlaneState()} {
 		raw, err := cbor.Marshal(k)
 		if err != nil {
 			t.Fatal(err)
@@ -52,7 +52,7 @@
 // writeStateStore has the current code make the two writes in a new folder.
 func writeStateStore(t *testing.T, folder string) {
 	t.Helper()
-	s, err := statestore.Open(statestore.Folder(folder))
+	s, err := statestore.Open(statestore.Directory(folder))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,24 +89,24 @@
 		{"cell.1", map[string][]byte{stateKey: writes[1][stateKey], "other": writes[0]["other"]}},
 	} {
 		c := copies[i]
-		if c.Err != nil || c.Name != want.name || c.Number != uint64(i+1) || !reflect.DeepEqual(c.Values, want.values) {
+		if c.Err != nil || c.Name != want.name || c.Generation != uint64(i+1) || !reflect.DeepEqual(c.Values, want.values) {
 			t.Errorf("copy %d: %+v, want %+v", i, c, want)
 		}
 	}
 
-	s, err := statestore.Open(statestore.Folder(folder))
+	s, err := statestore.Open(statestore.Directory(folder))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if len(s.SetAside) > 0 {
-		t.Errorf("set aside: %v", s.SetAside)
+	if len(s.Quarantined) > 0 {
+		t.Errorf("set aside: %v", s.Quarantined)
 	}
 	raw, ok := s.Get(stateKey)
 	if !ok {
 		t.Fatal("the newest state is not found")
 	}
-	got, err := coordinator.Decode(raw)
+	got, err := coordinator.DecodePersistentState(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/compatibility/encoding_test.go
+++ b/internal/compatibility/encoding_test.go
@@ -47,11 +47,11 @@
 
 	// inFrame is a frame of a connection between governors, its length included.
 	inFrame = encoding{
-		func(v any) ([]byte, error) { m := v.(peertransport.Msg); return peertransport.Frame(&m) },
+		func(v any) ([]byte, error) { m := v.(peertransport.Frame); return peertransport.EncodeFrame(&m) },
 		func(raw []byte, v any) error {
-			m, err := peertransport.Read(bytes.NewReader(raw))
+			m, err := peertransport.ReadFrame(bytes.NewReader(raw))
 			if err == nil {
-				*v.(*peertransport.Msg) = *m
+				*v.(*peertransport.Frame) = *m
 			}
 			return err
 		},
@@ -66,19 +66,19 @@
 	of       reflect.Type
 }{
 	{"messages/hello", inCBOR, reflect.TypeFor[messages.Hello]()},
-	{"messages/propose", inCBOR, reflect.TypeFor[messages.Enter]()},
-	{"messages/proposed", inCBOR, reflect.TypeFor[messages.Entered]()},
-	{"messages/confirm", inCBOR, reflect.TypeFor[messages.Confirm]()},
-	{"messages/endpoint-weight", inCBOR, reflect.TypeFor[messages.Line]()},
-	{"messages/pair-ejection", inCBOR, reflect.TypeFor[messages.Shun]()},
-	{"messages/window", inCBOR, reflect.TypeFor[messages.Window]()},
-	{"messages/gateway-status", inCBOR, reflect.TypeFor[messages.Bee]()},
-	{"messages/state-update", inCBOR, reflect.TypeFor[messages.State]()},
-	{"messages/endpoint-stats", inCBOR, reflect.TypeFor[messages.Sum]()},
-	{"messages/load-report", inCBOR, reflect.TypeFor[messages.Report]()},
-	{"messages/fleet", inCBOR, reflect.TypeFor[messages.Fleet]()},
-	{"messages/load", inCBOR, reflect.TypeFor[messages.Load]()},
-	{"messages/committed", inCBOR, reflect.TypeFor[messages.Committed]()},
+	{"messages/propose", inCBOR, reflect.TypeFor[messages.ProposeRequest]()},
+	{"messages/proposed", inCBOR, reflect.TypeFor[messages.ProposeResponse]()},
+	{"messages/confirm", inCBOR, reflect.TypeFor[messages.ConfirmView]()},
+	{"messages/endpoint-weight", inCBOR, reflect.TypeFor[messages.EndpointWeight]()},
+	{"messages/pair-ejection", inCBOR, reflect.TypeFor[messages.PairEjection]()},
+	{"messages/window", inCBOR, reflect.TypeFor[messages.MaintenanceWindow]()},
+	{"messages/gateway-status", inCBOR, reflect.TypeFor[messages.GatewayStatus]()},
+	{"messages/state-update", inCBOR, reflect.TypeFor[messages.StateUpdate]()},
+	{"messages/endpoint-stats", inCBOR, reflect.TypeFor[messages.EndpointStats]()},
+	{"messages/load-report", inCBOR, reflect.TypeFor[messages.LoadReport]()},
+	{"messages/fleet", inCBOR, reflect.TypeFor[messages.GatewaySummary]()},
+	{"messages/load", inCBOR, reflect.TypeFor[messages.GroupLoad]()},
+	{"messages/committed", inCBOR, reflect.TypeFor[messages.CommitStatus]()},
 	{"membership/member", inCBOR, reflect.TypeFor[membership.Member]()},
 	{"membership/view", inCBOR, reflect.TypeFor[membership.View]()},
 	{"membership/ballot", inCBOR, reflect.TypeFor[membership.Ballot]()},
@@ -91,7 +91,7 @@
 	{"chainreplication/command", inCBOR, reflect.TypeFor[chainreplication.Command]()},
 	{"chainreplication/message", inCBOR, reflect.TypeFor[chainreplication.Message]()},
 	{"registry/instance", inCBOR, reflect.TypeFor[registry.Life]()},
-	{"coordinator/persistent-state", inCBOR, reflect.TypeFor[coordinator.Kept]()},
+	{"coordinator/persistent-state", inCBOR, reflect.TypeFor[coordinator.PersistentState]()},
 	{"coordinator/message", inCBOR, reflect.TypeFor[coordinator.Message]()},
 	{"outlier/observation", inCBOR, reflect.TypeFor[outlier.Word]()},
 	{"outlier/ejection", inCBOR, reflect.TypeFor[outlier.Out]()},
@@ -103,12 +103,12 @@
 	{"capacity/floor", inCBOR, reflect.TypeFor[capacity.Floor]()},
 	{"capacity/losses", inCBOR, reflect.TypeFor[capacity.Losses]()},
 	{"peersampling/node", inCBOR, reflect.TypeFor[peersampling.Node]()},
-	{"peertransport/frame", inFrame, reflect.TypeFor[peertransport.Msg]()},
+	{"peertransport/frame", inFrame, reflect.TypeFor[peertransport.Frame]()},
 
 	// Bodies and answers of control calls, and what programs export.
 	{"calls/windows.command", inJSON, reflect.TypeFor[maintenance.Command]()},
 	{"calls/windows.describe", inJSON, reflect.TypeFor[controller.Shown]()},
-	{"calls/core.describe", inJSON, reflect.TypeFor[coordinator.Standing]()},
+	{"calls/core.describe", inJSON, reflect.TypeFor[coordinator.Status]()},
 	{"exports/instance", inJSON, reflect.TypeFor[registry.Life]()},
 	{"exports/view", inJSON, reflect.TypeFor[membership.View]()},
 	{"exports/governor-state", inJSON, reflect.TypeFor[recovery.Kept]()},
--- a/internal/controlserver/combd.go
+++ b/internal/controlserver/combd.go
@@ -51,12 +51,12 @@
 	log   *log.Logger
 	start time.Time
 	loop  chan func()
-	store *statestore.Cell
+	store *statestore.Store
 
 	brain *controller.Comb
 	peers map[string]*peertransport.Peer // by address
 	hello messages.Hello
-	ends  peertransport.Ends // of other combs' connections
+	ends  peertransport.InboundConns // of other combs' connections
 
 	token   uint64
 	waiting map[uint64]chan controller.Answer
@@ -91,28 +91,28 @@
 
 // open reads the disk, or begins anew.
 func (c *Comb) open() error {
-	store, err := statestore.Open(statestore.Folder(c.set.DataDir))
+	store, err := statestore.Open(statestore.Directory(c.set.DataDir))
 	if err != nil {
 		return err
 	}
 	c.store = store
-	for _, name := range store.SetAside {
+	for _, name := range store.Quarantined {
 		c.log.Error().Str("event", "file_set_aside").Str("file", name).Msg("")
 	}
-	var k coordinator.Kept
+	var k coordinator.PersistentState
 	if raw, ok := store.Get(keptKey); ok {
-		if k, err = coordinator.Decode(raw); err != nil {
+		if k, err = coordinator.DecodePersistentState(raw); err != nil {
 			return merry.Prepend(err, "reading the kept state")
 		}
 	}
 	seeds := c.set.Governors()
 	var b [6]byte
 	rand.Read(b[:])
-	k.Begin(c.addr(), seeds, c.set.FirstStart, hex.EncodeToString(b[:]))
-	self := membership.Member{ID: k.Disk, Addr: c.addr(), Zone: c.set.Zone, APIAddr: c.set.Control}
+	k.Initialize(c.addr(), seeds, c.set.FirstStart, hex.EncodeToString(b[:]))
+	self := membership.Member{ID: k.DiskID, Addr: c.addr(), Zone: c.set.Zone, APIAddr: c.set.Control}
 	c.brain = controller.New(c.now(), controller.Settings{Zone: c.set.Zone, Control: c.set.Control, Zones: slices.Sorted(maps.Keys(c.set.Zones)), Seeds: seeds,
 		LinkMbps: c.set.LinkMbps, DrainDeadline: c.set.Bounds.DrainDeadline, Heartbeat: c.set.Heartbeat, Seed: mrand.Uint64(), Regions: c.set.Zones}, self, k)
-	c.hello = messages.Hello{Member: self, Life: mrand.Uint64()}
+	c.hello = messages.Hello{Member: self, Incarnation: mrand.Uint64()}
 	raw, err := c.brain.Kept()
 	if err != nil {
 		return err
@@ -120,7 +120,7 @@
 	if err := store.Put(map[string][]byte{keptKey: raw}); err != nil {
 		return merry.Prepend(err, "first write")
 	}
-	c.log.Info().Str("event", "start").Str("name", c.set.Name).Str("disk", k.Disk).Uint64("view", k.View.View.Number).
+	c.log.Info().Str("event", "start").Str("name", c.set.Name).Str("disk", k.DiskID).Uint64("view", k.View.View.Number).
 		Uint64("seq", k.Register.Sequence).Uint64("version", k.Register.Version).Bool("first", c.set.FirstStart).Msg("")
 	return nil
 }
@@ -204,7 +204,7 @@
 	srv.Close()
 	inner.Close()
 	for _, x := range c.streams {
-		x.End()
+		x.Shutdown()
 	}
 	c.log.Info().Str("event", "stopped").Msg("")
 }
@@ -256,7 +256,7 @@
 	}
 	for i := range a.Send {
 		m := &a.Send[i].Message
-		c.to(a.Send[i].To, &peertransport.Msg{Core: m.Core, Lives: m.Lives, Fleet: m.Fleet, Fell: m.Fell})
+		c.to(a.Send[i].To, &peertransport.Frame{Coordinator: m.Core, Instances: m.Lives, GatewaySummary: m.Fleet, Ejections: m.Fell})
 	}
 	if a.Write != nil {
 		go func() {
@@ -268,7 +268,7 @@
 		}()
 	}
 	for i := range a.Tell {
-		b, err := peertransport.Frame(&peertransport.Msg{State: &a.Tell[i].State})
+		b, err := peertransport.EncodeFrame(&peertransport.Frame{StateUpdate: &a.Tell[i].State})
 		if err != nil {
 			c.log.Error().Str("event", "encode").Err(err).Msg("")
 			continue
@@ -288,20 +288,20 @@
 	c.ended = c.ended || a.Ended
 	for _, n := range a.End {
 		if x := c.streams[n]; x != nil {
-			x.End()
+			x.Shutdown()
 		}
 	}
 }
 
-func (c *Comb) to(addr string, m *peertransport.Msg) {
-	b, err := peertransport.Frame(m)
+func (c *Comb) to(addr string, m *peertransport.Frame) {
+	b, err := peertransport.EncodeFrame(m)
 	if err != nil {
 		c.log.Error().Str("event", "encode").Err(err).Msg("")
 		return
 	}
 	p := c.peers[addr]
 	if p == nil {
-		p = peertransport.To(addr, c.hello)
+		p = peertransport.NewPeer(addr, c.hello)
 		c.peers[addr] = p
 	}
 	c.sentAt[addr] = c.now()
@@ -319,7 +319,7 @@
 			return
 		}
 		if raw, err := conn.(*net.TCPConn).SyscallConn(); err == nil {
-			peertransport.Unacked(raw, time.Second)
+			peertransport.SetUnackedTimeout(raw, time.Second)
 		}
 		go c.receive(conn)
 	}
@@ -328,55 +328,55 @@
 func (c *Comb) receive(conn net.Conn) {
 	defer conn.Close()
 	conn.SetReadDeadline(time.Now().Add(2 * time.Second))
-	first, err := peertransport.Read(conn)
+	first, err := peertransport.ReadFrame(conn)
 	if err != nil || first.Hello == nil {
 		return
 	}
-	if first.Hello.Forager != "" {
+	if first.Hello.Gateway != "" {
 		c.forager(conn, first.Hello)
 		return
 	}
 	from := first.Hello.Member
 	c.post(func() {
-		if !c.ends.Begin(first.Hello, conn) {
+		if !c.ends.Admit(first.Hello, conn) {
 			conn.Close()
 		}
 	})
-	defer c.post(func() { c.ends.End(from.Addr, conn) })
+	defer c.post(func() { c.ends.Remove(from.Addr, conn) })
 	for {
 		conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-		m, err := peertransport.Read(conn)
+		m, err := peertransport.ReadFrame(conn)
 		if err != nil {
 			return
 		}
 		c.post(func() {
-			if !c.ends.Holds(from.Addr, conn) {
+			if !c.ends.IsCurrent(from.Addr, conn) {
 				return // of an earlier connection
 			}
-			c.step(controller.Event{From: &from, Message: &controller.Message{Core: m.Core, Lives: m.Lives, Fleet: m.Fleet, Fell: m.Fell}})
+			c.step(controller.Event{From: &from, Message: &controller.Message{Core: m.Coordinator, Lives: m.Instances, Fleet: m.GatewaySummary, Fell: m.Ejections}})
 		})
 	}
 }
 
 // forager holds a forager's stream until it ends.
 func (c *Comb) forager(conn net.Conn, h *messages.Hello) {
-	x := peertransport.Wrap(conn)
-	defer x.End()
+	x := peertransport.NewConn(conn)
+	defer x.Shutdown()
 	var n uint64
 	c.post(func() {
 		c.token++
 		n = c.token
 		c.streams[n] = x
-		c.step(controller.Event{Joined: &controller.Joined{Stream: n, Forager: h.Forager, Zone: h.Member.Zone}})
+		c.step(controller.Event{Joined: &controller.Joined{Stream: n, Forager: h.Gateway, Zone: h.Member.Zone}})
 	})
 	for {
 		conn.SetReadDeadline(time.Now().Add(4 * time.Second))
-		m, err := peertransport.Read(conn)
+		m, err := peertransport.ReadFrame(conn)
 		if err != nil {
 			break
 		}
-		if m.Report != nil {
-			c.post(func() { c.step(controller.Event{Stream: n, Report: m.Report}) })
+		if m.LoadReport != nil {
+			c.post(func() { c.step(controller.Event{Stream: n, Report: m.LoadReport}) })
 		}
 	}
 	c.post(func() {
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -56,8 +56,8 @@
 		b.Fatal(err)
 	}
 	f.front.Do(func() {})
-	f.take(&messages.State{Whole: true, Seq: 1, Version: 1, Body: configured(1, "safe"),
-		Lives: []registry.Life{{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4}}})
+	f.take(&messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: configured(1, "safe"),
+		Instances: []registry.Life{{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4}}})
 	for _, x := range []struct {
 		name string
 		h    http.Handler
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -54,9 +54,9 @@
 	if f.frontLn, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	st := &messages.State{Whole: true, Seq: 1, Version: 1, Body: limited(1, limits)}
+	st := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: limited(1, limits)}
 	for _, up := range ups {
-		st.Lives = append(st.Lives, registry.Life{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4})
+		st.Instances = append(st.Instances, registry.Life{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4})
 	}
 	f.take(st)
 	t.Cleanup(func() { f.server.Close() })
@@ -168,7 +168,7 @@
 	br := bufio.NewReader(c)
 	c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	br.Peek(1) // it rests
-	f.take(&messages.State{Seq: 2, Version: 2, Body: limited(2, `"max_header_bytes":30000,"idle_timeout":"30s"`)})
+	f.take(&messages.StateUpdate{Sequence: 2, ConfigVersion: 2, Config: limited(2, `"max_header_bytes":30000,"idle_timeout":"30s"`)})
 	c.SetReadDeadline(time.Now().Add(400 * time.Millisecond))
 	if _, err := br.Peek(1); err == nil || err == io.EOF {
 		t.Fatal("a resting connection ended by an earlier configuration:", err)
@@ -244,7 +244,7 @@
 func TestConnectionsRestByTheConfigurationInForce(t *testing.T) {
 	up := stood(t, "i0")
 	addr, f, _ := served(t, `"header_timeout":"100ms","idle_timeout":"100ms"`, up)
-	f.take(&messages.State{Seq: 2, Version: 2, Body: limited(2, `"header_timeout":"150ms","idle_timeout":"30s"`)})
+	f.take(&messages.StateUpdate{Sequence: 2, ConfigVersion: 2, Config: limited(2, `"header_timeout":"150ms","idle_timeout":"30s"`)})
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -65,42 +65,42 @@
 
 // listen holds a stream until it breaks. It tells whether the comb had let us in.
 func (f *Forager) listen(ctx context.Context, addr string) (stood bool) {
-	nc, err := peertransport.Dialer(dialComb, silentMost).DialContext(ctx, "tcp", addr)
+	nc, err := peertransport.NewDialer(dialComb, silentMost).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return false
 	}
-	c := peertransport.Wrap(nc)
-	defer c.End()
-	send := func(m *peertransport.Msg) {
-		if b, err := peertransport.Frame(m); err == nil {
+	c := peertransport.NewConn(nc)
+	defer c.Shutdown()
+	send := func(m *peertransport.Frame) {
+		if b, err := peertransport.EncodeFrame(m); err == nil {
 			c.Send(b)
 		}
 	}
-	send(&peertransport.Msg{Hello: &messages.Hello{Forager: f.set.Name, Member: membership.Member{Addr: f.set.IP.String(), Zone: f.set.Zone}}})
+	send(&peertransport.Frame{Hello: &messages.Hello{Gateway: f.set.Name, Member: membership.Member{Addr: f.set.IP.String(), Zone: f.set.Zone}}})
 	done := make(chan struct{})
 	defer close(done)
 	defer f.left()
 	began := time.Now()
 	for {
 		nc.SetReadDeadline(time.Now().Add(silentMost))
-		m, err := peertransport.Read(nc)
+		m, err := peertransport.ReadFrame(nc)
 		if err != nil {
 			if stood {
 				f.log.Info().Str("event", "comb_lost").Str("comb", addr).Err(err).Msg("")
 			}
 			return stood
 		}
-		if m.State == nil {
+		if m.StateUpdate == nil {
 			continue
 		}
-		if f.take(m.State) {
+		if f.take(m.StateUpdate) {
 			f.log.Info().Str("event", "comb_late").Str("comb", addr).Msg("")
 			return stood
 		}
-		if !stood && m.State.Whole {
+		if !stood && m.StateUpdate.Full {
 			stood = true
-			f.log.Info().Str("event", "comb_joined").Str("comb", addr).Uint64("seq", m.State.Seq).Msg("")
-			send(&peertransport.Msg{Report: f.first()})
+			f.log.Info().Str("event", "comb_joined").Str("comb", addr).Uint64("seq", m.StateUpdate.Sequence).Msg("")
+			send(&peertransport.Frame{LoadReport: f.first()})
 			go f.report(send, done)
 		}
 		if known, home := f.home(addr); known && !home && time.Since(began) > homeAgain {
@@ -120,13 +120,13 @@
 	f.brain.Left(f.now())
 }
 
-func (f *Forager) first() *messages.Report {
+func (f *Forager) first() *messages.LoadReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.brain.First(f.now())
 }
 
-func (f *Forager) report(send func(*peertransport.Msg), done chan struct{}) {
+func (f *Forager) report(send func(*peertransport.Frame), done chan struct{}) {
 	t := time.NewTicker(ReportEvery)
 	defer t.Stop()
 	last := time.Now()
@@ -135,19 +135,19 @@
 		case <-done:
 			return
 		case w := <-f.fell:
-			send(&peertransport.Msg{Report: &messages.Report{Falls: []outlier.Word{w}}})
+			send(&peertransport.Frame{LoadReport: &messages.LoadReport{Observations: []outlier.Word{w}}})
 		case id := <-f.gone:
 			f.replicas.Drop(id)
-			send(&peertransport.Msg{Report: &messages.Report{Gone: []string{id}}})
+			send(&peertransport.Frame{LoadReport: &messages.LoadReport{Deregistered: []string{id}}})
 		case <-t.C:
-			send(&peertransport.Msg{Report: f.sums(time.Since(last))})
+			send(&peertransport.Frame{LoadReport: f.sums(time.Since(last))})
 			last = time.Now()
 		}
 	}
 }
 
 // sums takes what was met at replicas since the last report.
-func (f *Forager) sums(over time.Duration) *messages.Report {
+func (f *Forager) sums(over time.Duration) *messages.LoadReport {
 	var u syscall.Rusage
 	busy := 0.0
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err == nil {
@@ -161,16 +161,16 @@
 }
 
 // take puts in force what a comb tells. It tells whether that came too late, and the stream must be left.
-func (f *Forager) take(s *messages.State) (late bool) {
+func (f *Forager) take(s *messages.StateUpdate) (late bool) {
 	f.mu.Lock()
 	t := f.brain.Take(f.now(), s)
 	drains := !f.brain.Serves()
 	f.mu.Unlock()
 	if f.draining.Swap(drains) != drains {
-		f.log.Info().Str("event", "window").Bool("draining", drains).Uint64("fence", s.Window.Fence).Msg("")
+		f.log.Info().Str("event", "window").Bool("draining", drains).Uint64("fence", s.Maintenance.FencingToken).Msg("")
 	}
 	if t.Problem != "" {
-		f.log.Error().Str("event", "config_refused").Uint64("version", s.Version).Str("error", t.Problem).Msg("")
+		f.log.Error().Str("event", "config_refused").Uint64("version", s.ConfigVersion).Str("error", t.Problem).Msg("")
 	}
 	for _, id := range t.Ended {
 		f.replicas.Drop(id)
--- a/internal/gateway/front_test.go
+++ b/internal/gateway/front_test.go
@@ -42,12 +42,12 @@
 	So(err, ShouldBeNil)
 	f.front.Do(func() {}) // requests come by the handler here, not by a listener
 	r := &rig{f: f}
-	st := &messages.State{Whole: true, Seq: 1, Version: 1, Body: configured(1, kind)}
+	st := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: configured(1, kind)}
 	for i := range replicas {
 		up, err := upstream.Start(fmt.Sprintf("i%d", i))
 		So(err, ShouldBeNil)
 		r.up = append(r.up, up)
-		st.Lives = append(st.Lives, registry.Life{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4})
+		st.Instances = append(st.Instances, registry.Life{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4})
 	}
 	f.take(st)
 	Reset(func() {
@@ -110,7 +110,7 @@
 			So(r.do("POST", "/x/1", "order").Code, ShouldEqual, 200)
 		})
 		Convey("is refused at once where no replica may take it", func() {
-			r.f.take(&messages.State{Seq: 2, Version: 1, Out: []string{"a"}})
+			r.f.take(&messages.StateUpdate{Sequence: 2, ConfigVersion: 1, EvacuatedZones: []string{"a"}})
 			w := r.do("POST", "/x/1", "order")
 			So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(w.Header().Get("Retry-After"), ShouldNotEqual, "")
@@ -167,12 +167,12 @@
 func TestVersions(t *testing.T) {
 	Convey("Within a life no older register takes hold", t, func() {
 		r := newRig("safe", 1)
-		r.f.take(&messages.State{Seq: 5, Version: 9, Body: configured(9, "unsafe"), Out: []string{"a"}})
-		r.f.take(&messages.State{Whole: true, Young: true, Seq: 3, Version: 4, Body: configured(4, "safe")})
+		r.f.take(&messages.StateUpdate{Sequence: 5, ConfigVersion: 9, Config: configured(9, "unsafe"), EvacuatedZones: []string{"a"}})
+		r.f.take(&messages.StateUpdate{Full: true, Bootstrapping: true, Sequence: 3, ConfigVersion: 4, Config: configured(4, "safe")})
 		So(r.f.config.Load().Version, ShouldEqual, 9)
 		So(r.do("GET", "/x/1", "").Code, ShouldEqual, http.StatusServiceUnavailable)
 		Convey("nor does a spoilt one", func() {
-			r.f.take(&messages.State{Seq: 6, Version: 12, Body: []byte("{")})
+			r.f.take(&messages.StateUpdate{Sequence: 6, ConfigVersion: 12, Config: []byte("{")})
 			So(r.f.config.Load().Version, ShouldEqual, 9)
 		})
 	})
@@ -186,9 +186,9 @@
 			return w.Code
 		}
 		So(code(), ShouldEqual, 503)
-		f.take(&messages.State{Seq: 1, Version: 1, Body: configured(1, "safe")})
+		f.take(&messages.StateUpdate{Sequence: 1, ConfigVersion: 1, Config: configured(1, "safe")})
 		So(code(), ShouldEqual, 503)
-		f.take(&messages.State{Whole: true})
+		f.take(&messages.StateUpdate{Full: true})
 		So(code(), ShouldEqual, 200)
 		f.stopping.Store(true)
 		So(code(), ShouldEqual, 503)
--- a/internal/gateway/hostile_test.go
+++ b/internal/gateway/hostile_test.go
@@ -82,11 +82,11 @@
 	}
 	// release replaces all replicas by others, at the same addresses: their bad name goes with them.
 	release := func(n int) {
-		st := &messages.State{Whole: true, Seq: 1, Version: 1, Body: []byte(hostileConfiguration)}
+		st := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: []byte(hostileConfiguration)}
 		for i, r := range replicas {
 			id := fmt.Sprintf("i%d.%d", i, n)
 			r.Become(id)
-			st.Lives = append(st.Lives, registry.Life{ID: id, Service: "svc", Addr: addrs[i], Zone: "a", Slots: 64})
+			st.Instances = append(st.Instances, registry.Life{ID: id, Service: "svc", Addr: addrs[i], Zone: "a", Slots: 64})
 		}
 		f.take(st)
 	}
--- a/internal/peertransport/fuzz_test.go
+++ b/internal/peertransport/fuzz_test.go
@@ -12,11 +12,11 @@
 )
 
 // Guards memory against a length that nothing follows: whoever reaches the port could have eight MiB for four bytes.
-func TestALengthIsNoMemory(t *testing.T) {
+func TestReadFrameAllocatesOnlyForReceivedBytes(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range 8 {
-		if _, err := Read(bytes.NewReader([]byte{0, 0x7f, 0xff, 0xff, 1})); err == nil {
+		if _, err := ReadFrame(bytes.NewReader([]byte{0, 0x7f, 0xff, 0xff, 1})); err == nil {
 			t.Fatal("a message of one byte")
 		}
 	}
@@ -24,22 +24,22 @@
 	if n := after.TotalAlloc - before.TotalAlloc; n > 2<<20 {
 		t.Errorf("%d bytes for eight frames that never came", n)
 	}
-	b, err := Frame(&Msg{State: &messages.State{Body: make([]byte, 1<<20)}})
+	b, err := EncodeFrame(&Frame{StateUpdate: &messages.StateUpdate{Config: make([]byte, 1<<20)}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m, err := Read(bytes.NewReader(b)); err != nil || len(m.State.Body) != 1<<20 {
+	if m, err := ReadFrame(bytes.NewReader(b)); err != nil || len(m.StateUpdate.Config) != 1<<20 {
 		t.Fatal("a large frame:", err)
 	}
-	if _, err := Read(bytes.NewReader(b[:len(b)-1])); err != io.ErrUnexpectedEOF {
+	if _, err := ReadFrame(bytes.NewReader(b[:len(b)-1])); err != io.ErrUnexpectedEOF {
 		t.Fatal("a frame that was cut:", err)
 	}
 }
 
-// FuzzRead reads what another governor may send: it ends in a message that can be sent on, or in an error.
-func FuzzRead(f *testing.F) {
-	for _, m := range []*Msg{{}, {Hello: &messages.Hello{Forager: "f", Member: membership.Member{ID: "d", Addr: "a:1", Zone: "z"}}}, {State: &messages.State{Whole: true, Seq: 4, Body: []byte("{}")}}, {Fell: []outlier.Out{{}}}} {
-		b, err := Frame(m)
+// FuzzReadFrame reads what another governor may send: it ends in a message that can be sent on, or in an error.
+func FuzzReadFrame(f *testing.F) {
+	for _, m := range []*Frame{{}, {Hello: &messages.Hello{Gateway: "f", Member: membership.Member{ID: "d", Addr: "a:1", Zone: "z"}}}, {StateUpdate: &messages.StateUpdate{Full: true, Sequence: 4, Config: []byte("{}")}}, {Ejections: []outlier.Out{{}}}} {
+		b, err := EncodeFrame(m)
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -47,15 +47,15 @@
 	}
 	f.Add([]byte{0, 0x7f, 0xff, 0xff, 1})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m, err := Read(bytes.NewReader(b))
+		m, err := ReadFrame(bytes.NewReader(b))
 		if err != nil {
 			return
 		}
-		again, err := Frame(m)
+		again, err := EncodeFrame(m)
 		if err != nil {
 			t.Fatalf("read and not to be sent: %v", err)
 		}
-		if _, err := Read(bytes.NewReader(again)); err != nil {
+		if _, err := ReadFrame(bytes.NewReader(again)); err != nil {
 			t.Fatalf("sent and not to be read: %v", err)
 		}
 	})
--- a/internal/peertransport/link.go
+++ b/internal/peertransport/link.go
@@ -20,28 +20,28 @@
 )
 
 const (
-	mostFrame   = 24 << 20 // a configuration of 16 MB, the most that is taken, and what goes with it
-	readFirst   = 64 << 10
-	dialMost    = 500 * time.Millisecond
-	writeMost   = time.Second
-	userTimeout = time.Second
-	queueMost   = 256
-	pauseLeast  = 100 * time.Millisecond
-	pauseMost   = 250 * time.Millisecond
+	maxFrameSize      = 24 << 20 // a configuration of 16 MB, the most that is taken, and what goes with it
+	initialReadSize   = 64 << 10
+	dialTimeout       = 500 * time.Millisecond
+	writeTimeout      = time.Second
+	unackedTimeout    = time.Second
+	sendQueueCapacity = 256
+	minRedialBackoff  = 100 * time.Millisecond
+	maxRedialBackoff  = 250 * time.Millisecond
 )
 
-// Msg is one frame; the fields that are set tell what it is. An empty one is a sign of life.
-type Msg struct {
-	Hello  *messages.Hello      `cbor:"1,keyasint,omitempty"`
-	Core   *coordinator.Message `cbor:"2,keyasint,omitempty"`
-	Lives  []registry.Life      `cbor:"3,keyasint,omitempty"`
-	State  *messages.State      `cbor:"4,keyasint,omitempty"`
-	Report *messages.Report     `cbor:"5,keyasint,omitempty"`
-	Fleet  *messages.Fleet      `cbor:"6,keyasint,omitempty"`
-	Fell   []outlier.Out        `cbor:"7,keyasint,omitempty"`
+// Frame is one frame; the fields that are set tell what it is. An empty one is a sign of life.
+type Frame struct {
+	Hello          *messages.Hello          `cbor:"1,keyasint,omitempty"`
+	Coordinator    *coordinator.Message     `cbor:"2,keyasint,omitempty"`
+	Instances      []registry.Life          `cbor:"3,keyasint,omitempty"`
+	StateUpdate    *messages.StateUpdate    `cbor:"4,keyasint,omitempty"`
+	LoadReport     *messages.LoadReport     `cbor:"5,keyasint,omitempty"`
+	GatewaySummary *messages.GatewaySummary `cbor:"6,keyasint,omitempty"`
+	Ejections      []outlier.Out            `cbor:"7,keyasint,omitempty"`
 }
 
-var decMode = func() cbor.DecMode {
+var decodeMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20}.DecMode()
 	if err != nil {
 		panic(err)
@@ -49,8 +49,8 @@
 	return m
 }()
 
-// Frame encodes a message with its length before it.
-func Frame(m *Msg) ([]byte, error) {
+// EncodeFrame encodes a message with its length before it.
+func EncodeFrame(m *Frame) ([]byte, error) {
 	body, err := cbor.Marshal(m)
 	if err != nil {
 		return nil, merry.Prepend(err, "encoding a message")
@@ -58,17 +58,17 @@
 	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(body)), uint32(len(body))), body...), nil
 }
 
-// Read reads one frame.
-func Read(r io.Reader) (*Msg, error) {
+// ReadFrame reads one frame.
+func ReadFrame(r io.Reader) (*Frame, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > mostFrame {
+	if n > maxFrameSize {
 		return nil, merry.Errorf("a frame of %d bytes", n)
 	}
-	body := make([]byte, min(n, readFirst))
+	body := make([]byte, min(n, initialReadSize))
 	if _, err := io.ReadFull(r, body); err != nil {
 		return nil, err
 	}
@@ -82,22 +82,22 @@
 		}
 		body = append(body, more...)
 	}
-	m := &Msg{}
-	if err := decMode.Unmarshal(body, m); err != nil {
+	m := &Frame{}
+	if err := decodeMode.Unmarshal(body, m); err != nil {
 		return nil, merry.Prepend(err, "decoding a message")
 	}
 	return m, nil
 }
 
-// Dialer returns a dialer whose connections end when what was sent stays unacknowledged for so long.
-func Dialer(most, unacked time.Duration) *net.Dialer {
+// NewDialer returns a dialer whose connections end when what was sent stays unacknowledged for so long.
+func NewDialer(most, unacked time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: most, KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
-		return Unacked(c, unacked)
+		return SetUnackedTimeout(c, unacked)
 	}}
 }
 
-// Unacked sets how long sent bytes may stay unacknowledged.
-func Unacked(c syscall.RawConn, d time.Duration) error {
+// SetUnackedTimeout sets how long sent bytes may stay unacknowledged.
+func SetUnackedTimeout(c syscall.RawConn, d time.Duration) error {
 	var inner error
 	err := c.Control(func(fd uintptr) {
 		inner = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
@@ -111,25 +111,25 @@
 // Conn is a connection to write frames to from several goroutines; one goroutine writes them.
 type Conn struct {
 	net.Conn
-	queue chan []byte
-	once  sync.Once
-	done  chan struct{}
+	queue     chan []byte
+	closeOnce sync.Once
+	done      chan struct{}
 }
 
-// Wrap starts the writer of a connection.
-func Wrap(c net.Conn) *Conn {
-	x := &Conn{Conn: c, queue: make(chan []byte, queueMost), done: make(chan struct{})}
-	go x.write()
+// NewConn starts the writer of a connection.
+func NewConn(c net.Conn) *Conn {
+	x := &Conn{Conn: c, queue: make(chan []byte, sendQueueCapacity), done: make(chan struct{})}
+	go x.writeLoop()
 	return x
 }
 
-func (c *Conn) write() {
+func (c *Conn) writeLoop() {
 	for {
 		select {
 		case b := <-c.queue:
-			c.SetWriteDeadline(time.Now().Add(writeMost))
+			c.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err := c.Conn.Write(b); err != nil {
-				c.End()
+				c.Shutdown()
 				return
 			}
 		case <-c.done:
@@ -144,12 +144,12 @@
 	case c.queue <- frame:
 	case <-c.done:
 	default:
-		c.End()
+		c.Shutdown()
 	}
 }
 
-// End closes the connection.
-func (c *Conn) End() { c.once.Do(func() { close(c.done); c.Conn.Close() }) }
+// Shutdown closes the connection.
+func (c *Conn) Shutdown() { c.closeOnce.Do(func() { close(c.done); c.Conn.Close() }) }
 
 // Done is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.done }
@@ -157,17 +157,17 @@
 // Line to one peer, dialled again for as long as it is wanted. What cannot be sent is dropped: those who need it
 // say it again.
 type Peer struct {
-	queue chan []byte
-	stop  chan struct{}
-	once  sync.Once
+	queue    chan []byte
+	stop     chan struct{}
+	stopOnce sync.Once
 }
 
-// began is where the times of dialling count from.
-var began = time.Now()
+// processStart is where the times of dialling count from.
+var processStart = time.Now()
 
-// To starts sending to an address; each connection begins with hello, which is told when it was dialled.
-func To(addr string, hello messages.Hello) *Peer {
-	p := &Peer{queue: make(chan []byte, queueMost), stop: make(chan struct{})}
+// NewPeer starts sending to an address; each connection begins with hello, which is told when it was dialled.
+func NewPeer(addr string, hello messages.Hello) *Peer {
+	p := &Peer{queue: make(chan []byte, sendQueueCapacity), stop: make(chan struct{})}
 	go p.run(addr, hello)
 	return p
 }
@@ -181,23 +181,23 @@
 }
 
 // Stop ends the peer.
-func (p *Peer) Stop() { p.once.Do(func() { close(p.stop) }) }
+func (p *Peer) Stop() { p.stopOnce.Do(func() { close(p.stop) }) }
 
 func (p *Peer) run(addr string, hello messages.Hello) {
-	d := Dialer(dialMost, userTimeout)
-	pause := pauseLeast
+	d := NewDialer(dialTimeout, unackedTimeout)
+	pause := minRedialBackoff
 	for {
-		hello.Dial = uint64(time.Since(began))
+		hello.DialedAt = uint64(time.Since(processStart))
 		conn, err := d.Dial("tcp", addr)
 		if err == nil {
-			pause = pauseLeast
-			if first, err := Frame(&Msg{Hello: &hello}); err == nil {
-				p.pump(conn, first)
+			pause = minRedialBackoff
+			if first, err := EncodeFrame(&Frame{Hello: &hello}); err == nil {
+				p.sendLoop(conn, first)
 			}
 			conn.Close()
 		}
 		wait := time.NewTimer(pause)
-		pause = min(pause*2, pauseMost)
+		pause = min(pause*2, maxRedialBackoff)
 	drop:
 		for {
 			select {
@@ -212,7 +212,7 @@
 	}
 }
 
-func (p *Peer) pump(conn net.Conn, hello []byte) {
+func (p *Peer) sendLoop(conn net.Conn, hello []byte) {
 	gone := make(chan struct{})
 	go func() { // the peer says nothing here; its end is noticed at once
 		var b [1]byte
@@ -221,7 +221,7 @@
 	}()
 	next := hello
 	for {
-		conn.SetWriteDeadline(time.Now().Add(writeMost))
+		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := conn.Write(next); err != nil {
 			return
 		}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -243,7 +243,7 @@
 }
 
 func (p *Pool) dial(addr string, deadline time.Time) (*conn, error) {
-	d := peertransport.Dialer(min(dialMost, time.Until(deadline)), unackedMost)
+	d := peertransport.NewDialer(min(dialMost, time.Until(deadline)), unackedMost)
 	nc, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
--- a/internal/scalerun/hollow.go
+++ b/internal/scalerun/hollow.go
@@ -58,15 +58,15 @@
 }
 
 // Said names what a forager's frame is.
-func Said(m *peertransport.Msg) string {
-	switch r := m.Report; {
+func Said(m *peertransport.Frame) string {
+	switch r := m.LoadReport; {
 	case m.Hello != nil:
 		return "hello"
 	case r == nil:
 		return "other"
-	case r.Over > 0:
+	case r.PeriodMillis > 0:
 		return "report"
-	case len(r.Lives) > 0 || r.Seq > 0:
+	case len(r.Instances) > 0 || r.Sequence > 0:
 		return "first"
 	default:
 		return "word" // a fall, or an address that is another's
@@ -96,8 +96,8 @@
 }
 
 // Report is what a forager with such requests says, as dataplane/router makes it.
-func (r Requests) Report(lives []registry.Life, over time.Duration) *messages.Report {
-	rep := &messages.Report{Over: over.Milliseconds(), Requests: map[string]int{}}
+func (r Requests) Report(lives []registry.Life, over time.Duration) *messages.LoadReport {
+	rep := &messages.LoadReport{PeriodMillis: over.Milliseconds(), Requests: map[string]int{}}
 	met := map[string]int{}
 	if len(lives) > 0 {
 		for range int(r.PerSecond*over.Seconds() + r.Chance()) {
@@ -105,11 +105,11 @@
 			l := lives[i%len(lives)]
 			rep.Requests[l.Service]++
 			if at, ok := met[l.ID]; ok {
-				rep.Sums[at].Tries++
+				rep.Endpoints[at].Attempts++
 				continue
 			}
-			met[l.ID] = len(rep.Sums)
-			rep.Sums = append(rep.Sums, messages.Sum{Replica: l.ID, Tries: 1, Took: 200000, Running: 2, Slots: l.Slots})
+			met[l.ID] = len(rep.Endpoints)
+			rep.Endpoints = append(rep.Endpoints, messages.EndpointStats{Replica: l.ID, Attempts: 1, MeanLatencyMicros: 200000, Running: 2, Slots: l.Slots})
 		}
 	}
 	return rep
@@ -214,20 +214,20 @@
 }
 
 func (f *Forager) listen(ctx context.Context, addr string, candidates func() []string) (stood bool) {
-	nc, err := peertransport.Dialer(dialComb, silentMost).DialContext(ctx, "tcp", addr)
+	nc, err := peertransport.NewDialer(dialComb, silentMost).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return false
 	}
 	defer context.AfterFunc(ctx, func() { nc.Close() })()
-	c := peertransport.Wrap(nc)
-	defer c.End()
-	send := func(m *peertransport.Msg) {
-		if b, err := peertransport.Frame(m); err == nil {
+	c := peertransport.NewConn(nc)
+	defer c.Shutdown()
+	send := func(m *peertransport.Frame) {
+		if b, err := peertransport.EncodeFrame(m); err == nil {
 			f.Out.add(Said(m), len(b))
 			c.Send(b)
 		}
 	}
-	send(&peertransport.Msg{Hello: &messages.Hello{Forager: f.Name, Member: membership.Member{Addr: f.IP.String(), Zone: f.Zone}}})
+	send(&peertransport.Frame{Hello: &messages.Hello{Gateway: f.Name, Member: membership.Member{Addr: f.IP.String(), Zone: f.Zone}}})
 	done := make(chan struct{})
 	defer close(done)
 	defer f.at("", false)
@@ -245,7 +245,7 @@
 		if !stood && s.Whole {
 			stood = true
 			f.at(addr, true)
-			send(&peertransport.Msg{Report: &messages.Report{Seq: 1, Lives: f.share.all()}})
+			send(&peertransport.Frame{LoadReport: &messages.LoadReport{Sequence: 1, Instances: f.share.all()}})
 			go f.report(send, done)
 		}
 		near, home := false, false
@@ -307,19 +307,19 @@
 	}
 	if s.Whole {
 		m := &struct {
-			State *messages.State `cbor:"4,keyasint"`
+			State *messages.StateUpdate `cbor:"4,keyasint"`
 		}{}
 		if err := whole.Unmarshal(body, m); err != nil {
 			return nil, err
 		}
-		f.share.take(m.State.Lives)
+		f.share.take(m.State.Instances)
 	}
 	if len(s.Combs) > 0 {
 		var combs []membership.Member
 		if err := cbor.Unmarshal(s.Combs, &combs); err != nil {
 			return nil, err
 		}
-		f.brain.Take(0, &messages.State{Combs: combs})
+		f.brain.Take(0, &messages.StateUpdate{Members: combs})
 	}
 	return s, nil
 }
@@ -333,7 +333,7 @@
 	return m
 }()
 
-func (f *Forager) report(send func(*peertransport.Msg), done chan struct{}) {
+func (f *Forager) report(send func(*peertransport.Frame), done chan struct{}) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	last := time.Now()
@@ -342,7 +342,7 @@
 		case <-done:
 			return
 		case <-t.C:
-			send(&peertransport.Msg{Report: f.Requests.Report(f.share.near(f.Zone), time.Since(last))})
+			send(&peertransport.Frame{LoadReport: f.Requests.Report(f.share.near(f.Zone), time.Since(last))})
 			last = time.Now()
 		}
 	}
--- a/internal/scalerun/hollow_test.go
+++ b/internal/scalerun/hollow_test.go
@@ -34,10 +34,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := peertransport.Wrap(nc)
-	defer c.End()
-	send := func(st messages.State) {
-		b, err := peertransport.Frame(&peertransport.Msg{State: &st})
+	c := peertransport.NewConn(nc)
+	defer c.Shutdown()
+	send := func(st messages.StateUpdate) {
+		b, err := peertransport.EncodeFrame(&peertransport.Frame{StateUpdate: &st})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,7 +50,7 @@
 		for {
 			select {
 			case <-signs.C:
-				send(messages.State{})
+				send(messages.StateUpdate{})
 			case <-c.Done():
 				return
 			}
@@ -58,22 +58,22 @@
 	}()
 	for n := 0; n < reports; {
 		nc.SetReadDeadline(time.Now().Add(10 * time.Second))
-		m, err := peertransport.Read(nc)
+		m, err := peertransport.ReadFrame(nc)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, err := peertransport.Frame(m)
+		b, err := peertransport.EncodeFrame(m)
 		if err != nil {
 			t.Fatal(err)
 		}
 		said.add(Said(m), len(b))
 		if m.Hello != nil {
-			send(messages.State{Whole: true, Seq: 1, Version: 1, Body: []byte(configured), Lives: lives, Foragers: 1,
-				Combs: []membership.Member{{ID: "c/0", Addr: ln.Addr().String(), Zone: "a", APIAddr: "127.0.0.1:1"}}})
+			send(messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: []byte(configured), Instances: lives, GatewayCount: 1,
+				Members: []membership.Member{{ID: "c/0", Addr: ln.Addr().String(), Zone: "a", APIAddr: "127.0.0.1:1"}}})
 		}
 		if Said(m) == "report" {
 			n++
-			requests += m.Report.Requests["svc"]
+			requests += m.LoadReport.Requests["svc"]
 		}
 	}
 	return said.Now(), requests
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -25,7 +25,7 @@
 	lax     bool // fault: the folder's sync does nothing
 
 	rev, keptRev uint64 // moves with what a loss of power would leave, and when kept was read
-	kept         *coordinator.Kept
+	kept         *coordinator.PersistentState
 }
 
 type file struct {
@@ -62,7 +62,7 @@
 	name string
 }
 
-func (d *disk) Create(name string) (statestore.File, error) {
+func (d *disk) OpenForWrite(name string) (statestore.File, error) {
 	if d.refuse {
 		return nil, errRefuse
 	}
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func (d *disk) SyncFolder() error {
+func (d *disk) SyncDirectory() error {
 	d.plan = append(d.plan, op{kind: "folder"})
 	return nil
 }
@@ -183,7 +183,7 @@
 }
 
 // lasting is what a comb would find after a loss of power; nil: nothing.
-func (d *disk) lasting() *coordinator.Kept {
+func (d *disk) lasting() *coordinator.PersistentState {
 	if d.keptRev == d.rev+1 {
 		return d.kept
 	}
@@ -194,7 +194,7 @@
 	}
 	defer store.Close()
 	if raw, ok := store.Get(keptKey); ok {
-		if k, err := coordinator.Decode(raw); err == nil {
+		if k, err := coordinator.DecodePersistentState(raw); err == nil {
 			d.kept = &k
 		}
 	}
--- a/internal/simulation/edge.go
+++ b/internal/simulation/edge.go
@@ -113,7 +113,7 @@
 		}
 		m.streams[n] = b
 		if r, known := m.brain.Core().Register(); (w.s.Unasked || w.s.Fault == ToldUnasked) && known {
-			w.tell(m, b, n, &messages.State{Whole: true, Young: true, Seq: r.Sequence, Version: r.Version, Body: r.Body, Out: sortedKeys(r.EvacuatedZones)})
+			w.tell(m, b, n, &messages.StateUpdate{Full: true, Bootstrapping: true, Sequence: r.Sequence, ConfigVersion: r.Version, Config: r.Body, EvacuatedZones: sortedKeys(r.EvacuatedZones)})
 		}
 		w.step(m, controller.Event{Joined: &controller.Joined{Stream: n, Forager: b.name, Zone: w.zone(b.i)}})
 	})
@@ -146,7 +146,7 @@
 }
 
 // tell brings a comb's word to a forager. A stream that loses one has ended: the next would not fit on.
-func (w *world) tell(m *machine, b *bee, n uint64, s *messages.State) {
+func (w *world) tell(m *machine, b *bee, n uint64, s *messages.StateUpdate) {
 	w.tells(m, b, s)
 	if w.cut[[2]string{m.name, b.name}] > 0 || severed(&m.node, &b.node) {
 		delete(m.streams, n)
@@ -154,12 +154,12 @@
 		w.after(silence, func() { w.run(&m.node, life, func() { w.step(m, controller.Event{Left: n}) }) })
 		return
 	}
-	if w.s.Fault == OwnGrants && len(s.Grants) > 0 {
+	if w.s.Fault == OwnGrants && len(s.WarmupRates) > 0 {
 		all := *s
-		all.Grants = nil
-		for _, l := range s.Grants {
-			l.Grant *= float32(w.s.Machines)
-			all.Grants = append(all.Grants, l)
+		all.WarmupRates = nil
+		for _, l := range s.WarmupRates {
+			l.WarmupRate *= float32(w.s.Machines)
+			all.WarmupRates = append(all.WarmupRates, l)
 		}
 		s = &all
 	}
@@ -169,7 +169,7 @@
 		}
 		b.heardAt = w.now
 		w.takes(b, s)
-		if b.comb == m && !b.whole && s.Whole {
+		if b.comb == m && !b.whole && s.Full {
 			b.whole = true
 			b.at = 0
 			w.report(m, b, n, b.brain.First(w.local(&b.node)))
@@ -189,7 +189,7 @@
 	})
 }
 
-func (w *world) report(m *machine, b *bee, n uint64, r *messages.Report) {
+func (w *world) report(m *machine, b *bee, n uint64, r *messages.LoadReport) {
 	w.carry(&b.node, &m.node, 0, 0, func() {
 		if m.streams[n] == b {
 			w.step(m, controller.Event{Stream: n, Report: r})
@@ -198,8 +198,8 @@
 }
 
 // takes puts a word in force, and watches that the forager does not go back and holds nothing that is not committed.
-func (w *world) takes(b *bee, s *messages.State) {
-	if w.s.Fault == StaleTables && s.Seq > 0 && s.Seq < b.seq {
+func (w *world) takes(b *bee, s *messages.StateUpdate) {
+	if w.s.Fault == StaleTables && s.Sequence > 0 && s.Sequence < b.seq {
 		b.brain = router.New(router.Settings{Zone: w.zone(b.i), Zones: w.zones(), Seed: 1})
 	}
 	t := b.brain.Take(w.local(&b.node), s)
@@ -283,7 +283,7 @@
 				w.history.add(entryAttempt, w.now, historyGateways+b.i, end, out)
 			}
 			if out.Fell != nil && b.comb != nil {
-				w.report(b.comb, b, b.stream, &messages.Report{Falls: []outlier.Word{*out.Fell}})
+				w.report(b.comb, b, b.stream, &messages.LoadReport{Observations: []outlier.Word{*out.Fell}})
 			}
 		})
 	})
--- a/internal/simulation/hard.go
+++ b/internal/simulation/hard.go
@@ -269,16 +269,16 @@
 }
 
 // tells watches what a forager that is new to a comb is told there: nothing older than what was acknowledged some time ago.
-func (w *world) tells(m *machine, b *bee, s *messages.State) {
-	if w.s.Tolerance == 0 || !s.Whole || b.comb != m {
+func (w *world) tells(m *machine, b *bee, s *messages.StateUpdate) {
+	if w.s.Tolerance == 0 || !s.Full || b.comb != m {
 		return
 	}
 	w.speaks(m)
-	if floor := last(w.hard.acks, w.now-contact); s.Version < floor {
-		w.broken("%s tells %s, which is new to it, of version %d; %d was acknowledged over %v before", m.name, b.name, s.Version, floor, contact)
+	if floor := last(w.hard.acks, w.now-contact); s.ConfigVersion < floor {
+		w.broken("%s tells %s, which is new to it, of version %d; %d was acknowledged over %v before", m.name, b.name, s.ConfigVersion, floor, contact)
 	}
 	for _, z := range sortedKeys(w.outAt) {
-		if w.now > w.outAt[z]+contact && !slices.Contains(s.Out, z) {
+		if w.now > w.outAt[z]+contact && !slices.Contains(s.EvacuatedZones, z) {
 			w.broken("%s tells %s, which is new to it, nothing of zone %s, whose evacuation was acknowledged at %.2f s", m.name, b.name, z, w.outAt[z].Seconds())
 		}
 	}
@@ -385,7 +385,7 @@
 		if bytes > diskMost {
 			w.broken("%s keeps %d bytes after %d changes", m.name, bytes, h.top)
 		}
-		if w.calm(beatable) && !m.brain.Core().InTouch(w.local(&m.node)) {
+		if w.calm(beatable) && !m.brain.Core().HasQuorumContact(w.local(&m.node)) {
 			w.broken("%s is not in touch, though all has been calm", m.name)
 			return
 		}
@@ -580,15 +580,15 @@
 func (w *world) planted(m *machine, e controller.Event) controller.Event {
 	msg, c := *e.Message, *e.Message.Core
 	switch f := w.s.Fault; {
-	case f == VouchesAnyway && c.Confirmed != nil:
-		x := *c.Confirmed
-		x.OK, c.Confirmed = true, &x
-	case f == NoIdentity && c.Enter != nil:
-		x := *c.Enter
-		x.Order.ID, c.Enter = 0, &x
-	case f == ConflictUntold && c.Entered != nil:
-		x := *c.Entered
-		x.Conflicts, c.Entered = false, &x
+	case f == VouchesAnyway && c.ConfirmViewResponse != nil:
+		x := *c.ConfirmViewResponse
+		x.Confirmed, c.ConfirmViewResponse = true, &x
+	case f == NoIdentity && c.ProposeRequest != nil:
+		x := *c.ProposeRequest
+		x.Command.ID, c.ProposeRequest = 0, &x
+	case f == ConflictUntold && c.ProposeResponse != nil:
+		x := *c.ProposeResponse
+		x.Conflict, c.ProposeResponse = false, &x
 	default:
 		return e
 	}
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -101,7 +101,7 @@
 	local := w.local(&m.node)
 	core := m.brain.Core()
 	register, known := core.Register()
-	h.add(entryEvent, w.now, m.i, local, e, core.View().Number, register.Sequence, known, core.InTouch(local))
+	h.add(entryEvent, w.now, m.i, local, e, core.View().Number, register.Sequence, known, core.HasQuorumContact(local))
 }
 
 // answer takes down an answer to a caller. The text of a refusal is no part of the history.
@@ -124,8 +124,8 @@
 }
 
 // decodedState is a state that can be encoded with its maps in order; nil where there is none.
-func decodedState(raw []byte) *coordinator.Kept {
-	k, err := coordinator.Decode(raw)
+func decodedState(raw []byte) *coordinator.PersistentState {
+	k, err := coordinator.DecodePersistentState(raw)
 	if err != nil {
 		return nil
 	}
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -27,7 +27,7 @@
 	i       int
 	addr    string
 	brain   *controller.Comb
-	store   *statestore.Cell
+	store   *statestore.Store
 	disk    *disk
 	wiped   int
 	seen    uint64 // newest committed number in this life
@@ -58,24 +58,24 @@
 		return
 	}
 	m.store = store
-	var k coordinator.Kept
+	var k coordinator.PersistentState
 	if raw, ok := store.Get(keptKey); ok {
-		if k, err = coordinator.Decode(raw); err != nil {
+		if k, err = coordinator.DecodePersistentState(raw); err != nil {
 			w.broken("%s cannot read its disk: %v", m.name, err)
 			return
 		}
 	}
 	seeds := w.seeds(first)
-	if k.Disk == "" && !first {
+	if k.DiskID == "" && !first {
 		m.wiped++
 	}
 	if w.s.Fault == ClaimsForgotten {
 		k.Register.Claims = nil
 	}
-	k.Begin(m.addr, seeds, first || w.s.Fault == Amnesia, fmt.Sprintf("w%d", m.wiped))
+	k.Initialize(m.addr, seeds, first || w.s.Fault == Amnesia, fmt.Sprintf("w%d", m.wiped))
 	m.brain = controller.New(w.local(&m.node), controller.Settings{Zone: w.zone(m.i), Control: m.addr, Zones: []string{"a", "b", "c"}, Regions: map[string]string{"a": "r0", "b": "r1", "c": "r2"}, Seeds: seeds, LinkMbps: 1000,
-		DrainDeadline: drainIn, Heartbeat: beatEvery, Seed: w.r.Uint64()}, membership.Member{ID: k.Disk, Addr: m.addr, Zone: w.zone(m.i), APIAddr: m.addr}, k)
-	w.say("%s starts as %s, view %d, register %d (version %d)", m.name, k.Disk, k.View.View.Number, k.Register.Sequence, k.Register.Version)
+		DrainDeadline: drainIn, Heartbeat: beatEvery, Seed: w.r.Uint64()}, membership.Member{ID: k.DiskID, Addr: m.addr, Zone: w.zone(m.i), APIAddr: m.addr}, k)
+	w.say("%s starts as %s, view %d, register %d (version %d)", m.name, k.DiskID, k.View.View.Number, k.Register.Sequence, k.Register.Version)
 	raw, err := m.brain.Kept()
 	if err != nil {
 		w.broken("%s: %v", m.name, err)
--- a/internal/statestore/buntdb_test.go
+++ b/internal/statestore/buntdb_test.go
@@ -9,8 +9,8 @@
 	"github.com/tidwall/buntdb"
 )
 
-// TestWhatBuntdbDoes keeps on record why its own file is not used here: a later version that behaves otherwise shows.
-func TestWhatBuntdbDoes(t *testing.T) {
+// TestBuntdbFileBehavior keeps on record why its own file is not used here: a later version that behaves otherwise shows.
+func TestBuntdbFileBehavior(t *testing.T) {
 	Convey("Given a file of buntdb with two values", t, func() {
 		path := filepath.Join(t.TempDir(), "db")
 		set := func(k, v string) {
--- a/internal/statestore/capacity_test.go
+++ b/internal/statestore/capacity_test.go
@@ -21,28 +21,30 @@
 	"zincloft.example/zincloft/internal/statestore"
 )
 
-// memory is a disk that counts what is written to it.
-type memory struct {
+// countingDisk is a disk that counts what is written to it.
+type countingDisk struct {
 	files   map[string][]byte
 	written int
 }
 
-func (d *memory) ReadFile(name string) ([]byte, error) {
+func (d *countingDisk) ReadFile(name string) ([]byte, error) {
 	if b, ok := d.files[name]; ok {
 		return b, nil
 	}
 	return nil, &fs.PathError{Op: "open", Path: name, Err: os.ErrNotExist}
 }
-func (d *memory) Create(name string) (statestore.File, error) { return &page{d, name}, nil }
-func (d *memory) Rename(from, to string) error                { return nil }
-func (d *memory) SyncFolder() error                           { return nil }
+func (d *countingDisk) OpenForWrite(name string) (statestore.File, error) {
+	return &countingFile{d, name}, nil
+}
+func (d *countingDisk) Rename(from, to string) error { return nil }
+func (d *countingDisk) SyncDirectory() error         { return nil }
 
-type page struct {
-	d    *memory
+type countingFile struct {
+	d    *countingDisk
 	name string
 }
 
-func (f *page) WriteAt(p []byte, off int64) (int, error) {
+func (f *countingFile) WriteAt(p []byte, off int64) (int, error) {
 	b := f.d.files[f.name]
 	if need := int(off) + len(p); need > len(b) {
 		b = append(b, make([]byte, need-len(b))...)
@@ -52,60 +54,60 @@
 	f.d.written += len(p)
 	return len(p), nil
 }
-func (f *page) Sync() error  { return nil }
-func (f *page) Close() error { return nil }
+func (f *countingFile) Sync() error  { return nil }
+func (f *countingFile) Close() error { return nil }
 
 type hints struct {
-	rev   uint64
-	lives []registry.Life
+	revision  uint64
+	instances []registry.Life
 }
 
-func (h *hints) Revision() uint64       { return h.rev }
-func (h *hints) Lives() []registry.Life { return h.lives }
+func (h *hints) Revision() uint64           { return h.revision }
+func (h *hints) Instances() []registry.Life { return h.instances }
 
-type member struct {
-	core *coordinator.Core
-	self membership.Member
-	disk *memory
-	cell *statestore.Cell
-	down bool
+type clusterMember struct {
+	coordinator *coordinator.Coordinator
+	self        membership.Member
+	disk        *countingDisk
+	store       *statestore.Store
+	down        bool
 }
 
-// machines are core machines joined by frames that come at once, each with the real store; an order's bytes are counted.
-type machines struct {
-	b       *testing.B
-	now     time.Duration
-	all     []*member
-	passed  int // bytes from machine to machine, beside beats
-	most    int // bytes of the largest frame
-	refused int // frames that internal/peertransport does not take
-	answers map[uint64]int
-	hints   *hints
+// cluster are core machines joined by frames that come at once, each with the real store; an order's bytes are counted.
+type cluster struct {
+	b                *testing.B
+	now              time.Duration
+	all              []*clusterMember
+	transferredBytes int // bytes from machine to machine, beside beats
+	largestFrame     int // bytes of the largest frame
+	oversizedFrames  int // frames that internal/peertransport does not take
+	responses        map[uint64]int
+	hints            *hints
 }
 
-func newMachines(b *testing.B, n int) *machines {
-	m := &machines{b: b, answers: map[uint64]int{}, hints: &hints{}}
+func newCluster(b *testing.B, n int) *cluster {
+	m := &cluster{b: b, responses: map[uint64]int{}, hints: &hints{}}
 	var seeds []string
 	for i := range n {
 		seeds = append(seeds, fmt.Sprintf("10.0.0.%d:7540", i+1))
 	}
 	for i, addr := range seeds {
-		x := &member{disk: &memory{files: map[string][]byte{}}, self: membership.Member{ID: addr + "/0", Addr: addr, Zone: sizes.Zone(i), APIAddr: addr}}
+		x := &clusterMember{disk: &countingDisk{files: map[string][]byte{}}, self: membership.Member{ID: addr + "/0", Addr: addr, Zone: sizes.Zone(i), APIAddr: addr}}
 		var err error
-		if x.cell, err = statestore.Open(x.disk); err != nil {
+		if x.store, err = statestore.Open(x.disk); err != nil {
 			b.Fatal(err)
 		}
-		k := coordinator.Kept{}
-		k.Begin(addr, seeds, true, "")
-		x.core = coordinator.New(x.self, k, seeds, rand.New(rand.NewPCG(uint64(i), 1)).Float64, m.hints)
+		k := coordinator.PersistentState{}
+		k.Initialize(addr, seeds, true, "")
+		x.coordinator = coordinator.New(x.self, k, seeds, rand.New(rand.NewPCG(uint64(i), 1)).Float64, m.hints)
 		m.all = append(m.all, x)
 	}
 	for _, x := range m.all {
-		m.do(x, x.core.Start(m.now))
+		m.perform(x, x.coordinator.Start(m.now))
 	}
 	m.until(func() bool {
 		for _, x := range m.all {
-			if !x.core.InTouch(m.now) {
+			if !x.coordinator.HasQuorumContact(m.now) {
 				return false
 			}
 		}
@@ -114,46 +116,46 @@
 	return m
 }
 
-func (m *machines) do(x *member, a coordinator.Actions) {
-	for _, s := range a.Answers {
-		m.answers[s.Token] = s.Status
+func (m *cluster) perform(x *clusterMember, a coordinator.Actions) {
+	for _, s := range a.Responses {
+		m.responses[s.RequestID] = s.Status
 	}
-	if a.Write != nil {
-		if err := x.cell.Put(map[string][]byte{"state": a.Write}); err != nil {
+	if a.StateToPersist != nil {
+		if err := x.store.Put(map[string][]byte{"state": a.StateToPersist}); err != nil {
 			m.b.Fatal(err)
 		}
-		m.do(x, x.core.Written(m.now, ""))
+		m.perform(x, x.coordinator.StatePersisted(m.now, ""))
 	}
-	for _, s := range a.Send {
-		frame, err := peertransport.Frame(&peertransport.Msg{Core: &s.Message})
+	for _, s := range a.Messages {
+		frame, err := peertransport.EncodeFrame(&peertransport.Frame{Coordinator: &s.Message})
 		if err != nil {
 			m.b.Fatal(err)
 		}
 		if s.Message.View == nil {
-			m.passed += len(frame)
-			m.most = max(m.most, len(frame))
+			m.transferredBytes += len(frame)
+			m.largestFrame = max(m.largestFrame, len(frame))
 		}
 		for _, to := range m.all {
 			if to.self.Addr == s.To && !to.down {
-				got, err := peertransport.Read(bytes.NewReader(frame))
+				got, err := peertransport.ReadFrame(bytes.NewReader(frame))
 				if err != nil { // too long: a real peer ends the connection. Here it goes on, to measure what it would cost
-					m.refused++
-					got = &peertransport.Msg{}
+					m.oversizedFrames++
+					got = &peertransport.Frame{}
 					if err := cbor.Unmarshal(frame[4:], got); err != nil {
 						m.b.Fatal(err)
 					}
 				}
-				m.do(to, to.core.Receive(m.now, x.self, *got.Core))
+				m.perform(to, to.coordinator.Step(m.now, x.self, *got.Coordinator))
 			}
 		}
 	}
 }
 
-func (m *machines) until(done func() bool) {
+func (m *cluster) until(done func() bool) {
 	for end := m.now + time.Minute; !done(); m.now += 50 * time.Millisecond {
 		for _, x := range m.all {
 			if !x.down {
-				m.do(x, x.core.Tick(m.now))
+				m.perform(x, x.coordinator.Tick(m.now))
 			}
 		}
 		if m.now > end {
@@ -162,16 +164,16 @@
 	}
 }
 
-func (m *machines) order(x *member, o chainreplication.Command) {
-	token, a := x.core.Order(m.now, o)
-	m.do(x, a)
-	m.until(func() bool { return m.answers[token] != 0 })
-	if m.answers[token] != http.StatusOK {
-		m.b.Skipf("an order of %d bytes got %d", len(o.Body), m.answers[token])
+func (m *cluster) propose(x *clusterMember, o chainreplication.Command) {
+	token, a := x.coordinator.Propose(m.now, o)
+	m.perform(x, a)
+	m.until(func() bool { return m.responses[token] != 0 })
+	if m.responses[token] != http.StatusOK {
+		m.b.Skipf("an order of %d bytes got %d", len(o.Body), m.responses[token])
 	}
 }
 
-func (m *machines) written() (n int) {
+func (m *cluster) written() (n int) {
 	for _, x := range m.all {
 		n += x.disk.written
 	}
@@ -186,17 +188,17 @@
 
 var capacityRoutes = []int{8, 500, 5000, 51000}
 
-// BenchmarkCapacityOrder changes the configuration ("config") or evacuates a zone ("zone") at three combs, by an order to the
+// BenchmarkCapacityPropose changes the configuration ("config") or evacuates a zone ("zone") at three combs, by an order to the
 // last of the chain: processor time and memory are those of all three together, frames and files included.
-func BenchmarkCapacityOrder(b *testing.B) {
+func BenchmarkCapacityPropose(b *testing.B) {
 	for _, what := range []string{"config", "zone"} {
 		for _, n := range capacityRoutes {
 			b.Run(fmt.Sprintf("%s/n=%d", what, n), func(b *testing.B) {
-				m := newMachines(b, 3)
+				m := newCluster(b, 3)
 				version := uint64(1)
 				raw := body(n, version)
-				m.order(m.all[2], chainreplication.Command{Version: version, Body: raw})
-				m.passed, m.most, m.refused = 0, 0, 0
+				m.propose(m.all[2], chainreplication.Command{Version: version, Body: raw})
+				m.transferredBytes, m.largestFrame, m.oversizedFrames = 0, 0, 0
 				before := m.written()
 				b.ReportAllocs()
 				i := 0
@@ -206,11 +208,11 @@
 						version++
 						o = chainreplication.Command{Version: version, Body: raw}
 					}
-					m.order(m.all[2], o)
+					m.propose(m.all[2], o)
 				}
-				b.ReportMetric(float64(m.passed)/float64(i), "passed-B")
-				b.ReportMetric(float64(m.most), "frame-B")
-				b.ReportMetric(float64(m.refused)/float64(i), "refused")
+				b.ReportMetric(float64(m.transferredBytes)/float64(i), "passed-B")
+				b.ReportMetric(float64(m.largestFrame), "frame-B")
+				b.ReportMetric(float64(m.oversizedFrames)/float64(i), "refused")
 				b.ReportMetric(float64(m.written()-before)/float64(i), "disk-B")
 			})
 		}
@@ -221,29 +223,29 @@
 func BenchmarkCapacityCatchUp(b *testing.B) {
 	for _, n := range capacityRoutes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			m := newMachines(b, 3)
+			m := newCluster(b, 3)
 			version := uint64(1)
 			raw := body(n, version)
-			m.order(m.all[0], chainreplication.Command{Version: version, Body: raw})
+			m.propose(m.all[0], chainreplication.Command{Version: version, Body: raw})
 			passed, disk, took, rounds := 0, 0, time.Duration(0), 0
 			b.ReportAllocs()
 			for b.Loop() {
 				b.StopTimer()
 				m.all[2].down = true
-				m.until(func() bool { return m.all[0].core.View().Position(m.all[2].self.ID) < 0 })
+				m.until(func() bool { return m.all[0].coordinator.View().Position(m.all[2].self.ID) < 0 })
 				for range 10 {
 					version++
-					m.order(m.all[0], chainreplication.Command{Version: version, Body: raw})
+					m.propose(m.all[0], chainreplication.Command{Version: version, Body: raw})
 				}
-				m.passed = 0
+				m.transferredBytes = 0
 				before, from := m.written(), m.now
 				b.StartTimer()
 				m.all[2].down = false
 				m.until(func() bool {
-					r, _ := m.all[2].core.Register()
-					return r.Version == version && m.all[0].core.View().Position(m.all[2].self.ID) >= 0 && m.all[2].core.InTouch(m.now)
+					r, _ := m.all[2].coordinator.Register()
+					return r.Version == version && m.all[0].coordinator.View().Position(m.all[2].self.ID) >= 0 && m.all[2].coordinator.HasQuorumContact(m.now)
 				})
-				passed, disk, took, rounds = passed+m.passed, disk+m.written()-before, took+m.now-from, rounds+1
+				passed, disk, took, rounds = passed+m.transferredBytes, disk+m.written()-before, took+m.now-from, rounds+1
 			}
 			b.ReportMetric(float64(passed)/float64(rounds), "passed-B")
 			b.ReportMetric(float64(disk)/float64(rounds), "disk-B")
@@ -256,17 +258,17 @@
 func BenchmarkCapacityHints(b *testing.B) {
 	for _, n := range []int{1740, 5220, 15700, 47000} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			m := newMachines(b, 1)
+			m := newCluster(b, 1)
 			f := sizes.Users()
 			f.Replicas = n
-			m.hints.lives = f.Lives()
+			m.hints.instances = f.Lives()
 			x := m.all[0]
 			before, i := x.disk.written, 0
 			b.ReportAllocs()
 			for ; b.Loop(); i++ {
-				m.hints.rev++
+				m.hints.revision++
 				m.now += 1100 * time.Millisecond
-				m.do(x, x.core.Tick(m.now))
+				m.perform(x, x.coordinator.Tick(m.now))
 			}
 			b.ReportMetric(float64(x.disk.written-before)/float64(i), "disk-B")
 		})
--- a/internal/statestore/cell.go
+++ b/internal/statestore/cell.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	magic  = "zcell1\n\x00"
-	header = len(magic) + 3*8
-	most   = 64 << 20 // a file above this is not ours
+	fileMagic   = "zcell1\n\x00"
+	headerSize  = len(fileMagic) + 3*8
+	maxFileSize = 64 << 20 // a file above this is not ours
 )
 
 // File is what is needed of an open file.
@@ -32,30 +32,30 @@
 	Close() error
 }
 
-// Disk is what is needed of a file system.
-type Disk interface {
+// FileSystem is what is needed of a file system.
+type FileSystem interface {
 	ReadFile(name string) ([]byte, error)
-	Create(name string) (File, error) // opens for writing, made if it is not there
+	OpenForWrite(name string) (File, error) // opens for writing, made if it is not there
 	Rename(from, to string) error
-	SyncFolder() error
+	SyncDirectory() error
 }
 
-// Folder is a Disk in a directory.
-type Folder string
+// Directory is a Disk in a directory.
+type Directory string
 
-func (d Folder) ReadFile(name string) ([]byte, error) {
+func (d Directory) ReadFile(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(string(d), name))
 }
 
-func (d Folder) Create(name string) (File, error) {
+func (d Directory) OpenForWrite(name string) (File, error) {
 	return os.OpenFile(filepath.Join(string(d), name), os.O_WRONLY|os.O_CREATE, 0o600)
 }
 
-func (d Folder) Rename(from, to string) error {
+func (d Directory) Rename(from, to string) error {
 	return os.Rename(filepath.Join(string(d), from), filepath.Join(string(d), to))
 }
 
-func (d Folder) SyncFolder() error {
+func (d Directory) SyncDirectory() error {
 	f, err := os.Open(string(d))
 	if err != nil {
 		return err
@@ -64,44 +64,44 @@
 	return f.Sync()
 }
 
-// Cell is an open store. Its calls are not made side by side.
-type Cell struct {
-	disk Disk
-	db   *buntdb.DB
-	gen  uint64
-	slot int     // written next: the one that does not hold the newest good copy
-	made [2]bool // this process has synced the folder since it wrote there first
+// Store is an open store. Its calls are not made side by side.
+type Store struct {
+	fileSystem      FileSystem
+	db              *buntdb.DB
+	generation      uint64
+	nextSlot        int     // written next: the one that does not hold the newest good copy
+	directorySynced [2]bool // this process has synced the folder since it wrote there first
 
 	// SetAside names damaged files that were put by when the store was opened.
-	SetAside []string
+	Quarantined []string
 }
 
-func slotName(i int) string { return fmt.Sprintf("cell.%d", i) }
+func slotFileName(i int) string { return fmt.Sprintf("cell.%d", i) }
 
 // Open reads what is there. An empty disk gives an empty store.
-func Open(disk Disk) (*Cell, error) {
-	c := &Cell{disk: disk}
+func Open(disk FileSystem) (*Store, error) {
+	c := &Store{fileSystem: disk}
 	for i := range 2 {
-		raw, err := disk.ReadFile(slotName(i))
+		raw, err := disk.ReadFile(slotFileName(i))
 		if os.IsNotExist(err) {
 			continue
 		}
 		if err != nil {
-			return nil, merry.Prepend(err, "reading "+slotName(i))
+			return nil, merry.Prepend(err, "reading "+slotFileName(i))
 		}
 		gen, db, err := decode(raw)
 		if err != nil {
 			if len(raw) > 0 {
-				aside := fmt.Sprintf("%s.damaged.%d", slotName(i), time.Now().UnixNano())
-				if err := disk.Rename(slotName(i), aside); err == nil {
-					c.SetAside = append(c.SetAside, aside)
+				aside := fmt.Sprintf("%s.damaged.%d", slotFileName(i), time.Now().UnixNano())
+				if err := disk.Rename(slotFileName(i), aside); err == nil {
+					c.Quarantined = append(c.Quarantined, aside)
 				}
 			}
 			continue
 		}
-		if gen > c.gen || c.db == nil {
+		if gen > c.generation || c.db == nil {
 			c.Close()
-			c.gen, c.db, c.slot = gen, db, 1-i
+			c.generation, c.db, c.nextSlot = gen, db, 1-i
 		} else {
 			db.Close()
 		}
@@ -117,16 +117,16 @@
 }
 
 func decode(raw []byte) (uint64, *buntdb.DB, error) {
-	if len(raw) < header || len(raw) > most || string(raw[:len(magic)]) != magic {
+	if len(raw) < headerSize || len(raw) > maxFileSize || string(raw[:len(fileMagic)]) != fileMagic {
 		return 0, nil, merry.New("no header")
 	}
-	word := func(i int) uint64 { return binary.BigEndian.Uint64(raw[len(magic)+8*i:]) }
+	word := func(i int) uint64 { return binary.BigEndian.Uint64(raw[len(fileMagic)+8*i:]) }
 	gen, size, sum := word(0), word(1), word(2)
-	if size > uint64(len(raw)-header) {
+	if size > uint64(len(raw)-headerSize) {
 		return 0, nil, merry.New("cut short")
 	}
-	body := raw[header : header+int(size)]
-	if sum != checksum(gen, body) {
+	body := raw[headerSize : headerSize+int(size)]
+	if sum != bodyChecksum(gen, body) {
 		return 0, nil, merry.New("checksum differs")
 	}
 	db, err := buntdb.Open(":memory:")
@@ -140,7 +140,7 @@
 	return gen, db, nil
 }
 
-func checksum(gen uint64, body []byte) uint64 {
+func bodyChecksum(gen uint64, body []byte) uint64 {
 	h := xxhash.New()
 	h.Write(binary.BigEndian.AppendUint64(nil, gen))
 	h.Write(body)
@@ -148,31 +148,31 @@
 }
 
 // Close frees what the store holds in memory; the files are as the last Put left them.
-func (c *Cell) Close() error {
+func (c *Store) Close() error {
 	if c.db == nil {
 		return nil
 	}
 	return c.db.Close()
 }
 
-// Copy is what one file of a store holds.
-type Copy struct {
-	Name   string
-	Number uint64            // of the write; the highest is the newest
-	Values map[string][]byte // nil where the file is damaged
-	Err    error
+// FileCopy is what one file of a store holds.
+type FileCopy struct {
+	Name       string
+	Generation uint64            // of the write; the highest is the newest
+	Values     map[string][]byte // nil where the file is damaged
+	Err        error
 }
 
 // Inspect reads a store's files without changing anything, also files that were set aside. It works beside a running
 // process: a copy that is being written shows as damaged.
-func Inspect(folder string) ([]Copy, error) {
+func Inspect(folder string) ([]FileCopy, error) {
 	names, err := filepath.Glob(filepath.Join(folder, "cell.*"))
 	if err != nil {
 		return nil, err
 	}
-	var all []Copy
+	var all []FileCopy
 	for _, name := range names {
-		c := Copy{Name: filepath.Base(name)}
+		c := FileCopy{Name: filepath.Base(name)}
 		raw, err := os.ReadFile(name)
 		if err != nil {
 			c.Err = err
@@ -180,7 +180,7 @@
 			continue
 		}
 		gen, db, err := decode(raw)
-		if c.Number, c.Err = gen, err; err == nil {
+		if c.Generation, c.Err = gen, err; err == nil {
 			c.Values = map[string][]byte{}
 			db.View(func(tx *buntdb.Tx) error {
 				return tx.Ascend("", func(k, v string) bool {
@@ -196,7 +196,7 @@
 }
 
 // Get returns a value, or none.
-func (c *Cell) Get(key string) (value []byte, ok bool) {
+func (c *Store) Get(key string) (value []byte, ok bool) {
 	c.db.View(func(tx *buntdb.Tx) error {
 		s, err := tx.Get(key)
 		value, ok = []byte(s), err == nil
@@ -207,7 +207,7 @@
 
 // Put sets values; they are on stable storage when it returns without an error. After an error the copy kept before
 // still stands, and the next Put writes all.
-func (c *Cell) Put(values map[string][]byte) error {
+func (c *Store) Put(values map[string][]byte) error {
 	err := c.db.Update(func(tx *buntdb.Tx) error {
 		for k, v := range values {
 			if _, _, err := tx.Set(k, string(v), nil); err != nil {
@@ -223,13 +223,13 @@
 	if err := c.db.Save(&body); err != nil {
 		return merry.Prepend(err, "saving")
 	}
-	raw := append(make([]byte, 0, header+body.Len()), magic...)
-	for _, w := range []uint64{c.gen + 1, uint64(body.Len()), checksum(c.gen+1, body.Bytes())} {
+	raw := append(make([]byte, 0, headerSize+body.Len()), fileMagic...)
+	for _, w := range []uint64{c.generation + 1, uint64(body.Len()), bodyChecksum(c.generation+1, body.Bytes())} {
 		raw = binary.BigEndian.AppendUint64(raw, w)
 	}
 	raw = append(raw, body.Bytes()...)
-	name := slotName(c.slot)
-	f, err := c.disk.Create(name)
+	name := slotFileName(c.nextSlot)
+	f, err := c.fileSystem.OpenForWrite(name)
 	if err != nil {
 		return merry.Prepend(err, "opening "+name)
 	}
@@ -241,13 +241,13 @@
 	}
 	// A new file lasts once its folder is synced. One that was there already may be new too: a process that was killed
 	// before it synced the folder leaves a name that a loss of power takes away, with all that was written to it since.
-	if err == nil && !c.made[c.slot] {
-		err = c.disk.SyncFolder()
+	if err == nil && !c.directorySynced[c.nextSlot] {
+		err = c.fileSystem.SyncDirectory()
 	}
 	if err != nil {
 		return merry.Prepend(err, "writing "+name)
 	}
-	c.made[c.slot] = true
-	c.gen, c.slot = c.gen+1, 1-c.slot
+	c.directorySynced[c.nextSlot] = true
+	c.generation, c.nextSlot = c.generation+1, 1-c.nextSlot
 	return nil
 }
--- a/internal/statestore/cell_test.go
+++ b/internal/statestore/cell_test.go
@@ -10,24 +10,24 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// disk is a simulated one: files hold what was synced; of what was written after that any part may be left.
-type disk struct {
+// simulatedDisk is a simulated one: files hold what was synced; of what was written after that any part may be left.
+type simulatedDisk struct {
 	synced, written map[string][]byte
-	lasting         map[string]bool // names that the folder's last sync covered
+	directorySynced map[string]bool // names that the folder's last sync covered
 	fail            string          // the next write or sync that fails: "write", "sync", "open"
 	cut             int             // writes keep so many bytes when they fail
 }
 
-func newDisk() *disk {
-	return &disk{synced: map[string][]byte{}, written: map[string][]byte{}, lasting: map[string]bool{}}
+func newDisk() *simulatedDisk {
+	return &simulatedDisk{synced: map[string][]byte{}, written: map[string][]byte{}, directorySynced: map[string]bool{}}
 }
 
-type file struct {
-	d    *disk
+type simulatedFile struct {
+	d    *simulatedDisk
 	name string
 }
 
-func (d *disk) ReadFile(name string) ([]byte, error) {
+func (d *simulatedDisk) ReadFile(name string) ([]byte, error) {
 	b, ok := d.written[name]
 	if !ok {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: os.ErrNotExist}
@@ -35,30 +35,30 @@
 	return b, nil
 }
 
-func (d *disk) Create(name string) (File, error) {
+func (d *simulatedDisk) OpenForWrite(name string) (File, error) {
 	if d.fail == "open" {
 		return nil, errors.New("input/output error")
 	}
 	if _, ok := d.written[name]; !ok {
 		d.written[name] = nil
 	}
-	return &file{d, name}, nil
+	return &simulatedFile{d, name}, nil
 }
 
-func (d *disk) Rename(from, to string) error {
+func (d *simulatedDisk) Rename(from, to string) error {
 	d.written[to] = d.written[from]
 	delete(d.written, from)
 	return nil
 }
 
-func (d *disk) SyncFolder() error {
+func (d *simulatedDisk) SyncDirectory() error {
 	for name := range d.written {
-		d.lasting[name] = true
+		d.directorySynced[name] = true
 	}
 	return nil
 }
 
-func (f *file) WriteAt(p []byte, off int64) (int, error) {
+func (f *simulatedFile) WriteAt(p []byte, off int64) (int, error) {
 	n := len(p)
 	if f.d.fail == "write" {
 		n = min(f.d.cut, n)
@@ -74,7 +74,7 @@
 	return n, nil
 }
 
-func (f *file) Sync() error {
+func (f *simulatedFile) Sync() error {
 	if f.d.fail == "sync" {
 		return errors.New("input/output error")
 	}
@@ -82,14 +82,14 @@
 	return nil
 }
 
-func (f *file) Close() error { return nil }
+func (f *simulatedFile) Close() error { return nil }
 
-// power loses everything that was not synced; of each file's last write the first cut bytes stay, and what stood
+// afterPowerLoss loses everything that was not synced; of each file's last write the first cut bytes stay, and what stood
 // there before where it was longer.
-func (d *disk) power(cut int) *disk {
+func (d *simulatedDisk) afterPowerLoss(cut int) *simulatedDisk {
 	n := newDisk()
 	for name, now := range d.written {
-		if !d.lasting[name] {
+		if !d.directorySynced[name] {
 			continue
 		}
 		was := d.synced[name]
@@ -102,19 +102,19 @@
 				copy(b, torn)
 			}
 		}
-		n.written[name], n.synced[name], n.lasting[name] = b, b, true
+		n.written[name], n.synced[name], n.directorySynced[name] = b, b, true
 	}
 	return n
 }
 
-func value(c *Cell) string {
+func value(c *Store) string {
 	v, _ := c.Get("k")
 	return string(v)
 }
 
-func put(c *Cell, v string) error { return c.Put(map[string][]byte{"k": []byte(v)}) }
+func put(c *Store, v string) error { return c.Put(map[string][]byte{"k": []byte(v)}) }
 
-func TestCell(t *testing.T) {
+func TestStoreSurvivesFailedWrites(t *testing.T) {
 	Convey("Given a store with two writes", t, func() {
 		d := newDisk()
 		c, err := Open(d)
@@ -124,7 +124,7 @@
 		So(put(c, "two, which is longer"), ShouldBeNil)
 
 		Convey("what was written is there after a loss of power", func() {
-			c, err = Open(d.power(0))
+			c, err = Open(d.afterPowerLoss(0))
 			So(err, ShouldBeNil)
 			So(value(c), ShouldEqual, "two, which is longer")
 		})
@@ -132,7 +132,7 @@
 			d.fail = "sync"
 			So(put(c, "three, longer than all of those that came before it"), ShouldNotBeNil)
 			for cut := 1; cut < 400; cut++ {
-				c, err = Open(d.power(cut))
+				c, err = Open(d.afterPowerLoss(cut))
 				So(err, ShouldBeNil)
 				So(value(c), ShouldBeIn, "two, which is longer", "three, longer than all of those that came before it")
 			}
@@ -142,14 +142,14 @@
 				d.cut = 30
 				So(put(c, "lost"), ShouldNotBeNil)
 				So(put(c, "lost again"), ShouldNotBeNil)
-				again, err := Open(d.power(0))
+				again, err := Open(d.afterPowerLoss(0))
 				So(err, ShouldBeNil)
 				So(value(again), ShouldEqual, "two, which is longer")
 			}
 			Convey("and takes writes again afterwards", func() {
 				d.fail = ""
 				So(put(c, "four"), ShouldBeNil)
-				c, err = Open(d.power(0))
+				c, err = Open(d.afterPowerLoss(0))
 				So(value(c), ShouldEqual, "four")
 			})
 		})
@@ -163,11 +163,11 @@
 			c, err = Open(d)
 			So(err, ShouldBeNil)
 			So(value(c), ShouldEqual, "one")
-			So(len(c.SetAside), ShouldEqual, 1)
-			_, err = d.ReadFile(c.SetAside[0])
+			So(len(c.Quarantined), ShouldEqual, 1)
+			_, err = d.ReadFile(c.Quarantined[0])
 			So(err, ShouldBeNil)
 			So(put(c, "five"), ShouldBeNil)
-			c, err = Open(d.power(0))
+			c, err = Open(d.afterPowerLoss(0))
 			So(value(c), ShouldEqual, "five")
 		})
 	})
@@ -175,7 +175,7 @@
 		d := newDisk()
 		c, _ := Open(d)
 		So(put(c, "one"), ShouldBeNil)
-		c, err := Open(d.power(0))
+		c, err := Open(d.afterPowerLoss(0))
 		So(err, ShouldBeNil)
 		So(value(c), ShouldEqual, "one")
 	})
@@ -184,19 +184,19 @@
 		d := newDisk()
 		c, _ := Open(d)
 		So(put(c, "one"), ShouldBeNil)
-		d.lasting = map[string]bool{} // as if it had been killed before the folder's sync: the kernel still has all
+		d.directorySynced = map[string]bool{} // as if it had been killed before the folder's sync: the kernel still has all
 		for _, v := range []string{"two", "three", "four"} {
 			c, err := Open(d)
 			So(err, ShouldBeNil)
 			So(put(c, v), ShouldBeNil)
-			c, err = Open(d.power(0))
+			c, err = Open(d.afterPowerLoss(0))
 			So(err, ShouldBeNil)
 			So(value(c), ShouldEqual, v)
-			d.lasting = map[string]bool{}
+			d.directorySynced = map[string]bool{}
 		}
 	})
 	Convey("The same holds in a real folder", t, func() {
-		dir := Folder(t.TempDir())
+		dir := Directory(t.TempDir())
 		c, err := Open(dir)
 		So(err, ShouldBeNil)
 		for i := range 10 {
