--- a/cmd/zincloftctl/main.go
+++ b/cmd/zincloftctl/main.go
@@ -82,7 +82,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "version %08x: %d routes, %d services\n", c.Version, c.Routes, len(c.Services))
+		fmt.Fprintf(out, "version %08x: %d routes, %d services\n", c.Version, c.RouteCount, len(c.Services))
 		return nil
 	case put.Used:
 		c, err := read(file)
--- a/cmd/zincloftctl/windows.go
+++ b/cmd/zincloftctl/windows.go
@@ -174,7 +174,7 @@
 	return lines
 }
 
-func (w *windowVerbs) shown(ctx context.Context) (s controller.Shown, err error) {
+func (w *windowVerbs) shown(ctx context.Context) (s controller.MaintenanceStatus, err error) {
 	c, err := controlclient.New(w.addr)
 	if err != nil {
 		return s, err
--- a/controlplane/controller/comb.go
+++ b/controlplane/controller/comb.go
@@ -24,76 +24,76 @@
 )
 
 const (
-	heldUp      = time.Second            // between two ticks
-	lateBy      = 500 * time.Millisecond // between two ticks: what comes now may have lain in a socket
-	lateFor     = 300 * time.Millisecond // after that, calls are refused for so long
-	forgetEvery = 2 * time.Second
-	gossipEvery = time.Second
-	tellAgain   = 3 * time.Second        // changes are told to other combs for so long, as links lose some
-	signEvery   = 400 * time.Millisecond // foragers hear at least this often
-	newsEvery   = 200 * time.Millisecond // changes that may wait are told this often
-	silentBeats = 3.6                    // a replica silent for so many beats counts as gone
-	youngFor    = 2.2                    // beats after which a comb that started knows all replicas
+	stallThreshold            = time.Second            // between two ticks
+	lateTickThreshold         = 500 * time.Millisecond // between two ticks: what comes now may have lain in a socket
+	callRejectionPeriod       = 300 * time.Millisecond // after that, calls are refused for so long
+	outlierForgetInterval     = 2 * time.Second
+	gossipInterval            = time.Second
+	gossipRepeatPeriod        = 3 * time.Second        // changes are told to other combs for so long, as links lose some
+	keepaliveInterval         = 400 * time.Millisecond // foragers hear at least this often
+	publishInterval           = 200 * time.Millisecond // changes that may wait are told this often
+	heartbeatTimeoutIntervals = 3.6                    // a replica silent for so many beats counts as gone
+	bootstrapIntervals        = 2.2                    // beats after which a comb that started knows all replicas
 )
 
-// TickEvery is how often a Tick event is due.
-const TickEvery = 100 * time.Millisecond
-
-// Settings are what a comb is told at its start.
-type Settings struct {
-	Zone          string        `cbor:"1,keyasint"`
-	Control       string        `cbor:"2,keyasint"` // where replicas and operators call it
-	Zones         []string      `cbor:"3,keyasint"` // in order
-	Seeds         []string      `cbor:"4,keyasint"` // where governors of the first start are called
-	LinkMbps      float64       `cbor:"5,keyasint"`
-	DrainDeadline time.Duration `cbor:"6,keyasint"`
-	Heartbeat     time.Duration `cbor:"7,keyasint"`
-	Seed          uint64        `cbor:"8,keyasint"` // of its chance
-
-	Regions map[string]string `cbor:"9,keyasint,omitempty"` // by zone
+// TickInterval is how often a Tick event is due.
+const TickInterval = 100 * time.Millisecond
+
+// Options are what a comb is told at its start.
+type Options struct {
+	Zone              string        `cbor:"1,keyasint"`
+	ControlAddr       string        `cbor:"2,keyasint"` // where replicas and operators call it
+	Zones             []string      `cbor:"3,keyasint"` // in order
+	Seeds             []string      `cbor:"4,keyasint"` // where governors of the first start are called
+	LinkMbps          float64       `cbor:"5,keyasint"`
+	DrainDeadline     time.Duration `cbor:"6,keyasint"`
+	HeartbeatInterval time.Duration `cbor:"7,keyasint"`
+	RandomSeed        uint64        `cbor:"8,keyasint"` // of its chance
+
+	RegionByZone map[string]string `cbor:"9,keyasint,omitempty"` // by zone
 }
 
 // Message is what combs say to one another.
 type Message struct {
-	Core  *coordinator.Message     `cbor:"1,keyasint,omitempty"`
-	Lives []registry.Life          `cbor:"2,keyasint,omitempty"`
-	Fleet *messages.GatewaySummary `cbor:"3,keyasint,omitempty"`
-	Fell  []outlier.Out            `cbor:"4,keyasint,omitempty"`
+	Coordinator *coordinator.Message     `cbor:"1,keyasint,omitempty"`
+	Instances   []registry.Instance      `cbor:"2,keyasint,omitempty"`
+	Fleet       *messages.GatewaySummary `cbor:"3,keyasint,omitempty"`
+	Ejections   []outlier.Out            `cbor:"4,keyasint,omitempty"`
 }
 
 // Event is something that happened. One of its fields is set; an event with none lets time pass.
 type Event struct {
-	Start   bool                      `cbor:"1,keyasint,omitempty"`
-	Beat    *registry.Life            `cbor:"2,keyasint,omitempty"` // a replica's own word
-	Leave   string                    `cbor:"3,keyasint,omitempty"` // a replica's word that it ends
-	Order   *chainreplication.Command `cbor:"4,keyasint,omitempty"`
-	Read    bool                      `cbor:"5,keyasint,omitempty"`
-	Joined  *Joined                   `cbor:"6,keyasint,omitempty"`
-	Left    uint64                    `cbor:"7,keyasint,omitempty"` // a stream has ended
-	Report  *messages.LoadReport      `cbor:"8,keyasint,omitempty"`
-	Message *Message                  `cbor:"9,keyasint,omitempty"`
-	Written *Written                  `cbor:"10,keyasint,omitempty"`
-	Met     []string                  `cbor:"11,keyasint,omitempty"` // addresses where other combs may be
-	Token   uint64                    `cbor:"12,keyasint,omitempty"` // with Beat, Leave, Order, Read: the answer carries it
-	Stream  uint64                    `cbor:"13,keyasint,omitempty"` // with Report
-	From    *membership.Member        `cbor:"14,keyasint,omitempty"` // with Message
-
-	Windows *maintenance.Command `cbor:"15,keyasint,omitempty"` // with Token
-
-	Leaving bool          `cbor:"16,keyasint,omitempty"` // it has been told to end
-	Wall    time.Duration `cbor:"17,keyasint,omitempty"` // the time of day, beside any event; 0: not told
+	Start             bool                      `cbor:"1,keyasint,omitempty"`
+	Heartbeat         *registry.Instance        `cbor:"2,keyasint,omitempty"` // a replica's own word
+	Deregister        string                    `cbor:"3,keyasint,omitempty"` // a replica's word that it ends
+	Command           *chainreplication.Command `cbor:"4,keyasint,omitempty"`
+	ReadConfiguration bool                      `cbor:"5,keyasint,omitempty"`
+	GatewayJoined     *GatewayJoined            `cbor:"6,keyasint,omitempty"`
+	GatewayLeft       uint64                    `cbor:"7,keyasint,omitempty"` // a stream has ended
+	Report            *messages.LoadReport      `cbor:"8,keyasint,omitempty"`
+	Message           *Message                  `cbor:"9,keyasint,omitempty"`
+	WriteResult       *WriteResult              `cbor:"10,keyasint,omitempty"`
+	DiscoveredAddrs   []string                  `cbor:"11,keyasint,omitempty"` // addresses where other combs may be
+	Token             uint64                    `cbor:"12,keyasint,omitempty"` // with Beat, Leave, Order, Read: the answer carries it
+	Stream            uint64                    `cbor:"13,keyasint,omitempty"` // with Report
+	From              *membership.Member        `cbor:"14,keyasint,omitempty"` // with Message
+
+	MaintenanceCommand *maintenance.Command `cbor:"15,keyasint,omitempty"` // with Token
+
+	Shutdown  bool          `cbor:"16,keyasint,omitempty"` // it has been told to end
+	WallClock time.Duration `cbor:"17,keyasint,omitempty"` // the time of day, beside any event; 0: not told
 }
 
-// Joined tells of a forager's new stream.
-type Joined struct {
+// GatewayJoined tells of a forager's new stream.
+type GatewayJoined struct {
 	Stream  uint64 `cbor:"1,keyasint"` // not used before
-	Forager string `cbor:"2,keyasint"`
+	Gateway string `cbor:"2,keyasint"`
 	Zone    string `cbor:"3,keyasint"`
 }
 
-// Written tells what became of the last Write.
-type Written struct {
-	Problem string `cbor:"1,keyasint,omitempty"`
+// WriteResult tells what became of the last Write.
+type WriteResult struct {
+	Error string `cbor:"1,keyasint,omitempty"`
 }
 
 // Send is a message for the comb at an address.
@@ -102,459 +102,459 @@
 	Message Message `cbor:"2,keyasint"`
 }
 
-// Tell is a message for some foragers.
-type Tell struct {
+// Publication is a message for some foragers.
+type Publication struct {
 	Streams []uint64             `cbor:"1,keyasint"`
-	State   messages.StateUpdate `cbor:"2,keyasint"`
+	Update  messages.StateUpdate `cbor:"2,keyasint"`
 }
 
-// Answer ends a call.
-type Answer struct {
-	Token  uint64 `cbor:"1,keyasint"`
-	Status int    `cbor:"2,keyasint"`
-	Body   []byte `cbor:"3,keyasint,omitempty"`
-	Where  string `cbor:"4,keyasint,omitempty"` // a redirect's address, or a replica's address for later beats
+// Response ends a call.
+type Response struct {
+	Token   uint64 `cbor:"1,keyasint"`
+	Status  int    `cbor:"2,keyasint"`
+	Body    []byte `cbor:"3,keyasint,omitempty"`
+	Address string `cbor:"4,keyasint,omitempty"` // a redirect's address, or a replica's address for later beats
 }
 
-// Note is an event worth a line in the log.
-type Note struct {
-	Warn   bool    `cbor:"1,keyasint,omitempty"`
-	Event  string  `cbor:"2,keyasint"`
-	Fields []Field `cbor:"3,keyasint,omitempty"`
+// LogEvent is an event worth a line in the log.
+type LogEvent struct {
+	Warning bool       `cbor:"1,keyasint,omitempty"`
+	Name    string     `cbor:"2,keyasint"`
+	Fields  []LogField `cbor:"3,keyasint,omitempty"`
 }
 
-// Field is one key=value of a Note.
-type Field struct {
+// LogField is one key=value of a Note.
+type LogField struct {
 	Key   string `cbor:"1,keyasint"`
 	Value any    `cbor:"2,keyasint"`
 }
 
 // Actions are what is to be done, in the order of their kinds.
 type Actions struct {
-	Send    []Send   `cbor:"1,keyasint,omitempty"`
-	Write   []byte   `cbor:"2,keyasint,omitempty"` // to be brought on stable storage, then told by Written
-	Tell    []Tell   `cbor:"3,keyasint,omitempty"`
-	Answers []Answer `cbor:"4,keyasint,omitempty"`
-	End     []uint64 `cbor:"5,keyasint,omitempty"` // streams
-	Notes   []Note   `cbor:"6,keyasint,omitempty"`
-	Ended   bool     `cbor:"7,keyasint,omitempty"` // after Leaving: nothing rests on this comb any more
+	Send             []Send        `cbor:"1,keyasint,omitempty"`
+	Write            []byte        `cbor:"2,keyasint,omitempty"` // to be brought on stable storage, then told by Written
+	Publish          []Publication `cbor:"3,keyasint,omitempty"`
+	Responses        []Response    `cbor:"4,keyasint,omitempty"`
+	CloseStreams     []uint64      `cbor:"5,keyasint,omitempty"` // streams
+	LogEvents        []LogEvent    `cbor:"6,keyasint,omitempty"`
+	ShutdownComplete bool          `cbor:"7,keyasint,omitempty"` // after Leaving: nothing rests on this comb any more
 }
 
-// Comb is one control-plane governor. Its calls are not made side by side.
-type Comb struct {
-	set    Settings
-	chance rand.PCG
-	core   *coordinator.Coordinator
-	reg    *registry.Registry
-	config *gatewayconfig.Config // committed
-	wasOut []string
-
-	calls map[uint64]uint64 // the core's tokens, to the callers'
-
-	steer    *weighting.Steer
-	steerRev uint64
-
-	streams  []*stream      // by number
-	fleets   map[string]int // foragers of other combs, by identity
-	gossipAt time.Duration
-	newsAt   time.Duration
-	forgotAt time.Duration
-	revs     []revAt
-	touched  map[string]bool // peers in touch at the last gossip
-	alone    bool
-	leaving  bool
-	backAt   time.Duration // in touch since
-	ticked   time.Duration
-	woke     time.Duration // when it last came round after it was held up
-	wall     time.Duration // the time of day, and when it was told
-	walledAt time.Duration
-	joining  []Joined // foragers that wait for a question to the others to begin, and those that wait for the one at hand
-	asking   []Joined
-	question uint64 // the core's token; 0: none
-	falls    *outlier.Falls
-	hived    hived
-	out      Actions
+// Controller is one control-plane governor. Its calls are not made side by side.
+type Controller struct {
+	options        Options
+	random         rand.PCG
+	coordinator    *coordinator.Coordinator
+	registry       *registry.Registry
+	config         *gatewayconfig.Config // committed
+	evacuatedZones []string
+
+	callTokens map[uint64]uint64 // the core's tokens, to the callers'
+
+	weights         *weighting.Manager
+	weightsRevision uint64
+
+	streams           []*gatewayStream // by number
+	peerGatewayCounts map[string]int   // foragers of other combs, by identity
+	nextGossipAt      time.Duration
+	lastPublishAt     time.Duration
+	lastForgetAt      time.Duration
+	gossipRevisions   []revisionAt
+	connectedPeers    map[string]bool // peers in touch at the last gossip
+	isolated          bool
+	shuttingDown      bool
+	reconnectedAt     time.Duration // in touch since
+	lastTickAt        time.Duration
+	resumedAt         time.Duration // when it last came round after it was held up
+	wallClock         time.Duration // the time of day, and when it was told
+	wallClockAt       time.Duration
+	pendingJoins      []GatewayJoined // foragers that wait for a question to the others to begin, and those that wait for the one at hand
+	confirmingJoins   []GatewayJoined
+	confirmToken      uint64 // the core's token; 0: none
+	outliers          *outlier.Falls
+	maintenance       maintenanceTracker
+	actions           Actions
 }
 
-type revAt struct {
-	at  time.Duration
-	rev uint64
+type revisionAt struct {
+	at       time.Duration
+	revision uint64
 }
 
 // New makes a comb from what was on disk.
-func New(now time.Duration, set Settings, self membership.Member, k coordinator.PersistentState) *Comb {
-	site := weighting.Site{Seed: set.Seed, Zone: set.Zone, Zones: set.Zones, Combs: max(len(set.Seeds), 1), LinkMbps: set.LinkMbps, DrainGrace: set.DrainDeadline}
-	c := &Comb{set: set, chance: *rand.NewPCG(set.Seed, 1), steer: weighting.New(site), falls: outlier.New(), calls: map[uint64]uint64{}, fleets: map[string]int{},
-		touched: map[string]bool{}, alone: true, reg: registry.New(time.Duration(silentBeats * float64(set.Heartbeat)))}
-	for i := range k.Instances {
-		k.Instances[i].Age = 0 // heard now, as far as anyone knows; those that do not beat go as any silent one
-	}
-	c.reg.Merge(now, k.Instances)
-	c.wasOut = sortedKeys(k.Register.EvacuatedZones) // a zone that was given back while this comb was away is doubted too
-	c.ticked, c.woke = now, now-lateFor
-	c.hived = hived{open: map[uint64]change{}, elsewhat: map[string]elsewhere{}, drained: map[string]time.Duration{}}
-	c.core = coordinator.New(self, k, set.Seeds, rand.New(&c.chance).Float64, hints{c})
+func New(now time.Duration, options Options, self membership.Member, kept coordinator.PersistentState) *Controller {
+	weightingOptions := weighting.Options{RandomSeed: options.RandomSeed, Zone: options.Zone, Zones: options.Zones, Members: max(len(options.Seeds), 1), LinkMbps: options.LinkMbps, DrainGrace: options.DrainDeadline}
+	c := &Controller{options: options, random: *rand.NewPCG(options.RandomSeed, 1), weights: weighting.New(weightingOptions), outliers: outlier.New(), callTokens: map[uint64]uint64{}, peerGatewayCounts: map[string]int{},
+		connectedPeers: map[string]bool{}, isolated: true, registry: registry.New(time.Duration(heartbeatTimeoutIntervals * float64(options.HeartbeatInterval)))}
+	for i := range kept.Instances {
+		kept.Instances[i].HeartbeatAgeMillis = 0 // heard now, as far as anyone knows; those that do not beat go as any silent one
+	}
+	c.registry.Merge(now, kept.Instances)
+	c.evacuatedZones = sortedKeys(kept.Register.EvacuatedZones) // a zone that was given back while this comb was away is doubted too
+	c.lastTickAt, c.resumedAt = now, now-callRejectionPeriod
+	c.maintenance = maintenanceTracker{proposals: map[uint64]proposal{}, peerFleets: map[string]peerFleet{}, drainedSince: map[string]time.Duration{}}
+	c.coordinator = coordinator.New(self, kept, options.Seeds, rand.New(&c.random).Float64, instanceHints{c})
 	return c
 }
 
-// hints are the lives of replicas, as they are kept on disk.
-type hints struct{ c *Comb }
+// instanceHints are the lives of replicas, as they are kept on disk.
+type instanceHints struct{ controller *Controller }
 
-func (h hints) Revision() uint64 { return h.c.reg.Rev() }
+func (h instanceHints) Revision() uint64 { return h.controller.registry.Revision() }
 
 // Instances marks as old what turns cold, or may have, as its zone is given back: this very write may be the one that does so.
-func (h hints) Instances() []registry.Life {
-	lives := h.c.reg.Changes(h.c.ticked, registry.All)
+func (h instanceHints) Instances() []registry.Instance {
+	lives := h.controller.registry.ChangesSince(h.controller.lastTickAt, registry.AllRevisions)
 	for i, l := range lives {
-		if l.Doubt || slices.Contains(h.c.wasOut, l.Zone) {
-			lives[i].Doubt, lives[i].Old = false, true
+		if l.WarmthUnknown || slices.Contains(h.controller.evacuatedZones, l.Zone) {
+			lives[i].WarmthUnknown, lives[i].Stale = false, true
 		}
 	}
 	return lives
 }
 
-// Kept encodes what must be on disk now. The first one must be there before anything is listened on.
-func (c *Comb) Kept() ([]byte, error) { return c.core.EncodeState() }
+// PersistentState encodes what must be on disk now. The first one must be there before anything is listened on.
+func (c *Controller) PersistentState() ([]byte, error) { return c.coordinator.EncodeState() }
 
 // Describe tells how the core stands, as this machine knows.
-func (c *Comb) Describe(now time.Duration) coordinator.Status { return c.core.Status(now) }
+func (c *Controller) Describe(now time.Duration) coordinator.Status { return c.coordinator.Status(now) }
 
-// Core is the lasting state's part, to look at.
-func (c *Comb) Core() *coordinator.Coordinator { return c.core }
+// Coordinator is the lasting state's part, to look at.
+func (c *Controller) Coordinator() *coordinator.Coordinator { return c.coordinator }
 
 // Config is what is committed; nil: nothing yet.
-func (c *Comb) Config() *gatewayconfig.Config { return c.config }
+func (c *Controller) Config() *gatewayconfig.Config { return c.config }
 
-func (c *Comb) note(event string, kv ...any) { c.noted(false, event, kv) }
-func (c *Comb) warn(event string, kv ...any) { c.noted(true, event, kv) }
+func (c *Controller) logInfo(event string, kv ...any)    { c.logEvent(false, event, kv) }
+func (c *Controller) logWarning(event string, kv ...any) { c.logEvent(true, event, kv) }
 
-func (c *Comb) noted(warn bool, event string, kv []any) {
-	n := Note{Warn: warn, Event: event}
+func (c *Controller) logEvent(warn bool, event string, kv []any) {
+	n := LogEvent{Warning: warn, Name: event}
 	for i := 0; i+1 < len(kv); i += 2 {
-		n.Fields = append(n.Fields, Field{kv[i].(string), kv[i+1]})
+		n.Fields = append(n.Fields, LogField{kv[i].(string), kv[i+1]})
 	}
-	c.out.Notes = append(c.out.Notes, n)
+	c.actions.LogEvents = append(c.actions.LogEvents, n)
 }
 
 // Step takes what happened at now and returns what is to be done.
-func (c *Comb) Step(now time.Duration, e Event) Actions {
-	c.late(now, e.Wall)
-	if c.woke+lateFor > now && (e.Beat != nil || e.Order != nil || e.Windows != nil) {
+func (c *Controller) Step(now time.Duration, event Event) Actions {
+	c.detectStall(now, event.WallClock)
+	if c.resumedAt+callRejectionPeriod > now && (event.Heartbeat != nil || event.Command != nil || event.MaintenanceCommand != nil) {
 		// It may have been sent long ago; its caller has gone on since, and what it asks may have been undone.
-		c.answer(Answer{Token: e.Token, Status: http.StatusServiceUnavailable})
-		out := c.out
-		c.out = Actions{}
-		return out
+		c.respond(Response{Token: event.Token, Status: http.StatusServiceUnavailable})
+		actions := c.actions
+		c.actions = Actions{}
+		return actions
 	}
 	switch {
-	case e.Start:
-		c.ticked = now
-		c.do(now, c.core.Start(now))
-	case e.Beat != nil:
-		c.beat(now, e.Token, *e.Beat)
-	case e.Leave != "":
-		if !c.core.HasQuorumContact(now) {
-			c.answer(Answer{Token: e.Token, Status: http.StatusServiceUnavailable})
+	case event.Start:
+		c.lastTickAt = now
+		c.applyCoordinatorActions(now, c.coordinator.Start(now))
+	case event.Heartbeat != nil:
+		c.handleHeartbeat(now, event.Token, *event.Heartbeat)
+	case event.Deregister != "":
+		if !c.coordinator.HasQuorumContact(now) {
+			c.respond(Response{Token: event.Token, Status: http.StatusServiceUnavailable})
 			break
 		}
-		c.gone(now, e.Leave, "itself")
-		c.answer(Answer{Token: e.Token, Status: http.StatusOK})
-	case e.Order != nil:
-		token, a := c.core.Propose(now, *e.Order)
-		c.calls[token] = e.Token
-		c.do(now, a)
-	case e.Read:
-		token, a := c.core.Read(now)
-		c.calls[token] = e.Token
-		c.do(now, a)
-	case e.Windows != nil:
-		c.command(now, e.Token, e.Windows, 0)
-	case e.Joined != nil:
-		c.joined(now, *e.Joined)
-	case e.Left != 0:
-		c.left(now, e.Left)
-	case e.Report != nil:
-		if s := c.stream(e.Stream); s != nil {
-			c.reported(now, s, e.Report)
+		c.deregister(now, event.Deregister, "itself")
+		c.respond(Response{Token: event.Token, Status: http.StatusOK})
+	case event.Command != nil:
+		token, a := c.coordinator.Propose(now, *event.Command)
+		c.callTokens[token] = event.Token
+		c.applyCoordinatorActions(now, a)
+	case event.ReadConfiguration:
+		token, a := c.coordinator.Read(now)
+		c.callTokens[token] = event.Token
+		c.applyCoordinatorActions(now, a)
+	case event.MaintenanceCommand != nil:
+		c.handleMaintenanceCommand(now, event.Token, event.MaintenanceCommand, 0)
+	case event.GatewayJoined != nil:
+		c.handleGatewayJoined(now, *event.GatewayJoined)
+	case event.GatewayLeft != 0:
+		c.handleGatewayLeft(now, event.GatewayLeft)
+	case event.Report != nil:
+		if stream := c.findStream(event.Stream); stream != nil {
+			c.handleReport(now, stream, event.Report)
 		}
-	case e.Message != nil:
-		if e.From != nil {
-			c.message(now, *e.From, e.Message)
+	case event.Message != nil:
+		if event.From != nil {
+			c.handlePeerMessage(now, *event.From, event.Message)
 		}
-	case e.Written != nil:
-		c.do(now, c.core.StatePersisted(now, e.Written.Problem))
-	case e.Met != nil:
-		c.core.SetSeeds(e.Met)
-	case e.Leaving:
-		c.leaving = true
-		c.core.BeginLeave()
-		c.note("leaving")
+	case event.WriteResult != nil:
+		c.applyCoordinatorActions(now, c.coordinator.StatePersisted(now, event.WriteResult.Error))
+	case event.DiscoveredAddrs != nil:
+		c.coordinator.SetSeeds(event.DiscoveredAddrs)
+	case event.Shutdown:
+		c.shuttingDown = true
+		c.coordinator.BeginLeave()
+		c.logInfo("leaving")
 	default:
 		c.tick(now)
 	}
-	out := c.out
-	c.out = Actions{}
-	return out
+	actions := c.actions
+	c.actions = Actions{}
+	return actions
 }
 
-// late notices that this comb was held up: that it stood still, or, by the time of day, that its clock stood still with it.
+// detectStall notices that this comb was held up: that it stood still, or, by the time of day, that its clock stood still with it.
 // The time of day may also have been set; then contact is made anew without need, which takes a beat.
-func (c *Comb) late(now, wall time.Duration) {
-	if now-c.ticked > lateBy {
-		c.woke = now
+func (c *Controller) detectStall(now, wall time.Duration) {
+	if now-c.lastTickAt > lateTickThreshold {
+		c.resumedAt = now
 	}
 	if wall == 0 {
 		return
 	}
-	if jump := (wall - c.wall) - (now - c.walledAt); c.wall != 0 && jump > lateBy {
-		c.warn("clock_stood", "for", jump)
-		c.woke = now
-		c.core.ResetContact(now)
+	if jump := (wall - c.wallClock) - (now - c.wallClockAt); c.wallClock != 0 && jump > lateTickThreshold {
+		c.logWarning("clock_stood", "for", jump)
+		c.resumedAt = now
+		c.coordinator.ResetContact(now)
 	}
-	c.wall, c.walledAt = wall, now
+	c.wallClock, c.wallClockAt = wall, now
 }
 
-func (c *Comb) answer(a Answer) { c.out.Answers = append(c.out.Answers, a) }
+func (c *Controller) respond(a Response) { c.actions.Responses = append(c.actions.Responses, a) }
 
-func (c *Comb) send(to string, m Message) {
-	if to != c.core.Self().Addr && to != "" {
-		c.out.Send = append(c.out.Send, Send{to, m})
+func (c *Controller) send(to string, m Message) {
+	if to != c.coordinator.Self().Addr && to != "" {
+		c.actions.Send = append(c.actions.Send, Send{to, m})
 	}
 }
 
-func (c *Comb) tick(now time.Duration) {
-	if now-c.ticked > heldUp { // frozen or starved: nobody could be heard meanwhile
-		c.warn("held_up", "for", now-c.ticked)
-		c.reg.Excuse(now)
+func (c *Controller) tick(now time.Duration) {
+	if now-c.lastTickAt > stallThreshold { // frozen or starved: nobody could be heard meanwhile
+		c.logWarning("held_up", "for", now-c.lastTickAt)
+		c.registry.ExtendHeartbeats(now)
 	}
-	c.ticked = now
-	if now-c.forgotAt > forgetEvery {
-		c.forgotAt = now
-		c.falls.Forget(now)
+	c.lastTickAt = now
+	if now-c.lastForgetAt > outlierForgetInterval {
+		c.lastForgetAt = now
+		c.outliers.Forget(now)
 	}
-	c.do(now, c.core.Tick(now))
-	c.touch(now)
-	if c.alone && now-c.woke > lateFor {
+	c.applyCoordinatorActions(now, c.coordinator.Tick(now))
+	c.updateConnectivity(now)
+	if c.isolated && now-c.resumedAt > callRejectionPeriod {
 		for _, s := range c.streams {
-			c.out.End = append(c.out.End, s.n)
+			c.actions.CloseStreams = append(c.actions.CloseStreams, s.id)
 		}
 	}
-	if !c.alone {
-		for _, id := range c.reg.Expire(now) {
-			c.note("replica_silent", "id", id)
+	if !c.isolated {
+		for _, id := range c.registry.Expire(now) {
+			c.logInfo("replica_silent", "id", id)
 		}
 	}
 	c.gossip(now)
-	c.drive(now)
-	c.steer.Tick(now)
-	c.tell(now, false)
-	c.out.Ended = c.leaving && c.core.LeaveComplete(now)
+	c.advanceMaintenance(now)
+	c.weights.Tick(now)
+	c.publish(now, false)
+	c.actions.ShutdownComplete = c.shuttingDown && c.coordinator.LeaveComplete(now)
 }
 
-// touch notes that this comb has lost a majority of the others, or has it back: then it could hear nobody meanwhile.
-func (c *Comb) touch(now time.Duration) {
-	alone := !c.core.HasQuorumContact(now)
-	if alone == c.alone {
+// updateConnectivity notes that this comb has lost a majority of the others, or has it back: then it could hear nobody meanwhile.
+func (c *Controller) updateConnectivity(now time.Duration) {
+	alone := !c.coordinator.HasQuorumContact(now)
+	if alone == c.isolated {
 		return
 	}
-	c.alone = alone
-	c.note("in_touch", "now", !alone, "view", c.core.View().Number)
+	c.isolated = alone
+	c.logInfo("in_touch", "now", !alone, "view", c.coordinator.View().Number)
 	if !alone {
-		c.reg.Excuse(now)
-		c.backAt = now
+		c.registry.ExtendHeartbeats(now)
+		c.reconnectedAt = now
 	}
 }
 
-// do carries on what the core has decided.
-func (c *Comb) do(now time.Duration, a coordinator.Actions) {
+// applyCoordinatorActions carries on what the core has decided.
+func (c *Controller) applyCoordinatorActions(now time.Duration, a coordinator.Actions) {
 	if a.StandstillDetected {
-		c.warn("clock_stood")
-		c.woke = now
+		c.logWarning("clock_stood")
+		c.resumedAt = now
 	}
 	if a.DiskHealth != "" {
-		c.warn("disk", "state", a.DiskHealth)
+		c.logWarning("disk", "state", a.DiskHealth)
 	}
 	for _, s := range a.Messages {
-		c.send(s.To, Message{Core: &s.Message})
+		c.send(s.To, Message{Coordinator: &s.Message})
 	}
 	if a.StateToPersist != nil {
-		c.out.Write = a.StateToPersist
+		c.actions.Write = a.StateToPersist
 	}
 	if a.ViewInstalled {
-		v := c.core.View()
-		c.note("view", "n", v.Number, "chain", v.Chain, "roster", len(v.Voters))
+		view := c.coordinator.View()
+		c.logInfo("view", "n", view.Number, "chain", view.Chain, "roster", len(view.Voters))
 		for _, s := range c.streams {
-			s.combs = false
+			s.membersSent = false
 		}
 	}
 	if a.RegisterCommitted {
-		c.committed(now)
-	}
-	for _, x := range a.Responses {
-		if x.RequestID == c.question {
-			c.admit(now, x.Status)
-		} else if token, ok := c.calls[x.RequestID]; ok {
-			delete(c.calls, x.RequestID)
-			c.answer(Answer{token, x.Status, x.Body, x.RedirectTo})
-		} else if x2, ok := c.hived.open[x.RequestID]; ok {
-			delete(c.hived.open, x.RequestID)
-			c.proposed(now, x2, x.Status)
+		c.applyCommitted(now)
+	}
+	for _, answer := range a.Responses {
+		if answer.RequestID == c.confirmToken {
+			c.completeJoins(now, answer.Status)
+		} else if token, ok := c.callTokens[answer.RequestID]; ok {
+			delete(c.callTokens, answer.RequestID)
+			c.respond(Response{token, answer.Status, answer.Body, answer.RedirectTo})
+		} else if proposal, ok := c.maintenance.proposals[answer.RequestID]; ok {
+			delete(c.maintenance.proposals, answer.RequestID)
+			c.handleProposalResult(now, proposal, answer.Status)
 		}
 	}
 }
 
-// committed puts a register that nobody can lose any more in force.
-func (c *Comb) committed(now time.Duration) {
-	r, _ := c.core.Register()
-	if (c.config == nil || c.config.Version != r.Version) && len(r.Body) > 0 {
-		conf, err := gatewayconfig.Parse(r.Body)
+// applyCommitted puts a register that nobody can lose any more in force.
+func (c *Controller) applyCommitted(now time.Duration) {
+	register, _ := c.coordinator.Register()
+	if (c.config == nil || c.config.Version != register.Version) && len(register.Body) > 0 {
+		config, err := gatewayconfig.Parse(register.Body)
 		if err != nil {
-			c.warn("config_unreadable", "version", r.Version, "error", err.Error())
+			c.logWarning("config_unreadable", "version", register.Version, "error", err.Error())
 		} else {
-			c.config = conf
-			c.steer.Configure(now, conf, c.foragers())
-			c.steerRev = registry.All
-			c.note("config", "version", r.Version, "seq", r.Sequence, "routes", conf.Routes)
+			c.config = config
+			c.weights.Configure(now, config, c.gatewayCount())
+			c.weightsRevision = registry.AllRevisions
+			c.logInfo("config", "version", register.Version, "seq", register.Sequence, "routes", config.RouteCount)
 		}
 	}
-	c.evacuated(now, r)
-	c.tell(now, true)
+	c.updateEvacuations(now, register)
+	c.publish(now, true)
 }
 
-// evacuated has the replicas of zones that were given back spared until they have said how they are.
-func (c *Comb) evacuated(now time.Duration, r chainreplication.Register) {
-	for _, zone := range c.wasOut {
-		if !r.EvacuatedZones[zone] {
-			c.reg.Doubt(now, zone)
+// updateEvacuations has the replicas of zones that were given back spared until they have said how they are.
+func (c *Controller) updateEvacuations(now time.Duration, register chainreplication.Register) {
+	for _, zone := range c.evacuatedZones {
+		if !register.EvacuatedZones[zone] {
+			c.registry.MarkWarmthUnknown(now, zone)
 		}
 	}
-	if out := sortedKeys(r.EvacuatedZones); !slices.Equal(out, c.wasOut) {
-		c.note("evacuations", "zones", out, "seq", r.Sequence)
-		c.wasOut = out
+	if evacuated := sortedKeys(register.EvacuatedZones); !slices.Equal(evacuated, c.evacuatedZones) {
+		c.logInfo("evacuations", "zones", evacuated, "seq", register.Sequence)
+		c.evacuatedZones = evacuated
 	}
 }
 
-// beat takes a replica's own word.
-func (c *Comb) beat(now time.Duration, token uint64, l registry.Life) {
-	if !c.core.HasQuorumContact(now) {
-		c.answer(Answer{Token: token, Status: http.StatusServiceUnavailable})
+// handleHeartbeat takes a replica's own word.
+func (c *Controller) handleHeartbeat(now time.Duration, token uint64, heartbeat registry.Instance) {
+	if !c.coordinator.HasQuorumContact(now) {
+		c.respond(Response{Token: token, Status: http.StatusServiceUnavailable})
 		return
 	}
-	if news, urgent := c.reg.Beat(now, l); news {
+	if changed, urgent := c.registry.Heartbeat(now, heartbeat); changed {
 		if urgent {
-			c.note("draining", "id", l.ID)
+			c.logInfo("draining", "id", heartbeat.ID)
 		}
-		if urgent || l.Cold > 0 { // it may have been warm, or cold until sooner, for the others
-			c.gossipNow(now, []registry.Life{l})
+		if urgent || heartbeat.WarmupMillis > 0 { // it may have been warm, or cold until sooner, for the others
+			c.broadcastInstances(now, []registry.Instance{heartbeat})
 		}
-		c.tell(now, urgent)
+		c.publish(now, urgent)
 	}
-	c.answer(Answer{Token: token, Status: http.StatusOK, Where: c.nearest(now, l.Zone)})
+	c.respond(Response{Token: token, Status: http.StatusOK, Address: c.heartbeatTarget(now, heartbeat.Zone)})
 }
 
-// nearest is a comb in the replica's zone, where there is another one in touch; bytes between zones cost.
-func (c *Comb) nearest(now time.Duration, zone string) string {
-	if zone == c.set.Zone {
-		return c.set.Control
+// heartbeatTarget is a comb in the replica's zone, where there is another one in touch; bytes between zones cost.
+func (c *Controller) heartbeatTarget(now time.Duration, zone string) string {
+	if zone == c.options.Zone {
+		return c.options.ControlAddr
 	}
-	for _, m := range c.core.Peers(now) {
-		if m.Zone == zone && m.APIAddr != "" && c.core.IsReachable(now, m.ID) {
-			return m.APIAddr
+	for _, peer := range c.coordinator.Peers(now) {
+		if peer.Zone == zone && peer.APIAddr != "" && c.coordinator.IsReachable(now, peer.ID) {
+			return peer.APIAddr
 		}
 	}
 	return ""
 }
 
-// gone takes a replica's end, by its own word or a forager's proof, and tells everybody at once.
-func (c *Comb) gone(now time.Duration, id, by string) {
-	if c.reg.Leave(now, id) {
-		c.note("gone", "id", id, "by", by)
-		c.gossipNow(now, []registry.Life{{ID: id, Gone: true}})
-		c.tell(now, true)
+// deregister takes a replica's end, by its own word or a forager's proof, and tells everybody at once.
+func (c *Controller) deregister(now time.Duration, id, by string) {
+	if c.registry.Deregister(now, id) {
+		c.logInfo("gone", "id", id, "by", by)
+		c.broadcastInstances(now, []registry.Instance{{ID: id, Deregistered: true}})
+		c.publish(now, true)
 	}
 }
 
-// message takes what another comb says.
-func (c *Comb) message(now time.Duration, from membership.Member, m *Message) {
-	if m.Core != nil {
-		c.do(now, c.core.Step(now, from, *m.Core))
+// handlePeerMessage takes what another comb says.
+func (c *Controller) handlePeerMessage(now time.Duration, from membership.Member, message *Message) {
+	if message.Coordinator != nil {
+		c.applyCoordinatorActions(now, c.coordinator.Step(now, from, *message.Coordinator))
 	}
-	if m.Fleet != nil {
-		c.fleets[from.ID] = m.Fleet.GatewayCount
-		if len(m.Fleet.Nodes) > 0 || c.windows().On() {
-			c.hived.elsewhat[from.ID] = elsewhere{now, *m.Fleet}
+	if message.Fleet != nil {
+		c.peerGatewayCounts[from.ID] = message.Fleet.GatewayCount
+		if len(message.Fleet.Nodes) > 0 || c.maintenanceState().On() {
+			c.maintenance.peerFleets[from.ID] = peerFleet{now, *message.Fleet}
 		}
 	}
-	for _, o := range m.Fell {
-		c.falls.Heard(now, o)
-		c.fell(o)
+	for _, ejection := range message.Ejections {
+		c.outliers.Heard(now, ejection)
+		c.publishEjection(ejection)
 	}
-	if len(m.Lives) > 0 {
-		if news, urgent := c.reg.Merge(now, m.Lives); news {
-			c.tell(now, urgent)
+	if len(message.Instances) > 0 {
+		if changed, urgent := c.registry.Merge(now, message.Instances); changed {
+			c.publish(now, urgent)
 		}
 	}
 }
 
-// gossipNow tells the other combs at once.
-func (c *Comb) gossipNow(now time.Duration, lives []registry.Life) {
-	for _, m := range c.core.Peers(now) {
-		c.send(m.Addr, Message{Lives: lives})
+// broadcastInstances tells the other combs at once.
+func (c *Controller) broadcastInstances(now time.Duration, instances []registry.Instance) {
+	for _, peer := range c.coordinator.Peers(now) {
+		c.send(peer.Addr, Message{Instances: instances})
 	}
 }
 
 // gossip tells the other combs which replicas beat here, what changed lately, and all that is known to those that
 // were out of touch.
-func (c *Comb) gossip(now time.Duration) {
-	if now < c.gossipAt {
+func (c *Controller) gossip(now time.Duration) {
+	if now < c.nextGossipAt {
 		return
 	}
-	signs := c.reg.Signs(now, c.gossipAt-gossipEvery)
-	c.gossipAt = now + gossipEvery
-	c.revs = append(c.revs, revAt{now, c.reg.Rev()})
-	for len(c.revs) > 1 && now-c.revs[0].at > tellAgain {
-		c.revs = c.revs[1:]
+	heartbeats := c.registry.DirectHeartbeats(now, c.nextGossipAt-gossipInterval)
+	c.nextGossipAt = now + gossipInterval
+	c.gossipRevisions = append(c.gossipRevisions, revisionAt{now, c.registry.Revision()})
+	for len(c.gossipRevisions) > 1 && now-c.gossipRevisions[0].at > gossipRepeatPeriod {
+		c.gossipRevisions = c.gossipRevisions[1:]
 	}
-	lately := c.reg.Changes(now, c.revs[0].rev)
+	changes := c.registry.ChangesSince(now, c.gossipRevisions[0].revision)
 	fleet := messages.GatewaySummary{GatewayCount: len(c.streams)}
-	if c.windows().On() {
-		fleet = c.own(now)
+	if c.maintenanceState().On() {
+		fleet = c.localFleet(now)
 	}
-	for _, m := range c.core.Peers(now) {
-		if m.ID == "" {
+	for _, peer := range c.coordinator.Peers(now) {
+		if peer.ID == "" {
 			continue
 		}
-		touch := c.core.IsReachable(now, m.ID)
-		msg := Message{Lives: lately, Fleet: &fleet}
-		if touch && !c.touched[m.ID] {
-			msg.Lives = c.reg.Changes(now, registry.All)
+		connected := c.coordinator.IsReachable(now, peer.ID)
+		message := Message{Instances: changes, Fleet: &fleet}
+		if connected && !c.connectedPeers[peer.ID] {
+			message.Instances = c.registry.ChangesSince(now, registry.AllRevisions)
 		}
-		c.touched[m.ID] = touch
-		msg.Lives = with(msg.Lives, signs)
-		c.send(m.Addr, msg)
-	}
-	for _, id := range sortedKeys(c.fleets) {
-		if !c.core.IsReachable(now, id) {
-			delete(c.fleets, id)
-			delete(c.hived.elsewhat, id)
+		c.connectedPeers[peer.ID] = connected
+		message.Instances = mergeHeartbeats(message.Instances, heartbeats)
+		c.send(peer.Addr, message)
+	}
+	for _, id := range sortedKeys(c.peerGatewayCounts) {
+		if !c.coordinator.IsReachable(now, id) {
+			delete(c.peerGatewayCounts, id)
+			delete(c.maintenance.peerFleets, id)
 		}
 	}
 }
 
-// with adds the signs of life of replicas that are not told of anyway.
-func with(lives, signs []registry.Life) []registry.Life {
-	told := map[string]bool{}
-	for _, l := range lives {
-		told[l.ID] = true
+// mergeHeartbeats adds the signs of life of replicas that are not told of anyway.
+func mergeHeartbeats(instances, heartbeats []registry.Instance) []registry.Instance {
+	included := map[string]bool{}
+	for _, l := range instances {
+		included[l.ID] = true
 	}
-	lives = slices.Clone(lives)
-	for _, l := range signs {
-		if !told[l.ID] {
-			lives = append(lives, l)
+	instances = slices.Clone(instances)
+	for _, l := range heartbeats {
+		if !included[l.ID] {
+			instances = append(instances, l)
 		}
 	}
-	slices.SortStableFunc(lives, func(a, b registry.Life) int { return cmp.Compare(a.ID, b.ID) })
-	return lives
+	slices.SortStableFunc(instances, func(a, b registry.Instance) int { return cmp.Compare(a.ID, b.ID) })
+	return instances
 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/controlplane/controller/windows.go
+++ b/controlplane/controller/windows.go
@@ -14,214 +14,214 @@
 )
 
 const (
-	windowsNote = "windows"
-	driveEvery  = time.Second
-	freshFor    = 2500 * time.Millisecond // what a forager or another comb told of nodes counts for so long
-	sureAfter   = 3 * time.Second         // a comb that has just started does not know all nodes
-	triesMost   = 4                       // of a command, where others change the windows at the same moment
+	maintenanceNote      = "windows"
+	maintenanceInterval  = time.Second
+	fleetReportTTL       = 2500 * time.Millisecond // what a forager or another comb told of nodes counts for so long
+	fleetDiscoveryPeriod = 3 * time.Second         // a comb that has just started does not know all nodes
+	maxProposalAttempts  = 4                       // of a command, where others change the windows at the same moment
 )
 
-// hived is what the head has begun and waits for, and what it knows of nodes elsewhere.
-type hived struct {
-	rev      uint64
-	state    maintenance.State
-	drivesAt time.Duration
-	open     map[uint64]change        // by the core's token
-	elsewhat map[string]elsewhere     // by a comb's identity
-	drained  map[string]time.Duration // since when a node is known to be drained, by this comb's clock
-	proposed uint64
+// maintenanceTracker is what the head has begun and waits for, and what it knows of nodes elsewhere.
+type maintenanceTracker struct {
+	revision      uint64
+	state         maintenance.State
+	nextAdvanceAt time.Duration
+	proposals     map[uint64]proposal      // by the core's token
+	peerFleets    map[string]peerFleet     // by a comb's identity
+	drainedSince  map[string]time.Duration // since when a node is known to be drained, by this comb's clock
+	proposalCount uint64
 }
 
-type elsewhere struct {
-	at    time.Duration
-	fleet messages.GatewaySummary
+type peerFleet struct {
+	receivedAt time.Duration
+	fleet      messages.GatewaySummary
 }
 
-// change is a proposal for a note that waits for its commit.
-type change struct {
-	by      string
-	command *maintenance.Command // an operator's, that must be answered; nil: our own
-	token   uint64
-	tries   int
+// proposal is a proposal for a note that waits for its commit.
+type proposal struct {
+	id       string
+	command  *maintenance.Command // an operator's, that must be answered; nil: our own
+	token    uint64
+	attempts int
 }
 
-// windows is the state that is committed.
-func (c *Comb) windows() maintenance.State {
-	r, known := c.core.Register()
-	n, ok := r.Records[windowsNote]
+// maintenanceState is the state that is committed.
+func (c *Controller) maintenanceState() maintenance.State {
+	register, known := c.coordinator.Register()
+	note, ok := register.Records[maintenanceNote]
 	if !known || !ok {
 		return maintenance.State{}
 	}
-	if n.Revision != c.hived.rev {
-		var s maintenance.State
-		if err := cbor.Unmarshal(n.Value, &s); err != nil {
-			c.warn("windows_unreadable", "error", err.Error())
+	if note.Revision != c.maintenance.revision {
+		var state maintenance.State
+		if err := cbor.Unmarshal(note.Value, &state); err != nil {
+			c.logWarning("windows_unreadable", "error", err.Error())
 		}
-		c.hived.rev, c.hived.state = n.Revision, s
+		c.maintenance.revision, c.maintenance.state = note.Revision, state
 	}
-	return c.hived.state
+	return c.maintenance.state
 }
 
-// propose has the chain take another state of the windows, if nobody was faster.
-func (c *Comb) propose(now time.Duration, s maintenance.State, x change) {
-	value, err := cbor.Marshal(s)
+// proposeMaintenance has the chain take another state of the windows, if nobody was faster.
+func (c *Controller) proposeMaintenance(now time.Duration, state maintenance.State, proposal proposal) {
+	value, err := cbor.Marshal(state)
 	if err != nil {
-		c.warn("windows_unwritable", "error", err.Error())
+		c.logWarning("windows_unwritable", "error", err.Error())
 		return
 	}
-	r, _ := c.core.Register()
-	c.hived.proposed++
-	x.by = fmt.Sprintf("%s %d %d", c.core.Self().ID, c.set.Seed, c.hived.proposed)
-	token, a := c.core.Propose(now, chainreplication.Command{Record: windowsNote, ExpectedRevision: r.Records[windowsNote].Revision, ChangeID: x.by, Value: value})
-	c.hived.open[token] = x
-	c.do(now, a)
+	register, _ := c.coordinator.Register()
+	c.maintenance.proposalCount++
+	proposal.id = fmt.Sprintf("%s %d %d", c.coordinator.Self().ID, c.options.RandomSeed, c.maintenance.proposalCount)
+	token, a := c.coordinator.Propose(now, chainreplication.Command{Record: maintenanceNote, ExpectedRevision: register.Records[maintenanceNote].Revision, ChangeID: proposal.id, Value: value})
+	c.maintenance.proposals[token] = proposal
+	c.applyCoordinatorActions(now, a)
 }
 
-// proposed takes the core's answer to a proposal.
-func (c *Comb) proposed(now time.Duration, x change, status int) {
-	r, _ := c.core.Register()
+// handleProposalResult takes the core's answer to a proposal.
+func (c *Controller) handleProposalResult(now time.Duration, proposal proposal, status int) {
+	register, _ := c.coordinator.Register()
 	switch {
-	case x.command == nil:
+	case proposal.command == nil:
 	case status != http.StatusOK:
-		c.answer(Answer{Token: x.token, Status: status})
-	case r.Records[windowsNote].HasChange(x.by):
-		c.answer(Answer{Token: x.token, Status: http.StatusOK})
-	case x.tries < triesMost:
-		c.command(now, x.token, x.command, x.tries+1)
+		c.respond(Response{Token: proposal.token, Status: status})
+	case register.Records[maintenanceNote].HasChange(proposal.id):
+		c.respond(Response{Token: proposal.token, Status: http.StatusOK})
+	case proposal.attempts < maxProposalAttempts:
+		c.handleMaintenanceCommand(now, proposal.token, proposal.command, proposal.attempts+1)
 	default:
-		c.answer(Answer{Token: x.token, Status: http.StatusServiceUnavailable})
+		c.respond(Response{Token: proposal.token, Status: http.StatusServiceUnavailable})
 	}
 }
 
-// command takes an operator's.
-func (c *Comb) command(now time.Duration, token uint64, w *maintenance.Command, tries int) {
-	if _, known := c.core.Register(); !known || !c.core.HasQuorumContact(now) {
-		c.answer(Answer{Token: token, Status: http.StatusServiceUnavailable})
+// handleMaintenanceCommand takes an operator's.
+func (c *Controller) handleMaintenanceCommand(now time.Duration, token uint64, command *maintenance.Command, attempts int) {
+	if _, known := c.coordinator.Register(); !known || !c.coordinator.HasQuorumContact(now) {
+		c.respond(Response{Token: token, Status: http.StatusServiceUnavailable})
 		return
 	}
-	next, err := c.windows().Apply(*w)
+	next, err := c.maintenanceState().Apply(*command)
 	if err != nil {
-		c.answer(Answer{Token: token, Status: http.StatusConflict, Body: []byte(err.Error())})
+		c.respond(Response{Token: token, Status: http.StatusConflict, Body: []byte(err.Error())})
 		return
 	}
-	c.propose(now, next, change{command: w, token: token, tries: tries})
+	c.proposeMaintenance(now, next, proposal{command: command, token: token, attempts: attempts})
 }
 
-// drive has the head grant, take back and note what nodes have said.
-func (c *Comb) drive(now time.Duration) {
-	if now < c.hived.drivesAt || len(c.hived.open) > 0 {
+// advanceMaintenance has the head grant, take back and note what nodes have said.
+func (c *Controller) advanceMaintenance(now time.Duration) {
+	if now < c.maintenance.nextAdvanceAt || len(c.maintenance.proposals) > 0 {
 		return
 	}
-	c.hived.drivesAt = now + driveEvery
-	s := c.windows()
-	if !s.On() || c.core.View().Position(c.core.Self().ID) != 0 || !c.core.HasQuorumContact(now) {
-		clear(c.hived.drained)
+	c.maintenance.nextAdvanceAt = now + maintenanceInterval
+	state := c.maintenanceState()
+	if !state.On() || c.coordinator.View().Position(c.coordinator.Self().ID) != 0 || !c.coordinator.HasQuorumContact(now) {
+		clear(c.maintenance.drainedSince)
 		return
 	}
-	next, changed := s.Next(c.fleet(now))
-	for _, w := range s.Windows { // a window that was drained for as long as it was to take is over
-		if changed || w.Phase != maintenance.Drained || w.Takes <= 0 {
+	next, changed := state.Next(c.knownFleet(now))
+	for _, window := range state.Windows { // a window that was drained for as long as it was to take is over
+		if changed || window.Phase != maintenance.Drained || window.Takes <= 0 {
 			continue
 		}
-		if _, ok := c.hived.drained[w.Node]; !ok {
-			c.hived.drained[w.Node] = now
+		if _, ok := c.maintenance.drainedSince[window.Node]; !ok {
+			c.maintenance.drainedSince[window.Node] = now
 		}
-		if now-c.hived.drained[w.Node] >= time.Duration(w.Takes)*time.Second {
-			delete(c.hived.drained, w.Node)
-			next, changed = s.Over(w.Node)
+		if now-c.maintenance.drainedSince[window.Node] >= time.Duration(window.Takes)*time.Second {
+			delete(c.maintenance.drainedSince, window.Node)
+			next, changed = state.Over(window.Node)
 		}
 	}
 	if changed {
-		if n := len(next.Audit); n > 0 && (len(s.Audit) == 0 || next.Audit[n-1] != s.Audit[len(s.Audit)-1]) {
-			c.note("window", "what", next.Audit[n-1])
+		if n := len(next.Audit); n > 0 && (len(state.Audit) == 0 || next.Audit[n-1] != state.Audit[len(state.Audit)-1]) {
+			c.logInfo("window", "what", next.Audit[n-1])
 		}
-		c.propose(now, next, change{})
+		c.proposeMaintenance(now, next, proposal{})
 	}
 }
 
-// own lists the nodes of this comb's streams.
-func (c *Comb) own(now time.Duration) messages.GatewaySummary {
-	f := messages.GatewaySummary{GatewayCount: len(c.streams)}
+// localFleet lists the nodes of this comb's streams.
+func (c *Controller) localFleet(now time.Duration) messages.GatewaySummary {
+	fleet := messages.GatewaySummary{GatewayCount: len(c.streams)}
 	load := map[[2]string]float64{}
-	for _, s := range c.streams {
-		if s.bee == nil || now-s.beeAt > freshFor {
+	for _, stream := range c.streams {
+		if stream.status == nil || now-stream.statusAt > fleetReportTTL {
 			continue
 		}
-		n := maintenance.Node{Serving: s.bee.Ready && s.bee.Phase == maintenance.Serving, Phase: s.bee.Phase, Fence: s.bee.FencingToken}
-		n.Name, n.Zone, n.Region, n.Carries = s.name, s.zone, c.set.Regions[s.zone], s.bee.CapacityByGroup
-		f.Nodes = append(f.Nodes, n)
-		for g, x := range s.bee.LoadByGroup {
-			load[[2]string{n.Region, g}] += x
+		node := maintenance.Node{Serving: stream.status.Ready && stream.status.Phase == maintenance.Serving, Phase: stream.status.Phase, Fence: stream.status.FencingToken}
+		node.Name, node.Zone, node.Region, node.Carries = stream.gateway, stream.zone, c.options.RegionByZone[stream.zone], stream.status.CapacityByGroup
+		fleet.Nodes = append(fleet.Nodes, node)
+		for group, rate := range stream.status.LoadByGroup {
+			load[[2]string{node.Region, group}] += rate
 		}
 	}
-	for _, l := range c.windows().Agreed {
-		if x := load[[2]string{l.Region, l.Group}]; x > 0 {
-			f.Load = append(f.Load, messages.GroupLoad{Region: l.Region, Group: l.Group, RequestsPerSecond: x})
+	for _, agreed := range c.maintenanceState().Agreed {
+		if rate := load[[2]string{agreed.Region, agreed.Group}]; rate > 0 {
+			fleet.Load = append(fleet.Load, messages.GroupLoad{Region: agreed.Region, Group: agreed.Group, RequestsPerSecond: rate})
 		}
 	}
-	return f
+	return fleet
 }
 
-// fleet is what is known of all nodes.
-func (c *Comb) fleet(now time.Duration) maintenance.Fleet {
-	f := maintenance.Fleet{Load: map[string]map[string]float64{}, Sure: now > sureAfter}
-	named := map[string]bool{}
-	take := func(x messages.GatewaySummary) {
-		for _, n := range x.Nodes {
-			if !named[n.Name] { // it may just have changed sides
-				named[n.Name] = true
-				f.Nodes = append(f.Nodes, n)
+// knownFleet is what is known of all nodes.
+func (c *Controller) knownFleet(now time.Duration) maintenance.Fleet {
+	fleet := maintenance.Fleet{Load: map[string]map[string]float64{}, Sure: now > fleetDiscoveryPeriod}
+	seen := map[string]bool{}
+	merge := func(reported messages.GatewaySummary) {
+		for _, node := range reported.Nodes {
+			if !seen[node.Name] { // it may just have changed sides
+				seen[node.Name] = true
+				fleet.Nodes = append(fleet.Nodes, node)
 			}
 		}
-		for _, l := range x.Load {
-			if f.Load[l.Region] == nil {
-				f.Load[l.Region] = map[string]float64{}
+		for _, load := range reported.Load {
+			if fleet.Load[load.Region] == nil {
+				fleet.Load[load.Region] = map[string]float64{}
 			}
-			f.Load[l.Region][l.Group] += l.RequestsPerSecond
+			fleet.Load[load.Region][load.Group] += load.RequestsPerSecond
 		}
 	}
-	take(c.own(now))
-	for _, m := range c.core.Peers(now) {
-		if m.ID == "" || !c.core.IsReachable(now, m.ID) {
+	merge(c.localFleet(now))
+	for _, peer := range c.coordinator.Peers(now) {
+		if peer.ID == "" || !c.coordinator.IsReachable(now, peer.ID) {
 			continue // its foragers go elsewhere within a second
 		}
-		if x, ok := c.hived.elsewhat[m.ID]; ok && now-x.at <= freshFor {
-			take(x.fleet)
+		if reported, ok := c.maintenance.peerFleets[peer.ID]; ok && now-reported.receivedAt <= fleetReportTTL {
+			merge(reported.fleet)
 		} else {
-			f.Sure = false
+			fleet.Sure = false
 		}
 	}
-	return f
+	return fleet
 }
 
-// Shown is what operators see of windows.
-type Shown struct {
+// MaintenanceStatus is what operators see of windows.
+type MaintenanceStatus struct {
 	maintenance.State
-	Nodes   []ShownNode                   `json:"fleet"`
-	Load    map[string]map[string]float64 `json:"load"`
-	Missing []string                      `json:"missing"` // floors that are not kept now
-	Sure    bool                          `json:"sure"`
+	Nodes         []NodeStatus                  `json:"fleet"`
+	Load          map[string]map[string]float64 `json:"load"`
+	UnmetFloors   []string                      `json:"missing"` // floors that are not kept now
+	FleetComplete bool                          `json:"sure"`
 }
 
-// ShownNode is one node.
-type ShownNode struct {
-	Node    string             `json:"node"`
-	Zone    string             `json:"zone"`
-	Region  string             `json:"region"`
-	Serving bool               `json:"serving"`
-	Phase   maintenance.Phase  `json:"phase"`
-	Carries map[string]float64 `json:"carries"`
+// NodeStatus is one node.
+type NodeStatus struct {
+	Node         string             `json:"node"`
+	Zone         string             `json:"zone"`
+	Region       string             `json:"region"`
+	Serving      bool               `json:"serving"`
+	Phase        maintenance.Phase  `json:"phase"`
+	RequestRates map[string]float64 `json:"carries"`
 }
 
-// Windows tells operators how windows stand, as this comb knows.
-func (c *Comb) Windows(now time.Duration) ([]byte, error) {
-	f := c.fleet(now)
-	s := Shown{State: c.windows(), Load: f.Load, Sure: f.Sure, Nodes: []ShownNode{}, Missing: []string{}}
-	for _, n := range f.Nodes {
-		s.Nodes = append(s.Nodes, ShownNode{n.Name, n.Zone, n.Region, n.Serving, n.Phase, n.Carries})
+// DescribeMaintenance tells operators how windows stand, as this comb knows.
+func (c *Controller) DescribeMaintenance(now time.Duration) ([]byte, error) {
+	fleet := c.knownFleet(now)
+	status := MaintenanceStatus{State: c.maintenanceState(), Load: fleet.Load, FleetComplete: fleet.Sure, Nodes: []NodeStatus{}, UnmetFloors: []string{}}
+	for _, node := range fleet.Nodes {
+		status.Nodes = append(status.Nodes, NodeStatus{node.Name, node.Zone, node.Region, node.Serving, node.Phase, node.Carries})
 	}
-	for _, x := range s.State.Missing(f, s.State.Out) {
-		s.Missing = append(s.Missing, x.String())
+	for _, floor := range status.State.Missing(fleet, status.State.Out) {
+		status.UnmetFloors = append(status.UnmetFloors, floor.String())
 	}
-	return json.MarshalIndent(s, "", "  ")
+	return json.MarshalIndent(status, "", "  ")
 }
--- a/controlplane/coordinator/core.go
+++ b/controlplane/coordinator/core.go
@@ -41,7 +41,7 @@
 
 	// Lives are kept as a hint only: a comb that comes back after a loss of all machines would else know those few
 	// replicas that beat first, and have all traffic sent to them.
-	Instances []registry.Life `cbor:"5,keyasint,omitempty"`
+	Instances []registry.Instance `cbor:"5,keyasint,omitempty"`
 }
 
 // DecodePersistentState reads what lies on disk.
@@ -150,7 +150,7 @@
 // Hints are what is kept beside the lasting state, and may be lost.
 type Hints interface {
 	Revision() uint64 // moves when Lives changes
-	Instances() []registry.Life
+	Instances() []registry.Instance
 }
 
 // New makes a core from what was on disk.
--- a/controlplane/coordinator/core_test.go
+++ b/controlplane/coordinator/core_test.go
@@ -15,8 +15,8 @@
 
 type noHints struct{}
 
-func (noHints) Revision() uint64           { return 0 }
-func (noHints) Instances() []registry.Life { return nil }
+func (noHints) Revision() uint64               { return 0 }
+func (noHints) Instances() []registry.Instance { return nil }
 
 // testMember is a core machine: its engine, its disk, its clock, and what came while it stood still.
 type testMember struct {
--- a/controlplane/registry/capacity_test.go
+++ b/controlplane/registry/capacity_test.go
@@ -12,71 +12,71 @@
 	"zincloft.example/zincloft/internal/sizes"
 )
 
-var users = flag.Bool("users", false, "benchmarks of capacity also at the users' size, whose filling takes ten minutes of a core")
+var usersSize = flag.Bool("users", false, "benchmarks of capacity also at the users' size, whose filling takes ten minutes of a core")
 
 // Each size is three times the one before; the one after them is the users'. docs/CAPACITY.md has the figures.
 func capacitySizes() []int {
-	if *users {
+	if *usersSize {
 		return []int{580, 1740, 5220, 15700, 47000}
 	}
 	return []int{580, 1740, 5220, 15700}
 }
 
-func fleet(n int) []registry.Life {
+func fleet(n int) []registry.Instance {
 	f := sizes.Users()
 	f.Replicas, f.Services = n, max(n/36, 1)
 	return f.Lives()
 }
 
-var filled = map[int]*registry.Registry{} // filling costs the square of the size, so it is done once for all that leave it as it is
+var filledRegistries = map[int]*registry.Registry{} // filling costs the square of the size, so it is done once for all that leave it as it is
 
-func full(n int) (*registry.Registry, []registry.Life) {
-	lives := fleet(n)
-	if filled[n] == nil {
-		filled[n] = registry.New(time.Hour)
-		filled[n].Merge(0, lives)
+func filledRegistry(n int) (*registry.Registry, []registry.Instance) {
+	instances := fleet(n)
+	if filledRegistries[n] == nil {
+		filledRegistries[n] = registry.New(time.Hour)
+		filledRegistries[n].Merge(0, instances)
 	}
-	return filled[n], lives
+	return filledRegistries[n], instances
 }
 
 // BenchmarkCapacityFill has an empty registry hear of all replicas, as a comb that starts does.
 func BenchmarkCapacityFill(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			lives := fleet(n)
+			instances := fleet(n)
 			b.ReportAllocs()
 			for b.Loop() {
-				filled[n] = registry.New(time.Hour)
-				filled[n].Merge(0, lives)
+				filledRegistries[n] = registry.New(time.Hour)
+				filledRegistries[n].Merge(0, instances)
 			}
 		})
 	}
 }
 
-// BenchmarkCapacityBeat is a beat that tells nothing new.
-func BenchmarkCapacityBeat(b *testing.B) {
+// BenchmarkCapacityHeartbeat is a beat that tells nothing new.
+func BenchmarkCapacityHeartbeat(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			r, lives := full(n)
+			r, instances := filledRegistry(n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				l := lives[i%n]
-				l.Seq = uint64(i/n + 2) // of later runs: late ones, at the same cost
-				r.Beat(time.Duration(i)*1500*time.Millisecond/time.Duration(n), l)
+				heartbeat := instances[i%n]
+				heartbeat.Sequence = uint64(i/n + 2) // of later runs: late ones, at the same cost
+				r.Heartbeat(time.Duration(i)*1500*time.Millisecond/time.Duration(n), heartbeat)
 			}
 		})
 	}
 }
 
-// BenchmarkCapacityChanges lists the changes of one revision, as each forager has it done whenever something is new;
+// BenchmarkCapacityChangesSince lists the changes of one revision, as each forager has it done whenever something is new;
 // BenchmarkCapacitySigns what a comb tells the others each second where a third of the replicas beat at it.
-func BenchmarkCapacityChanges(b *testing.B) {
+func BenchmarkCapacityChangesSince(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			r, _ := full(n)
+			r, _ := filledRegistry(n)
 			b.ReportAllocs()
 			for b.Loop() {
-				if len(r.Changes(time.Second, r.Rev()-1)) != 1 {
+				if len(r.ChangesSince(time.Second, r.Revision()-1)) != 1 {
 					b.Fatal("one change was to be listed")
 				}
 			}
@@ -84,17 +84,17 @@
 	}
 }
 
-func BenchmarkCapacitySigns(b *testing.B) {
+func BenchmarkCapacityDirectHeartbeats(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			r, lives := full(n)
-			for _, l := range lives[:n/3] {
-				r.Beat(50*time.Minute, l)
+			r, instances := filledRegistry(n)
+			for _, l := range instances[:n/3] {
+				r.Heartbeat(50*time.Minute, l)
 			}
 			bytes := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				raw, err := cbor.Marshal(r.Signs(51*time.Minute, 50*time.Minute))
+				raw, err := cbor.Marshal(r.DirectHeartbeats(51*time.Minute, 50*time.Minute))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -109,7 +109,7 @@
 func BenchmarkCapacityExpire(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			r, _ := full(n)
+			r, _ := filledRegistry(n)
 			for b.Loop() {
 				r.Expire(time.Second)
 			}
@@ -117,19 +117,19 @@
 	}
 }
 
-// BenchmarkCapacityArrival is a first beat of a replica, at an address of its own; it ends again and is forgotten by a sweep,
+// BenchmarkCapacityNewInstance is a first beat of a replica, at an address of its own; it ends again and is forgotten by a sweep,
 // so that the registry keeps its size.
-func BenchmarkCapacityArrival(b *testing.B) {
+func BenchmarkCapacityNewInstance(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			r, lives := full(n)
+			r, instances := filledRegistry(n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now := time.Duration(i) * time.Microsecond
-				l := lives[i%n]
-				l.ID, l.Addr = fmt.Sprintf("%s-%d", l.ID, i), fmt.Sprintf("10.200.%d.%d:80", i>>8&255, i&255)
-				r.Beat(now, l)
-				r.Leave(now-2*time.Minute, l.ID)
+				instance := instances[i%n]
+				instance.ID, instance.Addr = fmt.Sprintf("%s-%d", instance.ID, i), fmt.Sprintf("10.200.%d.%d:80", i>>8&255, i&255)
+				r.Heartbeat(now, instance)
+				r.Deregister(now-2*time.Minute, instance.ID)
 				r.Expire(now)
 			}
 		})
--- a/controlplane/registry/registry.go
+++ b/controlplane/registry/registry.go
@@ -12,259 +12,261 @@
 )
 
 const (
-	coldEarly  = 400 * time.Millisecond // a cold end that comes so much sooner is news
-	coldLate   = 20 * time.Millisecond  // one that comes so much later: as it turned cold anew; less is the beat's way
-	silentMost = 30 * time.Second       // after so long a silent one is taken for gone
-	keepGone   = 60 * time.Second       // ended ids are remembered for so long, against late words of them
-	doubtOnce  = 10 * time.Second       // one that was settled is not taken over again from combs that still have it
-	doubtGrace = 50 * time.Millisecond  // a beat may have been under way when its zone was given back
+	warmupEarlierThreshold     = 400 * time.Millisecond // a cold end that comes so much sooner is news
+	warmupLaterThreshold       = 20 * time.Millisecond  // one that comes so much later: as it turned cold anew; less is the beat's way
+	deregistrationTimeout      = 30 * time.Second       // after so long a silent one is taken for gone
+	deregisteredRetention      = 60 * time.Second       // ended ids are remembered for so long, against late words of them
+	warmthUnknownMergeInterval = 10 * time.Second       // one that was settled is not taken over again from combs that still have it
+	warmthUnknownGrace         = 50 * time.Millisecond  // a beat may have been under way when its zone was given back
 )
 
-// Life is one life of a replica, as it is told from governor to governor.
-type Life struct {
-	ID       string `cbor:"1,keyasint"`
-	Service  string `cbor:"2,keyasint,omitempty"`
-	Addr     string `cbor:"3,keyasint,omitempty"`
-	Zone     string `cbor:"4,keyasint,omitempty"`
-	Slots    int    `cbor:"5,keyasint,omitempty"`
-	Draining bool   `cbor:"6,keyasint,omitempty"`
-	Gone     bool   `cbor:"7,keyasint,omitempty"`
-	Cold     int64  `cbor:"8,keyasint,omitempty"` // milliseconds that it stays cold
-	Seq      uint64 `cbor:"9,keyasint,omitempty"`
-	Age      int64  `cbor:"10,keyasint,omitempty"` // milliseconds since it beat
-	Doubt    bool   `cbor:"11,keyasint,omitempty"` // it may have turned cold: its zone was just given back
+// Instance is one life of a replica, as it is told from governor to governor.
+type Instance struct {
+	ID                 string `cbor:"1,keyasint"`
+	Service            string `cbor:"2,keyasint,omitempty"`
+	Addr               string `cbor:"3,keyasint,omitempty"`
+	Zone               string `cbor:"4,keyasint,omitempty"`
+	Slots              int    `cbor:"5,keyasint,omitempty"`
+	Draining           bool   `cbor:"6,keyasint,omitempty"`
+	Deregistered       bool   `cbor:"7,keyasint,omitempty"`
+	WarmupMillis       int64  `cbor:"8,keyasint,omitempty"` // milliseconds that it stays cold
+	Sequence           uint64 `cbor:"9,keyasint,omitempty"`
+	HeartbeatAgeMillis int64  `cbor:"10,keyasint,omitempty"` // milliseconds since it beat
+	WarmthUnknown      bool   `cbor:"11,keyasint,omitempty"` // it may have turned cold: its zone was just given back
 
 	// Silent is one governor's own judgement, and is taken back by the next sign of life. It is never taken over from
 	// others nor final: a comb that was frozen has heard nobody, and must not end the whole fleet when it wakes.
-	Silent bool `cbor:"12,keyasint,omitempty"`
+	HeartbeatTimedOut bool `cbor:"12,keyasint,omitempty"`
 
 	// Old: known from a disk that holds its zone as evacuated, or from a forager that heard no comb for long. It may have
 	// turned cold since. Who knows the replica otherwise passes over that; who does not takes it for cold until there is a
 	// newer word.
-	Old bool `cbor:"13,keyasint,omitempty"`
+	Stale bool `cbor:"13,keyasint,omitempty"`
 }
 
-type entry struct {
-	Life
-	heard     time.Duration // last beat, by this clock
-	direct    time.Duration // last beat to this comb
-	coldUntil time.Duration
-	endedAt   time.Duration
-	rev       uint64
-	doubtAt   time.Duration
-	doubtSeq  uint64
+type record struct {
+	Instance
+	lastHeartbeat         time.Duration // last beat, by this clock
+	lastDirectHeartbeat   time.Duration // last beat to this comb
+	warmupUntil           time.Duration
+	deregisteredAt        time.Duration
+	revision              uint64
+	warmthUnknownSince    time.Duration
+	warmthUnknownSequence uint64
 }
 
 // Registry holds lives. The zero value is not ready; use New.
 type Registry struct {
-	lives map[string]*entry
-	ids   []string // in order: what goes over all lives must not depend on the map's
-	rev   uint64
-	most  time.Duration // silence after which a replica counts as gone
+	records          map[string]*record
+	sortedIDs        []string // in order: what goes over all lives must not depend on the map's
+	revision         uint64
+	heartbeatTimeout time.Duration // silence after which a replica counts as gone
 }
 
 // New makes a registry in which a replica silent for so long counts as gone.
-func New(most time.Duration) *Registry { return &Registry{lives: map[string]*entry{}, most: most} }
+func New(heartbeatTimeout time.Duration) *Registry {
+	return &Registry{records: map[string]*record{}, heartbeatTimeout: heartbeatTimeout}
+}
 
-// Rev is the number of the newest change.
-func (r *Registry) Rev() uint64 { return r.rev }
+// Revision is the number of the newest change.
+func (r *Registry) Revision() uint64 { return r.revision }
 
-func (r *Registry) news(e *entry) { r.rev++; e.rev = r.rev }
+func (r *Registry) markChanged(changed *record) { r.revision++; changed.revision = r.revision }
 
-// Beat takes a replica's own word and tells whether anything is new, and whether that must not wait.
-func (r *Registry) Beat(now time.Duration, l Life) (news, urgent bool) {
-	l.Age, l.Doubt, l.Old = 0, false, false
-	news, urgent = r.take(now, l, true)
-	if e := r.lives[l.ID]; e != nil {
-		e.direct = now
+// Heartbeat takes a replica's own word and tells whether anything is new, and whether that must not wait.
+func (r *Registry) Heartbeat(now time.Duration, heartbeat Instance) (changed, urgent bool) {
+	heartbeat.HeartbeatAgeMillis, heartbeat.WarmthUnknown, heartbeat.Stale = 0, false, false
+	changed, urgent = r.apply(now, heartbeat, true)
+	if known := r.records[heartbeat.ID]; known != nil {
+		known.lastDirectHeartbeat = now
 	}
 	return
 }
 
-func (r *Registry) take(now time.Duration, l Life, direct bool) (news, urgent bool) {
-	e := r.lives[l.ID]
-	l.Silent = false
-	if e == nil {
-		e = &entry{Life: l, heard: now - time.Duration(l.Age)*time.Millisecond, coldUntil: now + time.Duration(l.Cold)*time.Millisecond, direct: -time.Hour}
-		if l.Gone {
-			e.endedAt = now
+func (r *Registry) apply(now time.Duration, update Instance, direct bool) (changed, urgent bool) {
+	known := r.records[update.ID]
+	update.HeartbeatTimedOut = false
+	if known == nil {
+		known = &record{Instance: update, lastHeartbeat: now - time.Duration(update.HeartbeatAgeMillis)*time.Millisecond, warmupUntil: now + time.Duration(update.WarmupMillis)*time.Millisecond, lastDirectHeartbeat: -time.Hour}
+		if update.Deregistered {
+			known.deregisteredAt = now
 		}
-		e.doubtAt, e.doubtSeq = now, l.Seq
-		r.lives[l.ID] = e
-		i, _ := slices.BinarySearch(r.ids, l.ID)
-		r.ids = slices.Insert(r.ids, i, l.ID)
-		r.news(e)
-		urgent = l.Draining || l.Gone
+		known.warmthUnknownSince, known.warmthUnknownSequence = now, update.Sequence
+		r.records[update.ID] = known
+		i, _ := slices.BinarySearch(r.sortedIDs, update.ID)
+		r.sortedIDs = slices.Insert(r.sortedIDs, i, update.ID)
+		r.markChanged(known)
+		urgent = update.Draining || update.Deregistered
 		if direct {
-			for _, id := range r.ids { // an address is one replica's at a time: who had it before has ended
-				if o := r.lives[id]; o != e && o.Addr == l.Addr && !o.Gone {
-					o.Gone, o.endedAt, urgent = true, now, true
-					r.news(o)
+			for _, id := range r.sortedIDs { // an address is one replica's at a time: who had it before has ended
+				if other := r.records[id]; other != known && other.Addr == update.Addr && !other.Deregistered {
+					other.Deregistered, other.deregisteredAt, urgent = true, now, true
+					r.markChanged(other)
 				}
 			}
 		}
 		return true, urgent
 	}
-	if e.Gone {
+	if known.Deregistered {
 		return false, false
 	}
-	if l.Gone {
-		e.Gone, e.endedAt = true, now
-		r.news(e)
+	if update.Deregistered {
+		known.Deregistered, known.deregisteredAt = true, now
+		r.markChanged(known)
 		return true, true
 	}
-	if l.Draining && !e.Draining {
-		e.Draining, news, urgent = true, true, true
+	if update.Draining && !known.Draining {
+		known.Draining, changed, urgent = true, true, true
 	}
-	if e.Old && !l.Old && l.Seq >= e.Seq {
-		e.Old, news = false, true
-		e.coldUntil = max(e.coldUntil, now+time.Duration(l.Cold)*time.Millisecond)
-		if l.Doubt {
-			e.Doubt, e.doubtAt, e.doubtSeq = true, now, l.Seq
+	if known.Stale && !update.Stale && update.Sequence >= known.Sequence {
+		known.Stale, changed = false, true
+		known.warmupUntil = max(known.warmupUntil, now+time.Duration(update.WarmupMillis)*time.Millisecond)
+		if update.WarmthUnknown {
+			known.WarmthUnknown, known.warmthUnknownSince, known.warmthUnknownSequence = true, now, update.Sequence
 		}
 	}
-	if l.Seq > e.Seq {
-		if l.Doubt && !e.Doubt && !l.Old && now-e.doubtAt > doubtOnce { // this comb missed that its zone was given back
-			e.Doubt, e.doubtAt, e.doubtSeq, news = true, now, l.Seq, true
+	if update.Sequence > known.Sequence {
+		if update.WarmthUnknown && !known.WarmthUnknown && !update.Stale && now-known.warmthUnknownSince > warmthUnknownMergeInterval { // this comb missed that its zone was given back
+			known.WarmthUnknown, known.warmthUnknownSince, known.warmthUnknownSequence, changed = true, now, update.Sequence, true
 		}
-		e.Seq, e.heard = l.Seq, max(e.heard, now-time.Duration(l.Age)*time.Millisecond)
-		if e.Silent && now-e.heard < r.most {
-			e.Silent, news = false, true
+		known.Sequence, known.lastHeartbeat = update.Sequence, max(known.lastHeartbeat, now-time.Duration(update.HeartbeatAgeMillis)*time.Millisecond)
+		if known.HeartbeatTimedOut && now-known.lastHeartbeat < r.heartbeatTimeout {
+			known.HeartbeatTimedOut, changed = false, true
 		}
-		until := now + time.Duration(l.Cold)*time.Millisecond
+		until := now + time.Duration(update.WarmupMillis)*time.Millisecond
 		// Only a beat of after the doubt settles it: where beats were lost on the way, one of before it may be two further on.
-		since := now-time.Duration(l.Age)*time.Millisecond > e.doubtAt+doubtGrace
-		settled := !e.Doubt || since && (direct || l.Seq >= e.doubtSeq+2)
-		if settled && e.Doubt {
-			e.Doubt, news = false, true
+		since := now-time.Duration(update.HeartbeatAgeMillis)*time.Millisecond > known.warmthUnknownSince+warmthUnknownGrace
+		settled := !known.WarmthUnknown || since && (direct || update.Sequence >= known.warmthUnknownSequence+2)
+		if settled && known.WarmthUnknown {
+			known.WarmthUnknown, changed = false, true
 		}
-		if l.Cold > 0 && until > e.coldUntil+coldLate || until < e.coldUntil-coldEarly {
-			e.coldUntil, news = until, true
+		if update.WarmupMillis > 0 && until > known.warmupUntil+warmupLaterThreshold || until < known.warmupUntil-warmupEarlierThreshold {
+			known.warmupUntil, changed = until, true
 		}
-		if l.Addr != "" && (e.Addr != l.Addr || e.Slots != l.Slots || e.Service != l.Service) {
-			e.Addr, e.Slots, e.Service, e.Zone, news = l.Addr, l.Slots, l.Service, l.Zone, true
+		if update.Addr != "" && (known.Addr != update.Addr || known.Slots != update.Slots || known.Service != update.Service) {
+			known.Addr, known.Slots, known.Service, known.Zone, changed = update.Addr, update.Slots, update.Service, update.Zone, true
 		}
 	}
-	if news {
-		r.news(e)
+	if changed {
+		r.markChanged(known)
 	}
-	return news, urgent
+	return changed, urgent
 }
 
-// Leave takes a replica's word that it ends.
-func (r *Registry) Leave(now time.Duration, id string) bool {
-	news, _ := r.take(now, Life{ID: id, Gone: true}, true)
-	return news
+// Deregister takes a replica's word that it ends.
+func (r *Registry) Deregister(now time.Duration, id string) bool {
+	changed, _ := r.apply(now, Instance{ID: id, Deregistered: true}, true)
+	return changed
 }
 
 // Merge takes what another governor tells. It returns whether anything is new and whether that must not wait.
-func (r *Registry) Merge(now time.Duration, lives []Life) (news, urgent bool) {
-	for _, l := range lives {
-		if l.Addr == "" && !l.Gone && r.lives[l.ID] == nil {
+func (r *Registry) Merge(now time.Duration, instances []Instance) (changed, urgent bool) {
+	for _, instance := range instances {
+		if instance.Addr == "" && !instance.Deregistered && r.records[instance.ID] == nil {
 			continue // a sign of life of one that is not known yet
 		}
-		n, u := r.take(now, l, false)
-		news, urgent = news || n, urgent || u
+		n, u := r.apply(now, instance, false)
+		changed, urgent = changed || n, urgent || u
 	}
 	return
 }
 
 // Expire marks lives that have been silent too long, and forgets those that ended long ago.
-func (r *Registry) Expire(now time.Duration) (silent []string) {
-	old := 0
-	for _, id := range r.ids {
-		switch e := r.lives[id]; {
-		case e.Gone && now-e.endedAt > keepGone:
-			delete(r.lives, id)
-			old++
-		case !e.Gone && now-e.heard > silentMost:
-			e.Gone, e.endedAt = true, now
-			r.news(e)
-		case !e.Gone && !e.Silent && now-e.heard > r.most:
-			e.Silent = true
-			r.news(e)
-			silent = append(silent, id)
+func (r *Registry) Expire(now time.Duration) (timedOut []string) {
+	forgotten := 0
+	for _, id := range r.sortedIDs {
+		switch known := r.records[id]; {
+		case known.Deregistered && now-known.deregisteredAt > deregisteredRetention:
+			delete(r.records, id)
+			forgotten++
+		case !known.Deregistered && now-known.lastHeartbeat > deregistrationTimeout:
+			known.Deregistered, known.deregisteredAt = true, now
+			r.markChanged(known)
+		case !known.Deregistered && !known.HeartbeatTimedOut && now-known.lastHeartbeat > r.heartbeatTimeout:
+			known.HeartbeatTimedOut = true
+			r.markChanged(known)
+			timedOut = append(timedOut, id)
 		}
 	}
-	if old > 0 {
-		r.ids = slices.DeleteFunc(r.ids, func(id string) bool { return r.lives[id] == nil })
+	if forgotten > 0 {
+		r.sortedIDs = slices.DeleteFunc(r.sortedIDs, func(id string) bool { return r.records[id] == nil })
 	}
-	return silent
+	return timedOut
 }
 
-// Excuse moves all signs of life forward, after this governor was held up or cut off and could hear nobody.
-func (r *Registry) Excuse(now time.Duration) {
-	for _, id := range r.ids {
-		e := r.lives[id]
-		e.heard = max(e.heard, now-r.most/2)
-		if e.Silent {
-			e.Silent = false
-			r.news(e)
+// ExtendHeartbeats moves all signs of life forward, after this governor was held up or cut off and could hear nobody.
+func (r *Registry) ExtendHeartbeats(now time.Duration) {
+	for _, id := range r.sortedIDs {
+		known := r.records[id]
+		known.lastHeartbeat = max(known.lastHeartbeat, now-r.heartbeatTimeout/2)
+		if known.HeartbeatTimedOut {
+			known.HeartbeatTimedOut = false
+			r.markChanged(known)
 		}
 	}
 }
 
-// Doubt takes the replicas of a zone for cold until they have said more: its evacuation has just ended.
-func (r *Registry) Doubt(now time.Duration, zone string) {
-	for _, id := range r.ids {
-		if e := r.lives[id]; e.Zone == zone && !e.Gone {
-			e.Doubt, e.doubtAt, e.doubtSeq = true, now, e.Seq
-			r.news(e)
+// MarkWarmthUnknown takes the replicas of a zone for cold until they have said more: its evacuation has just ended.
+func (r *Registry) MarkWarmthUnknown(now time.Duration, zone string) {
+	for _, id := range r.sortedIDs {
+		if known := r.records[id]; known.Zone == zone && !known.Deregistered {
+			known.WarmthUnknown, known.warmthUnknownSince, known.warmthUnknownSequence = true, now, known.Sequence
+			r.markChanged(known)
 		}
 	}
 }
 
-func (e *entry) told(now time.Duration) Life {
-	l := e.Life
-	l.Cold = max((e.coldUntil - now).Milliseconds(), 0)
-	l.Age = max((now - e.heard).Milliseconds(), 0)
-	return l
+func (r *record) snapshot(now time.Duration) Instance {
+	instance := r.Instance
+	instance.WarmupMillis = max((r.warmupUntil - now).Milliseconds(), 0)
+	instance.HeartbeatAgeMillis = max((now - r.lastHeartbeat).Milliseconds(), 0)
+	return instance
 }
 
-// All stands for the first revision: every life, also the ended ones.
-const All = 0
+// AllRevisions stands for the first revision: every life, also the ended ones.
+const AllRevisions = 0
 
-// Changes lists the lives that changed after a revision, oldest change first.
-func (r *Registry) Changes(now time.Duration, since uint64) []Life {
-	var all []*entry
-	for _, e := range r.lives {
-		if e.rev > since {
-			all = append(all, e)
+// ChangesSince lists the lives that changed after a revision, oldest change first.
+func (r *Registry) ChangesSince(now time.Duration, since uint64) []Instance {
+	var changed []*record
+	for _, known := range r.records {
+		if known.revision > since {
+			changed = append(changed, known)
 		}
 	}
-	slices.SortFunc(all, func(a, b *entry) int { return cmp.Compare(a.rev, b.rev) })
-	lives := make([]Life, len(all))
-	for i, e := range all {
-		lives[i] = e.told(now)
+	slices.SortFunc(changed, func(a, b *record) int { return cmp.Compare(a.revision, b.revision) })
+	instances := make([]Instance, len(changed))
+	for i, known := range changed {
+		instances[i] = known.snapshot(now)
 	}
-	return lives
+	return instances
 }
 
-// Signs lists the replicas that beat at this comb since a moment, without what does not change.
-func (r *Registry) Signs(now, since time.Duration) []Life {
-	var all []Life
-	for id, e := range r.lives {
-		if e.direct >= since && !e.Gone {
-			all = append(all, Life{ID: id, Seq: e.Seq, Cold: e.told(now).Cold, Age: e.told(now).Age})
+// DirectHeartbeats lists the replicas that beat at this comb since a moment, without what does not change.
+func (r *Registry) DirectHeartbeats(now, since time.Duration) []Instance {
+	var instances []Instance
+	for id, known := range r.records {
+		if known.lastDirectHeartbeat >= since && !known.Deregistered {
+			instances = append(instances, Instance{ID: id, Sequence: known.Sequence, WarmupMillis: known.snapshot(now).WarmupMillis, HeartbeatAgeMillis: known.snapshot(now).HeartbeatAgeMillis})
 		}
 	}
-	slices.SortFunc(all, func(a, b Life) int { return cmp.Compare(a.ID, b.ID) })
-	return all
+	slices.SortFunc(instances, func(a, b Instance) int { return cmp.Compare(a.ID, b.ID) })
+	return instances
 }
 
 // Get is a life that has not ended.
-func (r *Registry) Get(now time.Duration, id string) (Life, bool) {
-	if e := r.lives[id]; e != nil && !e.Gone {
-		return e.told(now), true
+func (r *Registry) Get(now time.Duration, id string) (Instance, bool) {
+	if known := r.records[id]; known != nil && !known.Deregistered {
+		return known.snapshot(now), true
 	}
-	return Life{}, false
+	return Instance{}, false
 }
 
 // Each calls f for every life that has not ended, in the order of ids.
-func (r *Registry) Each(now time.Duration, f func(Life)) {
-	for _, id := range r.ids {
-		if e := r.lives[id]; !e.Gone {
-			f(e.told(now))
+func (r *Registry) Each(now time.Duration, visit func(Instance)) {
+	for _, id := range r.sortedIDs {
+		if known := r.records[id]; !known.Deregistered {
+			visit(known.snapshot(now))
 		}
 	}
 }
--- a/controlplane/weighting/capacity_test.go
+++ b/controlplane/weighting/capacity_test.go
@@ -13,43 +13,43 @@
 	"zincloft.example/zincloft/messages"
 )
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// part is so much of the users' fleet as one of ten combs steers: all replicas and services, a tenth of the foragers.
-func part(x float64) sizes.Fleet {
+// fleetPart is so much of the users' fleet as one of ten combs steers: all replicas and services, a tenth of the foragers.
+func fleetPart(x float64) sizes.Fleet {
 	f := sizes.Users().Part(x)
 	f.Foragers = max(f.Foragers/10, 1)
 	return f
 }
 
-type table struct {
-	*weighting.Steer
-	lives []registry.Life
+type filledTable struct {
+	*weighting.Manager
+	lives []registry.Instance
 	f     sizes.Fleet
 }
 
-func steered(b *testing.B, f sizes.Fleet) *table {
+func newFilledTable(b *testing.B, f sizes.Fleet) *filledTable {
 	c, err := gatewayconfig.Parse(f.Configuration(1, 8))
 	if err != nil {
 		b.Fatal(err)
 	}
 	zones := []string{sizes.Zone(0), sizes.Zone(1), sizes.Zone(2)}
-	t := &table{weighting.New(weighting.Site{Seed: 1, Zone: zones[0], Zones: zones, Combs: 10, LinkMbps: 1000, DrainGrace: 2 * time.Second}), f.Lives(), f}
+	t := &filledTable{weighting.New(weighting.Options{RandomSeed: 1, Zone: zones[0], Zones: zones, Members: 10, LinkMbps: 1000, DrainGrace: 2 * time.Second}), f.Lives(), f}
 	t.Configure(time.Second, c, f.Foragers*10)
-	t.Lives(time.Second, t.lives)
+	t.UpdateInstances(time.Second, t.lives)
 	for i := range f.Foragers {
-		t.Join(time.Second, fmt.Sprintf("f%04d", i), zones[i%3])
+		t.AddGateway(time.Second, fmt.Sprintf("f%04d", i), zones[i%3])
 	}
 	return t
 }
 
 // report is what a forager met in a second: 70 requests, each to another replica.
-func (t *table) report(i int) *messages.LoadReport {
+func (t *filledTable) report(i int) *messages.LoadReport {
 	r := &messages.LoadReport{PeriodMillis: 1000, Requests: map[string]int{}}
 	for j := range min(70, len(t.lives)) {
 		l := t.lives[(i*70+j*7919)%len(t.lives)]
@@ -65,28 +65,28 @@
 // BenchmarkCapacitySecond is a second of a comb's module: ten ticks, a report of each forager, and the lines taken for each.
 func BenchmarkCapacitySecond(b *testing.B) {
 	for _, x := range capacityParts {
-		f := part(x)
+		f := fleetPart(x)
 		b.Run(fmt.Sprintf("n=%d", f.Replicas), func(b *testing.B) {
-			before := heap()
-			t := steered(b, f)
+			before := heapBytes()
+			t := newFilledTable(b, f)
 			now, lines, seconds := time.Second, 0, 0
 			second := func() {
 				for i := range f.Foragers {
-					t.Report(now, fmt.Sprintf("f%04d", i), t.report(i+seconds))
+					t.RecordReport(now, fmt.Sprintf("f%04d", i), t.report(i+seconds))
 				}
 				for range 10 {
 					now += 100 * time.Millisecond
 					t.Tick(now)
 				}
 				for i := range f.Foragers {
-					lines += len(t.Lines(fmt.Sprintf("f%04d", i)))
+					lines += len(t.TakeWeightChanges(fmt.Sprintf("f%04d", i)))
 				}
 				seconds++
 			}
 			for range 3 { // the first tables go out
 				second()
 			}
-			held := float64(heap()) - float64(before)
+			held := float64(heapBytes()) - float64(before)
 			lines, seconds = 0, 0
 			b.ReportAllocs()
 			for b.Loop() {
@@ -103,12 +103,12 @@
 // BenchmarkCapacityReport takes one forager's report.
 func BenchmarkCapacityReport(b *testing.B) {
 	for _, x := range capacityParts {
-		f := part(x)
+		f := fleetPart(x)
 		b.Run(fmt.Sprintf("n=%d", f.Replicas), func(b *testing.B) {
-			t := steered(b, f)
+			t := newFilledTable(b, f)
 			r := t.report(0)
 			for i := 0; b.Loop(); i++ {
-				t.Report(time.Second, "f0000", r)
+				t.RecordReport(time.Second, "f0000", r)
 				if i%64 == 63 { // what waits for a tick is kept small
 					b.StopTimer()
 					t.Tick(time.Second)
@@ -122,14 +122,14 @@
 // BenchmarkCapacityConfigure starts the governors of all services.
 func BenchmarkCapacityConfigure(b *testing.B) {
 	for _, x := range capacityParts {
-		f := part(x)
+		f := fleetPart(x)
 		b.Run(fmt.Sprintf("n=%d", f.Replicas), func(b *testing.B) {
 			c, err := gatewayconfig.Parse(f.Configuration(1, 8))
 			if err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				weighting.New(weighting.Site{Seed: 1, Zone: sizes.Zone(0), Zones: []string{sizes.Zone(0)}, Combs: 10, LinkMbps: 1000}).Configure(time.Second, c, f.Foragers*10)
+				weighting.New(weighting.Options{RandomSeed: 1, Zone: sizes.Zone(0), Zones: []string{sizes.Zone(0)}, Members: 10, LinkMbps: 1000}).Configure(time.Second, c, f.Foragers*10)
 			}
 		})
 	}
--- a/controlplane/weighting/steer.go
+++ b/controlplane/weighting/steer.go
@@ -22,359 +22,359 @@
 )
 
 const (
-	// Period is the report period.
-	Period = time.Second
+	// ReportPeriod is the report period.
+	ReportPeriod = time.Second
 
-	lineBytes   = 40      // of a line on the wire, with its part of the frame
-	linkPart    = 0.1     // of a forager's link, for tables
-	linesMost   = 20000.0 // lines a second that a channel is taken to drain at the most
-	headLines   = 2       // lines that a message costs besides its own
-	travelMost  = 300 * time.Millisecond
-	warmMost    = 10 * time.Second // design: the ramp's length
-	coldFrom    = 0.3              // share of its capacity with which a replica starts
-	fallTimes   = 2.0              // it falls over under so many times its present capacity
-	fallWithin  = time.Second
-	bareMost    = 5 * time.Second
-	listForever = time.Hour // the list is pushed, never asked for
+	endpointWeightBytes    = 40      // of a line on the wire, with its part of the frame
+	linkShare              = 0.1     // of a forager's link, for tables
+	maxWeightsPerSecond    = 20000.0 // lines a second that a channel is taken to drain at the most
+	messageOverheadWeights = 2       // lines that a message costs besides its own
+	maxPropagationDelay    = 300 * time.Millisecond
+	maxWarmupDuration      = 10 * time.Second // design: the ramp's length
+	warmupInitialShare     = 0.3              // share of its capacity with which a replica starts
+	overloadMultiple       = 2.0              // it falls over under so many times its present capacity
+	overloadTimeout        = time.Second
+	maxEmptyTableDuration  = 5 * time.Second
+	instanceListTTL        = time.Hour // the list is pushed, never asked for
 
-	recordsMost = 4096 // of reports that are searched for failing pairs, a service and period
-	pairsMost   = 512  // failing pairs that are remembered, a service
-	recordHalf  = 2 * Period
-	recordMost  = 10 * Period
+	maxRecordsPerPeriod = 4096 // of reports that are searched for failing pairs, a service and period
+	maxFailingPairs     = 512  // failing pairs that are remembered, a service
+	recordHalfLife      = 2 * ReportPeriod
+	maxRecordAge        = 10 * ReportPeriod
 )
 
-// Site is what all fleets of a comb share.
-type Site struct {
-	Seed       uint64
+// Options is what all fleets of a comb share.
+type Options struct {
+	RandomSeed uint64
 	Zone       string
 	Zones      []string // in order
-	Combs      int
+	Members    int
 	LinkMbps   float64
 	DrainGrace time.Duration
 }
 
-type fleet struct {
-	g       rules.Governor
-	ids     map[string]rules.ReplicaID
-	names   map[rules.ReplicaID]string
-	next    rules.ReplicaID
-	tables  map[rules.TableID]map[rules.ReplicaID]float64
-	bound   map[rules.ProxyID]rules.TableID
-	wakeAt  time.Duration
-	mark    uint64
-	waits   bool
-	version uint16
-	pending []rules.Event
-	intake  *intake.Intake // finds pairs of a forager and a replica that fail
+type serviceGovernor struct {
+	governor      rules.Governor
+	replicaIDs    map[string]rules.ReplicaID
+	replicaNames  map[rules.ReplicaID]string
+	nextReplicaID rules.ReplicaID
+	tables        map[rules.TableID]map[rules.ReplicaID]float64
+	tableByProxy  map[rules.ProxyID]rules.TableID
+	wakeAt        time.Duration
+	wakeMark      uint64
+	wakePending   bool
+	version       uint16
+	pending       []rules.Event
+	intake        *intake.Intake // finds pairs of a forager and a replica that fail
 }
 
-// Steer is one comb's part. Its calls are not made side by side.
-type Steer struct {
-	site     Site
-	fleets   map[string]*fleet
-	proxies  map[string]rules.ProxyID
-	foragers map[rules.ProxyID]string
-	zoneOf   map[string]rules.ZoneID
-	next     rules.ProxyID
-	dirty    map[string]map[string]float64 // by forager and replica: weights to be told
-	shuns    map[string]map[string]bool    // likewise: shut out at that forager alone, or let in again
-	joined   map[string]rules.Joined
+// Manager is one comb's part. Its calls are not made side by side.
+type Manager struct {
+	options          Options
+	services         map[string]*serviceGovernor
+	proxyIDs         map[string]rules.ProxyID
+	gatewayByProxy   map[rules.ProxyID]string
+	zoneIDs          map[string]rules.ZoneID
+	nextProxyID      rules.ProxyID
+	pendingWeights   map[string]map[string]float64 // by forager and replica: weights to be told
+	pendingEjections map[string]map[string]bool    // likewise: shut out at that forager alone, or let in again
+	joined           map[string]rules.Joined
 }
 
 // New makes one without services.
-func New(site Site) *Steer {
-	s := &Steer{site: site, fleets: map[string]*fleet{}, proxies: map[string]rules.ProxyID{}, foragers: map[rules.ProxyID]string{},
-		zoneOf: map[string]rules.ZoneID{}, dirty: map[string]map[string]float64{}, shuns: map[string]map[string]bool{}, joined: map[string]rules.Joined{}}
-	for i, z := range site.Zones {
-		s.zoneOf[z] = rules.ZoneID(i)
+func New(options Options) *Manager {
+	m := &Manager{options: options, services: map[string]*serviceGovernor{}, proxyIDs: map[string]rules.ProxyID{}, gatewayByProxy: map[rules.ProxyID]string{},
+		zoneIDs: map[string]rules.ZoneID{}, pendingWeights: map[string]map[string]float64{}, pendingEjections: map[string]map[string]bool{}, joined: map[string]rules.Joined{}}
+	for i, z := range options.Zones {
+		m.zoneIDs[z] = rules.ZoneID(i)
 	}
-	return s
+	return m
 }
 
-func at(now time.Duration) rules.Time { return rules.Time(now + time.Hour) } // a governor's clock does not start at nothing
+func governorTime(now time.Duration) rules.Time { return rules.Time(now + time.Hour) } // a governor's clock does not start at nothing
 
 // Configure starts a governor for each service that has none, and ends those of services that are gone.
-func (s *Steer) Configure(now time.Duration, c *gatewayconfig.Config, foragers int) {
-	for name := range s.fleets {
-		if _, ok := c.Services[name]; !ok {
-			delete(s.fleets, name)
+func (m *Manager) Configure(now time.Duration, config *gatewayconfig.Config, gatewayCount int) {
+	for name := range m.services {
+		if _, ok := config.Services[name]; !ok {
+			delete(m.services, name)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.Services)) {
-		if s.fleets[name] != nil {
+	for _, name := range slices.Sorted(maps.Keys(config.Services)) {
+		if m.services[name] != nil {
 			continue
 		}
-		f := &fleet{ids: map[string]rules.ReplicaID{}, names: map[rules.ReplicaID]string{}, next: 1,
-			tables: map[rules.TableID]map[rules.ReplicaID]float64{}, bound: map[rules.ProxyID]rules.TableID{},
-			intake: intake.New(intake.Settings{Seed: s.site.Seed, Period: Period, Budget: recordsMost, HalfLife: recordHalf, MostAge: recordMost, Pairs: pairsMost,
-				Zones: max(len(s.site.Zones), 1)})}
-		s.fleets[name] = f
-		in := []rules.Event{rules.Start{Seed: s.site.Seed, Settings: s.settings(c, name, foragers)}, rules.List{Scope: rules.Whole}}
-		for _, forager := range slices.Sorted(maps.Keys(s.joined)) {
-			in = append(in, s.joined[forager])
-			f.intake.Join(s.joined[forager].Proxy, s.joined[forager].Zone)
+		governor := &serviceGovernor{replicaIDs: map[string]rules.ReplicaID{}, replicaNames: map[rules.ReplicaID]string{}, nextReplicaID: 1,
+			tables: map[rules.TableID]map[rules.ReplicaID]float64{}, tableByProxy: map[rules.ProxyID]rules.TableID{},
+			intake: intake.New(intake.Settings{Seed: m.options.RandomSeed, Period: ReportPeriod, Budget: maxRecordsPerPeriod, HalfLife: recordHalfLife, MostAge: maxRecordAge, Pairs: maxFailingPairs,
+				Zones: max(len(m.options.Zones), 1)})}
+		m.services[name] = governor
+		in := []rules.Event{rules.Start{Seed: m.options.RandomSeed, Settings: m.governorSettings(config, name, gatewayCount)}, rules.List{Scope: rules.Whole}}
+		for _, gateway := range slices.Sorted(maps.Keys(m.joined)) {
+			in = append(in, m.joined[gateway])
+			governor.intake.Join(m.joined[gateway].Proxy, m.joined[gateway].Zone)
 		}
-		s.step(now, f, in)
+		m.step(now, governor, in)
 	}
 }
 
-func (s *Steer) settings(c *gatewayconfig.Config, service string, foragers int) rules.Settings {
-	svc := c.Services[service]
+func (m *Manager) governorSettings(config *gatewayconfig.Config, service string, gatewayCount int) rules.Settings {
+	svc := config.Services[service]
 	budget, expiry := 2*time.Second, 10*time.Second
-	for _, r := range c.RoutesTo(service) {
-		if r.Target > 0 {
-			budget = min(budget, r.Target)
+	for _, r := range config.RoutesToService(service) {
+		if r.LatencyTarget > 0 {
+			budget = min(budget, r.LatencyTarget)
 		}
 		if r.Timeout > 0 {
 			expiry = min(expiry, r.Timeout)
 		}
 	}
-	pace := min(s.site.LinkMbps*1e6/8*linkPart/lineBytes, linesMost)
+	pace := min(m.options.LinkMbps*1e6/8*linkShare/endpointWeightBytes, maxWeightsPerSecond)
 	return rules.Settings{
 		Groups:    []rules.TrafficGroup{{Name: service, LatencyBudget: budget, Expiry: expiry, Utility: 1, Effect: rules.Retriable}},
-		Governors: s.site.Combs, Proxies: max(foragers, 1), Zone: s.zoneOf[s.site.Zone], Zones: max(len(s.site.Zones), 1),
-		Levels: rules.LevelIgnored, Period: Period, LinePace: pace, LineCap: pace, HeadLines: headLines, TravelMost: travelMost,
+		Governors: m.options.Members, Proxies: max(gatewayCount, 1), Zone: m.zoneIDs[m.options.Zone], Zones: max(len(m.options.Zones), 1),
+		Levels: rules.LevelIgnored, Period: ReportPeriod, LinePace: pace, LineCap: pace, HeadLines: messageOverheadWeights, TravelMost: maxPropagationDelay,
 		MessageSpan: 10 * time.Second, FirstWait: 1, LinksLeast: float64(svc.MaxConnections), LinkIdle: 10 * time.Second,
-		BareMost: bareMost, DrainGrace: s.site.DrainGrace, AskWithin: listForever, WarmAfter: max(min(svc.ColdStart, warmMost), Period),
-		ColdFrom: coldFrom, FallMultiple: fallTimes, FallAfter: fallWithin,
+		BareMost: maxEmptyTableDuration, DrainGrace: m.options.DrainGrace, AskWithin: instanceListTTL, WarmAfter: max(min(svc.WarmupDuration, maxWarmupDuration), ReportPeriod),
+		ColdFrom: warmupInitialShare, FallMultiple: overloadMultiple, FallAfter: overloadTimeout,
 	}
 }
 
-// Lives takes in word of replicas.
-func (s *Steer) Lives(now time.Duration, lives []registry.Life) {
+// UpdateInstances takes in word of replicas.
+func (m *Manager) UpdateInstances(now time.Duration, instances []registry.Instance) {
 	entries := map[string][]rules.Entry{}
-	for _, l := range lives {
-		f := s.fleets[l.Service]
-		if f == nil {
+	for _, instance := range instances {
+		governor := m.services[instance.Service]
+		if governor == nil {
 			continue
 		}
-		id, known := f.ids[l.ID]
+		id, known := governor.replicaIDs[instance.ID]
 		if !known {
-			if l.Gone {
+			if instance.Deregistered {
 				continue
 			}
-			id = f.next
-			f.next++
-			f.ids[l.ID], f.names[id] = id, l.ID
+			id = governor.nextReplicaID
+			governor.nextReplicaID++
+			governor.replicaIDs[instance.ID], governor.replicaNames[id] = id, instance.ID
 		}
-		e := rules.Entry{Replica: id, Zone: s.zoneOf[l.Zone], State: rules.Ready, Listed: float64(max(l.Slots, 1))}
+		entry := rules.Entry{Replica: id, Zone: m.zoneIDs[instance.Zone], State: rules.Ready, Listed: float64(max(instance.Slots, 1))}
 		switch {
-		case l.Gone:
-			e.State = rules.Gone
-		case l.Draining || l.Silent:
-			e.State = rules.Draining
+		case instance.Deregistered:
+			entry.State = rules.Gone
+		case instance.Draining || instance.HeartbeatTimedOut:
+			entry.State = rules.Draining
 		}
-		if l.Cold > 0 || l.Doubt {
-			e.StartedAt = at(now) // it is spared by its grant; here it only ramps
+		if instance.WarmupMillis > 0 || instance.WarmthUnknown {
+			entry.StartedAt = governorTime(now) // it is spared by its grant; here it only ramps
 		}
-		entries[l.Service] = append(entries[l.Service], e)
+		entries[instance.Service] = append(entries[instance.Service], entry)
 	}
 	for _, name := range slices.Sorted(maps.Keys(entries)) {
-		s.step(now, s.fleets[name], []rules.Event{rules.List{Scope: rules.Changes, Entries: entries[name]}})
+		m.step(now, m.services[name], []rules.Event{rules.List{Scope: rules.Changes, Entries: entries[name]}})
 	}
 }
 
-// Join takes in a forager, which holds nothing.
-func (s *Steer) Join(now time.Duration, forager, zone string) {
-	s.Leave(now, forager)
-	s.next++
-	id := s.next
-	s.proxies[forager], s.foragers[id] = id, forager
-	s.dirty[forager] = map[string]float64{}
-	s.joined[forager] = rules.Joined{Proxy: id, Zone: s.zoneOf[zone], Rate: 1, Fresh: true}
-	s.each(now, func(f *fleet) []rules.Event {
-		f.intake.Join(id, s.joined[forager].Zone)
-		return []rules.Event{s.joined[forager]}
+// AddGateway takes in a forager, which holds nothing.
+func (m *Manager) AddGateway(now time.Duration, gateway, zone string) {
+	m.RemoveGateway(now, gateway)
+	m.nextProxyID++
+	id := m.nextProxyID
+	m.proxyIDs[gateway], m.gatewayByProxy[id] = id, gateway
+	m.pendingWeights[gateway] = map[string]float64{}
+	m.joined[gateway] = rules.Joined{Proxy: id, Zone: m.zoneIDs[zone], Rate: 1, Fresh: true}
+	m.stepAll(now, func(f *serviceGovernor) []rules.Event {
+		f.intake.Join(id, m.joined[gateway].Zone)
+		return []rules.Event{m.joined[gateway]}
 	})
 }
 
-// Leave takes a forager out.
-func (s *Steer) Leave(now time.Duration, forager string) {
-	id, ok := s.proxies[forager]
+// RemoveGateway takes a forager out.
+func (m *Manager) RemoveGateway(now time.Duration, gateway string) {
+	id, ok := m.proxyIDs[gateway]
 	if !ok {
 		return
 	}
-	delete(s.proxies, forager)
-	delete(s.foragers, id)
-	delete(s.dirty, forager)
-	delete(s.shuns, forager)
-	delete(s.joined, forager)
-	s.each(now, func(f *fleet) []rules.Event {
-		delete(f.bound, id)
+	delete(m.proxyIDs, gateway)
+	delete(m.gatewayByProxy, id)
+	delete(m.pendingWeights, gateway)
+	delete(m.pendingEjections, gateway)
+	delete(m.joined, gateway)
+	m.stepAll(now, func(f *serviceGovernor) []rules.Event {
+		delete(f.tableByProxy, id)
 		f.intake.Leave(id)
 		return []rules.Event{rules.Left{Proxy: id}}
 	})
 }
 
-func (s *Steer) each(now time.Duration, in func(*fleet) []rules.Event) {
-	for _, name := range slices.Sorted(maps.Keys(s.fleets)) {
-		f := s.fleets[name]
-		if e := in(f); len(e) > 0 {
-			s.step(now, f, e)
+func (m *Manager) stepAll(now time.Duration, eventsFor func(*serviceGovernor) []rules.Event) {
+	for _, name := range slices.Sorted(maps.Keys(m.services)) {
+		governor := m.services[name]
+		if e := eventsFor(governor); len(e) > 0 {
+			m.step(now, governor, e)
 		}
 	}
 }
 
-// Report takes what a forager met. It also tells that the forager has applied what it was told before.
-func (s *Steer) Report(now time.Duration, forager string, r *messages.LoadReport) {
-	id, ok := s.proxies[forager]
-	if !ok || r.PeriodMillis <= 0 {
+// RecordReport takes what a forager met. It also tells that the forager has applied what it was told before.
+func (m *Manager) RecordReport(now time.Duration, gateway string, report *messages.LoadReport) {
+	proxyID, ok := m.proxyIDs[gateway]
+	if !ok || report.PeriodMillis <= 0 {
 		return
 	}
-	over := time.Duration(r.PeriodMillis) * time.Millisecond
-	for name, f := range s.fleets {
-		f.pending = append(f.pending, rules.Applied{Proxy: id, Version: f.version})
-		if n := r.Requests[name]; n > 0 {
-			f.pending = append(f.pending, rules.Intake{Proxy: id, Flows: n, Over: over})
+	over := time.Duration(report.PeriodMillis) * time.Millisecond
+	for name, governor := range m.services {
+		governor.pending = append(governor.pending, rules.Applied{Proxy: proxyID, Version: governor.version})
+		if n := report.Requests[name]; n > 0 {
+			governor.pending = append(governor.pending, rules.Intake{Proxy: proxyID, Flows: n, Over: over})
 		}
 	}
-	batches := map[*fleet]*intake.Batch{}
-	for _, x := range r.Endpoints {
-		for _, f := range s.fleets {
-			rid, ok := f.ids[x.Replica]
-			if !ok || x.Attempts <= 0 {
+	batches := map[*serviceGovernor]*intake.Batch{}
+	for _, stats := range report.Endpoints {
+		for _, governor := range m.services {
+			replicaID, ok := governor.replicaIDs[stats.Replica]
+			if !ok || stats.Attempts <= 0 {
 				continue
 			}
-			rep := rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
-			if x.Slots > 0 {
-				rep.Util, rep.InFlight = min(float64(x.Running)/float64(x.Slots), 1), float64(x.Running+x.Waiting)
+			replicaReport := rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
+			if stats.Slots > 0 {
+				replicaReport.Util, replicaReport.InFlight = min(float64(stats.Running)/float64(stats.Slots), 1), float64(stats.Running+stats.Waiting)
 			}
-			f.pending = append(f.pending, rules.Sums{Replica: rid, Zone: s.joined[forager].Zone, Tries: x.Attempts, Dropped: min(x.Dropped, x.Attempts),
-				Took: time.Duration(x.MeanLatencyMicros) * time.Microsecond, Over: over, Report: rep})
-			b := batches[f]
-			if b == nil {
-				b = &intake.Batch{Proxy: id, Over: over, Read: at(now)}
-				batches[f] = b
+			governor.pending = append(governor.pending, rules.Sums{Replica: replicaID, Zone: m.joined[gateway].Zone, Tries: stats.Attempts, Dropped: min(stats.Dropped, stats.Attempts),
+				Took: time.Duration(stats.MeanLatencyMicros) * time.Microsecond, Over: over, Report: replicaReport})
+			batch := batches[governor]
+			if batch == nil {
+				batch = &intake.Batch{Proxy: proxyID, Over: over, Read: governorTime(now)}
+				batches[governor] = batch
 			}
-			b.Records = append(b.Records, intake.Record{Replica: rid, Tries: x.Attempts, Dropped: min(x.Dropped, x.Attempts), Took: time.Duration(x.MeanLatencyMicros) * time.Microsecond,
-				Report: rep})
+			batch.Records = append(batch.Records, intake.Record{Replica: replicaID, Tries: stats.Attempts, Dropped: min(stats.Dropped, stats.Attempts), Took: time.Duration(stats.MeanLatencyMicros) * time.Microsecond,
+				Report: replicaReport})
 		}
 	}
-	for f, b := range batches {
-		f.intake.Take(at(now), b)
+	for governor, batch := range batches {
+		governor.intake.Take(governorTime(now), batch)
 	}
 }
 
 // Tick lets time pass.
-func (s *Steer) Tick(now time.Duration) {
-	s.each(now, func(f *fleet) []rules.Event {
-		in := f.pending
-		f.pending = nil
-		if f.waits && now >= f.wakeAt {
-			f.waits = false
-			in = append(in, rules.Wake{Mark: f.mark})
+func (m *Manager) Tick(now time.Duration) {
+	m.stepAll(now, func(governor *serviceGovernor) []rules.Event {
+		in := governor.pending
+		governor.pending = nil
+		if governor.wakePending && now >= governor.wakeAt {
+			governor.wakePending = false
+			in = append(in, rules.Wake{Mark: governor.wakeMark})
 		}
-		if f.intake.Due(at(now)) {
-			in = append(in, f.intake.Cut(at(now))...)
+		if governor.intake.Due(governorTime(now)) {
+			in = append(in, governor.intake.Cut(governorTime(now))...)
 		}
 		return in
 	})
 }
 
-func (s *Steer) step(now time.Duration, f *fleet, in []rules.Event) {
-	for _, o := range f.g.Step(at(now), in) {
-		switch o := o.(type) {
+func (m *Manager) step(now time.Duration, governor *serviceGovernor, in []rules.Event) {
+	for _, output := range governor.governor.Step(governorTime(now), in) {
+		switch o := output.(type) {
 		case rules.WakeAfter:
-			f.waits, f.wakeAt, f.mark = true, now+o.After, o.Mark
+			governor.wakePending, governor.wakeAt, governor.wakeMark = true, now+o.After, o.Mark
 		case rules.Mark:
-			f.version = o.Version
+			governor.version = o.Version
 		case rules.Line:
-			t := f.tables[o.Table]
+			t := governor.tables[o.Table]
 			if t == nil {
 				t = map[rules.ReplicaID]float64{}
-				f.tables[o.Table] = t
+				governor.tables[o.Table] = t
 			}
 			t[o.Replica] = o.Weight // also 0: a forager that comes later may hold another comb's weight
-			s.spread(f, o.Table, o.Replica, o.Weight)
+			m.queueWeight(governor, o.Table, o.Replica, o.Weight)
 		case rules.ClearTable:
-			for id := range f.tables[o.Table] {
-				s.spread(f, o.Table, id, 0)
+			for id := range governor.tables[o.Table] {
+				m.queueWeight(governor, o.Table, id, 0)
 			}
-			delete(f.tables, o.Table)
+			delete(governor.tables, o.Table)
 		case rules.Bind:
-			f.bound[o.Proxy] = o.Table
-			s.whole(f, o.Proxy)
+			governor.tableByProxy[o.Proxy] = o.Table
+			m.queueTable(governor, o.Proxy)
 		case rules.Shun:
-			if name, d := f.names[o.Replica], s.shuns[s.foragers[o.Proxy]]; name != "" && s.foragers[o.Proxy] != "" {
+			if name, d := governor.replicaNames[o.Replica], m.pendingEjections[m.gatewayByProxy[o.Proxy]]; name != "" && m.gatewayByProxy[o.Proxy] != "" {
 				if d == nil {
 					d = map[string]bool{}
-					s.shuns[s.foragers[o.Proxy]] = d
+					m.pendingEjections[m.gatewayByProxy[o.Proxy]] = d
 				}
 				d[name] = o.Out
 			}
 		case rules.Forget:
-			f.intake.Forget(o.Replica)
-			for _, t := range f.tables {
+			governor.intake.Forget(o.Replica)
+			for _, t := range governor.tables {
 				delete(t, o.Replica)
 			}
-			delete(f.ids, f.names[o.Replica])
-			delete(f.names, o.Replica)
+			delete(governor.replicaIDs, governor.replicaNames[o.Replica])
+			delete(governor.replicaNames, o.Replica)
 		}
 	}
 }
 
-// spread has a changed line told to the foragers on its table.
-func (s *Steer) spread(f *fleet, t rules.TableID, id rules.ReplicaID, w float64) {
-	name, ok := f.names[id]
+// queueWeight has a changed line told to the foragers on its table.
+func (m *Manager) queueWeight(governor *serviceGovernor, t rules.TableID, id rules.ReplicaID, w float64) {
+	name, ok := governor.replicaNames[id]
 	if !ok {
 		return
 	}
-	for p, table := range f.bound {
-		if d := s.dirty[s.foragers[p]]; table == t && d != nil {
+	for p, table := range governor.tableByProxy {
+		if d := m.pendingWeights[m.gatewayByProxy[p]]; table == t && d != nil {
 			d[name] = w
 		}
 	}
 }
 
-// whole has a forager told a whole table.
-func (s *Steer) whole(f *fleet, p rules.ProxyID) {
-	d := s.dirty[s.foragers[p]]
+// queueTable has a forager told a whole table.
+func (m *Manager) queueTable(governor *serviceGovernor, p rules.ProxyID) {
+	d := m.pendingWeights[m.gatewayByProxy[p]]
 	if d == nil {
 		return
 	}
-	for id, name := range f.names {
-		if w, ok := f.tables[f.bound[p]][id]; ok {
+	for id, name := range governor.replicaNames {
+		if w, ok := governor.tables[governor.tableByProxy[p]][id]; ok {
 			d[name] = w
 		}
 	}
 }
 
-// Lines takes what a forager is to be told, in the order of the replicas' names.
-func (s *Steer) Lines(forager string) []messages.EndpointWeight {
-	d := s.dirty[forager]
-	if len(d) == 0 {
+// TakeWeightChanges takes what a forager is to be told, in the order of the replicas' names.
+func (m *Manager) TakeWeightChanges(gateway string) []messages.EndpointWeight {
+	pending := m.pendingWeights[gateway]
+	if len(pending) == 0 {
 		return nil
 	}
-	lines := make([]messages.EndpointWeight, 0, len(d))
-	for name, w := range d {
+	lines := make([]messages.EndpointWeight, 0, len(pending))
+	for name, w := range pending {
 		lines = append(lines, messages.EndpointWeight{Replica: name, Weight: float32(w)})
 	}
 	slices.SortFunc(lines, func(a, b messages.EndpointWeight) int { return cmp.Compare(a.Replica, b.Replica) })
-	clear(d)
+	clear(pending)
 	return lines
 }
 
-// Shuns takes which replicas a forager is to shut out, or to let in again, for itself alone: in the order of their names.
-func (s *Steer) Shuns(forager string) []messages.PairEjection {
-	d := s.shuns[forager]
-	if len(d) == 0 {
+// TakePairEjections takes which replicas a forager is to shut out, or to let in again, for itself alone: in the order of their names.
+func (m *Manager) TakePairEjections(gateway string) []messages.PairEjection {
+	pending := m.pendingEjections[gateway]
+	if len(pending) == 0 {
 		return nil
 	}
-	out := make([]messages.PairEjection, 0, len(d))
-	for _, name := range slices.Sorted(maps.Keys(d)) {
-		out = append(out, messages.PairEjection{Replica: name, Ejected: d[name]})
+	out := make([]messages.PairEjection, 0, len(pending))
+	for _, name := range slices.Sorted(maps.Keys(pending)) {
+		out = append(out, messages.PairEjection{Replica: name, Ejected: pending[name]})
 	}
-	clear(d)
+	clear(pending)
 	return out
 }
 
 // Weights is the table of a service that a forager is on, by the replicas' ids.
-func (s *Steer) Weights(service, forager string) map[string]float64 {
+func (m *Manager) Weights(service, gateway string) map[string]float64 {
 	out := map[string]float64{}
-	if f := s.fleets[service]; f != nil {
-		for id, w := range f.tables[f.bound[s.proxies[forager]]] {
+	if governor := m.services[service]; governor != nil {
+		for id, w := range governor.tables[governor.tableByProxy[m.proxyIDs[gateway]]] {
 			if w > 0 {
-				out[f.names[id]] = w
+				out[governor.replicaNames[id]] = w
 			}
 		}
 	}
--- a/dataplane/loadbalancer/cold_test.go
+++ b/dataplane/loadbalancer/cold_test.go
@@ -16,8 +16,8 @@
 		x := New("a")
 		told := func(now time.Duration, seq uint64, cold int64, mark string) bool {
 			l := life("c1", "a")
-			l.Seq, l.Cold, l.Doubt, l.Old = seq, cold, strings.Contains(mark, "doubt"), strings.Contains(mark, "old")
-			x.Lives(now, mark == "old", []registry.Life{l})
+			l.Sequence, l.WarmupMillis, l.WarmthUnknown, l.Stale = seq, cold, strings.Contains(mark, "doubt"), strings.Contains(mark, "old")
+			x.Lives(now, mark == "old", []registry.Instance{l})
 			return x.Get("c1").Cold(now)
 		}
 		told(0, 5, 3000, "")
@@ -63,8 +63,8 @@
 		x := New("a")
 		beat := func(now time.Duration, seq uint64) bool {
 			l := life("c1", "a")
-			l.Seq = seq
-			x.Lives(now, false, []registry.Life{l})
+			l.Sequence = seq
+			x.Lives(now, false, []registry.Instance{l})
 			return x.Get("c1").Cold(now)
 		}
 		beat(0, 5)
@@ -87,8 +87,8 @@
 		})
 		Convey("a comb's doubt holds longer than its own", func() {
 			l := life("c1", "a")
-			l.Seq, l.Doubt = 5, true
-			x.Lives(s, false, []registry.Life{l})
+			l.Sequence, l.WarmthUnknown = 5, true
+			x.Lives(s, false, []registry.Instance{l})
 			x.Evacuated(s, []string{"b"})
 			So(x.Get("c1").Cold(s+givenBack), ShouldBeTrue)
 			So(beat(s+givenBack, 6), ShouldBeFalse)
@@ -97,12 +97,12 @@
 	Convey("Given a forager that begins anew and is told what a comb knew before it was cut off", t, func() {
 		x := New("a")
 		l := life("c1", "a")
-		l.Seq, l.Old = 5, true
-		x.Lives(0, true, []registry.Life{l})
+		l.Sequence, l.Stale = 5, true
+		x.Lives(0, true, []registry.Instance{l})
 		Convey("the replica counts as cold until there is a newer word", func() {
 			So(x.Get("c1").Cold(s), ShouldBeTrue)
-			l.Old = false
-			x.Lives(s, false, []registry.Life{l})
+			l.Stale = false
+			x.Lives(s, false, []registry.Instance{l})
 			So(x.Get("c1").Cold(s), ShouldBeFalse)
 		})
 	})
--- a/dataplane/loadbalancer/spread.go
+++ b/dataplane/loadbalancer/spread.go
@@ -89,7 +89,7 @@
 }
 
 // Lives takes in word of replicas. It returns those to which no connection is wanted any more.
-func (s *Spread) Lives(now time.Duration, whole bool, lives []registry.Life) (ended []string) {
+func (s *Spread) Lives(now time.Duration, whole bool, lives []registry.Instance) (ended []string) {
 	var unknown []string
 	defer func() {
 		for _, id := range ended {
@@ -116,7 +116,7 @@
 	}
 	for _, l := range lives {
 		r := s.all[l.ID]
-		if l.Gone {
+		if l.Deregistered {
 			if r != nil {
 				s.remove(l.ID)
 				ended = append(ended, l.ID)
@@ -141,7 +141,7 @@
 			r.Draining = true
 			ended = append(ended, l.ID)
 		}
-		r.Silent = l.Silent
+		r.Silent = l.HeartbeatTimedOut
 		r.warmth(now, l)
 	}
 	return ended
@@ -149,31 +149,31 @@
 
 // warmth takes a word of how cold a replica is. One that is older than what is known changes nothing, one of the same beat
 // takes nothing back, and one that may be out of date counts only where nothing is known, but for its doubt.
-func (r *Replica) warmth(now time.Duration, l registry.Life) {
-	until := now + time.Duration(l.Cold)*time.Millisecond
+func (r *Replica) warmth(now time.Duration, l registry.Instance) {
+	until := now + time.Duration(l.WarmupMillis)*time.Millisecond
 	known := r.seq > 0 && !r.old
-	if known && l.Old {
+	if known && l.Stale {
 		r.coldUntil = max(r.coldUntil, until)
-		if l.Doubt { // a comb that has just started may be the one that gives the zone back
-			r.doubt, r.doubtSeq, r.doubtEnd = true, max(r.seq, l.Seq), now+doubtMost
+		if l.WarmthUnknown { // a comb that has just started may be the one that gives the zone back
+			r.doubt, r.doubtSeq, r.doubtEnd = true, max(r.seq, l.Sequence), now+doubtMost
 		}
 		return
 	}
 	switch {
-	case l.Doubt: // its zone was given back: that is of after any beat
-		r.doubt, r.doubtSeq = true, l.Seq
-	case !known || l.Seq == 0 || l.Seq > r.doubtSeq:
+	case l.WarmthUnknown: // its zone was given back: that is of after any beat
+		r.doubt, r.doubtSeq = true, l.Sequence
+	case !known || l.Sequence == 0 || l.Sequence > r.doubtSeq:
 		r.doubt = false
 	}
-	if l.Doubt || l.Old {
+	if l.WarmthUnknown || l.Stale {
 		r.doubtEnd = now + doubtMost
 	}
 	switch {
-	case known && l.Seq > 0 && l.Seq < r.seq:
-	case known && l.Seq == r.seq:
+	case known && l.Sequence > 0 && l.Sequence < r.seq:
+	case known && l.Sequence == r.seq:
 		r.coldUntil = max(r.coldUntil, until)
 	default:
-		r.coldUntil, r.old, r.seq = until, l.Old, l.Seq
+		r.coldUntil, r.old, r.seq = until, l.Stale, l.Sequence
 	}
 }
 
@@ -270,9 +270,9 @@
 }
 
 // Life is what this governor was told of a replica.
-func (r *Replica) Life(now time.Duration) registry.Life {
-	return registry.Life{ID: r.ID, Service: r.Service, Addr: r.Addr, Zone: r.Zone, Slots: r.Slots, Draining: r.Draining, Seq: r.seq,
-		Doubt: r.doubt && now < r.doubtEnd, Old: r.old && now < r.doubtEnd, Cold: max((r.coldUntil - now).Milliseconds(), 0)}
+func (r *Replica) Life(now time.Duration) registry.Instance {
+	return registry.Instance{ID: r.ID, Service: r.Service, Addr: r.Addr, Zone: r.Zone, Slots: r.Slots, Draining: r.Draining, Sequence: r.seq,
+		WarmthUnknown: r.doubt && now < r.doubtEnd, Stale: r.old && now < r.doubtEnd, WarmupMillis: max((r.coldUntil - now).Milliseconds(), 0)}
 }
 
 // Cold tells whether a replica must be spared.
--- a/dataplane/loadbalancer/spread_test.go
+++ b/dataplane/loadbalancer/spread_test.go
@@ -13,8 +13,8 @@
 
 const s = time.Second
 
-func life(id, zone string) registry.Life {
-	return registry.Life{ID: id, Service: "svc", Addr: id + ":80", Zone: zone, Slots: 4}
+func life(id, zone string) registry.Instance {
+	return registry.Instance{ID: id, Service: "svc", Addr: id + ":80", Zone: zone, Slots: 4}
 }
 
 func nobody(string) bool { return false }
@@ -39,7 +39,7 @@
 func TestPick(t *testing.T) {
 	Convey("Given replicas in two zones", t, func() {
 		x := New("a")
-		x.Lives(0, true, []registry.Life{life("a1", "a"), life("a2", "a"), life("b1", "b")})
+		x.Lives(0, true, []registry.Instance{life("a1", "a"), life("a2", "a"), life("b1", "b")})
 		Convey("the own zone goes first, by weight", func() {
 			x.Line("a1", 60)
 			x.Line("a2", 20)
@@ -58,14 +58,14 @@
 		Convey("nothing goes to one that drains, is gone, or whose zone is emptied", func() {
 			l := life("a1", "a")
 			l.Draining = true
-			So(x.Lives(s, false, []registry.Life{l, {ID: "b1", Gone: true}}), ShouldResemble, []string{"a1", "b1"})
+			So(x.Lives(s, false, []registry.Instance{l, {ID: "b1", Deregistered: true}}), ShouldResemble, []string{"a1", "b1"})
 			So(picks(x, s, 100)["a2"], ShouldEqual, 100)
 			x.Evacuated(s, []string{"a"})
 			So(picks(x, s, 100)[""], ShouldEqual, 100)
 			// Guards against a stale word from a comb that had lost its memory: what drained must not come back.
 			Convey("and a stale word does not bring it back", func() {
 				x.Evacuated(s, nil)
-				x.Lives(2*s, false, []registry.Life{life("a1", "a"), life("b1", "b")})
+				x.Lives(2*s, false, []registry.Instance{life("a1", "a"), life("b1", "b")})
 				So(picks(x, 2*s, 100)[""], ShouldEqual, 100) // its zone was just given back
 				So(picks(x, s+givenBack, 100)["a2"], ShouldEqual, 100)
 			})
@@ -88,8 +88,8 @@
 		})
 		Convey("a silent one is the last choice", func() {
 			l := life("a1", "a")
-			l.Silent = true
-			x.Lives(s, false, []registry.Life{l})
+			l.HeartbeatTimedOut = true
+			x.Lives(s, false, []registry.Instance{l})
 			So(picks(x, s, 100)["a1"], ShouldEqual, 0)
 		})
 		Convey("what a replica tells of others' requests there counts", func() {
@@ -108,8 +108,8 @@
 		for range 10 {
 			x := New("a")
 			l := life("c1", "a")
-			l.Cold = 60000
-			x.Lives(0, true, []registry.Life{l})
+			l.WarmupMillis = 60000
+			x.Lives(0, true, []registry.Instance{l})
 			all = append(all, x)
 		}
 		r := rand.New(rand.NewPCG(3, 4))
@@ -144,8 +144,8 @@
 	Convey("Without a grant a cold replica gets nothing, and it may come with a bare doubt", t, func() {
 		x := New("a")
 		l := life("c1", "a")
-		l.Doubt = true
-		x.Lives(0, true, []registry.Life{l})
+		l.WarmthUnknown = true
+		x.Lives(0, true, []registry.Instance{l})
 		So(fmt.Sprint(picks(x, s, 50)), ShouldEqual, "map[:50]")
 	})
 }
--- a/dataplane/router/forage.go
+++ b/dataplane/router/forage.go
@@ -183,7 +183,7 @@
 	}
 	by := map[string]time.Duration{}
 	for name, svc := range f.config.Services {
-		if bears := apartPart * (svc.ColdPerSecond*f.set.ColdTimes + f.set.ColdSlack); svc.ColdPerSecond > 0 && bears > 0 {
+		if bears := apartPart * (svc.WarmupRate*f.set.ColdTimes + f.set.ColdSlack); svc.WarmupRate > 0 && bears > 0 {
 			by[name] = time.Duration(float64(max(f.foragers, fewest)) / bears * float64(time.Second))
 		}
 	}
@@ -405,7 +405,7 @@
 	rep := &messages.LoadReport{Sequence: f.seq}
 	for _, r := range f.spread.All() {
 		l := r.Life(now)
-		l.Old = l.Old || f.silence > unsureAfter
+		l.Stale = l.Stale || f.silence > unsureAfter
 		rep.Instances = append(rep.Instances, l)
 	}
 	return rep
--- a/dataplane/router/forage_test.go
+++ b/dataplane/router/forage_test.go
@@ -17,12 +17,12 @@
 const body = `{"version":"00000002","services":[{"name":"svc","max_connections":100,"cold_start":"3s","cold_per_s":4}],"virtual_hosts":[{"hostname":"h","path_routes":[` +
 	`{"name":"r","path_prefix":"/","kind":"safe","timeout":"3s","target_latency":"1s","max_attempts":2,"service":"svc"}]}]}`
 
-func life(id string, seq uint64) registry.Life {
-	return registry.Life{ID: id, Service: "svc", Addr: "10.0.0." + id[1:] + ":80", Zone: "a", Slots: 4, Seq: seq}
+func life(id string, seq uint64) registry.Instance {
+	return registry.Instance{ID: id, Service: "svc", Addr: "10.0.0." + id[1:] + ":80", Zone: "a", Slots: 4, Sequence: seq}
 }
 
 // whole is a comb's first word to a forager.
-func whole(lives ...registry.Life) *messages.StateUpdate {
+func whole(lives ...registry.Instance) *messages.StateUpdate {
 	return &messages.StateUpdate{Full: true, Sequence: 7, ConfigVersion: 2, Config: []byte(body), Instances: lives}
 }
 
@@ -38,7 +38,7 @@
 	Convey("Given a forager with a right to call a cold replica", t, func() {
 		f := New(Settings{Zone: "a", Zones: 1, Seed: 1})
 		cold := life("i1", 3)
-		cold.Cold = 60000
+		cold.WarmupMillis = 60000
 		w := whole(cold)
 		w.WarmupRatesComplete, w.WarmupRates = true, []messages.EndpointWeight{{Replica: "i1", WarmupRate: 2}}
 		f.Take(1*s, w)
@@ -83,17 +83,17 @@
 		Convey("it tells the next comb of each replica's newest beat, and that it is old after a long silence", func() {
 			f.Take(1500*time.Millisecond, whole(life("i1", 9), life("i2", 4)))
 			r := f.First(1500 * time.Millisecond)
-			So(r.Instances[0].Seq, ShouldEqual, 9)
-			So(r.Instances[0].Old, ShouldBeFalse)
+			So(r.Instances[0].Sequence, ShouldEqual, 9)
+			So(r.Instances[0].Stale, ShouldBeFalse)
 			f.Left(2 * s)
 			f.Take(22*s, whole(life("i1", 9), life("i2", 4)))
-			So(f.First(22 * s).Instances[0].Old, ShouldBeTrue)
+			So(f.First(22 * s).Instances[0].Stale, ShouldBeTrue)
 		})
 		// Guards against a replica that is lost for a minute, as a comb that had not heard of it yet was met.
 		Convey("a replica that the next comb does not know is let go, and taken in once it does", func() {
 			f.Take(1*s, whole(life("i2", 4)))
 			So(f.Spread().Get("i1"), ShouldBeNil)
-			f.Take(1*s, &messages.StateUpdate{Instances: []registry.Life{life("i1", 10)}})
+			f.Take(1*s, &messages.StateUpdate{Instances: []registry.Instance{life("i1", 10)}})
 			So(f.Spread().Get("i1"), ShouldNotBeNil)
 		})
 	})
@@ -106,9 +106,9 @@
 		f := New(Settings{Zone: "a", Zones: 1, ColdTimes: 1.5, ColdSlack: 5, Seed: 1})
 		body := []byte(`{"version":"00000001","services":[{"name":"svc","cold_per_s":4}],"virtual_hosts":[{"hostname":"h","path_routes":[` +
 			`{"name":"r","path_prefix":"/","kind":"safe","timeout":"3s","target_latency":"1s","max_attempts":2,"service":"svc"}]}]}`)
-		var lives []registry.Life
+		var lives []registry.Instance
 		for _, id := range []string{"i1", "i2"} {
-			lives = append(lives, registry.Life{ID: id, Service: "svc", Addr: id, Zone: "a", Slots: 100, Seq: 1})
+			lives = append(lives, registry.Instance{ID: id, Service: "svc", Addr: id, Zone: "a", Slots: 100, Sequence: 1})
 		}
 		const s = time.Second
 		f.Take(s, &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: body, Instances: lives, GatewayCount: 10,
--- a/gatewayconfig/capacity_test.go
+++ b/gatewayconfig/capacity_test.go
@@ -11,7 +11,7 @@
 
 var capacityRoutes = []int{8, 500, 5000, 51000}
 
-func sized(routes int) sizes.Fleet {
+func fleetWithRoutes(routes int) sizes.Fleet {
 	f := sizes.Users()
 	f.Routes, f.Services = routes, max(routes*f.Services/f.Routes, 3)
 	return f
@@ -23,7 +23,7 @@
 	of   func(routes int) int
 }{{"hosts", func(int) int { return 8 }}, {"onehost", func(n int) int { return n }}}
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -35,13 +35,13 @@
 	for _, l := range layouts {
 		for _, n := range capacityRoutes {
 			b.Run(fmt.Sprintf("%s/n=%d", l.name, n), func(b *testing.B) {
-				raw := sized(n).Configuration(1, l.of(n))
-				before := heap()
+				raw := fleetWithRoutes(n).Configuration(1, l.of(n))
+				before := heapBytes()
 				c, err := gatewayconfig.Parse(raw)
 				if err != nil {
 					b.Fatal(err)
 				}
-				held := float64(heap()) - float64(before)
+				held := float64(heapBytes()) - float64(before)
 				b.ReportAllocs()
 				for b.Loop() {
 					if _, err := gatewayconfig.Parse(raw); err != nil {
@@ -61,7 +61,7 @@
 	for _, l := range layouts {
 		for _, n := range capacityRoutes {
 			b.Run(fmt.Sprintf("%s/n=%d", l.name, n), func(b *testing.B) {
-				c, err := gatewayconfig.Parse(sized(n).Configuration(1, l.of(n)))
+				c, err := gatewayconfig.Parse(fleetWithRoutes(n).Configuration(1, l.of(n)))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -72,7 +72,7 @@
 				}
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
-					if _, ok := c.Find(hosts[i%997], paths[i%997]); !ok {
+					if _, ok := c.FindRoute(hosts[i%997], paths[i%997]); !ok {
 						b.Fatal("not found")
 					}
 				}
@@ -85,12 +85,12 @@
 func BenchmarkCapacityRoutesTo(b *testing.B) {
 	for _, n := range capacityRoutes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			c, err := gatewayconfig.Parse(sized(n).Configuration(1, 8))
+			c, err := gatewayconfig.Parse(fleetWithRoutes(n).Configuration(1, 8))
 			if err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				c.RoutesTo(sizes.Service(0))
+				c.RoutesToService(sizes.Service(0))
 			}
 		})
 	}
--- a/gatewayconfig/config_test.go
+++ b/gatewayconfig/config_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-const good = `{"version":"0000000c","services":[{"name":"a","health_check_path":"/health","max_connections":100,"cold_start":"3s","cold_per_s":4.1},{"name":"b"}],
+const validConfiguration = `{"version":"0000000c","services":[{"name":"a","health_check_path":"/health","max_connections":100,"cold_start":"3s","cold_per_s":4.1},{"name":"b"}],
 "limits":{"max_header_bytes":16384,"max_body_bytes":1000,"header_timeout":"3000ms","idle_timeout":"15s"},
 "virtual_hosts":[{"hostname":"One.example","path_routes":[
  {"name":"r1","path_prefix":"/x/","kind":"safe","timeout":"5s","target_latency":"800ms","priority":2,"max_attempts":2,"traffic_split":[{"service":"a","weight":90},{"service":"b","weight":10}]},
@@ -15,29 +15,29 @@
 
 func TestConfiguration(t *testing.T) {
 	Convey("A configuration is read whole", t, func() {
-		c, err := Parse([]byte(good))
+		c, err := Parse([]byte(validConfiguration))
 		So(err, ShouldBeNil)
 		So(c.Version, ShouldEqual, 12)
-		So(c.Services["a"].ColdPerSecond, ShouldEqual, 4.1)
+		So(c.Services["a"].WarmupRate, ShouldEqual, 4.1)
 		Convey("a request goes to the longest prefix of its host", func() {
 			for _, x := range []struct{ host, path, name string }{
 				{"one.example", "/x/1", "r1"}, {"ONE.example:80", "/x/y/1", "r2"}, {"one.example", "/x/y", "r1"},
 				{"one.example", "/x", ""}, {"two.example", "/x/1", ""}} {
-				r, ok := c.Find(x.host, x.path)
+				r, ok := c.FindRoute(x.host, x.path)
 				So(ok, ShouldEqual, x.name != "")
 				So(r.Name, ShouldEqual, x.name)
 			}
 		})
 		Convey("shares are kept, also at their ends", func() {
-			r, _ := c.Find("one.example", "/x/1")
+			r, _ := c.FindRoute("one.example", "/x/1")
 			n := map[string]int{}
 			for i := range 1000 {
-				n[r.Pick(float64(i)/1000)]++
+				n[r.PickService(float64(i)/1000)]++
 			}
 			So(n["a"], ShouldEqual, 900)
-			So(r.Pick(0.9999999999), ShouldEqual, "b")
-			r.Shares[1].Weight = 0
-			So(r.Pick(1), ShouldEqual, "a")
+			So(r.PickService(0.9999999999), ShouldEqual, "b")
+			r.TrafficSplit[1].Weight = 0
+			So(r.PickService(1), ShouldEqual, "a")
 		})
 	})
 	Convey("What is invalid is refused, with the path at fault", t, func() {
@@ -55,36 +55,36 @@
 			{`"path_prefix":"/x/y/"`, `"path_prefix":"/x/"`, "stands twice"},
 			{`"virtual_hosts":[`, `"virtual_host":[`, "virtual_hosts"},
 		} {
-			So(strings.Contains(good, x.old), ShouldBeTrue)
-			_, err := Parse([]byte(strings.Replace(good, x.old, x.new, 1)))
+			So(strings.Contains(validConfiguration, x.old), ShouldBeTrue)
+			_, err := Parse([]byte(strings.Replace(validConfiguration, x.old, x.new, 1)))
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldContainSubstring, x.path)
 		}
-		for n := range len(good) { // cut short anywhere
-			_, err := Parse([]byte(good[:n]))
+		for n := range len(validConfiguration) { // cut short anywhere
+			_, err := Parse([]byte(validConfiguration[:n]))
 			So(err, ShouldNotBeNil)
 		}
 	})
 	Convey("A target a little above its timeout is allowed", t, func() {
-		_, err := Parse([]byte(strings.Replace(good, `"target_latency":"800ms"`, `"target_latency":"64s"`, 1)))
+		_, err := Parse([]byte(strings.Replace(validConfiguration, `"target_latency":"800ms"`, `"target_latency":"64s"`, 1)))
 		So(err, ShouldBeNil)
 	})
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validConfiguration))
 	f.Add([]byte(`{"version":"00000001","services":[{}],"virtual_hosts":[{"hostname":"a","path_routes":[{}]}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, err := Parse(raw)
 		if err != nil {
 			return
 		}
-		for host, routes := range c.hosts {
+		for host, routes := range c.routesByHost {
 			for _, r := range routes {
-				if got, ok := c.Find(host, r.Prefix); !ok || got.Prefix != r.Prefix {
-					t.Fatalf("host %q: prefix %q is not found", host, r.Prefix)
+				if got, ok := c.FindRoute(host, r.PathPrefix); !ok || got.PathPrefix != r.PathPrefix {
+					t.Fatalf("host %q: prefix %q is not found", host, r.PathPrefix)
 				}
-				if c.Services[r.Pick(0.5)].Name != r.Pick(0.5) {
+				if c.Services[r.PickService(0.5)].Name != r.PickService(0.5) {
 					t.Fatalf("route %q leads nowhere", r.Name)
 				}
 			}
--- a/internal/compatibility/encoding_test.go
+++ b/internal/compatibility/encoding_test.go
@@ -90,7 +90,7 @@
 	{"chainreplication/note", inCBOR, reflect.TypeFor[chainreplication.Record]()},
 	{"chainreplication/command", inCBOR, reflect.TypeFor[chainreplication.Command]()},
 	{"chainreplication/message", inCBOR, reflect.TypeFor[chainreplication.Message]()},
-	{"registry/instance", inCBOR, reflect.TypeFor[registry.Life]()},
+	{"registry/instance", inCBOR, reflect.TypeFor[registry.Instance]()},
 	{"coordinator/persistent-state", inCBOR, reflect.TypeFor[coordinator.PersistentState]()},
 	{"coordinator/message", inCBOR, reflect.TypeFor[coordinator.Message]()},
 	{"outlier/observation", inCBOR, reflect.TypeFor[outlier.Word]()},
@@ -107,9 +107,9 @@
 
 	// Bodies and answers of control calls, and what programs export.
 	{"calls/windows.command", inJSON, reflect.TypeFor[maintenance.Command]()},
-	{"calls/windows.describe", inJSON, reflect.TypeFor[controller.Shown]()},
+	{"calls/windows.describe", inJSON, reflect.TypeFor[controller.MaintenanceStatus]()},
 	{"calls/core.describe", inJSON, reflect.TypeFor[coordinator.Status]()},
-	{"exports/instance", inJSON, reflect.TypeFor[registry.Life]()},
+	{"exports/instance", inJSON, reflect.TypeFor[registry.Instance]()},
 	{"exports/view", inJSON, reflect.TypeFor[membership.View]()},
 	{"exports/governor-state", inJSON, reflect.TypeFor[recovery.Kept]()},
 
--- a/internal/controlserver/calls_test.go
+++ b/internal/controlserver/calls_test.go
@@ -18,7 +18,7 @@
 	"zincloft.example/zincloft/internal/program"
 )
 
-const callSettings = `
+const testSettings = `
 self_settings: {node_name: c, role: core, zone: a, region: a, ip_address: 127.0.0.1, first_start: true, data_directory: %q,
   limits: {cpu_share: 2, memory_mb: 256, file_descriptors: 1024, link_mbps: 1000}}
 network_settings:
@@ -30,8 +30,8 @@
 rule_terms: {bounds: {grace_period: 1s}}
 `
 
-// alone makes a comb that runs nothing yet.
-func alone(t testing.TB) *Comb {
+// newIdleServer makes a comb that runs nothing yet.
+func newIdleServer(t testing.TB) *Server {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	set, err := nodesettings.Parse([]byte(fmt.Sprintf(callSettings, dir, control, inner, inner+4, control)))
+	set, err := nodesettings.Parse([]byte(fmt.Sprintf(testSettings, dir, control, inner, inner+4, control)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,19 +59,19 @@
 	return c
 }
 
-func asked(c *Comb, ctx context.Context, query string, body string) *httptest.ResponseRecorder {
+func serveCall(server *Server, ctx context.Context, query string, body string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
-	c.routes().ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/api/rpc?"+query, strings.NewReader(body)).WithContext(ctx))
+	server.routes().ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/api/rpc?"+query, strings.NewReader(body)).WithContext(ctx))
 	return w
 }
 
-const proper = `{"version":"%08x","services":[],"limits":{},"virtual_hosts":[]}`
+const emptyConfiguration = `{"version":"%08x","services":[],"limits":{},"virtual_hosts":[]}`
 
 // Guards orders against those of earlier callers: one that has given up and called elsewhere finds nothing of its call
 // carried out here later, when a comb that was frozen or full of work comes to it. The brain is not there to be asked.
-func TestACallOfNobodyIsNotCarriedOut(t *testing.T) {
+func TestAbandonedCallIsNotExecuted(t *testing.T) {
 	for query, body := range map[string]string{
-		"call=configuration.replace":                 fmt.Sprintf(proper, 7),
+		"call=configuration.replace":                 fmt.Sprintf(emptyConfiguration, 7),
 		"call=evacuations.start&of=a":                "",
 		"call=instances.heartbeat&of=i1":             `{"service":"s","address":"h:1","sequence":4}`,
 		"call=instances.deregister&of=i1":            "",
@@ -79,30 +79,30 @@
 		"call=configuration.describe":                "",
 		"call=evacuations.finish&of=a&something=too": "",
 	} {
-		c := alone(t)
+		c := newIdleServer(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan *httptest.ResponseRecorder)
-		go func() { done <- asked(c, ctx, query, body) }()
-		f := <-c.loop // it waits to be carried out
+		go func() { done <- serveCall(c, ctx, query, body) }()
+		f := <-c.tasks // it waits to be carried out
 		cancel()
 		f()
 		<-done
-		if len(c.waiting) > 0 {
+		if len(c.pendingCalls) > 0 {
 			t.Errorf("%s: somebody still waits", query)
 		}
 	}
 }
 
 // Guards a replica's beats against one with a number above all later ones.
-func TestBeatsWithNumbersThatAreNone(t *testing.T) {
-	c := alone(t)
+func TestHeartbeatRejectsInvalidNumbers(t *testing.T) {
+	c := newIdleServer(t)
 	for _, x := range []string{`"sequence":-5`, `"sequence":"7"`, `"sequence":1e300`, `"slots":-1`, `"slots":9e9`, `"cold_remaining":"-4s"`} {
-		w := asked(c, context.Background(), "call=instances.heartbeat&of=i1", `{"service":"s","address":"h:1",`+x+`}`)
+		w := serveCall(c, context.Background(), "call=instances.heartbeat&of=i1", `{"service":"s","address":"h:1",`+x+`}`)
 		if w.Code != http.StatusUnprocessableEntity {
 			t.Errorf("%s: %d", x, w.Code)
 		}
 	}
-	if w := asked(c, context.Background(), "call=instances.heartbeat&of=i1", strings.Repeat(" ", beatMost+1)); w.Code != http.StatusRequestEntityTooLarge {
+	if w := serveCall(c, context.Background(), "call=instances.heartbeat&of=i1", strings.Repeat(" ", maxHeartbeatBytes+1)); w.Code != http.StatusRequestEntityTooLarge {
 		t.Error(w.Code)
 	}
 }
@@ -110,19 +110,19 @@
 // FuzzCalls has a whole comb take calls: it answers each with a status of the protocol, in JSON, and acknowledges no
 // configuration that it does not give back.
 func FuzzCalls(f *testing.F) {
-	c := alone(f)
+	c := newIdleServer(f)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- c.Run(ctx, make(chan os.Signal)) }()
 	f.Cleanup(func() { cancel(); <-ended })
-	for end := time.Now().Add(10 * time.Second); asked(c, ctx, "call=configuration.replace", fmt.Sprintf(proper, 1)).Code != http.StatusOK; {
+	for end := time.Now().Add(10 * time.Second); serveCall(c, ctx, "call=configuration.replace", fmt.Sprintf(emptyConfiguration, 1)).Code != http.StatusOK; {
 		if time.Now().After(end) {
 			f.Fatal("the comb does not serve")
 		}
 	}
 	for _, x := range [][2]string{
 		{"call=instances.heartbeat&of=i1", `{"service":"s","address":"127.0.0.1:9","zone":"a","slots":4,"state":"ready","cold_remaining":"0ms","sequence":4}`},
-		{"call=instances.deregister&of=i1", ""}, {"call=configuration.replace", fmt.Sprintf(proper, 9)}, {"call=configuration.describe", ""},
+		{"call=instances.deregister&of=i1", ""}, {"call=configuration.replace", fmt.Sprintf(emptyConfiguration, 9)}, {"call=configuration.describe", ""},
 		{"call=evacuations.start&of=a", ""}, {"call=evacuations.finish&of=a", ""}, {"call=windows.command", `{}`}, {"call=windows.describe", ""}, {"call=core.describe", ""}, {"call=x", ""},
 	} {
 		f.Add(x[0], []byte(x[1]))
@@ -140,7 +140,7 @@
 		if !strings.HasPrefix(w.Header().Get("Content-Type"), "application/json") {
 			t.Fatalf("%d without JSON for %q %q", w.Code, query, body)
 		}
-		if w.Code == 200 && q.URL.Query().Get("call") == "configuration.replace" && asked(c, ctx, "call=configuration.describe", "").Code != 200 {
+		if w.Code == 200 && q.URL.Query().Get("call") == "configuration.replace" && serveCall(c, ctx, "call=configuration.describe", "").Code != 200 {
 			t.Fatalf("acknowledged and not there: %q", body)
 		}
 	})
--- a/internal/controlserver/combd.go
+++ b/internal/controlserver/combd.go
@@ -35,297 +35,297 @@
 )
 
 const (
-	meetEvery   = 2 * time.Second
-	dropAfter   = 30 * time.Second // a peer to whom nothing was sent for so long
-	endWithin   = time.Second      // of the grace period, for what remains once others do without this comb
-	lastAnswers = 200 * time.Millisecond
-	diskAgain   = 300 * time.Millisecond
-	memoryPart  = 0.6
+	discoveryInterval    = 2 * time.Second
+	peerIdleTimeout      = 30 * time.Second // a peer to whom nothing was sent for so long
+	shutdownReserve      = time.Second      // of the grace period, for what remains once others do without this comb
+	responseDrainTimeout = 200 * time.Millisecond
+	storeRetryInterval   = 300 * time.Millisecond
+	memoryLimitRatio     = 0.6
 )
 
-const keptKey = "state"
+const stateKey = "state"
 
-// Comb is one control-plane governor.
-type Comb struct {
-	set   *nodesettings.Settings
-	log   *log.Logger
-	start time.Time
-	loop  chan func()
-	store *statestore.Store
+// Server is one control-plane governor.
+type Server struct {
+	settings  *nodesettings.Settings
+	logger    *log.Logger
+	startedAt time.Time
+	tasks     chan func()
+	store     *statestore.Store
 
-	brain *controller.Comb
-	peers map[string]*peertransport.Peer // by address
-	hello messages.Hello
-	ends  peertransport.InboundConns // of other combs' connections
+	controller   *controller.Controller
+	peers        map[string]*peertransport.Peer // by address
+	hello        messages.Hello
+	inboundPeers peertransport.InboundConns // of other combs' connections
 
-	token   uint64
-	waiting map[uint64]chan controller.Answer
-	streams map[uint64]*peertransport.Conn
-	metAt   time.Duration
-	sentAt  map[string]time.Duration // to peers, by address
-	ended   bool
-	dance   *gossip.Dance
-	failed  chan error
+	lastToken       uint64
+	pendingCalls    map[uint64]chan controller.Response
+	streams         map[uint64]*peertransport.Conn
+	lastDiscoveryAt time.Duration
+	lastSentAt      map[string]time.Duration // to peers, by address
+	stopped         bool
+	gossip          *gossip.Dance
+	serveErrors     chan error
 }
 
 // New makes a comb from its settings.
-func New(set *nodesettings.Settings, logger *log.Logger) (*Comb, error) {
-	if set.Control == "" {
+func New(settings *nodesettings.Settings, logger *log.Logger) (*Server, error) {
+	if settings.Control == "" {
 		return nil, merry.New("settings: network_settings.listen_addresses.control: a comb needs it")
 	}
-	if set.DataDir == "" {
+	if settings.DataDir == "" {
 		return nil, merry.New("settings: self_settings.data_directory: a comb needs a disk")
 	}
-	return &Comb{set: set, log: logger, start: time.Now(), loop: make(chan func(), 1024), peers: map[string]*peertransport.Peer{}, sentAt: map[string]time.Duration{},
-		waiting: map[uint64]chan controller.Answer{}, streams: map[uint64]*peertransport.Conn{}, failed: make(chan error, 4)}, nil
+	return &Server{settings: settings, logger: logger, startedAt: time.Now(), tasks: make(chan func(), 1024), peers: map[string]*peertransport.Peer{}, lastSentAt: map[string]time.Duration{},
+		pendingCalls: map[uint64]chan controller.Response{}, streams: map[uint64]*peertransport.Conn{}, serveErrors: make(chan error, 4)}, nil
 }
 
-func (c *Comb) now() time.Duration { return time.Since(c.start) }
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// post has the deciding goroutine run f.
-func (c *Comb) post(f func()) { c.loop <- f }
+// enqueue has the deciding goroutine run f.
+func (s *Server) enqueue(f func()) { s.tasks <- f }
 
-func (c *Comb) addr() string {
-	return netip.AddrPortFrom(c.set.IP, uint16(c.set.PortFirst)).String()
+func (s *Server) peerAddr() string {
+	return netip.AddrPortFrom(s.settings.IP, uint16(s.settings.PortFirst)).String()
 }
 
-// open reads the disk, or begins anew.
-func (c *Comb) open() error {
-	store, err := statestore.Open(statestore.Directory(c.set.DataDir))
+// restore reads the disk, or begins anew.
+func (s *Server) restore() error {
+	store, err := statestore.Open(statestore.Directory(s.settings.DataDir))
 	if err != nil {
 		return err
 	}
-	c.store = store
+	s.store = store
 	for _, name := range store.Quarantined {
-		c.log.Error().Str("event", "file_set_aside").Str("file", name).Msg("")
+		s.logger.Error().Str("event", "file_set_aside").Str("file", name).Msg("")
 	}
-	var k coordinator.PersistentState
-	if raw, ok := store.Get(keptKey); ok {
-		if k, err = coordinator.DecodePersistentState(raw); err != nil {
+	var kept coordinator.PersistentState
+	if raw, ok := store.Get(stateKey); ok {
+		if kept, err = coordinator.DecodePersistentState(raw); err != nil {
 			return merry.Prepend(err, "reading the kept state")
 		}
 	}
-	seeds := c.set.Governors()
+	seeds := s.settings.Governors()
 	var b [6]byte
 	rand.Read(b[:])
-	k.Initialize(c.addr(), seeds, c.set.FirstStart, hex.EncodeToString(b[:]))
-	self := membership.Member{ID: k.DiskID, Addr: c.addr(), Zone: c.set.Zone, APIAddr: c.set.Control}
-	c.brain = controller.New(c.now(), controller.Settings{Zone: c.set.Zone, Control: c.set.Control, Zones: slices.Sorted(maps.Keys(c.set.Zones)), Seeds: seeds,
-		LinkMbps: c.set.LinkMbps, DrainDeadline: c.set.Bounds.DrainDeadline, Heartbeat: c.set.Heartbeat, Seed: mrand.Uint64(), Regions: c.set.Zones}, self, k)
-	c.hello = messages.Hello{Member: self, Incarnation: mrand.Uint64()}
-	raw, err := c.brain.Kept()
+	kept.Initialize(s.peerAddr(), seeds, s.settings.FirstStart, hex.EncodeToString(b[:]))
+	self := membership.Member{ID: kept.DiskID, Addr: s.peerAddr(), Zone: s.settings.Zone, APIAddr: s.settings.Control}
+	s.controller = controller.New(s.now(), controller.Options{Zone: s.settings.Zone, ControlAddr: s.settings.Control, Zones: slices.Sorted(maps.Keys(s.settings.Zones)), Seeds: seeds,
+		LinkMbps: s.settings.LinkMbps, DrainDeadline: s.settings.Bounds.DrainDeadline, HeartbeatInterval: s.settings.Heartbeat, RandomSeed: mrand.Uint64(), RegionByZone: s.settings.Zones}, self, kept)
+	s.hello = messages.Hello{Member: self, Incarnation: mrand.Uint64()}
+	raw, err := s.controller.PersistentState()
 	if err != nil {
 		return err
 	}
-	if err := store.Put(map[string][]byte{keptKey: raw}); err != nil {
+	if err := store.Put(map[string][]byte{stateKey: raw}); err != nil {
 		return merry.Prepend(err, "first write")
 	}
-	c.log.Info().Str("event", "start").Str("name", c.set.Name).Str("disk", k.DiskID).Uint64("view", k.View.View.Number).
-		Uint64("seq", k.Register.Sequence).Uint64("version", k.Register.Version).Bool("first", c.set.FirstStart).Msg("")
+	s.logger.Info().Str("event", "start").Str("name", s.settings.Name).Str("disk", kept.DiskID).Uint64("view", kept.View.View.Number).
+		Uint64("seq", kept.Register.Sequence).Uint64("version", kept.Register.Version).Bool("first", s.settings.FirstStart).Msg("")
 	return nil
 }
 
 // Run serves until the context ends.
-func (c *Comb) Run(ctx context.Context, hup <-chan os.Signal) error {
-	debug.SetMemoryLimit(int64(float64(c.set.MemoryMB<<20) * memoryPart))
+func (s *Server) Run(ctx context.Context, hup <-chan os.Signal) error {
+	debug.SetMemoryLimit(int64(float64(s.settings.MemoryMB<<20) * memoryLimitRatio))
 	for {
-		err := c.open()
+		err := s.restore()
 		if err == nil {
 			break
 		}
-		c.log.Error().Str("event", "disk").Err(err).Msg("")
+		s.logger.Error().Str("event", "disk").Err(err).Msg("")
 		select {
-		case <-time.After(diskAgain):
+		case <-time.After(storeRetryInterval):
 		case <-ctx.Done():
 			return nil
 		}
 	}
-	inner, err := net.Listen("tcp", c.addr())
+	peerListener, err := net.Listen("tcp", s.peerAddr())
 	if err != nil {
 		return merry.Prepend(err, "listening for governors")
 	}
-	outer, err := net.Listen("tcp", c.set.Control)
+	controlListener, err := net.Listen("tcp", s.settings.Control)
 	if err != nil {
 		return merry.Prepend(err, "listening for replicas and operators")
 	}
-	srv := &http.Server{Handler: c.routes(), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second, ErrorLog: c.log.Std("", 0)}
+	httpServer := &http.Server{Handler: s.routes(), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second, ErrorLog: s.logger.Std("", 0)}
 	go func() {
-		if err := srv.Serve(outer); err != http.ErrServerClosed {
-			c.failed <- err
+		if err := httpServer.Serve(controlListener); err != http.ErrServerClosed {
+			s.serveErrors <- err
 		}
 	}()
-	go c.accept(inner)
-	if c.dance, err = gossip.Start(ctx, peersampling.Node{Addr: c.addr(), Kind: peersampling.Comb, Zone: c.set.Zone}, c.set.Governors()); err != nil {
+	go s.acceptConnections(peerListener)
+	if s.gossip, err = gossip.Start(ctx, peersampling.Node{Addr: s.peerAddr(), Kind: peersampling.Comb, Zone: s.settings.Zone}, s.settings.Governors()); err != nil {
 		return err
 	}
-	c.step(controller.Event{Start: true})
-	ticks := time.NewTicker(controller.TickEvery)
-	leave := ctx.Done()
-	var enough <-chan time.Time
-	for !c.ended {
+	s.step(controller.Event{Start: true})
+	ticker := time.NewTicker(controller.TickInterval)
+	shutdownRequested := ctx.Done()
+	var shutdownDeadline <-chan time.Time
+	for !s.stopped {
 		select {
-		case f := <-c.loop:
+		case f := <-s.tasks:
 			f()
-		case <-ticks.C:
-			c.tick()
-		case err := <-c.failed:
+		case <-ticker.C:
+			s.tick()
+		case err := <-s.serveErrors:
 			return merry.Prepend(err, "serving")
 		case <-hup:
-			c.reload()
-		case <-leave: // what it alone holds must be with others before it ends
-			leave, enough = nil, time.After(max(c.set.Bounds.GracePeriod-endWithin, 0))
-			c.step(controller.Event{Leaving: true})
-		case <-enough:
-			c.log.Warn().Str("event", "left_early").Msg("")
-			c.ended = true
+			s.reloadSettings()
+		case <-shutdownRequested: // what it alone holds must be with others before it ends
+			shutdownRequested, shutdownDeadline = nil, time.After(max(s.settings.Bounds.GracePeriod-shutdownReserve, 0))
+			s.step(controller.Event{Shutdown: true})
+		case <-shutdownDeadline:
+			s.logger.Warn().Str("event", "left_early").Msg("")
+			s.stopped = true
 		}
 	}
-	c.end(srv, inner)
+	s.shutdown(httpServer, peerListener)
 	return nil
 }
 
-// end has the calls at hand answered, for a moment, and closes what is open.
-func (c *Comb) end(srv *http.Server, inner net.Listener) {
-	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
+// shutdown has the calls at hand answered, for a moment, and closes what is open.
+func (s *Server) shutdown(httpServer *http.Server, peerListener net.Listener) {
+	ctx, cancel := context.WithTimeout(context.Background(), responseDrainTimeout)
 	defer cancel()
 	done := make(chan struct{})
 	go func() {
-		srv.Shutdown(ctx)
+		httpServer.Shutdown(ctx)
 		close(done)
 	}()
 	for open := true; open; {
 		select {
-		case f := <-c.loop:
+		case f := <-s.tasks:
 			f()
 		case <-done:
 			open = false
 		}
 	}
-	srv.Close()
-	inner.Close()
-	for _, x := range c.streams {
-		x.Shutdown()
+	httpServer.Close()
+	peerListener.Close()
+	for _, stream := range s.streams {
+		stream.Shutdown()
 	}
-	c.log.Info().Str("event", "stopped").Msg("")
+	s.logger.Info().Str("event", "stopped").Msg("")
 }
 
-func (c *Comb) reload() {
+func (s *Server) reloadSettings() {
 	set, err := nodesettings.Load()
 	if err != nil {
-		c.log.Error().Str("event", "settings_refused").Err(err).Msg("")
+		s.logger.Error().Str("event", "settings_refused").Err(err).Msg("")
 		return
 	}
-	c.set.Seeds = set.Seeds
-	c.log.Info().Str("event", "settings_read").Int("seeds", len(set.Seeds)).Msg("")
+	s.settings.Seeds = set.Seeds
+	s.logger.Info().Str("event", "settings_read").Int("seeds", len(set.Seeds)).Msg("")
 }
 
-func (c *Comb) tick() {
-	if now := c.now(); now-c.metAt > meetEvery {
-		c.metAt = now
+func (s *Server) tick() {
+	if now := s.now(); now-s.lastDiscoveryAt > discoveryInterval {
+		s.lastDiscoveryAt = now
 		if nodesettings.Changed() { // without a signal
-			c.reload()
+			s.reloadSettings()
 		}
-		met := c.set.Governors()
-		for _, n := range c.dance.Known(peersampling.Comb) {
+		met := s.settings.Governors()
+		for _, n := range s.gossip.Known(peersampling.Comb) {
 			met = append(met, n.Addr)
 		}
-		c.step(controller.Event{Met: met})
-		for addr, at := range c.sentAt { // machines come and go
-			if now-at > dropAfter {
-				c.peers[addr].Stop()
-				delete(c.peers, addr)
-				delete(c.sentAt, addr)
+		s.step(controller.Event{DiscoveredAddrs: met})
+		for addr, at := range s.lastSentAt { // machines come and go
+			if now-at > peerIdleTimeout {
+				s.peers[addr].Stop()
+				delete(s.peers, addr)
+				delete(s.lastSentAt, addr)
 			}
 		}
 	}
-	c.step(controller.Event{})
+	s.step(controller.Event{})
 }
 
 // step has the brain decide, and carries out what it says. It runs on the deciding goroutine only.
-func (c *Comb) step(e controller.Event) {
-	e.Wall = time.Duration(time.Now().UnixNano())
-	a := c.brain.Step(c.now(), e)
-	for _, n := range a.Notes {
-		program.Note(c.log, n.Warn, n.Event, func(yield func(string, any) bool) {
-			for _, f := range n.Fields {
+func (s *Server) step(event controller.Event) {
+	event.WallClock = time.Duration(time.Now().UnixNano())
+	actions := s.controller.Step(s.now(), event)
+	for _, event := range actions.LogEvents {
+		program.Note(s.logger, event.Warning, event.Name, func(yield func(string, any) bool) {
+			for _, f := range event.Fields {
 				if !yield(f.Key, f.Value) {
 					return
 				}
 			}
 		})
 	}
-	for i := range a.Send {
-		m := &a.Send[i].Message
-		c.to(a.Send[i].To, &peertransport.Frame{Coordinator: m.Core, Instances: m.Lives, GatewaySummary: m.Fleet, Ejections: m.Fell})
+	for i := range actions.Send {
+		m := &actions.Send[i].Message
+		s.sendToPeer(actions.Send[i].To, &peertransport.Frame{Coordinator: m.Coordinator, Instances: m.Instances, GatewaySummary: m.Fleet, Ejections: m.Ejections})
 	}
-	if a.Write != nil {
+	if actions.Write != nil {
 		go func() {
 			problem := ""
-			if err := c.store.Put(map[string][]byte{keptKey: a.Write}); err != nil {
+			if err := s.store.Put(map[string][]byte{stateKey: actions.Write}); err != nil {
 				problem = err.Error()
 			}
-			c.post(func() { c.step(controller.Event{Written: &controller.Written{Problem: problem}}) })
+			s.enqueue(func() { s.step(controller.Event{WriteResult: &controller.WriteResult{Error: problem}}) })
 		}()
 	}
-	for i := range a.Tell {
-		b, err := peertransport.EncodeFrame(&peertransport.Frame{StateUpdate: &a.Tell[i].State})
+	for i := range actions.Publish {
+		b, err := peertransport.EncodeFrame(&peertransport.Frame{StateUpdate: &actions.Publish[i].Update})
 		if err != nil {
-			c.log.Error().Str("event", "encode").Err(err).Msg("")
+			s.logger.Error().Str("event", "encode").Err(err).Msg("")
 			continue
 		}
-		for _, n := range a.Tell[i].Streams {
-			if x := c.streams[n]; x != nil {
-				x.Send(b)
+		for _, event := range actions.Publish[i].Streams {
+			if answer := s.streams[event]; answer != nil {
+				answer.Send(b)
 			}
 		}
 	}
-	for _, x := range a.Answers {
-		if done := c.waiting[x.Token]; done != nil {
-			delete(c.waiting, x.Token)
-			done <- x
+	for _, answer := range actions.Responses {
+		if done := s.pendingCalls[answer.Token]; done != nil {
+			delete(s.pendingCalls, answer.Token)
+			done <- answer
 		}
 	}
-	c.ended = c.ended || a.Ended
-	for _, n := range a.End {
-		if x := c.streams[n]; x != nil {
-			x.Shutdown()
+	s.stopped = s.stopped || actions.ShutdownComplete
+	for _, event := range actions.CloseStreams {
+		if answer := s.streams[event]; answer != nil {
+			answer.Shutdown()
 		}
 	}
 }
 
-func (c *Comb) to(addr string, m *peertransport.Frame) {
-	b, err := peertransport.EncodeFrame(m)
+func (s *Server) sendToPeer(addr string, message *peertransport.Frame) {
+	frame, err := peertransport.EncodeFrame(message)
 	if err != nil {
-		c.log.Error().Str("event", "encode").Err(err).Msg("")
+		s.logger.Error().Str("event", "encode").Err(err).Msg("")
 		return
 	}
-	p := c.peers[addr]
-	if p == nil {
-		p = peertransport.NewPeer(addr, c.hello)
-		c.peers[addr] = p
+	peer := s.peers[addr]
+	if peer == nil {
+		peer = peertransport.NewPeer(addr, s.hello)
+		s.peers[addr] = peer
 	}
-	c.sentAt[addr] = c.now()
-	p.Send(b)
+	s.lastSentAt[addr] = s.now()
+	peer.Send(frame)
 }
 
-func (c *Comb) accept(l net.Listener) {
+func (s *Server) acceptConnections(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			c.failed <- err
+			s.serveErrors <- err
 			return
 		}
 		if raw, err := conn.(*net.TCPConn).SyscallConn(); err == nil {
 			peertransport.SetUnackedTimeout(raw, time.Second)
 		}
-		go c.receive(conn)
+		go s.serveConnection(conn)
 	}
 }
 
-func (c *Comb) receive(conn net.Conn) {
+func (s *Server) serveConnection(conn net.Conn) {
 	defer conn.Close()
 	conn.SetReadDeadline(time.Now().Add(2 * time.Second))
 	first, err := peertransport.ReadFrame(conn)
@@ -333,54 +333,54 @@
 		return
 	}
 	if first.Hello.Gateway != "" {
-		c.forager(conn, first.Hello)
+		s.serveGateway(conn, first.Hello)
 		return
 	}
 	from := first.Hello.Member
-	c.post(func() {
-		if !c.ends.Admit(first.Hello, conn) {
+	s.enqueue(func() {
+		if !s.inboundPeers.Admit(first.Hello, conn) {
 			conn.Close()
 		}
 	})
-	defer c.post(func() { c.ends.Remove(from.Addr, conn) })
+	defer s.enqueue(func() { s.inboundPeers.Remove(from.Addr, conn) })
 	for {
 		conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-		m, err := peertransport.ReadFrame(conn)
+		message, err := peertransport.ReadFrame(conn)
 		if err != nil {
 			return
 		}
-		c.post(func() {
-			if !c.ends.IsCurrent(from.Addr, conn) {
+		s.enqueue(func() {
+			if !s.inboundPeers.IsCurrent(from.Addr, conn) {
 				return // of an earlier connection
 			}
-			c.step(controller.Event{From: &from, Message: &controller.Message{Core: m.Coordinator, Lives: m.Instances, Fleet: m.GatewaySummary, Fell: m.Ejections}})
+			s.step(controller.Event{From: &from, Message: &controller.Message{Coordinator: message.Coordinator, Instances: message.Instances, Fleet: message.GatewaySummary, Ejections: message.Ejections}})
 		})
 	}
 }
 
-// forager holds a forager's stream until it ends.
-func (c *Comb) forager(conn net.Conn, h *messages.Hello) {
-	x := peertransport.NewConn(conn)
-	defer x.Shutdown()
-	var n uint64
-	c.post(func() {
-		c.token++
-		n = c.token
-		c.streams[n] = x
-		c.step(controller.Event{Joined: &controller.Joined{Stream: n, Forager: h.Gateway, Zone: h.Member.Zone}})
+// serveGateway holds a forager's stream until it ends.
+func (s *Server) serveGateway(conn net.Conn, hello *messages.Hello) {
+	stream := peertransport.NewConn(conn)
+	defer stream.Shutdown()
+	var streamID uint64
+	s.enqueue(func() {
+		s.lastToken++
+		streamID = s.lastToken
+		s.streams[streamID] = stream
+		s.step(controller.Event{GatewayJoined: &controller.GatewayJoined{Stream: streamID, Gateway: hello.Gateway, Zone: hello.Member.Zone}})
 	})
 	for {
 		conn.SetReadDeadline(time.Now().Add(4 * time.Second))
-		m, err := peertransport.ReadFrame(conn)
+		message, err := peertransport.ReadFrame(conn)
 		if err != nil {
 			break
 		}
-		if m.LoadReport != nil {
-			c.post(func() { c.step(controller.Event{Stream: n, Report: m.LoadReport}) })
+		if message.LoadReport != nil {
+			s.enqueue(func() { s.step(controller.Event{Stream: streamID, Report: message.LoadReport}) })
 		}
 	}
-	c.post(func() {
-		delete(c.streams, n)
-		c.step(controller.Event{Left: n})
+	s.enqueue(func() {
+		delete(s.streams, streamID)
+		s.step(controller.Event{GatewayLeft: streamID})
 	})
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -102,7 +102,7 @@
 	}
 	set, err := nodesettings.Parse([]byte(fmt.Sprintf(settings, "comb-1", data, "", "", g.Control, inner, inner+4, g.Control)))
 	if err == nil {
-		var c *controlserver.Comb
+		var c *controlserver.Server
 		c, err = controlserver.New(set, program.Logger(w, "comb"))
 		err = run(c, err)
 	}
--- a/internal/demo/windows_test.go
+++ b/internal/demo/windows_test.go
@@ -24,7 +24,7 @@
 	return status
 }
 
-func (g *Gateway) shown() (s controller.Shown) {
+func (g *Gateway) shown() (s controller.MaintenanceStatus) {
 	resp, err := http.Post("http://"+g.Control+"/api/rpc?call=windows.describe", "application/json", nil)
 	if err == nil {
 		json.NewDecoder(resp.Body).Decode(&s)
@@ -100,7 +100,7 @@
 		So(g.command(maintenance.Command{Verb: "agree", Agreed: []capacity.Floor{{Region: "here", Group: capacity.Orders, Least: 1}}}), ShouldEqual, http.StatusOK)
 		So(until("both measured", func() bool {
 			s := g.shown()
-			return len(s.Nodes) == 2 && s.Nodes[0].Carries[capacity.Orders] > 1 && s.Nodes[1].Carries[capacity.Orders] > 1
+			return len(s.Nodes) == 2 && s.Nodes[0].RequestRates[capacity.Orders] > 1 && s.Nodes[1].RequestRates[capacity.Orders] > 1
 		}), ShouldBeNil)
 		So(g.command(maintenance.Command{Verb: "ask", Name: "kernel", Nodes: []string{"forager-1", "forager-2"}}), ShouldEqual, http.StatusOK)
 		phase := func(node string) maintenance.Phase {
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -57,7 +57,7 @@
 	}
 	f.front.Do(func() {})
 	f.take(&messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: configured(1, "safe"),
-		Instances: []registry.Life{{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4}}})
+		Instances: []registry.Instance{{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4}}})
 	for _, x := range []struct {
 		name string
 		h    http.Handler
--- a/internal/gateway/client.go
+++ b/internal/gateway/client.go
@@ -116,8 +116,8 @@
 		c.begun.Store(true)
 		good, cause := c.scan.Feed(b[:n])
 		if c.rests.Swap(false) && !c.known { // behind an earlier request the server sets it itself
-			if limits := c.f.config.Load(); limits != nil && limits.Limits.Header > 0 {
-				c.Conn.SetReadDeadline(time.Now().Add(limits.Limits.Header))
+			if limits := c.f.config.Load(); limits != nil && limits.Limits.HeaderTimeout > 0 {
+				c.Conn.SetReadDeadline(time.Now().Add(limits.Limits.HeaderTimeout))
 			}
 		}
 		if cause == "" {
@@ -141,7 +141,7 @@
 	if !c.rests.Load() || limits == nil {
 		return false
 	}
-	end := c.since.Add(limits.Limits.Idle)
+	end := c.since.Add(limits.Limits.IdleTimeout)
 	return time.Now().Before(end) && c.Conn.SetReadDeadline(end) == nil
 }
 
@@ -152,10 +152,10 @@
 	}
 	if limits, now := c.f.config.Load(), time.Now(); limits != nil && t.After(now) {
 		switch {
-		case c.rests.Load() && limits.Limits.Idle > 0:
-			c.since, t = now, now.Add(limits.Limits.Idle)
-		case limits.Limits.Header > 0:
-			t = now.Add(limits.Limits.Header)
+		case c.rests.Load() && limits.Limits.IdleTimeout > 0:
+			c.since, t = now, now.Add(limits.Limits.IdleTimeout)
+		case limits.Limits.HeaderTimeout > 0:
+			t = now.Add(limits.Limits.HeaderTimeout)
 		}
 	}
 	return c.Conn.SetReadDeadline(t)
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -56,7 +56,7 @@
 	}
 	st := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: limited(1, limits)}
 	for _, up := range ups {
-		st.Instances = append(st.Instances, registry.Life{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4})
+		st.Instances = append(st.Instances, registry.Instance{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4})
 	}
 	f.take(st)
 	t.Cleanup(func() { f.server.Close() })
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -177,7 +177,7 @@
 	}
 	if c := t.Config; c != nil {
 		f.config.Store(c)
-		f.log.Info().Str("event", "config").Uint64("version", c.Version).Int("routes", c.Routes).Msg("")
+		f.log.Info().Str("event", "config").Uint64("version", c.Version).Int("routes", c.RouteCount).Msg("")
 		f.open(c)
 	}
 	if t.Table {
--- a/internal/gateway/forager.go
+++ b/internal/gateway/forager.go
@@ -178,8 +178,8 @@
 		mux.Handle("/*", http.HandlerFunc(f.serve))
 		mux.NotFound(f.serve)
 		mux.MethodNotAllowed(f.serve)
-		f.server = &http.Server{Handler: mux, ReadHeaderTimeout: c.Limits.Header, IdleTimeout: c.Limits.Idle,
-			MaxHeaderBytes: max(int(c.Limits.HeaderBytes), headsMost), ErrorLog: nil, ConnContext: withClient, ConnState: f.unused.state}
+		f.server = &http.Server{Handler: mux, ReadHeaderTimeout: c.Limits.HeaderTimeout, IdleTimeout: c.Limits.IdleTimeout,
+			MaxHeaderBytes: max(int(c.Limits.MaxHeaderBytes), headsMost), ErrorLog: nil, ConnContext: withClient, ConnState: f.unused.state}
 		f.server.ErrorLog = f.log.Std("", 0)
 		go func() {
 			if err := f.server.Serve(clients{netutil.LimitListener(f.frontLn, int(float64(f.set.Descriptors)*connPart)), f}); err != http.ErrServerClosed {
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -68,14 +68,14 @@
 		finish(w, http.StatusBadRequest)
 		return
 	}
-	if headBytes(r) > c.Limits.HeaderBytes+headSlack {
+	if headBytes(r) > c.Limits.MaxHeaderBytes+headSlack {
 		f.badRequest(r, "head_too_large")
 		w.Header().Set("Connection", "close")
 		finish(w, http.StatusRequestHeaderFieldsTooLarge)
 		return
 	}
 	path, _, _ := strings.Cut(uri, "?")
-	route, ok := c.Find(r.Host, path)
+	route, ok := c.FindRoute(r.Host, path)
 	if !ok {
 		f.count("no_route")
 		finish(w, http.StatusNotFound)
@@ -94,7 +94,7 @@
 		control.SetReadDeadline(began.Add(most))
 	}
 	control.SetWriteDeadline(began.Add(most + writeMost))
-	body, err := f.readBody(r, c.Limits.BodyBytes)
+	body, err := f.readBody(r, c.Limits.MaxBodyBytes)
 	defer f.bodies.release(body)
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -172,15 +172,15 @@
 // went dark under it, and answers that got lost. Whoever answers first is heard; the other connection is closed, and
 // with it the work there.
 func (f *Forager) forward(w http.ResponseWriter, r *http.Request, uri string, route gatewayconfig.Route, body []byte, deadline time.Time) {
-	service := route.Pick(rand.Float64())
+	service := route.PickService(rand.Float64())
 	q := replica.Request{Method: r.Method, URI: uri, Host: r.Host, Header: replica.EndToEnd(r.Header), Body: body,
-		Attempt: r.Header.Get("X-Attempt-Id"), Deadline: deadline, Service: service, Patient: !route.Safe}
+		Attempt: r.Header.Get("X-Attempt-Id"), Deadline: deadline, Service: service, Patient: !route.Idempotent}
 	var hedge <-chan time.Time
-	if route.Safe { // a safe request whose client left is dropped; an unsafe one is left to end
+	if route.Idempotent { // a safe request whose client left is dropped; an unsafe one is left to end
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
 		q.Stop = ctx
-		if wait, ok := retry.HedgeAfter(route.Target, time.Until(deadline)); ok && route.MaxAttempts > 1 {
+		if wait, ok := retry.HedgeAfter(route.LatencyTarget, time.Until(deadline)); ok && route.MaxAttempts > 1 {
 			timer := time.NewTimer(wait)
 			defer timer.Stop()
 			hedge = timer.C
@@ -188,8 +188,8 @@
 	}
 	f.arrived(service)
 	began, there := time.Now(), time.Duration(0)
-	defer func() { f.done(route.Safe, time.Since(began), there) }()
-	t := retry.Request{Safe: route.Safe, MaxAttempts: route.MaxAttempts, Target: route.Target}
+	defer func() { f.done(route.Idempotent, time.Since(began), there) }()
+	t := retry.Request{Safe: route.Idempotent, MaxAttempts: route.MaxAttempts, Target: route.LatencyTarget}
 	var tried []string
 	ends := make(chan attempt, route.MaxAttempts+retry.UnsentMost+1)
 	pending := 0
@@ -206,7 +206,7 @@
 	}()
 	offer := func(spare bool) (bool, time.Duration) {
 		p := f.pick(router.Ask{Service: service, Tried: tried, Spare: spare,
-			Request: admission.Request{Route: route.Name, Target: route.Target, Priority: route.Priority, Left: time.Until(deadline)}})
+			Request: admission.Request{Route: route.Name, Target: route.LatencyTarget, Priority: route.Priority, Left: time.Until(deadline)}})
 		if p.ID == "" {
 			return false, p.Wait
 		}
@@ -227,7 +227,7 @@
 		f.count("left")
 		panic(http.ErrAbortHandler)
 	}
-	if !retry.Offers(time.Until(deadline), route.Target) {
+	if !retry.Offers(time.Until(deadline), route.LatencyTarget) {
 		f.count("no_time")
 		refuse(w, http.StatusServiceUnavailable, comeBack)
 		return
@@ -266,7 +266,7 @@
 				return
 			}
 			if r.Context().Err() != nil {
-				if route.Safe {
+				if route.Idempotent {
 					panic(http.ErrAbortHandler)
 				}
 				continue // nobody waits: what has not run is not offered again
--- a/internal/gateway/front_test.go
+++ b/internal/gateway/front_test.go
@@ -47,7 +47,7 @@
 		up, err := upstream.Start(fmt.Sprintf("i%d", i))
 		So(err, ShouldBeNil)
 		r.up = append(r.up, up)
-		st.Instances = append(st.Instances, registry.Life{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4})
+		st.Instances = append(st.Instances, registry.Instance{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4})
 	}
 	f.take(st)
 	Reset(func() {
--- a/internal/gateway/hostile_test.go
+++ b/internal/gateway/hostile_test.go
@@ -86,7 +86,7 @@
 		for i, r := range replicas {
 			id := fmt.Sprintf("i%d.%d", i, n)
 			r.Become(id)
-			st.Instances = append(st.Instances, registry.Life{ID: id, Service: "svc", Addr: addrs[i], Zone: "a", Slots: 64})
+			st.Instances = append(st.Instances, registry.Instance{ID: id, Service: "svc", Addr: addrs[i], Zone: "a", Slots: 64})
 		}
 		f.take(st)
 	}
--- a/internal/peertransport/link.go
+++ b/internal/peertransport/link.go
@@ -34,7 +34,7 @@
 type Frame struct {
 	Hello          *messages.Hello          `cbor:"1,keyasint,omitempty"`
 	Coordinator    *coordinator.Message     `cbor:"2,keyasint,omitempty"`
-	Instances      []registry.Life          `cbor:"3,keyasint,omitempty"`
+	Instances      []registry.Instance      `cbor:"3,keyasint,omitempty"`
 	StateUpdate    *messages.StateUpdate    `cbor:"4,keyasint,omitempty"`
 	LoadReport     *messages.LoadReport     `cbor:"5,keyasint,omitempty"`
 	GatewaySummary *messages.GatewaySummary `cbor:"6,keyasint,omitempty"`
--- a/internal/scalerun/hollow.go
+++ b/internal/scalerun/hollow.go
@@ -96,7 +96,7 @@
 }
 
 // Report is what a forager with such requests says, as dataplane/router makes it.
-func (r Requests) Report(lives []registry.Life, over time.Duration) *messages.LoadReport {
+func (r Requests) Report(lives []registry.Instance, over time.Duration) *messages.LoadReport {
 	rep := &messages.LoadReport{PeriodMillis: over.Milliseconds(), Requests: map[string]int{}}
 	met := map[string]int{}
 	if len(lives) > 0 {
@@ -119,29 +119,29 @@
 // them, the largest so far.
 type known struct {
 	mu   sync.Mutex
-	life []registry.Life
-	zone map[string][]registry.Life
+	life []registry.Instance
+	zone map[string][]registry.Instance
 }
 
-func (k *known) take(lives []registry.Life) {
+func (k *known) take(lives []registry.Instance) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(lives) < len(k.life) {
 		return
 	}
-	k.life, k.zone = nil, map[string][]registry.Life{}
+	k.life, k.zone = nil, map[string][]registry.Instance{}
 	for _, l := range lives {
-		if l.Gone || l.Addr == "" {
+		if l.Deregistered || l.Addr == "" {
 			continue
 		}
-		l = registry.Life{ID: l.ID, Service: l.Service, Addr: l.Addr, Zone: l.Zone, Slots: l.Slots, Draining: l.Draining, Doubt: l.Doubt, Cold: l.Cold}
+		l = registry.Instance{ID: l.ID, Service: l.Service, Addr: l.Addr, Zone: l.Zone, Slots: l.Slots, Draining: l.Draining, WarmthUnknown: l.WarmthUnknown, WarmupMillis: l.WarmupMillis}
 		k.life = append(k.life, l)
 		k.zone[l.Zone] = append(k.zone[l.Zone], l)
 	}
 }
 
-func (k *known) all() []registry.Life { k.mu.Lock(); defer k.mu.Unlock(); return k.life }
-func (k *known) near(zone string) []registry.Life {
+func (k *known) all() []registry.Instance { k.mu.Lock(); defer k.mu.Unlock(); return k.life }
+func (k *known) near(zone string) []registry.Instance {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.zone[zone]
@@ -373,7 +373,7 @@
 
 // Replica is a hollow one: it beats as the protocol page says, on a connection of its own, and serves nobody.
 type Replica struct {
-	Life  registry.Life
+	Life  registry.Instance
 	Every time.Duration
 	Seeds []string // control addresses
 	Out   *Counts
@@ -399,7 +399,7 @@
 	}
 	defer drop()
 	wait := rand.N(r.Every)
-	for seq := r.Life.Seq; ; seq++ {
+	for seq := r.Life.Sequence; ; seq++ {
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/scalerun/hollow_test.go
+++ b/internal/scalerun/hollow_test.go
@@ -28,7 +28,7 @@
 
 // play is a comb that lets one forager in, tells it what it is to hold, and gives signs of life. It returns what the forager
 // said, by kind, until it had sent so many reports, and the requests that those told of.
-func play(t *testing.T, ln net.Listener, lives []registry.Life, reports int) (map[string]Count, int) {
+func play(t *testing.T, ln net.Listener, lives []registry.Instance, reports int) (map[string]Count, int) {
 	ln.(*net.TCPListener).SetDeadline(time.Now().Add(20 * time.Second))
 	nc, err := ln.Accept()
 	if err != nil {
@@ -92,7 +92,7 @@
 // kind. The real one carries requests here; the hollow one reports as many.
 func TestHollowSaysWhatARealOneSays(t *testing.T) {
 	const reports = 3
-	var lives []registry.Life
+	var lives []registry.Instance
 	for i := range 4 {
 		up, err := upstream.Start(fmt.Sprintf("i-%08x", i))
 		if err != nil {
@@ -100,7 +100,7 @@
 		}
 		up.Took = 70 * time.Millisecond
 		t.Cleanup(func() { up.Close() })
-		lives = append(lives, registry.Life{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4, Seq: 1})
+		lives = append(lives, registry.Instance{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4, Sequence: 1})
 	}
 
 	ln, front, ready := listen(t), listen(t), listen(t)
--- a/internal/simulation/edge.go
+++ b/internal/simulation/edge.go
@@ -112,10 +112,10 @@
 			return
 		}
 		m.streams[n] = b
-		if r, known := m.brain.Core().Register(); (w.s.Unasked || w.s.Fault == ToldUnasked) && known {
+		if r, known := m.brain.Coordinator().Register(); (w.s.Unasked || w.s.Fault == ToldUnasked) && known {
 			w.tell(m, b, n, &messages.StateUpdate{Full: true, Bootstrapping: true, Sequence: r.Sequence, ConfigVersion: r.Version, Config: r.Body, EvacuatedZones: sortedKeys(r.EvacuatedZones)})
 		}
-		w.step(m, controller.Event{Joined: &controller.Joined{Stream: n, Forager: b.name, Zone: w.zone(b.i)}})
+		w.step(m, controller.Event{GatewayJoined: &controller.GatewayJoined{Stream: n, Gateway: b.name, Zone: w.zone(b.i)}})
 	})
 	if !m.up {
 		w.after(time.Millisecond, func() { w.lost(b, n) })
@@ -141,7 +141,7 @@
 func (w *world) ends(m *machine, n uint64) {
 	if m.streams[n] != nil {
 		delete(m.streams, n)
-		w.step(m, controller.Event{Left: n})
+		w.step(m, controller.Event{GatewayLeft: n})
 	}
 }
 
@@ -151,7 +151,7 @@
 	if w.cut[[2]string{m.name, b.name}] > 0 || severed(&m.node, &b.node) {
 		delete(m.streams, n)
 		life := m.life
-		w.after(silence, func() { w.run(&m.node, life, func() { w.step(m, controller.Event{Left: n}) }) })
+		w.after(silence, func() { w.run(&m.node, life, func() { w.step(m, controller.Event{GatewayLeft: n}) }) })
 		return
 	}
 	if w.s.Fault == OwnGrants && len(s.WarmupRates) > 0 {
@@ -347,8 +347,8 @@
 		w.after(100*time.Millisecond, retry)
 		return
 	}
-	l := registry.Life{ID: r.id, Service: service, Addr: "10.9.0." + r.id[1:] + ":80", Zone: r.zone, Slots: slots, Draining: r.draining,
-		Cold: max((r.coldUntil - w.now).Milliseconds(), 0), Seq: r.seq}
+	l := registry.Instance{ID: r.id, Service: service, Addr: "10.9.0." + r.id[1:] + ":80", Zone: r.zone, Slots: slots, Draining: r.draining,
+		WarmupMillis: max((r.coldUntil - w.now).Milliseconds(), 0), Sequence: r.seq}
 	w.after(time.Second, retry)
 	w.beats(m, l, false, func(ok bool, next string) {
 		if answered {
@@ -378,7 +378,7 @@
 func (w *world) leave(r *replica) {
 	m := w.anyone()
 	if r.alive && m.up && !m.frozen && m.brain != nil {
-		w.beats(m, registry.Life{ID: r.id}, true, func(bool, string) {})
+		w.beats(m, registry.Instance{ID: r.id}, true, func(bool, string) {})
 	}
 	r.alive = false
 }
--- a/internal/simulation/hard.go
+++ b/internal/simulation/hard.go
@@ -191,21 +191,21 @@
 }
 
 // unclear takes an answer that is neither yes nor no.
-func (w *world) unclear(c *call, a controller.Answer) {
+func (w *world) unclear(c *call, a controller.Response) {
 	w.givenUp(c)
 	if w.s.Tolerance == 0 {
 		return
 	}
 	switch {
 	case a.Status == http.StatusTemporaryRedirect:
-		c.next = w.byAddr[a.Where]
+		c.next = w.byAddr[a.Address]
 	case a.Status >= 400 && a.Status < 500 && a.Status != http.StatusRequestTimeout && a.Status != http.StatusTooManyRequests:
 		w.broken("call %d is answered %d", c.n, a.Status)
 	}
 }
 
 // loses has an answer lost on its way, once, where the schedule says so.
-func (w *world) loses(m *machine, c *call, a controller.Answer) bool {
+func (w *world) loses(m *machine, c *call, a controller.Response) bool {
 	if !c.act.Lost || c.lost || a.Status != http.StatusOK {
 		return false
 	}
@@ -215,7 +215,7 @@
 }
 
 // answers takes a clear answer down, and watches what it says.
-func (w *world) answers(m *machine, c *call, a controller.Answer) {
+func (w *world) answers(m *machine, c *call, a controller.Response) {
 	if w.s.Tolerance == 0 {
 		return
 	}
@@ -263,7 +263,7 @@
 	if m.cutOff() {
 		w.res.Still = append(w.res.Still, w.now-m.cutAt)
 	}
-	if m.wokeAt > 0 && m.brain.Core().View().Number < w.res.Views {
+	if m.wokeAt > 0 && m.brain.Coordinator().View().Number < w.res.Views {
 		w.res.Thawed = append(w.res.Thawed, w.now-m.wokeAt)
 	}
 }
@@ -314,8 +314,8 @@
 // newestView is the newest view held by a process that runs.
 func (w *world) newestView() (v membership.View) {
 	for _, m := range w.combs {
-		if m.up && m.brain != nil && m.brain.Core().View().Number > v.Number {
-			v = m.brain.Core().View()
+		if m.up && m.brain != nil && m.brain.Coordinator().View().Number > v.Number {
+			v = m.brain.Coordinator().View()
 		}
 	}
 	return v
@@ -345,7 +345,7 @@
 	w.after(watchEvery, w.watch)
 	v, h := w.newestView(), &w.hard
 	for _, m := range w.combs {
-		if m.well() && !m.caught && slices.Contains(v.Chain, m.brain.Core().Self().ID) {
+		if m.well() && !m.caught && slices.Contains(v.Chain, m.brain.Coordinator().Self().ID) {
 			if seq, _ := m.onDisk(); seq >= h.top {
 				m.caught = true
 				if took := w.now - m.began; m.spare {
@@ -372,7 +372,7 @@
 			continue
 		}
 		well++
-		id := m.brain.Core().Self().ID
+		id := m.brain.Coordinator().Self().ID
 		if v.HasVoter(id) {
 			voting++
 		}
@@ -385,7 +385,7 @@
 		if bytes > diskMost {
 			w.broken("%s keeps %d bytes after %d changes", m.name, bytes, h.top)
 		}
-		if w.calm(beatable) && !m.brain.Core().HasQuorumContact(w.local(&m.node)) {
+		if w.calm(beatable) && !m.brain.Coordinator().HasQuorumContact(w.local(&m.node)) {
 			w.broken("%s is not in touch, though all has been calm", m.name)
 			return
 		}
@@ -578,7 +578,7 @@
 
 // planted puts a bug in what the machines say to one another.
 func (w *world) planted(m *machine, e controller.Event) controller.Event {
-	msg, c := *e.Message, *e.Message.Core
+	msg, c := *e.Message, *e.Message.Coordinator
 	switch f := w.s.Fault; {
 	case f == VouchesAnyway && c.ConfirmViewResponse != nil:
 		x := *c.ConfirmViewResponse
@@ -592,7 +592,7 @@
 	default:
 		return e
 	}
-	msg.Core, e.Message = &c, &msg
+	msg.Coordinator, e.Message = &c, &msg
 	return e
 }
 
@@ -607,7 +607,7 @@
 		w.kill(m, "kill", -1)
 		return
 	}
-	w.run(&m.node, life, func() { w.step(m, controller.Event{Leaving: true}) })
+	w.run(&m.node, life, func() { w.step(m, controller.Event{Shutdown: true}) })
 	w.after(grace, func() {
 		if m.up && m.life == life {
 			w.say("%s has not ended within the grace", m.name)
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -95,17 +95,17 @@
 	if h == nil {
 		return
 	}
-	if e.Written != nil && e.Written.Problem != "" { // its text is no part of the history
-		e.Written = &controller.Written{Problem: "failed"}
+	if e.WriteResult != nil && e.WriteResult.Error != "" { // its text is no part of the history
+		e.WriteResult = &controller.WriteResult{Error: "failed"}
 	}
 	local := w.local(&m.node)
-	core := m.brain.Core()
+	core := m.brain.Coordinator()
 	register, known := core.Register()
 	h.add(entryEvent, w.now, m.i, local, e, core.View().Number, register.Sequence, known, core.HasQuorumContact(local))
 }
 
 // answer takes down an answer to a caller. The text of a refusal is no part of the history.
-func (h *historyChecksum) answer(w *world, m *machine, a controller.Answer) {
+func (h *historyChecksum) answer(w *world, m *machine, a controller.Response) {
 	if h == nil {
 		return
 	}
@@ -184,8 +184,8 @@
 	for _, m := range w.combs {
 		h.disk(entryFinalState, w, m)
 		if m.up && m.brain != nil {
-			if raw, err := m.brain.Kept(); err == nil {
-				h.add(entryFinalState, w.now, m.i, decodedState(raw), m.brain.Core().View())
+			if raw, err := m.brain.PersistentState(); err == nil {
+				h.add(entryFinalState, w.now, m.i, decodedState(raw), m.brain.Coordinator().View())
 			}
 		}
 	}
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -26,12 +26,12 @@
 	node
 	i       int
 	addr    string
-	brain   *controller.Comb
+	brain   *controller.Controller
 	store   *statestore.Store
 	disk    *disk
 	wiped   int
 	seen    uint64 // newest committed number in this life
-	calls   map[uint64]func(controller.Answer)
+	calls   map[uint64]func(controller.Response)
 	callers map[uint64]*call // operators' calls that wait here
 	streams map[uint64]*bee
 	seeds   []string
@@ -51,7 +51,7 @@
 	w.begins(&m.node)
 	w.event()
 	m.seen, m.brain, m.caught = 0, nil, first
-	m.calls, m.callers, m.streams = map[uint64]func(controller.Answer){}, map[uint64]*call{}, map[uint64]*bee{}
+	m.calls, m.callers, m.streams = map[uint64]func(controller.Response){}, map[uint64]*call{}, map[uint64]*bee{}
 	store, err := statestore.Open(m.disk)
 	if err != nil {
 		w.broken("%s cannot open its store: %v", m.name, err)
@@ -73,10 +73,10 @@
 		k.Register.Claims = nil
 	}
 	k.Initialize(m.addr, seeds, first || w.s.Fault == Amnesia, fmt.Sprintf("w%d", m.wiped))
-	m.brain = controller.New(w.local(&m.node), controller.Settings{Zone: w.zone(m.i), Control: m.addr, Zones: []string{"a", "b", "c"}, Regions: map[string]string{"a": "r0", "b": "r1", "c": "r2"}, Seeds: seeds, LinkMbps: 1000,
-		DrainDeadline: drainIn, Heartbeat: beatEvery, Seed: w.r.Uint64()}, membership.Member{ID: k.DiskID, Addr: m.addr, Zone: w.zone(m.i), APIAddr: m.addr}, k)
+	m.brain = controller.New(w.local(&m.node), controller.Options{Zone: w.zone(m.i), ControlAddr: m.addr, Zones: []string{"a", "b", "c"}, RegionByZone: map[string]string{"a": "r0", "b": "r1", "c": "r2"}, Seeds: seeds, LinkMbps: 1000,
+		DrainDeadline: drainIn, HeartbeatInterval: beatEvery, RandomSeed: w.r.Uint64()}, membership.Member{ID: k.DiskID, Addr: m.addr, Zone: w.zone(m.i), APIAddr: m.addr}, k)
 	w.say("%s starts as %s, view %d, register %d (version %d)", m.name, k.DiskID, k.View.View.Number, k.Register.Sequence, k.Register.Version)
-	raw, err := m.brain.Kept()
+	raw, err := m.brain.PersistentState()
 	if err != nil {
 		w.broken("%s: %v", m.name, err)
 		return
@@ -114,7 +114,7 @@
 		if w.r.IntN(200) == 0 {
 			late += 60 * time.Millisecond
 		}
-		w.after(controller.TickEvery+late, func() { w.tock(m, life) })
+		w.after(controller.TickInterval+late, func() { w.tock(m, life) })
 	}
 }
 
@@ -175,15 +175,15 @@
 	if m.brain == nil {
 		return
 	}
-	if w.s.Fault == NoViewNumber && e.Message != nil && e.Message.Core != nil && e.Message.Core.Chain != nil {
+	if w.s.Fault == NoViewNumber && e.Message != nil && e.Message.Coordinator != nil && e.Message.Coordinator.Chain != nil {
 		e = anyView(m, e)
 	}
-	if e.Message != nil && e.Message.Core != nil {
+	if e.Message != nil && e.Message.Coordinator != nil {
 		e = w.planted(m, e)
 	}
-	views, seq := m.brain.Core().View().Number, m.seen
+	views, seq := m.brain.Coordinator().View().Number, m.seen
 	if w.s.Tolerance > 0 {
-		e.Wall = w.wallClock(m)
+		e.WallClock = w.wallClock(m)
 	}
 	a := m.brain.Step(w.local(&m.node), e)
 	w.history.event(w, m, e)
@@ -201,26 +201,28 @@
 		if to == nil || to == m {
 			continue
 		}
-		from, msg := m.brain.Core().Self(), s.Message
+		from, msg := m.brain.Coordinator().Self(), s.Message
 		w.carry(&m.node, &to.node, w.s.Loss, w.s.Reorder, func() { w.step(to, controller.Event{From: &from, Message: &msg}) })
 	}
 	if a.Write != nil {
-		w.write(m, a.Write, func(problem string) { w.step(m, controller.Event{Written: &controller.Written{Problem: problem}}) })
+		w.write(m, a.Write, func(problem string) {
+			w.step(m, controller.Event{WriteResult: &controller.WriteResult{Error: problem}})
+		})
 	}
-	if v := m.brain.Core().View(); v.Number != views {
+	if v := m.brain.Coordinator().View(); v.Number != views {
 		w.viewed(m, v)
 	}
-	if r, known := m.brain.Core().Register(); known && r.Sequence != seq {
+	if r, known := m.brain.Coordinator().Register(); known && r.Sequence != seq {
 		w.holds(m, r)
 	}
-	for i := range a.Tell {
-		for _, n := range a.Tell[i].Streams {
+	for i := range a.Publish {
+		for _, n := range a.Publish[i].Streams {
 			if b := m.streams[n]; b != nil {
-				w.tell(m, b, n, &a.Tell[i].State)
+				w.tell(m, b, n, &a.Publish[i].Update)
 			}
 		}
 	}
-	for _, x := range a.Answers {
+	for _, x := range a.Responses {
 		w.history.answer(w, m, x)
 		if done := m.calls[x.Token]; done != nil {
 			delete(m.calls, x.Token)
@@ -228,13 +230,13 @@
 			done(x)
 		}
 	}
-	for _, n := range a.End {
+	for _, n := range a.CloseStreams {
 		if b := m.streams[n]; b != nil {
 			w.ends(m, n)
 			w.carry(&m.node, &b.node, 0, 0, func() { w.lost(b, n) })
 		}
 	}
-	if a.Ended {
+	if a.ShutdownComplete {
 		w.say("%s has left", m.name)
 		w.kill(m, "kill", -1)
 	}
@@ -242,10 +244,10 @@
 
 // anyView is a fault: a pass, or the tail's word that it is committed, counts whatever view it is of.
 func anyView(m *machine, e controller.Event) controller.Event {
-	v := m.brain.Core().View()
-	msg, inner, word := *e.Message, *e.Message.Core, *e.Message.Core.Chain
-	inner.Chain, msg.Core, e.Message = &word, &inner, &msg
-	if i := v.Position(m.brain.Core().Self().ID); word.Kind == chainreplication.Forward && i > 0 {
+	v := m.brain.Coordinator().View()
+	msg, inner, word := *e.Message, *e.Message.Coordinator, *e.Message.Coordinator.Chain
+	inner.Chain, msg.Coordinator, e.Message = &word, &inner, &msg
+	if i := v.Position(m.brain.Coordinator().Self().ID); word.Kind == chainreplication.Forward && i > 0 {
 		word.ViewNumber, word.From = v.Number, v.Chain[i-1]
 	} else if word.Kind == chainreplication.Commit {
 		word.ViewNumber = v.Number
@@ -299,7 +301,7 @@
 	if !m.up {
 		return
 	}
-	if m.brain != nil && m.brain.Core().View().Position(m.brain.Core().Self().ID) >= 0 && back >= time.Second {
+	if m.brain != nil && m.brain.Coordinator().View().Position(m.brain.Coordinator().Self().ID) >= 0 && back >= time.Second {
 		w.down[m.i] = w.now
 	}
 	m.up, m.frozen = false, false
@@ -426,17 +428,17 @@
 	switch c.act.Kind {
 	case "read":
 		c.floor = max(c.floor, w.acked)
-		e.Read = true
+		e.ReadConfiguration = true
 	case "agree", "ask", "finish", "cancel":
-		e.Windows = w.command(c.act)
+		e.MaintenanceCommand = w.command(c.act)
 	case "put":
-		e.Order = &chainreplication.Command{Version: c.version, Body: []byte(c.body)}
+		e.Command = &chainreplication.Command{Version: c.version, Body: []byte(c.body)}
 	default:
-		e.Order = &chainreplication.Command{Zone: w.zone(c.act.On), Evacuated: c.act.Kind == "evacuate"}
+		e.Command = &chainreplication.Command{Zone: w.zone(c.act.On), Evacuated: c.act.Kind == "evacuate"}
 	}
 	m.callers[e.Token] = c
 	tries := c.tries
-	m.calls[e.Token] = func(a controller.Answer) {
+	m.calls[e.Token] = func(a controller.Response) {
 		if w.s.Tolerance == 0 || c.tries == tries && !w.loses(m, c, a) {
 			w.answered(m, c, a)
 		}
@@ -460,7 +462,7 @@
 	})
 }
 
-func (w *world) answered(m *machine, c *call, a controller.Answer) {
+func (w *world) answered(m *machine, c *call, a controller.Response) {
 	if c.done {
 		return
 	}
@@ -576,17 +578,17 @@
 }
 
 // beats has a replica's word reach a comb; done is told whether it was acknowledged.
-func (w *world) beats(m *machine, l registry.Life, leave bool, done func(ok bool, next string)) {
+func (w *world) beats(m *machine, l registry.Instance, leave bool, done func(ok bool, next string)) {
 	w.tokens++
-	e := controller.Event{Token: w.tokens, Beat: &l}
+	e := controller.Event{Token: w.tokens, Heartbeat: &l}
 	if leave {
-		e = controller.Event{Token: w.tokens, Leave: l.ID}
+		e = controller.Event{Token: w.tokens, Deregister: l.ID}
 	}
-	m.calls[e.Token] = func(a controller.Answer) {
+	m.calls[e.Token] = func(a controller.Response) {
 		if a.Status == http.StatusOK && m.cutOff() {
 			w.res.Beats = append(w.res.Beats, w.now-m.cutAt)
 		}
-		done(a.Status == http.StatusOK, a.Where)
+		done(a.Status == http.StatusOK, a.Address)
 	}
 	w.step(m, e)
 }
--- a/internal/sizes/sizes.go
+++ b/internal/sizes/sizes.go
@@ -31,11 +31,11 @@
 func Zone(i int) string    { return "zone-" + string(rune('a'+i%26)) + strconv.Itoa(i/26) }
 
 // Lives are the replicas of a fleet, dealt over services and zones by turns. All are warm and known by one beat.
-func (f Fleet) Lives() []registry.Life {
-	lives := make([]registry.Life, f.Replicas)
+func (f Fleet) Lives() []registry.Instance {
+	lives := make([]registry.Instance, f.Replicas)
 	for i := range lives {
-		lives[i] = registry.Life{ID: fmt.Sprintf("i-%08x", uint32(i)*2654435761), Service: Service(i % f.Services),
-			Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255), Zone: Zone(i / f.Services % f.Zones), Slots: 6, Seq: 1}
+		lives[i] = registry.Instance{ID: fmt.Sprintf("i-%08x", uint32(i)*2654435761), Service: Service(i % f.Services),
+			Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255), Zone: Zone(i / f.Services % f.Zones), Slots: 6, Sequence: 1}
 	}
 	return lives
 }
--- a/internal/sizes/sizes_test.go
+++ b/internal/sizes/sizes_test.go
@@ -17,10 +17,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c.Version != 7 || c.Routes != f.Routes || len(c.Services) != f.Services {
-			t.Fatalf("version %d, %d routes, %d services", c.Version, c.Routes, len(c.Services))
+		if c.Version != 7 || c.RouteCount != f.Routes || len(c.Services) != f.Services {
+			t.Fatalf("version %d, %d routes, %d services", c.Version, c.RouteCount, len(c.Services))
 		}
-		if r, ok := c.Find(Host(508/routesOfHost), Prefix(508)+"x"); !ok || r.Name != "route-00508" {
+		if r, ok := c.FindRoute(Host(508/routesOfHost), Prefix(508)+"x"); !ok || r.Name != "route-00508" {
 			t.Fatalf("found %+v", r)
 		}
 	}
--- a/internal/statestore/capacity_test.go
+++ b/internal/statestore/capacity_test.go
@@ -59,11 +59,11 @@
 
 type hints struct {
 	revision  uint64
-	instances []registry.Life
+	instances []registry.Instance
 }
 
-func (h *hints) Revision() uint64           { return h.revision }
-func (h *hints) Instances() []registry.Life { return h.instances }
+func (h *hints) Revision() uint64               { return h.revision }
+func (h *hints) Instances() []registry.Instance { return h.instances }
 
 type clusterMember struct {
 	coordinator *coordinator.Coordinator
--- a/messages/words.go
+++ b/messages/words.go
@@ -80,7 +80,7 @@
 	ConfigVersion       uint64              `cbor:"3,keyasint,omitempty"`
 	Config              []byte              `cbor:"4,keyasint,omitempty"` // where the version changed
 	EvacuatedZones      []string            `cbor:"5,keyasint,omitempty"`
-	Instances           []registry.Life     `cbor:"6,keyasint,omitempty"`
+	Instances           []registry.Instance `cbor:"6,keyasint,omitempty"`
 	Weights             []EndpointWeight    `cbor:"7,keyasint,omitempty"`
 	Members             []membership.Member `cbor:"8,keyasint,omitempty"`
 	GatewayCount        int                 `cbor:"9,keyasint,omitempty"` // known over all combs
@@ -106,15 +106,15 @@
 
 // LoadReport is what a forager tells its comb, once per report period.
 type LoadReport struct {
-	PeriodMillis int64           `cbor:"1,keyasint"` // milliseconds
-	Endpoints    []EndpointStats `cbor:"2,keyasint,omitempty"`
-	Requests     map[string]int  `cbor:"3,keyasint,omitempty"` // by service
-	Failed       map[string]int  `cbor:"4,keyasint,omitempty"`
-	Instances    []registry.Life `cbor:"5,keyasint,omitempty"` // what it was told, to a comb that may not know
-	Sequence     uint64          `cbor:"6,keyasint,omitempty"`
-	Observations []outlier.Word  `cbor:"8,keyasint,omitempty"`
-	Deregistered []string        `cbor:"7,keyasint,omitempty"` // another replica answered at their addresses
-	Status       *GatewayStatus  `cbor:"9,keyasint,omitempty"`
+	PeriodMillis int64               `cbor:"1,keyasint"` // milliseconds
+	Endpoints    []EndpointStats     `cbor:"2,keyasint,omitempty"`
+	Requests     map[string]int      `cbor:"3,keyasint,omitempty"` // by service
+	Failed       map[string]int      `cbor:"4,keyasint,omitempty"`
+	Instances    []registry.Instance `cbor:"5,keyasint,omitempty"` // what it was told, to a comb that may not know
+	Sequence     uint64              `cbor:"6,keyasint,omitempty"`
+	Observations []outlier.Word      `cbor:"8,keyasint,omitempty"`
+	Deregistered []string            `cbor:"7,keyasint,omitempty"` // another replica answered at their addresses
+	Status       *GatewayStatus      `cbor:"9,keyasint,omitempty"`
 }
 
 // GatewaySummary tells other combs which foragers are with one.
