--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -30,7 +30,7 @@
 			return err
 		}
 		var reply simadapter.Reply
-		for _, share := range batch.Shares {
+		for _, share := range batch.Instances {
 			g := governors[share.Instance]
 			if g == nil {
 				g = &rules.Governor{}
@@ -40,39 +40,39 @@
 				return err
 			}
 		}
-		if _, err := out.Write(reply.Frame()); err != nil {
+		if _, err := out.Write(reply.Encode()); err != nil {
 			return err
 		}
 	}
 }
 
 // answer adds one governor's orders to the reply. A failure of the decision code becomes a bug report.
-func answer(reply *simadapter.Reply, g *rules.Governor, now rules.Time, share *simadapter.Share) error {
+func answer(reply *simadapter.Reply, g *rules.Governor, now rules.Time, share *simadapter.InstanceEvents) error {
 	orders, fault := step(g, now, share)
 	if fault == "" && len(orders) == 0 {
 		return nil
 	}
-	reply.Context(share.Instance)
+	reply.SelectInstance(share.Instance)
 	if fault != "" {
-		reply.Bug(fault)
+		reply.AddBug(fault)
 		return nil
 	}
 	for _, o := range orders {
-		if err := reply.Order(o); err != nil {
+		if err := reply.AddOrder(o); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func step(g *rules.Governor, now rules.Time, share *simadapter.Share) (orders []rules.Order, fault string) {
+func step(g *rules.Governor, now rules.Time, share *simadapter.InstanceEvents) (orders []rules.Order, fault string) {
 	defer func() {
 		if p := recover(); p != nil {
 			orders, fault = nil, fmt.Sprint("panic: ", p)
 		}
 	}()
-	if share.Fault != nil {
-		return nil, share.Fault.Error()
+	if share.SettingsError != nil {
+		return nil, share.SettingsError.Error()
 	}
 	return g.Step(now, share.Events), ""
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestPanicBecomesBug(t *testing.T) {
-	share := &simadapter.Share{Events: []rules.Event{rules.Start{Settings: rules.Settings{Zones: 1}}, rules.Joined{Proxy: 1}}}
+	share := &simadapter.InstanceEvents{Events: []rules.Event{rules.Start{Settings: rules.Settings{Zones: 1}}, rules.Joined{Proxy: 1}}}
 	var broken *rules.Governor
 	if _, fault := step(broken, 0, share); !strings.HasPrefix(fault, "panic: ") {
 		t.Errorf("got %q", fault)
--- a/cmd/zinclab/days.go
+++ b/cmd/zinclab/days.go
@@ -13,12 +13,12 @@
 
 // daysCommand writes drawn days of trouble for the bench, a file each.
 func daysCommand() *cobra.Command {
-	p := daydraw.Plan{}
+	p := daydraw.Options{}
 	var out, kinds, among string
 	var first, count int
 	c := &cobra.Command{Use: "days", Short: "Draws days of trouble for the bench; a TOML file each", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		if err := p.Check(); err != nil {
+		if err := p.Validate(); err != nil {
 			return err
 		}
 		if first < 1 || count < 1 || count > 100_000 {
@@ -31,7 +31,7 @@
 				return fmt.Errorf("kinds of trouble: %w", err)
 			}
 		}
-		k, err := daydraw.Read(raw)
+		k, err := daydraw.ParseCatalogue(raw)
 		if err != nil {
 			return err
 		}
@@ -40,7 +40,7 @@
 			if err != nil {
 				return fmt.Errorf("names of kinds: %w", err)
 			}
-			k = k.Among(string(text))
+			k = k.RestrictTo(string(text))
 		}
 		if err := os.MkdirAll(out, 0o755); err != nil {
 			return fmt.Errorf("the folder of the days: %w", err)
@@ -60,16 +60,16 @@
 	}
 	f := c.Flags()
 	f.Uint64Var(&p.Seed, "seed", 1, "the same seed, number and kinds give the same day")
-	f.StringVar(&p.Family, "family", daydraw.All, strings.Join(daydraw.Families, ", "))
+	f.StringVar(&p.Family, "family", daydraw.FamilyAll, strings.Join(daydraw.Families, ", "))
 	f.StringSliceVar(&p.Zones, "zones", nil, "names of the site's zones")
 	f.IntVar(&first, "from", 1, "number of the first day")
 	f.IntVar(&count, "days", 10, "how many days")
 	f.Float64Var(&p.Length, "length", 32, "seconds of traffic in which troubles begin")
-	f.IntVar(&p.Least, "least", 4, "entries of a day, the least")
-	f.IntVar(&p.Most, "most", 14, "entries of a day, the most, besides a long row of changes")
-	f.IntVar(&p.Changes, "changes", 120, "most changes in a day with a long row of them")
-	f.Float64Var(&p.One, "one", 0.95, "worth less prices that scores 1")
-	f.Float64Var(&p.Zero, "zero", 0.6, "worth less prices that scores 0")
+	f.IntVar(&p.MinEntries, "least", 4, "entries of a day, the least")
+	f.IntVar(&p.MaxEntries, "most", 14, "entries of a day, the most, besides a long row of changes")
+	f.IntVar(&p.MaxConfigChanges, "changes", 120, "most changes in a day with a long row of them")
+	f.Float64Var(&p.ScoreOne, "one", 0.95, "worth less prices that scores 1")
+	f.Float64Var(&p.ScoreZero, "zero", 0.6, "worth less prices that scores 0")
 	f.StringVar(&kinds, "kinds", "", "a TOML file of kinds and their variants in place of those built in")
 	f.StringVar(&among, "among", "", "a text whose lines begin with the names of the kinds to draw (as the bench lists a site's)")
 	f.StringVar(&out, "out", "days", "the folder to write to")
--- a/cmd/zinclab/scale.go
+++ b/cmd/zinclab/scale.go
@@ -13,7 +13,7 @@
 
 // scaleCommand plays the gateway at several sizes on loopback.
 func scaleCommand() *cobra.Command {
-	p := scalerun.Plan{}
+	p := scalerun.Options{}
 	var target, out string
 	c := &cobra.Command{Use: "scale", Short: "Plays real combs and foragers beside hollow ones at several sizes on loopback, and carries on to a target", Args: cobra.NoArgs}
 	c.RunE = func(c *cobra.Command, _ []string) (err error) {
@@ -32,26 +32,26 @@
 				return e
 			}
 		}
-		fmt.Fprintf(c.OutOrStdout(), "Sizes are parts of %s, each at %d combs; the power is carried on to 1, the whole.\n\n", target, p.Combs)
-		scalerun.WriteTable(c.OutOrStdout(), scalerun.Gather(rows), 1, p.Target.Bounds)
+		fmt.Fprintf(c.OutOrStdout(), "Sizes are parts of %s, each at %d combs; the power is carried on to 1, the whole.\n\n", target, p.Members)
+		scalerun.WriteTable(c.OutOrStdout(), scalerun.GroupSeries(rows), 1, p.Target.Bounds)
 		return err
 	}
 	f := c.Flags()
-	f.StringVar(&p.Bin, "bin", "bin", "folder of comb and forager")
+	f.StringVar(&p.BinDir, "bin", "bin", "folder of comb and forager")
 	f.StringVar(&target, "target", "examples/target.toml", "the size to carry on to, and its bounds")
 	f.StringVar(&out, "csv", "", "where all figures are written")
-	f.StringVar(&p.Keep, "keep", "", "folder for settings, disks and logs; without it they are removed")
-	f.Float64SliceVar(&p.Parts, "parts", []float64{0.01 / 3, 0.01, 0.03}, "sizes, as parts of the target")
-	f.IntVar(&p.Combs, "combs", 3, "combs, a zone each")
-	f.IntVar(&p.Real, "real", 2, "real foragers")
-	f.IntVar(&p.Cores, "cores", 3, "cores that all of it may use")
-	f.Float64Var(&p.MemoryGB, "memory", 15, "GB that all of it may use")
-	f.DurationVar(&p.Settle, "settle", 10*time.Second, "from the last join until it counts as steady")
-	f.DurationVar(&p.Steady, "steady", 12*time.Second, "time that is measured")
-	f.DurationVar(&p.Beat, "beat", 1500*time.Millisecond, "between two beats of a replica")
-	f.Float64Var(&p.Joins, "joins", 0, "foragers that begin a second; 0: all at once")
-	f.IntVar(&p.Changes, "changes", 3, "configurations that are given")
-	f.DurationVar(&p.Most, "most", 20*time.Minute, "time that all may take")
+	f.StringVar(&p.KeepDir, "keep", "", "folder for settings, disks and logs; without it they are removed")
+	f.Float64SliceVar(&p.Scales, "parts", []float64{0.01 / 3, 0.01, 0.03}, "sizes, as parts of the target")
+	f.IntVar(&p.Members, "combs", 3, "combs, a zone each")
+	f.IntVar(&p.RealGateways, "real", 2, "real foragers")
+	f.IntVar(&p.MaxCores, "cores", 3, "cores that all of it may use")
+	f.Float64Var(&p.MaxMemoryGB, "memory", 15, "GB that all of it may use")
+	f.DurationVar(&p.SettleTime, "settle", 10*time.Second, "from the last join until it counts as steady")
+	f.DurationVar(&p.SteadyTime, "steady", 12*time.Second, "time that is measured")
+	f.DurationVar(&p.HeartbeatInterval, "beat", 1500*time.Millisecond, "between two beats of a replica")
+	f.Float64Var(&p.JoinsPerSecond, "joins", 0, "foragers that begin a second; 0: all at once")
+	f.IntVar(&p.ConfigChanges, "changes", 3, "configurations that are given")
+	f.DurationVar(&p.Timeout, "most", 20*time.Minute, "time that all may take")
 	return c
 }
 
--- a/cmd/zincloftctl/main.go
+++ b/cmd/zincloftctl/main.go
@@ -67,7 +67,7 @@
 	restore.AddPositionalValue(&addr, "ADDRESS", 1, true, callees)
 	restore.AddPositionalValue(&zone, "ZONE", 2, true, "the zone")
 	win := newWindows(p)
-	replicas, logs, hostility := 3, false, demo.Hostility{}
+	replicas, logs, hostility := 3, false, demo.FaultInjection{}
 	play := verb("demo", "run one comb, two foragers and stand-in replicas on loopback, until Ctrl-C")
 	play.Int(&replicas, "n", "replicas", "stand-in replicas")
 	play.Float64(&hostility.Rate, "H", "hostile", "share of requests that the replicas meet badly, 0 to 1")
@@ -194,7 +194,7 @@
 	return nil
 }
 
-func runDemo(out io.Writer, replicas int, logs bool, h demo.Hostility) error {
+func runDemo(out io.Writer, replicas int, logs bool, h demo.FaultInjection) error {
 	dir, err := os.MkdirTemp("", "zincloft-demo-")
 	if err != nil {
 		return err
@@ -204,14 +204,14 @@
 	if logs {
 		w = os.Stderr
 	}
-	g, err := demo.StartHostile(dir, w, max(replicas, 1), h)
+	g, err := demo.StartWithFaults(dir, w, max(replicas, 1), h)
 	if err != nil {
 		return err
 	}
-	for _, front := range g.Fronts {
+	for _, front := range g.FrontAddresses {
 		fmt.Fprintf(out, "a forager answers at http://%s/   (curl -H 'X-Attempt-Id: 1' http://%s/)\n", front, front)
 	}
-	fmt.Fprintf(out, "the comb is called at %s   (bin/zincloftctl show %s)\n", g.Control, g.Control)
+	fmt.Fprintf(out, "the comb is called at %s   (bin/zincloftctl show %s)\n", g.ControlAddress, g.ControlAddress)
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt, syscall.SIGTERM)
 	<-stop
--- a/cmd/zincloftctl/windows.go
+++ b/cmd/zincloftctl/windows.go
@@ -84,8 +84,8 @@
 		if err != nil {
 			return err
 		}
-		if fmt.Fprint(out, f.Text(tt)); w.draw != "" {
-			return f.Chart(tt, w.draw)
+		if fmt.Fprint(out, f.Render(tt)); w.draw != "" {
+			return f.WriteChart(tt, w.draw)
 		}
 		return nil
 	case w.agree.Used:
@@ -93,7 +93,7 @@
 		if err != nil {
 			return err
 		}
-		return send(f.Agree())
+		return send(f.AgreeCommand())
 	case w.start.Used:
 		f, tt, err := w.timetable()
 		if err != nil {
@@ -111,7 +111,7 @@
 		}
 		return send(maintenance.Command{Verb: verb})
 	case w.ask.Used:
-		return send(maintenance.Command{Verb: "ask", Nodes: nodes, Name: w.name, Takes: int64(w.takes / time.Second)})
+		return send(maintenance.Command{Verb: "ask", Nodes: nodes, WindowName: w.name, DurationSeconds: int64(w.takes / time.Second)})
 	case w.finish.Used:
 		return send(maintenance.Command{Verb: "finish", Nodes: nodes})
 	case w.cancel.Used:
@@ -120,10 +120,10 @@
 	return merry.New("windows: no verb; see --help")
 }
 
-func (w *windowVerbs) timetable() (*maintenancefile.File, maintenanceplanner.Timetable, error) {
+func (w *windowVerbs) timetable() (*maintenancefile.File, maintenanceplanner.Schedule, error) {
 	f, err := maintenancefile.Read(w.file)
 	if err != nil {
-		return nil, maintenanceplanner.Timetable{}, err
+		return nil, maintenanceplanner.Schedule{}, err
 	}
 	tt, proof := maintenanceplanner.Plan(&f.Request)
 	if proof != nil {
@@ -134,12 +134,12 @@
 
 // follow asks for each window at its time and tells what becomes of it. The core ends a window that has taken its time, so
 // nothing hangs if this ends early.
-func (w *windowVerbs) follow(ctx context.Context, out io.Writer, f *maintenancefile.File, tt maintenanceplanner.Timetable, send func(maintenance.Command) error) error {
+func (w *windowVerbs) follow(ctx context.Context, out io.Writer, f *maintenancefile.File, tt maintenanceplanner.Schedule, send func(maintenance.Command) error) error {
 	asked, seen := 0, ""
 	for {
-		for asked < len(tt.Turns) && !time.Now().Before(f.At(tt.Turns[asked].From)) {
-			x := tt.Turns[asked]
-			if err := send(maintenance.Command{Verb: "ask", Nodes: []string{x.Node}, Name: x.Window, Takes: int64(f.Takes[x.Window] / time.Second)}); err != nil {
+		for asked < len(tt.Assignments) && !time.Now().Before(f.SlotStart(tt.Assignments[asked].Start)) {
+			x := tt.Assignments[asked]
+			if err := send(maintenance.Command{Verb: "ask", Nodes: []string{x.Node}, WindowName: x.Window, DurationSeconds: int64(f.Durations[x.Window] / time.Second)}); err != nil {
 				return err
 			}
 			fmt.Fprintf(out, "%s asked for %s\n", x.Window, x.Node)
@@ -147,11 +147,11 @@
 		}
 		s, err := w.shown(ctx)
 		if err == nil {
-			for _, line := range after(s.Audit, seen) {
+			for _, line := range after(s.AuditLog, seen) {
 				fmt.Fprintln(out, line)
 				seen = line
 			}
-			if asked == len(tt.Turns) && len(s.Windows) == 0 {
+			if asked == len(tt.Assignments) && len(s.Windows) == 0 {
 				return nil
 			}
 		}
--- a/controlplane/controller/comb.go
+++ b/controlplane/controller/comb.go
@@ -481,7 +481,7 @@
 	}
 	if message.Fleet != nil {
 		c.peerGatewayCounts[from.ID] = message.Fleet.GatewayCount
-		if len(message.Fleet.Nodes) > 0 || c.maintenanceState().On() {
+		if len(message.Fleet.Nodes) > 0 || c.maintenanceState().Enabled() {
 			c.maintenance.peerFleets[from.ID] = peerFleet{now, *message.Fleet}
 		}
 	}
@@ -517,7 +517,7 @@
 	}
 	changes := c.registry.ChangesSince(now, c.gossipRevisions[0].revision)
 	fleet := messages.GatewaySummary{GatewayCount: len(c.streams)}
-	if c.maintenanceState().On() {
+	if c.maintenanceState().Enabled() {
 		fleet = c.localFleet(now)
 	}
 	for _, peer := range c.coordinator.Peers(now) {
--- a/controlplane/controller/streams.go
+++ b/controlplane/controller/streams.go
@@ -193,9 +193,9 @@
 				st.Config = r.Body
 			}
 			s.registerSent, s.registerSequence, s.configVersion = true, r.Sequence, r.Version
-			if wins := c.maintenanceState(); wins.On() {
-				w := wins.Orders()[s.gateway]
-				st.MaintenanceEnabled, st.Maintenance = true, messages.MaintenanceWindow{Phase: w.Phase, FencingToken: w.Fence}
+			if wins := c.maintenanceState(); wins.Enabled() {
+				w := wins.Instructions()[s.gateway]
+				st.MaintenanceEnabled, st.Maintenance = true, messages.MaintenanceWindow{Phase: w.Phase, FencingToken: w.FencingToken}
 			}
 		}
 		if news {
--- a/controlplane/controller/windows.go
+++ b/controlplane/controller/windows.go
@@ -114,26 +114,26 @@
 	}
 	c.maintenance.nextAdvanceAt = now + maintenanceInterval
 	state := c.maintenanceState()
-	if !state.On() || c.coordinator.View().Position(c.coordinator.Self().ID) != 0 || !c.coordinator.HasQuorumContact(now) {
+	if !state.Enabled() || c.coordinator.View().Position(c.coordinator.Self().ID) != 0 || !c.coordinator.HasQuorumContact(now) {
 		clear(c.maintenance.drainedSince)
 		return
 	}
-	next, changed := state.Next(c.knownFleet(now))
+	next, changed := state.Reconcile(c.knownFleet(now))
 	for _, window := range state.Windows { // a window that was drained for as long as it was to take is over
-		if changed || window.Phase != maintenance.Drained || window.Takes <= 0 {
+		if changed || window.Phase != maintenance.Drained || window.DurationSeconds <= 0 {
 			continue
 		}
 		if _, ok := c.maintenance.drainedSince[window.Node]; !ok {
 			c.maintenance.drainedSince[window.Node] = now
 		}
-		if now-c.maintenance.drainedSince[window.Node] >= time.Duration(window.Takes)*time.Second {
+		if now-c.maintenance.drainedSince[window.Node] >= time.Duration(window.DurationSeconds)*time.Second {
 			delete(c.maintenance.drainedSince, window.Node)
-			next, changed = state.Over(window.Node)
+			next, changed = state.Expire(window.Node)
 		}
 	}
 	if changed {
-		if n := len(next.Audit); n > 0 && (len(state.Audit) == 0 || next.Audit[n-1] != state.Audit[len(state.Audit)-1]) {
-			c.logInfo("window", "what", next.Audit[n-1])
+		if n := len(next.AuditLog); n > 0 && (len(state.AuditLog) == 0 || next.AuditLog[n-1] != state.AuditLog[len(state.AuditLog)-1]) {
+			c.logInfo("window", "what", next.AuditLog[n-1])
 		}
 		c.proposeMaintenance(now, next, proposal{})
 	}
@@ -147,14 +147,14 @@
 		if stream.status == nil || now-stream.statusAt > fleetReportTTL {
 			continue
 		}
-		node := maintenance.Node{Serving: stream.status.Ready && stream.status.Phase == maintenance.Serving, Phase: stream.status.Phase, Fence: stream.status.FencingToken}
-		node.Name, node.Zone, node.Region, node.Carries = stream.gateway, stream.zone, c.options.RegionByZone[stream.zone], stream.status.CapacityByGroup
+		node := maintenance.Node{Serving: stream.status.Ready && stream.status.Phase == maintenance.Serving, Phase: stream.status.Phase, FencingToken: stream.status.FencingToken}
+		node.Name, node.Zone, node.Region, node.Capacity = stream.gateway, stream.zone, c.options.RegionByZone[stream.zone], stream.status.CapacityByGroup
 		fleet.Nodes = append(fleet.Nodes, node)
 		for group, rate := range stream.status.LoadByGroup {
 			load[[2]string{node.Region, group}] += rate
 		}
 	}
-	for _, agreed := range c.maintenanceState().Agreed {
+	for _, agreed := range c.maintenanceState().AgreedFloors {
 		if rate := load[[2]string{agreed.Region, agreed.Group}]; rate > 0 {
 			fleet.Load = append(fleet.Load, messages.GroupLoad{Region: agreed.Region, Group: agreed.Group, RequestsPerSecond: rate})
 		}
@@ -164,7 +164,7 @@
 
 // knownFleet is what is known of all nodes.
 func (c *Controller) knownFleet(now time.Duration) maintenance.Fleet {
-	fleet := maintenance.Fleet{Load: map[string]map[string]float64{}, Sure: now > fleetDiscoveryPeriod}
+	fleet := maintenance.Fleet{Load: map[string]map[string]float64{}, Complete: now > fleetDiscoveryPeriod}
 	seen := map[string]bool{}
 	merge := func(reported messages.GatewaySummary) {
 		for _, node := range reported.Nodes {
@@ -188,7 +188,7 @@
 		if reported, ok := c.maintenance.peerFleets[peer.ID]; ok && now-reported.receivedAt <= fleetReportTTL {
 			merge(reported.fleet)
 		} else {
-			fleet.Sure = false
+			fleet.Complete = false
 		}
 	}
 	return fleet
@@ -216,11 +216,11 @@
 // DescribeMaintenance tells operators how windows stand, as this comb knows.
 func (c *Controller) DescribeMaintenance(now time.Duration) ([]byte, error) {
 	fleet := c.knownFleet(now)
-	status := MaintenanceStatus{State: c.maintenanceState(), Load: fleet.Load, FleetComplete: fleet.Sure, Nodes: []NodeStatus{}, UnmetFloors: []string{}}
+	status := MaintenanceStatus{State: c.maintenanceState(), Load: fleet.Load, FleetComplete: fleet.Complete, Nodes: []NodeStatus{}, UnmetFloors: []string{}}
 	for _, node := range fleet.Nodes {
-		status.Nodes = append(status.Nodes, NodeStatus{node.Name, node.Zone, node.Region, node.Serving, node.Phase, node.Carries})
+		status.Nodes = append(status.Nodes, NodeStatus{node.Name, node.Zone, node.Region, node.Serving, node.Phase, node.Capacity})
 	}
-	for _, floor := range status.State.Missing(fleet, status.State.Out) {
+	for _, floor := range status.State.Shortfalls(fleet, status.State.IsOut) {
 		status.UnmetFloors = append(status.UnmetFloors, floor.String())
 	}
 	return json.MarshalIndent(status, "", "  ")
--- a/controlplane/maintenance/windows.go
+++ b/controlplane/maintenance/windows.go
@@ -22,7 +22,7 @@
 type Phase string
 
 const (
-	Asked     Phase = "asked"     // waits for its grant
+	Requested Phase = "asked"     // waits for its grant
 	Draining  Phase = "draining"  // granted; the node ends what is under way
 	Drained   Phase = "drained"   // the node has said that nothing is under way: it may be worked on
 	Returning Phase = "returning" // it is to serve again
@@ -30,80 +30,80 @@
 )
 
 const (
-	auditMost  = 64
-	loadMargin = 1.15 // of the load at hand, that must be carried where it is above what is agreed
+	maxAuditEntries = 64
+	loadMargin      = 1.15 // of the load at hand, that must be carried where it is above what is agreed
 )
 
 // Window is one node's.
 type Window struct {
-	Node  string `json:"node" cbor:"1,keyasint"`
-	Name  string `json:"window" cbor:"2,keyasint"`
-	Phase Phase  `json:"phase" cbor:"3,keyasint"`
-	Fence uint64 `json:"fence" cbor:"4,keyasint,omitempty"`
-	Why   string `json:"why,omitempty" cbor:"5,keyasint,omitempty"` // it waits, or was granted, or was taken back
-	Takes int64  `json:"takes_s" cbor:"6,keyasint,omitempty"`       // seconds from drained on, after which it is to serve again; 0: until it is said
+	Node            string `json:"node" cbor:"1,keyasint"`
+	Name            string `json:"window" cbor:"2,keyasint"`
+	Phase           Phase  `json:"phase" cbor:"3,keyasint"`
+	FencingToken    uint64 `json:"fence" cbor:"4,keyasint,omitempty"`
+	Reason          string `json:"why,omitempty" cbor:"5,keyasint,omitempty"` // it waits, or was granted, or was taken back
+	DurationSeconds int64  `json:"takes_s" cbor:"6,keyasint,omitempty"`       // seconds from drained on, after which it is to serve again; 0: until it is said
 }
 
 // State is what the core keeps. It is not changed once made.
 type State struct {
-	Fence   uint64           `json:"fence" cbor:"1,keyasint"`
-	Agreed  []capacity.Floor `json:"agreed" cbor:"2,keyasint,omitempty"`
-	Losses  capacity.Losses  `json:"losses" cbor:"3,keyasint,omitempty"`
-	Told    []capacity.Node  `json:"nodes,omitempty" cbor:"4,keyasint,omitempty"` // what operators say of nodes, where nothing was measured
-	Windows []Window         `json:"windows" cbor:"5,keyasint,omitempty"`         // in the order in which they are wished
-	Paused  bool             `json:"paused" cbor:"6,keyasint,omitempty"`          // by an operator: nothing more is granted
-	Audit   []string         `json:"audit,omitempty" cbor:"7,keyasint,omitempty"`
+	FencingToken   uint64                  `json:"fence" cbor:"1,keyasint"`
+	AgreedFloors   []capacity.Floor        `json:"agreed" cbor:"2,keyasint,omitempty"`
+	FaultTolerance capacity.FaultTolerance `json:"losses" cbor:"3,keyasint,omitempty"`
+	DeclaredNodes  []capacity.Node         `json:"nodes,omitempty" cbor:"4,keyasint,omitempty"` // what operators say of nodes, where nothing was measured
+	Windows        []Window                `json:"windows" cbor:"5,keyasint,omitempty"`         // in the order in which they are wished
+	Paused         bool                    `json:"paused" cbor:"6,keyasint,omitempty"`          // by an operator: nothing more is granted
+	AuditLog       []string                `json:"audit,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
 // Node is what the core knows of one now.
 type Node struct {
 	capacity.Node
-	Serving bool   `cbor:"11,keyasint,omitempty"` // it was heard lately and takes requests
-	Phase   Phase  `cbor:"12,keyasint,omitempty"` // its own word
-	Fence   uint64 `cbor:"13,keyasint,omitempty"`
+	Serving      bool   `cbor:"11,keyasint,omitempty"` // it was heard lately and takes requests
+	Phase        Phase  `cbor:"12,keyasint,omitempty"` // its own word
+	FencingToken uint64 `cbor:"13,keyasint,omitempty"`
 }
 
 // Fleet is all of them, and what is asked of them.
 type Fleet struct {
-	Nodes []Node
-	Load  map[string]map[string]float64 // requests a second, by region and group
-	Sure  bool                          // every core machine's nodes are in it
+	Nodes    []Node
+	Load     map[string]map[string]float64 // requests a second, by region and group
+	Complete bool                          // every core machine's nodes are in it
 }
 
 func (s State) clone() State {
-	s.Windows, s.Audit = slices.Clone(s.Windows), slices.Clone(s.Audit)
+	s.Windows, s.AuditLog = slices.Clone(s.Windows), slices.Clone(s.AuditLog)
 	return s
 }
 
-func (s State) find(node string) int {
+func (s State) indexOf(node string) int {
 	return slices.IndexFunc(s.Windows, func(w Window) bool { return w.Node == node })
 }
 
-func (s *State) audit(format string, a ...any) {
-	s.Audit = append(s.Audit, fmt.Sprintf("fence %d: ", s.Fence)+fmt.Sprintf(format, a...))
-	if len(s.Audit) > auditMost {
-		s.Audit = s.Audit[len(s.Audit)-auditMost:]
+func (s *State) appendAudit(format string, a ...any) {
+	s.AuditLog = append(s.AuditLog, fmt.Sprintf("fence %d: ", s.FencingToken)+fmt.Sprintf(format, a...))
+	if len(s.AuditLog) > maxAuditEntries {
+		s.AuditLog = s.AuditLog[len(s.AuditLog)-maxAuditEntries:]
 	}
 }
 
-// Out tells whether a node counts as out.
-func (s State) Out(node string) bool {
-	i := s.find(node)
-	return i >= 0 && s.Windows[i].Phase != Asked
+// IsOut tells whether a node counts as out.
+func (s State) IsOut(node string) bool {
+	i := s.indexOf(node)
+	return i >= 0 && s.Windows[i].Phase != Requested
 }
 
-// On tells whether windows are used at all.
-func (s State) On() bool { return len(s.Agreed) > 0 || len(s.Windows) > 0 }
+// Enabled tells whether windows are used at all.
+func (s State) Enabled() bool { return len(s.AgreedFloors) > 0 || len(s.Windows) > 0 }
 
 // Command is an operator's.
 type Command struct {
-	Verb   string           `json:"verb" cbor:"1,keyasint"` // agree, ask, finish, cancel, pause, resume
-	Nodes  []string         `json:"nodes,omitempty" cbor:"2,keyasint,omitempty"`
-	Name   string           `json:"window,omitempty" cbor:"3,keyasint,omitempty"`
-	Agreed []capacity.Floor `json:"agreed,omitempty" cbor:"4,keyasint,omitempty"`
-	Losses capacity.Losses  `json:"losses" cbor:"5,keyasint,omitempty"`
-	Told   []capacity.Node  `json:"told,omitempty" cbor:"6,keyasint,omitempty"`
-	Takes  int64            `json:"takes_s,omitempty" cbor:"7,keyasint,omitempty"`
+	Verb            string                  `json:"verb" cbor:"1,keyasint"` // agree, ask, finish, cancel, pause, resume
+	Nodes           []string                `json:"nodes,omitempty" cbor:"2,keyasint,omitempty"`
+	WindowName      string                  `json:"window,omitempty" cbor:"3,keyasint,omitempty"`
+	AgreedFloors    []capacity.Floor        `json:"agreed,omitempty" cbor:"4,keyasint,omitempty"`
+	FaultTolerance  capacity.FaultTolerance `json:"losses" cbor:"5,keyasint,omitempty"`
+	DeclaredNodes   []capacity.Node         `json:"told,omitempty" cbor:"6,keyasint,omitempty"`
+	DurationSeconds int64                   `json:"takes_s,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
 // Apply takes a command. Given again it changes nothing.
@@ -111,102 +111,102 @@
 	n := s.clone()
 	switch c.Verb {
 	case "agree":
-		n.Agreed, n.Losses, n.Told = c.Agreed, c.Losses, c.Told
-		n.audit("%d floors agreed, %d machines and %d zones may be lost meanwhile", len(c.Agreed), c.Losses.Machines, c.Losses.Zones)
+		n.AgreedFloors, n.FaultTolerance, n.DeclaredNodes = c.AgreedFloors, c.FaultTolerance, c.DeclaredNodes
+		n.appendAudit("%d floors agreed, %d machines and %d zones may be lost meanwhile", len(c.AgreedFloors), c.FaultTolerance.Machines, c.FaultTolerance.Zones)
 	case "ask":
-		if len(s.Agreed) == 0 {
+		if len(s.AgreedFloors) == 0 {
 			return s, merry.New("windows: no capacity has been agreed, so none can be kept")
 		}
 		for _, node := range c.Nodes {
-			if i := n.find(node); i >= 0 {
-				if w := n.Windows[i]; w.Phase == Returning || w.Name != c.Name {
+			if i := n.indexOf(node); i >= 0 {
+				if w := n.Windows[i]; w.Phase == Returning || w.Name != c.WindowName {
 					return s, merry.Errorf("windows: %s has a window already: %s, %s", node, w.Name, w.Phase)
 				}
 				continue
 			}
-			n.Windows = append(n.Windows, Window{Node: node, Name: c.Name, Phase: Asked, Takes: c.Takes})
+			n.Windows = append(n.Windows, Window{Node: node, Name: c.WindowName, Phase: Requested, DurationSeconds: c.DurationSeconds})
 		}
 	case "finish", "cancel":
 		for _, node := range c.Nodes {
-			i := n.find(node)
+			i := n.indexOf(node)
 			if i < 0 {
 				continue // it is over
 			}
 			switch w := n.Windows[i]; {
-			case w.Phase == Asked && c.Verb == "finish":
+			case w.Phase == Requested && c.Verb == "finish":
 				return s, merry.Errorf("windows: %s has not begun; cancel it", node)
-			case w.Phase == Asked:
+			case w.Phase == Requested:
 				n.Windows = slices.Delete(n.Windows, i, i+1)
 			case w.Phase != Returning:
-				n.back(i, "by an operator: "+c.Verb)
+				n.returnToService(i, "by an operator: "+c.Verb)
 			}
 		}
 	case "pause", "resume":
 		n.Paused = c.Verb == "pause"
-		n.audit("%sd by an operator", c.Verb)
+		n.appendAudit("%sd by an operator", c.Verb)
 	default:
 		return s, merry.Errorf("windows: verb: %q is none of agree, ask, finish, cancel, pause, resume", c.Verb)
 	}
 	return n, nil
 }
 
-// Over takes back a window whose time is over.
-func (s State) Over(node string) (State, bool) {
+// Expire takes back a window whose time is over.
+func (s State) Expire(node string) (State, bool) {
 	n := s.clone()
-	i := n.find(node)
+	i := n.indexOf(node)
 	if i < 0 || n.Windows[i].Phase != Drained {
 		return s, false
 	}
-	n.back(i, "its time is over")
+	n.returnToService(i, "its time is over")
 	return n, true
 }
 
-// back has a node serve again.
-func (s *State) back(i int, why string) {
-	s.Fence++
-	s.Windows[i].Phase, s.Windows[i].Fence, s.Windows[i].Why = Returning, s.Fence, why
-	s.audit("%s is to serve again: %s", s.Windows[i].Node, why)
+// returnToService has a node serve again.
+func (s *State) returnToService(i int, why string) {
+	s.FencingToken++
+	s.Windows[i].Phase, s.Windows[i].FencingToken, s.Windows[i].Reason = Returning, s.FencingToken, why
+	s.appendAudit("%s is to serve again: %s", s.Windows[i].Node, why)
 }
 
-// Short is a floor that would not be kept.
-type Short struct {
+// Shortfall is a floor that would not be kept.
+type Shortfall struct {
 	capacity.Floor
-	Needs, Left float64
+	Required, Remaining float64
 }
 
-func (x Short) String() string {
-	return fmt.Sprintf("%s of %s: %.1f a second are needed, %.1f are left", x.Group, x.Region, x.Needs, x.Left)
+func (x Shortfall) String() string {
+	return fmt.Sprintf("%s of %s: %.1f a second are needed, %.1f are left", x.Group, x.Region, x.Required, x.Remaining)
 }
 
-// Missing lists the floors that are not kept with some nodes out.
-func (s State) Missing(f Fleet, out func(string) bool) (short []Short) {
+// Shortfalls lists the floors that are not kept with some nodes out.
+func (s State) Shortfalls(f Fleet, out func(string) bool) (short []Shortfall) {
 	var up []capacity.Node
 	for _, n := range f.Nodes {
 		if !n.Serving {
 			continue
 		}
 		x := n.Node
-		if len(x.Carries) == 0 {
-			for _, t := range s.Told {
+		if len(x.Capacity) == 0 {
+			for _, t := range s.DeclaredNodes {
 				if t.Name == n.Name {
-					x.Carries = t.Carries
+					x.Capacity = t.Capacity
 				}
 			}
 		}
 		up = append(up, x)
 	}
-	for _, floor := range s.Agreed {
-		needs := max(floor.Least, loadMargin*f.Load[floor.Region][floor.Group])
-		if left := capacity.Left(up, floor.Region, floor.Group, out, s.Losses); left < needs {
-			short = append(short, Short{floor, needs, left})
+	for _, floor := range s.AgreedFloors {
+		needs := max(floor.Minimum, loadMargin*f.Load[floor.Region][floor.Group])
+		if left := capacity.RemainingAfterLosses(up, floor.Region, floor.Group, out, s.FaultTolerance); left < needs {
+			short = append(short, Shortfall{floor, needs, left})
 		}
 	}
 	return short
 }
 
-// Next is what should become of the state now. It makes one change at a time: what nodes have said is noted, then windows
+// Reconcile is what should become of the state now. It makes one change at a time: what nodes have said is noted, then windows
 // are taken back where a floor is not kept, else the next one is granted.
-func (s State) Next(f Fleet) (State, bool) {
+func (s State) Reconcile(f Fleet) (State, bool) {
 	n := s.clone()
 	said := map[string]Node{}
 	for _, x := range f.Nodes {
@@ -215,25 +215,25 @@
 	for i := 0; i < len(n.Windows); i++ {
 		w := &n.Windows[i]
 		x, ok := said[w.Node]
-		if !ok || x.Fence != w.Fence || w.Phase == Asked {
+		if !ok || x.FencingToken != w.FencingToken || w.Phase == Requested {
 			continue
 		}
 		switch {
 		case w.Phase == Draining && x.Phase == Drained:
 			w.Phase = Drained
-			n.audit("%s is drained", w.Node)
+			n.appendAudit("%s is drained", w.Node)
 			return n, true
 		case w.Phase == Returning && x.Phase == Serving && x.Serving:
-			n.audit("%s serves again", w.Node)
+			n.appendAudit("%s serves again", w.Node)
 			n.Windows = slices.Delete(n.Windows, i, i+1)
 			return n, true
 		}
 	}
-	if !f.Sure {
+	if !f.Complete {
 		return s, false // what is not known may be what lacks
 	}
-	if short := n.Missing(f, n.Out); len(short) > 0 {
-		return n.yield(f, short)
+	if short := n.Shortfalls(f, n.IsOut); len(short) > 0 {
+		return n.revoke(f, short)
 	}
 	if n.Paused {
 		return s, false
@@ -242,7 +242,7 @@
 	for i := range n.Windows {
 		w := &n.Windows[i]
 		x, ok := said[w.Node]
-		if w.Phase != Asked {
+		if w.Phase != Requested {
 			continue
 		}
 		why := ""
@@ -250,19 +250,19 @@
 		case !ok || !x.Serving:
 			why = "it is not serving"
 		default:
-			out := func(node string) bool { return node == w.Node || n.Out(node) }
-			if short := n.Missing(f, out); len(short) > 0 {
+			out := func(node string) bool { return node == w.Node || n.IsOut(node) }
+			if short := n.Shortfalls(f, out); len(short) > 0 {
 				why = "without it " + short[0].String()
 			}
 		}
 		if why == "" {
-			n.Fence++
-			w.Phase, w.Fence, w.Why = Draining, n.Fence, "granted: "+n.room(f, w.Node)
-			n.audit("%s %s", w.Node, w.Why)
+			n.FencingToken++
+			w.Phase, w.FencingToken, w.Reason = Draining, n.FencingToken, "granted: "+n.describeRemaining(f, w.Node)
+			n.appendAudit("%s %s", w.Node, w.Reason)
 			return n, true
 		}
-		if w.Why != why && kind(w.Why) != kind(why) {
-			w.Why, changed = why, true
+		if w.Reason != why && kind(w.Reason) != kind(why) {
+			w.Reason, changed = why, true
 		}
 	}
 	return n, changed
@@ -271,25 +271,25 @@
 // kind is a reason without its figures, which move all the time.
 func kind(why string) string { return strings.SplitN(why, ":", 2)[0] }
 
-// room tells in words what is left with a node out.
-func (s State) room(f Fleet, node string) string {
+// describeRemaining tells in words what is left with a node out.
+func (s State) describeRemaining(f Fleet, node string) string {
 	var words []string
-	out := func(x string) bool { return x == node || s.Out(x) }
+	out := func(x string) bool { return x == node || s.IsOut(x) }
 	var up []capacity.Node
 	for _, n := range f.Nodes {
 		if n.Serving {
 			up = append(up, n.Node)
 		}
 	}
-	for _, floor := range s.Agreed {
-		words = append(words, fmt.Sprintf("%s of %s %.1f for %.1f", floor.Group, floor.Region, capacity.Left(up, floor.Region, floor.Group, out, s.Losses), floor.Least))
+	for _, floor := range s.AgreedFloors {
+		words = append(words, fmt.Sprintf("%s of %s %.1f for %.1f", floor.Group, floor.Region, capacity.RemainingAfterLosses(up, floor.Region, floor.Group, out, s.FaultTolerance), floor.Minimum))
 	}
 	return strings.Join(words, ", ")
 }
 
-// yield takes a window back where a floor is not kept: in the regions that lack, first one that has not drained yet, as it
+// revoke takes a window back where a floor is not kept: in the regions that lack, first one that has not drained yet, as it
 // is back at once; the youngest first.
-func (s State) yield(f Fleet, short []Short) (State, bool) {
+func (s State) revoke(f Fleet, short []Shortfall) (State, bool) {
 	lacks, region := map[string]bool{}, map[string]string{}
 	for _, x := range short {
 		lacks[x.Region] = true
@@ -302,14 +302,14 @@
 		if w.Phase != Draining && w.Phase != Drained || region[w.Node] != "" && !lacks[region[w.Node]] {
 			continue
 		}
-		if best < 0 || cmp.Or(cmp.Compare(one(w.Phase == Draining), one(s.Windows[best].Phase == Draining)), cmp.Compare(w.Fence, s.Windows[best].Fence)) > 0 {
+		if best < 0 || cmp.Or(cmp.Compare(one(w.Phase == Draining), one(s.Windows[best].Phase == Draining)), cmp.Compare(w.FencingToken, s.Windows[best].FencingToken)) > 0 {
 			best = i
 		}
 	}
 	if best < 0 {
 		return s, false
 	}
-	s.back(best, "a floor is not kept: "+short[0].String())
+	s.returnToService(best, "a floor is not kept: "+short[0].String())
 	return s, true
 }
 
@@ -320,11 +320,11 @@
 	return 0
 }
 
-// Orders are what nodes are to be told: the phase that each is to reach, and its fence.
-func (s State) Orders() map[string]Window {
+// Instructions are what nodes are to be told: the phase that each is to reach, and its fence.
+func (s State) Instructions() map[string]Window {
 	all := map[string]Window{}
 	for _, w := range s.Windows {
-		if w.Phase != Asked {
+		if w.Phase != Requested {
 			all[w.Node] = w
 		}
 	}
--- a/controlplane/maintenance/windows_test.go
+++ b/controlplane/maintenance/windows_test.go
@@ -17,20 +17,20 @@
 }
 
 func newSite() *site {
-	x := &site{f: Fleet{Sure: true, Load: map[string]map[string]float64{}}}
+	x := &site{f: Fleet{Complete: true, Load: map[string]map[string]float64{}}}
 	var floors []capacity.Floor
 	for r := range 3 {
 		region := fmt.Sprintf("r%d", r)
-		floors = append(floors, capacity.Floor{Region: region, Group: capacity.Orders, Least: 40})
+		floors = append(floors, capacity.Floor{Region: region, Group: capacity.Orders, Minimum: 40})
 		x.f.Load[region] = map[string]float64{capacity.Orders: 30}
 		for i := range 9 {
 			n := Node{Serving: true, Phase: Serving}
 			n.Name, n.Region, n.Zone = fmt.Sprintf("%s-%d", region, i), region, fmt.Sprintf("%s-%c", region, 'a'+i%3)
-			n.Carries = map[string]float64{capacity.Orders: 10}
+			n.Capacity = map[string]float64{capacity.Orders: 10}
 			x.f.Nodes = append(x.f.Nodes, n)
 		}
 	}
-	x.do(Command{Verb: "agree", Agreed: floors, Losses: capacity.Losses{Machines: 1, Zones: 1}})
+	x.do(Command{Verb: "agree", AgreedFloors: floors, FaultTolerance: capacity.FaultTolerance{Machines: 1, Zones: 1}})
 	return x
 }
 
@@ -45,7 +45,7 @@
 // settle lets the core decide, and nodes obey, until nothing changes.
 func (x *site) settle() {
 	for still := 0; still < 2; still++ {
-		s, changed := x.s.Next(x.f)
+		s, changed := x.s.Reconcile(x.f)
 		if x.s = s; changed {
 			still = 0
 		}
@@ -54,18 +54,18 @@
 }
 
 func (x *site) obey(but ...string) {
-	orders := x.s.Orders()
+	orders := x.s.Instructions()
 	for i := range x.f.Nodes {
 		n := &x.f.Nodes[i]
 		w, has := orders[n.Name]
 		switch {
 		case len(but) > 0 && n.Name == but[0]:
 		case !has:
-			n.Serving, n.Phase, n.Fence = true, Serving, 0
+			n.Serving, n.Phase, n.FencingToken = true, Serving, 0
 		case w.Phase == Returning:
-			n.Serving, n.Phase, n.Fence = true, Serving, w.Fence
+			n.Serving, n.Phase, n.FencingToken = true, Serving, w.FencingToken
 		default:
-			n.Serving, n.Phase, n.Fence = false, Drained, w.Fence
+			n.Serving, n.Phase, n.FencingToken = false, Drained, w.FencingToken
 		}
 	}
 }
@@ -93,12 +93,12 @@
 		x := newSite()
 		Convey("windows asked for in all regions at once are granted as far as each region's floor goes, and no further", func() {
 			for r := range 3 {
-				So(x.do(Command{Verb: "ask", Name: "kernel", Nodes: x.all(fmt.Sprintf("r%d", r))}), ShouldBeNil)
+				So(x.do(Command{Verb: "ask", WindowName: "kernel", Nodes: x.all(fmt.Sprintf("r%d", r))}), ShouldBeNil)
 			}
 			x.settle()
-			So(len(x.s.Missing(x.f, x.s.Out)), ShouldEqual, 0)
+			So(len(x.s.Shortfalls(x.f, x.s.IsOut)), ShouldEqual, 0)
 			So(x.count(Drained), ShouldBeBetweenOrEqual, 9, 12)
-			So(x.count(Asked), ShouldEqual, 27-x.count(Drained))
+			So(x.count(Requested), ShouldEqual, 27-x.count(Drained))
 			Convey("and each that returns makes room for the next, until all were drained", func() {
 				drained := map[string]bool{}
 				for range 60 {
@@ -113,49 +113,49 @@
 						So(x.do(Command{Verb: "finish", Nodes: out[:1]}), ShouldBeNil)
 					}
 					x.settle()
-					So(len(x.s.Missing(x.f, x.s.Out)), ShouldEqual, 0)
+					So(len(x.s.Shortfalls(x.f, x.s.IsOut)), ShouldEqual, 0)
 				}
 				So(len(drained), ShouldEqual, 27)
 				So(len(x.s.Windows), ShouldEqual, 0)
 			})
 		})
 		Convey("asked twice is asked once; two operators' windows of one node are refused", func() {
-			So(x.do(Command{Verb: "ask", Name: "a", Nodes: []string{"r0-1"}}), ShouldBeNil)
-			So(x.do(Command{Verb: "ask", Name: "a", Nodes: []string{"r0-1"}}), ShouldBeNil)
+			So(x.do(Command{Verb: "ask", WindowName: "a", Nodes: []string{"r0-1"}}), ShouldBeNil)
+			So(x.do(Command{Verb: "ask", WindowName: "a", Nodes: []string{"r0-1"}}), ShouldBeNil)
 			So(len(x.s.Windows), ShouldEqual, 1)
-			So(x.do(Command{Verb: "ask", Name: "b", Nodes: []string{"r0-1"}}), ShouldNotBeNil)
+			So(x.do(Command{Verb: "ask", WindowName: "b", Nodes: []string{"r0-1"}}), ShouldNotBeNil)
 			So(x.do(Command{Verb: "finish", Nodes: []string{"r0-1"}}), ShouldNotBeNil)
 			So(x.do(Command{Verb: "cancel", Nodes: []string{"r0-1"}}), ShouldBeNil)
 			So(len(x.s.Windows), ShouldEqual, 0)
 		})
 		Convey("load at twice what was forecast holds grants back, and takes back what is open, the youngest first", func() {
-			So(x.do(Command{Verb: "ask", Name: "a", Nodes: x.all("r0")[:4]}), ShouldBeNil)
+			So(x.do(Command{Verb: "ask", WindowName: "a", Nodes: x.all("r0")[:4]}), ShouldBeNil)
 			x.settle()
 			So(x.count(Drained), ShouldBeGreaterThanOrEqualTo, 2)
 			youngest := Window{}
 			for _, w := range x.s.Windows {
-				if w.Phase == Drained && w.Fence > youngest.Fence {
+				if w.Phase == Drained && w.FencingToken > youngest.FencingToken {
 					youngest = w
 				}
 			}
 			x.f.Load["r0"][capacity.Orders] = 60
-			s, changed := x.s.Next(x.f)
+			s, changed := x.s.Reconcile(x.f)
 			So(changed, ShouldBeTrue)
-			So(s.Windows[s.find(youngest.Node)].Phase, ShouldEqual, Returning)
-			So(s.Windows[s.find(youngest.Node)].Why, ShouldContainSubstring, "orders of r0: 69.0 a second are needed")
+			So(s.Windows[s.indexOf(youngest.Node)].Phase, ShouldEqual, Returning)
+			So(s.Windows[s.indexOf(youngest.Node)].Reason, ShouldContainSubstring, "orders of r0: 69.0 a second are needed")
 			x.settle()
 			So(x.count(Drained), ShouldEqual, 0)
-			So(x.count(Asked), ShouldBeGreaterThan, 0)
+			So(x.count(Requested), ShouldBeGreaterThan, 0)
 		})
 		Convey("trouble in another region takes nothing back here", func() {
-			So(x.do(Command{Verb: "ask", Name: "a", Nodes: []string{"r0-1"}}), ShouldBeNil)
+			So(x.do(Command{Verb: "ask", WindowName: "a", Nodes: []string{"r0-1"}}), ShouldBeNil)
 			x.settle()
 			x.f.Load["r1"][capacity.Orders] = 200
 			x.settle()
 			So(x.count(Drained), ShouldEqual, 1)
 		})
 		Convey("a zone that is lost in mid-window brings the others of its region back", func() {
-			So(x.do(Command{Verb: "ask", Name: "a", Nodes: []string{"r0-0", "r0-3"}}), ShouldBeNil)
+			So(x.do(Command{Verb: "ask", WindowName: "a", Nodes: []string{"r0-0", "r0-3"}}), ShouldBeNil)
 			x.settle()
 			So(x.count(Drained), ShouldEqual, 2)
 			for i := range x.f.Nodes {
@@ -163,48 +163,48 @@
 					x.f.Nodes[i].Serving = false
 				}
 			}
-			s, changed := x.s.Next(x.f)
+			s, changed := x.s.Reconcile(x.f)
 			So(changed, ShouldBeTrue)
-			So(s.Orders()["r0-3"].Phase, ShouldEqual, Returning)
+			So(s.Instructions()["r0-3"].Phase, ShouldEqual, Returning)
 		})
 		Convey("a node that never says that it is drained stays out, is told nothing else, and holds no other region up", func() {
-			So(x.do(Command{Verb: "ask", Name: "a", Nodes: []string{"r0-1", "r1-1"}}), ShouldBeNil)
+			So(x.do(Command{Verb: "ask", WindowName: "a", Nodes: []string{"r0-1", "r1-1"}}), ShouldBeNil)
 			for range 20 {
-				x.s, _ = x.s.Next(x.f)
+				x.s, _ = x.s.Reconcile(x.f)
 				x.obey("r0-1")
 			}
-			So(x.s.Orders()["r0-1"].Phase, ShouldEqual, Draining)
-			So(x.s.Out("r0-1"), ShouldBeTrue)
-			So(x.s.Orders()["r1-1"].Phase, ShouldEqual, Drained)
+			So(x.s.Instructions()["r0-1"].Phase, ShouldEqual, Draining)
+			So(x.s.IsOut("r0-1"), ShouldBeTrue)
+			So(x.s.Instructions()["r1-1"].Phase, ShouldEqual, Drained)
 		})
 		Convey("what a node says under an older fence counts for nothing", func() {
-			So(x.do(Command{Verb: "ask", Name: "a", Nodes: []string{"r0-1"}}), ShouldBeNil)
+			So(x.do(Command{Verb: "ask", WindowName: "a", Nodes: []string{"r0-1"}}), ShouldBeNil)
 			x.settle()
 			So(x.do(Command{Verb: "finish", Nodes: []string{"r0-1"}}), ShouldBeNil)
 			for i := range x.f.Nodes {
 				if n := &x.f.Nodes[i]; n.Name == "r0-1" { // its word of before the grant, late
-					n.Serving, n.Phase, n.Fence = true, Serving, 0
+					n.Serving, n.Phase, n.FencingToken = true, Serving, 0
 				}
 			}
-			s, _ := x.s.Next(x.f)
-			So(s.Out("r0-1"), ShouldBeTrue)
+			s, _ := x.s.Reconcile(x.f)
+			So(s.IsOut("r0-1"), ShouldBeTrue)
 			x.settle()
-			So(x.s.Out("r0-1"), ShouldBeFalse)
+			So(x.s.IsOut("r0-1"), ShouldBeFalse)
 		})
 		Convey("a comb that has not heard from all others grants nothing", func() {
-			So(x.do(Command{Verb: "ask", Name: "a", Nodes: []string{"r0-1"}}), ShouldBeNil)
-			x.f.Sure = false
-			_, changed := x.s.Next(x.f)
+			So(x.do(Command{Verb: "ask", WindowName: "a", Nodes: []string{"r0-1"}}), ShouldBeNil)
+			x.f.Complete = false
+			_, changed := x.s.Reconcile(x.f)
 			So(changed, ShouldBeFalse)
 		})
 		Convey("paused, nothing is granted and what is open stays", func() {
-			So(x.do(Command{Verb: "ask", Name: "a", Nodes: []string{"r0-1"}}), ShouldBeNil)
+			So(x.do(Command{Verb: "ask", WindowName: "a", Nodes: []string{"r0-1"}}), ShouldBeNil)
 			x.settle()
 			So(x.do(Command{Verb: "pause"}), ShouldBeNil)
-			So(x.do(Command{Verb: "ask", Name: "a", Nodes: []string{"r0-2"}}), ShouldBeNil)
+			So(x.do(Command{Verb: "ask", WindowName: "a", Nodes: []string{"r0-2"}}), ShouldBeNil)
 			x.settle()
 			So(x.count(Drained), ShouldEqual, 1)
-			So(x.count(Asked), ShouldEqual, 1)
+			So(x.count(Requested), ShouldEqual, 1)
 		})
 	})
 	Convey("Without anything agreed no window can be asked for", t, func() {
--- a/controlplane/registry/capacity_test.go
+++ b/controlplane/registry/capacity_test.go
@@ -23,9 +23,9 @@
 }
 
 func fleet(n int) []registry.Instance {
-	f := sizes.Users()
+	f := sizes.ProductionFleet()
 	f.Replicas, f.Services = n, max(n/36, 1)
-	return f.Lives()
+	return f.Instances()
 }
 
 var filledRegistries = map[int]*registry.Registry{} // filling costs the square of the size, so it is done once for all that leave it as it is
--- a/controlplane/weighting/capacity_test.go
+++ b/controlplane/weighting/capacity_test.go
@@ -22,8 +22,8 @@
 
 // fleetPart is so much of the users' fleet as one of ten combs steers: all replicas and services, a tenth of the foragers.
 func fleetPart(x float64) sizes.Fleet {
-	f := sizes.Users().Part(x)
-	f.Foragers = max(f.Foragers/10, 1)
+	f := sizes.ProductionFleet().Scale(x)
+	f.Gateways = max(f.Gateways/10, 1)
 	return f
 }
 
@@ -38,11 +38,11 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	zones := []string{sizes.Zone(0), sizes.Zone(1), sizes.Zone(2)}
-	t := &filledTable{weighting.New(weighting.Options{RandomSeed: 1, Zone: zones[0], Zones: zones, Members: 10, LinkMbps: 1000, DrainGrace: 2 * time.Second}), f.Lives(), f}
-	t.Configure(time.Second, c, f.Foragers*10)
+	zones := []string{sizes.ZoneName(0), sizes.ZoneName(1), sizes.ZoneName(2)}
+	t := &filledTable{weighting.New(weighting.Options{RandomSeed: 1, Zone: zones[0], Zones: zones, Members: 10, LinkMbps: 1000, DrainGrace: 2 * time.Second}), f.Instances(), f}
+	t.Configure(time.Second, c, f.Gateways*10)
 	t.UpdateInstances(time.Second, t.lives)
-	for i := range f.Foragers {
+	for i := range f.Gateways {
 		t.AddGateway(time.Second, fmt.Sprintf("f%04d", i), zones[i%3])
 	}
 	return t
@@ -71,14 +71,14 @@
 			t := newFilledTable(b, f)
 			now, lines, seconds := time.Second, 0, 0
 			second := func() {
-				for i := range f.Foragers {
+				for i := range f.Gateways {
 					t.RecordReport(now, fmt.Sprintf("f%04d", i), t.report(i+seconds))
 				}
 				for range 10 {
 					now += 100 * time.Millisecond
 					t.Tick(now)
 				}
-				for i := range f.Foragers {
+				for i := range f.Gateways {
 					lines += len(t.TakeWeightChanges(fmt.Sprintf("f%04d", i)))
 				}
 				seconds++
@@ -94,7 +94,7 @@
 			}
 			b.ReportMetric(held, "heap-B")
 			b.ReportMetric(float64(lines)/float64(seconds), "lines/s")
-			b.ReportMetric(float64(f.Foragers), "foragers")
+			b.ReportMetric(float64(f.Gateways), "foragers")
 			runtime.KeepAlive(t)
 		})
 	}
@@ -129,7 +129,7 @@
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				weighting.New(weighting.Options{RandomSeed: 1, Zone: sizes.Zone(0), Zones: []string{sizes.Zone(0)}, Members: 10, LinkMbps: 1000}).Configure(time.Second, c, f.Foragers*10)
+				weighting.New(weighting.Options{RandomSeed: 1, Zone: sizes.ZoneName(0), Zones: []string{sizes.ZoneName(0)}, Members: 10, LinkMbps: 1000}).Configure(time.Second, c, f.Gateways*10)
 			}
 		})
 	}
--- a/dataplane/capacity/capacity.go
+++ b/dataplane/capacity/capacity.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	smooth    = 0.2  // weight of a new sample
-	leastBusy = 0.02 // less busy than this, a sample tells nothing
-	lateMost  = 0.05 // share of late answers from which a node is taken to be at its end, however busy it says it is
+	smoothingFactor = 0.2  // weight of a new sample
+	minBusyShare    = 0.02 // less busy than this, a sample tells nothing
+	maxLateShare    = 0.05 // share of late answers from which a node is taken to be at its end, however busy it says it is
 )
 
 // Meter measures one node.
 type Meter struct {
 	served map[string]int
 	late   int
-	mix    map[string]float64 // requests a second that it could serve, by group, as they come now
+	rates  map[string]float64 // requests a second that it could serve, by group, as they come now
 }
 
-// Served counts an answered request, and whether the node itself held it up for long.
-func (m *Meter) Served(group string, late bool) {
+// RecordServed counts an answered request, and whether the node itself held it up for long.
+func (m *Meter) RecordServed(group string, late bool) {
 	if m.served == nil {
 		m.served = map[string]int{}
 	}
@@ -46,51 +46,51 @@
 	for _, k := range m.served {
 		n += k
 	}
-	if over > 0 && n > 0 && (busy >= leastBusy || float64(m.late) > lateMost*float64(n)) {
-		scale := 1 / min(max(busy, leastBusy), 1)
-		if float64(m.late) > lateMost*float64(n) {
+	if over > 0 && n > 0 && (busy >= minBusyShare || float64(m.late) > maxLateShare*float64(n)) {
+		scale := 1 / min(max(busy, minBusyShare), 1)
+		if float64(m.late) > maxLateShare*float64(n) {
 			scale = 1
 		}
-		if m.mix == nil {
-			m.mix = map[string]float64{}
+		if m.rates == nil {
+			m.rates = map[string]float64{}
 		}
 		for _, g := range []string{Lookups, Orders} {
 			now := float64(m.served[g]) / over.Seconds() * scale
-			if had, ok := m.mix[g]; ok {
-				now = had + (now-had)*smooth
+			if had, ok := m.rates[g]; ok {
+				now = had + (now-had)*smoothingFactor
 			}
-			m.mix[g] = now
+			m.rates[g] = now
 		}
 	}
 	m.served, m.late = nil, 0
-	return maps.Clone(m.mix)
+	return maps.Clone(m.rates)
 }
 
 // Node is what is known of one.
 type Node struct {
-	Name    string             `json:"node" cbor:"1,keyasint"`
-	Zone    string             `json:"zone" cbor:"2,keyasint"`
-	Region  string             `json:"region" cbor:"3,keyasint"`
-	Carries map[string]float64 `json:"carries" cbor:"4,keyasint,omitempty"` // requests a second, by group
+	Name     string             `json:"node" cbor:"1,keyasint"`
+	Zone     string             `json:"zone" cbor:"2,keyasint"`
+	Region   string             `json:"region" cbor:"3,keyasint"`
+	Capacity map[string]float64 `json:"carries" cbor:"4,keyasint,omitempty"` // requests a second, by group
 }
 
 // Floor is what must always be carried.
 type Floor struct {
-	Region string  `json:"region" cbor:"1,keyasint"`
-	Group  string  `json:"group" cbor:"2,keyasint"`
-	Least  float64 `json:"least" cbor:"3,keyasint"` // requests a second
+	Region  string  `json:"region" cbor:"1,keyasint"`
+	Group   string  `json:"group" cbor:"2,keyasint"`
+	Minimum float64 `json:"least" cbor:"3,keyasint"` // requests a second
 }
 
-// Losses are to be borne beside what is planned.
-type Losses struct {
+// FaultTolerance are to be borne beside what is planned.
+type FaultTolerance struct {
 	Machines int `json:"machines" cbor:"1,keyasint"`
 	Zones    int `json:"zones" cbor:"2,keyasint"`
 }
 
-// Left is what the nodes of a region carry of a group without those that are out, after the worst loss that must be borne:
+// RemainingAfterLosses is what the nodes of a region carry of a group without those that are out, after the worst loss that must be borne:
 // the strongest machines, or the strongest zones where the region has several, whichever is more. So where all that is
 // left stands in one zone, nothing is left.
-func Left(nodes []Node, region, group string, out func(string) bool, l Losses) float64 {
+func RemainingAfterLosses(nodes []Node, region, group string, out func(string) bool, l FaultTolerance) float64 {
 	sum, zones := 0.0, map[string]float64{}
 	var each []float64
 	for _, n := range nodes {
@@ -103,7 +103,7 @@
 		if out(n.Name) {
 			continue
 		}
-		c := n.Carries[group]
+		c := n.Capacity[group]
 		sum += c
 		zones[n.Zone] += c
 		each = append(each, c)
--- a/dataplane/loadbalancer/capacity_test.go
+++ b/dataplane/loadbalancer/capacity_test.go
@@ -21,7 +21,7 @@
 }
 
 func sized(replicas, services int) sizes.Fleet {
-	f := sizes.Users()
+	f := sizes.ProductionFleet()
 	f.Replicas, f.Services = replicas, services
 	return f
 }
@@ -38,8 +38,8 @@
 			}
 			b.Run(fmt.Sprintf("%s/n=%d", layout, n), func(b *testing.B) {
 				before := heap()
-				lives := f.Lives()
-				s := loadbalancer.New(sizes.Zone(0))
+				lives := f.Instances()
+				s := loadbalancer.New(sizes.ZoneName(0))
 				s.Lives(0, true, lives)
 				lives = nil
 				held := float64(heap()) - float64(before)
@@ -47,7 +47,7 @@
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					now := time.Duration(i) * 14 * time.Millisecond
-					r := s.Pick(now, sizes.Service(i%f.Services), func(string) bool { return false }, 1e9, chance)
+					r := s.Pick(now, sizes.ServiceName(i%f.Services), func(string) bool { return false }, 1e9, chance)
 					if r == nil {
 						b.Fatal("nobody")
 					}
@@ -66,14 +66,14 @@
 	for _, what := range []string{"first", "again", "change", "report"} {
 		for _, n := range capacitySizes {
 			b.Run(fmt.Sprintf("%s/n=%d", what, n), func(b *testing.B) {
-				lives := sized(n, n/36).Lives()
-				s := loadbalancer.New(sizes.Zone(0))
+				lives := sized(n, n/36).Instances()
+				s := loadbalancer.New(sizes.ZoneName(0))
 				s.Lives(0, true, lives)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					switch what {
 					case "first":
-						loadbalancer.New(sizes.Zone(0)).Lives(0, true, lives)
+						loadbalancer.New(sizes.ZoneName(0)).Lives(0, true, lives)
 					case "again":
 						s.Lives(0, true, lives)
 					case "change":
--- a/dataplane/overflow/spill.go
+++ b/dataplane/overflow/spill.go
@@ -17,219 +17,221 @@
 )
 
 const (
-	// LeaseFor is how long a lease holds from the lender's grant on; the borrower stops using it sooner by the margin.
-	LeaseFor = 2 * time.Second
-
-	margin    = 400 * time.Millisecond // for the way there and back, and clocks that run unlike
-	fillMost  = 0.8                    // of the slots, what may be in use, guests included; a guest is let in on a free slot only
-	askMore   = 1.3                    // of what was refused
-	quietFor  = 3 * time.Second        // without a refusal, after which less is asked for each time
-	decay     = 0.6
-	leastRate = 0.5             // requests a second; less is not asked for
-	lentAfter = 3 * time.Second // of calm, a service that lacked room is lent again
-
-	againAfter = 900 * time.Millisecond // of a refusal
-	ordersMin  = 0.3                    // part of a purse that must be there for an order: lookups go first
-	burst      = 0.25
-	serials    = 1 << 16 // of guests that are remembered, against duplicates that come late
+	// LeaseDuration is how long a lease holds from the lender's grant on; the borrower stops using it sooner by the margin.
+	LeaseDuration = 2 * time.Second
+
+	leaseSafetyMargin = 400 * time.Millisecond // for the way there and back, and clocks that run unlike
+	maxUtilization    = 0.8                    // of the slots, what may be in use, guests included; a guest is let in on a free slot only
+	demandHeadroom    = 1.3                    // of what was refused
+	quietPeriod       = 3 * time.Second        // without a refusal, after which less is asked for each time
+	demandDecay       = 0.6
+	minLeaseRate      = 0.5             // requests a second; less is not asked for
+	relendDelay       = 3 * time.Second // of calm, a service that lacked room is lent again
+
+	deniedRetryDelay    = 900 * time.Millisecond // of a refusal
+	orderReserve        = 0.3                    // part of a purse that must be there for an order: lookups go first
+	burstSeconds        = 0.25
+	maxRememberedGuests = 1 << 16 // of guests that are remembered, against duplicates that come late
 )
 
 // Stats is what a site knows of one of its services.
 type Stats struct {
-	Slots   float64 `cbor:"1,keyasint"` // of replicas that are ready and warm, in zones that are not being emptied
-	Rate    float64 `cbor:"2,keyasint"` // requests a second that reach them
-	Took    float64 `cbor:"3,keyasint"` // seconds that one takes
-	Refused float64 `cbor:"4,keyasint"` // a second, for want of room
+	Slots          float64 `cbor:"1,keyasint"` // of replicas that are ready and warm, in zones that are not being emptied
+	Rate           float64 `cbor:"2,keyasint"` // requests a second that reach them
+	ServiceSeconds float64 `cbor:"3,keyasint"` // seconds that one takes
+	RejectedRate   float64 `cbor:"4,keyasint"` // a second, for want of room
 }
 
-// Room is what could be served besides, in requests a second.
-func (s Stats) Room() float64 {
-	if s.Took <= 0 || s.Refused > 0 {
+// SpareRate is what could be served besides, in requests a second.
+func (s Stats) SpareRate() float64 {
+	if s.ServiceSeconds <= 0 || s.RejectedRate > 0 {
 		return 0
 	}
-	return max(fillMost*s.Slots/s.Took-s.Rate, 0)
+	return max(maxUtilization*s.Slots/s.ServiceSeconds-s.Rate, 0)
 }
 
 // Lease is room that one site lends another.
 type Lease struct {
-	ID      string        `cbor:"1,keyasint"`
-	Service string        `cbor:"2,keyasint"`
-	Site    string        `cbor:"3,keyasint"` // the other one
-	Rate    float64       `cbor:"4,keyasint"`
-	Until   time.Duration `cbor:"5,keyasint"` // by the holder's own clock
-	Addrs   []string      `cbor:"6,keyasint,omitempty"`
+	ID        string        `cbor:"1,keyasint"`
+	Service   string        `cbor:"2,keyasint"`
+	Site      string        `cbor:"3,keyasint"` // the other one
+	Rate      float64       `cbor:"4,keyasint"`
+	ExpiresAt time.Duration `cbor:"5,keyasint"` // by the holder's own clock
+	Addrs     []string      `cbor:"6,keyasint,omitempty"`
 }
 
 // Lender is the lending side of one core machine.
 type Lender struct {
-	name   string
-	leases []Lease
-	n      uint64
-	poor   map[string]time.Duration // services that lacked room here, when last
+	name       string
+	leases     []Lease
+	granted    uint64
+	shortSince map[string]time.Duration // services that lacked room here, when last
 }
 
 // NewLender makes one; its name is no other lender's.
-func NewLender(name string) *Lender { return &Lender{name: name, poor: map[string]time.Duration{}} }
+func NewLender(name string) *Lender {
+	return &Lender{name: name, shortSince: map[string]time.Duration{}}
+}
 
-// Poor notes that a service lacks room here, or is borrowed for.
-func (l *Lender) Poor(now time.Duration, service string) { l.poor[service] = now }
+// MarkShort notes that a service lacks room here, or is borrowed for.
+func (lender *Lender) MarkShort(now time.Duration, service string) { lender.shortSince[service] = now }
 
-// Lend takes a wish. Room is this lender's part of what the site has; what is lent to others already comes off it. A
+// Grant takes a wish. Room is this lender's part of what the site has; what is lent to others already comes off it. A
 // borrower's older lease of the service is replaced by its new one: it uses one at a time.
-func (l *Lender) Lend(now time.Duration, borrower, service string, want, room, most float64) (Lease, bool) {
-	l.leases = slices.DeleteFunc(l.leases, func(x Lease) bool { return now >= x.Until })
-	if at, ok := l.poor[service]; ok && now-at < lentAfter {
+func (lender *Lender) Grant(now time.Duration, borrower, service string, wanted, spare, limit float64) (Lease, bool) {
+	lender.leases = slices.DeleteFunc(lender.leases, func(x Lease) bool { return now >= x.ExpiresAt })
+	if at, ok := lender.shortSince[service]; ok && now-at < relendDelay {
 		return Lease{}, false
 	}
-	for _, x := range l.leases {
+	for _, x := range lender.leases {
 		if x.Service == service && x.Site != borrower {
-			room -= x.Rate
+			spare -= x.Rate
 		}
 	}
-	rate := min(want, room)
-	if most > 0 {
-		rate = min(rate, most)
+	rate := min(wanted, spare)
+	if limit > 0 {
+		rate = min(rate, limit)
 	}
-	if rate < leastRate {
+	if rate < minLeaseRate {
 		return Lease{}, false
 	}
-	for i := range l.leases { // still good at the door until it ends, for what is on its way
-		if x := &l.leases[i]; x.Service == service && x.Site == borrower {
+	for i := range lender.leases { // still good at the door until it ends, for what is on its way
+		if x := &lender.leases[i]; x.Service == service && x.Site == borrower {
 			x.Rate = 0
 		}
 	}
-	l.n++
-	x := Lease{ID: fmt.Sprintf("%s.%d", l.name, l.n), Service: service, Site: borrower, Rate: rate, Until: now + LeaseFor}
-	l.leases = append(l.leases, x)
+	lender.granted++
+	x := Lease{ID: fmt.Sprintf("%s.%d", lender.name, lender.granted), Service: service, Site: borrower, Rate: rate, ExpiresAt: now + LeaseDuration}
+	lender.leases = append(lender.leases, x)
 	return x, true
 }
 
-// Lent lists what is lent now.
-func (l *Lender) Lent(now time.Duration) (all []Lease) {
-	for _, x := range l.leases {
-		if now < x.Until {
+// ActiveLeases lists what is lent now.
+func (lender *Lender) ActiveLeases(now time.Duration) (all []Lease) {
+	for _, x := range lender.leases {
+		if now < x.ExpiresAt {
 			all = append(all, x)
 		}
 	}
 	return all
 }
 
-// Neighbour is a site that may be asked.
-type Neighbour struct {
-	Site     string        `json:"site" cbor:"1,keyasint"`
-	Combs    []string      `json:"combs" cbor:"2,keyasint"`            // where its core machines hear other governors
-	Distance time.Duration `json:"distance" cbor:"3,keyasint"`         // one way
-	Lend     float64       `json:"lend" cbor:"4,keyasint,omitempty"`   // requests a second of a service that it may be lent; 0: as many as there is room for
-	Borrow   float64       `json:"borrow" cbor:"5,keyasint,omitempty"` // likewise, that may be sent there; 0: any
-	Closed   bool          `json:"closed" cbor:"6,keyasint,omitempty"` // nothing either way
+// PeerSite is a site that may be asked.
+type PeerSite struct {
+	Site              string        `json:"site" cbor:"1,keyasint"`
+	ControlPlaneAddrs []string      `json:"combs" cbor:"2,keyasint"`            // where its core machines hear other governors
+	Distance          time.Duration `json:"distance" cbor:"3,keyasint"`         // one way
+	MaxLend           float64       `json:"lend" cbor:"4,keyasint,omitempty"`   // requests a second of a service that it may be lent; 0: as many as there is room for
+	MaxBorrow         float64       `json:"borrow" cbor:"5,keyasint,omitempty"` // likewise, that may be sent there; 0: any
+	Closed            bool          `json:"closed" cbor:"6,keyasint,omitempty"` // nothing either way
 }
 
-// Want is a wish for room.
-type Want struct {
+// LeaseRequest is a wish for room.
+type LeaseRequest struct {
 	Site    string  `cbor:"1,keyasint"`
 	Service string  `cbor:"2,keyasint"`
 	Rate    float64 `cbor:"3,keyasint"`
 }
 
-type need struct {
-	rate      float64
-	refusedAt time.Duration
-	held      map[string]Lease // by site
-	deniedAt  map[string]time.Duration
+type demand struct {
+	rate           float64
+	lastRejectedAt time.Duration
+	leases         map[string]Lease // by site
+	deniedAt       map[string]time.Duration
 }
 
 // Borrower is the borrowing side of one core machine.
-type Borrower struct{ needs map[string]*need }
+type Borrower struct{ demands map[string]*demand }
 
 // NewBorrower makes one.
-func NewBorrower() *Borrower { return &Borrower{needs: map[string]*need{}} }
+func NewBorrower() *Borrower { return &Borrower{demands: map[string]*demand{}} }
 
-// Told takes what a second brought at a service: requests refused for want of room, and sent to neighbours.
-func (b *Borrower) Told(now time.Duration, service string, refused, spilled float64) {
-	n := b.needs[service]
-	if n == nil {
-		if refused == 0 {
+// RecordDemand takes what a second brought at a service: requests refused for want of room, and sent to neighbours.
+func (borrower *Borrower) RecordDemand(now time.Duration, service string, rejected, forwarded float64) {
+	demanded := borrower.demands[service]
+	if demanded == nil {
+		if rejected == 0 {
 			return
 		}
-		n = &need{held: map[string]Lease{}, deniedAt: map[string]time.Duration{}}
-		b.needs[service] = n
+		demanded = &demand{leases: map[string]Lease{}, deniedAt: map[string]time.Duration{}}
+		borrower.demands[service] = demanded
 	}
 	switch {
-	case refused > 0:
-		n.rate, n.refusedAt = max(n.rate*decay, (refused+spilled)*askMore), now
-	case now-n.refusedAt > quietFor:
-		if n.rate = max(n.rate*decay, 0); spilled > 0 {
-			n.rate = max(n.rate, spilled*decay)
+	case rejected > 0:
+		demanded.rate, demanded.lastRejectedAt = max(demanded.rate*demandDecay, (rejected+forwarded)*demandHeadroom), now
+	case now-demanded.lastRejectedAt > quietPeriod:
+		if demanded.rate = max(demanded.rate*demandDecay, 0); forwarded > 0 {
+			demanded.rate = max(demanded.rate, forwarded*demandDecay)
 		}
 	}
-	if n.rate < leastRate && len(b.Held(now, service)) == 0 {
-		delete(b.needs, service)
+	if demanded.rate < minLeaseRate && len(borrower.UsableLeases(now, service)) == 0 {
+		delete(borrower.demands, service)
 	}
 }
 
-// Wants lists what is to be asked for now: of the nearest neighbour first, of the next ones what those before have not
+// LeaseRequests lists what is to be asked for now: of the nearest neighbour first, of the next ones what those before have not
 // given. A lease is renewed when half of it is over; one that has refused is asked again after a while.
-func (b *Borrower) Wants(now time.Duration, neighbours []Neighbour) (all []Want) {
+func (borrower *Borrower) LeaseRequests(now time.Duration, neighbours []PeerSite) (all []LeaseRequest) {
 	near := slices.Clone(neighbours)
-	slices.SortStableFunc(near, func(x, y Neighbour) int {
+	slices.SortStableFunc(near, func(x, y PeerSite) int {
 		return cmp.Or(cmp.Compare(x.Distance, y.Distance), strings.Compare(x.Site, y.Site))
 	})
-	for _, service := range slices.Sorted(maps.Keys(b.needs)) {
-		n := b.needs[service]
+	for _, service := range slices.Sorted(maps.Keys(borrower.demands)) {
+		n := borrower.demands[service]
 		left := n.rate
 		for _, x := range near {
-			if left < leastRate || x.Closed {
+			if left < minLeaseRate || x.Closed {
 				continue
 			}
 			want := left
-			if x.Borrow > 0 {
-				want = min(want, x.Borrow)
+			if x.MaxBorrow > 0 {
+				want = min(want, x.MaxBorrow)
 			}
-			l, held := n.held[x.Site]
-			if held = held && now < l.Until; held {
+			l, held := n.leases[x.Site]
+			if held = held && now < l.ExpiresAt; held {
 				left -= l.Rate
 			}
-			if denied, ok := n.deniedAt[x.Site]; ok && now-denied < againAfter {
+			if denied, ok := n.deniedAt[x.Site]; ok && now-denied < deniedRetryDelay {
 				continue
 			} else if !ok && !held {
 				left -= want // it is asked alone at first
 			}
-			if !held || l.Until-now < (LeaseFor-margin)/2 || l.Rate < 0.8*want {
-				all = append(all, Want{x.Site, service, want})
+			if !held || l.ExpiresAt-now < (LeaseDuration-leaseSafetyMargin)/2 || l.Rate < 0.8*want {
+				all = append(all, LeaseRequest{x.Site, service, want})
 			}
 		}
 	}
 	return all
 }
 
-// Given takes a neighbour's answer; a lease without a rate is a refusal. Sent is when it was asked for, by our clock: the
+// HandleResponse takes a neighbour's answer; a lease without a rate is a refusal. Sent is when it was asked for, by our clock: the
 // lease cannot have begun earlier.
-func (b *Borrower) Given(now, sent time.Duration, site string, l Lease) {
-	n := b.needs[l.Service]
+func (borrower *Borrower) HandleResponse(now, sent time.Duration, site string, lease Lease) {
+	n := borrower.demands[lease.Service]
 	if n == nil {
 		return
 	}
-	if l.Rate <= 0 {
+	if lease.Rate <= 0 {
 		n.deniedAt[site] = now
 		return
 	}
-	l.Site, l.Until = site, sent+LeaseFor-margin
-	if delete(n.deniedAt, site); l.Rate < leastRate*2 {
+	lease.Site, lease.ExpiresAt = site, sent+LeaseDuration-leaseSafetyMargin
+	if delete(n.deniedAt, site); lease.Rate < minLeaseRate*2 {
 		n.deniedAt[site] = now
 	}
-	if now < l.Until {
-		n.held[site] = l
+	if now < lease.ExpiresAt {
+		n.leases[site] = lease
 	}
 }
 
-// Held lists the leases of a service that may be used.
-func (b *Borrower) Held(now time.Duration, service string) (all []Lease) {
-	if n := b.needs[service]; n != nil {
-		for _, site := range slices.Sorted(maps.Keys(n.held)) {
-			if l := n.held[site]; now < l.Until {
+// UsableLeases lists the leases of a service that may be used.
+func (borrower *Borrower) UsableLeases(now time.Duration, service string) (all []Lease) {
+	if n := borrower.demands[service]; n != nil {
+		for _, site := range slices.Sorted(maps.Keys(n.leases)) {
+			if l := n.leases[site]; now < l.ExpiresAt {
 				all = append(all, l)
 			} else {
-				delete(n.held, site)
+				delete(n.leases, site)
 			}
 		}
 	}
@@ -237,42 +239,44 @@
 }
 
 // Services lists those that something is asked for.
-func (b *Borrower) Services() []string { return slices.Sorted(maps.Keys(b.needs)) }
+func (borrower *Borrower) Services() []string { return slices.Sorted(maps.Keys(borrower.demands)) }
 
-// Purse is a forager's part of what its site has borrowed.
-type Purse struct {
-	leases map[string]*coin // by lease
+// BorrowedQuota is a forager's part of what its site has borrowed.
+type BorrowedQuota struct {
+	leases map[string]*tokenBucket // by lease
 	serial uint64
 	name   string
 }
 
-type coin struct {
+type tokenBucket struct {
 	Lease
-	have float64
-	at   time.Duration
-	turn int
+	tokens     float64
+	refilledAt time.Duration
+	nextAddr   int
 }
 
-// NewPurse makes an empty one. Its name is no other purse's, also not in an earlier life.
-func NewPurse(name string) *Purse { return &Purse{leases: map[string]*coin{}, name: name} }
+// NewBorrowedQuota makes an empty one. Its name is no other purse's, also not in an earlier life.
+func NewBorrowedQuota(name string) *BorrowedQuota {
+	return &BorrowedQuota{leases: map[string]*tokenBucket{}, name: name}
+}
 
-// Fill sets the leases that may be used, each with this forager's part of its rate.
-func (p *Purse) Fill(now time.Duration, leases []Lease) {
-	next := map[string]*coin{}
+// SetLeases sets the leases that may be used, each with this forager's part of its rate.
+func (quota *BorrowedQuota) SetLeases(now time.Duration, leases []Lease) {
+	next := map[string]*tokenBucket{}
 	for _, l := range leases {
-		c := p.leases[l.ID]
-		if c == nil {
-			c = &coin{at: now}
-			for _, o := range p.leases { // what an older one of the same room has left stays
+		bucket := quota.leases[l.ID]
+		if bucket == nil {
+			bucket = &tokenBucket{refilledAt: now}
+			for _, o := range quota.leases { // what an older one of the same room has left stays
 				if o.Site == l.Site && o.Service == l.Service {
-					c.have, c.at = o.have, o.at
+					bucket.tokens, bucket.refilledAt = o.tokens, o.refilledAt
 				}
 			}
 		}
-		c.Lease = l
-		next[l.ID] = c
+		bucket.Lease = l
+		next[l.ID] = bucket
 	}
-	p.leases = next
+	quota.leases = next
 }
 
 // Token names one guest.
@@ -283,89 +287,91 @@
 // String is how a token is told; Parse reads it.
 func (t Token) String() string { return t.Lease + "/" + t.Serial }
 
-// Parse reads a token.
-func Parse(s string) (t Token, ok bool) {
+// ParseToken reads a token.
+func ParseToken(s string) (t Token, ok bool) {
 	t.Lease, t.Serial, ok = strings.Cut(s, "/")
 	return t, ok && t.Lease != "" && t.Serial != ""
 }
 
-// Take spends on one request of a service, the nearest lease first in the order in which they were filled by site. An order
+// Spend spends on one request of a service, the nearest lease first in the order in which they were filled by site. An order
 // is let go only where much is left: lookups go first.
-func (p *Purse) Take(now time.Duration, service string, safe bool) (Token, bool) {
-	for _, id := range slices.Sorted(maps.Keys(p.leases)) {
-		c := p.leases[id]
-		if c.Service != service || now >= c.Until || len(c.Addrs) == 0 {
+func (quota *BorrowedQuota) Spend(now time.Duration, service string, safe bool) (Token, bool) {
+	for _, id := range slices.Sorted(maps.Keys(quota.leases)) {
+		bucket := quota.leases[id]
+		if bucket.Service != service || now >= bucket.ExpiresAt || len(bucket.Addrs) == 0 {
 			continue
 		}
-		most := max(c.Rate*burst, 1)
-		c.have = min(c.have+c.Rate*max(now-c.at, 0).Seconds(), most)
-		c.at = now
-		if c.have < 1 || !safe && c.have < 1+ordersMin*(most-1) {
+		capacity := max(bucket.Rate*burstSeconds, 1)
+		bucket.tokens = min(bucket.tokens+bucket.Rate*max(now-bucket.refilledAt, 0).Seconds(), capacity)
+		bucket.refilledAt = now
+		if bucket.tokens < 1 || !safe && bucket.tokens < 1+orderReserve*(capacity-1) {
 			continue
 		}
-		c.have--
-		c.turn++
-		p.serial++
-		return Token{Lease: c.ID, Serial: p.name + "-" + strconv.FormatUint(p.serial, 36), Addr: c.Addrs[c.turn%len(c.Addrs)], Site: c.Site}, true
+		bucket.tokens--
+		bucket.nextAddr++
+		quota.serial++
+		return Token{Lease: bucket.ID, Serial: quota.name + "-" + strconv.FormatUint(quota.serial, 36), Addr: bucket.Addrs[bucket.nextAddr%len(bucket.Addrs)], Site: bucket.Site}, true
 	}
 	return Token{}, false
 }
 
-// Answer is what becomes of a guest at the door.
-type Answer int
+// Admission is what becomes of a guest at the door.
+type Admission int
 
 const (
-	NotRun Answer = iota // proof: it is not let in and never will be
-	Admit
-	Doubt // it has been here before: what became of it is not said again
+	NotExecuted Admission = iota // proof: it is not let in and never will be
+	Admitted
+	Duplicate // it has been here before: what became of it is not said again
 )
 
-// Door is a forager's part of what its site has lent.
-type Door struct {
-	leases map[string]*coin
-	seen   map[string]bool
-	order  []string
+// LentQuota is a forager's part of what its site has lent.
+type LentQuota struct {
+	leases    map[string]*tokenBucket
+	seen      map[string]bool
+	seenOrder []string
 }
 
-// NewDoor makes one that is closed.
-func NewDoor() *Door { return &Door{leases: map[string]*coin{}, seen: map[string]bool{}} }
+// NewLentQuota makes one that is closed.
+func NewLentQuota() *LentQuota {
+	return &LentQuota{leases: map[string]*tokenBucket{}, seen: map[string]bool{}}
+}
 
-// Lent sets the leases under which guests are let in, each with this forager's part.
-func (d *Door) Lent(now time.Duration, leases []Lease) {
-	next := map[string]*coin{}
+// SetLeases sets the leases under which guests are let in, each with this forager's part.
+func (quota *LentQuota) SetLeases(now time.Duration, leases []Lease) {
+	next := map[string]*tokenBucket{}
 	for _, l := range leases {
-		c := d.leases[l.ID]
-		if c == nil {
-			c = &coin{have: max(l.Rate*burst, 1), at: now}
+		bucket := quota.leases[l.ID]
+		if bucket == nil {
+			bucket = &tokenBucket{tokens: max(l.Rate*burstSeconds, 1), refilledAt: now}
 		}
-		if c.Lease = l; l.Rate == 0 { // replaced: what it has left is for what is on its way
-			c.at = now
+		if bucket.Lease = l; l.Rate == 0 { // replaced: what it has left is for what is on its way
+			bucket.refilledAt = now
 		}
-		next[l.ID] = c
+		next[l.ID] = bucket
 	}
-	d.leases = next
+	quota.leases = next
 }
 
-// Open tells what becomes of a guest for a service. A duplicate is never let in: the first one may have run.
-func (d *Door) Open(now time.Duration, t Token, service string) Answer {
+// Admit tells what becomes of a guest for a service. A duplicate is never let in: the first one may have run.
+func (quota *LentQuota) Admit(now time.Duration, t Token, service string) Admission {
 	key := t.String()
-	if d.seen[key] {
-		return Doubt
+	if quota.seen[key] {
+		return Duplicate
 	}
-	if len(d.order) >= serials {
-		delete(d.seen, d.order[0])
-		d.order = d.order[1:]
+	if len(quota.seenOrder) >= maxRememberedGuests {
+		delete(quota.seen, quota.seenOrder[0])
+		quota.seenOrder = quota.seenOrder[1:]
 	}
-	d.seen[key] = true
-	d.order = append(d.order, key)
-	c := d.leases[t.Lease]
-	if c == nil || now >= c.Until || c.Service != service {
-		return NotRun
+	quota.seen[key] = true
+	quota.seenOrder = append(quota.seenOrder, key)
+	bucket := quota.leases[t.Lease]
+	if bucket == nil || now >= bucket.ExpiresAt || bucket.Service != service {
+		return NotExecuted
 	}
-	c.have = min(c.have+c.Rate*max(now-c.at, 0).Seconds(), max(2*c.Rate*burst, c.have, 2))
-	if c.at = now; c.have < 1 {
-		return NotRun
+	bucket.tokens = min(bucket.tokens+bucket.Rate*max(now-bucket.refilledAt, 0).Seconds(), max(2*bucket.Rate*burstSeconds, bucket.tokens, 2))
+	if bucket.refilledAt = now; bucket.tokens < 1 {
+		return NotExecuted
 	}
-	c.have--
-	return Admit
+	bucket.tokens--
+	return Admitted
 }
--- a/dataplane/router/forage.go
+++ b/dataplane/router/forage.go
@@ -227,7 +227,7 @@
 		if safe {
 			group = capacity.Lookups
 		}
-		f.meter.Served(group, late)
+		f.meter.RecordServed(group, late)
 		f.load[group]++
 	}
 }
--- a/gatewayconfig/capacity_test.go
+++ b/gatewayconfig/capacity_test.go
@@ -12,7 +12,7 @@
 var capacityRoutes = []int{8, 500, 5000, 51000}
 
 func fleetWithRoutes(routes int) sizes.Fleet {
-	f := sizes.Users()
+	f := sizes.ProductionFleet()
 	f.Routes, f.Services = routes, max(routes*f.Services/f.Routes, 3)
 	return f
 }
@@ -68,7 +68,7 @@
 				hosts, paths := make([]string, 997), make([]string, 997)
 				for i := range hosts {
 					r := i * 7919 % n
-					hosts[i], paths[i] = sizes.Host(r/l.of(n)), sizes.Prefix(r)+"item"
+					hosts[i], paths[i] = sizes.Hostname(r/l.of(n)), sizes.PathPrefix(r)+"item"
 				}
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
@@ -90,7 +90,7 @@
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				c.RoutesToService(sizes.Service(0))
+				c.RoutesToService(sizes.ServiceName(0))
 			}
 		})
 	}
--- a/internal/collectd/collectd_test.go
+++ b/internal/collectd/collectd_test.go
@@ -50,29 +50,29 @@
 	return out.String()
 }
 
-func whole() standin.Packet {
-	return standin.Packet{}.Text(0, "web-1").Number(1, 1_700_000_000).Number(7, 10).Text(2, "cpu").Text(3, "0").Text(4, "percent").Text(5, "idle").
-		Gauges(40.5).Part(0x0999, []byte("of another day")).Text(5, "user").Gauges(2, math.NaN()).
-		Time(time.Unix(1_700_000_001, 500_000_000)).Number(9, 3<<29).Text(3, "").Counts(0, 7, math.MaxUint64).Counts(2, 8).Counts(3, 9)
+func whole() standin.CollectdPacket {
+	return standin.CollectdPacket{}.AppendString(0, "web-1").AppendNumber(1, 1_700_000_000).AppendNumber(7, 10).AppendString(2, "cpu").AppendString(3, "0").AppendString(4, "percent").AppendString(5, "idle").
+		AppendGauges(40.5).AppendPart(0x0999, []byte("of another day")).AppendString(5, "user").AppendGauges(2, math.NaN()).
+		AppendTime(time.Unix(1_700_000_001, 500_000_000)).AppendNumber(9, 3<<29).AppendString(3, "").AppendCounters(0, 7, math.MaxUint64).AppendCounters(2, 8).AppendCounters(3, 9)
 }
 
 // TestPacket has all parts of the protocol in one packet, and parts that nobody knows.
 func TestPacket(t *testing.T) {
 	var trace strings.Builder
-	add := func(what string, level Level, p standin.Packet) {
+	add := func(what string, level Level, p standin.CollectdPacket) {
 		fmt.Fprintf(&trace, "# %s\n%s", what, show(level, p))
 	}
 	add("whole", None, whole())
 	add("unsigned, where signatures are required", Sign, whole())
-	add("a value of kind 4", None, whole().Counts(4, 1).Gauges(1))
-	add("more values than there are", None, whole().Part(6, []byte{0, 9, 1, 1}))
+	add("a value of kind 4", None, whole().AppendCounters(4, 1).AppendGauges(1))
+	add("more values than there are", None, whole().AppendPart(6, []byte{0, 9, 1, 1}))
 	add("a length of less than its head", None, append(whole(), 0, 0, 0, 3, 0, 0))
 	add("a length beyond the packet", None, append(whole(), 0, 0, 1, 0, 65))
-	add("a text without its end", None, whole().Part(0, []byte("host")))
-	add("a text that is too long", None, whole().Text(0, strings.Repeat("x", 200)))
-	add("a time that can't be", None, whole().Number(1, math.MaxUint64))
-	add("a signature cut short", None, standin.Packet{}.Part(0x0200, make([]byte, 10)))
-	add("something encrypted, cut short", None, standin.Packet{}.Part(0x0210, []byte{0, 200, 1, 2}))
+	add("a text without its end", None, whole().AppendPart(0, []byte("host")))
+	add("a text that is too long", None, whole().AppendString(0, strings.Repeat("x", 200)))
+	add("a time that can't be", None, whole().AppendNumber(1, math.MaxUint64))
+	add("a signature cut short", None, standin.CollectdPacket{}.AppendPart(0x0200, make([]byte, 10)))
+	add("something encrypted, cut short", None, standin.CollectdPacket{}.AppendPart(0x0210, []byte{0, 200, 1, 2}))
 	testkit.Compare(t, trace.String())
 }
 
@@ -166,7 +166,7 @@
 	}
 	chance := rand.New(rand.NewPCG(1, 1))
 	for range 20 {
-		f.Add([]byte(whole().Broken(chance)))
+		f.Add([]byte(whole().Corrupt(chance)))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for level := None; level <= Encrypt; level++ {
@@ -205,9 +205,9 @@
 	x, n := &inbox{}, &counts.Counts{}
 	s := New(options(), x, n)
 	now := time.Unix(1_700_000_000, 0)
-	one := func(host string) standin.Packet {
-		return standin.Packet{}.Text(0, host).Number(1, 1_700_000_000).Text(2, "cpu").Text(4, "percent").Text(5, "idle").Gauges(40).
-			Text(5, "user").Gauges(30).Text(2, "http").Text(4, "requests").Text(5, "").Gauges(9, 12).Gauges(9)
+	one := func(host string) standin.CollectdPacket {
+		return standin.CollectdPacket{}.AppendString(0, host).AppendNumber(1, 1_700_000_000).AppendString(2, "cpu").AppendString(4, "percent").AppendString(5, "idle").AppendGauges(40).
+			AppendString(5, "user").AppendGauges(30).AppendString(2, "http").AppendString(4, "requests").AppendString(5, "").AppendGauges(9, 12).AppendGauges(9)
 	}
 	s.Packet(from("127.0.0.1:1"), one("web-1"), now)
 	s.Packet(from("[::ffff:127.0.0.1]:1"), one("w1.example"), now)
@@ -246,7 +246,7 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	for _, p := range []standin.Packet{{1}, standin.Packet{}.Text(0, "web-1").Number(1, 5).Text(2, "cpu").Text(4, "percent").Text(5, "idle").Gauges(40)} {
+	for _, p := range []standin.CollectdPacket{{1}, standin.CollectdPacket{}.AppendString(0, "web-1").AppendNumber(1, 5).AppendString(2, "cpu").AppendString(4, "percent").AppendString(5, "idle").AppendGauges(40)} {
 		if _, err := peer.Write(p); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/compatibility/disk_test.go
+++ b/internal/compatibility/disk_test.go
@@ -207,11 +207,11 @@
 	if conflict != nil {
 		t.Fatal(conflict)
 	}
-	agree, err := json.MarshalIndent(f.Agree(), "", "  ")
+	agree, err := json.MarshalIndent(f.AgreeCommand(), "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, got := range map[string][]byte{"agree.json": append(agree, '\n'), "timetable.txt": []byte(f.Text(timetable))} {
+	for name, got := range map[string][]byte{"agree.json": append(agree, '\n'), "timetable.txt": []byte(f.Render(timetable))} {
 		path := filepath.Join(windowsFolder, name)
 		if _, err := os.Stat(path); *record && os.IsNotExist(err) {
 			if err := os.WriteFile(path, got, 0o644); err != nil {
--- a/internal/compatibility/encoding_test.go
+++ b/internal/compatibility/encoding_test.go
@@ -101,8 +101,8 @@
 	{"maintenance/node", inCBOR, reflect.TypeFor[maintenance.Node]()},
 	{"capacity/node", inCBOR, reflect.TypeFor[capacity.Node]()},
 	{"capacity/floor", inCBOR, reflect.TypeFor[capacity.Floor]()},
-	{"capacity/losses", inCBOR, reflect.TypeFor[capacity.Losses]()},
-	{"peersampling/node", inCBOR, reflect.TypeFor[peersampling.Node]()},
+	{"capacity/losses", inCBOR, reflect.TypeFor[capacity.FaultTolerance]()},
+	{"peersampling/node", inCBOR, reflect.TypeFor[peersampling.Descriptor]()},
 	{"peertransport/frame", inFrame, reflect.TypeFor[peertransport.Frame]()},
 
 	// Bodies and answers of control calls, and what programs export.
--- a/internal/controlclient/caller.go
+++ b/internal/controlclient/caller.go
@@ -17,74 +17,74 @@
 )
 
 const (
-	// Silence is how long one comb may take for a call without a large body.
-	Silence = time.Second
+	// AttemptTimeout is how long one comb may take for a call without a large body.
+	AttemptTimeout = time.Second
 
-	silenceMiB   = time.Second // more for each mebibyte that is sent
-	redirects    = 2           // 307 is followed so often
-	pauseLeast   = 100 * time.Millisecond
-	pauseMost    = 2 * time.Second
-	otherRefused = 3 // another 4xx ends a call when it has come so often
+	attemptTimeoutPerMiB = time.Second // more for each mebibyte that is sent
+	maxRedirects         = 2           // 307 is followed so often
+	minBackoff           = 100 * time.Millisecond
+	maxBackoff           = 2 * time.Second
+	maxUnclearRejections = 3 // another 4xx ends a call when it has come so often
 )
 
-// Caller calls combs. A call begins at the first address.
-type Caller struct {
-	Addrs     []string          // of control, one at least
+// Client calls combs. A call begins at the first address.
+type Client struct {
+	Addresses []string          // of control, one at least
 	Transport http.RoundTripper // nil: the default one
 }
 
 // New takes addresses with commas between.
-func New(addrs string) (*Caller, error) {
-	c := &Caller{}
+func New(addrs string) (*Client, error) {
+	c := &Client{}
 	for a := range strings.SplitSeq(addrs, ",") {
 		a = strings.TrimSpace(a)
 		host, port, err := net.SplitHostPort(a)
 		if u, bad := url.Parse("http://" + a); err != nil || bad != nil || u.Host != a || host == "" || port == "" {
 			return nil, merry.Errorf("address: %q is not an address with a port", a)
 		}
-		c.Addrs = append(c.Addrs, a)
+		c.Addresses = append(c.Addresses, a)
 	}
 	return c, nil
 }
 
-// next is what follows an answer.
-type next int
+// outcome is what follows an answer.
+type outcome int
 
 const (
-	taken   next = iota
-	refused      // for good
-	again
+	accepted outcome = iota
+	rejected         // for good
+	retry
 )
 
-// after tells what follows a status that has come for the n-th time (from 1) to a call.
-func after(status, n int) next {
+// classify tells what follows a status that has come for the n-th time (from 1) to a call.
+func classify(status, n int) outcome {
 	switch {
 	case status >= 200 && status < 300:
-		return taken
+		return accepted
 	case status == http.StatusRequestTimeout || status == http.StatusTooManyRequests || status >= 500:
-		return again
+		return retry
 	case status == http.StatusBadRequest || status == http.StatusConflict || status == http.StatusPreconditionFailed ||
 		status == http.StatusRequestEntityTooLarge || status == http.StatusUnprocessableEntity:
-		return refused
-	case status >= 400 && n >= otherRefused:
-		return refused
+		return rejected
+	case status >= 400 && n >= maxUnclearRejections:
+		return rejected
 	}
-	return again
+	return retry
 }
 
 // Call gives a call to the combs in turn until one takes or refuses it, or ctx ends; the error then tells what was met last, and whether
 // the call was taken is not known. All that combs are asked is taken once, also when it is given again.
-func (c *Caller) Call(ctx context.Context, name, of string, body []byte) ([]byte, error) {
-	pause := pauseLeast
+func (c *Client) Call(ctx context.Context, name, of string, body []byte) ([]byte, error) {
+	pause := minBackoff
 	times := map[int]int{}
 	for try := 0; ; try++ {
-		answer, status, err := c.give(ctx, c.Addrs[try%len(c.Addrs)], name, of, body)
+		answer, status, err := c.attempt(ctx, c.Addresses[try%len(c.Addresses)], name, of, body)
 		if err == nil {
 			times[status]++
-			switch after(status, times[status]) {
-			case taken:
+			switch classify(status, times[status]) {
+			case accepted:
 				return answer, nil
-			case refused:
+			case rejected:
 				return nil, merry.Errorf("%s: %d %s: %s", name, status, http.StatusText(status), answer)
 			}
 			err = merry.Errorf("%d %s: %s", status, http.StatusText(status), answer)
@@ -96,16 +96,16 @@
 			return nil, merry.Prependf(err, "%s: no clear answer after %d tries; the last", name, try+1)
 		case <-t.C:
 		}
-		pause = min(2*pause, pauseMost)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
-// give gives a call to one comb, and to those that it names instead.
-func (c *Caller) give(ctx context.Context, addr, name, of string, body []byte) (answer []byte, status int, err error) {
-	ctx, cancel := context.WithTimeout(ctx, Silence+time.Duration(len(body))*silenceMiB>>20)
+// attempt gives a call to one comb, and to those that it names instead.
+func (c *Client) attempt(ctx context.Context, addr, name, of string, body []byte) (answer []byte, status int, err error) {
+	ctx, cancel := context.WithTimeout(ctx, AttemptTimeout+time.Duration(len(body))*attemptTimeoutPerMiB>>20)
 	defer cancel()
 	client := &http.Client{Transport: c.Transport, CheckRedirect: func(q *http.Request, via []*http.Request) error {
-		if q.Response.StatusCode != http.StatusTemporaryRedirect || len(via) > redirects {
+		if q.Response.StatusCode != http.StatusTemporaryRedirect || len(via) > maxRedirects {
 			return http.ErrUseLastResponse
 		}
 		return nil
--- a/internal/controlclient/caller_test.go
+++ b/internal/controlclient/caller_test.go
@@ -81,7 +81,7 @@
 		if err != nil || answer != "from 10.0.0.2:80" || len(c.asked) != 2 || c.asked[1] != "10.0.0.2:80 evacuations.start a b x" {
 			t.Errorf("%s: %q, %v, %q", first, answer, err, c.asked)
 		}
-		if least := map[string]time.Duration{"silent": Silence}[first]; c.at[1] < least || c.at[1] > least+2*pauseLeast {
+		if least := map[string]time.Duration{"silent": AttemptTimeout}[first]; c.at[1] < least || c.at[1] > least+2*minBackoff {
 			t.Errorf("%s: gone on after %v", first, c.at[1])
 		}
 	}
--- a/internal/controlserver/calls.go
+++ b/internal/controlserver/calls.go
@@ -176,7 +176,7 @@
 
 func (s *Server) handleEvacuation(w http.ResponseWriter, r *http.Request, out bool) {
 	zone := r.URL.Query().Get("of")
-	if _, ok := s.settings.Zones[zone]; !ok {
+	if _, ok := s.settings.ZoneRegions[zone]; !ok {
 		writeResult(w, http.StatusUnprocessableEntity, "of: names no zone")
 		return
 	}
--- a/internal/controlserver/calls_test.go
+++ b/internal/controlserver/calls_test.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := New(set, program.Logger(io.Discard, "comb"))
+	c, err := New(set, program.NewLogger(io.Discard, "comb"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlserver/combd.go
+++ b/internal/controlserver/combd.go
@@ -64,13 +64,13 @@
 	lastDiscoveryAt time.Duration
 	lastSentAt      map[string]time.Duration // to peers, by address
 	stopped         bool
-	gossip          *gossip.Dance
+	gossip          *gossip.Shuffler
 	serveErrors     chan error
 }
 
 // New makes a comb from its settings.
 func New(settings *nodesettings.Settings, logger *log.Logger) (*Server, error) {
-	if settings.Control == "" {
+	if settings.ControlAddress == "" {
 		return nil, merry.New("settings: network_settings.listen_addresses.control: a comb needs it")
 	}
 	if settings.DataDir == "" {
@@ -86,7 +86,7 @@
 func (s *Server) enqueue(f func()) { s.tasks <- f }
 
 func (s *Server) peerAddr() string {
-	return netip.AddrPortFrom(s.settings.IP, uint16(s.settings.PortFirst)).String()
+	return netip.AddrPortFrom(s.settings.IP, uint16(s.settings.FirstInternalPort)).String()
 }
 
 // restore reads the disk, or begins anew.
@@ -105,13 +105,13 @@
 			return merry.Prepend(err, "reading the kept state")
 		}
 	}
-	seeds := s.settings.Governors()
+	seeds := s.settings.SeedPeerAddresses()
 	var b [6]byte
 	rand.Read(b[:])
 	kept.Initialize(s.peerAddr(), seeds, s.settings.FirstStart, hex.EncodeToString(b[:]))
-	self := membership.Member{ID: kept.DiskID, Addr: s.peerAddr(), Zone: s.settings.Zone, APIAddr: s.settings.Control}
-	s.controller = controller.New(s.now(), controller.Options{Zone: s.settings.Zone, ControlAddr: s.settings.Control, Zones: slices.Sorted(maps.Keys(s.settings.Zones)), Seeds: seeds,
-		LinkMbps: s.settings.LinkMbps, DrainDeadline: s.settings.Bounds.DrainDeadline, HeartbeatInterval: s.settings.Heartbeat, RandomSeed: mrand.Uint64(), RegionByZone: s.settings.Zones}, self, kept)
+	self := membership.Member{ID: kept.DiskID, Addr: s.peerAddr(), Zone: s.settings.Zone, APIAddr: s.settings.ControlAddress}
+	s.controller = controller.New(s.now(), controller.Options{Zone: s.settings.Zone, ControlAddr: s.settings.ControlAddress, Zones: slices.Sorted(maps.Keys(s.settings.ZoneRegions)), Seeds: seeds,
+		LinkMbps: s.settings.LinkMbps, DrainDeadline: s.settings.Bounds.DrainDeadline, HeartbeatInterval: s.settings.HeartbeatInterval, RandomSeed: mrand.Uint64(), RegionByZone: s.settings.ZoneRegions}, self, kept)
 	s.hello = messages.Hello{Member: self, Incarnation: mrand.Uint64()}
 	raw, err := s.controller.PersistentState()
 	if err != nil {
@@ -144,7 +144,7 @@
 	if err != nil {
 		return merry.Prepend(err, "listening for governors")
 	}
-	controlListener, err := net.Listen("tcp", s.settings.Control)
+	controlListener, err := net.Listen("tcp", s.settings.ControlAddress)
 	if err != nil {
 		return merry.Prepend(err, "listening for replicas and operators")
 	}
@@ -155,7 +155,7 @@
 		}
 	}()
 	go s.acceptConnections(peerListener)
-	if s.gossip, err = gossip.Start(ctx, peersampling.Node{Addr: s.peerAddr(), Kind: peersampling.Comb, Zone: s.settings.Zone}, s.settings.Governors()); err != nil {
+	if s.gossip, err = gossip.Start(ctx, peersampling.Descriptor{Addr: s.peerAddr(), Role: peersampling.RoleControlPlane, Zone: s.settings.Zone}, s.settings.SeedPeerAddresses()); err != nil {
 		return err
 	}
 	s.step(controller.Event{Start: true})
@@ -222,11 +222,11 @@
 func (s *Server) tick() {
 	if now := s.now(); now-s.lastDiscoveryAt > discoveryInterval {
 		s.lastDiscoveryAt = now
-		if nodesettings.Changed() { // without a signal
+		if nodesettings.FileChanged() { // without a signal
 			s.reloadSettings()
 		}
-		met := s.settings.Governors()
-		for _, n := range s.gossip.Known(peersampling.Comb) {
+		met := s.settings.SeedPeerAddresses()
+		for _, n := range s.gossip.Peers(peersampling.RoleControlPlane) {
 			met = append(met, n.Addr)
 		}
 		s.step(controller.Event{DiscoveredAddrs: met})
@@ -246,7 +246,7 @@
 	event.WallClock = time.Duration(time.Now().UnixNano())
 	actions := s.controller.Step(s.now(), event)
 	for _, event := range actions.LogEvents {
-		program.Note(s.logger, event.Warning, event.Name, func(yield func(string, any) bool) {
+		program.LogEvent(s.logger, event.Warning, event.Name, func(yield func(string, any) bool) {
 			for _, f := range event.Fields {
 				if !yield(f.Key, f.Value) {
 					return
--- a/internal/daemon/fronts_test.go
+++ b/internal/daemon/fronts_test.go
@@ -75,8 +75,8 @@
 	defer peer.Close()
 	heard := false
 	for ctx.Err() == nil && !heard {
-		_, _ = peer.Write(standin.Packet{}.Text(0, "r1").Time(time.Now()).Text(2, "cpu").Text(4, "percent").Gauges(40)) // refused until it listens
-		time.Sleep(20 * time.Millisecond)                                                                               // between packets of a machine
+		_, _ = peer.Write(standin.CollectdPacket{}.AppendString(0, "r1").AppendTime(time.Now()).AppendString(2, "cpu").AppendString(4, "percent").AppendGauges(40)) // refused until it listens
+		time.Sleep(20 * time.Millisecond)                                                                                                                           // between packets of a machine
 		for _, l := range g.Lines() {
 			heard = heard || strings.HasPrefix(l, "zincloft.n0.intake.kept ") && !strings.HasPrefix(l, "zincloft.n0.intake.kept 0 ")
 		}
@@ -94,7 +94,7 @@
 // proxies comes back each time and is bound: alone, with a Graphite that reads, and with one that has stopped reading.
 // Snapshots are taken each second, ten times as often as usual.
 func BenchmarkSteps(b *testing.B) {
-	for name, manner := range map[string]standin.Manner{"alone": -1, "graphite reads": standin.Reads, "graphite stalls": standin.Stalls} {
+	for name, manner := range map[string]standin.ConnectionBehaviour{"alone": -1, "graphite reads": standin.ReadsLines, "graphite stalls": standin.StallsReading} {
 		b.Run(name, func(b *testing.B) {
 			c := conf()
 			c.Settings.Proxies, c.Settings.LinePace, c.Settings.LineCap = 200, 1e12, 1e12
@@ -106,7 +106,7 @@
 					b.Fatal(err)
 				}
 				defer g.Close()
-				g.Be(manner)
+				g.SetBehaviour(manner)
 				c.Operator.Graphite.Address, c.Operator.Graphite.Interval = g.Address(), time.Second
 			}
 			d := New(c, zerolog.Nop())
--- a/internal/daydraw/daydraw_test.go
+++ b/internal/daydraw/daydraw_test.go
@@ -20,13 +20,13 @@
 	Plan, Faults []map[string]any
 }
 
-func plan(family string) Plan {
-	return Plan{Seed: 7, Family: family, Zones: []string{"north", "south", "it's \"x\""}, Length: 32, Least: 4, Most: 14, Changes: 120, One: 0.95, Zero: 0.6}
+func plan(family string) Options {
+	return Options{Seed: 7, Family: family, Zones: []string{"north", "south", "it's \"x\""}, Length: 32, MinEntries: 4, MaxEntries: 14, MaxConfigChanges: 120, ScoreOne: 0.95, ScoreZero: 0.6}
 }
 
-func draw(t *testing.T, k Kinds, p Plan, n int) (Day, parsedDay) {
+func draw(t *testing.T, k Catalogue, p Options, n int) (Day, parsedDay) {
 	t.Helper()
-	if err := p.Check(); err != nil {
+	if err := p.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	d, err := k.Draw(p, n)
@@ -45,8 +45,8 @@
 	seen := map[string]string{}
 	for _, family := range Families {
 		for n := 1; n <= 20; n++ {
-			a, _ := Read(nil)
-			b, _ := Read(nil)
+			a, _ := ParseCatalogue(nil)
+			b, _ := ParseCatalogue(nil)
 			p := plan(family)
 			one, _ := draw(t, a, p, n)
 			two, _ := draw(t, b, p, n)
@@ -67,14 +67,14 @@
 
 // Whatever the table names must come about, each word of how as well: a variant that is never drawn is a fault that is never looked for.
 func TestEveryKindAndVariantIsDrawn(t *testing.T) {
-	k, err := Read(nil)
+	k, err := ParseCatalogue(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, family := range Families {
 		want, got := map[string]bool{}, map[string]bool{}
-		for _, x := range k.Kind {
-			if family != All && !slices.Contains(x.Families, family) {
+		for _, x := range k.Kinds {
+			if family != FamilyAll && !slices.Contains(x.Families, family) {
 				continue
 			}
 			note(x, func(s string) { want[s] = true })
@@ -87,7 +87,7 @@
 			_, d := draw(t, k, plan(family), n)
 			changes, kinds, until := 0, map[string]int{}, 0.0
 			for _, e := range slices.Concat(d.Plan, d.Faults) {
-				note(Kind{Name: e["kind"].(string), How: words(e)}, func(s string) { got[s] = true })
+				note(FaultKind{Name: e["kind"].(string), Variants: words(e)}, func(s string) { got[s] = true })
 				at := e["at"].(float64)
 				if at < 0 || at > 32 {
 					t.Fatalf("%v is outside of the day", e)
@@ -105,7 +105,7 @@
 				}
 			}
 			if d.Closing != nil {
-				note(Kind{Name: d.Closing["kind"].(string), How: words(d.Closing)}, func(s string) { got[s] = true })
+				note(FaultKind{Name: d.Closing["kind"].(string), Variants: words(d.Closing)}, func(s string) { got[s] = true })
 			}
 			most = max(most, changes)
 		}
@@ -134,9 +134,9 @@
 }
 
 // note tells of a kind and each word of its variants.
-func note(x Kind, tell func(string)) {
+func note(x FaultKind, tell func(string)) {
 	tell(x.Name)
-	for _, list := range x.How {
+	for _, list := range x.Variants {
 		for _, w := range list {
 			for _, part := range strings.Fields(w) {
 				tell(x.Name + " " + part)
@@ -147,7 +147,7 @@
 
 // Cuts of 20 s are longer than what a machine may think itself in touch for, so they must be drawn.
 func TestLongCutsAreDrawn(t *testing.T) {
-	k, _ := Read(nil)
+	k, _ := ParseCatalogue(nil)
 	longest := map[string]float64{}
 	for n := 1; n <= daysEnough; n++ {
 		_, d := draw(t, k, plan("cuts"), n)
@@ -166,17 +166,17 @@
 }
 
 func TestAmongLeavesTheNamedKinds(t *testing.T) {
-	k, _ := Read(nil)
-	left := k.Among("some words first.\n\ncore_cut: a text with node_kill: in it\nconfig_race\n")
+	k, _ := ParseCatalogue(nil)
+	left := k.RestrictTo("some words first.\n\ncore_cut: a text with node_kill: in it\nconfig_race\n")
 	for n := 1; n <= 50; n++ {
-		_, d := draw(t, left, plan(All), n)
+		_, d := draw(t, left, plan(FamilyAll), n)
 		for _, e := range slices.Concat(d.Plan, d.Faults) {
 			if kind := e["kind"]; kind != "core_cut" && kind != "config_race" {
 				t.Fatalf("%v is drawn", kind)
 			}
 		}
 	}
-	if _, err := k.Among("").Draw(plan(All), 1); err == nil {
+	if _, err := k.RestrictTo("").Draw(plan(FamilyAll), 1); err == nil {
 		t.Error("a day is drawn from no kind")
 	}
 }
@@ -190,25 +190,25 @@
 		"[[kind]]\nname = \"a\"\nfors = [1.0, 2.0]\n":  "kinds of trouble",
 		"[[kind": "kinds of trouble",
 	} {
-		if _, err := Read([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ParseCatalogue([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	for name, change := range map[string]func(*Plan){
-		"family": func(p *Plan) { p.Family = "x" }, "zones": func(p *Plan) { p.Zones = nil }, "length": func(p *Plan) { p.Length = 0 },
-		"entries": func(p *Plan) { p.Least = 15 }, "changes": func(p *Plan) { p.Changes = -1 }, "marks": func(p *Plan) { p.Zero = 1 },
+	for name, change := range map[string]func(*Options){
+		"family": func(p *Options) { p.Family = "x" }, "zones": func(p *Options) { p.Zones = nil }, "length": func(p *Options) { p.Length = 0 },
+		"entries": func(p *Options) { p.MinEntries = 15 }, "changes": func(p *Options) { p.MaxConfigChanges = -1 }, "marks": func(p *Options) { p.ScoreZero = 1 },
 	} {
-		p := plan(All)
+		p := plan(FamilyAll)
 		change(&p)
-		if err := p.Check(); err == nil || !strings.HasPrefix(err.Error(), name) {
+		if err := p.Validate(); err == nil || !strings.HasPrefix(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-func ExampleKinds_Draw() {
-	k, _ := Read([]byte("[[kind]]\nname = \"core_cut\"\nhow = [[\"one_way\"]]\ncount = [1, 1]\nfor_s = [20.0, 20.0]\n"))
-	d, _ := k.Draw(Plan{Seed: 1, Family: All, Zones: []string{"a"}, Length: 32, Least: 1, Most: 1, One: 0.95, Zero: 0.6}, 1)
+func ExampleCatalogue_Draw() {
+	k, _ := ParseCatalogue([]byte("[[kind]]\nname = \"core_cut\"\nhow = [[\"one_way\"]]\ncount = [1, 1]\nfor_s = [20.0, 20.0]\n"))
+	d, _ := k.Draw(Options{Seed: 1, Family: FamilyAll, Zones: []string{"a"}, Length: 32, MinEntries: 1, MaxEntries: 1, ScoreOne: 0.95, ScoreZero: 0.6}, 1)
 	_, fields, _ := strings.Cut(d.Text, "kind")
 	fields, _, _ = strings.Cut(fields, "\n")
 	fmt.Println(d.Name + ": kind" + fields)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -40,15 +40,15 @@
 "virtual_hosts":[{"hostname":"localhost","path_routes":[{"name":"hello","path_prefix":"/","kind":"safe","timeout":"5s","target_latency":"500ms","max_attempts":2,"service":"hello"}]},
 {"hostname":"127.0.0.1","path_routes":[{"name":"order-ip","path_prefix":"/orders/","kind":"unsafe","timeout":"5s","target_latency":"500ms","max_attempts":2,"service":"hello"},{"name":"hello-ip","path_prefix":"/","kind":"safe","timeout":"5s","target_latency":"500ms","max_attempts":2,"service":"hello"}]}]}`
 
-// Gateway is a running demo.
-type Gateway struct {
-	Fronts   []string // addresses that answer
-	Ready    []string // and where they say whether they want more
-	Control  string
-	Replicas []*upstream.Replica
-	done     chan error
-	cancel   context.CancelFunc
-	parts    int
+// Cluster is a running demo.
+type Cluster struct {
+	FrontAddresses     []string // addresses that answer
+	ReadinessAddresses []string // and where they say whether they want more
+	ControlAddress     string
+	Replicas           []*upstream.Replica
+	done               chan error
+	cancel             context.CancelFunc
+	parts              int
 }
 
 func freePorts(n int) (ports []int, err error) {
@@ -67,26 +67,26 @@
 	return ports, nil
 }
 
-// Hostility makes the demo's replicas break off, cut, double and forge answers: at a rate of their requests, by seed.
-type Hostility struct {
+// FaultInjection makes the demo's replicas break off, cut, double and forge answers: at a rate of their requests, by seed.
+type FaultInjection struct {
 	Rate float64
 	Seed uint64
 }
 
 // Start runs the demo; its logs go to w, its state under dir.
-func Start(dir string, w io.Writer, replicas int) (*Gateway, error) {
-	return StartHostile(dir, w, replicas, Hostility{})
+func Start(dir string, w io.Writer, replicas int) (*Cluster, error) {
+	return StartWithFaults(dir, w, replicas, FaultInjection{})
 }
 
-// StartHostile runs it with replicas that do badly.
-func StartHostile(dir string, w io.Writer, replicas int, h Hostility) (*Gateway, error) {
+// StartWithFaults runs it with replicas that do badly.
+func StartWithFaults(dir string, w io.Writer, replicas int, h FaultInjection) (*Cluster, error) {
 	p, err := freePorts(6)
 	if err != nil {
 		return nil, merry.Prepend(err, "looking for free ports")
 	}
 	at := func(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 	ctx, cancel := context.WithCancel(context.Background())
-	g := &Gateway{Control: at(p[0]), done: make(chan error, 8), cancel: cancel}
+	g := &Cluster{ControlAddress: at(p[0]), done: make(chan error, 8), cancel: cancel}
 	inner := min(p[1], 65530)
 	run := func(r program.Runner, err error) error {
 		if err != nil {
@@ -100,28 +100,28 @@
 	if err := os.MkdirAll(data, 0o700); err != nil {
 		return nil, merry.Prepend(err, "making the comb's folder")
 	}
-	set, err := nodesettings.Parse([]byte(fmt.Sprintf(settings, "comb-1", data, "", "", g.Control, inner, inner+4, g.Control)))
+	set, err := nodesettings.Parse([]byte(fmt.Sprintf(settings, "comb-1", data, "", "", g.ControlAddress, inner, inner+4, g.ControlAddress)))
 	if err == nil {
 		var c *controlserver.Server
-		c, err = controlserver.New(set, program.Logger(w, "comb"))
+		c, err = controlserver.New(set, program.NewLogger(w, "comb"))
 		err = run(c, err)
 	}
 	for i := 0; i < 2 && err == nil; i++ {
 		front := at(p[2+2*i])
-		set, err = nodesettings.Parse([]byte(fmt.Sprintf(settings, fmt.Sprintf("forager-%d", i+1), "", front, at(p[3+2*i]), "", inner, inner+4, g.Control)))
+		set, err = nodesettings.Parse([]byte(fmt.Sprintf(settings, fmt.Sprintf("forager-%d", i+1), "", front, at(p[3+2*i]), "", inner, inner+4, g.ControlAddress)))
 		if err == nil {
 			var f *gateway.Forager
-			f, err = gateway.New(set, program.Logger(w, "forager"))
+			f, err = gateway.New(set, program.NewLogger(w, "forager"))
 			err = run(f, err)
 		}
-		g.Fronts, g.Ready = append(g.Fronts, front), append(g.Ready, at(p[3+2*i]))
+		g.FrontAddresses, g.ReadinessAddresses = append(g.FrontAddresses, front), append(g.ReadinessAddresses, at(p[3+2*i]))
 	}
 	book := hostile.NewBook()
 	for i := 0; i < replicas && err == nil; i++ {
 		var r *upstream.Replica
 		if r, err = upstream.Start(fmt.Sprintf("i-demo-%d", i+1)); err == nil {
 			if h.Rate > 0 {
-				r.Take(hostile.New(r.ID, h.Seed+uint64(i), h.Rate, book).Serve)
+				r.SetConnectionHandler(hostile.New(r.ID, h.Seed+uint64(i), h.Rate, book).Serve)
 			}
 			g.Replicas = append(g.Replicas, r)
 			go g.beat(ctx, r)
@@ -140,8 +140,8 @@
 	return g, nil
 }
 
-func (g *Gateway) call(name, of string, body []byte) (int, error) {
-	resp, err := http.Post("http://"+g.Control+"/api/rpc?call="+name+"&of="+of, "application/json", bytes.NewReader(body))
+func (g *Cluster) call(name, of string, body []byte) (int, error) {
+	resp, err := http.Post("http://"+g.ControlAddress+"/api/rpc?call="+name+"&of="+of, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
@@ -150,7 +150,7 @@
 	return resp.StatusCode, nil
 }
 
-func (g *Gateway) beat(ctx context.Context, r *upstream.Replica) {
+func (g *Cluster) beat(ctx context.Context, r *upstream.Replica) {
 	t := time.NewTicker(300 * time.Millisecond)
 	defer t.Stop()
 	for seq := 1; ; seq++ {
@@ -177,15 +177,15 @@
 	return nil
 }
 
-func (g *Gateway) configure(context.Context) error {
+func (g *Cluster) configure(context.Context) error {
 	return until("giving the configuration", func() bool {
 		status, err := g.call("configuration.replace", "", []byte(configuration))
 		return err == nil && status == http.StatusOK
 	})
 }
 
-func (g *Gateway) await() error {
-	for _, front := range g.Fronts {
+func (g *Cluster) await() error {
+	for _, front := range g.FrontAddresses {
 		err := until("an answer at "+front, func() bool {
 			q, _ := http.NewRequest(http.MethodGet, "http://"+front+"/", nil)
 			q.Header.Set("X-Attempt-Id", "demo")
@@ -205,7 +205,7 @@
 }
 
 // Stop ends it.
-func (g *Gateway) Stop() error {
+func (g *Cluster) Stop() error {
 	g.cancel()
 	var first error
 	for range g.parts {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -12,7 +12,7 @@
 	Convey("One comb, two foragers and three replicas answer on loopback", t, func() {
 		g, err := Start(t.TempDir(), io.Discard, 3)
 		So(err, ShouldBeNil)
-		for _, front := range g.Fronts {
+		for _, front := range g.FrontAddresses {
 			for _, path := range []string{"/", "/a/b?c=d"} {
 				q, _ := http.NewRequest(http.MethodGet, "http://"+front+path, nil)
 				q.Header.Set("X-Attempt-Id", "t"+path)
@@ -30,8 +30,8 @@
 			So(err, ShouldBeNil)
 			So(status, ShouldEqual, 200)
 			So(until("the news at the foragers", func() bool {
-				before := len(leaving.Seen())
-				for _, front := range g.Fronts {
+				before := len(leaving.Requests())
+				for _, front := range g.FrontAddresses {
 					for range 6 {
 						q, _ := http.NewRequest(http.MethodGet, "http://"+front+"/", nil)
 						q.Header.Set("X-Attempt-Id", "x")
@@ -41,7 +41,7 @@
 						}
 					}
 				}
-				return len(leaving.Seen()) == before
+				return len(leaving.Requests()) == before
 			}), ShouldBeNil)
 		})
 		Convey("an invalid configuration is refused and not in force", func() {
--- a/internal/demo/hostile_test.go
+++ b/internal/demo/hostile_test.go
@@ -9,14 +9,14 @@
 
 // Guards the demo with hostile replicas: it comes up, and no client hears another's answer.
 func TestHostileDemo(t *testing.T) {
-	g, err := StartHostile(t.TempDir(), io.Discard, 6, Hostility{Rate: 0.2, Seed: 1})
+	g, err := StartWithFaults(t.TempDir(), io.Discard, 6, FaultInjection{Rate: 0.2, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer g.Stop()
 	heard := 0
 	for i := range 40 {
-		for _, x := range hostile.NewClient(g.Fronts[i%2], "127.0.0.1", "demo", uint64(i)).Round() {
+		for _, x := range hostile.NewClient(g.FrontAddresses[i%2], "127.0.0.1", "demo", uint64(i)).Round() {
 			if heard++; x.Wrong != "" {
 				t.Error(x.Wrong)
 			}
--- a/internal/demo/windows_test.go
+++ b/internal/demo/windows_test.go
@@ -18,14 +18,14 @@
 	"zincloft.example/zincloft/dataplane/capacity"
 )
 
-func (g *Gateway) command(c maintenance.Command) int {
+func (g *Cluster) command(c maintenance.Command) int {
 	body, _ := json.Marshal(c)
 	status, _ := g.call("windows.command", "", body)
 	return status
 }
 
-func (g *Gateway) shown() (s controller.MaintenanceStatus) {
-	resp, err := http.Post("http://"+g.Control+"/api/rpc?call=windows.describe", "application/json", nil)
+func (g *Cluster) shown() (s controller.MaintenanceStatus) {
+	resp, err := http.Post("http://"+g.ControlAddress+"/api/rpc?call=windows.describe", "application/json", nil)
 	if err == nil {
 		json.NewDecoder(resp.Body).Decode(&s)
 		resp.Body.Close()
@@ -33,8 +33,8 @@
 	return s
 }
 
-func (g *Gateway) ready(i int) bool {
-	resp, err := http.Get("http://" + g.Ready[i] + "/api/readiness")
+func (g *Cluster) ready(i int) bool {
+	resp, err := http.Get("http://" + g.ReadinessAddresses[i] + "/api/readiness")
 	if err != nil {
 		return false
 	}
@@ -45,7 +45,7 @@
 // orders sends orders until it is told to stop, as the platform and its clients would: to a governor that is ready, again
 // elsewhere only after a promise that it has not run.
 type orders struct {
-	g                           *Gateway
+	g                           *Cluster
 	stop                        atomic.Bool
 	sent, answered, doubt, lost atomic.Int64
 	moved                       atomic.Int64 // refused by one governor, taken by the other
@@ -59,8 +59,8 @@
 		o.sent.Add(1)
 		done := false
 		for try := 0; try < 40 && !done; try++ {
-			i := (worker + n + try) % len(o.g.Fronts)
-			q, _ := http.NewRequest(http.MethodPost, "http://"+o.g.Fronts[i]+"/orders/"+order, strings.NewReader("charge"))
+			i := (worker + n + try) % len(o.g.FrontAddresses)
+			q, _ := http.NewRequest(http.MethodPost, "http://"+o.g.FrontAddresses[i]+"/orders/"+order, strings.NewReader("charge"))
 			q.Header.Set("X-Attempt-Id", fmt.Sprintf("%s/%d", order, try))
 			resp, err := http.DefaultClient.Do(q)
 			if err != nil {
@@ -89,7 +89,7 @@
 		g, err := Start(t.TempDir(), io.Discard, 3)
 		So(err, ShouldBeNil)
 		for _, r := range g.Replicas {
-			r.Took = 5 * time.Millisecond
+			r.ServiceTime = 5 * time.Millisecond
 		}
 		o := &orders{g: g}
 		for w := range 4 {
@@ -97,12 +97,12 @@
 			go o.run(w)
 		}
 		So(g.command(maintenance.Command{Verb: "ask", Nodes: []string{"forager-1"}}), ShouldEqual, http.StatusConflict)
-		So(g.command(maintenance.Command{Verb: "agree", Agreed: []capacity.Floor{{Region: "here", Group: capacity.Orders, Least: 1}}}), ShouldEqual, http.StatusOK)
+		So(g.command(maintenance.Command{Verb: "agree", AgreedFloors: []capacity.Floor{{Region: "here", Group: capacity.Orders, Minimum: 1}}}), ShouldEqual, http.StatusOK)
 		So(until("both measured", func() bool {
 			s := g.shown()
 			return len(s.Nodes) == 2 && s.Nodes[0].RequestRates[capacity.Orders] > 1 && s.Nodes[1].RequestRates[capacity.Orders] > 1
 		}), ShouldBeNil)
-		So(g.command(maintenance.Command{Verb: "ask", Name: "kernel", Nodes: []string{"forager-1", "forager-2"}}), ShouldEqual, http.StatusOK)
+		So(g.command(maintenance.Command{Verb: "ask", WindowName: "kernel", Nodes: []string{"forager-1", "forager-2"}}), ShouldEqual, http.StatusOK)
 		phase := func(node string) maintenance.Phase {
 			for _, w := range g.shown().Windows {
 				if w.Node == node {
@@ -112,7 +112,7 @@
 			return ""
 		}
 		So(until("the first drained", func() bool { return phase("forager-1") == maintenance.Drained }), ShouldBeNil)
-		So(phase("forager-2"), ShouldEqual, maintenance.Asked)
+		So(phase("forager-2"), ShouldEqual, maintenance.Requested)
 		So(g.ready(0), ShouldBeFalse)
 		So(g.ready(1), ShouldBeTrue)
 		So(g.command(maintenance.Command{Verb: "finish", Nodes: []string{"forager-1"}}), ShouldEqual, http.StatusOK)
@@ -124,7 +124,7 @@
 		o.wg.Wait()
 		ran := map[string]int{}
 		for _, r := range g.Replicas {
-			for attempt, n := range r.Ran() {
+			for attempt, n := range r.Executions() {
 				order, _, _ := strings.Cut(attempt, "/")
 				ran[order] += n
 			}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	f, err := New(set, program.Logger(io.Discard, "forager"))
+	f, err := New(set, program.NewLogger(io.Discard, "forager"))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	log = &lines{}
-	if f, err = New(set, program.Logger(log, "forager")); err != nil {
+	if f, err = New(set, program.NewLogger(log, "forager")); err != nil {
 		t.Fatal(err)
 	}
 	if f.frontLn, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -137,7 +137,7 @@
 			t.Errorf("%q: log %q lacks %q", x.say[:min(len(x.say), 200)], line, x.cause)
 		}
 	}
-	if ran := up.Ran(); ran["bad"]+ran["smuggled"] > 0 || ran["good"] != 3 {
+	if ran := up.Executions(); ran["bad"]+ran["smuggled"] > 0 || ran["good"] != 3 {
 		t.Error(ran)
 	}
 	if n := f.bodies.held.Load(); n != 0 {
@@ -150,8 +150,8 @@
 	up := stood(t, "i0")
 	addr, _, _ := served(t, `"max_body_bytes":1000`, up)
 	codes := say(t, addr, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: 1\r\nX-Deadline-Ms: 100\r\nContent-Length: 10\r\n\r\nhalf")
-	if fmt.Sprint(codes) != "[408]" || len(up.Seen()) > 0 {
-		t.Error(codes, up.Seen())
+	if fmt.Sprint(codes) != "[408]" || len(up.Requests()) > 0 {
+		t.Error(codes, up.Requests())
 	}
 }
 
@@ -275,12 +275,12 @@
 	Convey("A doubt stays a doubt, also where another try is proven not to have run", t, func() {
 		// Guards the promise of 503: the proof of a later try hid the doubt of the first.
 		r := newRig("safe", 2)
-		r.all(upstream.Lost)
-		r.up[0].Then(upstream.Lost)
-		r.up[1].Then(upstream.Lost)
+		r.all(upstream.ClosesWithoutResponse)
+		r.up[0].SetBehaviours(upstream.ClosesWithoutResponse)
+		r.up[1].SetBehaviours(upstream.ClosesWithoutResponse)
 		for range 12 {
-			r.up[0].Then(upstream.Lost)
-			r.up[1].Then(upstream.Sheds)
+			r.up[0].SetBehaviours(upstream.ClosesWithoutResponse)
+			r.up[1].SetBehaviours(upstream.RejectsNotExecuted)
 			w := r.do("GET", "/x/1", "")
 			if r.ran() > 0 {
 				So(w.Code, ShouldNotEqual, http.StatusServiceUnavailable)
@@ -289,7 +289,7 @@
 	})
 	Convey("A replica's own 503 promises nothing where it does not say that it did not run it", t, func() {
 		r := newRig("unsafe", 2)
-		r.all(upstream.Unproven)
+		r.all(upstream.OmitsNotExecuted)
 		So(r.do("POST", "/x/1", "order").Code, ShouldEqual, http.StatusBadGateway)
 		So(r.ran(), ShouldEqual, 1)
 	})
@@ -305,13 +305,13 @@
 			r.f.serve(httptest.NewRecorder(), q)
 		}
 		for _, up := range r.up {
-			up.Then(upstream.Sheds)
-			up.Before(func(string) { cancel() }) // the client leaves while the replica has it
+			up.SetBehaviours(upstream.RejectsNotExecuted)
+			up.SetResponseHook(func(string) { cancel() }) // the client leaves while the replica has it
 		}
 		ask()
-		So(len(r.up[0].Seen())+len(r.up[1].Seen()), ShouldEqual, 1)
+		So(len(r.up[0].Requests())+len(r.up[1].Requests()), ShouldEqual, 1)
 		ask()
-		So(len(r.up[0].Seen())+len(r.up[1].Seen()), ShouldEqual, 1)
+		So(len(r.up[0].Requests())+len(r.up[1].Requests()), ShouldEqual, 1)
 	})
 	Convey("With under a tenth of the target left nothing is offered", t, func() {
 		r := newRig("unsafe", 2)
@@ -322,7 +322,7 @@
 		w := httptest.NewRecorder()
 		r.f.serve(w, q)
 		So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
-		So(len(r.up[0].Seen())+len(r.up[1].Seen()), ShouldEqual, 0)
+		So(len(r.up[0].Requests())+len(r.up[1].Requests()), ShouldEqual, 0)
 	})
 	Convey("A deadline beyond all numbers is the route's", t, func() {
 		for _, ms := range []string{"Inf", "1e300", "99999999999999999999"} {
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -29,10 +29,10 @@
 
 // candidates are the combs to call, best first: those of the own zone, then the others by chance.
 func (f *Forager) candidates() []string {
-	known := f.dance.Known(peersampling.Comb)
+	known := f.dance.Peers(peersampling.RoleControlPlane)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	also := f.set.Governors()
+	also := f.set.SeedPeerAddresses()
 	for _, n := range known {
 		also = append(also, n.Addr)
 	}
@@ -152,7 +152,7 @@
 	busy := 0.0
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err == nil {
 		used := time.Duration(u.Utime.Nano() + u.Stime.Nano())
-		busy = (used - f.used).Seconds() / max(over.Seconds(), 0.001) / f.set.Cores
+		busy = (used - f.used).Seconds() / max(over.Seconds(), 0.001) / f.set.CPUCores
 		f.used = used
 	}
 	f.mu.Lock()
--- a/internal/gateway/forager.go
+++ b/internal/gateway/forager.go
@@ -58,7 +58,7 @@
 	server   *http.Server
 	frontLn  net.Listener
 	failed   chan error
-	dance    *gossip.Dance
+	dance    *gossip.Shuffler
 	bodies   bodies
 	fell     chan outlier.Word
 	gone     chan string // replicas whose address another one has
@@ -73,11 +73,11 @@
 
 // New makes a forager from its settings.
 func New(set *nodesettings.Settings, logger *log.Logger) (*Forager, error) {
-	if set.Front == "" || set.Ready == "" {
+	if set.FrontAddress == "" || set.ReadinessAddress == "" {
 		return nil, merry.New("settings: network_settings.listen_addresses: a forager needs front and readiness")
 	}
-	brain := router.New(router.Settings{Zone: set.Zone, Zones: len(set.Zones), RetryRatio: set.Bounds.RetryRatio, RetrySlack: set.Bounds.RetrySlack,
-		ColdTimes: set.Bounds.ColdOverage, ColdSlack: set.Bounds.ColdSlack, Seed: rand.Uint64()})
+	brain := router.New(router.Settings{Zone: set.Zone, Zones: len(set.ZoneRegions), RetryRatio: set.Bounds.RetryBudgetRatio, RetrySlack: set.Bounds.RetryBudgetSlack,
+		ColdTimes: set.Bounds.WarmupOverage, ColdSlack: set.Bounds.WarmupSlack, Seed: rand.Uint64()})
 	return &Forager{set: set, log: logger, start: time.Now(), replicas: replica.NewPool(), brain: brain,
 		counts: map[string]int{}, failed: make(chan error, 4), gone: make(chan string, 64), fell: make(chan outlier.Word, 64),
 		lines: rate.NewLimiter(linesRate, linesBurst), bodies: bodies{most: int64(float64(set.MemoryMB<<20) * bodyPart)}}, nil
@@ -125,11 +125,11 @@
 // Run serves until the context ends, then ends in order.
 func (f *Forager) Run(ctx context.Context, hup <-chan os.Signal) error {
 	debug.SetMemoryLimit(int64(float64(f.set.MemoryMB<<20) * memoryPart))
-	ready, err := net.Listen("tcp", f.set.Ready)
+	ready, err := net.Listen("tcp", f.set.ReadinessAddress)
 	if err != nil {
 		return merry.Prepend(err, "listening for readiness")
 	}
-	if f.frontLn, err = net.Listen("tcp", f.set.Front); err != nil {
+	if f.frontLn, err = net.Listen("tcp", f.set.FrontAddress); err != nil {
 		return merry.Prepend(err, "listening for clients")
 	}
 	mux := chi.NewRouter()
@@ -139,14 +139,14 @@
 	defer readySrv.Close()
 	following, cancel := context.WithCancel(context.Background()) // also while it ends: drains still count
 	defer cancel()
-	for port := f.set.PortEnd; f.dance == nil; port-- { // another process of this machine may have some of them
-		self := peersampling.Node{Addr: netip.AddrPortFrom(f.set.IP, uint16(port)).String(), Kind: peersampling.Forager, Zone: f.set.Zone}
-		if f.dance, err = gossip.Start(following, self, f.set.Governors()); err != nil && port <= f.set.PortFirst {
+	for port := f.set.LastInternalPort; f.dance == nil; port-- { // another process of this machine may have some of them
+		self := peersampling.Descriptor{Addr: netip.AddrPortFrom(f.set.IP, uint16(port)).String(), Role: peersampling.RoleGateway, Zone: f.set.Zone}
+		if f.dance, err = gossip.Start(following, self, f.set.SeedPeerAddresses()); err != nil && port <= f.set.FirstInternalPort {
 			return err
 		}
 	}
 	go f.follow(following)
-	f.log.Info().Str("event", "start").Str("name", f.set.Name).Str("zone", f.set.Zone).Str("front", f.set.Front).Msg("")
+	f.log.Info().Str("event", "start").Str("name", f.set.Name).Str("zone", f.set.Zone).Str("front", f.set.FrontAddress).Msg("")
 	sweep, counts := time.NewTicker(sweepEvery), time.NewTicker(countsEvery)
 	for {
 		select {
@@ -154,7 +154,7 @@
 			return merry.Prepend(err, "serving")
 		case <-sweep.C:
 			f.replicas.Sweep(time.Now())
-			if nodesettings.Changed() { // without a signal
+			if nodesettings.FileChanged() { // without a signal
 				f.reload()
 			}
 		case <-counts.C:
@@ -182,7 +182,7 @@
 			MaxHeaderBytes: max(int(c.Limits.MaxHeaderBytes), headsMost), ErrorLog: nil, ConnContext: withClient, ConnState: f.unused.state}
 		f.server.ErrorLog = f.log.Std("", 0)
 		go func() {
-			if err := f.server.Serve(clients{netutil.LimitListener(f.frontLn, int(float64(f.set.Descriptors)*connPart)), f}); err != http.ErrServerClosed {
+			if err := f.server.Serve(clients{netutil.LimitListener(f.frontLn, int(float64(f.set.FileDescriptors)*connPart)), f}); err != http.ErrServerClosed {
 				f.failed <- err
 			}
 		}()
--- a/internal/gateway/front_test.go
+++ b/internal/gateway/front_test.go
@@ -38,7 +38,7 @@
 func newRig(kind string, replicas int) *rig {
 	set, err := nodesettings.Parse([]byte(settings))
 	So(err, ShouldBeNil)
-	f, err := New(set, program.Logger(io.Discard, "forager"))
+	f, err := New(set, program.NewLogger(io.Discard, "forager"))
 	So(err, ShouldBeNil)
 	f.front.Do(func() {}) // requests come by the handler here, not by a listener
 	r := &rig{f: f}
@@ -72,13 +72,13 @@
 // all sets what every replica does next.
 func (r *rig) all(b ...upstream.Behaviour) {
 	for _, up := range r.up {
-		up.Then(b...)
+		up.SetBehaviours(b...)
 	}
 }
 
 func (r *rig) ran() (n int) {
 	for _, up := range r.up {
-		n += up.Ran()[fmt.Sprint(r.n)]
+		n += up.Executions()[fmt.Sprint(r.n)]
 	}
 	return n
 }
@@ -92,7 +92,7 @@
 			So(w.Header().Get("X-Response-Seal"), ShouldEqual, "seal-1")
 			So(r.ran(), ShouldEqual, 1)
 		})
-		for _, b := range []upstream.Behaviour{upstream.Cut, upstream.Lost, upstream.Garbage, upstream.Unsealed, upstream.NoIdentity} {
+		for _, b := range []upstream.Behaviour{upstream.TruncatesResponse, upstream.ClosesWithoutResponse, upstream.SendsGarbage, upstream.OmitsSeal, upstream.OmitsAttemptID} {
 			Convey("runs once and is told as a doubt where its answer is "+string(b), func() {
 				r.all(b)
 				w := r.do("POST", "/x/1", "order")
@@ -102,7 +102,7 @@
 			})
 		}
 		Convey("goes on after proof that it has not run, and is refused with when to come back after the last", func() {
-			r.all(upstream.Sheds)
+			r.all(upstream.RejectsNotExecuted)
 			w := r.do("POST", "/x/1", "order")
 			So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(w.Header().Get("Retry-After"), ShouldNotEqual, "")
@@ -134,9 +134,9 @@
 	})
 	Convey("A safe request", t, func() {
 		r := newRig("safe", 2)
-		for _, b := range []upstream.Behaviour{upstream.Cut, upstream.Lost, upstream.Fails, upstream.Sheds} {
+		for _, b := range []upstream.Behaviour{upstream.TruncatesResponse, upstream.ClosesWithoutResponse, upstream.RespondsInternalError, upstream.RejectsNotExecuted} {
 			Convey("is offered to another replica where the first one "+string(b), func() {
-				r.up[0].Then(b, b, b)
+				r.up[0].SetBehaviours(b, b, b)
 				for range 4 {
 					w := r.do("GET", "/x/1", "")
 					So(w.Code, ShouldEqual, 200)
@@ -145,8 +145,8 @@
 			})
 		}
 		Convey("is offered to a second one beside the first where that one is silent", func() {
-			r.up[0].Then(upstream.Silent, upstream.Silent)
-			r.up[1].Then(upstream.Well, upstream.Well)
+			r.up[0].SetBehaviours(upstream.NeverResponds, upstream.NeverResponds)
+			r.up[1].SetBehaviours(upstream.AnswersCorrectly, upstream.AnswersCorrectly)
 			for range 3 {
 				began := time.Now()
 				So(r.do("GET", "/x/1", "").Code, ShouldEqual, 200)
@@ -159,7 +159,7 @@
 			for range 8 {
 				So(r.do("GET", "/x/1", "").Code, ShouldEqual, 200)
 			}
-			So(len(r.up[0].Seen()), ShouldBeLessThanOrEqualTo, 1)
+			So(len(r.up[0].Requests()), ShouldBeLessThanOrEqualTo, 1)
 		})
 	})
 }
@@ -178,7 +178,7 @@
 	})
 	Convey("It is ready only with a configuration and a table", t, func() {
 		set, _ := nodesettings.Parse([]byte(settings))
-		f, _ := New(set, program.Logger(io.Discard, "forager"))
+		f, _ := New(set, program.NewLogger(io.Discard, "forager"))
 		f.front.Do(func() {})
 		code := func() int {
 			w := httptest.NewRecorder()
--- a/internal/gateway/hostile_test.go
+++ b/internal/gateway/hostile_test.go
@@ -62,9 +62,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Descriptors, set.MemoryMB = 2000, 256
+	set.FileDescriptors, set.MemoryMB = 2000, 256
 	log := &lines{}
-	f, err := New(set, program.Logger(log, "forager"))
+	f, err := New(set, program.NewLogger(log, "forager"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 	for i := range 24 {
 		up := stood(t, fmt.Sprint(i))
 		r := hostile.New("", seed+uint64(i), hostileRate, book)
-		up.Take(r.Serve)
+		up.SetConnectionHandler(r.Serve)
 		replicas, addrs = append(replicas, r), append(addrs, up.Addr())
 	}
 	// release replaces all replicas by others, at the same addresses: their bad name goes with them.
--- a/internal/gossip/encoding_test.go
+++ b/internal/gossip/encoding_test.go
@@ -15,9 +15,9 @@
 
 // TestDatagramEncoding compares a datagram's bytes with those that commit 2705c65 sent. See package compatibility.
 func TestDatagramEncoding(t *testing.T) {
-	sent := datagram{Answer: true, Nodes: []peersampling.Node{
-		{Addr: "10.0.0.1:7001", Kind: 1, Zone: "a", Age: 3},
-		{Addr: "10.0.0.2:7001", Kind: 2, Zone: "b", Age: 5}}}
+	sent := datagram{Reply: true, Descriptors: []peersampling.Descriptor{
+		{Addr: "10.0.0.1:7001", Role: 1, Zone: "a", Age: 3},
+		{Addr: "10.0.0.2:7001", Role: 2, Zone: "b", Age: 5}}}
 	text, err := os.ReadFile("testdata/datagram.hex")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gossip/waggle.go
+++ b/internal/gossip/waggle.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	quick  = 500 * time.Millisecond // between rounds at first
-	steady = 4 * time.Second        // then: each costs bytes between zones
-	early  = 6                      // rounds that are quick
-	most   = 1400                   // bytes of a datagram
+	initialInterval = 500 * time.Millisecond // between rounds at first
+	steadyInterval  = 4 * time.Second        // then: each costs bytes between zones
+	initialRounds   = 6                      // rounds that are quick
+	maxDatagramSize = 1400                   // bytes of a datagram
 )
 
 type datagram struct {
-	Answer bool                `cbor:"1,keyasint,omitempty"`
-	Nodes  []peersampling.Node `cbor:"2,keyasint"`
+	Reply       bool                      `cbor:"1,keyasint,omitempty"`
+	Descriptors []peersampling.Descriptor `cbor:"2,keyasint"`
 }
 
-// Dance is one governor's part.
-type Dance struct {
+// Shuffler is one governor's part.
+type Shuffler struct {
 	mu   sync.Mutex
-	view *peersampling.View
+	view *peersampling.PartialView
 	conn *net.UDPConn
 }
 
 // Start listens at the node's address and shuffles until the context ends.
-func Start(ctx context.Context, self peersampling.Node, seeds []string) (*Dance, error) {
+func Start(ctx context.Context, self peersampling.Descriptor, seeds []string) (*Shuffler, error) {
 	addr, err := net.ResolveUDPAddr("udp4", self.Addr)
 	if err != nil {
 		return nil, merry.Prepend(err, "neighbours' address")
@@ -44,24 +44,24 @@
 	if err != nil {
 		return nil, merry.Prepend(err, "listening for neighbours")
 	}
-	d := &Dance{view: peersampling.New(self, seeds, rand.IntN), conn: conn}
+	d := &Shuffler{view: peersampling.New(self, seeds, rand.IntN), conn: conn}
 	go d.receive()
-	go d.rounds(ctx)
+	go d.run(ctx)
 	return d, nil
 }
 
-func (d *Dance) rounds(ctx context.Context) {
+func (d *Shuffler) run(ctx context.Context) {
 	defer d.conn.Close()
 	for n := 0; ; n++ {
 		d.mu.Lock()
-		to, offer, ok := d.view.Round()
+		to, offer, ok := d.view.BeginRound()
 		d.mu.Unlock()
 		if ok {
-			d.send(to, datagram{Nodes: offer})
+			d.send(to, datagram{Descriptors: offer})
 		}
-		pause := steady
-		if n < early {
-			pause = quick
+		pause := steadyInterval
+		if n < initialRounds {
+			pause = initialInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -71,18 +71,18 @@
 	}
 }
 
-func (d *Dance) send(to string, m datagram) {
+func (d *Shuffler) send(to string, m datagram) {
 	addr, err := net.ResolveUDPAddr("udp4", to)
 	if err != nil {
 		return
 	}
-	if b, err := cbor.Marshal(m); err == nil && len(b) <= most {
+	if b, err := cbor.Marshal(m); err == nil && len(b) <= maxDatagramSize {
 		d.conn.WriteToUDP(b, addr)
 	}
 }
 
-func (d *Dance) receive() {
-	buf := make([]byte, 2*most)
+func (d *Shuffler) receive() {
+	buf := make([]byte, 2*maxDatagramSize)
 	for {
 		n, from, err := d.conn.ReadFromUDP(buf)
 		if err != nil {
@@ -92,24 +92,24 @@
 			continue
 		}
 		var m datagram
-		if cbor.Unmarshal(buf[:n], &m) != nil || len(m.Nodes) == 0 {
+		if cbor.Unmarshal(buf[:n], &m) != nil || len(m.Descriptors) == 0 {
 			continue
 		}
 		d.mu.Lock()
-		if m.Answer {
-			d.view.Answered(m.Nodes)
+		if m.Reply {
+			d.view.HandleReply(m.Descriptors)
 			d.mu.Unlock()
 			continue
 		}
-		answer := d.view.Called(m.Nodes)
+		answer := d.view.HandleOffer(m.Descriptors)
 		d.mu.Unlock()
-		d.send(from.String(), datagram{Answer: true, Nodes: answer})
+		d.send(from.String(), datagram{Reply: true, Descriptors: answer})
 	}
 }
 
-// Known lists the neighbours of a kind, those heard of last first.
-func (d *Dance) Known(k peersampling.Kind) []peersampling.Node {
+// Peers lists the neighbours of a kind, those heard of last first.
+func (d *Shuffler) Peers(k peersampling.Role) []peersampling.Descriptor {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.view.Known(k)
+	return d.view.Peers(k)
 }
--- a/internal/graphite/graphite_test.go
+++ b/internal/graphite/graphite_test.go
@@ -120,14 +120,14 @@
 // TestReceivers has receivers that read, end their half, trickle, reset and stall, and one that comes and goes: the
 // sender never holds more than it may, counts what it drops, and gets through whenever there is somebody who reads.
 func TestReceivers(t *testing.T) {
-	for name, m := range map[string]standin.Manner{"reads": standin.Reads, "half ends": standin.HalfEnds, "trickles": standin.Trickles} {
+	for name, m := range map[string]standin.ConnectionBehaviour{"reads": standin.ReadsLines, "half ends": standin.HalfCloses, "trickles": standin.ReadsSlowly} {
 		t.Run(name, func(t *testing.T) {
 			g, err := standin.ListenGraphite("127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer g.Close()
-			g.Be(m)
+			g.SetBehaviour(m)
 			played(t, New(senderOptions(g.Address()), names(), testkit.Logger(&strings.Builder{})), 3, func(c Counts) bool { return c.Sent > 300 && len(g.Lines()) > 50 })
 			if !slices.ContainsFunc(g.Lines(), func(l string) bool { return strings.HasPrefix(l, "z.replica.web-1.load 0.4 17") }) {
 				t.Error(g.Lines()[:10])
@@ -140,7 +140,7 @@
 			t.Fatal(err)
 		}
 		defer g.Close()
-		g.Be(standin.Resets)
+		g.SetBehaviour(standin.ResetsConnection)
 		played(t, New(senderOptions(g.Address()), names(), testkit.Logger(&strings.Builder{})), 3, func(c Counts) bool { return c.Failures > 3 })
 	})
 	t.Run("stalls, then reads", func(t *testing.T) {
@@ -149,7 +149,7 @@
 			t.Fatal(err)
 		}
 		defer g.Close()
-		g.Be(standin.Stalls)
+		g.SetBehaviour(standin.StallsReading)
 		var log logged
 		s := New(senderOptions(g.Address()), Names{Replica: func(id rules.ReplicaID) (string, bool) { return fmt.Sprint("r", id), true }}, testkit.Logger(&log))
 		var read time.Time
@@ -162,7 +162,7 @@
 			}
 			if c.Failures > 1 && c.Dropped > 3000 && read.IsZero() {
 				read = time.Now()
-				g.Be(standin.Reads)
+				g.SetBehaviour(standin.ReadsLines)
 			}
 			said := strings.Split(strings.TrimSpace(log.String()), "\n") // its line comes after one period, on a busy machine later
 			return !read.IsZero() && len(g.Lines()) > 100 && time.Since(read) > 4*s.opts.WriteMost && strings.Contains(said[len(said)-1], "graphite is back")
--- a/internal/maintenancefile/windowfile.go
+++ b/internal/maintenancefile/windowfile.go
@@ -30,10 +30,10 @@
 
 // File is one, checked.
 type File struct {
-	Begins  time.Time
-	Slot    time.Duration
-	Request maintenanceplanner.Request
-	Takes   map[string]time.Duration // by window, as it was written
+	Start      time.Time
+	SlotLength time.Duration
+	Request    maintenanceplanner.Request
+	Durations  map[string]time.Duration // by window, as it was written
 }
 
 type reader struct {
@@ -144,10 +144,10 @@
 		return nil, merry.New("windows: the file holds no table")
 	}
 	r.strange(r.doc, "", "")
-	f := &File{Begins: r.moment(r.doc, "", "begins", time.Time{}), Slot: r.span(r.doc, "", "slot", slotDefault), Takes: map[string]time.Duration{}}
+	f := &File{Start: r.moment(r.doc, "", "begins", time.Time{}), SlotLength: r.span(r.doc, "", "slot", slotDefault), Durations: map[string]time.Duration{}}
 	q := &f.Request
 	r.strange(r.doc.Get("losses"), "losses.", "losses.")
-	q.Losses = capacity.Losses{Machines: int(r.number(r.doc.Get("losses"), "losses.", "machines", 1)), Zones: int(r.number(r.doc.Get("losses"), "losses.", "zones", 0))}
+	q.FaultTolerance = capacity.FaultTolerance{Machines: int(r.number(r.doc.Get("losses"), "losses.", "machines", 1)), Zones: int(r.number(r.doc.Get("losses"), "losses.", "zones", 0))}
 	each := func(key string, do func(v gjson.Result, at string)) {
 		x := r.doc.Get(key)
 		if x.Exists() && !x.IsArray() {
@@ -172,44 +172,44 @@
 		return g
 	}
 	each("agreed", func(v gjson.Result, at string) {
-		q.Need = append(q.Need, maintenanceplanner.Need{Region: r.text(v, at, "region"), Group: group(v, at), Agreed: r.number(v, at, "least", 0)})
+		q.Demands = append(q.Demands, maintenanceplanner.Demand{Region: r.text(v, at, "region"), Group: group(v, at), Floor: r.number(v, at, "least", 0)})
 	})
 	each("nodes", func(v gjson.Result, at string) {
-		n := capacity.Node{Name: r.text(v, at, "node"), Zone: r.text(v, at, "zone"), Region: r.text(v, at, "region"), Carries: map[string]float64{}}
+		n := capacity.Node{Name: r.text(v, at, "node"), Zone: r.text(v, at, "zone"), Region: r.text(v, at, "region"), Capacity: map[string]float64{}}
 		r.strangeGroups(v.Get("carries"), at+"carries.")
 		for _, g := range []string{capacity.Lookups, capacity.Orders} {
-			n.Carries[g] = r.number(v.Get("carries"), at+"carries.", g, 0)
+			n.Capacity[g] = r.number(v.Get("carries"), at+"carries.", g, 0)
 		}
 		q.Nodes = append(q.Nodes, n)
 	})
-	end := f.Begins
+	end := f.Start
 	slot := func(t time.Time, up bool) int {
-		d := t.Sub(f.Begins)
-		if up && d%f.Slot != 0 {
-			d += f.Slot
+		d := t.Sub(f.Start)
+		if up && d%f.SlotLength != 0 {
+			d += f.SlotLength
 		}
-		return int(d / f.Slot)
+		return int(d / f.SlotLength)
 	}
 	each("windows", func(v gjson.Result, at string) {
-		w := maintenanceplanner.Wish{Name: r.text(v, at, "window"), Nodes: r.names(v, at, "nodes"), Together: int(r.number(v, at, "together", 0)),
-			After: r.names(v, at, "after"), Apart: r.names(v, at, "apart")}
-		early, late := r.moment(v, at, "earliest", f.Begins), r.moment(v, at, "latest", time.Time{})
+		w := maintenanceplanner.WindowRequest{Name: r.text(v, at, "window"), Nodes: r.names(v, at, "nodes"), MaxConcurrent: int(r.number(v, at, "together", 0)),
+			After: r.names(v, at, "after"), Conflicts: r.names(v, at, "apart")}
+		early, late := r.moment(v, at, "earliest", f.Start), r.moment(v, at, "latest", time.Time{})
 		if late.IsZero() {
 			r.fail(at+"latest", "is missing")
 		}
-		if early.Before(f.Begins) {
+		if early.Before(f.Start) {
 			r.fail(at+"earliest", "is before begins")
 		}
 		takes := r.span(v, at, "takes", 0)
-		f.Takes[w.Name] = takes
-		w.Earliest, w.Latest, w.Takes = slot(early, true), slot(late, false), int((takes+f.Slot-1)/f.Slot)
+		f.Durations[w.Name] = takes
+		w.Earliest, w.Latest, w.DurationSlots = slot(early, true), slot(late, false), int((takes+f.SlotLength-1)/f.SlotLength)
 		if late.After(end) {
 			end = late
 		}
-		q.Wishes = append(q.Wishes, w)
+		q.Windows = append(q.Windows, w)
 	})
-	if q.Slots = slot(end, true); q.Slots > slotsMost {
-		r.fail("slot", fmt.Sprintf("is too short: %d slots up to the latest end", q.Slots))
+	if q.SlotCount = slot(end, true); q.SlotCount > slotsMost {
+		r.fail("slot", fmt.Sprintf("is too short: %d slots up to the latest end", q.SlotCount))
 	}
 	each("forecast", func(v gjson.Result, at string) {
 		region, g := r.text(v, at, "region"), group(v, at)
@@ -219,22 +219,22 @@
 			return
 		}
 		spread := r.number(v, at, "spread", 0)
-		n := maintenanceplanner.Need{Region: region, Group: g}
-		for s := range min(q.Slots, slotsMost) {
-			n.At = append(n.At, by[f.Begins.Add(time.Duration(s)*f.Slot).UTC().Hour()].Num*(1+spread))
+		n := maintenanceplanner.Demand{Region: region, Group: g}
+		for s := range min(q.SlotCount, slotsMost) {
+			n.Forecast = append(n.Forecast, by[f.Start.Add(time.Duration(s)*f.SlotLength).UTC().Hour()].Num*(1+spread))
 		}
-		for i := range q.Need {
-			if q.Need[i].Region == region && q.Need[i].Group == g {
-				q.Need[i].At = n.At
+		for i := range q.Demands {
+			if q.Demands[i].Region == region && q.Demands[i].Group == g {
+				q.Demands[i].Forecast = n.Forecast
 				return
 			}
 		}
-		q.Need = append(q.Need, n)
+		q.Demands = append(q.Demands, n)
 	})
 	if r.err != nil {
 		return nil, r.err
 	}
-	if err := q.Check(); err != nil {
+	if err := q.Validate(); err != nil {
 		return nil, merry.Prepend(err, "windows")
 	}
 	return f, nil
@@ -250,47 +250,47 @@
 	})
 }
 
-// Agree is the command that has the core keep what the file says is agreed.
-func (f *File) Agree() maintenance.Command {
-	c := maintenance.Command{Verb: "agree", Losses: f.Request.Losses, Told: f.Request.Nodes}
-	for _, n := range f.Request.Need {
-		c.Agreed = append(c.Agreed, capacity.Floor{Region: n.Region, Group: n.Group, Least: n.Agreed})
+// AgreeCommand is the command that has the core keep what the file says is agreed.
+func (f *File) AgreeCommand() maintenance.Command {
+	c := maintenance.Command{Verb: "agree", FaultTolerance: f.Request.FaultTolerance, DeclaredNodes: f.Request.Nodes}
+	for _, n := range f.Request.Demands {
+		c.AgreedFloors = append(c.AgreedFloors, capacity.Floor{Region: n.Region, Group: n.Group, Minimum: n.Floor})
 	}
 	return c
 }
 
-// At is the moment at which a slot begins.
-func (f *File) At(slot int) time.Time { return f.Begins.Add(time.Duration(slot) * f.Slot) }
+// SlotStart is the moment at which a slot begins.
+func (f *File) SlotStart(slot int) time.Time { return f.Start.Add(time.Duration(slot) * f.SlotLength) }
 
-// Text shows a timetable: a line a turn, and a bar a node.
-func (f *File) Text(tt maintenanceplanner.Timetable) string {
+// Render shows a timetable: a line a turn, and a bar a node.
+func (f *File) Render(tt maintenanceplanner.Schedule) string {
 	t := table.NewWriter()
 	t.AppendHeader(table.Row{"window", "node", "from", "to", ""})
-	first, last := f.Request.Slots, 0
-	for _, x := range tt.Turns {
-		first, last = min(first, x.From), max(last, x.To)
+	first, last := f.Request.SlotCount, 0
+	for _, x := range tt.Assignments {
+		first, last = min(first, x.Start), max(last, x.End)
 	}
 	wide := max(last-first, 1)
 	col := func(slot int) int { return (slot - first) * min(wide, 60) / wide }
-	for _, x := range tt.Turns {
-		bar := strings.Repeat(".", col(x.From)) + strings.Repeat("#", max(col(x.To)-col(x.From), 1)) + strings.Repeat(".", max(col(last)-max(col(x.To), col(x.From)+1), 0))
-		t.AppendRow(table.Row{x.Window, x.Node, f.At(x.From).Format("Mon 15:04"), f.At(x.To).Format("Mon 15:04"), bar})
+	for _, x := range tt.Assignments {
+		bar := strings.Repeat(".", col(x.Start)) + strings.Repeat("#", max(col(x.End)-col(x.Start), 1)) + strings.Repeat(".", max(col(last)-max(col(x.End), col(x.Start)+1), 0))
+		t.AppendRow(table.Row{x.Window, x.Node, f.SlotStart(x.Start).Format("Mon 15:04"), f.SlotStart(x.End).Format("Mon 15:04"), bar})
 	}
-	s := t.Render() + fmt.Sprintf("\n%d turns in %v", len(tt.Turns), time.Duration(tt.Length)*f.Slot)
-	if tt.Best {
+	s := t.Render() + fmt.Sprintf("\n%d turns in %v", len(tt.Assignments), time.Duration(tt.Makespan)*f.SlotLength)
+	if tt.Optimal {
 		s += "; no timetable is shorter"
 	}
 	return s + "\n"
 }
 
-// Chart draws a timetable: a line a node, a stroke a turn; the file's ending tells the format (svg, png, pdf).
-func (f *File) Chart(tt maintenanceplanner.Timetable, path string) error {
+// WriteChart draws a timetable: a line a node, a stroke a turn; the file's ending tells the format (svg, png, pdf).
+func (f *File) WriteChart(tt maintenanceplanner.Schedule, path string) error {
 	p := plot.New()
 	p.Title.Text = "maintenance windows"
-	p.X.Label.Text = "hours from " + f.Begins.Format(time.RFC3339)
+	p.X.Label.Text = "hours from " + f.Start.Format(time.RFC3339)
 	var names []string
-	for i, x := range tt.Turns {
-		l, err := plotter.NewLine(plotter.XYs{{X: f.At(x.From).Sub(f.Begins).Hours(), Y: float64(i)}, {X: f.At(x.To).Sub(f.Begins).Hours(), Y: float64(i)}})
+	for i, x := range tt.Assignments {
+		l, err := plotter.NewLine(plotter.XYs{{X: f.SlotStart(x.Start).Sub(f.Start).Hours(), Y: float64(i)}, {X: f.SlotStart(x.End).Sub(f.Start).Hours(), Y: float64(i)}})
 		if err != nil {
 			return merry.Prepend(err, "drawing")
 		}
--- a/internal/nodesettings/nodefile.go
+++ b/internal/nodesettings/nodefile.go
@@ -17,56 +17,56 @@
 	"github.com/tidwall/gjson"
 )
 
-// Variable is the environment variable that holds the settings file's path.
-const Variable = "ZINCLOFT_NODE_FILE"
+// PathVariable is the environment variable that holds the settings file's path.
+const PathVariable = "ZINCLOFT_NODE_FILE"
 
 // Bounds are the figures of the rules that decisions here lean on.
 type Bounds struct {
-	AddressReuse  time.Duration // after a replica's end, its address may be another's
-	AckDeadline   time.Duration // an operator's order wants its acknowledgement
-	DrainDeadline time.Duration // sending to a leaving replica ends within this of its acknowledgement
-	GracePeriod   time.Duration // between SIGTERM and SIGKILL
-	ConfigWithin  time.Duration // a configuration is in force everywhere
-	Evacuation    time.Duration // a zone gets nothing more
-	CatchUp       time.Duration // a machine that came back counts as lost for so long
-	RetryRatio    float64       // further tries for each request
-	RetryWindow   time.Duration
-	RetrySlack    float64 // further tries beyond the ratio, in a window, over all governors
-	ColdOverage   float64 // times cold_per_s that a cold replica may be sent in a second
-	ColdSlack     float64 // requests beyond that
+	AddressReuseDelay  time.Duration // after a replica's end, its address may be another's
+	AckDeadline        time.Duration // an operator's order wants its acknowledgement
+	DrainDeadline      time.Duration // sending to a leaving replica ends within this of its acknowledgement
+	GracePeriod        time.Duration // between SIGTERM and SIGKILL
+	ConfigDeadline     time.Duration // a configuration is in force everywhere
+	EvacuationDeadline time.Duration // a zone gets nothing more
+	CatchUpTime        time.Duration // a machine that came back counts as lost for so long
+	RetryBudgetRatio   float64       // further tries for each request
+	RetryBudgetWindow  time.Duration
+	RetryBudgetSlack   float64 // further tries beyond the ratio, in a window, over all governors
+	WarmupOverage      float64 // times cold_per_s that a cold replica may be sent in a second
+	WarmupSlack        float64 // requests beyond that
 }
 
-// Losses are counts of what may be lost: counted machines, or zones, or regions.
-type Losses struct{ Machines, Zones, Regions int }
+// FaultTolerance are counts of what may be lost: counted machines, or zones, or regions.
+type FaultTolerance struct{ Machines, Zones, Regions int }
 
 // Settings are what one process is told.
 type Settings struct {
-	Name, Role, Class  string
-	Serves             []string
-	IP                 netip.Addr
-	Zone, Region       string
-	Counted            bool
-	FirstStart         bool
-	DataDir            string // empty: no disk
-	MemoryMB           int64
-	Descriptors        int64
-	LinkMbps           float64
-	Cores              float64 // of the processor, this process's part
-	Front, Ready       string  // empty where the role serves no clients
-	Control            string  // empty where it serves no replicas and operators
-	PortFirst, PortEnd int
-	Seeds              []netip.AddrPort
-	Zones              map[string]string // zone to region
-	Heartbeat          time.Duration     // a replica's beats are so far apart
-	Losses             Losses            // that may come at once with all rules kept
-	Contracts          []string          // the parts of the rules that are in force
-	Bounds             Bounds
+	Name, Role, MachineClass            string
+	Serves                              []string
+	IP                                  netip.Addr
+	Zone, Region                        string
+	Counted                             bool
+	FirstStart                          bool
+	DataDir                             string // empty: no disk
+	MemoryMB                            int64
+	FileDescriptors                     int64
+	LinkMbps                            float64
+	CPUCores                            float64 // of the processor, this process's part
+	FrontAddress, ReadinessAddress      string  // empty where the role serves no clients
+	ControlAddress                      string  // empty where it serves no replicas and operators
+	FirstInternalPort, LastInternalPort int
+	Seeds                               []netip.AddrPort
+	ZoneRegions                         map[string]string // zone to region
+	HeartbeatInterval                   time.Duration     // a replica's beats are so far apart
+	FaultTolerance                      FaultTolerance    // that may come at once with all rules kept
+	ActiveContracts                     []string          // the parts of the rules that are in force
+	Bounds                              Bounds
 }
 
-// Governors lists where the seeds talk to other governors: at their addresses, on the first internal port.
-func (s *Settings) Governors() (all []string) {
+// SeedPeerAddresses lists where the seeds talk to other governors: at their addresses, on the first internal port.
+func (s *Settings) SeedPeerAddresses() (all []string) {
 	for _, seed := range s.Seeds {
-		all = append(all, netip.AddrPortFrom(seed.Addr(), uint16(s.PortFirst)).String())
+		all = append(all, netip.AddrPortFrom(seed.Addr(), uint16(s.FirstInternalPort)).String())
 	}
 	return all
 }
@@ -172,11 +172,11 @@
 
 // Load reads the file that Variable names.
 func Load() (*Settings, error) {
-	path := os.Getenv(Variable)
+	path := os.Getenv(PathVariable)
 	if path == "" {
-		return nil, merry.Errorf("settings: %s is not set", Variable)
+		return nil, merry.Errorf("settings: %s is not set", PathVariable)
 	}
-	Changed() // from here on
+	FileChanged() // from here on
 	return Read(path)
 }
 
@@ -186,9 +186,9 @@
 	at   time.Time
 }
 
-// Changed tells whether the file that Variable names is another one than when it was last asked for or loaded.
-func Changed() bool {
-	info, err := os.Stat(os.Getenv(Variable))
+// FileChanged tells whether the file that Variable names is another one than when it was last asked for or loaded.
+func FileChanged() bool {
+	info, err := os.Stat(os.Getenv(PathVariable))
 	if err != nil {
 		return false
 	}
@@ -224,21 +224,21 @@
 	}
 	self, net, rule := "self_settings.", "network_settings.", "rule_terms."
 	s := &Settings{
-		Name: r.text(self+"node_name", true), Role: r.text(self+"role", false), Class: r.text(self+"machine_class", false),
+		Name: r.text(self+"node_name", true), Role: r.text(self+"role", false), MachineClass: r.text(self+"machine_class", false),
 		Zone: r.text(self+"zone", true), Region: r.text(self+"region", false),
 		Counted: r.truth(self + "counted"), FirstStart: r.truth(self + "first_start"),
-		DataDir:     r.text(self+"data_directory", false),
-		MemoryMB:    int64(r.number(self+"limits.memory_mb", 16, 256)),
-		Descriptors: int64(r.number(self+"limits.file_descriptors", 64, 1024)),
-		LinkMbps:    r.number(self+"limits.link_mbps", 0.01, 100),
-		Cores:       r.number(self+"limits.cpu_share", 0.001, 1) * r.number(self+"limits.cpu_cores", 0.001, 1),
-		Front:       r.address(net + "listen_addresses.front"), Ready: r.address(net + "listen_addresses.readiness"),
-		Control:   r.address(net + "listen_addresses.control"),
-		Heartbeat: r.span("platform_settings.heartbeat_interval", 1500*time.Millisecond),
-		Losses:    Losses{r.whole(rule+"fault_tolerance.machines", 1), r.whole(rule+"fault_tolerance.zones", 0), r.whole(rule+"fault_tolerance.regions", 0)},
-		Contracts: r.texts(rule + "active_contracts"),
-		Serves:    r.texts(self + "serves"),
-		Zones:     map[string]string{},
+		DataDir:         r.text(self+"data_directory", false),
+		MemoryMB:        int64(r.number(self+"limits.memory_mb", 16, 256)),
+		FileDescriptors: int64(r.number(self+"limits.file_descriptors", 64, 1024)),
+		LinkMbps:        r.number(self+"limits.link_mbps", 0.01, 100),
+		CPUCores:        r.number(self+"limits.cpu_share", 0.001, 1) * r.number(self+"limits.cpu_cores", 0.001, 1),
+		FrontAddress:    r.address(net + "listen_addresses.front"), ReadinessAddress: r.address(net + "listen_addresses.readiness"),
+		ControlAddress:    r.address(net + "listen_addresses.control"),
+		HeartbeatInterval: r.span("platform_settings.heartbeat_interval", 1500*time.Millisecond),
+		FaultTolerance:    FaultTolerance{r.whole(rule+"fault_tolerance.machines", 1), r.whole(rule+"fault_tolerance.zones", 0), r.whole(rule+"fault_tolerance.regions", 0)},
+		ActiveContracts:   r.texts(rule + "active_contracts"),
+		Serves:            r.texts(self + "serves"),
+		ZoneRegions:       map[string]string{},
 	}
 	ip, err := netip.ParseAddr(r.text(self+"ip_address", true))
 	if err != nil {
@@ -249,7 +249,7 @@
 	if len(ports) != 2 || ports[0].Int() < 1 || ports[1].Int() > 65535 || ports[1].Int()-ports[0].Int() < 1 {
 		r.fail(net+"internal_port_range", "is not a first and a last port, two at least")
 	} else {
-		s.PortFirst, s.PortEnd = int(ports[0].Int()), int(ports[1].Int())
+		s.FirstInternalPort, s.LastInternalPort = int(ports[0].Int()), int(ports[1].Int())
 	}
 	for i, v := range r.doc.Get(net + "seed_nodes").Array() {
 		a, err := netip.ParseAddrPort(v.String())
@@ -263,16 +263,16 @@
 		r.fail(net+"seed_nodes", "names nobody")
 	}
 	for zone, region := range r.doc.Get(net + "zones").Map() {
-		s.Zones[zone] = region.String()
+		s.ZoneRegions[zone] = region.String()
 	}
 	b := rule + "bounds."
 	s.Bounds = Bounds{
-		AddressReuse: r.spanFrom(b+"address_reuse", 0, 2*time.Second), AckDeadline: r.span(b+"ack_deadline", 5*time.Second),
+		AddressReuseDelay: r.spanFrom(b+"address_reuse", 0, 2*time.Second), AckDeadline: r.span(b+"ack_deadline", 5*time.Second),
 		DrainDeadline: r.span(b+"drain_deadline", 2*time.Second), GracePeriod: r.span(b+"grace_period", 6*time.Second),
-		ConfigWithin: r.span(b+"config_deadline", 2*time.Second), Evacuation: r.span(b+"evacuation", 5*time.Second),
-		CatchUp: r.span(b+"catch_up", 4*time.Second), RetryRatio: r.number(b+"retry_budget_ratio", 0, 0.2),
-		RetryWindow: r.span(b+"budget_window", 10*time.Second), RetrySlack: r.number(b+"retry_budget_slack", 0, 10),
-		ColdOverage: r.number(b+"cold_overage", 1, 1.5), ColdSlack: r.number(b+"cold_slack", 0, 5),
+		ConfigDeadline: r.span(b+"config_deadline", 2*time.Second), EvacuationDeadline: r.span(b+"evacuation", 5*time.Second),
+		CatchUpTime: r.span(b+"catch_up", 4*time.Second), RetryBudgetRatio: r.number(b+"retry_budget_ratio", 0, 0.2),
+		RetryBudgetWindow: r.span(b+"budget_window", 10*time.Second), RetryBudgetSlack: r.number(b+"retry_budget_slack", 0, 10),
+		WarmupOverage: r.number(b+"cold_overage", 1, 1.5), WarmupSlack: r.number(b+"cold_slack", 0, 5),
 	}
 	if r.err != nil {
 		return nil, r.err
--- a/internal/peertransport/capacity_test.go
+++ b/internal/peertransport/capacity_test.go
@@ -13,7 +13,7 @@
 var capacitySizes = []int{1740, 5220, 15700, 47000}
 
 func fleetOf(n int) sizes.Fleet {
-	f := sizes.Users()
+	f := sizes.ProductionFleet()
 	f.Replicas, f.Services = n, n/36
 	return f
 }
@@ -23,7 +23,7 @@
 func BenchmarkCapacityStateUpdate(b *testing.B) {
 	for _, what := range []string{"whole", "lives", "lines", "one"} {
 		for _, n := range capacitySizes {
-			lives := fleetOf(n).Lives()
+			lives := fleetOf(n).Instances()
 			lines := make([]messages.EndpointWeight, n)
 			for i, l := range lives {
 				lines[i] = messages.EndpointWeight{Replica: l.ID, Weight: 100.0 / 36}
@@ -67,8 +67,8 @@
 func BenchmarkCapacityLoadReport(b *testing.B) {
 	for _, n := range []int{8, 24, 70, 210} {
 		r := &messages.LoadReport{PeriodMillis: 1000, Requests: map[string]int{}}
-		for i, l := range fleetOf(1740).Lives()[:n] {
-			r.Requests[sizes.Service(i)]++
+		for i, l := range fleetOf(1740).Instances()[:n] {
+			r.Requests[sizes.ServiceName(i)]++
 			r.Endpoints = append(r.Endpoints, messages.EndpointStats{Replica: l.ID, Attempts: 1, MeanLatencyMicros: 200000, Running: 2, Slots: 6})
 		}
 		m := &peertransport.Frame{LoadReport: r}
@@ -98,13 +98,13 @@
 	}
 	empty := of(messages.StateUpdate{})
 	var lines []messages.EndpointWeight
-	for _, l := range f.Lives() {
+	for _, l := range f.Instances() {
 		lines = append(lines, messages.EndpointWeight{Replica: l.ID, Weight: 1})
 	}
 	for _, x := range []struct {
 		what      string
 		bytes, at int
-	}{{"a life", of(messages.StateUpdate{Instances: f.Lives()}) - empty, 57}, {"a line", of(messages.StateUpdate{Weights: lines}) - empty, 20}} {
+	}{{"a life", of(messages.StateUpdate{Instances: f.Instances()}) - empty, 57}, {"a line", of(messages.StateUpdate{Weights: lines}) - empty, 20}} {
 		if got := float64(x.bytes) / float64(f.Replicas); got < 0.9*float64(x.at) || got > 1.1*float64(x.at) {
 			t.Errorf("%s is %.1f bytes, docs/CAPACITY.md reckons with %d", x.what, got, x.at)
 		}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -27,8 +27,8 @@
 	Run(ctx context.Context, hup <-chan os.Signal) error
 }
 
-// Logger writes one line of key=value for each event.
-func Logger(w io.Writer, name string) *log.Logger {
+// NewLogger writes one line of key=value for each event.
+func NewLogger(w io.Writer, name string) *log.Logger {
 	return &log.Logger{Level: log.InfoLevel, TimeFormat: "2006-01-02T15:04:05.000Z07:00",
 		Writer: &log.ConsoleWriter{Writer: w, Formatter: func(w io.Writer, a *log.FormatterArgs) (int, error) {
 			b := append([]byte("time="), a.Time...)
@@ -48,8 +48,8 @@
 		}}}
 }
 
-// Note writes a line of an event with its fields.
-func Note(l *log.Logger, warn bool, event string, fields iter.Seq2[string, any]) {
+// LogEvent writes a line of an event with its fields.
+func LogEvent(l *log.Logger, warn bool, event string, fields iter.Seq2[string, any]) {
 	e := l.Info()
 	if warn {
 		e = l.Warn()
@@ -75,8 +75,8 @@
 	p := flaggy.NewParser(name)
 	p.Description = what
 	p.Version = Version
-	path := os.Getenv(nodesettings.Variable)
-	p.String(&path, "s", "settings", "path of the settings file; "+nodesettings.Variable+" names it too")
+	path := os.Getenv(nodesettings.PathVariable)
+	p.String(&path, "s", "settings", "path of the settings file; "+nodesettings.PathVariable+" names it too")
 	check := flaggy.NewSubcommand("check")
 	check.Description = "read the settings, say what is wrong, and end"
 	run := flaggy.NewSubcommand("run")
@@ -88,14 +88,14 @@
 		os.Exit(2)
 	}
 	if path != "" {
-		os.Setenv(nodesettings.Variable, path)
+		os.Setenv(nodesettings.PathVariable, path)
 	}
 	set, err := nodesettings.Load()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	logger := Logger(os.Stderr, name)
+	logger := NewLogger(os.Stderr, name)
 	r, err := build(set, logger)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -103,8 +103,8 @@
 	}
 	if check.Used {
 		fmt.Printf("%s: %s in zone %s: settings hold\n", name, set.Name, set.Zone)
-		fmt.Printf("may be lost at once: %d machines that count, or %d zones, or %d regions; rules in force: %s\n", set.Losses.Machines,
-			set.Losses.Zones, set.Losses.Regions, strings.Join(set.Contracts, ", "))
+		fmt.Printf("may be lost at once: %d machines that count, or %d zones, or %d regions; rules in force: %s\n", set.FaultTolerance.Machines,
+			set.FaultTolerance.Zones, set.FaultTolerance.Regions, strings.Join(set.ActiveContracts, ", "))
 		return
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -31,8 +31,8 @@
 				So(res.Verdict, ShouldEqual, retry.Answered)
 				So(string(res.Answer.Body), ShouldEqual, "body of "+id+" from i1\n")
 			}
-			So(r.Opens(), ShouldEqual, 1)
-			q := r.Seen()[0]
+			So(r.ConnectionCount(), ShouldEqual, 1)
+			q := r.Requests()[0]
 			So(q.RequestURI, ShouldEqual, "/x?y=1")
 			So(q.Host, ShouldEqual, "h.example")
 			So(q.Header.Get("X-Target-Instance"), ShouldEqual, "i1")
@@ -43,12 +43,12 @@
 				b upstream.Behaviour
 				v retry.Verdict
 			}{
-				{upstream.Sheds, retry.NotRun}, {upstream.Other, retry.NotRun},
-				{upstream.Cut, retry.MayHaveRun}, {upstream.Garbage, retry.MayHaveRun}, {upstream.Unsealed, retry.MayHaveRun},
-				{upstream.Encoded, retry.MayHaveRun}, {upstream.Lost, retry.MayHaveRun}, {upstream.NoIdentity, retry.MayHaveRun},
-				{upstream.Fails, retry.Answered}, {upstream.Late, retry.Answered}, {upstream.Surplus, retry.Answered},
+				{upstream.RejectsNotExecuted, retry.NotRun}, {upstream.Misdirected, retry.NotRun},
+				{upstream.TruncatesResponse, retry.MayHaveRun}, {upstream.SendsGarbage, retry.MayHaveRun}, {upstream.OmitsSeal, retry.MayHaveRun},
+				{upstream.ClaimsEncoding, retry.MayHaveRun}, {upstream.ClosesWithoutResponse, retry.MayHaveRun}, {upstream.OmitsAttemptID, retry.MayHaveRun},
+				{upstream.RespondsInternalError, retry.Answered}, {upstream.SendsStaleResponseFirst, retry.Answered}, {upstream.SendsExtraResponse, retry.Answered},
 			} {
-				r.Then(x.b)
+				r.SetBehaviours(x.b)
 				res := do(string(x.b))
 				So(string(x.b)+" "+res.Verdict.String(), ShouldEqual, string(x.b)+" "+x.v.String())
 				if x.v == retry.Answered && res.Answer.Status == 200 {
@@ -59,16 +59,16 @@
 				So(next.Verdict, ShouldEqual, retry.Answered)
 				So(string(next.Answer.Body), ShouldEqual, "body of after-"+string(x.b)+" from i1\n")
 				// Guards hidden repeats: each attempt has run at most once.
-				So(r.Ran()[string(x.b)], ShouldBeLessThanOrEqualTo, 1)
+				So(r.Executions()[string(x.b)], ShouldBeLessThanOrEqualTo, 1)
 			}
 		})
 		Convey("a connection that the replica closed while it lay idle is not used", func() {
-			r.Then(upstream.Closes)
+			r.SetBehaviours(upstream.ClosesAfterResponse)
 			So(do("1").Verdict, ShouldEqual, retry.Answered)
 			for p.mustBeQuiet("i1") { // until its end has arrived
 			}
 			So(do("2").Verdict, ShouldEqual, retry.Answered)
-			So(r.Opens(), ShouldEqual, 2)
+			So(r.ConnectionCount(), ShouldEqual, 2)
 		})
 		// Guards replicas that forget idle connections sooner than they tell: what is sent next is a doubt.
 		Convey("a connection found forgotten teaches how idle is too idle, for a while", func() {
@@ -79,25 +79,25 @@
 			}
 			So(p.Do("i1", r.Addr(), q("1")).Verdict, ShouldEqual, retry.Answered)
 			p.idle["i1"][0].idleSince = time.Now().Add(-time.Second)
-			r.Then(upstream.Lost)
+			r.SetBehaviours(upstream.ClosesWithoutResponse)
 			So(p.Do("i1", r.Addr(), q("2")).Verdict, ShouldEqual, retry.MayHaveRun)
 			So(p.restMost("svc", time.Now()), ShouldBeBetween, 400*time.Millisecond, 600*time.Millisecond)
 			So(p.restMost("other", time.Now()), ShouldEqual, idleMost)
 			So(p.restMost("svc", time.Now().Add(time.Minute)), ShouldEqual, idleMost)
 		})
 		Convey("silence ends at the deadline, as a doubt", func() {
-			r.Then(upstream.Silent)
+			r.SetBehaviours(upstream.NeverResponds)
 			res := p.Do("i1", r.Addr(), request("1", 50*time.Millisecond))
 			So(res.Verdict, ShouldEqual, retry.MayHaveRun)
 			So(res.Expired, ShouldBeTrue)
 		})
 		Convey("a try whose client left ends at once", func() {
-			r.Then(upstream.Silent)
+			r.SetBehaviours(upstream.NeverResponds)
 			ctx, cancel := context.WithCancel(context.Background())
 			q := request("1", time.Minute)
 			q.Stop = ctx
 			go func() {
-				for len(r.Seen()) == 0 { // until it has arrived: before that it has not run
+				for len(r.Requests()) == 0 { // until it has arrived: before that it has not run
 				}
 				cancel()
 			}()
--- a/internal/scalerun/fit.go
+++ b/internal/scalerun/fit.go
@@ -13,19 +13,19 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Power is y = Factor * x^Exponent, fitted to logarithms by least squares. Spread is the standard error of the exponent; NaN
+// PowerLaw is y = Factor * x^Exponent, fitted to logarithms by least squares. Spread is the standard error of the exponent; NaN
 // with fewer than three points, as two always lie on a line.
-type Power struct {
-	Exponent, Factor, Spread float64
-	Points                   int
+type PowerLaw struct {
+	Exponent, Factor, StandardError float64
+	Points                          int
 }
 
-// At carries the power on to another size.
-func (p Power) At(x float64) float64 { return p.Factor * math.Pow(x, p.Exponent) }
+// Predict carries the power on to another size.
+func (p PowerLaw) Predict(x float64) float64 { return p.Factor * math.Pow(x, p.Exponent) }
 
-// Fit takes points with both values above zero; others have no logarithm and are passed over. With fewer than two it
+// FitPowerLaw takes points with both values above zero; others have no logarithm and are passed over. With fewer than two it
 // tells so.
-func Fit(xs, ys []float64) (Power, bool) {
+func FitPowerLaw(xs, ys []float64) (PowerLaw, bool) {
 	var lx, ly []float64
 	for i := range xs {
 		if xs[i] > 0 && ys[i] > 0 {
@@ -33,17 +33,17 @@
 		}
 	}
 	if len(lx) < 2 {
-		return Power{}, false
+		return PowerLaw{}, false
 	}
 	a, b := stat.LinearRegression(lx, ly, nil, false)
-	p := Power{Exponent: b, Factor: math.Exp(a), Spread: math.NaN(), Points: len(lx)}
+	p := PowerLaw{Exponent: b, Factor: math.Exp(a), StandardError: math.NaN(), Points: len(lx)}
 	if len(lx) > 2 {
 		mean, left, wide := stat.Mean(lx, nil), 0.0, 0.0
 		for i := range lx {
 			left += (ly[i] - a - b*lx[i]) * (ly[i] - a - b*lx[i])
 			wide += (lx[i] - mean) * (lx[i] - mean)
 		}
-		p.Spread = math.Sqrt(left / float64(len(lx)-2) / wide)
+		p.StandardError = math.Sqrt(left / float64(len(lx)-2) / wide)
 	}
 	return p, true
 }
@@ -54,8 +54,8 @@
 	X, Y       []float64
 }
 
-// Last is the value at the largest size, and that size.
-func (s Series) Last() (x, y float64) {
+// Largest is the value at the largest size, and that size.
+func (s Series) Largest() (x, y float64) {
 	i := 0
 	for j := range s.X {
 		if s.X[j] > s.X[i] {
--- a/internal/scalerun/hollow.go
+++ b/internal/scalerun/hollow.go
@@ -30,13 +30,13 @@
 // Count is how many words of a kind went over sockets, and their bytes, lengths of frames included.
 type Count struct{ Messages, Bytes int }
 
-// Counts are kept by kind; those of states are parts of frames: "state" counts frames and what no other kind covers.
-type Counts struct {
+// TrafficCounts are kept by kind; those of states are parts of frames: "state" counts frames and what no other kind covers.
+type TrafficCounts struct {
 	mu sync.Mutex
 	by map[string]Count
 }
 
-func (c *Counts) add(kind string, bytes int) {
+func (c *TrafficCounts) add(kind string, bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.by == nil {
@@ -46,8 +46,8 @@
 	c.by[kind] = Count{x.Messages + 1, x.Bytes + bytes}
 }
 
-// Now copies them.
-func (c *Counts) Now() map[string]Count {
+// Snapshot copies them.
+func (c *TrafficCounts) Snapshot() map[string]Count {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[string]Count{}
@@ -57,8 +57,8 @@
 	return out
 }
 
-// Said names what a forager's frame is.
-func Said(m *peertransport.Frame) string {
+// MessageKind names what a forager's frame is.
+func MessageKind(m *peertransport.Frame) string {
 	switch r := m.LoadReport; {
 	case m.Hello != nil:
 		return "hello"
@@ -73,30 +73,30 @@
 	}
 }
 
-// told is what is looked at in a state; the rest stays bytes. Its keys are those of words.State.
-type told struct {
-	Whole   bool            `cbor:"1,keyasint"`
-	Version uint64          `cbor:"3,keyasint"`
-	Body    cbor.RawMessage `cbor:"4,keyasint"`
-	Lives   cbor.RawMessage `cbor:"6,keyasint"`
-	Lines   cbor.RawMessage `cbor:"7,keyasint"`
-	Grants  cbor.RawMessage `cbor:"10,keyasint"`
-	Combs   cbor.RawMessage `cbor:"8,keyasint"`
+// stateFrame is what is looked at in a state; the rest stays bytes. Its keys are those of words.State.
+type stateFrame struct {
+	Full          bool            `cbor:"1,keyasint"`
+	Version       uint64          `cbor:"3,keyasint"`
+	Configuration cbor.RawMessage `cbor:"4,keyasint"`
+	Instances     cbor.RawMessage `cbor:"6,keyasint"`
+	Weights       cbor.RawMessage `cbor:"7,keyasint"`
+	WarmupQuotas  cbor.RawMessage `cbor:"10,keyasint"`
+	Members       cbor.RawMessage `cbor:"8,keyasint"`
 }
 
-type heard struct {
-	State *told `cbor:"4,keyasint"`
+type peerFrame struct {
+	State *stateFrame `cbor:"4,keyasint"`
 }
 
-// Requests make what a forager meets in a second: so many requests, each to a replica of its zone by chance, at whom it
+// RequestLoad make what a forager meets in a second: so many requests, each to a replica of its zone by chance, at whom it
 // finds so much load.
-type Requests struct {
+type RequestLoad struct {
 	PerSecond float64
 	Chance    func() float64
 }
 
-// Report is what a forager with such requests says, as dataplane/router makes it.
-func (r Requests) Report(lives []registry.Instance, over time.Duration) *messages.LoadReport {
+// LoadReport is what a forager with such requests says, as dataplane/router makes it.
+func (r RequestLoad) LoadReport(lives []registry.Instance, over time.Duration) *messages.LoadReport {
 	rep := &messages.LoadReport{PeriodMillis: over.Milliseconds(), Requests: map[string]int{}}
 	met := map[string]int{}
 	if len(lives) > 0 {
@@ -115,78 +115,82 @@
 	return rep
 }
 
-// known is what all hollow foragers of a process share instead of each holding it: the replicas as a whole state last told
+// sharedInstances is what all hollow foragers of a process share instead of each holding it: the replicas as a whole state last told
 // them, the largest so far.
-type known struct {
-	mu   sync.Mutex
-	life []registry.Instance
-	zone map[string][]registry.Instance
+type sharedInstances struct {
+	mu        sync.Mutex
+	instances []registry.Instance
+	byZone    map[string][]registry.Instance
 }
 
-func (k *known) take(lives []registry.Instance) {
+func (k *sharedInstances) update(lives []registry.Instance) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(lives) < len(k.life) {
+	if len(lives) < len(k.instances) {
 		return
 	}
-	k.life, k.zone = nil, map[string][]registry.Instance{}
+	k.instances, k.byZone = nil, map[string][]registry.Instance{}
 	for _, l := range lives {
 		if l.Deregistered || l.Addr == "" {
 			continue
 		}
 		l = registry.Instance{ID: l.ID, Service: l.Service, Addr: l.Addr, Zone: l.Zone, Slots: l.Slots, Draining: l.Draining, WarmthUnknown: l.WarmthUnknown, WarmupMillis: l.WarmupMillis}
-		k.life = append(k.life, l)
-		k.zone[l.Zone] = append(k.zone[l.Zone], l)
+		k.instances = append(k.instances, l)
+		k.byZone[l.Zone] = append(k.byZone[l.Zone], l)
 	}
 }
 
-func (k *known) all() []registry.Instance { k.mu.Lock(); defer k.mu.Unlock(); return k.life }
-func (k *known) near(zone string) []registry.Instance {
+func (k *sharedInstances) all() []registry.Instance {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.zone[zone]
+	return k.instances
+}
+func (k *sharedInstances) inZone(zone string) []registry.Instance {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	return k.byZone[zone]
 }
 
-// Forager is a hollow one: it holds a stream from a comb and says what a real one says (internal/gateway, follow.go), with the
+// SyntheticGateway is a hollow one: it holds a stream from a comb and says what a real one says (internal/gateway, follow.go), with the
 // same codec in the same sequence, but carries no requests and keeps no tables. What its reports tell is made up.
-type Forager struct {
-	Name, Zone string
-	IP         netip.Addr
-	Seeds      []string // where combs are called by governors
-	Requests   Requests
-	In, Out    *Counts
-
-	share *known
-	brain *router.Forager // knows the combs, and chooses among them
-
-	mu      sync.Mutex
-	comb    string // it holds to; empty: none
-	wholeAt time.Time
-	seen    map[uint64]time.Time // versions, when they came
+type SyntheticGateway struct {
+	Name, Zone     string
+	IP             netip.Addr
+	Seeds          []string // where combs are called by governors
+	Requests       RequestLoad
+	Received, Sent *TrafficCounts
+
+	instances *sharedInstances
+	router    *router.Forager // knows the combs, and chooses among them
+
+	mu              sync.Mutex
+	member          string // it holds to; empty: none
+	snapshotAt      time.Time
+	versionArrivals map[uint64]time.Time // versions, when they came
 }
 
 const (
-	silentMost = time.Second // of a comb
-	dialComb   = 300 * time.Millisecond
-	homeAgain  = 4 * time.Second
-	retryPause = 100 * time.Millisecond
+	memberTimeout   = time.Second // of a comb
+	dialTimeout     = 300 * time.Millisecond
+	zoneReturnDelay = 4 * time.Second
+	reconnectDelay  = 100 * time.Millisecond
 )
 
-func (f *Forager) begin(zones int) {
-	f.seen = map[uint64]time.Time{}
-	f.brain = router.New(router.Settings{Zone: f.Zone, Zones: zones, Seed: rand.Uint64()})
+func (f *SyntheticGateway) initialize(zones int) {
+	f.versionArrivals = map[uint64]time.Time{}
+	f.router = router.New(router.Settings{Zone: f.Zone, Zones: zones, Seed: rand.Uint64()})
 }
 
 // Run follows combs until the context ends. Port is where it shuffles neighbours; 0: it does not.
-func (f *Forager) Run(ctx context.Context, port int) error {
+func (f *SyntheticGateway) Run(ctx context.Context, port int) error {
 	var also func() []string
 	if port > 0 {
-		d, err := gossip.Start(ctx, peersampling.Node{Addr: netip.AddrPortFrom(f.IP, uint16(port)).String(), Kind: peersampling.Forager, Zone: f.Zone}, f.Seeds)
+		d, err := gossip.Start(ctx, peersampling.Descriptor{Addr: netip.AddrPortFrom(f.IP, uint16(port)).String(), Role: peersampling.RoleGateway, Zone: f.Zone}, f.Seeds)
 		if err != nil {
 			return err
 		}
 		also = func() (out []string) {
-			for _, n := range d.Known(peersampling.Comb) {
+			for _, n := range d.Peers(peersampling.RoleControlPlane) {
 				out = append(out, n.Addr)
 			}
 			return
@@ -197,24 +201,24 @@
 		if also != nil {
 			more = append(append([]string(nil), f.Seeds...), also()...)
 		}
-		return f.brain.Candidates(more)
+		return f.router.Candidates(more)
 	}
 	for ctx.Err() == nil {
 		for _, addr := range candidates() {
-			if f.listen(ctx, addr, candidates) || ctx.Err() != nil {
+			if f.follow(ctx, addr, candidates) || ctx.Err() != nil {
 				break
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryPause/2 + rand.N(retryPause)):
+		case <-time.After(reconnectDelay/2 + rand.N(reconnectDelay)):
 		}
 	}
 	return nil
 }
 
-func (f *Forager) listen(ctx context.Context, addr string, candidates func() []string) (stood bool) {
-	nc, err := peertransport.NewDialer(dialComb, silentMost).DialContext(ctx, "tcp", addr)
+func (f *SyntheticGateway) follow(ctx context.Context, addr string, candidates func() []string) (stood bool) {
+	nc, err := peertransport.NewDialer(dialTimeout, memberTimeout).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return false
 	}
@@ -223,39 +227,39 @@
 	defer c.Shutdown()
 	send := func(m *peertransport.Frame) {
 		if b, err := peertransport.EncodeFrame(m); err == nil {
-			f.Out.add(Said(m), len(b))
+			f.Sent.add(MessageKind(m), len(b))
 			c.Send(b)
 		}
 	}
 	send(&peertransport.Frame{Hello: &messages.Hello{Gateway: f.Name, Member: membership.Member{Addr: f.IP.String(), Zone: f.Zone}}})
 	done := make(chan struct{})
 	defer close(done)
-	defer f.at("", false)
+	defer f.setMember("", false)
 	began := time.Now()
 	in := bufio.NewReaderSize(nc, 4<<10)
 	for {
-		nc.SetReadDeadline(time.Now().Add(silentMost))
-		s, err := f.hear(in)
+		nc.SetReadDeadline(time.Now().Add(memberTimeout))
+		s, err := f.readFrame(in)
 		if err != nil {
 			return stood
 		}
 		if s == nil {
 			continue
 		}
-		if !stood && s.Whole {
+		if !stood && s.Full {
 			stood = true
-			f.at(addr, true)
-			send(&peertransport.Frame{LoadReport: &messages.LoadReport{Sequence: 1, Instances: f.share.all()}})
+			f.setMember(addr, true)
+			send(&peertransport.Frame{LoadReport: &messages.LoadReport{Sequence: 1, Instances: f.instances.all()}})
 			go f.report(send, done)
 		}
 		near, home := false, false
-		for _, m := range f.brain.Combs() {
+		for _, m := range f.router.Combs() {
 			if m.Zone == f.Zone {
 				near, home = true, home || m.Addr == addr
 			}
 		}
-		if near && !home && time.Since(began) > homeAgain {
-			if conn, err := net.DialTimeout("tcp", candidates()[0], dialComb); err == nil {
+		if near && !home && time.Since(began) > zoneReturnDelay {
+			if conn, err := net.DialTimeout("tcp", candidates()[0], dialTimeout); err == nil {
 				conn.Close()
 				return true
 			}
@@ -264,8 +268,8 @@
 	}
 }
 
-// hear reads a frame and counts its parts. Only a whole state is decoded.
-func (f *Forager) hear(in io.Reader) (*told, error) {
+// readFrame reads a frame and counts its parts. Only a whole state is decoded.
+func (f *SyntheticGateway) readFrame(in io.Reader) (*stateFrame, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
 		return nil, err
@@ -274,58 +278,58 @@
 	if _, err := io.ReadFull(in, body); err != nil {
 		return nil, err
 	}
-	var h heard
+	var h peerFrame
 	if err := cbor.Unmarshal(body, &h); err != nil {
 		return nil, err
 	}
 	s := h.State
 	if s == nil {
-		f.In.add("other", len(body)+4)
+		f.Received.add("other", len(body)+4)
 		return nil, nil
 	}
 	rest := len(body) + 4
 	part := func(kind string, b cbor.RawMessage) {
 		if len(b) > 0 {
-			f.In.add(kind, len(b))
+			f.Received.add(kind, len(b))
 			rest -= len(b)
 		}
 	}
 	what := "changed "
-	if s.Whole {
+	if s.Full {
 		what = "whole "
 	}
-	part("configuration", s.Body)
-	part(what+"lives", s.Lives)
-	part(what+"lines", s.Lines)
-	part("grants", s.Grants)
-	part("combs", s.Combs)
-	f.In.add("state", rest)
-	if len(s.Body) > 0 {
+	part("configuration", s.Configuration)
+	part(what+"lives", s.Instances)
+	part(what+"lines", s.Weights)
+	part("grants", s.WarmupQuotas)
+	part("combs", s.Members)
+	f.Received.add("state", rest)
+	if len(s.Configuration) > 0 {
 		f.mu.Lock()
-		f.seen[s.Version] = time.Now()
+		f.versionArrivals[s.Version] = time.Now()
 		f.mu.Unlock()
 	}
-	if s.Whole {
+	if s.Full {
 		m := &struct {
 			State *messages.StateUpdate `cbor:"4,keyasint"`
 		}{}
-		if err := whole.Unmarshal(body, m); err != nil {
+		if err := snapshotDecoding.Unmarshal(body, m); err != nil {
 			return nil, err
 		}
-		f.share.take(m.State.Instances)
+		f.instances.update(m.State.Instances)
 	}
-	if len(s.Combs) > 0 {
+	if len(s.Members) > 0 {
 		var combs []membership.Member
-		if err := cbor.Unmarshal(s.Combs, &combs); err != nil {
+		if err := cbor.Unmarshal(s.Members, &combs); err != nil {
 			return nil, err
 		}
-		f.brain.Take(0, &messages.StateUpdate{Members: combs})
+		f.router.Take(0, &messages.StateUpdate{Members: combs})
 	}
 	return s, nil
 }
 
-// whole reads lists as long as internal/peertransport does.
-var whole = func() cbor.DecMode {
+// snapshotDecoding reads lists as long as internal/peertransport does.
+var snapshotDecoding = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20}.DecMode()
 	if err != nil {
 		panic(err)
@@ -333,7 +337,7 @@
 	return m
 }()
 
-func (f *Forager) report(send func(*peertransport.Frame), done chan struct{}) {
+func (f *SyntheticGateway) report(send func(*peertransport.Frame), done chan struct{}) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	last := time.Now()
@@ -342,53 +346,57 @@
 		case <-done:
 			return
 		case <-t.C:
-			send(&peertransport.Frame{LoadReport: f.Requests.Report(f.share.near(f.Zone), time.Since(last))})
+			send(&peertransport.Frame{LoadReport: f.Requests.LoadReport(f.instances.inZone(f.Zone), time.Since(last))})
 			last = time.Now()
 		}
 	}
 }
 
-func (f *Forager) at(comb string, joined bool) {
+func (f *SyntheticGateway) setMember(comb string, joined bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.comb = comb; joined {
-		f.wholeAt = time.Now()
+	if f.member = comb; joined {
+		f.snapshotAt = time.Now()
 	}
 }
 
-// Standing tells which comb it holds to, and since when it has had a whole state of it.
-func (f *Forager) Standing() (comb string, since time.Time) {
+// Connection tells which comb it holds to, and since when it has had a whole state of it.
+func (f *SyntheticGateway) Connection() (comb string, since time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.comb, f.wholeAt
+	return f.member, f.snapshotAt
 }
 
-// Saw tells when a version of the configuration came.
-func (f *Forager) Saw(version uint64) (time.Time, bool) {
+// VersionArrival tells when a version of the configuration came.
+func (f *SyntheticGateway) VersionArrival(version uint64) (time.Time, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at, ok := f.seen[version]
+	at, ok := f.versionArrivals[version]
 	return at, ok
 }
 
-// Replica is a hollow one: it beats as the protocol page says, on a connection of its own, and serves nobody.
-type Replica struct {
-	Life  registry.Instance
-	Every time.Duration
-	Seeds []string // control addresses
-	Out   *Counts
-	Back  *Counts
-
-	mu     sync.Mutex
-	target string
-	ackAt  time.Time
+// SyntheticReplica is a hollow one: it beats as the protocol page says, on a connection of its own, and serves nobody.
+type SyntheticReplica struct {
+	Instance          registry.Instance
+	HeartbeatInterval time.Duration
+	Seeds             []string // control addresses
+	Sent              *TrafficCounts
+	Received          *TrafficCounts
+
+	mu               sync.Mutex
+	target           string
+	lastAcknowledged time.Time
 }
 
-// Acked tells when a beat was last acknowledged; never is the zero time.
-func (r *Replica) Acked() time.Time { r.mu.Lock(); defer r.mu.Unlock(); return r.ackAt }
+// LastAcknowledged tells when a beat was last acknowledged; never is the zero time.
+func (r *SyntheticReplica) LastAcknowledged() time.Time {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.lastAcknowledged
+}
 
 // Run beats until the context ends, first after a part of a period that differs from replica to replica.
-func (r *Replica) Run(ctx context.Context) {
+func (r *SyntheticReplica) Run(ctx context.Context) {
 	var conn net.Conn
 	var in *bufio.Reader
 	drop := func() {
@@ -398,14 +406,14 @@
 		}
 	}
 	defer drop()
-	wait := rand.N(r.Every)
-	for seq := r.Life.Sequence; ; seq++ {
+	wait := rand.N(r.HeartbeatInterval)
+	for seq := r.Instance.Sequence; ; seq++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(wait):
 		}
-		wait = r.Every
+		wait = r.HeartbeatInterval
 		to := r.target
 		if to == "" {
 			to = r.Seeds[rand.IntN(len(r.Seeds))]
@@ -416,16 +424,16 @@
 				conn, r.target, wait = nil, "", 100*time.Millisecond
 				continue
 			}
-			in = bufio.NewReaderSize(counted{conn, r.Back}, 512)
+			in = bufio.NewReaderSize(countingConn{conn, r.Received}, 512)
 		}
-		next, err := r.beat(conn, in, to, seq)
+		next, err := r.sendHeartbeat(conn, in, to, seq)
 		if err != nil {
 			drop()
 			wait = 100 * time.Millisecond
 			continue
 		}
 		r.mu.Lock()
-		r.ackAt = time.Now()
+		r.lastAcknowledged = time.Now()
 		r.mu.Unlock()
 		if next != "" && next != to {
 			drop()
@@ -434,13 +442,13 @@
 	}
 }
 
-// counted counts what is read: an answer comes in one piece.
-type counted struct {
+// countingConn counts what is read: an answer comes in one piece.
+type countingConn struct {
 	net.Conn
-	by *Counts
+	by *TrafficCounts
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
 		c.by.add("beat answer", n)
@@ -448,8 +456,8 @@
 	return n, err
 }
 
-func (r *Replica) beat(conn net.Conn, in *bufio.Reader, host string, seq uint64) (string, error) {
-	l := r.Life
+func (r *SyntheticReplica) sendHeartbeat(conn net.Conn, in *bufio.Reader, host string, seq uint64) (string, error) {
+	l := r.Instance
 	body, _ := json.Marshal(map[string]any{"service": l.Service, "address": l.Addr, "zone": l.Zone, "version": "v1", "slots": l.Slots, "state": "ready",
 		"cold_remaining": "0ms", "sequence": seq})
 	var b bytes.Buffer
@@ -459,7 +467,7 @@
 	if _, err := conn.Write(b.Bytes()); err != nil {
 		return "", err
 	}
-	r.Out.add("beat", b.Len())
+	r.Sent.add("beat", b.Len())
 	resp, err := http.ReadResponse(in, nil) // what it read is counted by the connection
 	if err != nil {
 		return "", err
--- a/internal/scalerun/hollow_test.go
+++ b/internal/scalerun/hollow_test.go
@@ -26,9 +26,9 @@
 const configured = `{"version":"00000001","services":[{"name":"svc","max_connections":100,"cold_per_s":4}],"limits":{"max_body_bytes":100},
 "virtual_hosts":[{"hostname":"127.0.0.1","path_routes":[{"name":"r","path_prefix":"/","kind":"safe","timeout":"3s","target_latency":"1s","max_attempts":2,"service":"svc"}]}]}`
 
-// play is a comb that lets one forager in, tells it what it is to hold, and gives signs of life. It returns what the forager
+// actAsMember is a comb that lets one forager in, tells it what it is to hold, and gives signs of life. It returns what the forager
 // said, by kind, until it had sent so many reports, and the requests that those told of.
-func play(t *testing.T, ln net.Listener, lives []registry.Instance, reports int) (map[string]Count, int) {
+func actAsMember(t *testing.T, ln net.Listener, lives []registry.Instance, reports int) (map[string]Count, int) {
 	ln.(*net.TCPListener).SetDeadline(time.Now().Add(20 * time.Second))
 	nc, err := ln.Accept()
 	if err != nil {
@@ -43,7 +43,7 @@
 		}
 		c.Send(b)
 	}
-	said, requests := &Counts{}, 0
+	said, requests := &TrafficCounts{}, 0
 	signs := time.NewTicker(200 * time.Millisecond)
 	defer signs.Stop()
 	go func() {
@@ -66,17 +66,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		said.add(Said(m), len(b))
+		said.add(MessageKind(m), len(b))
 		if m.Hello != nil {
 			send(messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: []byte(configured), Instances: lives, GatewayCount: 1,
 				Members: []membership.Member{{ID: "c/0", Addr: ln.Addr().String(), Zone: "a", APIAddr: "127.0.0.1:1"}}})
 		}
-		if Said(m) == "report" {
+		if MessageKind(m) == "report" {
 			n++
 			requests += m.LoadReport.Requests["svc"]
 		}
 	}
-	return said.Now(), requests
+	return said.Snapshot(), requests
 }
 
 func listen(t *testing.T) net.Listener {
@@ -98,7 +98,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		up.Took = 70 * time.Millisecond
+		up.ServiceTime = 70 * time.Millisecond
 		t.Cleanup(func() { up.Close() })
 		lives = append(lives, registry.Instance{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4, Sequence: 1})
 	}
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := gateway.New(set, program.Logger(io.Discard, "forager"))
+	f, err := gateway.New(set, program.NewLogger(io.Discard, "forager"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 			}
 		}()
 	}
-	real, requests := play(t, ln, lives, reports)
+	real, requests := actAsMember(t, ln, lives, reports)
 	stop()
 	if err := <-ended; err != nil {
 		t.Fatal(err)
@@ -148,12 +148,12 @@
 	ln2 := listen(t)
 	hctx, hstop := context.WithCancel(context.Background())
 	n := 0
-	h := &Forager{Name: "edge-a-1", Zone: "a", IP: netip.MustParseAddr("127.0.0.1"), Seeds: []string{ln2.Addr().String()}, In: &Counts{}, Out: &Counts{}, share: &known{},
-		Requests: Requests{PerSecond: float64(requests) / reports, Chance: func() float64 { n++; return float64(n%8)/8 + 0.01 }}}
-	h.begin(1)
+	h := &SyntheticGateway{Name: "edge-a-1", Zone: "a", IP: netip.MustParseAddr("127.0.0.1"), Seeds: []string{ln2.Addr().String()}, Received: &TrafficCounts{}, Sent: &TrafficCounts{}, instances: &sharedInstances{},
+		Requests: RequestLoad{PerSecond: float64(requests) / reports, Chance: func() float64 { n++; return float64(n%8)/8 + 0.01 }}}
+	h.initialize(1)
 	done := make(chan error, 1)
 	go func() { done <- h.Run(hctx, 0) }()
-	hollow, _ := play(t, ln2, lives, reports)
+	hollow, _ := actAsMember(t, ln2, lives, reports)
 	hstop()
 	<-done
 
@@ -169,10 +169,10 @@
 			t.Errorf("%q: real %+v, hollow %+v", kind, r, h)
 		}
 	}
-	if in := h.In.Now(); in["configuration"].Messages != 1 || in["whole lives"].Messages != 1 || in["state"].Messages < 2 {
+	if in := h.Received.Snapshot(); in["configuration"].Messages != 1 || in["whole lives"].Messages != 1 || in["state"].Messages < 2 {
 		t.Errorf("heard %+v", in)
 	}
-	if _, ok := h.Saw(1); !ok {
+	if _, ok := h.VersionArrival(1); !ok {
 		t.Error("the version was not seen")
 	}
 }
--- a/internal/scalerun/process.go
+++ b/internal/scalerun/process.go
@@ -68,15 +68,15 @@
 	}
 }
 
-// use is what a process has used, from /proc. Read and Written are bytes of read and write calls, which TCP's are and UDP's are not.
-type use struct {
+// usage is what a process has used, from /proc. Read and Written are bytes of read and write calls, which TCP's are and UDP's are not.
+type usage struct {
 	CPU                                  time.Duration
 	Memory, Peak, Read, Written, Sockets float64
 }
 
 const clockTick = time.Second / 100 // of /proc/PID/stat, on Linux
 
-func (p *process) use() (u use, err error) {
+func (p *process) usage() (u usage, err error) {
 	dir := "/proc/" + strconv.Itoa(p.cmd.Process.Pid)
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
@@ -117,8 +117,8 @@
 	return u, err
 }
 
-// within keeps this process, and those that it starts from now on, on so many of the cores that it may use.
-func within(cores int) error {
+// limitCores keeps this process, and those that it starts from now on, on so many of the cores that it may use.
+func limitCores(cores int) error {
 	var set unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &set); err != nil {
 		return err
--- a/internal/scalerun/target.go
+++ b/internal/scalerun/target.go
@@ -16,27 +16,27 @@
 
 // Target is the size to which figures are carried on, and the bounds there.
 type Target struct {
-	Governors int     `toml:"governors"` // foragers
-	Replicas  int     `toml:"replicas"`
-	Services  int     `toml:"services"`
-	Routes    int     `toml:"routes"`
-	Zones     int     `toml:"zones"`
-	Requests  float64 `toml:"requests_per_second"`
+	Gateways int     `toml:"governors"` // foragers
+	Replicas int     `toml:"replicas"`
+	Services int     `toml:"services"`
+	Routes   int     `toml:"routes"`
+	Zones    int     `toml:"zones"`
+	Requests float64 `toml:"requests_per_second"`
 
 	Bounds []Bound `toml:"bound"`
 }
 
 // Bound is what a figure may be at the target.
 type Bound struct {
-	Name string  `toml:"name"` // of the series
-	Unit string  `toml:"unit"`
-	Most float64 `toml:"most"`
-	Why  string  `toml:"why"`
+	Name   string  `toml:"name"` // of the series
+	Unit   string  `toml:"unit"`
+	Max    float64 `toml:"most"`
+	Reason string  `toml:"why"`
 }
 
 // Fleet is the target's size.
 func (t Target) Fleet() sizes.Fleet {
-	return sizes.Fleet{Foragers: t.Governors, Replicas: t.Replicas, Services: t.Services, Routes: t.Routes, Zones: t.Zones}
+	return sizes.Fleet{Gateways: t.Gateways, Replicas: t.Replicas, Services: t.Services, Routes: t.Routes, Zones: t.Zones}
 }
 
 // ReadTarget reads a target file. A key that is not known is a fault.
@@ -50,14 +50,14 @@
 	if err := d.Decode(&t); err != nil {
 		return t, merry.Prepend(err, path)
 	}
-	if t.Governors < 1 || t.Replicas < 1 || t.Services < 1 || t.Routes < 1 || t.Zones < 1 {
+	if t.Gateways < 1 || t.Replicas < 1 || t.Services < 1 || t.Routes < 1 || t.Zones < 1 {
 		return t, merry.Errorf("%s: governors, replicas, services, routes and zones must all be above nothing", path)
 	}
 	return t, nil
 }
 
-// Number is a figure with four digits.
-func Number(v float64) string {
+// FormatNumber is a figure with four digits.
+func FormatNumber(v float64) string {
 	switch a := math.Abs(v); {
 	case math.IsNaN(v):
 		return "-"
@@ -98,9 +98,9 @@
 func writeTable(w io.Writer, all []Series, xs []float64, to float64, bounds []Bound) {
 	fmt.Fprint(w, "| what | unit |")
 	for _, x := range xs {
-		fmt.Fprintf(w, " %s |", Number(x))
+		fmt.Fprintf(w, " %s |", FormatNumber(x))
 	}
-	fmt.Fprintf(w, " power | at %s | bound | |\n| --- | --- |%s --- | --- | --- | --- |\n", Number(to), strings.Repeat(" --- |", len(xs)))
+	fmt.Fprintf(w, " power | at %s | bound | |\n| --- | --- |%s --- | --- | --- | --- |\n", FormatNumber(to), strings.Repeat(" --- |", len(xs)))
 	for _, s := range all {
 		fmt.Fprintf(w, "| %s | %s |", s.Name, s.Unit)
 		for _, x := range xs {
@@ -110,30 +110,30 @@
 					v = s.Y[i]
 				}
 			}
-			fmt.Fprintf(w, " %s |", Number(v))
+			fmt.Fprintf(w, " %s |", FormatNumber(v))
 		}
-		p, ok := Fit(s.X, s.Y)
+		p, ok := FitPowerLaw(s.X, s.Y)
 		if !ok {
 			fmt.Fprint(w, " not measured | | | |\n")
 			continue
 		}
 		spread := ""
-		if !math.IsNaN(p.Spread) {
-			spread = fmt.Sprintf(" ± %.2f", p.Spread)
+		if !math.IsNaN(p.StandardError) {
+			spread = fmt.Sprintf(" ± %.2f", p.StandardError)
 		}
-		at := p.At(to)
-		if x, y := s.Last(); x == to {
+		at := p.Predict(to)
+		if x, y := s.Largest(); x == to {
 			at = y
 		}
 		bound, verdict := "", ""
 		for _, b := range bounds {
 			if b.Name == s.Name && b.Unit == s.Unit {
-				if bound, verdict = Number(b.Most), "fits"; at > b.Most {
+				if bound, verdict = FormatNumber(b.Max), "fits"; at > b.Max {
 					verdict = "does not fit"
 				}
 			}
 		}
-		fmt.Fprintf(w, " %.2f%s | %s | %s | %s |\n", p.Exponent, spread, Number(at), bound, verdict)
+		fmt.Fprintf(w, " %.2f%s | %s | %s | %s |\n", p.Exponent, spread, FormatNumber(at), bound, verdict)
 	}
 	fmt.Fprintln(w)
 }
--- a/internal/scalerun/target_test.go
+++ b/internal/scalerun/target_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := target.Fleet(); f.Foragers != 3300 || f.Replicas != 47000 || f.Services != 1300 || f.Routes != 51000 || f.Zones != 27 {
+	if f := target.Fleet(); f.Gateways != 3300 || f.Replicas != 47000 || f.Services != 1300 || f.Routes != 51000 || f.Zones != 27 {
 		t.Fatalf("%+v", f)
 	}
 	f, err := os.Open("../../docs/capacity-scale.csv")
@@ -33,7 +33,7 @@
 		v, _ := strconv.ParseFloat(l[4], 64)
 		rows = append(rows, Row{part, l[1], l[2], l[3], v})
 	}
-	all := Gather(rows)
+	all := GroupSeries(rows)
 	for _, b := range target.Bounds {
 		found := false
 		for _, s := range all {
@@ -75,7 +75,7 @@
 }
 
 func TestSummed(t *testing.T) {
-	got := summed([]Row{{1, "comb", "memory", "MB", 2}, {3, "comb", "memory", "MB", 5}, {1, "comb", "memory", "MB", 4}})
+	got := sumRows([]Row{{1, "comb", "memory", "MB", 2}, {3, "comb", "memory", "MB", 5}, {1, "comb", "memory", "MB", 4}})
 	if len(got) != 2 || got[0].Value != 6 || got[1].Value != 5 {
 		t.Fatalf("%+v", got)
 	}
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	batchHead  = 16
-	replyHead  = 8
-	eventSize  = 48
-	orderSize  = 24
-	entrySize  = 21
-	frameLimit = 1 << 30
+	batchHeaderSize = 16
+	replyHeaderSize = 8
+	eventSize       = 48
+	orderSize       = 24
+	entrySize       = 21
+	maxFrameSize    = 1 << 30
 )
 
 // InstanceID is the simulator's number for one governor.
 type InstanceID uint16
 
-// Share is what one batch holds for one instance.
-type Share struct {
-	Instance InstanceID
-	Events   []rules.Event
-	Fault    error // settings that the instance cannot run on
+// InstanceEvents is what one batch holds for one instance.
+type InstanceEvents struct {
+	Instance      InstanceID
+	Events        []rules.Event
+	SettingsError error // settings that the instance cannot run on
 }
 
 // Batch is one frame of events. Shares stand in the order in which their instances are first named.
 type Batch struct {
-	Now    rules.Time
-	Shares []*Share
+	Now       rules.Time
+	Instances []*InstanceEvents
 }
 
 // Decoder reads batches. It remembers which load figures each instance's site reports.
@@ -52,7 +52,7 @@
 
 // Next reads one batch. It returns io.EOF at a clean end of input.
 func (d *Decoder) Next() (*Batch, error) {
-	var head [batchHead]byte
+	var head [batchHeaderSize]byte
 	if _, err := io.ReadFull(d.r, head[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil, errors.New("truncated frame: the input ends inside a header")
@@ -61,8 +61,8 @@
 	}
 	size := binary.LittleEndian.Uint32(head[0:])
 	count := binary.LittleEndian.Uint32(head[12:])
-	body := int64(size) - batchHead
-	if body < int64(count)*eventSize || size > frameLimit {
+	body := int64(size) - batchHeaderSize
+	if body < int64(count)*eventSize || size > maxFrameSize {
 		return nil, fmt.Errorf("malformed frame: %d bytes for %d records", size, count)
 	}
 	data := make([]byte, body)
@@ -71,16 +71,16 @@
 	}
 	records, tail := data[:count*eventSize], data[count*eventSize:]
 	b := &Batch{Now: rules.Time(binary.LittleEndian.Uint64(head[4:]))}
-	shares := map[InstanceID]*Share{}
-	var cur *Share
+	shares := map[InstanceID]*InstanceEvents{}
+	var cur *InstanceEvents
 	for i := 0; i < len(records); i += eventSize {
 		rec := record{records[i : i+eventSize], tail}
 		if rec.b[0] == evSelect {
 			id := InstanceID(rec.u16(1))
 			if cur = shares[id]; cur == nil {
-				cur = &Share{Instance: id}
+				cur = &InstanceEvents{Instance: id}
 				shares[id] = cur
-				b.Shares = append(b.Shares, cur)
+				b.Instances = append(b.Instances, cur)
 			}
 			continue
 		}
@@ -113,7 +113,7 @@
 	evIntake
 )
 
-func (d *Decoder) event(s *Share, r record) error {
+func (d *Decoder) event(s *InstanceEvents, r record) error {
 	var e rules.Event
 	switch code := r.b[0]; code {
 	case evTenure:
@@ -143,7 +143,7 @@
 		settings, err := config.ReadSettings(text)
 		var fault config.SettingsError
 		if errors.As(err, &fault) {
-			s.Fault = err
+			s.SettingsError = err
 			return nil
 		} else if err != nil {
 			return err
@@ -280,14 +280,14 @@
 	}
 }
 
-// Context names the instance of the orders that follow.
-func (r *Reply) Context(id InstanceID) { put16(r.record(orContext), 1, uint16(id)) }
+// SelectInstance names the instance of the orders that follow.
+func (r *Reply) SelectInstance(id InstanceID) { put16(r.record(orContext), 1, uint16(id)) }
 
-// Bug says that the decision code has failed.
-func (r *Reply) Bug(text string) { r.text(r.record(orBug), 1, []byte(text)) }
+// AddBug says that the decision code has failed.
+func (r *Reply) AddBug(text string) { r.text(r.record(orBug), 1, []byte(text)) }
 
-// Order adds one order.
-func (r *Reply) Order(o rules.Order) error {
+// AddOrder adds one order.
+func (r *Reply) AddOrder(o rules.Order) error {
 	switch o := o.(type) {
 	case rules.Line:
 		rec := r.record(orLine)
@@ -338,9 +338,9 @@
 	return nil
 }
 
-// Frame returns the reply's bytes.
-func (r *Reply) Frame() []byte {
-	out := make([]byte, replyHead, replyHead+len(r.records)+len(r.tail))
+// Encode returns the reply's bytes.
+func (r *Reply) Encode() []byte {
+	out := make([]byte, replyHeaderSize, replyHeaderSize+len(r.records)+len(r.tail))
 	out = append(append(out, r.records...), r.tail...)
 	put32(out, 0, uint32(len(out)))
 	put32(out, 4, r.count)
