--- a/internal/simadapter/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -22,8 +22,8 @@
 		body = append(body, append(b, make([]byte, eventSize-len(b))...)...)
 	}
 	body = append(body, unhex(t, tail)...)
-	head := make([]byte, batchHead)
-	put32(head, 0, uint32(batchHead+len(body)))
+	head := make([]byte, batchHeaderSize)
+	put32(head, 0, uint32(batchHeaderSize+len(body)))
 	put64(head, 4, 5)
 	put32(head, 12, uint32(len(records)))
 	return append(head, body...)
@@ -55,7 +55,7 @@
 		}
 		got = append(got, b)
 	}
-	want := []*Batch{{Now: 5}, {Now: 5, Shares: []*Share{
+	want := []*Batch{{Now: 5}, {Now: 5, Instances: []*InstanceEvents{
 		{Instance: 3, Events: []rules.Event{
 			rules.Wake{Mark: 77},
 			rules.List{Scope: rules.Changes, Entries: []rules.Entry{
@@ -90,7 +90,7 @@
 
 func TestOrders(t *testing.T) {
 	var r Reply
-	r.Context(3)
+	r.SelectInstance(3)
 	for _, o := range []rules.Order{
 		rules.Line{Table: 117, Replica: 0x2c9011f2, Weight: 0.75},
 		rules.WakeAfter{After: 500 * time.Millisecond, Mark: 77},
@@ -99,15 +99,15 @@
 		rules.ClearTable{Table: 117}, rules.FetchList{}, rules.Probe{Replica: 9}, rules.Mark{Version: 2, ToAll: true},
 		rules.Tell{To: 65535, Data: []byte("hi 7")},
 	} {
-		if err := r.Order(o); err != nil {
+		if err := r.AddOrder(o); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.Context(5)
-	if err := r.Order(rules.Log{Text: "two"}); err != nil {
+	r.SelectInstance(5)
+	if err := r.AddOrder(rules.Log{Text: "two"}); err != nil {
 		t.Fatal(err)
 	}
-	r.Bug("no")
+	r.AddBug("no")
 	var want []byte
 	for _, rec := range []string{"0d 0300", "07 7500 0000403f f211902c", "00 0065cd1d00000000 4d00000000000000",
 		"0b 0000403f 7500 01 0200", "0a 0000 7500 2900", "09 09000000 01", "05 01", "08 7500", "06", "01 09000000",
@@ -118,7 +118,7 @@
 	}
 	want = append(want, "hi 7twono"...)
 	want = append(unhex(t, "79010000 0f000000"), want...)
-	if d := cmp.Diff(hex.Dump(want), hex.Dump(r.Frame())); d != "" {
+	if d := cmp.Diff(hex.Dump(want), hex.Dump(r.Encode())); d != "" {
 		t.Error(d)
 	}
 }
--- a/internal/simulation/sites.go
+++ b/internal/simulation/sites.go
@@ -72,8 +72,8 @@
 	refused, spilled, served int     // in the second at hand
 	lender                   *overflow.Lender
 	borrower                 *overflow.Borrower
-	purse                    *overflow.Purse
-	door                     *overflow.Door
+	purse                    *overflow.BorrowedQuota
+	door                     *overflow.LentQuota
 	stats                    overflow.Stats
 	swamped                  bool
 }
@@ -157,7 +157,7 @@
 func (w *rush) boot(s *rushSite) {
 	s.up, s.life = true, s.life+1
 	s.lender, s.borrower = overflow.NewLender(fmt.Sprintf("s%d.%d", s.i, s.life)), overflow.NewBorrower()
-	s.purse, s.door = overflow.NewPurse(fmt.Sprintf("p%d.%d", s.i, s.life)), overflow.NewDoor()
+	s.purse, s.door = overflow.NewBorrowedQuota(fmt.Sprintf("p%d.%d", s.i, s.life)), overflow.NewLentQuota()
 	s.running, s.guests, s.queue = 0, 0, nil
 }
 
@@ -258,7 +258,7 @@
 func (w *rush) target(s *rushSite, q *siteReq) (int, overflow.Token, bool) {
 	switch w.r.Way {
 	case ByLeases:
-		t, ok := s.purse.Take(w.now, "svc", !q.order)
+		t, ok := s.purse.Spend(w.now, "svc", !q.order)
 		if !ok {
 			return 0, t, false
 		}
@@ -313,11 +313,11 @@
 		return
 	}
 	if w.r.Way == ByLeases {
-		switch o.door.Open(w.now, token, "svc") {
-		case overflow.NotRun:
+		switch o.door.Admit(w.now, token, "svc") {
+		case overflow.NotExecuted:
 			back(again)
 			return
-		case overflow.Doubt:
+		case overflow.Duplicate:
 			return
 		}
 	}
@@ -380,7 +380,7 @@
 		if !s.up {
 			return
 		}
-		s.stats = overflow.Stats{Slots: float64(s.slots), Rate: float64(s.served), Took: siteWork.Seconds(), Refused: float64(s.refused)}
+		s.stats = overflow.Stats{Slots: float64(s.slots), Rate: float64(s.served), ServiceSeconds: siteWork.Seconds(), RejectedRate: float64(s.refused)}
 		busy := s.refused > 0
 		if busy {
 			for _, o := range w.sites {
@@ -389,23 +389,23 @@
 				}
 			}
 		}
-		s.borrower.Told(w.now, "svc", float64(s.refused), float64(s.spilled))
+		s.borrower.RecordDemand(w.now, "svc", float64(s.refused), float64(s.spilled))
 		if busy || len(s.borrower.Services()) > 0 {
-			s.lender.Poor(w.now, "svc")
+			s.lender.MarkShort(w.now, "svc")
 		}
 		s.refused, s.spilled, s.served = 0, 0, 0
-		s.door.Lent(w.now, s.lender.Lent(w.now))
-		s.purse.Fill(w.now, s.borrower.Held(w.now, "svc"))
+		s.door.SetLeases(w.now, s.lender.ActiveLeases(w.now))
+		s.purse.SetLeases(w.now, s.borrower.UsableLeases(w.now, "svc"))
 		if w.r.Way != ByLeases {
 			return
 		}
-		var near []overflow.Neighbour
+		var near []overflow.PeerSite
 		for _, o := range w.sites {
 			if o != s {
-				near = append(near, overflow.Neighbour{Site: fmt.Sprint(o.i), Distance: distance(s.i, o.i)})
+				near = append(near, overflow.PeerSite{Site: fmt.Sprint(o.i), Distance: distance(s.i, o.i)})
 			}
 		}
-		for _, x := range s.borrower.Wants(w.now, near) {
+		for _, x := range s.borrower.LeaseRequests(w.now, near) {
 			var to int
 			fmt.Sscan(x.Site, &to)
 			o, sent, life := w.sites[to], w.now, s.life
@@ -413,11 +413,11 @@
 				if !o.up {
 					return
 				}
-				l, ok := o.lender.Lend(w.now, fmt.Sprint(s.i), "svc", x.Rate, o.stats.Room(), 0)
+				l, ok := o.lender.Grant(w.now, fmt.Sprint(s.i), "svc", x.Rate, o.stats.SpareRate(), 0)
 				if w.history != nil {
 					w.history.add(entryRush, w.now, s.i, x, l, ok)
 				}
-				o.door.Lent(w.now, o.lender.Lent(w.now))
+				o.door.SetLeases(w.now, o.lender.ActiveLeases(w.now))
 				w.over(to, s.i, func() {
 					if !s.up || s.life != life {
 						return
@@ -425,8 +425,8 @@
 					if l.Service = "svc"; ok {
 						l.Addrs = []string{fmt.Sprint(to)}
 					}
-					s.borrower.Given(w.now, sent, x.Site, l)
-					s.purse.Fill(w.now, s.borrower.Held(w.now, "svc"))
+					s.borrower.HandleResponse(w.now, sent, x.Site, l)
+					s.purse.SetLeases(w.now, s.borrower.UsableLeases(w.now, "svc"))
 				})
 			})
 		}
--- a/internal/simulation/windows.go
+++ b/internal/simulation/windows.go
@@ -23,12 +23,12 @@
 
 // command is an operator's word on windows.
 func (w *world) command(a Act) *maintenance.Command {
-	c := &maintenance.Command{Verb: a.Kind, Name: "work"}
+	c := &maintenance.Command{Verb: a.Kind, WindowName: "work"}
 	if a.Kind == "agree" {
 		for i := range zones {
-			c.Agreed = append(c.Agreed, capacity.Floor{Region: fmt.Sprintf("r%d", i), Group: capacity.Lookups, Least: agreedRate})
+			c.AgreedFloors = append(c.AgreedFloors, capacity.Floor{Region: fmt.Sprintf("r%d", i), Group: capacity.Lookups, Minimum: agreedRate})
 		}
-		c.Losses.Machines = 1
+		c.FaultTolerance.Machines = 1
 		return c
 	}
 	if a.On < len(w.bees) {
@@ -48,16 +48,16 @@
 		w.broken("%s holds windows that cannot be read: %v", m.name, err)
 		return
 	}
-	if s.Fence < w.windows.Fence {
-		w.broken("%s: the fence of windows went back from %d to %d", m.name, w.windows.Fence, s.Fence)
+	if s.FencingToken < w.windows.FencingToken {
+		w.broken("%s: the fence of windows went back from %d to %d", m.name, w.windows.FencingToken, s.FencingToken)
 	}
 	out := map[string]int{}
 	for _, x := range s.Windows {
-		if x.Phase != maintenance.Asked {
+		if x.Phase != maintenance.Requested {
 			out[w.zone(int(x.Node[len(x.Node)-1]-'0'))]++
 		}
-		if old := w.windows.Orders()[x.Node]; old.Phase != x.Phase && x.Phase != maintenance.Asked {
-			w.say("%s: window of %s is %s (fence %d) %s", m.name, x.Node, x.Phase, x.Fence, x.Why)
+		if old := w.windows.Instructions()[x.Node]; old.Phase != x.Phase && x.Phase != maintenance.Requested {
+			w.say("%s: window of %s is %s (fence %d) %s", m.name, x.Node, x.Phase, x.FencingToken, x.Reason)
 			if x.Phase == maintenance.Drained {
 				w.res.Drained++
 			}
@@ -81,7 +81,7 @@
 
 // anyOut is 1 while a window is open.
 func (w *world) anyOut() int {
-	if len(w.windows.Orders()) > 0 {
+	if len(w.windows.Instructions()) > 0 {
 		return 1
 	}
 	return 0
@@ -92,17 +92,17 @@
 // node after another, in slots.
 func Week(seed uint64) (s Schedule, plan, best, serial int) {
 	r := rand.New(rand.NewPCG(seed, 5))
-	q := &maintenanceplanner.Request{Slots: 60, Losses: capacity.Losses{Machines: 1}}
+	q := &maintenanceplanner.Request{SlotCount: 60, FaultTolerance: capacity.FaultTolerance{Machines: 1}}
 	for i := range zones {
-		q.Need = append(q.Need, maintenanceplanner.Need{Region: fmt.Sprintf("r%d", i), Group: capacity.Lookups, Agreed: agreedRate})
+		q.Demands = append(q.Demands, maintenanceplanner.Demand{Region: fmt.Sprintf("r%d", i), Group: capacity.Lookups, Floor: agreedRate})
 	}
 	for i := range 9 {
-		q.Nodes = append(q.Nodes, capacity.Node{Name: fmt.Sprintf("forager %d", i), Zone: string(rune('a' + i%zones)), Region: fmt.Sprintf("r%d", i%zones), Carries: map[string]float64{capacity.Lookups: 70 + 20*r.Float64()}})
+		q.Nodes = append(q.Nodes, capacity.Node{Name: fmt.Sprintf("forager %d", i), Zone: string(rune('a' + i%zones)), Region: fmt.Sprintf("r%d", i%zones), Capacity: map[string]float64{capacity.Lookups: 70 + 20*r.Float64()}})
 	}
 	order := r.Perm(9)[:3+r.IntN(7)]
 	for _, i := range order {
 		takes := 6 + r.IntN(5)
-		q.Wishes = append(q.Wishes, maintenanceplanner.Wish{Name: q.Nodes[i].Name, Nodes: []string{q.Nodes[i].Name}, Latest: 60, Takes: takes})
+		q.Windows = append(q.Windows, maintenanceplanner.WindowRequest{Name: q.Nodes[i].Name, Nodes: []string{q.Nodes[i].Name}, Latest: 60, DurationSlots: takes})
 		serial += takes
 	}
 	greedy, _ := maintenanceplanner.Greedy(q)
@@ -113,21 +113,21 @@
 	s = Draw(seed, 3, 2, 30*time.Second)
 	s.Foragers, s.Replicas = 9, 4
 	s.Acts = []Act{{At: 1200 * time.Millisecond, Kind: "put", Version: 1}, {At: 2 * time.Second, Kind: "agree"}}
-	for _, x := range tt.Turns {
+	for _, x := range tt.Assignments {
 		on := slices.IndexFunc(q.Nodes, func(n capacity.Node) bool { return n.Name == x.Node })
-		s.Acts = append(s.Acts, Act{At: time.Duration(6+x.From) * time.Second, Kind: "ask", On: on}, Act{At: time.Duration(6+x.To) * time.Second, Kind: "finish", On: on})
-		s.Lasts = max(s.Lasts, time.Duration(8+x.To)*time.Second)
+		s.Acts = append(s.Acts, Act{At: time.Duration(6+x.Start) * time.Second, Kind: "ask", On: on}, Act{At: time.Duration(6+x.End) * time.Second, Kind: "finish", On: on})
+		s.Lasts = max(s.Lasts, time.Duration(8+x.End)*time.Second)
 	}
 	slices.SortStableFunc(s.Acts, func(a, b Act) int { return int(a.At - b.At) })
-	return s, greedy.Length, tt.Length, serial
+	return s, greedy.Makespan, tt.Makespan, serial
 }
 
 // between watches that no forager hangs between serving and not, once all has been calm for long.
 func (w *world) between(b *bee) {
-	if !w.windows.On() || !w.calm(settles) || w.now-w.windowsAt < settles || w.now-b.began < settles || b.comb == nil {
+	if !w.windows.Enabled() || !w.calm(settles) || w.now-w.windowsAt < settles || w.now-b.began < settles || b.comb == nil {
 		return
 	}
-	x, has := w.windows.Orders()[b.name]
+	x, has := w.windows.Instructions()[b.name]
 	if !has && !b.brain.Serves() {
 		w.broken("%s does not serve, though it has no window any more", b.name)
 	}
--- a/internal/standin/collectd.go
+++ b/internal/standin/collectd.go
@@ -7,31 +7,33 @@
 	"time"
 )
 
-// Packet makes packets of collectd's network protocol, good and broken.
-type Packet []byte
+// CollectdPacket makes packets of collectd's network protocol, good and broken.
+type CollectdPacket []byte
 
-// Part adds a part of any type.
-func (p Packet) Part(kind uint16, body []byte) Packet {
+// AppendPart adds a part of any type.
+func (p CollectdPacket) AppendPart(kind uint16, body []byte) CollectdPacket {
 	p = binary.BigEndian.AppendUint16(p, kind)
 	p = binary.BigEndian.AppendUint16(p, uint16(4+len(body)))
 	return append(p, body...)
 }
 
-// Text adds a part that is a text: 0 host, 2 plugin, 3 its instance, 4 type, 5 its instance.
-func (p Packet) Text(kind uint16, text string) Packet { return p.Part(kind, append([]byte(text), 0)) }
+// AppendString adds a part that is a text: 0 host, 2 plugin, 3 its instance, 4 type, 5 its instance.
+func (p CollectdPacket) AppendString(kind uint16, text string) CollectdPacket {
+	return p.AppendPart(kind, append([]byte(text), 0))
+}
 
-// Number adds a part that is a number: 1 time in seconds, 7 interval.
-func (p Packet) Number(kind uint16, n uint64) Packet {
-	return p.Part(kind, binary.BigEndian.AppendUint64(nil, n))
+// AppendNumber adds a part that is a number: 1 time in seconds, 7 interval.
+func (p CollectdPacket) AppendNumber(kind uint16, n uint64) CollectdPacket {
+	return p.AppendPart(kind, binary.BigEndian.AppendUint64(nil, n))
 }
 
-// Time adds a time in units of 2^-30 seconds.
-func (p Packet) Time(t time.Time) Packet {
-	return p.Number(8, uint64(t.Unix())<<30|uint64(t.Nanosecond())<<30/uint64(time.Second))
+// AppendTime adds a time in units of 2^-30 seconds.
+func (p CollectdPacket) AppendTime(t time.Time) CollectdPacket {
+	return p.AppendNumber(8, uint64(t.Unix())<<30|uint64(t.Nanosecond())<<30/uint64(time.Second))
 }
 
-// Gauges adds a part of values that are gauges.
-func (p Packet) Gauges(values ...float64) Packet {
+// AppendGauges adds a part of values that are gauges.
+func (p CollectdPacket) AppendGauges(values ...float64) CollectdPacket {
 	b := binary.BigEndian.AppendUint16(nil, uint16(len(values)))
 	for range values {
 		b = append(b, 1)
@@ -39,11 +41,11 @@
 	for _, v := range values {
 		b = binary.LittleEndian.AppendUint64(b, math.Float64bits(v))
 	}
-	return p.Part(6, b)
+	return p.AppendPart(6, b)
 }
 
-// Counts adds a part of values of one kind that counts: 0 counter, 2 derive, 3 absolute.
-func (p Packet) Counts(kind byte, values ...uint64) Packet {
+// AppendCounters adds a part of values of one kind that counts: 0 counter, 2 derive, 3 absolute.
+func (p CollectdPacket) AppendCounters(kind byte, values ...uint64) CollectdPacket {
 	b := binary.BigEndian.AppendUint16(nil, uint16(len(values)))
 	for range values {
 		b = append(b, kind)
@@ -51,12 +53,12 @@
 	for _, v := range values {
 		b = binary.BigEndian.AppendUint64(b, v)
 	}
-	return p.Part(6, b)
+	return p.AppendPart(6, b)
 }
 
-// Broken changes a packet at random: bytes, its length, or a part's length.
-func (p Packet) Broken(chance *rand.Rand) Packet {
-	b := append(Packet{}, p...)
+// Corrupt changes a packet at random: bytes, its length, or a part's length.
+func (p CollectdPacket) Corrupt(chance *rand.Rand) CollectdPacket {
+	b := append(CollectdPacket{}, p...)
 	for range 1 + chance.IntN(4) {
 		switch at := chance.IntN(len(b)); chance.IntN(3) {
 		case 0:
--- a/internal/standin/graphite.go
+++ b/internal/standin/graphite.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// Manner is how a Graphite receiver treats its next connections.
-type Manner int
+// ConnectionBehaviour is how a Graphite receiver treats its next connections.
+type ConnectionBehaviour int
 
 // Manners.
 const (
-	Reads    Manner = iota
-	Stalls          // takes the connection and reads nothing
-	Resets          // reads a little, then resets
-	HalfEnds        // closes its sending half, and reads on
-	Trickles        // reads a few bytes at a time
+	ReadsLines       ConnectionBehaviour = iota
+	StallsReading                        // takes the connection and reads nothing
+	ResetsConnection                     // reads a little, then resets
+	HalfCloses                           // closes its sending half, and reads on
+	ReadsSlowly                          // reads a few bytes at a time
 )
 
 // Graphite receives lines over TCP.
 type Graphite struct {
-	listener net.Listener
-	mu       sync.Mutex
-	manner   Manner
-	conns    []net.Conn
-	lines    []string
-	running  sync.WaitGroup
+	listener  net.Listener
+	mu        sync.Mutex
+	behaviour ConnectionBehaviour
+	conns     []net.Conn
+	lines     []string
+	running   sync.WaitGroup
 }
 
 // ListenGraphite begins to receive at a loopback address; ":0" takes any port.
@@ -45,11 +45,11 @@
 // Address is where it listens.
 func (g *Graphite) Address() string { return g.listener.Addr().String() }
 
-// Be sets the manner and ends the connections that are open.
-func (g *Graphite) Be(m Manner) {
+// SetBehaviour sets the manner and ends the connections that are open.
+func (g *Graphite) SetBehaviour(m ConnectionBehaviour) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.manner = m
+	g.behaviour = m
 	for _, c := range g.conns {
 		c.Close()
 	}
@@ -66,7 +66,7 @@
 // Close ends it.
 func (g *Graphite) Close() {
 	g.listener.Close()
-	g.Be(Stalls)
+	g.SetBehaviour(StallsReading)
 	g.running.Wait()
 }
 
@@ -77,27 +77,27 @@
 			return
 		}
 		g.mu.Lock()
-		m := g.manner
+		m := g.behaviour
 		g.conns = append(g.conns, c)
 		g.mu.Unlock()
 		g.running.Go(func() { g.serve(c.(*net.TCPConn), m) })
 	}
 }
 
-func (g *Graphite) serve(c *net.TCPConn, m Manner) {
+func (g *Graphite) serve(c *net.TCPConn, m ConnectionBehaviour) {
 	in := bufio.NewReader(c)
 	switch m {
-	case Stalls:
+	case StallsReading:
 		_ = c.SetReadBuffer(4 << 10)
 		return // it stays open until the manner changes
-	case Resets:
+	case ResetsConnection:
 		_, _ = in.ReadString('\n')
 		_ = c.SetLinger(0)
 		c.Close()
 		return
-	case HalfEnds:
+	case HalfCloses:
 		_ = c.CloseWrite()
-	case Trickles:
+	case ReadsSlowly:
 		_ = c.SetReadBuffer(4 << 10)
 		in = bufio.NewReaderSize(c, 16)
 	}
@@ -110,7 +110,7 @@
 		g.mu.Lock()
 		g.lines = append(g.lines, line)
 		g.mu.Unlock()
-		if m == Trickles {
+		if m == ReadsSlowly {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -17,27 +17,27 @@
 type Behaviour string
 
 const (
-	Well       Behaviour = ""           // a whole answer
-	Sheds      Behaviour = "sheds"      // 503, not executed
-	Other      Behaviour = "other"      // 421: another replica has the address
-	Cut        Behaviour = "cut"        // runs it, the answer ends early
-	Garbage    Behaviour = "garbage"    // runs it, and sends bytes that are no answer
-	Unsealed   Behaviour = "unsealed"   // runs it, and the answer lacks its seal
-	Encoded    Behaviour = "encoded"    // runs it, and claims an encoding
-	Lost       Behaviour = "lost"       // runs it, and closes without an answer
-	Silent     Behaviour = "silent"     // runs it, and says nothing
-	Surplus    Behaviour = "surplus"    // answers, and sends a second answer behind it
-	Late       Behaviour = "late"       // sends an answer of another request first
-	Fails      Behaviour = "fails"      // runs it, 500
-	Closes     Behaviour = "closes"     // answers, and closes the connection without a word
-	Unproven   Behaviour = "unproven"   // runs it, 503, and does not say whether it ran
-	NoIdentity Behaviour = "noidentity" // runs it, and the answer names no attempt
+	AnswersCorrectly        Behaviour = ""           // a whole answer
+	RejectsNotExecuted      Behaviour = "sheds"      // 503, not executed
+	Misdirected             Behaviour = "other"      // 421: another replica has the address
+	TruncatesResponse       Behaviour = "cut"        // runs it, the answer ends early
+	SendsGarbage            Behaviour = "garbage"    // runs it, and sends bytes that are no answer
+	OmitsSeal               Behaviour = "unsealed"   // runs it, and the answer lacks its seal
+	ClaimsEncoding          Behaviour = "encoded"    // runs it, and claims an encoding
+	ClosesWithoutResponse   Behaviour = "lost"       // runs it, and closes without an answer
+	NeverResponds           Behaviour = "silent"     // runs it, and says nothing
+	SendsExtraResponse      Behaviour = "surplus"    // answers, and sends a second answer behind it
+	SendsStaleResponseFirst Behaviour = "late"       // sends an answer of another request first
+	RespondsInternalError   Behaviour = "fails"      // runs it, 500
+	ClosesAfterResponse     Behaviour = "closes"     // answers, and closes the connection without a word
+	OmitsNotExecuted        Behaviour = "unproven"   // runs it, 503, and does not say whether it ran
+	OmitsAttemptID          Behaviour = "noidentity" // runs it, and the answer names no attempt
 )
 
 // Replica is one stand-in.
 type Replica struct {
-	ID   string
-	Took time.Duration // of its work
+	ID          string
+	ServiceTime time.Duration // of its work
 
 	ln     net.Listener
 	before func(attempt string)
@@ -64,28 +64,28 @@
 // Addr is where it listens.
 func (r *Replica) Addr() string { return r.ln.Addr().String() }
 
-// Then sets how the next requests are met; later ones are met well.
-func (r *Replica) Then(next ...Behaviour) {
+// SetBehaviours sets how the next requests are met; later ones are met well.
+func (r *Replica) SetBehaviours(next ...Behaviour) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.next = next
 }
 
-// Before has f called before each answer; Take has it serve the connections that come from now on.
-func (r *Replica) Before(f func(attempt string)) {
+// SetResponseHook has f called before each answer; Take has it serve the connections that come from now on.
+func (r *Replica) SetResponseHook(f func(attempt string)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.before = f
 }
 
-func (r *Replica) Take(f func(net.Conn)) {
+func (r *Replica) SetConnectionHandler(f func(net.Conn)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.take = f
 }
 
-// Ran is how often attempts ran, by their ids.
-func (r *Replica) Ran() map[string]int {
+// Executions is how often attempts ran, by their ids.
+func (r *Replica) Executions() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := map[string]int{}
@@ -95,15 +95,15 @@
 	return out
 }
 
-// Seen lists the requests that arrived.
-func (r *Replica) Seen() []*http.Request {
+// Requests lists the requests that arrived.
+func (r *Replica) Requests() []*http.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]*http.Request(nil), r.seen...)
 }
 
-// Opens is how many connections were opened to it.
-func (r *Replica) Opens() int {
+// ConnectionCount is how many connections were opened to it.
+func (r *Replica) ConnectionCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.opens
@@ -162,62 +162,62 @@
 			continue
 		}
 		r.mu.Lock()
-		b := Well
+		b := AnswersCorrectly
 		if len(r.next) > 0 {
 			b, r.next = r.next[0], r.next[1:]
 		}
 		if want := q.Header.Get("X-Target-Instance"); want != "" && want != r.ID {
-			b = Other
+			b = Misdirected
 		}
 		r.seen = append(r.seen, q)
 		before := r.before
-		if b != Sheds && b != Other {
+		if b != RejectsNotExecuted && b != Misdirected {
 			r.ran[id]++
 		}
 		r.mu.Unlock()
 		if before != nil {
 			before(id)
 		}
-		if r.Took > 0 {
-			time.Sleep(r.Took)
+		if r.ServiceTime > 0 {
+			time.Sleep(r.ServiceTime)
 		}
 		echo := "X-Attempt-Id: " + id + "\r\n"
 		seal := echo + "X-Response-Seal: seal-" + id + "\r\nX-Instance-Load: 1,0,4\r\nKeep-Alive: timeout=10\r\n"
 		whole := answer(200, seal, "body of "+id+" from "+r.ID+"\n")
 		switch b {
-		case Well:
+		case AnswersCorrectly:
 			io.WriteString(c, whole)
-		case Sheds:
+		case RejectsNotExecuted:
 			io.WriteString(c, answer(503, echo+"X-Not-Executed: 1\r\n", ""))
-		case Other:
+		case Misdirected:
 			io.WriteString(c, answer(421, echo+"X-Instance-Id: "+r.ID+"\r\n", ""))
-		case Cut:
+		case TruncatesResponse:
 			io.WriteString(c, whole[:len(whole)-5])
 			return
-		case Garbage:
+		case SendsGarbage:
 			io.WriteString(c, "\x00\x01 not an answer\r\n\r\n")
 			return
-		case Unsealed:
+		case OmitsSeal:
 			io.WriteString(c, answer(200, echo, "x"))
-		case Encoded:
+		case ClaimsEncoding:
 			io.WriteString(c, answer(200, seal+"Content-Encoding: gzip\r\n", "x"))
-		case Lost:
+		case ClosesWithoutResponse:
 			return
-		case Silent:
+		case NeverResponds:
 			io.Copy(io.Discard, br)
 			return
-		case Surplus:
+		case SendsExtraResponse:
 			io.WriteString(c, whole+answer(200, "X-Attempt-Id: other\r\nX-Response-Seal: s\r\n", "another's"))
-		case Late:
+		case SendsStaleResponseFirst:
 			io.WriteString(c, answer(200, "X-Attempt-Id: other\r\nX-Response-Seal: s\r\n", "another's")+whole)
-		case Unproven:
+		case OmitsNotExecuted:
 			io.WriteString(c, answer(503, echo, ""))
-		case Fails:
+		case RespondsInternalError:
 			io.WriteString(c, answer(500, echo, "failed\n"))
-		case Closes:
+		case ClosesAfterResponse:
 			io.WriteString(c, whole)
 			return
-		case NoIdentity:
+		case OmitsAttemptID:
 			io.WriteString(c, answer(200, "X-Response-Seal: s\r\n", "whose?"))
 		}
 	}
--- a/internal/statestore/capacity_test.go
+++ b/internal/statestore/capacity_test.go
@@ -92,7 +92,7 @@
 		seeds = append(seeds, fmt.Sprintf("10.0.0.%d:7540", i+1))
 	}
 	for i, addr := range seeds {
-		x := &clusterMember{disk: &countingDisk{files: map[string][]byte{}}, self: membership.Member{ID: addr + "/0", Addr: addr, Zone: sizes.Zone(i), APIAddr: addr}}
+		x := &clusterMember{disk: &countingDisk{files: map[string][]byte{}}, self: membership.Member{ID: addr + "/0", Addr: addr, Zone: sizes.ZoneName(i), APIAddr: addr}}
 		var err error
 		if x.store, err = statestore.Open(x.disk); err != nil {
 			b.Fatal(err)
@@ -181,7 +181,7 @@
 }
 
 func body(routes int, version uint64) []byte {
-	f := sizes.Users()
+	f := sizes.ProductionFleet()
 	f.Routes, f.Services = routes, max(routes*f.Services/f.Routes, 3)
 	return f.Configuration(version, 8)
 }
@@ -203,7 +203,7 @@
 				b.ReportAllocs()
 				i := 0
 				for ; b.Loop(); i++ {
-					o := chainreplication.Command{Zone: sizes.Zone(0), Evacuated: i%2 == 0}
+					o := chainreplication.Command{Zone: sizes.ZoneName(0), Evacuated: i%2 == 0}
 					if what == "config" {
 						version++
 						o = chainreplication.Command{Version: version, Body: raw}
@@ -259,9 +259,9 @@
 	for _, n := range []int{1740, 5220, 15700, 47000} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			m := newCluster(b, 1)
-			f := sizes.Users()
+			f := sizes.ProductionFleet()
 			f.Replicas = n
-			m.hints.instances = f.Lives()
+			m.hints.instances = f.Instances()
 			x := m.all[0]
 			before, i := x.disk.written, 0
 			b.ReportAllocs()
--- a/peersampling/neighbours.go
+++ b/peersampling/neighbours.go
@@ -12,146 +12,146 @@
 	"slices"
 )
 
-// Kind of a governor.
-type Kind uint8
+// Role of a governor.
+type Role uint8
 
 const (
-	Comb Kind = iota + 1
-	Forager
+	RoleControlPlane Role = iota + 1
+	RoleGateway
 )
 
-// Node is a governor as it is told from neighbour to neighbour.
-type Node struct {
+// Descriptor is a governor as it is told from neighbour to neighbour.
+type Descriptor struct {
 	Addr string `cbor:"1,keyasint"`
-	Kind Kind   `cbor:"2,keyasint"`
+	Role Role   `cbor:"2,keyasint"`
 	Zone string `cbor:"3,keyasint,omitempty"`
 	Age  uint16 `cbor:"4,keyasint,omitempty"` // rounds since it spoke itself
 }
 
 const (
-	// Size bounds each of the two views.
-	Size = 10
+	// MaxViewSize bounds each of the two views.
+	MaxViewSize = 10
 
-	offered = 4  // of each view, in one shuffle
-	ageMost = 60 // what nobody has heard of for so many rounds is not told on
+	shuffleLength = 4  // of each view, in one shuffle
+	maxAge        = 60 // what nobody has heard of for so many rounds is not told on
 )
 
-// View is one node's knowledge. Its calls are not made side by side.
-type View struct {
-	self   Node
-	seeds  []Node
-	known  [2][]Node // combs, foragers
-	chance func(n int) int
-	turn   int
-	sent   []string
+// PartialView is one node's knowledge. Its calls are not made side by side.
+type PartialView struct {
+	self       Descriptor
+	seeds      []Descriptor
+	peers      [2][]Descriptor // combs, foragers
+	randomIntN func(n int) int
+	round      int
+	lastOffer  []string
 }
 
 // New makes a view. Seeds are called for as long as nobody else is known.
-func New(self Node, seeds []string, chance func(n int) int) *View {
-	v := &View{self: self, chance: chance}
+func New(self Descriptor, seeds []string, chance func(n int) int) *PartialView {
+	v := &PartialView{self: self, randomIntN: chance}
 	for _, a := range seeds {
 		if a != self.Addr {
-			v.seeds = append(v.seeds, Node{Addr: a, Kind: Comb})
+			v.seeds = append(v.seeds, Descriptor{Addr: a, Role: RoleControlPlane})
 		}
 	}
 	return v
 }
 
-// Round lets a round pass. It returns whom to call and what to offer; ok is false where there is nobody.
-func (v *View) Round() (to string, offer []Node, ok bool) {
-	for k := range v.known {
-		for i := range v.known[k] {
-			v.known[k][i].Age++
+// BeginRound lets a round pass. It returns whom to call and what to offer; ok is false where there is nobody.
+func (view *PartialView) BeginRound() (to string, offer []Descriptor, ok bool) {
+	for k := range view.peers {
+		for i := range view.peers[k] {
+			view.peers[k][i].Age++
 		}
-		v.known[k] = slices.DeleteFunc(v.known[k], func(n Node) bool { return n.Age > ageMost })
+		view.peers[k] = slices.DeleteFunc(view.peers[k], func(n Descriptor) bool { return n.Age > maxAge })
 	}
-	v.turn++
-	k := v.turn % 2
-	if len(v.known[k]) == 0 {
+	view.round++
+	k := view.round % 2
+	if len(view.peers[k]) == 0 {
 		k = 1 - k
 	}
-	if len(v.known[0]) == 0 && (len(v.known[1]) == 0 || v.turn%3 == 0) { // nobody knows a comb: begin again
-		if len(v.seeds) == 0 {
+	if len(view.peers[0]) == 0 && (len(view.peers[1]) == 0 || view.round%3 == 0) { // nobody knows a comb: begin again
+		if len(view.seeds) == 0 {
 			return "", nil, false
 		}
-		to = v.seeds[v.chance(len(v.seeds))].Addr
+		to = view.seeds[view.randomIntN(len(view.seeds))].Addr
 	} else {
-		oldest := slices.MaxFunc(v.known[k], func(a, b Node) int { return cmp.Compare(a.Age, b.Age) })
+		oldest := slices.MaxFunc(view.peers[k], func(a, b Descriptor) int { return cmp.Compare(a.Age, b.Age) })
 		to = oldest.Addr
-		v.drop(to)
+		view.remove(to)
 	}
-	offer = append([]Node{v.self}, v.some(to)...)
-	v.sent = addrs(offer)
+	offer = append([]Descriptor{view.self}, view.sample(to)...)
+	view.lastOffer = addresses(offer)
 	return to, offer, true
 }
 
-func addrs(nodes []Node) (out []string) {
+func addresses(nodes []Descriptor) (out []string) {
 	for _, n := range nodes {
 		out = append(out, n.Addr)
 	}
 	return out
 }
 
-func (v *View) drop(addr string) {
-	for k := range v.known {
-		v.known[k] = slices.DeleteFunc(v.known[k], func(n Node) bool { return n.Addr == addr })
+func (view *PartialView) remove(addr string) {
+	for k := range view.peers {
+		view.peers[k] = slices.DeleteFunc(view.peers[k], func(n Descriptor) bool { return n.Addr == addr })
 	}
 }
 
-// some draws what is told to another one.
-func (v *View) some(but string) (out []Node) {
-	for k := range v.known {
-		all := slices.DeleteFunc(slices.Clone(v.known[k]), func(n Node) bool { return n.Addr == but })
+// sample draws what is told to another one.
+func (view *PartialView) sample(but string) (out []Descriptor) {
+	for k := range view.peers {
+		all := slices.DeleteFunc(slices.Clone(view.peers[k]), func(n Descriptor) bool { return n.Addr == but })
 		for i := range all {
-			j := i + v.chance(len(all)-i)
+			j := i + view.randomIntN(len(all)-i)
 			all[i], all[j] = all[j], all[i]
 		}
-		out = append(out, all[:min(offered, len(all))]...)
+		out = append(out, all[:min(shuffleLength, len(all))]...)
 	}
 	return out
 }
 
-// Called takes an offer and returns the answer to it.
-func (v *View) Called(offer []Node) []Node {
+// HandleOffer takes an offer and returns the answer to it.
+func (view *PartialView) HandleOffer(offer []Descriptor) []Descriptor {
 	from := ""
 	if len(offer) > 0 {
 		from = offer[0].Addr
 	}
-	answer := append([]Node{v.self}, v.some(from)...)
-	v.merge(offer, addrs(answer))
+	answer := append([]Descriptor{view.self}, view.sample(from)...)
+	view.merge(offer, addresses(answer))
 	return answer
 }
 
-// Answered takes the answer to this node's own offer.
-func (v *View) Answered(answer []Node) { v.merge(answer, v.sent) }
+// HandleReply takes the answer to this node's own offer.
+func (view *PartialView) HandleReply(answer []Descriptor) { view.merge(answer, view.lastOffer) }
 
 // merge takes nodes in; where a view is full they take the places of those that were just told to the other side, which
 // thereby stay known to somebody.
-func (v *View) merge(nodes []Node, told []string) {
+func (view *PartialView) merge(nodes []Descriptor, told []string) {
 	for _, n := range nodes {
-		if n.Addr == v.self.Addr || n.Kind < Comb || n.Kind > Forager || n.Addr == "" || n.Age > ageMost {
+		if n.Addr == view.self.Addr || n.Role < RoleControlPlane || n.Role > RoleGateway || n.Addr == "" || n.Age > maxAge {
 			continue
 		}
-		list := &v.known[n.Kind-1]
-		if i := slices.IndexFunc(*list, func(o Node) bool { return o.Addr == n.Addr }); i >= 0 {
+		list := &view.peers[n.Role-1]
+		if i := slices.IndexFunc(*list, func(o Descriptor) bool { return o.Addr == n.Addr }); i >= 0 {
 			if n.Age < (*list)[i].Age {
 				(*list)[i] = n
 			}
 			continue
 		}
-		if len(*list) < Size {
+		if len(*list) < MaxViewSize {
 			*list = append(*list, n)
 			continue
 		}
-		if i := slices.IndexFunc(*list, func(o Node) bool { return slices.Contains(told, o.Addr) }); i >= 0 {
+		if i := slices.IndexFunc(*list, func(o Descriptor) bool { return slices.Contains(told, o.Addr) }); i >= 0 {
 			(*list)[i] = n
-		} else if i := oldest(*list); n.Age < (*list)[i].Age {
+		} else if i := oldestIndex(*list); n.Age < (*list)[i].Age {
 			(*list)[i] = n
 		}
 	}
 }
 
-func oldest(list []Node) int {
+func oldestIndex(list []Descriptor) int {
 	worst := 0
 	for i, n := range list {
 		if n.Age > list[worst].Age {
@@ -161,9 +161,9 @@
 	return worst
 }
 
-// Known lists the nodes of a kind, those heard of last first.
-func (v *View) Known(k Kind) []Node {
-	out := slices.Clone(v.known[k-1])
-	slices.SortStableFunc(out, func(a, b Node) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Addr, b.Addr)) })
+// Peers lists the nodes of a kind, those heard of last first.
+func (view *PartialView) Peers(k Role) []Descriptor {
+	out := slices.Clone(view.peers[k-1])
+	slices.SortStableFunc(out, func(a, b Descriptor) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Addr, b.Addr)) })
 	return out
 }
--- a/peersampling/neighbours_test.go
+++ b/peersampling/neighbours_test.go
@@ -11,7 +11,7 @@
 // crowd is many nodes whose datagrams arrive within a round, but for those that are lost.
 type crowd struct {
 	r     *rand.Rand
-	nodes map[string]*View
+	nodes map[string]*PartialView
 	order []string
 	dead  map[string]bool
 	cut   func(a, b string) bool
@@ -19,18 +19,18 @@
 }
 
 func newCrowd(combs, foragers int) *crowd {
-	c := &crowd{r: rand.New(rand.NewPCG(5, 6)), nodes: map[string]*View{}, dead: map[string]bool{}, loss: 0.02}
+	c := &crowd{r: rand.New(rand.NewPCG(5, 6)), nodes: map[string]*PartialView{}, dead: map[string]bool{}, loss: 0.02}
 	for i := range combs {
-		c.add(fmt.Sprintf("c%d", i), Comb)
+		c.add(fmt.Sprintf("c%d", i), RoleControlPlane)
 	}
 	for i := range foragers {
-		c.add(fmt.Sprintf("f%d", i), Forager)
+		c.add(fmt.Sprintf("f%d", i), RoleGateway)
 	}
 	return c
 }
 
-func (c *crowd) add(addr string, k Kind) {
-	c.nodes[addr] = New(Node{Addr: addr, Kind: k}, []string{"c0", "c1", "c2"}, c.r.IntN)
+func (c *crowd) add(addr string, k Role) {
+	c.nodes[addr] = New(Descriptor{Addr: addr, Role: k}, []string{"c0", "c1", "c2"}, c.r.IntN)
 	c.order = append(c.order, addr)
 }
 
@@ -43,12 +43,12 @@
 		if c.dead[a] {
 			continue
 		}
-		to, offer, ok := c.nodes[a].Round()
+		to, offer, ok := c.nodes[a].BeginRound()
 		if !ok || !c.reaches(a, to) {
 			continue
 		}
-		if answer := c.nodes[to].Called(offer); c.reaches(to, a) {
-			c.nodes[a].Answered(answer)
+		if answer := c.nodes[to].HandleOffer(offer); c.reaches(to, a) {
+			c.nodes[a].HandleReply(answer)
 		}
 	}
 }
@@ -59,8 +59,8 @@
 	for todo := []string{from}; len(todo) > 0; {
 		v := c.nodes[todo[0]]
 		todo = todo[1:]
-		for _, k := range []Kind{Comb, Forager} {
-			for _, n := range v.Known(k) {
+		for _, k := range []Role{RoleControlPlane, RoleGateway} {
+			for _, n := range v.Peers(k) {
 				if !seen[n.Addr] && !c.dead[n.Addr] {
 					seen[n.Addr] = true
 					todo = append(todo, n.Addr)
@@ -77,8 +77,8 @@
 		if c.dead[a] {
 			continue
 		}
-		for _, k := range []Kind{Comb, Forager} {
-			for _, o := range v.Known(k) {
+		for _, k := range []Role{RoleControlPlane, RoleGateway} {
+			for _, o := range v.Peers(k) {
 				if o.Addr == addr {
 					n++
 				}
@@ -99,11 +99,11 @@
 			So(c.reach(c.order[len(c.order)-1]), ShouldEqual, all)
 			Convey("everyone knows a comb", func() {
 				for _, a := range c.order {
-					So(len(c.nodes[a].Known(Comb)), ShouldBeGreaterThan, 0)
+					So(len(c.nodes[a].Peers(RoleControlPlane)), ShouldBeGreaterThan, 0)
 				}
 			})
 			Convey("a newcomer is known to several within a few rounds", func() {
-				c.add("new", Forager)
+				c.add("new", RoleGateway)
 				for range 6 {
 					c.round()
 				}
@@ -112,7 +112,7 @@
 			Convey("a dead one is forgotten", func() {
 				last := c.order[len(c.order)-1]
 				c.dead[last] = true
-				for range ageMost + 5 {
+				for range maxAge + 5 {
 					c.round()
 				}
 				So(c.knowing(last), ShouldEqual, 0)
