--- a/internal/simulation/apiary.go
+++ b/internal/simulation/apiary.go
@@ -17,81 +17,81 @@
 )
 
 const (
-	catchUp    = 4 * time.Second // a machine that came back counts as lost for so long
-	restart    = 300 * time.Millisecond
-	beatable   = 6 * time.Second // calm before a call, after which it must be acknowledged
-	contact    = 3 * time.Second // calm before a forager's doings are judged
-	configIn   = 2 * time.Second
-	drainIn    = 2 * time.Second
-	evacuateIn = 5 * time.Second
-	coldPerS   = 4.0
-	coldTimes  = 1.5
-	coldSlack  = 5.0
-	zones      = 3 // in drawn schedules
-	service    = "shop"
+	catchUpTime            = 4 * time.Second // a machine that came back counts as lost for so long
+	restartTime            = 300 * time.Millisecond
+	calmBeforeCall         = 6 * time.Second // calm before a call, after which it must be acknowledged
+	contactTimeout         = 3 * time.Second // calm before a forager's doings are judged
+	configPropagationBound = 2 * time.Second
+	drainDeadline          = 2 * time.Second
+	evacuationBound        = 5 * time.Second
+	warmupRate             = 4.0
+	warmupBurstFactor      = 1.5
+	warmupSlack            = 5.0
+	generatedZones         = 3 // in drawn schedules
+	serviceName            = "shop"
 
 	// A comb's messages to other combs in a second: beats, gossip and orders come to a few dozen a peer.
-	messagesMost = 400
+	maxMessagesPerSecond = 400
 )
 
-// zone is the name of the zone that a machine or a replica stands in.
-func (w *world) zone(i int) string { return string(rune('a' + i%w.zones())) }
+// zoneName is the name of the zone that a machine or a replica stands in.
+func (c *cluster) zoneName(i int) string { return string(rune('a' + i%c.zoneCount())) }
 
-func (w *world) zones() int {
-	if w.s.Zones > 0 {
-		return w.s.Zones
+func (c *cluster) zoneCount() int {
+	if c.schedule.Zones > 0 {
+		return c.schedule.Zones
 	}
 	return 2
 }
 
 // Result is what was seen.
 type Result struct {
-	Broken  []string
-	Trace   []string
-	Acked   int
-	Calls   int
-	Picks   int // requests that foragers sent to replicas
-	Colds   int // of them, to cold ones
-	Views   uint64
-	Waits   [2][]time.Duration // of requests, while no forager was out, and while one was
-	Drained int                // windows in which a forager was drained
-	Ops     []Op
-	Took    []time.Duration // of orders, from the call that was answered to its acknowledgement
-	Mended  []time.Duration // after a kill, freeze or cut of a member of the chain: until a view without it stood
-	Told    []time.Duration // from a configuration's commit to each forager that held to a comb
+	Violations             []string
+	Trace                  []string
+	Acknowledged           int
+	AnsweredCalls          int
+	Requests               int // requests that foragers sent to replicas
+	WarmupRequests         int // of them, to cold ones
+	NewestView             uint64
+	RequestLatencies       [2][]time.Duration // of requests, while no forager was out, and while one was
+	DrainedWindows         int                // windows in which a forager was drained
+	Operations             []Operation
+	CommandLatencies       []time.Duration // of orders, from the call that was answered to its acknowledgement
+	ViewRepairTimes        []time.Duration // after a kill, freeze or cut of a member of the chain: until a view without it stood
+	ConfigPropagationTimes []time.Duration // from a configuration's commit to each forager that held to a comb
 
 	// Of days with a Tolerance.
-	Tries   []Try
-	Caught  []time.Duration // from a machine's start until it was in the chain and held on disk what was committed
-	TakenIn []time.Duration // the same of machines at a new address
-	Still   []time.Duration // from a cut's begin to each answer that the one cut off still gave
-	Beats   []time.Duration // the same, to beats of replicas
-	Thawed  []time.Duration // from a wake to each answer that was given while a newer view stood elsewhere
-	Kept    int             // most bytes on one disk
-	Changes uint64
+	Attempts           []Attempt
+	CatchUpTimes       []time.Duration // from a machine's start until it was in the chain and held on disk what was committed
+	JoinTimes          []time.Duration // the same of machines at a new address
+	AnswersWhileCut    []time.Duration // from a cut's begin to each answer that the one cut off still gave
+	HeartbeatsWhileCut []time.Duration // the same, to beats of replicas
+	AnswersAfterThaw   []time.Duration // from a wake to each answer that was given while a newer view stood elsewhere
+	MaxDiskBytes       int             // most bytes on one disk
+	NewestSequence     uint64
 }
 
-// Op is one call of an operator, for a check of the whole history: a write raises the register to at least its version,
+// Operation is one call of an operator, for a check of the whole history: a write raises the register to at least its version,
 // a read returns it.
-type Op struct {
-	Read      bool
-	Version   uint64
-	Call, End time.Duration // End 0: no clear answer
+type Operation struct {
+	Read         bool
+	Version      uint64
+	Call, Return time.Duration // End 0: no clear answer
 }
 
 type event struct {
-	at  time.Duration
-	seq int
-	do  func()
+	at       time.Duration
+	sequence int
+	do       func()
 }
 
-// queue is a heap of events, the earliest first; of those at one moment the one that was put in first. It is written out as
+// eventQueue is a heap of events, the earliest first; of those at one moment the one that was put in first. It is written out as
 // a third of a play's time went into container/heap.
-type queue []event
+type eventQueue []event
 
-func (e event) before(o event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
+func (e event) before(o event) bool { return e.at < o.at || e.at == o.at && e.sequence < o.sequence }
 
-func (q *queue) push(e event) {
+func (q *eventQueue) push(e event) {
 	*q = append(*q, e)
 	h, i := *q, len(*q)-1
 	for i > 0 {
@@ -105,7 +105,7 @@
 	h[i] = e
 }
 
-func (q *queue) pop() event {
+func (q *eventQueue) pop() event {
 	h := *q
 	first, n := h[0], len(h)-1
 	e := h[n]
@@ -127,173 +127,173 @@
 	return first
 }
 
-// node is what a comb's machine and a forager's have in common: a process on links, which dies, freezes and wakes.
-type node struct {
-	name   string
-	life   int // counts starts
-	began  time.Duration
-	rate   float64 // of its steady clock
-	skew   time.Duration
-	up     bool
-	frozen bool
-	held   []func() // what came while frozen
-	ticks  func()   // and one tick, as a timer does not pile up
-
-	core          bool // a comb's; the next two cut it from other combs alone
-	deaf, mute    int
-	apart         int // from all
-	cutAt, wokeAt time.Duration
+// process is what a comb's machine and a forager's have in common: a process on links, which dies, freezes and wakes.
+type process struct {
+	name            string
+	incarnation     int // counts starts
+	startedAt       time.Duration
+	clockRate       float64 // of its steady clock
+	clockOffset     time.Duration
+	up              bool
+	frozen          bool
+	heldWhileFrozen []func() // what came while frozen
+	heldTick        func()   // and one tick, as a timer does not pile up
+
+	isMember                  bool // a comb's; the next two cut it from other combs alone
+	inboundCuts, outboundCuts int
+	isolationCuts             int // from all
+	cutAt, thawedAt           time.Duration
 }
 
-type world struct {
-	s         Schedule
-	history   *historyChecksum // nil: none is taken down
-	r         *rand.Rand
-	now       time.Duration
-	q         queue
-	seq       int
-	combs     []*machine
-	byAddr    map[string]*machine
-	bees      []*bee
-	replicas  []*replica
-	cut       map[[2]string]int
-	fifo      map[[2]string]time.Duration
-	res       Result
-	bySeq     map[uint64]string // what was committed under each number
-	versions  map[string]uint64 // of what operators sent, by body
-	acked     uint64            // newest acknowledged version
-	ackedAt   time.Duration
-	committed map[uint64]time.Duration // versions, when first committed anywhere
-	outAt     map[string]time.Duration // zones whose evacuation was acknowledged and is not taken back
-	restoring []*call                  // calls that take an evacuation back
-	trouble   time.Duration            // until when something is or was wrong
-	down      map[int]time.Duration
-	quiet     bool
-	onAck     []Trouble
-	onView    []Trouble
-	onGrant   []Trouble
-	tokens    uint64
-
-	hard hard
-
-	windows    maintenance.State // as committed
-	windowsRev uint64
-	windowsAt  time.Duration
+type cluster struct {
+	schedule            Schedule
+	history             *historyChecksum // nil: none is taken down
+	random              *rand.Rand
+	now                 time.Duration
+	queue               eventQueue
+	lastEvent           int
+	members             []*member
+	memberByAddress     map[string]*member
+	gateways            []*gatewayNode
+	replicas            []*replica
+	cutLinks            map[[2]string]int
+	lastArrival         map[[2]string]time.Duration
+	result              Result
+	committedBySequence map[uint64]string // what was committed under each number
+	versionByBody       map[string]uint64 // of what operators sent, by body
+	acknowledgedVersion uint64            // newest acknowledged version
+	acknowledgedAt      time.Duration
+	committedAt         map[uint64]time.Duration // versions, when first committed anywhere
+	evacuatedAt         map[string]time.Duration // zones whose evacuation was acknowledged and is not taken back
+	restoreCalls        []*operatorCall          // calls that take an evacuation back
+	unsettledUntil      time.Duration            // until when something is or was wrong
+	downSince           map[int]time.Duration
+	finished            bool
+	onAcknowledgement   []Fault
+	onViewChange        []Fault
+	onWindowGrant       []Fault
+	lastToken           uint64
+
+	core coreHistory
+
+	windowState      maintenance.State // as committed
+	windowRevision   uint64
+	windowsChangedAt time.Duration
 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
 // Run plays a schedule.
-func Run(s Schedule) Result { return run(s, nil) }
+func Run(schedule Schedule) Result { return run(schedule, nil) }
 
 // run plays a schedule and takes its history down, if one is given.
 func run(s Schedule, h *historyChecksum) Result {
-	w := &world{s: s, history: h, r: rand.New(rand.NewPCG(s.Seed, 2)), byAddr: map[string]*machine{}, cut: map[[2]string]int{}, fifo: map[[2]string]time.Duration{},
-		bySeq: map[uint64]string{}, versions: map[string]uint64{}, committed: map[uint64]time.Duration{}, outAt: map[string]time.Duration{}, down: map[int]time.Duration{}}
+	w := &cluster{schedule: s, history: h, random: rand.New(rand.NewPCG(s.Seed, 2)), memberByAddress: map[string]*member{}, cutLinks: map[[2]string]int{}, lastArrival: map[[2]string]time.Duration{},
+		committedBySequence: map[uint64]string{}, versionByBody: map[string]uint64{}, committedAt: map[uint64]time.Duration{}, evacuatedAt: map[string]time.Duration{}, downSince: map[int]time.Duration{}}
 	for i := range s.Machines {
-		m := &machine{i: i, node: node{name: fmt.Sprintf("comb %d", i), core: true}, addr: fmt.Sprintf("10.0.0.%d:7000", i+1), disk: newDisk()}
-		m.disk.lax = s.Fault == NoFolderSync
-		w.combs = append(w.combs, m)
-		w.byAddr[m.addr] = m
+		m := &member{index: i, process: process{name: fmt.Sprintf("comb %d", i), isMember: true}, address: fmt.Sprintf("10.0.0.%d:7000", i+1), disk: newDisk()}
+		m.disk.skipsFolderSync = s.Fault == SkipFolderSync
+		w.members = append(w.members, m)
+		w.memberByAddress[m.address] = m
 	}
-	for _, m := range w.combs {
+	for _, m := range w.members {
 		if s.Spread == 0 {
-			w.start(m, true)
+			w.startMember(m, true)
 		} else {
-			w.after(time.Duration(w.r.Int64N(int64(s.Spread))), func() { w.start(m, true) })
+			w.after(time.Duration(w.random.Int64N(int64(s.Spread))), func() { w.startMember(m, true) })
 		}
 	}
 	for i := range s.Foragers {
-		b := &bee{i: i, node: node{name: gatewayName(i)}}
-		w.bees = append(w.bees, b)
-		w.wake(b)
+		b := &gatewayNode{index: i, process: process{name: gatewayName(i)}}
+		w.gateways = append(w.gateways, b)
+		w.startGateway(b)
 	}
 	for i := range s.Replicas {
-		w.begin(i%w.zones(), false)
+		w.startReplica(i%w.zoneCount(), false)
 	}
 	for _, t := range s.Troubles {
-		w.after(t.At, func() { w.strike(t) })
+		w.after(t.At, func() { w.injectFault(t) })
 	}
 	for n, a := range s.Acts {
-		w.after(a.At, func() { w.act(n, a) })
+		w.after(a.At, func() { w.perform(n, a) })
 	}
 	end := s.Lasts
 	for _, t := range s.Troubles {
-		end = max(end, t.At+t.For+restart)
+		end = max(end, t.At+t.For+restartTime)
 	}
 	if s.Tolerance > 0 {
-		w.hard.begin()
-		w.watch()
+		w.core.initialize()
+		w.watchCore()
 		end += 4 * time.Second
 	}
-	w.after(end+8*time.Second, func() { w.last() })
-	for len(w.q) > 0 && w.now < end+14*time.Second && len(w.res.Broken) == 0 {
-		e := w.q.pop()
+	w.after(end+8*time.Second, func() { w.finalRead() })
+	for len(w.queue) > 0 && w.now < end+14*time.Second && len(w.result.Violations) == 0 {
+		e := w.queue.pop()
 		w.now = e.at
 		e.do()
 	}
 	h.end(w)
-	return w.res
+	return w.result
 }
 
 // gatewayName is the name by which a gateway makes itself known.
 func gatewayName(i int) string { return fmt.Sprintf("forager %d", i) }
 
-func (w *world) after(d time.Duration, f func()) {
-	w.seq++
-	w.q.push(event{w.now + d, w.seq, f})
+func (c *cluster) after(d time.Duration, f func()) {
+	c.lastEvent++
+	c.queue.push(event{c.now + d, c.lastEvent, f})
 }
 
-func (w *world) say(format string, a ...any) {
-	w.res.Trace = append(w.res.Trace, fmt.Sprintf("%8.3f  ", w.now.Seconds())+fmt.Sprintf(format, a...))
+func (c *cluster) tracef(format string, a ...any) {
+	c.result.Trace = append(c.result.Trace, fmt.Sprintf("%8.3f  ", c.now.Seconds())+fmt.Sprintf(format, a...))
 }
 
-func (w *world) broken(format string, a ...any) {
-	w.say("BROKEN: "+format, a...)
-	w.res.Broken = append(w.res.Broken, fmt.Sprintf(format, a...))
+func (c *cluster) violationf(format string, a ...any) {
+	c.tracef("BROKEN: "+format, a...)
+	c.result.Violations = append(c.result.Violations, fmt.Sprintf(format, a...))
 }
 
-// calm tells whether nothing has been wrong anywhere for so long.
-func (w *world) calm(most time.Duration) bool { return w.now > w.trouble+most }
+// calmFor tells whether nothing has been wrong anywhere for so long.
+func (c *cluster) calmFor(most time.Duration) bool { return c.now > c.unsettledUntil+most }
 
-// begins starts a node's life, with a clock of its own.
-func (w *world) begins(n *node) {
-	n.life++
-	n.up, n.frozen, n.held, n.began, n.skew, n.ticks, n.wokeAt = true, false, nil, w.now, 0, nil, 0
-	n.rate = 1 + 0.004*(w.r.Float64()-0.5)
+// startProcess starts a node's life, with a clock of its own.
+func (c *cluster) startProcess(p *process) {
+	p.incarnation++
+	p.up, p.frozen, p.heldWhileFrozen, p.startedAt, p.clockOffset, p.heldTick, p.thawedAt = true, false, nil, c.now, 0, nil, 0
+	p.clockRate = 1 + 0.004*(c.random.Float64()-0.5)
 }
 
-// local is a node's steady clock: it starts at nothing with its process, and runs a little fast or slow.
-func (w *world) local(n *node) time.Duration {
-	return time.Duration(float64(w.now-n.began)*n.rate) + n.skew
+// monotonicTime is a node's steady clock: it starts at nothing with its process, and runs a little fast or slow.
+func (c *cluster) monotonicTime(p *process) time.Duration {
+	return time.Duration(float64(c.now-p.startedAt)*p.clockRate) + p.clockOffset
 }
 
-// run has a node do something now, or when it wakes.
-func (w *world) run(n *node, life int, f func()) {
+// runOn has a node do something now, or when it wakes.
+func (c *cluster) runOn(p *process, incarnation int, f func()) {
 	switch {
-	case !n.up || n.life != life:
-	case n.frozen:
-		n.held = append(n.held, f)
+	case !p.up || p.incarnation != incarnation:
+	case p.frozen:
+		p.heldWhileFrozen = append(p.heldWhileFrozen, f)
 	default:
 		f()
 	}
 }
 
-func (w *world) freeze(n *node, span time.Duration) {
-	if !n.up {
+func (c *cluster) freeze(p *process, span time.Duration) {
+	if !p.up {
 		return
 	}
-	n.frozen = true
-	life := n.life
-	w.after(span, func() {
-		if n.up && n.life == life && n.frozen {
-			n.frozen, n.wokeAt = false, w.now
-			held := n.held
-			n.held = nil
-			if n.ticks != nil { // it may come before what lay in the sockets, or after
-				held, n.ticks = slices.Insert(held, w.r.IntN(len(held)+1), n.ticks), nil
+	p.frozen = true
+	incarnation := p.incarnation
+	c.after(span, func() {
+		if p.up && p.incarnation == incarnation && p.frozen {
+			p.frozen, p.thawedAt = false, c.now
+			held := p.heldWhileFrozen
+			p.heldWhileFrozen = nil
+			if p.heldTick != nil { // it may come before what lay in the sockets, or after
+				held, p.heldTick = slices.Insert(held, c.random.IntN(len(held)+1), p.heldTick), nil
 			}
-			w.say("%s wakes", n.name)
+			c.tracef("%s wakes", p.name)
 			for _, f := range held {
 				f()
 			}
@@ -301,151 +301,153 @@
 	})
 }
 
-// carry brings something from one node to another, in order, if it arrives at all.
-func (w *world) carry(from, to *node, loss, reorder float64, arrive func()) {
+// send brings something from one node to another, in order, if it arrives at all.
+func (c *cluster) send(from, to *process, loss, reorder float64, arrive func()) {
 	link := [2]string{from.name, to.name}
-	if w.r.Float64() < loss {
+	if c.random.Float64() < loss {
 		return
 	}
-	at := w.now + 500*time.Microsecond + time.Duration(w.r.ExpFloat64()*float64(time.Millisecond))
-	if w.r.Float64() < reorder { // on an older connection, handled late
-		at += time.Duration(w.r.Int64N(int64(max(w.s.Late, 1))))
+	at := c.now + 500*time.Microsecond + time.Duration(c.random.ExpFloat64()*float64(time.Millisecond))
+	if c.random.Float64() < reorder { // on an older connection, handled late
+		at += time.Duration(c.random.Int64N(int64(max(c.schedule.Late, 1))))
 	} else {
-		at = max(at, w.fifo[link])
-		w.fifo[link] = at
+		at = max(at, c.lastArrival[link])
+		c.lastArrival[link] = at
 	}
-	life := to.life
-	w.after(at-w.now, func() {
-		if w.cut[link] == 0 && !severed(from, to) {
-			w.run(to, life, arrive)
+	incarnation := to.incarnation
+	c.after(at-c.now, func() {
+		if c.cutLinks[link] == 0 && !isSevered(from, to) {
+			c.runOn(to, incarnation, arrive)
 		}
 	})
 }
 
-// part cuts links of a node to some others for a while.
-func (w *world) part(links [][2]string, span time.Duration) {
+// cutFor cuts links of a node to some others for a while.
+func (c *cluster) cutFor(links [][2]string, span time.Duration) {
 	for _, l := range links {
-		w.cut[l]++
-		w.after(span, func() { w.cut[l]-- })
+		c.cutLinks[l]++
+		c.after(span, func() { c.cutLinks[l]-- })
 	}
 }
 
-func (w *world) strike(t Trouble) {
-	switch t.Kind {
+func (c *cluster) injectFault(fault Fault) {
+	switch fault.Kind {
 	case "ackpower", "ackwipe", "ackallpower":
-		w.onAck = append(w.onAck, t)
-		w.after(2*time.Second, func() { w.onAck = slices.DeleteFunc(w.onAck, func(x Trouble) bool { return x == t }) })
+		c.onAcknowledgement = append(c.onAcknowledgement, fault)
+		c.after(2*time.Second, func() {
+			c.onAcknowledgement = slices.DeleteFunc(c.onAcknowledgement, func(x Fault) bool { return x == fault })
+		})
 		return
 	case "grantpower", "grantall":
-		w.onGrant = append(w.onGrant, t)
-		w.after(6*time.Second, func() { w.onGrant = slices.DeleteFunc(w.onGrant, func(x Trouble) bool { return x == t }) })
+		c.onWindowGrant = append(c.onWindowGrant, fault)
+		c.after(6*time.Second, func() { c.onWindowGrant = slices.DeleteFunc(c.onWindowGrant, func(x Fault) bool { return x == fault }) })
 		return
 	case "viewall":
-		w.onView = append(w.onView, t)
-		w.after(2*time.Second, func() { w.onView = slices.DeleteFunc(w.onView, func(x Trouble) bool { return x == t }) })
+		c.onViewChange = append(c.onViewChange, fault)
+		c.after(2*time.Second, func() { c.onViewChange = slices.DeleteFunc(c.onViewChange, func(x Fault) bool { return x == fault }) })
 		return
 	}
-	if w.s.Tolerance > 0 && w.strikeHard(t) {
+	if c.schedule.Tolerance > 0 && c.injectCoreFault(fault) {
 		return
 	}
-	w.say("TROUBLE: %v", t)
-	w.trouble = max(w.trouble, w.now+t.For+restart)
-	switch t.Kind {
+	c.tracef("TROUBLE: %v", fault)
+	c.unsettledUntil = max(c.unsettledUntil, c.now+fault.For+restartTime)
+	switch fault.Kind {
 	case "all", "allpower", "wipepower":
-		lost := (w.s.Machines - 1) / 2
-		for i := range w.combs {
-			m := w.combs[(i+t.On)%len(w.combs)]
+		lost := (c.schedule.Machines - 1) / 2
+		for i := range c.members {
+			m := c.members[(i+fault.On)%len(c.members)]
 			how := "kill"
-			if t.Kind != "all" {
+			if fault.Kind != "all" {
 				how = "power"
 			}
-			if t.Kind == "wipepower" && i < lost && i < (w.s.Seeds-1)/2 {
+			if fault.Kind == "wipepower" && i < lost && i < (c.schedule.Seeds-1)/2 {
 				how = "wipe"
 			}
-			w.kill(m, how, t.For+time.Duration(w.r.IntN(300))*time.Millisecond)
+			c.stopMember(m, how, fault.For+time.Duration(c.random.IntN(300))*time.Millisecond)
 		}
 		return
 	case "zone":
-		for _, m := range w.combs {
-			if w.zone(m.i) == w.zone(t.On) {
-				w.kill(m, "power", t.For)
+		for _, m := range c.members {
+			if c.zoneName(m.index) == c.zoneName(fault.On) {
+				c.stopMember(m, "power", fault.For)
 			}
 		}
-		for _, b := range w.bees {
-			if w.zone(b.i) == w.zone(t.On) {
-				w.sting(b, Trouble{For: t.For, Kind: "bkill"})
+		for _, b := range c.gateways {
+			if c.zoneName(b.index) == c.zoneName(fault.On) {
+				c.injectGatewayFault(b, Fault{For: fault.For, Kind: "bkill"})
 			}
 		}
 		return
 	case "bkill", "bfreeze", "bcut":
-		if t.On < len(w.bees) {
-			w.sting(w.bees[t.On], t)
+		if fault.On < len(c.gateways) {
+			c.injectGatewayFault(c.gateways[fault.On], fault)
 		}
 		return
 	case "rcrash":
-		if t.On < len(w.replicas) {
-			w.replicas[t.On].alive = false
+		if fault.On < len(c.replicas) {
+			c.replicas[fault.On].alive = false
 		}
 		return
 	}
-	if t.On >= len(w.combs) {
+	if fault.On >= len(c.members) {
 		return
 	}
-	m := w.combs[t.On]
-	switch t.Kind {
+	m := c.members[fault.On]
+	switch fault.Kind {
 	case "kill":
-		w.kill(m, "kill", restart)
+		c.stopMember(m, "kill", restartTime)
 	case "power", "wipe":
-		w.kill(m, t.Kind, t.For)
+		c.stopMember(m, fault.Kind, fault.For)
 	case "freeze":
 		if m.up {
-			w.down[m.i] = w.now
-			w.freeze(&m.node, t.For)
+			c.downSince[m.index] = c.now
+			c.freeze(&m.process, fault.For)
 		}
 	case "step":
-		m.skew += t.For / 2
-		w.say("%s: its clock jumps by %.2fs", m.name, (t.For / 2).Seconds())
+		m.clockOffset += fault.For / 2
+		c.tracef("%s: its clock jumps by %.2fs", m.name, (fault.For / 2).Seconds())
 	case "cut", "oneway":
-		if t.Kind == "cut" {
-			w.down[m.i] = w.now
+		if fault.Kind == "cut" {
+			c.downSince[m.index] = c.now
 		}
-		in := w.r.IntN(2) == 0
+		in := c.random.IntN(2) == 0
 		var links [][2]string
 		others := []string{}
-		for _, o := range w.combs {
+		for _, o := range c.members {
 			others = append(others, o.name)
 		}
-		for _, b := range w.bees {
+		for _, b := range c.gateways {
 			others = append(others, b.name)
 		}
 		for _, o := range others {
 			if o == m.name {
 				continue
 			}
-			if t.Kind == "cut" || !in {
+			if fault.Kind == "cut" || !in {
 				links = append(links, [2]string{m.name, o})
 			}
-			if t.Kind == "cut" || in {
+			if fault.Kind == "cut" || in {
 				links = append(links, [2]string{o, m.name})
 			}
 		}
-		w.part(links, t.For)
+		c.cutFor(links, fault.For)
 	case "full":
 		m.disk.full = true
-		w.after(t.For, func() { m.disk.full = false })
+		c.after(fault.For, func() { m.disk.full = false })
 	case "refuse":
-		m.disk.refuse = true
-		w.after(t.For, func() { m.disk.refuse = false })
+		m.disk.failing = true
+		c.after(fault.For, func() { m.disk.failing = false })
 	case "stall":
 		m.disk.stalled = true
-		w.after(t.For, func() { m.disk.stalled = false })
+		c.after(fault.For, func() { m.disk.stalled = false })
 	}
 }
 
-// configuration is a body that operators send.
-func configuration(version uint64, n int) string {
+// configurationBody is a body that operators send.
+func configurationBody(version uint64, n int) string {
 	return fmt.Sprintf(`{"version":"%08x","services":[{"name":%q,"max_connections":100,"cold_start":"3s","cold_per_s":%g}],"virtual_hosts":[{"hostname":"h%d","path_routes":[`+
-		`{"name":"r","path_prefix":"/","kind":"safe","timeout":"3s","target_latency":"1s","max_attempts":2,"service":%q}]}]}`, version, service, coldPerS, n, service)
+		`{"name":"r","path_prefix":"/","kind":"safe","timeout":"3s","target_latency":"1s","max_attempts":2,"service":%q}]}]}`, version, serviceName, warmupRate, n, serviceName)
 }
 
 // spoilt are bodies that must never be in force.
@@ -459,7 +461,7 @@
 	return c.Version
 }
 
-func short(body string) string {
+func bodyLabel(body string) string {
 	if i := strings.Index(body, `"hostname":`); i >= 0 {
 		return strings.Trim(strings.SplitN(body[i+len(`"hostname":`):], ",", 2)[0], `"`)
 	}
--- a/internal/simulation/apiary_test.go
+++ b/internal/simulation/apiary_test.go
@@ -20,8 +20,8 @@
 	os.Exit(m.Run())
 }
 
-// seeds is how many schedules are played; APIARY_SEEDS asks for more.
-func seeds(t *testing.T, usual int) uint64 {
+// seedCount is how many schedules are played; APIARY_SEEDS asks for more.
+func seedCount(t *testing.T, usual int) uint64 {
 	if s := os.Getenv("APIARY_SEEDS"); s != "" {
 		n, err := strconv.Atoi(s)
 		if err != nil {
@@ -32,11 +32,11 @@
 	return uint64(usual)
 }
 
-// register is what operators should see of the core as a whole: one register that only grows.
-var register = porcupine.Model{
+// registerModel is what operators should see of the core as a whole: one register that only grows.
+var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		op := input.(Op)
+		op := input.(Operation)
 		if op.Read {
 			return op.Version == state.(uint64), state
 		}
@@ -44,11 +44,11 @@
 	},
 }
 
-// history turns calls into what the check takes; a call without a clear answer may take effect until the end.
-func history(ops []Op) (h []porcupine.Operation) {
+// operationHistory turns calls into what the check takes; a call without a clear answer may take effect until the end.
+func operationHistory(ops []Operation) (h []porcupine.Operation) {
 	for i, op := range ops {
-		end := int64(op.End)
-		if op.End == 0 {
+		end := int64(op.Return)
+		if op.Return == 0 {
 			end = int64(time.Hour)
 		}
 		h = append(h, porcupine.Operation{ClientId: i, Input: op, Call: int64(op.Call), Return: end})
@@ -56,19 +56,19 @@
 	return h
 }
 
-func TestSchedules(t *testing.T) {
+func TestGeneratedSchedules(t *testing.T) {
 	t.Parallel()
 	for _, machines := range []int{3, 5} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
 			acked, calls, picks, colds := 0, 0, 0, 0
-			for seed := range seeds(t, 40) {
-				s := Draw(seed, machines, 8, 25*time.Second)
+			for seed := range seedCount(t, 40) {
+				s := Generate(seed, machines, 8, 25*time.Second)
 				r := Run(s)
-				acked, calls, picks, colds = acked+r.Acked, calls+r.Calls, picks+r.Picks, colds+r.Colds
-				if len(r.Broken) == 0 && !porcupine.CheckOperations(register, history(r.Ops)) {
-					t.Fatalf("seed %d: the calls do not add up to one register:\n%+v\n%s", seed, r.Ops, strings.Join(r.Trace, "\n"))
+				acked, calls, picks, colds = acked+r.Acknowledged, calls+r.AnsweredCalls, picks+r.Requests, colds+r.WarmupRequests
+				if len(r.Violations) == 0 && !porcupine.CheckOperations(registerModel, operationHistory(r.Operations)) {
+					t.Fatalf("seed %d: the calls do not add up to one register:\n%+v\n%s", seed, r.Operations, strings.Join(r.Trace, "\n"))
 				}
-				if len(r.Broken) > 0 {
+				if len(r.Violations) > 0 {
 					s, r = Shrink(s)
 					t.Fatalf("seed %d, shrunk:\n%s\n%s", seed, s.Text(), strings.Join(r.Trace, "\n"))
 				}
@@ -81,44 +81,44 @@
 	}
 }
 
-// puts are configurations that rise steadily.
-func puts(n int) (acts []Act) {
+// risingPuts are configurations that rise steadily.
+func risingPuts(n int) (acts []Action) {
 	for i := range n {
-		acts = append(acts, Act{At: time.Second + time.Duration(i)*280*time.Millisecond, Kind: "put", Version: uint64(1000 + i)})
+		acts = append(acts, Action{At: time.Second + time.Duration(i)*280*time.Millisecond, Kind: "put", Version: uint64(1000 + i)})
 	}
 	return acts
 }
 
-// TestFaultsAreFound puts bugs in on purpose: invariants that miss them are worth nothing.
-func TestFaultsAreFound(t *testing.T) {
-	for _, f := range []Fault{NoViewNumber, Amnesia, AckBeforeSync, NoFolderSync, StaleTables, OwnGrants} {
+// TestPlantedBugsAreFound puts bugs in on purpose: invariants that miss them are worth nothing.
+func TestPlantedBugsAreFound(t *testing.T) {
+	for _, f := range []PlantedBug{IgnoreViewNumber, KeepVoteAfterWipe, AcknowledgeBeforeSync, SkipFolderSync, AcceptStaleState, UndividedWarmupQuota} {
 		t.Run(string(f), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(400) {
-				s := Draw(seed, 3, 8, 25*time.Second)
+				s := Generate(seed, 3, 8, 25*time.Second)
 				s.Fault = f
 				switch f {
-				case NoViewNumber: // views must change often, and words of older ones come late
+				case IgnoreViewNumber: // views must change often, and words of older ones come late
 					s.Reorder, s.Late, s.Foragers, s.Troubles = 0.3, 3*time.Second, 0, nil
 					for at := 2 * time.Second; at < 22*time.Second; at += 2400 * time.Millisecond {
-						s.Troubles = append(s.Troubles, Trouble{At: at + time.Duration(seed)*time.Millisecond, For: 1300 * time.Millisecond,
+						s.Troubles = append(s.Troubles, Fault{At: at + time.Duration(seed)*time.Millisecond, For: 1300 * time.Millisecond,
 							Kind: []string{"cut", "freeze", "power", "oneway"}[int(seed)%4], On: int(at/time.Millisecond+time.Duration(seed)) % 3})
 					}
-					s.Acts = append(s.Acts, puts(80)...)
-				case StaleTables: // combs must lag, and foragers change sides; what the combs themselves now prevent is put in
+					s.Acts = append(s.Acts, risingPuts(80)...)
+				case AcceptStaleState: // combs must lag, and foragers change sides; what the combs themselves now prevent is put in
 					s.Unasked = true
 					s.Loss, s.Foragers, s.Acts, s.Troubles = 0.2, 6, nil, nil
-					s.Acts = append(s.Acts, puts(80)...)
+					s.Acts = append(s.Acts, risingPuts(80)...)
 					for at := 3 * time.Second; at < 22*time.Second; at += 1700 * time.Millisecond {
-						s.Troubles = append(s.Troubles, Trouble{At: at + time.Duration(seed)*7*time.Millisecond, Kind: "kill", On: int(at/time.Millisecond) % 3})
+						s.Troubles = append(s.Troubles, Fault{At: at + time.Duration(seed)*7*time.Millisecond, Kind: "kill", On: int(at/time.Millisecond) % 3})
 					}
 				}
-				if r := Run(s); len(r.Broken) > 0 {
+				if r := Run(s); len(r.Violations) > 0 {
 					s.Fault = ""
-					if sound := Run(s); len(sound.Broken) > 0 {
+					if sound := Run(s); len(sound.Violations) > 0 {
 						continue // more than what must be borne
 					}
-					t.Logf("found with seed %d: %s", seed, r.Broken[0])
+					t.Logf("found with seed %d: %s", seed, r.Violations[0])
 					return
 				}
 			}
@@ -127,15 +127,15 @@
 	}
 }
 
-// TestWindows has maintenance windows asked for by several operators while machines fail: grants together never take more than
+// TestMaintenanceWindows has maintenance windows asked for by several operators while machines fail: grants together never take more than
 // what was agreed leaves, and no forager hangs between.
-func TestWindows(t *testing.T) {
+func TestMaintenanceWindows(t *testing.T) {
 	t.Parallel()
 	drained := 0
-	for seed := range seeds(t, 14) {
-		s := DrawWindows(seed, 3+2*int(seed%2), 6, 40*time.Second)
+	for seed := range seedCount(t, 14) {
+		s := GenerateWindows(seed, 3+2*int(seed%2), 6, 40*time.Second)
 		r := Run(s)
-		if drained += r.Drained; len(r.Broken) > 0 {
+		if drained += r.DrainedWindows; len(r.Violations) > 0 {
 			s, r = Shrink(s)
 			t.Fatalf("seed %d, shrunk:\n%s\n%s", seed, s.Text(), strings.Join(r.Trace, "\n"))
 		}
@@ -146,24 +146,24 @@
 	}
 }
 
-// TestWeeks plays weeks of planned windows under traffic and failing machines; -v and APIARY_SEEDS=200 print what the results
+// TestPlannedWindowWeeks plays weeks of planned windows under traffic and failing machines; -v and APIARY_SEEDS=200 print what the results
 // page quotes.
-func TestWeeks(t *testing.T) {
+func TestPlannedWindowWeeks(t *testing.T) {
 	t.Parallel()
 	var waits [2][]time.Duration
 	greedy, best, serial, drained := 0, 0, 0, 0
-	for seed := range seeds(t, 6) {
-		s, g, b, one := Week(seed)
+	for seed := range seedCount(t, 6) {
+		s, g, b, one := GenerateWindowWeek(seed)
 		if one == 0 {
 			t.Fatalf("seed %d: no timetable", seed)
 		}
 		r := Run(s)
-		if len(r.Broken) > 0 {
+		if len(r.Violations) > 0 {
 			t.Fatalf("seed %d:\n%s\n%s", seed, s.Text(), strings.Join(r.Trace, "\n"))
 		}
-		greedy, best, serial, drained = greedy+g, best+b, serial+one, drained+r.Drained
+		greedy, best, serial, drained = greedy+g, best+b, serial+one, drained+r.DrainedWindows
 		for i := range waits {
-			waits[i] = append(waits[i], r.Waits[i]...)
+			waits[i] = append(waits[i], r.RequestLatencies[i]...)
 		}
 	}
 	p99 := func(d []time.Duration) time.Duration { slices.Sort(d); return d[len(d)*99/100] }
@@ -175,13 +175,13 @@
 	}
 }
 
-// TestHardCases plays what one would think of first, each under many delays.
-func TestHardCases(t *testing.T) {
+// TestSingleFaults plays what one would think of first, each under many delays.
+func TestSingleFaults(t *testing.T) {
 	const s = time.Second
-	at := func(kind string, on int, lasts time.Duration) Trouble {
-		return Trouble{At: 4 * s, For: lasts, Kind: kind, On: on}
+	at := func(kind string, on int, lasts time.Duration) Fault {
+		return Fault{At: 4 * s, For: lasts, Kind: kind, On: on}
 	}
-	cases := map[string][]Trouble{
+	cases := map[string][]Fault{
 		"head loses power":                         {at("power", 0, 3*s)},
 		"middle loses power":                       {at("power", 1, 3*s)},
 		"tail loses power":                         {at("power", 2, 3*s)},
@@ -203,9 +203,9 @@
 	for name, troubles := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range seeds(t, 12) {
-				r := Run(Schedule{Seed: seed, Machines: 3, Seeds: 3, Foragers: 3, Replicas: 4, Lasts: 20 * s, Troubles: troubles, Acts: DrawActs(seed, 60, 4, 20*s), Loss: 0.002})
-				if len(r.Broken) > 0 {
+			for seed := range seedCount(t, 12) {
+				r := Run(Schedule{Seed: seed, Machines: 3, Seeds: 3, Foragers: 3, Replicas: 4, Lasts: 20 * s, Troubles: troubles, Acts: GenerateActions(seed, 60, 4, 20*s), Loss: 0.002})
+				if len(r.Violations) > 0 {
 					t.Fatalf("seed %d:\n%s", seed, strings.Join(r.Trace, "\n"))
 				}
 			}
@@ -213,15 +213,15 @@
 	}
 }
 
-// TestMended measures how long a chain stays broken after a member falls silent.
-func TestMended(t *testing.T) {
+// TestViewRepairTime measures how long a chain stays broken after a member falls silent.
+func TestViewRepairTime(t *testing.T) {
 	t.Parallel()
 	var took []time.Duration
 	for _, kind := range []string{"power", "freeze", "cut"} {
-		for seed := range seeds(t, 34) {
-			r := Run(Schedule{Seed: seed, Machines: 3, Seeds: 3, Lasts: 8 * time.Second, Acts: DrawActs(seed, 10, 1, 8*time.Second),
-				Troubles: []Trouble{{At: 3*time.Second + time.Duration(seed)*7*time.Millisecond, For: 3 * time.Second, Kind: kind, On: int(seed) % 3}}})
-			took = append(took, r.Mended...)
+		for seed := range seedCount(t, 34) {
+			r := Run(Schedule{Seed: seed, Machines: 3, Seeds: 3, Lasts: 8 * time.Second, Acts: GenerateActions(seed, 10, 1, 8*time.Second),
+				Troubles: []Fault{{At: 3*time.Second + time.Duration(seed)*7*time.Millisecond, For: 3 * time.Second, Kind: kind, On: int(seed) % 3}}})
+			took = append(took, r.ViewRepairTimes...)
 		}
 	}
 	slices.Sort(took)
@@ -234,19 +234,19 @@
 	}
 }
 
-// TestFigures prints what the results page quotes; -v shows it.
-func TestFigures(t *testing.T) {
+// TestRepairFigures prints what the results page quotes; -v shows it.
+func TestRepairFigures(t *testing.T) {
 	t.Parallel()
 	for _, machines := range []int{3, 5, 7} {
 		for _, kind := range []string{"power", "freeze", "cut"} {
 			var took, acked []time.Duration
-			for seed := range seeds(t, 4) {
-				r := Run(Schedule{Seed: seed, Machines: machines, Seeds: 3, Lasts: 12 * time.Second, Acts: DrawActs(seed, 20, 1, 12*time.Second),
-					Troubles: []Trouble{{At: 6 * time.Second, For: 3 * time.Second, Kind: kind, On: int(seed) % machines}}})
-				if len(r.Broken) > 0 {
+			for seed := range seedCount(t, 4) {
+				r := Run(Schedule{Seed: seed, Machines: machines, Seeds: 3, Lasts: 12 * time.Second, Acts: GenerateActions(seed, 20, 1, 12*time.Second),
+					Troubles: []Fault{{At: 6 * time.Second, For: 3 * time.Second, Kind: kind, On: int(seed) % machines}}})
+				if len(r.Violations) > 0 {
 					t.Fatalf("%d machines, %s, seed %d:\n%s", machines, kind, seed, strings.Join(r.Trace, "\n"))
 				}
-				took, acked = append(took, r.Mended...), append(acked, r.Took...)
+				took, acked = append(took, r.ViewRepairTimes...), append(acked, r.CommandLatencies...)
 			}
 			slices.Sort(took)
 			slices.Sort(acked)
@@ -259,8 +259,8 @@
 	}
 }
 
-// TestKept plays schedules that broke something once, shrunk; the incident pages tell what.
-func TestKept(t *testing.T) {
+// TestKeptSchedules plays schedules that broke something once, shrunk; the incident pages tell what.
+func TestKeptSchedules(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no kept schedules: %v", err)
@@ -275,18 +275,18 @@
 			if err := json.Unmarshal(raw, &s); err != nil {
 				t.Fatal(err)
 			}
-			if r := Run(s); len(r.Broken) > 0 {
-				t.Errorf("%s\n%s", r.Broken[0], strings.Join(r.Trace, "\n"))
+			if r := Run(s); len(r.Violations) > 0 {
+				t.Errorf("%s\n%s", r.Violations[0], strings.Join(r.Trace, "\n"))
 			}
 		})
 	}
 }
 
-// TestSame guards what kept schedules and the flight recorder rest on: the same schedule always comes to the same.
-func TestSame(t *testing.T) {
-	s := Draw(7, 5, 8, 25*time.Second)
+// TestRunIsDeterministic guards what kept schedules and the flight recorder rest on: the same schedule always comes to the same.
+func TestRunIsDeterministic(t *testing.T) {
+	s := Generate(7, 5, 8, 25*time.Second)
 	a, b := Run(s), Run(s)
-	if !slices.Equal(a.Trace, b.Trace) || a.Picks != b.Picks || a.Colds != b.Colds {
+	if !slices.Equal(a.Trace, b.Trace) || a.Requests != b.Requests || a.WarmupRequests != b.WarmupRequests {
 		t.Error("two plays of one schedule differ")
 	}
 }
--- a/internal/simulation/cold_test.go
+++ b/internal/simulation/cold_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// TestColdAnew guards a replica that turns cold a second time before its first cold span has ended, as its zone is given back: gw-cold-after-evacuation.
+// TestSecondWarmup guards a replica that turns cold a second time before its first cold span has ended, as its zone is given back: gw-cold-after-evacuation.
 // The second span ends a little later than the first, and a beat that tells of it must count.
-func TestColdAnew(t *testing.T) {
+func TestSecondWarmup(t *testing.T) {
 	const ms = time.Millisecond
 	colds := 0
-	for seed := range seeds(t, 30) {
+	for seed := range seedCount(t, 30) {
 		begins := 12 * time.Second
-		r := Run(Schedule{Seed: seed, Machines: 3, Seeds: 3, Foragers: 12, Zones: 2, Replicas: 2, Lasts: 20 * time.Second, Acts: []Act{
+		r := Run(Schedule{Seed: seed, Machines: 3, Seeds: 3, Foragers: 12, Zones: 2, Replicas: 2, Lasts: 20 * time.Second, Acts: []Action{
 			{At: 1200 * ms, Kind: "put", Version: 1}, {At: 4 * time.Second, Kind: "evacuate"}, {At: begins, Kind: "begin"},
 			{At: begins + 330*ms + time.Duration(seed%5)*10*ms, Kind: "restore"}}})
-		if colds += r.Colds; len(r.Broken) > 0 {
-			t.Fatalf("seed %d: %s\n%s", seed, r.Broken[0], strings.Join(r.Trace, "\n"))
+		if colds += r.WarmupRequests; len(r.Violations) > 0 {
+			t.Fatalf("seed %d: %s\n%s", seed, r.Violations[0], strings.Join(r.Trace, "\n"))
 		}
 	}
 	if colds == 0 {
@@ -25,33 +25,33 @@
 	}
 }
 
-// TestRightsChangeHands guards the sum over all foragers while rights to call cold replicas change hands: replicas turn cold again and again, combs are
+// TestWarmupQuotasChangeHands guards the sum over all foragers while rights to call cold replicas change hands: replicas turn cold again and again, combs are
 // killed, frozen, cut and wiped in turn and foragers killed and frozen, so that foragers change sides all the time.
-func TestRightsChangeHands(t *testing.T) {
+func TestWarmupQuotasChangeHands(t *testing.T) {
 	colds := 0
-	for seed := range seeds(t, 12) {
+	for seed := range seedCount(t, 12) {
 		s := Schedule{Seed: seed, Machines: 3 + 2*int(seed%2), Seeds: 3, Foragers: 16, Zones: 2, Replicas: 1, Lasts: 30 * time.Second,
-			Acts: []Act{{At: 1200 * time.Millisecond, Kind: "put", Version: 1}}}
+			Acts: []Action{{At: 1200 * time.Millisecond, Kind: "put", Version: 1}}}
 		for i := range 8 {
-			s.Acts = append(s.Acts, Act{At: time.Duration(3+3*i) * time.Second, Kind: "begin", On: i})
+			s.Acts = append(s.Acts, Action{At: time.Duration(3+3*i) * time.Second, Kind: "begin", On: i})
 		}
 		kinds := []string{"kill", "freeze", "cut", "power", "oneway", "wipe"}
 		for i := range 8 {
 			at := time.Duration(3000+3000*i)*time.Millisecond + time.Duration(seed*37%900)*time.Millisecond
 			if i%2 == 1 { // all foragers change sides while the replica is cold
 				for j := range s.Foragers {
-					s.Troubles = append(s.Troubles, Trouble{At: at + 500*time.Millisecond, For: 1100 * time.Millisecond, Kind: "bcut", On: j})
+					s.Troubles = append(s.Troubles, Fault{At: at + 500*time.Millisecond, For: 1100 * time.Millisecond, Kind: "bcut", On: j})
 				}
 			}
-			s.Troubles = append(s.Troubles, Trouble{At: at, For: 1300 * time.Millisecond, Kind: kinds[(int(seed)+i)%len(kinds)], On: i % s.Machines})
+			s.Troubles = append(s.Troubles, Fault{At: at, For: 1300 * time.Millisecond, Kind: kinds[(int(seed)+i)%len(kinds)], On: i % s.Machines})
 			for j := range 3 {
-				s.Troubles = append(s.Troubles, Trouble{At: at + time.Duration(j)*150*time.Millisecond, For: time.Duration(400+500*j) * time.Millisecond,
+				s.Troubles = append(s.Troubles, Fault{At: at + time.Duration(j)*150*time.Millisecond, For: time.Duration(400+500*j) * time.Millisecond,
 					Kind: []string{"bkill", "bfreeze", "bcut"}[(j+i)%3], On: (int(seed) + 5*i + j) % s.Foragers})
 			}
 		}
 		r := Run(s)
-		if colds += r.Colds; len(r.Broken) > 0 {
-			t.Fatalf("seed %d: %s\n%s", seed, r.Broken[0], strings.Join(r.Trace, "\n"))
+		if colds += r.WarmupRequests; len(r.Violations) > 0 {
+			t.Fatalf("seed %d: %s\n%s", seed, r.Violations[0], strings.Join(r.Trace, "\n"))
 		}
 	}
 	if t.Logf("%d requests to cold replicas", colds); colds == 0 {
@@ -59,11 +59,11 @@
 	}
 }
 
-// TestLongAway has foragers and combs away for twenty seconds, while configurations, evacuations and replicas change: whoever is back must hold what was
+// TestLongAbsence has foragers and combs away for twenty seconds, while configurations, evacuations and replicas change: whoever is back must hold what was
 // acknowledged within the bounds, go back in nothing, and keep cold replicas from too much.
-func TestLongAway(t *testing.T) {
+func TestLongAbsence(t *testing.T) {
 	const away = 20 * time.Second
-	cases := map[string][]Trouble{
+	cases := map[string][]Fault{
 		"a forager is cut off from all":              {{Kind: "bcut", On: 0}, {Kind: "bcut", On: 1}},
 		"a forager freezes":                          {{Kind: "bfreeze", On: 0}, {Kind: "bfreeze", On: 1}},
 		"a comb is cut off":                          {{Kind: "cut", On: 0}},
@@ -76,16 +76,16 @@
 	for name, troubles := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range seeds(t, 4) {
-				s := Schedule{Seed: seed, Machines: 3, Seeds: 3, Foragers: 6, Replicas: 4, Zones: zones, Lasts: 34 * time.Second, Acts: DrawActs(seed, 60, 4, 34*time.Second)}
+			for seed := range seedCount(t, 4) {
+				s := Schedule{Seed: seed, Machines: 3, Seeds: 3, Foragers: 6, Replicas: 4, Zones: generatedZones, Lasts: 34 * time.Second, Acts: GenerateActions(seed, 60, 4, 34*time.Second)}
 				for _, x := range troubles {
 					if x.At += 4*time.Second + time.Duration(seed)*130*time.Millisecond; x.For == 0 {
 						x.For = away
 					}
 					s.Troubles = append(s.Troubles, x)
 				}
-				if r := Run(s); len(r.Broken) > 0 {
-					t.Fatalf("seed %d: %s\n%s", seed, r.Broken[0], strings.Join(r.Trace, "\n"))
+				if r := Run(s); len(r.Violations) > 0 {
+					t.Fatalf("seed %d: %s\n%s", seed, r.Violations[0], strings.Join(r.Trace, "\n"))
 				}
 			}
 		})
--- a/internal/simulation/days_test.go
+++ b/internal/simulation/days_test.go
@@ -14,20 +14,20 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// holding is what the register holds under one key: the newest configuration, or whether a zone is out (Body 1).
-type holding struct {
+// registerState is what the register holds under one key: the newest configuration, or whether a zone is out (Body 1).
+type registerState struct {
 	version uint64
 	body    int
 }
 
-// keys is the register with all that operators ask of it, by key: the configuration, where the highest number holds, its
+// keyedRegisterModel is the register with all that operators ask of it, by key: the configuration, where the highest number holds, its
 // second body is refused, and what is not above it changes nothing; and each zone. An order without a clear answer may
 // take effect once, until lateMost after it was given up, or never.
-var keys = (&porcupine.NondeterministicModel{
+var keyedRegisterModel = (&porcupine.NondeterministicModel{
 	Partition: func(all []porcupine.Operation) (parts [][]porcupine.Operation) {
 		by := map[string][]porcupine.Operation{}
 		for _, o := range all {
-			key := o.Input.(Try).Key
+			key := o.Input.(Attempt).Key
 			by[key] = append(by[key], o)
 		}
 		for _, key := range sortedKeys(by) {
@@ -35,13 +35,13 @@
 		}
 		return parts
 	},
-	Init: func() []any { return []any{holding{}} },
+	Init: func() []any { return []any{registerState{}} },
 	Step: func(state, input, _ any) []any {
-		s, t := state.(holding), input.(Try)
+		s, t := state.(registerState), input.(Attempt)
 		next := s
 		switch t.Kind {
 		case "read":
-			if t.Clear && s != (holding{t.Version, t.Body}) {
+			if t.Answered && s != (registerState{t.Version, t.BodyID}) {
 				return nil
 			}
 			return []any{s}
@@ -50,40 +50,40 @@
 		case "back":
 			next.body = 0
 		case "put":
-			twin := t.Version == s.version && t.Body != s.body
+			twin := t.Version == s.version && t.BodyID != s.body
 			switch {
-			case t.Refused && !twin && t.Version >= s.version, t.Clear && !t.Refused && twin:
+			case t.Conflict && !twin && t.Version >= s.version, t.Answered && !t.Conflict && twin:
 				return nil
-			case !t.Refused && t.Version > s.version:
-				next = holding{t.Version, t.Body}
+			case !t.Conflict && t.Version > s.version:
+				next = registerState{t.Version, t.BodyID}
 			}
 		}
-		if t.Clear || next == s {
+		if t.Answered || next == s {
 			return []any{next}
 		}
 		return []any{s, next}
 	},
 }).ToModel()
 
-// tries turns calls into what the check takes. As each committed register was seen, much of it is decided beforehand, and
+// attemptHistory turns calls into what the check takes. As each committed register was seen, much of it is decided beforehand, and
 // a check of hundreds of calls that are made again and again while a core is away would else not end:
 //   - left out are questions without an answer, and whatever was not clearly answered and brought about no change that was
 //     seen (nor one that may have been passed over); of tries at a zone the last few that may have are kept;
 //   - left out are configurations that were acknowledged when a newer one had been seen, or itself, and changed nothing;
 //   - where one try alone can have brought a configuration in, it did so between the two registers that were seen.
-func tries(all []Try) (h []porcupine.Operation) {
+func attemptHistory(all []Attempt) (h []porcupine.Operation) {
 	refused, drop, asked := map[uint64]bool{}, map[int]bool{}, map[int]bool{}
-	var reads []Try                          // of the configuration, as seen: in order
-	zones := map[string][]Try{}              // of the zones
+	var reads []Attempt                      // of the configuration, as seen: in order
+	zones := map[string][]Attempt{}          // of the zones
 	first := map[int][2]time.Duration{0: {}} // when a body was first seen, and the register before it
 	for _, t := range all {
-		if t.Refused {
+		if t.Conflict {
 			refused[t.Version] = true
 		}
-		if t.Kind == "read" && t.Clear && t.Seq == 0 {
-			asked[t.Body] = true // by operators
+		if t.Kind == "read" && t.Answered && t.Sequence == 0 {
+			asked[t.BodyID] = true // by operators
 		}
-		if t.Kind == "read" && t.Seq > 0 {
+		if t.Kind == "read" && t.Sequence > 0 {
 			if t.Key != "" { // of the register
 				zones[t.Key] = append(zones[t.Key], t)
 				continue
@@ -92,45 +92,45 @@
 			if n := len(reads); n > 0 {
 				before = reads[n-1].Call
 			}
-			if _, ok := first[t.Body]; !ok {
-				first[t.Body] = [2]time.Duration{before, t.Call}
+			if _, ok := first[t.BodyID]; !ok {
+				first[t.BodyID] = [2]time.Duration{before, t.Call}
 			}
 			reads = append(reads, t)
 		}
 	}
 	bodies := map[int][]int{}
 	for i, t := range all {
-		seen, ok := first[t.Body]
+		seen, ok := first[t.BodyID]
 		switch {
 		case t.Kind == "read":
-			drop[i] = !t.Clear
+			drop[i] = !t.Answered
 		case t.Key != "":
-			drop[i] = !t.Clear
-		case asked[t.Body] && (!ok || t.Call <= seen[1]):
-		case t.Clear && !t.Refused:
-			n, _ := slices.BinarySearchFunc(reads, t.End+1, func(r Try, at time.Duration) int { return cmp.Compare(r.Call, at) })
+			drop[i] = !t.Answered
+		case asked[t.BodyID] && (!ok || t.Call <= seen[1]):
+		case t.Answered && !t.Conflict:
+			n, _ := slices.BinarySearchFunc(reads, t.Return+1, func(r Attempt, at time.Duration) int { return cmp.Compare(r.Call, at) })
 			drop[i] = n > 0 && reads[n-1].Version > t.Version && (!ok || t.Call > seen[1]) || ok && t.Call > seen[1]
-		case !t.Clear:
+		case !t.Answered:
 			drop[i] = !ok && !refused[t.Version] || ok && t.Call > seen[1]
 		}
-		if t.Kind == "put" && ok && !t.Refused && t.Call <= seen[1] && t.until() >= seen[0] {
-			bodies[t.Body] = append(bodies[t.Body], i)
+		if t.Kind == "put" && ok && !t.Conflict && t.Call <= seen[1] && t.latestEffect() >= seen[0] {
+			bodies[t.BodyID] = append(bodies[t.BodyID], i)
 		}
 	}
 	for _, key := range sortedKeys(zones) {
-		before := Try{}
+		before := Attempt{}
 		for _, t := range zones[key] {
 			for body, kind := range []string{"back", "out"} {
-				if (t.Body == before.Body || t.Body != body) && t.Seq <= before.Seq+1 {
+				if (t.BodyID == before.BodyID || t.BodyID != body) && t.Sequence <= before.Sequence+1 {
 					continue // nothing was changed to that
 				}
 				var may []int
 				for i, o := range all {
-					if o.Kind == kind && o.Key == key && !o.Clear && o.Call <= t.Call && o.until() >= before.Call {
+					if o.Kind == kind && o.Key == key && !o.Answered && o.Call <= t.Call && o.latestEffect() >= before.Call {
 						may = append(may, i)
 					}
 				}
-				slices.SortFunc(may, func(a, b int) int { return cmp.Compare(all[b].until(), all[a].until()) })
+				slices.SortFunc(may, func(a, b int) int { return cmp.Compare(all[b].latestEffect(), all[a].latestEffect()) })
 				for _, i := range may[:min(len(may), 4)] {
 					drop[i] = false
 				}
@@ -142,46 +142,46 @@
 		if drop[i] {
 			continue
 		}
-		call, end := t.Call, t.until()
-		if alone := bodies[t.Body]; t.Kind == "put" && len(alone) == 1 && alone[0] == i {
-			call, end = max(call, first[t.Body][0]), min(end, first[t.Body][1])
+		call, end := t.Call, t.latestEffect()
+		if alone := bodies[t.BodyID]; t.Kind == "put" && len(alone) == 1 && alone[0] == i {
+			call, end = max(call, first[t.BodyID][0]), min(end, first[t.BodyID][1])
 		}
 		h = append(h, porcupine.Operation{ClientId: i, Input: t, Call: int64(call), Return: int64(end)})
 	}
 	return h
 }
 
-// until is when a try has taken effect, if ever.
-func (t Try) until() time.Duration {
+// latestEffect is when a try has taken effect, if ever.
+func (attempt Attempt) latestEffect() time.Duration {
 	switch {
-	case t.Clear:
-		return t.End
-	case t.End == 0:
+	case attempt.Answered:
+		return attempt.Return
+	case attempt.Return == 0:
 		return time.Hour
 	}
-	return t.End + lateMost
+	return attempt.Return + lateEffectBound
 }
 
-// undecided counts histories that took too long to check.
-var undecided atomic.Int64
+// undecidedHistories counts histories that took too long to check.
+var undecidedHistories atomic.Int64
 
-// playDay plays a day and tells what was wrong, if anything.
-func playDay(t *testing.T, s Schedule) (Result, string) {
-	r := Run(s)
-	if len(r.Broken) > 0 {
-		return r, r.Broken[0]
+// runChecked plays a day and tells what was wrong, if anything.
+func runChecked(t *testing.T, schedule Schedule) (Result, string) {
+	r := Run(schedule)
+	if len(r.Violations) > 0 {
+		return r, r.Violations[0]
 	}
-	switch porcupine.CheckOperationsTimeout(keys, tries(r.Tries), 20*time.Second) {
+	switch porcupine.CheckOperationsTimeout(keyedRegisterModel, attemptHistory(r.Attempts), 20*time.Second) {
 	case porcupine.Illegal:
 		return r, "the calls do not add up to one register"
 	case porcupine.Unknown:
-		undecided.Add(1)
+		undecidedHistories.Add(1)
 	}
 	return r, ""
 }
 
-// setting is a number from the environment.
-func setting(t *testing.T, name string, usual int) int {
+// environmentInt is a number from the environment.
+func environmentInt(t *testing.T, name string, usual int) int {
 	if s := os.Getenv(name); s != "" {
 		n, err := strconv.Atoi(s)
 		if err != nil {
@@ -192,33 +192,33 @@
 	return usual
 }
 
-// TestDays plays each family of days with 3, 5 and 7 machines. APIARY_SEEDS=N asks for N seeds of each, beginning with
+// TestFamilies plays each family of days with 3, 5 and 7 machines. APIARY_SEEDS=N asks for N seeds of each, beginning with
 // APIARY_FROM, so that a long run may be split; APIARY_FAMILY and APIARY_MACHINES play one of them alone.
-func TestDays(t *testing.T) {
+func TestFamilies(t *testing.T) {
 	t.Parallel()
-	from, n := uint64(setting(t, "APIARY_FROM", 0)), uint64(setting(t, "APIARY_SEEDS", 1))
+	from, n := uint64(environmentInt(t, "APIARY_FROM", 0)), uint64(environmentInt(t, "APIARY_SEEDS", 1))
 	played, acked, refused, taken, caught, unclear, kept := 0, 0, 0, 0, 0, 0, 0
 	for _, family := range Families {
 		for _, machines := range []int{3, 5, 7} {
-			if f := os.Getenv("APIARY_FAMILY"); f != "" && f != family || setting(t, "APIARY_MACHINES", machines) != machines {
+			if f := os.Getenv("APIARY_FAMILY"); f != "" && f != family || environmentInt(t, "APIARY_MACHINES", machines) != machines {
 				continue
 			}
 			bad := 0
 			for seed := from; seed < from+n; seed++ {
-				r, wrong := playDay(t, DrawDay(family, seed, machines))
-				played, acked, taken, caught, kept = played+1, acked+r.Acked, taken+len(r.TakenIn), caught+len(r.Caught), max(kept, r.Kept)
-				for _, x := range r.Tries {
-					if x.Refused {
+				r, wrong := runChecked(t, GenerateFamily(family, seed, machines))
+				played, acked, taken, caught, kept = played+1, acked+r.Acknowledged, taken+len(r.JoinTimes), caught+len(r.CatchUpTimes), max(kept, r.MaxDiskBytes)
+				for _, x := range r.Attempts {
+					if x.Conflict {
 						refused++
 					}
-					if !x.Clear && x.Kind != "read" {
+					if !x.Answered && x.Kind != "read" {
 						unclear++
 					}
 				}
 				if wrong != "" {
-					if bad++; bad <= setting(t, "APIARY_SHOW", 1) {
-						s, r := ShrinkBy(DrawDay(family, seed, machines), func(s Schedule) (Result, bool) { r, wrong := playDay(t, s); return r, wrong != "" })
-						_, wrong = playDay(t, s)
+					if bad++; bad <= environmentInt(t, "APIARY_SHOW", 1) {
+						s, r := ShrinkBy(GenerateFamily(family, seed, machines), func(s Schedule) (Result, bool) { r, wrong := runChecked(t, s); return r, wrong != "" })
+						_, wrong = runChecked(t, s)
 						t.Errorf("%s, %d machines, seed %d: %s; shrunk:\n%s\n%s", family, machines, seed, wrong, s.Text(), strings.Join(r.Trace, "\n"))
 					} else {
 						t.Errorf("%s, %d machines, seed %d: %s", family, machines, seed, wrong)
@@ -231,15 +231,15 @@
 		}
 	}
 	t.Logf("%d days, seeds %d to %d: %d orders acknowledged, %d refused, %d tries without a clear answer, %d successors and %d that came back filled, %d bytes on a disk at most; %d histories undecided",
-		played, from, from+n-1, acked, refused, unclear, taken, caught, kept, undecided.Load())
+		played, from, from+n-1, acked, refused, unclear, taken, caught, kept, undecidedHistories.Load())
 	if all := os.Getenv("APIARY_FAMILY") == ""; acked == 0 || all && (refused == 0 || unclear == 0 || taken == 0 || caught == 0) {
 		t.Error("the days test nothing")
 	}
 }
 
-// TestDayFigures prints what the results page quotes of views, successors, catching up and machines that were cut off; -v shows
+// TestFamilyFigures prints what the results page quotes of views, successors, catching up and machines that were cut off; -v shows
 // it, APIARY_SEEDS asks for more days.
-func TestDayFigures(t *testing.T) {
+func TestFamilyFigures(t *testing.T) {
 	t.Parallel()
 	line := func(what string, machines int, took []time.Duration) {
 		if slices.Sort(took); len(took) == 0 {
@@ -251,33 +251,33 @@
 	}
 	for _, machines := range []int{3, 5, 7} {
 		play := func(seed uint64, s Schedule) Result {
-			s.Seed, s.Machines, s.Seeds, s.Tolerance, s.Zones, s.Loss = seed, machines, 3, tolerances[machines], zones, 0.002
-			s.Acts = append([]Act{{At: 500 * time.Millisecond, Kind: "put", Version: 1, Body: 1}}, s.Acts...)
-			r, wrong := playDay(t, s)
+			s.Seed, s.Machines, s.Seeds, s.Tolerance, s.Zones, s.Loss = seed, machines, 3, toleranceByMembers[machines], generatedZones, 0.002
+			s.Acts = append([]Action{{At: 500 * time.Millisecond, Kind: "put", Version: 1, Body: 1}}, s.Acts...)
+			r, wrong := runChecked(t, s)
 			if wrong != "" {
 				t.Fatalf("%d machines, seed %d: %s\n%s\n%s", machines, seed, wrong, s.Text(), strings.Join(r.Trace, "\n"))
 			}
 			return r
 		}
 		var mended, taken, still, beats, thawed []time.Duration
-		for seed := range seeds(t, 1) {
+		for seed := range seedCount(t, 1) {
 			jitter := time.Duration(seed*37%1000) * time.Millisecond
 			for _, role := range []string{"head", "middle", "tail"} {
-				r := play(seed, Schedule{Lasts: 18 * time.Second, Troubles: []Trouble{{At: 8*time.Second + jitter, Kind: "gone", Role: role}, {At: 9*time.Second + jitter, Kind: "spare"}}})
-				mended, taken = append(mended, r.Mended...), append(taken, r.TakenIn...)
+				r := play(seed, Schedule{Lasts: 18 * time.Second, Troubles: []Fault{{At: 8*time.Second + jitter, Kind: "gone", Role: role}, {At: 9*time.Second + jitter, Kind: "spare"}}})
+				mended, taken = append(mended, r.ViewRepairTimes...), append(taken, r.JoinTimes...)
 			}
 			for i, kind := range []string{"cut", "island", "deaf", "mute", "freeze", "still", "stopped"} {
 				jitter := time.Duration((int(seed)*7+i)*230%1500) * time.Millisecond // beats of replicas are in step
-				s := Schedule{Lasts: 32 * time.Second, Foragers: 3, Replicas: 6, Troubles: []Trouble{{At: 8*time.Second + jitter, For: 20 * time.Second, Kind: kind, On: int(seed) % 3, Meet: true}}}
+				s := Schedule{Lasts: 32 * time.Second, Foragers: 3, Replicas: 6, Troubles: []Fault{{At: 8*time.Second + jitter, For: 20 * time.Second, Kind: kind, On: int(seed) % 3, Meet: true}}}
 				for _, from := range []time.Duration{8 * time.Second, 28 * time.Second} {
 					for i := range 18 { // fewer than may wait at a comb
 						at := from + jitter + time.Duration(i)*60*time.Millisecond
-						s.Acts = append(s.Acts, Act{At: at, Kind: "read", To: 1 + int(seed)%3}, Act{At: at, Kind: "evacuate", On: i % 3, To: 1 + int(seed)%3})
+						s.Acts = append(s.Acts, Action{At: at, Kind: "read", To: 1 + int(seed)%3}, Action{At: at, Kind: "evacuate", On: i % 3, To: 1 + int(seed)%3})
 					}
 				}
 				r := play(seed, s)
-				still, thawed = append(still, r.Still...), append(thawed, r.Thawed...)
-				beats = append(beats, r.Beats...)
+				still, thawed = append(still, r.AnswersWhileCut...), append(thawed, r.AnswersAfterThaw...)
+				beats = append(beats, r.HeartbeatsWhileCut...)
 			}
 		}
 		line("a view is mended after a machine has gone", machines, mended)
@@ -290,63 +290,63 @@
 				continue // for some seconds of CI
 			}
 			var caught []time.Duration
-			for seed := range seeds(t, 1) {
+			for seed := range seedCount(t, 1) {
 				away := time.Second + time.Duration(n)*40*time.Millisecond
-				s := Schedule{Lasts: 9*time.Second + away + 6*time.Second, Troubles: []Trouble{{At: 8*time.Second + time.Duration(seed*37%1000)*time.Millisecond, For: away, Kind: "power", Role: []string{"head", "middle", "tail"}[seed%3]}}}
+				s := Schedule{Lasts: 9*time.Second + away + 6*time.Second, Troubles: []Fault{{At: 8*time.Second + time.Duration(seed*37%1000)*time.Millisecond, For: away, Kind: "power", Role: []string{"head", "middle", "tail"}[seed%3]}}}
 				for i := range n {
-					s.Acts = append(s.Acts, Act{At: 9*time.Second + time.Duration(i)*40*time.Millisecond, Kind: "put", Version: uint64(10 + i), Body: 10 + i})
+					s.Acts = append(s.Acts, Action{At: 9*time.Second + time.Duration(i)*40*time.Millisecond, Kind: "put", Version: uint64(10 + i), Body: 10 + i})
 				}
-				caught = append(caught, play(seed, s).Caught...)
+				caught = append(caught, play(seed, s).CatchUpTimes...)
 			}
 			line(fmt.Sprintf("back in the chain and filled after %d changes, from its start", n), machines, caught)
 		}
 	}
 }
 
-// TestDaysFindFaults puts bugs into the newer rules on purpose: each is found by a day of a family that is made for it, and
+// TestFamiliesFindPlantedBugs puts bugs into the newer rules on purpose: each is found by a day of a family that is made for it, and
 // that very day passes without it.
-func TestDaysFindFaults(t *testing.T) {
-	for f, x := range map[Fault]struct{ family, as string }{
-		ToldUnasked:     {"cuts", "which is new to it"},
-		VouchesAnyway:   {"cuts", "was acknowledged before it was asked"},
-		NoIdentity:      {"twins", "do not add up to one register"},
-		LateCalls:       {"cuts", "do not add up to one register"},
-		ConflictUntold:  {"twins", "is acknowledged as"},
-		ClaimsForgotten: {"twins", "is acknowledged as"},
-		LeavesAtOnce:    {"twins", "is not in touch"},
+func TestFamiliesFindPlantedBugs(t *testing.T) {
+	for f, x := range map[PlantedBug]struct{ family, as string }{
+		UnconfirmedFirstState: {"cuts", "which is new to it"},
+		ConfirmSupersededView: {"cuts", "was acknowledged before it was asked"},
+		DropCommandID:         {"twins", "do not add up to one register"},
+		AcceptDelayedCalls:    {"cuts", "do not add up to one register"},
+		HideConflict:          {"twins", "is acknowledged as"},
+		ForgetClaims:          {"twins", "is acknowledged as"},
+		LeaveWithoutHandover:  {"twins", "is not in touch"},
 	} {
 		t.Run(string(f), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(400) {
-				s := DrawDay(x.family, seed, 3)
+				s := GenerateFamily(x.family, seed, 3)
 				s.Fault = f
 				switch f {
-				case NoIdentity: // an order and its contrary are under way when the view changes
+				case DropCommandID: // an order and its contrary are under way when the view changes
 					s.Foragers, s.Replicas, s.Acts, s.Troubles = 0, 0, nil, nil
 					for at := 8 * time.Second; at < 22*time.Second; at += 6 * time.Second {
 						after := time.Duration(seed%40) * 15 * time.Millisecond // the view changes about a second after the cut
-						s.Troubles = append(s.Troubles, Trouble{At: at, For: 1500 * time.Millisecond, Kind: "cut", Role: "tail"})
-						s.Acts = append(s.Acts, Act{At: at - time.Second, Kind: "evacuate", To: 2}, Act{At: at + 400*time.Millisecond + after, Kind: "restore", To: 2},
-							Act{At: at + 450*time.Millisecond + after, Kind: "evacuate", To: 2})
+						s.Troubles = append(s.Troubles, Fault{At: at, For: 1500 * time.Millisecond, Kind: "cut", Role: "tail"})
+						s.Acts = append(s.Acts, Action{At: at - time.Second, Kind: "evacuate", To: 2}, Action{At: at + 400*time.Millisecond + after, Kind: "restore", To: 2},
+							Action{At: at + 450*time.Millisecond + after, Kind: "evacuate", To: 2})
 					}
-				case VouchesAnyway: // what tells of the later view must be lost, and much be asked and changed meanwhile
+				case ConfirmSupersededView: // what tells of the later view must be lost, and much be asked and changed meanwhile
 					s.Loss, s.Foragers, s.Replicas, s.Acts, s.Troubles = 0.2, 0, 0, nil, nil
 					for at := 8 * time.Second; at < 22*time.Second; at += 4 * time.Second {
-						s.Troubles = append(s.Troubles, Trouble{At: at, For: 1200 * time.Millisecond, Kind: "island", Role: "tail"})
+						s.Troubles = append(s.Troubles, Fault{At: at, For: 1200 * time.Millisecond, Kind: "island", Role: "tail"})
 					}
 					for at := 8 * time.Second; at < 24*time.Second; at += 20 * time.Millisecond {
-						s.Acts = append(s.Acts, Act{At: at, Kind: "read", To: 1 + len(s.Acts)%3})
+						s.Acts = append(s.Acts, Action{At: at, Kind: "read", To: 1 + len(s.Acts)%3})
 						if len(s.Acts)%4 == 0 {
-							s.Acts = append(s.Acts, Act{At: at, Kind: "put", Version: version(at), Body: len(s.Acts)})
+							s.Acts = append(s.Acts, Action{At: at, Kind: "put", Version: versionAt(at), Body: len(s.Acts)})
 						}
 					}
-				case LeavesAtOnce: // the head leaves, its successor is there, and another is lost as it does
-					s.Troubles = []Trouble{{At: 8 * time.Second, Kind: "spare"}, {At: 16 * time.Second, Kind: "leave", Role: "head"},
+				case LeaveWithoutHandover: // the head leaves, its successor is there, and another is lost as it does
+					s.Troubles = []Fault{{At: 8 * time.Second, Kind: "spare"}, {At: 16 * time.Second, Kind: "leave", Role: "head"},
 						{At: 16*time.Second + time.Duration(seed)*5*time.Millisecond, For: 12 * time.Second, Kind: "freeze", Role: "tail"}}
 				}
-				if _, wrong := playDay(t, s); wrong != "" && strings.Contains(wrong, x.as) {
+				if _, wrong := runChecked(t, s); wrong != "" && strings.Contains(wrong, x.as) {
 					s.Fault = ""
-					if _, without := playDay(t, s); without != "" {
+					if _, without := runChecked(t, s); without != "" {
 						continue // not the fault's doing
 					}
 					t.Logf("found with seed %d: %s", seed, wrong)
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -11,109 +11,109 @@
 	"zincloft.example/zincloft/internal/statestore"
 )
 
-const sector = 512
+const sectorSize = 512
 
 // disk is a simulated one beneath the real store. What the store does is taken down as operations, which the world
 // carries out one after the other, each in its time. A file holds what its last sync covered; of what was written after
 // that, a loss of power leaves any part, torn at sectors, or none. A name lasts once its folder was synced.
 type disk struct {
-	files   map[string]*file
-	plan    []op
-	full    bool // writes end part way through
-	refuse  bool // writes and syncs fail
-	stalled bool
-	lax     bool // fault: the folder's sync does nothing
+	files           map[string]*file
+	pending         []diskOperation
+	full            bool // writes end part way through
+	failing         bool // writes and syncs fail
+	stalled         bool
+	skipsFolderSync bool // fault: the folder's sync does nothing
 
-	rev, keptRev uint64 // moves with what a loss of power would leave, and when kept was read
-	kept         *coordinator.PersistentState
+	revision, durableRevision uint64 // moves with what a loss of power would leave, and when kept was read
+	durable                   *coordinator.PersistentState
 }
 
 type file struct {
-	synced  []byte
-	now     []byte
-	writes  []op // since the last sync
-	lasting bool
+	synced   []byte
+	content  []byte
+	unsynced []diskOperation // since the last sync
+	durable  bool
 }
 
-type op struct {
-	kind string // create, write, sync, folder, rename
-	name string
-	to   string
-	off  int
-	data []byte
+type diskOperation struct {
+	kind   string // create, write, sync, folder, rename
+	name   string
+	to     string
+	offset int
+	data   []byte
 }
 
 func newDisk() *disk { return &disk{files: map[string]*file{}} }
 
 var (
-	errFull   = errors.New("no space left on device")
-	errRefuse = errors.New("input/output error")
+	errNoSpace     = errors.New("no space left on device")
+	errInputOutput = errors.New("input/output error")
 )
 
 func (d *disk) ReadFile(name string) ([]byte, error) {
 	if f := d.files[name]; f != nil {
-		return slices.Clone(f.now), nil
+		return slices.Clone(f.content), nil
 	}
 	return nil, &fs.PathError{Op: "open", Path: name, Err: os.ErrNotExist}
 }
 
-type handle struct {
-	d    *disk
+type fileHandle struct {
+	disk *disk
 	name string
 }
 
 func (d *disk) OpenForWrite(name string) (statestore.File, error) {
-	if d.refuse {
-		return nil, errRefuse
+	if d.failing {
+		return nil, errInputOutput
 	}
-	d.plan = append(d.plan, op{kind: "create", name: name})
-	return handle{d, name}, nil
+	d.pending = append(d.pending, diskOperation{kind: "create", name: name})
+	return fileHandle{d, name}, nil
 }
 
-func (h handle) WriteAt(p []byte, off int64) (int, error) {
+func (h fileHandle) WriteAt(p []byte, off int64) (int, error) {
 	n := len(p)
-	if h.d.full {
+	if h.disk.full {
 		n /= 3
 	}
-	h.d.plan = append(h.d.plan, op{kind: "write", name: h.name, off: int(off), data: slices.Clone(p[:n])})
+	h.disk.pending = append(h.disk.pending, diskOperation{kind: "write", name: h.name, offset: int(off), data: slices.Clone(p[:n])})
 	if n < len(p) {
-		return n, errFull
+		return n, errNoSpace
 	}
 	return n, nil
 }
 
-func (h handle) Sync() error {
-	if h.d.refuse {
-		return errRefuse
+func (h fileHandle) Sync() error {
+	if h.disk.failing {
+		return errInputOutput
 	}
-	h.d.plan = append(h.d.plan, op{kind: "sync", name: h.name})
+	h.disk.pending = append(h.disk.pending, diskOperation{kind: "sync", name: h.name})
 	return nil
 }
 
-func (h handle) Close() error { return nil }
+func (h fileHandle) Close() error { return nil }
 
 func (d *disk) Rename(from, to string) error {
-	d.plan = append(d.plan, op{kind: "rename", name: from, to: to})
+	d.pending = append(d.pending, diskOperation{kind: "rename", name: from, to: to})
 	return nil
 }
 
 func (d *disk) SyncDirectory() error {
-	d.plan = append(d.plan, op{kind: "folder"})
+	d.pending = append(d.pending, diskOperation{kind: "folder"})
 	return nil
 }
 
-func put(old []byte, off int, data []byte) []byte {
+func overwrite(old []byte, off int, data []byte) []byte {
 	b := make([]byte, max(len(old), off+len(data)))
 	copy(b, old)
 	copy(b[off:], data)
 	return b
 }
 
-// carry does one operation.
-func (d *disk) carry(o op) {
+// apply does one operation.
+func (d *disk) apply(o diskOperation) {
 	f := d.files[o.name]
 	if o.kind != "write" {
-		d.rev++
+		d.revision++
 	}
 	switch o.kind {
 	case "create":
@@ -121,13 +121,13 @@
 			d.files[o.name] = &file{}
 		}
 	case "write":
-		f.now = put(f.now, o.off, o.data)
-		f.writes = append(f.writes, o)
+		f.content = overwrite(f.content, o.offset, o.data)
+		f.unsynced = append(f.unsynced, o)
 	case "sync":
-		f.synced, f.writes = f.now, nil
+		f.synced, f.unsynced = f.content, nil
 	case "folder":
 		for _, f := range d.files {
-			f.lasting = f.lasting || !d.lax
+			f.durable = f.durable || !d.skipsFolderSync
 		}
 	case "rename":
 		if f != nil {
@@ -137,66 +137,66 @@
 	}
 }
 
-// killed leaves the files as the process left them, the operation at hand half done.
-func (d *disk) killed(r *rand.Rand) {
-	if len(d.plan) > 0 && d.plan[0].kind == "write" {
-		o := d.plan[0]
+// processKilled leaves the files as the process left them, the operation at hand half done.
+func (d *disk) processKilled(r *rand.Rand) {
+	if len(d.pending) > 0 && d.pending[0].kind == "write" {
+		o := d.pending[0]
 		o.data = o.data[:r.IntN(len(o.data)+1)]
-		d.carry(o)
+		d.apply(o)
 	}
-	d.plan = nil
+	d.pending = nil
 }
 
-// power loses what was not synced, in part or whole.
-func (d *disk) power(r *rand.Rand) {
-	d.killed(r)
-	d.rev++
+// powerLost loses what was not synced, in part or whole.
+func (d *disk) powerLost(r *rand.Rand) {
+	d.processKilled(r)
+	d.revision++
 	none := r.IntN(2) == 0 // some losses take all of it away
 	for _, name := range sortedKeys(d.files) {
 		f := d.files[name]
-		if !f.lasting && (none || r.IntN(2) == 0) {
+		if !f.durable && (none || r.IntN(2) == 0) {
 			delete(d.files, name)
 			continue
 		}
 		b := f.synced
-		for _, o := range f.writes {
-			for from := 0; from < len(o.data) && !none; from += sector {
+		for _, o := range f.unsynced {
+			for from := 0; from < len(o.data) && !none; from += sectorSize {
 				if r.IntN(2) == 0 {
-					end := min(from+sector, len(o.data))
-					b = put(b, o.off+from, o.data[from:end])
+					end := min(from+sectorSize, len(o.data))
+					b = overwrite(b, o.offset+from, o.data[from:end])
 				}
 			}
 		}
-		f.synced, f.now, f.writes = b, b, nil
+		f.synced, f.content, f.unsynced = b, b, nil
 	}
 }
 
-// after is what would be on disk if power went now and took all away that may go.
-func (d *disk) after() *disk {
+// afterPowerLoss is what would be on disk if power went now and took all away that may go.
+func (d *disk) afterPowerLoss() *disk {
 	n := newDisk()
 	for name, f := range d.files {
-		if f.lasting {
-			n.files[name] = &file{synced: f.synced, now: f.synced, lasting: true}
+		if f.durable {
+			n.files[name] = &file{synced: f.synced, content: f.synced, durable: true}
 		}
 	}
 	return n
 }
 
-// lasting is what a comb would find after a loss of power; nil: nothing.
-func (d *disk) lasting() *coordinator.PersistentState {
-	if d.keptRev == d.rev+1 {
-		return d.kept
+// durableState is what a comb would find after a loss of power; nil: nothing.
+func (d *disk) durableState() *coordinator.PersistentState {
+	if d.durableRevision == d.revision+1 {
+		return d.durable
 	}
-	d.kept, d.keptRev = nil, d.rev+1
-	store, err := statestore.Open(d.after())
+	d.durable, d.durableRevision = nil, d.revision+1
+	store, err := statestore.Open(d.afterPowerLoss())
 	if err != nil {
 		return nil
 	}
 	defer store.Close()
-	if raw, ok := store.Get(keptKey); ok {
+	if raw, ok := store.Get(stateKey); ok {
 		if k, err := coordinator.DecodePersistentState(raw); err == nil {
-			d.kept = &k
+			d.durable = &k
 		}
 	}
-	return d.kept
+	return d.durable
 }
--- a/internal/simulation/edge.go
+++ b/internal/simulation/edge.go
@@ -15,389 +15,389 @@
 )
 
 const (
-	beatEvery  = 1500 * time.Millisecond
-	silence    = time.Second // a comb that says nothing for so long is left
-	reports    = time.Second
-	picksEvery = 60 * time.Millisecond
-	coldFor    = 3 * time.Second
-	dialMost   = 300 * time.Millisecond
-	work       = 150 * time.Millisecond
-	handling   = 2 * time.Millisecond // of a request at a forager
-	slots      = 1                    // so few that cold replicas are needed
+	heartbeatInterval = 1500 * time.Millisecond
+	streamTimeout     = time.Second // a comb that says nothing for so long is left
+	reportInterval    = time.Second
+	requestInterval   = 60 * time.Millisecond
+	warmupTime        = 3 * time.Second
+	dialTimeout       = 300 * time.Millisecond
+	serviceTime       = 150 * time.Millisecond
+	forwardingTime    = 2 * time.Millisecond // of a request at a forager
+	replicaSlots      = 1                    // so few that cold replicas are needed
 )
 
-// bee is an edge machine with its forager.
-type bee struct {
-	node
-	i       int
-	brain   *router.Forager
-	comb    *machine // whose stream it holds; nil: none
-	stream  uint64
-	whole   bool
-	heardAt time.Duration
-	version uint64 // newest in force in this life
-	seq     uint64
-	at      int // of the candidates, the next one to call
-	meets   *machine
-	seeds   []string
-	freeAt  time.Duration
+// gatewayNode is an edge machine with its forager.
+type gatewayNode struct {
+	process
+	index          int
+	router         *router.Forager
+	member         *member // whose stream it holds; nil: none
+	stream         uint64
+	hasSnapshot    bool
+	lastReceivedAt time.Duration
+	version        uint64 // newest in force in this life
+	sequence       uint64
+	nextCandidate  int // of the candidates, the next one to call
+	nextMember     *member
+	seedAddresses  []string
+	idleAt         time.Duration
 }
 
-func (w *world) wake(b *bee) {
-	w.begins(&b.node)
-	b.brain = router.New(router.Settings{Zone: w.zone(b.i), Zones: w.zones(), RetryRatio: 0.2, RetrySlack: 60,
-		ColdTimes: coldTimes, ColdSlack: coldSlack, Seed: w.r.Uint64()})
-	b.comb, b.stream, b.version, b.seq, b.at, b.seeds = nil, 0, 0, 0, 0, w.seeds(false)
-	life := b.life
+func (c *cluster) startGateway(g *gatewayNode) {
+	c.startProcess(&g.process)
+	g.router = router.New(router.Settings{Zone: c.zoneName(g.index), Zones: c.zoneCount(), RetryRatio: 0.2, RetrySlack: 60,
+		ColdTimes: warmupBurstFactor, ColdSlack: warmupSlack, Seed: c.random.Uint64()})
+	g.member, g.stream, g.version, g.sequence, g.nextCandidate, g.seedAddresses = nil, 0, 0, 0, 0, c.seedAddresses(false)
+	incarnation := g.incarnation
 	var follow, send func()
 	follow = func() {
-		if !b.up || b.life != life {
+		if !g.up || g.incarnation != incarnation {
 			return
 		}
-		w.run(&b.node, life, func() { w.follow(b) })
-		w.after(50*time.Millisecond+time.Duration(w.r.IntN(100))*time.Millisecond, follow)
+		c.runOn(&g.process, incarnation, func() { c.followStream(g) })
+		c.after(50*time.Millisecond+time.Duration(c.random.IntN(100))*time.Millisecond, follow)
 	}
 	send = func() {
-		if !b.up || b.life != life {
+		if !g.up || g.incarnation != incarnation {
 			return
 		}
-		w.run(&b.node, life, func() { w.pick(b) })
-		w.after(time.Duration(w.r.Int64N(int64(2*picksEvery))), send)
+		c.runOn(&g.process, incarnation, func() { c.sendRequest(g) })
+		c.after(time.Duration(c.random.Int64N(int64(2*requestInterval))), send)
 	}
-	w.after(time.Duration(w.r.IntN(100))*time.Millisecond, follow)
-	w.after(time.Second, send)
+	c.after(time.Duration(c.random.IntN(100))*time.Millisecond, follow)
+	c.after(time.Second, send)
 }
 
-func (w *world) sting(b *bee, t Trouble) {
-	switch t.Kind {
+func (c *cluster) injectGatewayFault(g *gatewayNode, fault Fault) {
+	switch fault.Kind {
 	case "bkill":
-		if b.up {
-			b.up = false
-			if b.comb != nil {
-				m, n := b.comb, b.stream
-				w.carry(&b.node, &m.node, 0, 0, func() { w.ends(m, n) })
+		if g.up {
+			g.up = false
+			if g.member != nil {
+				m, n := g.member, g.stream
+				c.send(&g.process, &m.process, 0, 0, func() { c.endStream(m, n) })
 			}
-			w.after(t.For, func() { w.wake(b) })
+			c.after(fault.For, func() { c.startGateway(g) })
 		}
 	case "bfreeze":
-		w.freeze(&b.node, t.For)
+		c.freeze(&g.process, fault.For)
 	case "bcut":
 		var links [][2]string
-		for _, m := range w.combs {
-			links = append(links, [2]string{b.name, m.name}, [2]string{m.name, b.name})
+		for _, m := range c.members {
+			links = append(links, [2]string{g.name, m.name}, [2]string{m.name, g.name})
 		}
-		w.part(links, t.For)
+		c.cutFor(links, fault.For)
 	}
 }
 
-// follow keeps a stream from one comb, as the daemon does.
-func (w *world) follow(b *bee) {
-	if b.comb != nil {
-		if w.now-b.heardAt > silence {
-			w.lost(b, b.stream)
+// followStream keeps a stream from one comb, as the daemon does.
+func (c *cluster) followStream(g *gatewayNode) {
+	if g.member != nil {
+		if c.now-g.lastReceivedAt > streamTimeout {
+			c.streamLost(g, g.stream)
 		}
 		return
 	}
-	all := b.brain.Candidates(b.seeds)
-	m := w.byAddr[all[b.at%len(all)]]
-	b.at++
-	if b.meets != nil {
-		m, b.meets = b.meets, nil
-	}
-	w.tokens++
-	n := w.tokens
-	b.comb, b.stream, b.whole, b.heardAt = m, n, false, w.now-silence+dialMost
-	w.carry(&b.node, &m.node, 0, 0, func() {
-		if m.brain == nil {
+	all := g.router.Candidates(g.seedAddresses)
+	m := c.memberByAddress[all[g.nextCandidate%len(all)]]
+	g.nextCandidate++
+	if g.nextMember != nil {
+		m, g.nextMember = g.nextMember, nil
+	}
+	c.lastToken++
+	n := c.lastToken
+	g.member, g.stream, g.hasSnapshot, g.lastReceivedAt = m, n, false, c.now-streamTimeout+dialTimeout
+	c.send(&g.process, &m.process, 0, 0, func() {
+		if m.controller == nil {
 			return
 		}
-		m.streams[n] = b
-		if r, known := m.brain.Coordinator().Register(); (w.s.Unasked || w.s.Fault == ToldUnasked) && known {
-			w.tell(m, b, n, &messages.StateUpdate{Full: true, Bootstrapping: true, Sequence: r.Sequence, ConfigVersion: r.Version, Config: r.Body, EvacuatedZones: sortedKeys(r.EvacuatedZones)})
+		m.streams[n] = g
+		if r, known := m.controller.Coordinator().Register(); (c.schedule.Unasked || c.schedule.Fault == UnconfirmedFirstState) && known {
+			c.sendState(m, g, n, &messages.StateUpdate{Full: true, Bootstrapping: true, Sequence: r.Sequence, ConfigVersion: r.Version, Config: r.Body, EvacuatedZones: sortedKeys(r.EvacuatedZones)})
 		}
-		w.step(m, controller.Event{GatewayJoined: &controller.GatewayJoined{Stream: n, Gateway: b.name, Zone: w.zone(b.i)}})
+		c.step(m, controller.Event{GatewayJoined: &controller.GatewayJoined{Stream: n, Gateway: g.name, Zone: c.zoneName(g.index)}})
 	})
 	if !m.up {
-		w.after(time.Millisecond, func() { w.lost(b, n) })
+		c.after(time.Millisecond, func() { c.streamLost(g, n) })
 	}
 }
 
-// lost ends a stream at the forager.
-func (w *world) lost(b *bee, n uint64) {
-	if b.comb == nil || b.stream != n {
+// streamLost ends a stream at the forager.
+func (c *cluster) streamLost(g *gatewayNode, n uint64) {
+	if g.member == nil || g.stream != n {
 		return
 	}
-	m := b.comb
-	b.comb = nil
-	b.brain.Left(w.local(&b.node))
-	w.carry(&b.node, &m.node, 0, 0, func() { w.ends(m, n) })
-	life := m.life
-	w.after(4*time.Second, func() { // at the latest, nothing is read there any more
-		w.run(&m.node, life, func() { w.ends(m, n) })
+	m := g.member
+	g.member = nil
+	g.router.Left(c.monotonicTime(&g.process))
+	c.send(&g.process, &m.process, 0, 0, func() { c.endStream(m, n) })
+	incarnation := m.incarnation
+	c.after(4*time.Second, func() { // at the latest, nothing is read there any more
+		c.runOn(&m.process, incarnation, func() { c.endStream(m, n) })
 	})
 }
 
-// ends has a comb hear that a stream has ended.
-func (w *world) ends(m *machine, n uint64) {
+// endStream has a comb hear that a stream has ended.
+func (c *cluster) endStream(m *member, n uint64) {
 	if m.streams[n] != nil {
 		delete(m.streams, n)
-		w.step(m, controller.Event{GatewayLeft: n})
+		c.step(m, controller.Event{GatewayLeft: n})
 	}
 }
 
-// tell brings a comb's word to a forager. A stream that loses one has ended: the next would not fit on.
-func (w *world) tell(m *machine, b *bee, n uint64, s *messages.StateUpdate) {
-	w.tells(m, b, s)
-	if w.cut[[2]string{m.name, b.name}] > 0 || severed(&m.node, &b.node) {
+// sendState brings a comb's word to a forager. A stream that loses one has ended: the next would not fit on.
+func (c *cluster) sendState(m *member, g *gatewayNode, n uint64, state *messages.StateUpdate) {
+	c.checkFirstState(m, g, state)
+	if c.cutLinks[[2]string{m.name, g.name}] > 0 || isSevered(&m.process, &g.process) {
 		delete(m.streams, n)
-		life := m.life
-		w.after(silence, func() { w.run(&m.node, life, func() { w.step(m, controller.Event{GatewayLeft: n}) }) })
+		incarnation := m.incarnation
+		c.after(streamTimeout, func() { c.runOn(&m.process, incarnation, func() { c.step(m, controller.Event{GatewayLeft: n}) }) })
 		return
 	}
-	if w.s.Fault == OwnGrants && len(s.WarmupRates) > 0 {
-		all := *s
+	if c.schedule.Fault == UndividedWarmupQuota && len(state.WarmupRates) > 0 {
+		all := *state
 		all.WarmupRates = nil
-		for _, l := range s.WarmupRates {
-			l.WarmupRate *= float32(w.s.Machines)
+		for _, l := range state.WarmupRates {
+			l.WarmupRate *= float32(c.schedule.Machines)
 			all.WarmupRates = append(all.WarmupRates, l)
 		}
-		s = &all
+		state = &all
 	}
-	w.carry(&m.node, &b.node, 0, 0, func() {
-		if b.comb != m || b.stream != n {
+	c.send(&m.process, &g.process, 0, 0, func() {
+		if g.member != m || g.stream != n {
 			return
 		}
-		b.heardAt = w.now
-		w.takes(b, s)
-		if b.comb == m && !b.whole && s.Full {
-			b.whole = true
-			b.at = 0
-			w.report(m, b, n, b.brain.First(w.local(&b.node)))
-			w.reports(m, b, n)
+		g.lastReceivedAt = c.now
+		c.applyState(g, state)
+		if g.member == m && !g.hasSnapshot && state.Full {
+			g.hasSnapshot = true
+			g.nextCandidate = 0
+			c.sendReport(m, g, n, g.router.First(c.monotonicTime(&g.process)))
+			c.scheduleReports(m, g, n)
 		}
 	})
 }
 
-func (w *world) reports(m *machine, b *bee, n uint64) {
-	w.after(reports, func() {
-		if b.up && b.comb == m && b.stream == n {
-			w.run(&b.node, b.life, func() {
-				w.report(m, b, n, b.brain.Report(w.local(&b.node), reports, 0.2))
+func (c *cluster) scheduleReports(m *member, g *gatewayNode, n uint64) {
+	c.after(reportInterval, func() {
+		if g.up && g.member == m && g.stream == n {
+			c.runOn(&g.process, g.incarnation, func() {
+				c.sendReport(m, g, n, g.router.Report(c.monotonicTime(&g.process), reportInterval, 0.2))
 			})
-			w.reports(m, b, n)
+			c.scheduleReports(m, g, n)
 		}
 	})
 }
 
-func (w *world) report(m *machine, b *bee, n uint64, r *messages.LoadReport) {
-	w.carry(&b.node, &m.node, 0, 0, func() {
-		if m.streams[n] == b {
-			w.step(m, controller.Event{Stream: n, Report: r})
+func (c *cluster) sendReport(m *member, g *gatewayNode, n uint64, report *messages.LoadReport) {
+	c.send(&g.process, &m.process, 0, 0, func() {
+		if m.streams[n] == g {
+			c.step(m, controller.Event{Stream: n, Report: report})
 		}
 	})
 }
 
-// takes puts a word in force, and watches that the forager does not go back and holds nothing that is not committed.
-func (w *world) takes(b *bee, s *messages.StateUpdate) {
-	if w.s.Fault == StaleTables && s.Sequence > 0 && s.Sequence < b.seq {
-		b.brain = router.New(router.Settings{Zone: w.zone(b.i), Zones: w.zones(), Seed: 1})
+// applyState puts a word in force, and watches that the forager does not go back and holds nothing that is not committed.
+func (c *cluster) applyState(g *gatewayNode, state *messages.StateUpdate) {
+	if c.schedule.Fault == AcceptStaleState && state.Sequence > 0 && state.Sequence < g.sequence {
+		g.router = router.New(router.Settings{Zone: c.zoneName(g.index), Zones: c.zoneCount(), Seed: 1})
 	}
-	t := b.brain.Take(w.local(&b.node), s)
-	if w.history != nil {
-		w.history.add(entryUpdate, w.now, historyGateways+b.i, w.local(&b.node), s, t.Ended, t.Table, t.Late, b.brain.Seq())
+	t := g.router.Take(c.monotonicTime(&g.process), state)
+	if c.history != nil {
+		c.history.add(entryUpdate, c.now, historyGateways+g.index, c.monotonicTime(&g.process), state, t.Ended, t.Table, t.Late, g.router.Seq())
 	}
 	if t.Late {
-		w.lost(b, b.stream)
+		c.streamLost(g, g.stream)
 		return
 	}
-	if seq := b.brain.Seq(); seq < b.seq {
-		w.broken("%s went back from register %d to %d within a life", b.name, b.seq, seq)
+	if seq := g.router.Seq(); seq < g.sequence {
+		c.violationf("%s went back from register %d to %d within a life", g.name, g.sequence, seq)
 	} else {
-		b.seq = seq
+		g.sequence = seq
 	}
-	c := b.brain.Config()
-	if c == nil {
+	config := g.router.Config()
+	if config == nil {
 		return
 	}
-	if c.Version < b.version {
-		w.broken("%s went back from version %d to %d within a life", b.name, b.version, c.Version)
+	if config.Version < g.version {
+		c.violationf("%s went back from version %d to %d within a life", g.name, g.version, config.Version)
 	}
-	if c.Version == b.version {
+	if config.Version == g.version {
 		return
 	}
-	b.version = c.Version
-	at, ok := w.committed[c.Version]
+	g.version = config.Version
+	at, ok := c.committedAt[config.Version]
 	if !ok {
-		w.broken("%s has version %d in force, which is not committed", b.name, c.Version)
+		c.violationf("%s has version %d in force, which is not committed", g.name, config.Version)
 	}
-	if _, sent := w.versions[string(c.Raw)]; !sent {
-		w.broken("%s has something in force that nobody sent: %q", b.name, c.Raw)
+	if _, sent := c.versionByBody[string(config.Raw)]; !sent {
+		c.violationf("%s has something in force that nobody sent: %q", g.name, config.Raw)
 	}
-	if w.calm(contact) && w.acked == c.Version {
-		w.res.Told = append(w.res.Told, w.now-at)
+	if c.calmFor(contactTimeout) && c.acknowledgedVersion == config.Version {
+		c.result.ConfigPropagationTimes = append(c.result.ConfigPropagationTimes, c.now-at)
 	}
 }
 
-// pick has a forager send a request to a replica, and watches where it goes.
-func (w *world) pick(b *bee) {
-	if b.brain.Config() == nil {
+// sendRequest has a forager send a request to a replica, and watches where it goes.
+func (c *cluster) sendRequest(g *gatewayNode) {
+	if g.router.Config() == nil {
 		return
 	}
-	now := w.local(&b.node)
-	w.between(b)
-	w.rights()
-	if !b.brain.Serves() && w.r.IntN(4) > 0 || b.brain.Refuses(now) { // few come still
+	now := c.monotonicTime(&g.process)
+	c.checkGatewaySettled(g)
+	c.checkWarmupQuotas()
+	if !g.router.Serves() && c.random.IntN(4) > 0 || g.router.Refuses(now) { // few come still
 		return
 	}
-	b.brain.Arrived(service)
-	p := b.brain.Pick(now, router.Ask{Service: service, Request: admission.Request{Route: "r", Target: time.Second, Left: 3 * time.Second}})
-	if w.history != nil {
-		w.history.add(entryPick, w.now, historyGateways+b.i, now, p)
+	g.router.Arrived(serviceName)
+	pick := g.router.Pick(now, router.Ask{Service: serviceName, Request: admission.Request{Route: "r", Target: time.Second, Left: 3 * time.Second}})
+	if c.history != nil {
+		c.history.add(entryPick, c.now, historyGateways+g.index, now, pick)
 	}
-	w.judge(b)
-	if p.ID == "" {
-		b.brain.Done(now, true, false)
+	c.checkConfigCurrent(g)
+	if pick.ID == "" {
+		g.router.Done(now, true, false)
 		return
 	}
-	w.res.Picks++
-	starts := max(w.now, b.freeAt) // a forager takes one request after the other
-	b.freeAt = starts + handling
-	w.res.Waits[w.anyOut()] = append(w.res.Waits[w.anyOut()], starts-w.now+handling+work)
-	i := slices.IndexFunc(w.replicas, func(r *replica) bool { return r.id == p.ID })
+	c.result.Requests++
+	starts := max(c.now, g.idleAt) // a forager takes one request after the other
+	g.idleAt = starts + forwardingTime
+	c.result.RequestLatencies[c.openWindowIndex()] = append(c.result.RequestLatencies[c.openWindowIndex()], starts-c.now+forwardingTime+serviceTime)
+	i := slices.IndexFunc(c.replicas, func(target *replica) bool { return target.id == pick.ID })
 	if i < 0 {
-		w.broken("%s sends to %s, which never was", b.name, p.ID)
+		c.violationf("%s sends to %s, which never was", g.name, pick.ID)
 		return
 	}
-	r, life := w.replicas[i], b.life
-	w.arrives(b, r)
-	end := router.End{N: p.N, Outcome: loadbalancer.Good, Took: work, Load: [3]int{slots, 1, slots}}
-	took := work
-	if !r.alive {
-		end, took = router.End{N: p.N, Outcome: loadbalancer.Uncalled, Refused: true}, time.Millisecond
-	}
-	w.after(took, func() {
-		w.run(&b.node, life, func() {
-			b.brain.Done(w.local(&b.node), true, false)
-			out := b.brain.End(w.local(&b.node), end)
-			if w.history != nil {
-				w.history.add(entryAttempt, w.now, historyGateways+b.i, end, out)
+	target, incarnation := c.replicas[i], g.incarnation
+	c.checkReplicaRequest(g, target)
+	end := router.End{N: pick.N, Outcome: loadbalancer.Good, Took: serviceTime, Load: [3]int{replicaSlots, 1, replicaSlots}}
+	took := serviceTime
+	if !target.alive {
+		end, took = router.End{N: pick.N, Outcome: loadbalancer.Uncalled, Refused: true}, time.Millisecond
+	}
+	c.after(took, func() {
+		c.runOn(&g.process, incarnation, func() {
+			g.router.Done(c.monotonicTime(&g.process), true, false)
+			out := g.router.End(c.monotonicTime(&g.process), end)
+			if c.history != nil {
+				c.history.add(entryAttempt, c.now, historyGateways+g.index, end, out)
 			}
-			if out.Fell != nil && b.comb != nil {
-				w.report(b.comb, b, b.stream, &messages.LoadReport{Observations: []outlier.Word{*out.Fell}})
+			if out.Fell != nil && g.member != nil {
+				c.sendReport(g.member, g, g.stream, &messages.LoadReport{Observations: []outlier.Word{*out.Fell}})
 			}
 		})
 	})
 }
 
-// judge watches that a forager has in force what was acknowledged a while ago, where all has been calm since.
-func (w *world) judge(b *bee) {
-	if w.calm(contact) && w.acked > 0 && w.now > max(w.ackedAt, w.trouble+contact)+configIn && b.version < w.acked {
-		w.broken("%s still has version %d in force, %d was acknowledged at %.2f s", b.name, b.version, w.acked, w.ackedAt.Seconds())
+// checkConfigCurrent watches that a forager has in force what was acknowledged a while ago, where all has been calm since.
+func (c *cluster) checkConfigCurrent(g *gatewayNode) {
+	if c.calmFor(contactTimeout) && c.acknowledgedVersion > 0 && c.now > max(c.acknowledgedAt, c.unsettledUntil+contactTimeout)+configPropagationBound && g.version < c.acknowledgedVersion {
+		c.violationf("%s still has version %d in force, %d was acknowledged at %.2f s", g.name, g.version, c.acknowledgedVersion, c.acknowledgedAt.Seconds())
 	}
 }
 
 // replica is one life of a replica.
 type replica struct {
-	id, zone  string
-	seq       uint64
-	alive     bool
-	draining  bool
-	coldUntil time.Duration
-	told      time.Duration // its leaving was acknowledged; 0: not
-	next      string
-	arrivals  []time.Duration // while cold, of the last second
+	id, zone            string
+	heartbeatSequence   uint64
+	alive               bool
+	draining            bool
+	warmupUntil         time.Duration
+	drainAcknowledgedAt time.Duration // its leaving was acknowledged; 0: not
+	redirect            string
+	warmupArrivals      []time.Duration // while cold, of the last second
 }
 
-// begin starts a replica.
-func (w *world) begin(z int, cold bool) {
-	r := &replica{id: fmt.Sprintf("i%d", len(w.replicas)), zone: w.zone(z), alive: true}
+// startReplica starts a replica.
+func (c *cluster) startReplica(z int, cold bool) {
+	replica := &replica{id: fmt.Sprintf("i%d", len(c.replicas)), zone: c.zoneName(z), alive: true}
 	if cold {
-		r.coldUntil = w.now + coldFor
+		replica.warmupUntil = c.now + warmupTime
 	}
-	w.replicas = append(w.replicas, r)
+	c.replicas = append(c.replicas, replica)
 	var beat func()
 	beat = func() {
-		if r.alive && !w.quiet {
-			w.beat(r, 0)
-			w.after(beatEvery+time.Duration(w.r.IntN(60))*time.Millisecond, beat)
+		if replica.alive && !c.finished {
+			c.sendHeartbeat(replica, 0)
+			c.after(heartbeatInterval+time.Duration(c.random.IntN(60))*time.Millisecond, beat)
 		}
 	}
-	w.after(time.Duration(w.r.IntN(300))*time.Millisecond, beat)
+	c.after(time.Duration(c.random.IntN(300))*time.Millisecond, beat)
 }
 
-// beat calls a comb, and others until one acknowledges.
-func (w *world) beat(r *replica, tries int) {
+// sendHeartbeat calls a comb, and others until one acknowledges.
+func (c *cluster) sendHeartbeat(r *replica, tries int) {
 	if !r.alive || tries > 4 {
 		return
 	}
-	m := w.anyone()
-	if t := w.byAddr[r.next]; t != nil {
-		m = t
+	m := c.pickMember()
+	if redirect := c.memberByAddress[r.redirect]; redirect != nil {
+		m = redirect
 	}
-	r.next = ""
-	r.seq++
+	r.redirect = ""
+	r.heartbeatSequence++
 	answered := false
 	retry := func() {
 		if !answered {
 			answered = true
-			w.beat(r, tries+1)
+			c.sendHeartbeat(r, tries+1)
 		}
 	}
-	if !m.up || m.frozen || m.brain == nil {
-		w.after(100*time.Millisecond, retry)
+	if !m.up || m.frozen || m.controller == nil {
+		c.after(100*time.Millisecond, retry)
 		return
 	}
-	l := registry.Instance{ID: r.id, Service: service, Addr: "10.9.0." + r.id[1:] + ":80", Zone: r.zone, Slots: slots, Draining: r.draining,
-		WarmupMillis: max((r.coldUntil - w.now).Milliseconds(), 0), Sequence: r.seq}
-	w.after(time.Second, retry)
-	w.beats(m, l, false, func(ok bool, next string) {
+	instance := registry.Instance{ID: r.id, Service: serviceName, Addr: "10.9.0." + r.id[1:] + ":80", Zone: r.zone, Slots: replicaSlots, Draining: r.draining,
+		WarmupMillis: max((r.warmupUntil - c.now).Milliseconds(), 0), Sequence: r.heartbeatSequence}
+	c.after(time.Second, retry)
+	c.deliverHeartbeat(m, instance, false, func(ok bool, next string) {
 		if answered {
 			return
 		}
 		if answered = true; !ok {
-			w.after(100*time.Millisecond, func() { w.beat(r, tries+1) })
+			c.after(100*time.Millisecond, func() { c.sendHeartbeat(r, tries+1) })
 			return
 		}
-		r.next = next
-		if l.Draining && r.told == 0 {
-			r.told = w.now
-			w.say("%s: the leaving of %s is acknowledged", m.name, r.id)
-			w.after(drainIn+time.Second, func() { w.leave(r) })
+		r.redirect = next
+		if instance.Draining && r.drainAcknowledgedAt == 0 {
+			r.drainAcknowledgedAt = c.now
+			c.tracef("%s: the leaving of %s is acknowledged", m.name, r.id)
+			c.after(drainDeadline+time.Second, func() { c.deregisterReplica(r) })
 		}
 	})
 }
 
-func (w *world) drain(r *replica) {
+func (c *cluster) drainReplica(r *replica) {
 	if r.alive && !r.draining {
 		r.draining = true
-		w.beat(r, 0)
-		w.after(8*time.Second, func() { r.alive = false })
+		c.sendHeartbeat(r, 0)
+		c.after(8*time.Second, func() { r.alive = false })
 	}
 }
 
-func (w *world) leave(r *replica) {
-	m := w.anyone()
-	if r.alive && m.up && !m.frozen && m.brain != nil {
-		w.beats(m, registry.Instance{ID: r.id}, true, func(bool, string) {})
+func (c *cluster) deregisterReplica(r *replica) {
+	m := c.pickMember()
+	if r.alive && m.up && !m.frozen && m.controller != nil {
+		c.deliverHeartbeat(m, registry.Instance{ID: r.id}, true, func(bool, string) {})
 	}
 	r.alive = false
 }
 
-// arrives watches a request that reaches a replica.
-func (w *world) arrives(b *bee, r *replica) {
-	if r.told > 0 && w.now > max(r.told, w.trouble+contact)+drainIn && w.calm(contact) {
-		w.broken("%s sends to %s, whose leaving was acknowledged at %.2f s", b.name, r.id, r.told.Seconds())
+// checkReplicaRequest watches a request that reaches a replica.
+func (c *cluster) checkReplicaRequest(g *gatewayNode, r *replica) {
+	if r.drainAcknowledgedAt > 0 && c.now > max(r.drainAcknowledgedAt, c.unsettledUntil+contactTimeout)+drainDeadline && c.calmFor(contactTimeout) {
+		c.violationf("%s sends to %s, whose leaving was acknowledged at %.2f s", g.name, r.id, r.drainAcknowledgedAt.Seconds())
 	}
-	if at, out := w.outAt[r.zone]; out && w.now > max(at, w.trouble+contact)+evacuateIn && w.calm(contact) {
-		w.broken("%s sends to %s in zone %s, whose evacuation was acknowledged at %.2f s", b.name, r.id, r.zone, at.Seconds())
+	if at, out := c.evacuatedAt[r.zone]; out && c.now > max(at, c.unsettledUntil+contactTimeout)+evacuationBound && c.calmFor(contactTimeout) {
+		c.violationf("%s sends to %s in zone %s, whose evacuation was acknowledged at %.2f s", g.name, r.id, r.zone, at.Seconds())
 	}
-	if w.now >= r.coldUntil || !r.alive {
-		r.arrivals = nil
+	if c.now >= r.warmupUntil || !r.alive {
+		r.warmupArrivals = nil
 		return
 	}
-	w.res.Colds++
-	r.arrivals = append(slices.DeleteFunc(r.arrivals, func(t time.Duration) bool { return w.now-t >= time.Second }), w.now)
-	if n := float64(len(r.arrivals)); n > coldPerS*coldTimes+coldSlack {
-		w.broken("%s is cold and gets its %.0fth request within a second", r.id, n)
+	c.result.WarmupRequests++
+	r.warmupArrivals = append(slices.DeleteFunc(r.warmupArrivals, func(t time.Duration) bool { return c.now-t >= time.Second }), c.now)
+	if n := float64(len(r.warmupArrivals)); n > warmupRate*warmupBurstFactor+warmupSlack {
+		c.violationf("%s is cold and gets its %.0fth request within a second", r.id, n)
 	}
 }
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -83,44 +83,44 @@
 func (h *historyChecksum) sum() string { return fmt.Sprintf("%016x.%d", h.digest.Sum64(), h.entries) }
 
 // start takes down that a control-plane process starts, and with what state.
-func (h *historyChecksum) start(w *world, m *machine, raw []byte) {
+func (h *historyChecksum) start(w *cluster, m *member, raw []byte) {
 	if h == nil {
 		return
 	}
-	h.add(entryStart, w.now, m.i, m.life, decodedState(raw))
+	h.add(entryStart, w.now, m.index, m.incarnation, decodedState(raw))
 }
 
 // event takes down an event that a controller has decided on, and how it stands since.
-func (h *historyChecksum) event(w *world, m *machine, e controller.Event) {
+func (h *historyChecksum) event(w *cluster, m *member, e controller.Event) {
 	if h == nil {
 		return
 	}
 	if e.WriteResult != nil && e.WriteResult.Error != "" { // its text is no part of the history
 		e.WriteResult = &controller.WriteResult{Error: "failed"}
 	}
-	local := w.local(&m.node)
-	core := m.brain.Coordinator()
+	local := w.monotonicTime(&m.process)
+	core := m.controller.Coordinator()
 	register, known := core.Register()
-	h.add(entryEvent, w.now, m.i, local, e, core.View().Number, register.Sequence, known, core.HasQuorumContact(local))
+	h.add(entryEvent, w.now, m.index, local, e, core.View().Number, register.Sequence, known, core.HasQuorumContact(local))
 }
 
 // answer takes down an answer to a caller. The text of a refusal is no part of the history.
-func (h *historyChecksum) answer(w *world, m *machine, a controller.Response) {
+func (h *historyChecksum) answer(w *cluster, m *member, a controller.Response) {
 	if h == nil {
 		return
 	}
 	if a.Status != 200 {
 		a.Body = nil
 	}
-	h.add(entryAnswer, w.now, m.i, a)
+	h.add(entryAnswer, w.now, m.index, a)
 }
 
 // persist takes down the state that a controller hands to its store.
-func (h *historyChecksum) persist(w *world, m *machine, raw []byte) {
+func (h *historyChecksum) persist(w *cluster, m *member, raw []byte) {
 	if h == nil {
 		return
 	}
-	h.add(entryPersist, w.now, m.i, decodedState(raw))
+	h.add(entryPersist, w.now, m.index, decodedState(raw))
 }
 
 // decodedState is a state that can be encoded with its maps in order; nil where there is none.
@@ -134,7 +134,7 @@
 
 // operation takes down a disk operation. The contents of the files are compared as states, since the order of what they
 // hold is not fixed.
-func (h *historyChecksum) operation(w *world, m *machine, o op) {
+func (h *historyChecksum) operation(w *cluster, m *member, o diskOperation) {
 	if h == nil {
 		return
 	}
@@ -151,60 +151,60 @@
 	case "rename":
 		kind = 5
 	}
-	h.add(entryDisk, w.now, m.i, kind, o.name, o.off, len(o.data))
+	h.add(entryDisk, w.now, m.index, kind, o.name, o.offset, len(o.data))
 }
 
 // disk takes down what a machine would find on its disk after a loss of power, and how long its files are.
-func (h *historyChecksum) disk(entry historyEntry, w *world, m *machine) {
+func (h *historyChecksum) disk(entry historyEntry, w *cluster, m *member) {
 	if h == nil {
 		return
 	}
 	var sizes []int
 	for _, name := range sortedKeys(m.disk.files) {
 		f := m.disk.files[name]
-		sizes = append(sizes, len(f.now), len(f.synced), len(f.writes))
+		sizes = append(sizes, len(f.content), len(f.synced), len(f.unsynced))
 	}
-	h.add(entry, w.now, m.i, m.disk.lasting(), sizes, m.up, m.life)
+	h.add(entry, w.now, m.index, m.disk.durableState(), sizes, m.up, m.incarnation)
 }
 
 // end takes down what was measured and each node's last state.
-func (h *historyChecksum) end(w *world) {
+func (h *historyChecksum) end(w *cluster) {
 	if h == nil {
 		return
 	}
-	r := &w.res
-	h.add(entryResult, w.now, 0, len(r.Broken), r.Acked, r.Calls, r.Picks, r.Colds, r.Views, r.Waits, r.Drained, r.Took, r.Mended, r.Told,
-		r.Caught, r.TakenIn, r.Still, r.Beats, r.Thawed, r.Kept, r.Changes)
-	for _, o := range r.Ops {
-		h.add(entryResult, w.now, 1, o.Read, o.Version, o.Call, o.End)
+	r := &w.result
+	h.add(entryResult, w.now, 0, len(r.Violations), r.Acknowledged, r.AnsweredCalls, r.Requests, r.WarmupRequests, r.NewestView, r.RequestLatencies, r.DrainedWindows, r.CommandLatencies, r.ViewRepairTimes, r.ConfigPropagationTimes,
+		r.CatchUpTimes, r.JoinTimes, r.AnswersWhileCut, r.HeartbeatsWhileCut, r.AnswersAfterThaw, r.MaxDiskBytes, r.NewestSequence)
+	for _, o := range r.Operations {
+		h.add(entryResult, w.now, 1, o.Read, o.Version, o.Call, o.Return)
 	}
-	for _, t := range r.Tries {
-		h.add(entryResult, w.now, 2, t.Version, t.Body, t.Seq, t.Refused, t.Clear, t.Call, t.End)
+	for _, t := range r.Attempts {
+		h.add(entryResult, w.now, 2, t.Version, t.BodyID, t.Sequence, t.Conflict, t.Answered, t.Call, t.Return)
 	}
-	for _, m := range w.combs {
+	for _, m := range w.members {
 		h.disk(entryFinalState, w, m)
-		if m.up && m.brain != nil {
-			if raw, err := m.brain.PersistentState(); err == nil {
-				h.add(entryFinalState, w.now, m.i, decodedState(raw), m.brain.Coordinator().View())
+		if m.up && m.controller != nil {
+			if raw, err := m.controller.PersistentState(); err == nil {
+				h.add(entryFinalState, w.now, m.index, decodedState(raw), m.controller.Coordinator().View())
 			}
 		}
 	}
-	for _, b := range w.bees {
-		h.add(entryFinalState, w.now, historyGateways+b.i, b.up, b.life, b.version, b.seq, b.brain.Seq(), b.brain.Serves())
+	for _, b := range w.gateways {
+		h.add(entryFinalState, w.now, historyGateways+b.index, b.up, b.incarnation, b.version, b.sequence, b.router.Seq(), b.router.Serves())
 	}
 	for i, r := range w.replicas {
-		h.add(entryFinalState, w.now, historyReplicas+i, r.seq, r.alive, r.draining, r.coldUntil, r.told)
+		h.add(entryFinalState, w.now, historyReplicas+i, r.heartbeatSequence, r.alive, r.draining, r.warmupUntil, r.drainAcknowledgedAt)
 	}
 }
 
 // endRush takes down what was measured in a rush.
-func (h *historyChecksum) endRush(w *rush) {
+func (h *historyChecksum) endRush(w *overflowSimulation) {
 	if h == nil {
 		return
 	}
-	r := &w.res
-	h.add(entryResult, w.now, 0, len(r.Broken), r.Lookups, r.Unanswered, r.Orders, r.Charged, r.Doubts, r.Spilled, r.Own, r.Guests, r.Used, r.Idle)
-	for _, q := range w.all {
-		h.add(entryRush, w.now, q.home, q.id, q.order, q.came, q.runs, q.done, q.doubt, q.tries)
+	r := &w.result
+	h.add(entryResult, w.now, 0, len(r.Violations), r.Lookups, r.Unanswered, r.Orders, r.Charged, r.Uncertain, r.Forwarded, r.OwnLatencies, r.ForwardedLatencies, r.UsedSlotSeconds, r.IdleSlotSeconds)
+	for _, q := range w.requests {
+		h.add(entryRush, w.now, q.home, q.id, q.isOrder, q.arrivedAt, q.executions, q.answered, q.uncertain, q.attempts)
 	}
 }
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -24,27 +24,27 @@
 // historyFamilies are kinds of simulations, each of which plays one by its seed and returns the checksum of its history.
 var historyFamilies = func() map[string]func(seed uint64) string {
 	families := map[string]func(uint64) string{
-		"drawn": func(seed uint64) string { return scheduleHistory(Draw(seed, machinesOf(seed), 8, 25*time.Second)) },
+		"drawn": func(seed uint64) string { return scheduleHistory(Generate(seed, machinesOf(seed), 8, 25*time.Second)) },
 		"windows": func(seed uint64) string {
-			return scheduleHistory(DrawWindows(seed, 3+2*int(seed%2), 6, 40*time.Second))
+			return scheduleHistory(GenerateWindows(seed, 3+2*int(seed%2), 6, 40*time.Second))
 		},
 		"weeks": func(seed uint64) string {
 			drawingWeek.Lock()
-			s, _, _, _ := Week(seed)
+			s, _, _, _ := GenerateWindowWeek(seed)
 			drawingWeek.Unlock()
 			return scheduleHistory(s)
 		},
 		"gateways": func(seed uint64) string { // many that change sides, with a comb that tells them without asking
-			s := Draw(seed, 3, 8, 25*time.Second)
+			s := Generate(seed, 3, 8, 25*time.Second)
 			s.Foragers, s.Unasked, s.Loss, s.Reorder = 8, true, 0.02, 0.02
 			return scheduleHistory(s)
 		},
 		"rush": func(seed uint64) string {
-			return rushHistory(Rush{Seed: seed, Sites: 2 + int(seed%5), Swamped: 1 + int(seed%3)/2, Times: 3, Lasts: 40 * time.Second, Trouble: seed%4 > 0, Way: ByLeases})
+			return rushHistory(OverflowScenario{Seed: seed, Sites: 2 + int(seed%5), OverloadedSites: 1 + int(seed%3)/2, LoadFactor: 3, Duration: 40 * time.Second, WithFaults: seed%4 > 0, Strategy: LeaseOverflow})
 		},
 	}
 	for _, family := range Families {
-		families["days-"+family] = func(seed uint64) string { return scheduleHistory(DrawDay(family, seed, machinesOf(seed))) }
+		families["days-"+family] = func(seed uint64) string { return scheduleHistory(GenerateFamily(family, seed, machinesOf(seed))) }
 	}
 	return families
 }()
@@ -58,7 +58,7 @@
 	return h.sum()
 }
 
-func rushHistory(r Rush) string {
+func rushHistory(r OverflowScenario) string {
 	h := newHistoryChecksum()
 	playRush(r, h)
 	return h.sum()
@@ -204,7 +204,7 @@
 // TestHistorySeesDecisions guards that a checksum changes with what is decided, and does not change from one play to the
 // next.
 func TestHistorySeesDecisions(t *testing.T) {
-	s := Draw(1, 3, 8, 25*time.Second)
+	s := Generate(1, 3, 8, 25*time.Second)
 	sum := scheduleHistory(s)
 	if again := scheduleHistory(s); again != sum {
 		t.Errorf("two plays of one schedule have the histories %s and %s", sum, again)
@@ -212,7 +212,7 @@
 	for fault, change := range map[string]func(*Schedule){
 		"a version":     func(s *Schedule) { s.Acts[0].Version++; s.Acts[0].Kind = "put" },
 		"a fault's end": func(s *Schedule) { s.Troubles[0].For += time.Millisecond },
-		"no identity":   func(s *Schedule) { s.Fault = NoIdentity },
+		"no identity":   func(s *Schedule) { s.Fault = DropCommandID },
 	} {
 		changed := s
 		changed.Acts, changed.Troubles = slices.Clone(s.Acts), slices.Clone(s.Troubles)
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -16,153 +16,153 @@
 )
 
 const (
-	keptKey   = "state"
-	keptMost  = 64 << 10 // bytes that a comb keeps: a configuration of some hundred, a dozen replicas, windows with their audit
-	callsMost = 60       // that wait at a comb
+	stateKey        = "state"
+	maxStateBytes   = 64 << 10 // bytes that a comb keeps: a configuration of some hundred, a dozen replicas, windows with their audit
+	maxPendingCalls = 60       // that wait at a comb
 )
 
-// machine is a core machine with its comb.
-type machine struct {
-	node
-	i       int
-	addr    string
-	brain   *controller.Controller
-	store   *statestore.Store
-	disk    *disk
-	wiped   int
-	seen    uint64 // newest committed number in this life
-	calls   map[uint64]func(controller.Response)
-	callers map[uint64]*call // operators' calls that wait here
-	streams map[uint64]*bee
-	seeds   []string
-	wall    time.Duration // by which its time of day is off
-	spare   bool          // came at a new address
-	gone    bool
-	leaving bool
-	goneAt  time.Duration
-	caught  bool
-	sent    int // messages in the second at hand
-	second  time.Duration
+// member is a core machine with its comb.
+type member struct {
+	process
+	index           int
+	address         string
+	controller      *controller.Controller
+	store           *statestore.Store
+	disk            *disk
+	wipeCount       int
+	newestSequence  uint64 // newest committed number in this life
+	pendingCalls    map[uint64]func(controller.Response)
+	operatorCalls   map[uint64]*operatorCall // operators' calls that wait here
+	streams         map[uint64]*gatewayNode
+	seeds           []string
+	wallClockOffset time.Duration // by which its time of day is off
+	isSpare         bool          // came at a new address
+	gone            bool
+	leaving         bool
+	goneAt          time.Duration
+	caughtUp        bool
+	messagesSent    int // messages in the second at hand
+	messagesSecond  time.Duration
 }
 
-// start begins a comb's life as its daemon does: the store is opened, what an empty disk lacks is made up, and the first
+// startMember begins a comb's life as its daemon does: the store is opened, what an empty disk lacks is made up, and the first
 // write is awaited before anything is listened on.
-func (w *world) start(m *machine, first bool) {
-	w.begins(&m.node)
-	w.event()
-	m.seen, m.brain, m.caught = 0, nil, first
-	m.calls, m.callers, m.streams = map[uint64]func(controller.Response){}, map[uint64]*call{}, map[uint64]*bee{}
+func (c *cluster) startMember(m *member, first bool) {
+	c.startProcess(&m.process)
+	c.unsettle()
+	m.newestSequence, m.controller, m.caughtUp = 0, nil, first
+	m.pendingCalls, m.operatorCalls, m.streams = map[uint64]func(controller.Response){}, map[uint64]*operatorCall{}, map[uint64]*gatewayNode{}
 	store, err := statestore.Open(m.disk)
 	if err != nil {
-		w.broken("%s cannot open its store: %v", m.name, err)
+		c.violationf("%s cannot open its store: %v", m.name, err)
 		return
 	}
 	m.store = store
-	var k coordinator.PersistentState
-	if raw, ok := store.Get(keptKey); ok {
-		if k, err = coordinator.DecodePersistentState(raw); err != nil {
-			w.broken("%s cannot read its disk: %v", m.name, err)
+	var state coordinator.PersistentState
+	if raw, ok := store.Get(stateKey); ok {
+		if state, err = coordinator.DecodePersistentState(raw); err != nil {
+			c.violationf("%s cannot read its disk: %v", m.name, err)
 			return
 		}
 	}
-	seeds := w.seeds(first)
-	if k.DiskID == "" && !first {
-		m.wiped++
+	seeds := c.seedAddresses(first)
+	if state.DiskID == "" && !first {
+		m.wipeCount++
 	}
-	if w.s.Fault == ClaimsForgotten {
-		k.Register.Claims = nil
+	if c.schedule.Fault == ForgetClaims {
+		state.Register.Claims = nil
 	}
-	k.Initialize(m.addr, seeds, first || w.s.Fault == Amnesia, fmt.Sprintf("w%d", m.wiped))
-	m.brain = controller.New(w.local(&m.node), controller.Options{Zone: w.zone(m.i), ControlAddr: m.addr, Zones: []string{"a", "b", "c"}, RegionByZone: map[string]string{"a": "r0", "b": "r1", "c": "r2"}, Seeds: seeds, LinkMbps: 1000,
-		DrainDeadline: drainIn, HeartbeatInterval: beatEvery, RandomSeed: w.r.Uint64()}, membership.Member{ID: k.DiskID, Addr: m.addr, Zone: w.zone(m.i), APIAddr: m.addr}, k)
-	w.say("%s starts as %s, view %d, register %d (version %d)", m.name, k.DiskID, k.View.View.Number, k.Register.Sequence, k.Register.Version)
-	raw, err := m.brain.PersistentState()
+	state.Initialize(m.address, seeds, first || c.schedule.Fault == KeepVoteAfterWipe, fmt.Sprintf("w%d", m.wipeCount))
+	m.controller = controller.New(c.monotonicTime(&m.process), controller.Options{Zone: c.zoneName(m.index), ControlAddr: m.address, Zones: []string{"a", "b", "c"}, RegionByZone: map[string]string{"a": "r0", "b": "r1", "c": "r2"}, Seeds: seeds, LinkMbps: 1000,
+		DrainDeadline: drainDeadline, HeartbeatInterval: heartbeatInterval, RandomSeed: c.random.Uint64()}, membership.Member{ID: state.DiskID, Addr: m.address, Zone: c.zoneName(m.index), APIAddr: m.address}, state)
+	c.tracef("%s starts as %s, view %d, register %d (version %d)", m.name, state.DiskID, state.View.View.Number, state.Register.Sequence, state.Register.Version)
+	raw, err := m.controller.PersistentState()
 	if err != nil {
-		w.broken("%s: %v", m.name, err)
+		c.violationf("%s: %v", m.name, err)
 		return
 	}
-	w.history.start(w, m, raw)
-	brain := m.brain
-	m.brain = nil // nothing reaches it before
+	c.history.start(c, m, raw)
+	decisions := m.controller
+	m.controller = nil // nothing reaches it before
 	var begin func()
 	begin = func() {
-		w.write(m, raw, func(problem string) {
+		c.persist(m, raw, func(problem string) {
 			if problem != "" {
-				w.after(300*time.Millisecond, func() {
+				c.after(300*time.Millisecond, func() {
 					if m.up && m.store == store {
 						begin()
 					}
 				})
 				return
 			}
-			m.brain = brain
-			w.step(m, controller.Event{Start: true})
-			w.tock(m, m.life)
+			m.controller = decisions
+			c.step(m, controller.Event{Start: true})
+			c.scheduleTick(m, m.incarnation)
 		})
 	}
-	w.carryOut(m, begin) // once files that were set aside are renamed: two at the disk at once would take each other's operations
+	c.runDiskOperations(m, begin) // once files that were set aside are renamed: two at the disk at once would take each other's operations
 }
 
-func (w *world) tock(m *machine, life int) {
-	if m.frozen && w.s.Tolerance > 0 {
-		m.ticks = func() { w.step(m, controller.Event{}) }
+func (c *cluster) scheduleTick(m *member, incarnation int) {
+	if m.frozen && c.schedule.Tolerance > 0 {
+		m.heldTick = func() { c.step(m, controller.Event{}) }
 	} else {
-		w.run(&m.node, life, func() { w.step(m, controller.Event{}) })
+		c.runOn(&m.process, incarnation, func() { c.step(m, controller.Event{}) })
 	}
-	if m.up && m.life == life {
-		late := time.Duration(w.r.IntN(5)) * time.Millisecond
-		if w.r.IntN(200) == 0 {
+	if m.up && m.incarnation == incarnation {
+		late := time.Duration(c.random.IntN(5)) * time.Millisecond
+		if c.random.IntN(200) == 0 {
 			late += 60 * time.Millisecond
 		}
-		w.after(controller.TickInterval+late, func() { w.tock(m, life) })
+		c.after(controller.TickInterval+late, func() { c.scheduleTick(m, incarnation) })
 	}
 }
 
-// write has the store write, and carries its operations out one after the other.
-func (w *world) write(m *machine, raw []byte, done func(problem string)) {
-	w.history.persist(w, m, raw)
-	m.disk.plan = nil
-	err := m.store.Put(map[string][]byte{keptKey: raw})
+// persist has the store write, and carries its operations out one after the other.
+func (c *cluster) persist(m *member, raw []byte, done func(problem string)) {
+	c.history.persist(c, m, raw)
+	m.disk.pending = nil
+	err := m.store.Put(map[string][]byte{stateKey: raw})
 	problem := ""
 	if err != nil {
 		problem = err.Error()
 	}
-	if w.s.Fault == AckBeforeSync {
-		life := m.life
-		w.after(100*time.Microsecond, func() { w.run(&m.node, life, func() { done(problem) }) })
-		w.carryOut(m, nil)
+	if c.schedule.Fault == AcknowledgeBeforeSync {
+		incarnation := m.incarnation
+		c.after(100*time.Microsecond, func() { c.runOn(&m.process, incarnation, func() { done(problem) }) })
+		c.runDiskOperations(m, nil)
 		return
 	}
-	w.carryOut(m, func() { done(problem) })
+	c.runDiskOperations(m, func() { done(problem) })
 }
 
-func (w *world) carryOut(m *machine, done func()) {
-	life := m.life
+func (c *cluster) runDiskOperations(m *member, done func()) {
+	incarnation := m.incarnation
 	var next func()
 	next = func() {
-		if !m.up || m.life != life {
+		if !m.up || m.incarnation != incarnation {
 			return
 		}
-		if len(m.disk.plan) == 0 {
+		if len(m.disk.pending) == 0 {
 			if done != nil {
-				w.run(&m.node, life, done)
+				c.runOn(&m.process, incarnation, done)
 			}
 			return
 		}
 		if m.disk.stalled {
-			w.after(5*time.Millisecond, next)
+			c.after(5*time.Millisecond, next)
 			return
 		}
-		o := m.disk.plan[0]
+		o := m.disk.pending[0]
 		took := 50 * time.Microsecond
 		if o.kind == "sync" || o.kind == "folder" {
-			took = 500*time.Microsecond + time.Duration(w.r.ExpFloat64()*float64(time.Millisecond))
+			took = 500*time.Microsecond + time.Duration(c.random.ExpFloat64()*float64(time.Millisecond))
 		}
-		w.after(took, func() {
-			if m.up && m.life == life && len(m.disk.plan) > 0 {
-				m.disk.plan = m.disk.plan[1:]
-				m.disk.carry(o)
-				w.history.operation(w, m, o)
+		c.after(took, func() {
+			if m.up && m.incarnation == incarnation && len(m.disk.pending) > 0 {
+				m.disk.pending = m.disk.pending[1:]
+				m.disk.apply(o)
+				c.history.operation(c, m, o)
 				next()
 			}
 		})
@@ -171,177 +171,177 @@
 }
 
 // step has a comb decide and carries out what it says.
-func (w *world) step(m *machine, e controller.Event) {
-	if m.brain == nil {
+func (c *cluster) step(m *member, event controller.Event) {
+	if m.controller == nil {
 		return
 	}
-	if w.s.Fault == NoViewNumber && e.Message != nil && e.Message.Coordinator != nil && e.Message.Coordinator.Chain != nil {
-		e = anyView(m, e)
+	if c.schedule.Fault == IgnoreViewNumber && event.Message != nil && event.Message.Coordinator != nil && event.Message.Coordinator.Chain != nil {
+		event = acceptAnyView(m, event)
 	}
-	if e.Message != nil && e.Message.Coordinator != nil {
-		e = w.planted(m, e)
+	if event.Message != nil && event.Message.Coordinator != nil {
+		event = c.plantBug(m, event)
 	}
-	views, seq := m.brain.Coordinator().View().Number, m.seen
-	if w.s.Tolerance > 0 {
-		e.WallClock = w.wallClock(m)
+	viewNumber, sequence := m.controller.Coordinator().View().Number, m.newestSequence
+	if c.schedule.Tolerance > 0 {
+		event.WallClock = c.wallClockTime(m)
 	}
-	a := m.brain.Step(w.local(&m.node), e)
-	w.history.event(w, m, e)
-	if len(a.Write) > keptMost || len(m.calls) > callsMost {
-		w.broken("%s holds %d bytes to be kept and %d calls", m.name, len(a.Write), len(m.calls))
+	actions := m.controller.Step(c.monotonicTime(&m.process), event)
+	c.history.event(c, m, event)
+	if len(actions.Write) > maxStateBytes || len(m.pendingCalls) > maxPendingCalls {
+		c.violationf("%s holds %d bytes to be kept and %d calls", m.name, len(actions.Write), len(m.pendingCalls))
 	}
-	if now := w.now / time.Second; now != m.second {
-		m.second, m.sent = now, 0
+	if now := c.now / time.Second; now != m.messagesSecond {
+		m.messagesSecond, m.messagesSent = now, 0
 	}
-	if m.sent += len(a.Send); m.sent > messagesMost*max(len(w.combs)-1, 1) {
-		w.broken("%s sends %d messages within a second", m.name, m.sent)
+	if m.messagesSent += len(actions.Send); m.messagesSent > maxMessagesPerSecond*max(len(c.members)-1, 1) {
+		c.violationf("%s sends %d messages within a second", m.name, m.messagesSent)
 	}
-	for _, s := range a.Send {
-		to := w.byAddr[s.To]
+	for _, outgoing := range actions.Send {
+		to := c.memberByAddress[outgoing.To]
 		if to == nil || to == m {
 			continue
 		}
-		from, msg := m.brain.Coordinator().Self(), s.Message
-		w.carry(&m.node, &to.node, w.s.Loss, w.s.Reorder, func() { w.step(to, controller.Event{From: &from, Message: &msg}) })
+		from, msg := m.controller.Coordinator().Self(), outgoing.Message
+		c.send(&m.process, &to.process, c.schedule.Loss, c.schedule.Reorder, func() { c.step(to, controller.Event{From: &from, Message: &msg}) })
 	}
-	if a.Write != nil {
-		w.write(m, a.Write, func(problem string) {
-			w.step(m, controller.Event{WriteResult: &controller.WriteResult{Error: problem}})
+	if actions.Write != nil {
+		c.persist(m, actions.Write, func(problem string) {
+			c.step(m, controller.Event{WriteResult: &controller.WriteResult{Error: problem}})
 		})
 	}
-	if v := m.brain.Coordinator().View(); v.Number != views {
-		w.viewed(m, v)
+	if view := m.controller.Coordinator().View(); view.Number != viewNumber {
+		c.viewInstalled(m, view)
 	}
-	if r, known := m.brain.Coordinator().Register(); known && r.Sequence != seq {
-		w.holds(m, r)
+	if r, known := m.controller.Coordinator().Register(); known && r.Sequence != sequence {
+		c.checkCommitted(m, r)
 	}
-	for i := range a.Publish {
-		for _, n := range a.Publish[i].Streams {
-			if b := m.streams[n]; b != nil {
-				w.tell(m, b, n, &a.Publish[i].Update)
+	for i := range actions.Publish {
+		for _, stream := range actions.Publish[i].Streams {
+			if g := m.streams[stream]; g != nil {
+				c.sendState(m, g, stream, &actions.Publish[i].Update)
 			}
 		}
 	}
-	for _, x := range a.Responses {
-		w.history.answer(w, m, x)
-		if done := m.calls[x.Token]; done != nil {
-			delete(m.calls, x.Token)
-			delete(m.callers, x.Token)
-			done(x)
+	for _, answer := range actions.Responses {
+		c.history.answer(c, m, answer)
+		if done := m.pendingCalls[answer.Token]; done != nil {
+			delete(m.pendingCalls, answer.Token)
+			delete(m.operatorCalls, answer.Token)
+			done(answer)
 		}
 	}
-	for _, n := range a.CloseStreams {
-		if b := m.streams[n]; b != nil {
-			w.ends(m, n)
-			w.carry(&m.node, &b.node, 0, 0, func() { w.lost(b, n) })
+	for _, stream := range actions.CloseStreams {
+		if g := m.streams[stream]; g != nil {
+			c.endStream(m, stream)
+			c.send(&m.process, &g.process, 0, 0, func() { c.streamLost(g, stream) })
 		}
 	}
-	if a.ShutdownComplete {
-		w.say("%s has left", m.name)
-		w.kill(m, "kill", -1)
+	if actions.ShutdownComplete {
+		c.tracef("%s has left", m.name)
+		c.stopMember(m, "kill", -1)
 	}
 }
 
-// anyView is a fault: a pass, or the tail's word that it is committed, counts whatever view it is of.
-func anyView(m *machine, e controller.Event) controller.Event {
-	v := m.brain.Coordinator().View()
-	msg, inner, word := *e.Message, *e.Message.Coordinator, *e.Message.Coordinator.Chain
-	inner.Chain, msg.Coordinator, e.Message = &word, &inner, &msg
-	if i := v.Position(m.brain.Coordinator().Self().ID); word.Kind == chainreplication.Forward && i > 0 {
-		word.ViewNumber, word.From = v.Number, v.Chain[i-1]
-	} else if word.Kind == chainreplication.Commit {
-		word.ViewNumber = v.Number
-	}
-	return e
+// acceptAnyView is a fault: a pass, or the tail's word that it is committed, counts whatever view it is of.
+func acceptAnyView(m *member, event controller.Event) controller.Event {
+	view := m.controller.Coordinator().View()
+	msg, inner, pass := *event.Message, *event.Message.Coordinator, *event.Message.Coordinator.Chain
+	inner.Chain, msg.Coordinator, event.Message = &pass, &inner, &msg
+	if i := view.Position(m.controller.Coordinator().Self().ID); pass.Kind == chainreplication.Forward && i > 0 {
+		pass.ViewNumber, pass.From = view.Number, view.Chain[i-1]
+	} else if pass.Kind == chainreplication.Commit {
+		pass.ViewNumber = view.Number
+	}
+	return event
 }
 
-func (w *world) viewed(m *machine, v membership.View) {
-	w.timed(v)
-	for _, t := range w.onView {
-		w.onView, w.trouble = nil, w.now+t.For+restart
-		w.after(time.Duration(w.r.Int64N(int64(6*time.Millisecond))), func() { t.Kind = "all"; w.strike(t) })
+func (c *cluster) viewInstalled(m *member, view membership.View) {
+	c.injectPendingFaults(view)
+	for _, fault := range c.onViewChange {
+		c.onViewChange, c.unsettledUntil = nil, c.now+fault.For+restartTime
+		c.after(time.Duration(c.random.Int64N(int64(6*time.Millisecond))), func() { fault.Kind = "all"; c.injectFault(fault) })
 		break
 	}
-	w.res.Views = max(w.res.Views, v.Number)
-	w.say("%s is in view %d: chain %s", m.name, v.Number, strings.Join(v.Chain, " > "))
-	for i, at := range w.down {
-		if !slices.ContainsFunc(v.Chain, func(id string) bool { return strings.HasPrefix(id, w.combs[i].addr+"/") }) && i != m.i {
-			w.res.Mended = append(w.res.Mended, w.now-at)
-			delete(w.down, i)
+	c.result.NewestView = max(c.result.NewestView, view.Number)
+	c.tracef("%s is in view %d: chain %s", m.name, view.Number, strings.Join(view.Chain, " > "))
+	for i, at := range c.downSince {
+		if !slices.ContainsFunc(view.Chain, func(id string) bool { return strings.HasPrefix(id, c.members[i].address+"/") }) && i != m.index {
+			c.result.ViewRepairTimes = append(c.result.ViewRepairTimes, c.now-at)
+			delete(c.downSince, i)
 		}
 	}
 }
 
-// holds watches that no two machines hold different states to be committed under one number, that nobody goes back, and
+// checkCommitted watches that no two machines hold different states to be committed under one number, that nobody goes back, and
 // that nothing is held that nobody sent.
-func (w *world) holds(m *machine, r chainreplication.Register) {
-	what := fmt.Sprintf("version %d %q, out %v", r.Version, short(string(r.Body)), r.EvacuatedZones)
-	if had, ok := w.bySeq[r.Sequence]; ok && had != what {
-		w.broken("number %d is committed as %s at %s, and as %s elsewhere", r.Sequence, what, m.name, had)
+func (c *cluster) checkCommitted(m *member, register chainreplication.Register) {
+	what := fmt.Sprintf("version %d %q, out %v", register.Version, bodyLabel(string(register.Body)), register.EvacuatedZones)
+	if had, ok := c.committedBySequence[register.Sequence]; ok && had != what {
+		c.violationf("number %d is committed as %s at %s, and as %s elsewhere", register.Sequence, what, m.name, had)
 	} else if !ok {
-		w.bySeq[r.Sequence] = what
-		w.say("%s: committed %d: %s", m.name, r.Sequence, what)
+		c.committedBySequence[register.Sequence] = what
+		c.tracef("%s: committed %d: %s", m.name, register.Sequence, what)
 	}
-	if r.Sequence < m.seen {
-		w.broken("%s went back from %d to %d within a life", m.name, m.seen, r.Sequence)
+	if register.Sequence < m.newestSequence {
+		c.violationf("%s went back from %d to %d within a life", m.name, m.newestSequence, register.Sequence)
 	}
-	m.seen = r.Sequence
-	w.observe(m, r)
-	w.granted(m, r)
-	if _, ok := w.committed[r.Version]; !ok {
-		w.committed[r.Version] = w.now
+	m.newestSequence = register.Sequence
+	c.recordCommitted(m, register)
+	c.checkWindows(m, register)
+	if _, ok := c.committedAt[register.Version]; !ok {
+		c.committedAt[register.Version] = c.now
 	}
-	if _, sent := w.versions[string(r.Body)]; r.Version > 0 && !sent {
-		w.broken("%s holds a configuration that nobody sent: %q", m.name, r.Body)
+	if _, sent := c.versionByBody[string(register.Body)]; register.Version > 0 && !sent {
+		c.violationf("%s holds a configuration that nobody sent: %q", m.name, register.Body)
 	}
 }
 
-// kill ends a comb's process: by itself, or with the power, or with the disk.
-func (w *world) kill(m *machine, how string, back time.Duration) {
+// stopMember ends a comb's process: by itself, or with the power, or with the disk.
+func (c *cluster) stopMember(m *member, cause string, downtime time.Duration) {
 	if !m.up {
 		return
 	}
-	if m.brain != nil && m.brain.Coordinator().View().Position(m.brain.Coordinator().Self().ID) >= 0 && back >= time.Second {
-		w.down[m.i] = w.now
+	if m.controller != nil && m.controller.Coordinator().View().Position(m.controller.Coordinator().Self().ID) >= 0 && downtime >= time.Second {
+		c.downSince[m.index] = c.now
 	}
 	m.up, m.frozen = false, false
-	switch how {
+	switch cause {
 	case "kill":
-		m.disk.killed(w.r)
+		m.disk.processKilled(c.random)
 	case "power":
-		m.disk.power(w.r)
+		m.disk.powerLost(c.random)
 	case "wipe":
-		m.disk.files, m.disk.plan = map[string]*file{}, nil
-		m.disk.rev++
+		m.disk.files, m.disk.pending = map[string]*file{}, nil
+		m.disk.revision++
 	}
-	w.history.disk(entryKill, w, m)
+	c.history.disk(entryKill, c, m)
 	if m.store != nil {
 		m.store.Close()
 	}
-	for _, token := range sortedTokens(m.callers) {
-		c := m.callers[token]
-		w.after(0, func() { w.again(c) })
+	for _, token := range sortedKeysOfTokens(m.operatorCalls) {
+		call := m.operatorCalls[token]
+		c.after(0, func() { c.attempt(call) })
 	}
-	if how == "kill" { // its connections end at once; without power nobody is told
-		for _, n := range sortedTokens(m.streams) {
-			b := m.streams[n]
-			w.carry(&m.node, &b.node, 0, 0, func() { w.lost(b, n) })
+	if cause == "kill" { // its connections end at once; without power nobody is told
+		for _, n := range sortedKeysOfTokens(m.streams) {
+			g := m.streams[n]
+			c.send(&m.process, &g.process, 0, 0, func() { c.streamLost(g, n) })
 		}
 	}
-	w.event()
-	if back < 0 {
-		m.gone, m.goneAt = true, w.now
+	c.unsettle()
+	if downtime < 0 {
+		m.gone, m.goneAt = true, c.now
 		return
 	}
-	w.after(back, func() {
-		delete(w.down, m.i)
+	c.after(downtime, func() {
+		delete(c.downSince, m.index)
 		if !m.up && !m.gone {
-			w.start(m, false)
+			c.startMember(m, false)
 		}
 	})
 }
 
-func sortedTokens[V any](m map[uint64]V) []uint64 {
+func sortedKeysOfTokens[V any](m map[uint64]V) []uint64 {
 	var all []uint64
 	for k := range m {
 		all = append(all, k)
@@ -350,245 +350,245 @@
 	return all
 }
 
-// call is one call of an operator.
-type call struct {
-	n        int
-	act      Act
-	body     string
-	version  uint64
-	floor    uint64 // acknowledged before a read began
-	began    time.Duration
-	tries    int
-	done     bool
-	deadline time.Duration
-	asked    time.Duration // the try at hand
-	had      []*machine    // called already
-	next     *machine      // a redirect's
-	lost     bool          // an answer was lost on its way
-	try      int           // of Result.Tries
-	op       int           // of a write
-	ended    time.Duration
+// operatorCall is one call of an operator.
+type operatorCall struct {
+	number         int
+	action         Action
+	body           string
+	version        uint64
+	minimumVersion uint64 // acknowledged before a read began
+	startedAt      time.Duration
+	attempts       int
+	done           bool
+	deadline       time.Duration
+	attemptedAt    time.Duration // the try at hand
+	calledMembers  []*member     // called already
+	redirect       *member       // a redirect's
+	answerLost     bool          // an answer was lost on its way
+	attemptIndex   int           // of Result.Tries
+	operationIndex int           // of a write
+	endedAt        time.Duration
 }
 
-// act has operators call, and replicas come and go.
-func (w *world) act(n int, a Act) {
-	switch a.Kind {
+// perform has operators call, and replicas come and go.
+func (c *cluster) perform(position int, action Action) {
+	switch action.Kind {
 	case "drain":
-		if a.On < len(w.replicas) {
-			w.drain(w.replicas[a.On])
+		if action.On < len(c.replicas) {
+			c.drainReplica(c.replicas[action.On])
 		}
 		return
 	case "begin":
-		w.begin(a.On, true)
+		c.startReplica(action.On, true)
 		return
 	}
-	c := &call{n: n, act: a, began: w.now, deadline: w.now + 5*time.Second, floor: w.acked}
-	switch a.Kind {
+	call := &operatorCall{number: position, action: action, startedAt: c.now, deadline: c.now + 5*time.Second, minimumVersion: c.acknowledgedVersion}
+	switch action.Kind {
 	case "put":
-		if a.Body > 0 {
-			n = a.Body
+		if action.Body > 0 {
+			position = action.Body
 		}
-		c.version, c.body = a.Version, configuration(a.Version, n)
-		w.versions[c.body] = c.version
-		c.op = len(w.res.Ops)
-		w.res.Ops = append(w.res.Ops, Op{false, c.version, c.began, 0})
+		call.version, call.body = action.Version, configurationBody(action.Version, position)
+		c.versionByBody[call.body] = call.version
+		call.operationIndex = len(c.result.Operations)
+		c.result.Operations = append(c.result.Operations, Operation{false, call.version, call.startedAt, 0})
 	case "restore":
-		if at, out := w.outAt[w.zone(a.On)]; out && w.now > at+evacuateIn && w.calm(contact) {
-			for _, r := range w.replicas { // they may have turned cold shortly before
-				if r.zone == w.zone(a.On) && r.alive {
-					r.coldUntil = max(r.coldUntil, w.now+coldFor)
+		if at, out := c.evacuatedAt[c.zoneName(action.On)]; out && c.now > at+evacuationBound && c.calmFor(contactTimeout) {
+			for _, r := range c.replicas { // they may have turned cold shortly before
+				if r.zone == c.zoneName(action.On) && r.alive {
+					r.warmupUntil = max(r.warmupUntil, c.now+warmupTime)
 				}
 			}
 		}
-		delete(w.outAt, w.zone(a.On))
-		w.restoring = append(w.restoring, c)
+		delete(c.evacuatedAt, c.zoneName(action.On))
+		c.restoreCalls = append(c.restoreCalls, call)
 	}
-	w.again(c)
+	c.attempt(call)
 }
 
-// again sends a call to some machine, once more.
-func (w *world) again(c *call) {
-	w.givenUp(c)
-	if c.done || w.now > c.deadline || w.quiet {
-		if !c.done && !w.quiet && c.began > w.trouble+beatable && c.tries > 0 {
-			w.broken("call %d, made at %.2f s when all had been calm, was not answered", c.n, c.began.Seconds())
+// attempt sends a call to some machine, once more.
+func (c *cluster) attempt(call *operatorCall) {
+	c.recordGiveUp(call)
+	if call.done || c.now > call.deadline || c.finished {
+		if !call.done && !c.finished && call.startedAt > c.unsettledUntil+calmBeforeCall && call.attempts > 0 {
+			c.violationf("call %d, made at %.2f s when all had been calm, was not answered", call.number, call.startedAt.Seconds())
 		}
 		return
 	}
-	c.tries++
-	c.asked = w.now
-	m := w.called(c)
-	if !m.up || m.frozen && w.s.Tolerance == 0 || m.brain == nil {
-		w.after(200*time.Millisecond, func() { w.again(c) })
+	call.attempts++
+	call.attemptedAt = c.now
+	m := c.nextMember(call)
+	if !m.up || m.frozen && c.schedule.Tolerance == 0 || m.controller == nil {
+		c.after(200*time.Millisecond, func() { c.attempt(call) })
 		return
 	}
-	w.tokens++
-	e := controller.Event{Token: w.tokens}
-	w.tried(c)
-	switch c.act.Kind {
+	c.lastToken++
+	event := controller.Event{Token: c.lastToken}
+	c.recordAttempt(call)
+	switch call.action.Kind {
 	case "read":
-		c.floor = max(c.floor, w.acked)
-		e.ReadConfiguration = true
+		call.minimumVersion = max(call.minimumVersion, c.acknowledgedVersion)
+		event.ReadConfiguration = true
 	case "agree", "ask", "finish", "cancel":
-		e.MaintenanceCommand = w.command(c.act)
+		event.MaintenanceCommand = c.windowCommand(call.action)
 	case "put":
-		e.Command = &chainreplication.Command{Version: c.version, Body: []byte(c.body)}
+		event.Command = &chainreplication.Command{Version: call.version, Body: []byte(call.body)}
 	default:
-		e.Command = &chainreplication.Command{Zone: w.zone(c.act.On), Evacuated: c.act.Kind == "evacuate"}
+		event.Command = &chainreplication.Command{Zone: c.zoneName(call.action.On), Evacuated: call.action.Kind == "evacuate"}
 	}
-	m.callers[e.Token] = c
-	tries := c.tries
-	m.calls[e.Token] = func(a controller.Response) {
-		if w.s.Tolerance == 0 || c.tries == tries && !w.loses(m, c, a) {
-			w.answered(m, c, a)
+	m.operatorCalls[event.Token] = call
+	attempt := call.attempts
+	m.pendingCalls[event.Token] = func(a controller.Response) {
+		if c.schedule.Tolerance == 0 || call.attempts == attempt && !c.losesAnswer(m, call, a) {
+			c.receiveAnswer(m, call, a)
 		}
 	}
-	if w.s.Tolerance > 0 { // it may lie in the socket of one that is frozen
-		w.run(&m.node, m.life, func() {
-			if w.s.Fault == LateCalls && w.now-m.wokeAt < time.Second {
-				life := m.life
-				w.after(time.Second, func() { w.run(&m.node, life, func() { w.step(m, e) }) })
+	if c.schedule.Tolerance > 0 { // it may lie in the socket of one that is frozen
+		c.runOn(&m.process, m.incarnation, func() {
+			if c.schedule.Fault == AcceptDelayedCalls && c.now-m.thawedAt < time.Second {
+				incarnation := m.incarnation
+				c.after(time.Second, func() { c.runOn(&m.process, incarnation, func() { c.step(m, event) }) })
 				return
 			}
-			w.step(m, e)
+			c.step(m, event)
 		})
 	} else {
-		w.step(m, e)
+		c.step(m, event)
 	}
-	w.after(time.Second, func() { // silence: another machine is asked
-		if !c.done && c.tries == tries {
-			w.again(c)
+	c.after(time.Second, func() { // silence: another machine is asked
+		if !call.done && call.attempts == attempt {
+			c.attempt(call)
 		}
 	})
 }
 
-func (w *world) answered(m *machine, c *call, a controller.Response) {
-	if c.done {
+func (c *cluster) receiveAnswer(m *member, call *operatorCall, answer controller.Response) {
+	if call.done {
 		return
 	}
-	switch a.Status {
+	switch answer.Status {
 	case http.StatusOK, http.StatusNotFound, http.StatusConflict:
 	default:
-		w.unclear(c, a)
-		tries := c.tries
-		w.after(100*time.Millisecond, func() {
-			if c.tries == tries {
-				w.again(c)
+		c.receiveUnclearAnswer(call, answer)
+		attempt := call.attempts
+		c.after(100*time.Millisecond, func() {
+			if call.attempts == attempt {
+				c.attempt(call)
 			}
 		})
 		return
 	}
-	c.done, c.ended = true, w.now
-	w.res.Calls++
-	w.answers(m, c, a)
-	if c.act.Kind == "read" {
+	call.done, call.endedAt = true, c.now
+	c.result.AnsweredCalls++
+	c.recordAnswer(m, call, answer)
+	if call.action.Kind == "read" {
 		version := uint64(0)
-		if a.Status == http.StatusOK {
-			v, sent := w.versions[string(a.Body)]
+		if answer.Status == http.StatusOK {
+			sentVersion, sent := c.versionByBody[string(answer.Body)]
 			if !sent {
-				w.broken("%s answers a configuration that nobody sent: %q", m.name, a.Body)
+				c.violationf("%s answers a configuration that nobody sent: %q", m.name, answer.Body)
 			}
-			version = v
+			version = sentVersion
 		}
-		w.res.Ops = append(w.res.Ops, Op{true, version, c.began, w.now})
-		if version < c.floor {
-			w.broken("%s answers version %d, %d was acknowledged before it was asked", m.name, version, c.floor)
+		c.result.Operations = append(c.result.Operations, Operation{true, version, call.startedAt, c.now})
+		if version < call.minimumVersion {
+			c.violationf("%s answers version %d, %d was acknowledged before it was asked", m.name, version, call.minimumVersion)
 		}
 		return
 	}
-	if a.Status == http.StatusConflict {
+	if answer.Status == http.StatusConflict {
 		return
 	}
-	w.res.Acked++
-	w.res.Took = append(w.res.Took, w.now-c.asked)
-	for _, t := range w.onAck {
-		w.onAck, w.trouble = w.onAck[1:], w.now+t.For+restart
-		t.On, t.Kind = m.i, strings.TrimPrefix(t.Kind, "ack")
-		w.after(time.Duration(w.r.Int64N(int64(4*time.Millisecond))), func() { w.strike(t) })
+	c.result.Acknowledged++
+	c.result.CommandLatencies = append(c.result.CommandLatencies, c.now-call.attemptedAt)
+	for _, fault := range c.onAcknowledgement {
+		c.onAcknowledgement, c.unsettledUntil = c.onAcknowledgement[1:], c.now+fault.For+restartTime
+		fault.On, fault.Kind = m.index, strings.TrimPrefix(fault.Kind, "ack")
+		c.after(time.Duration(c.random.Int64N(int64(4*time.Millisecond))), func() { c.injectFault(fault) })
 		break
 	}
-	if w.lonely(m) {
-		w.broken("%s acknowledges call %d though it has been cut off for long", m.name, c.n)
+	if c.isIsolated(m) {
+		c.violationf("%s acknowledges call %d though it has been cut off for long", m.name, call.number)
 	}
-	switch c.act.Kind {
+	switch call.action.Kind {
 	case "put":
-		w.res.Ops[c.op].End = w.now
-		if c.version > w.acked {
-			w.acked, w.ackedAt = c.version, w.now
+		c.result.Operations[call.operationIndex].Return = c.now
+		if call.version > c.acknowledgedVersion {
+			c.acknowledgedVersion, c.acknowledgedAt = call.version, c.now
 		}
 	case "evacuate":
-		open := func(o *call) bool {
-			return w.zone(o.act.On) == w.zone(c.act.On) && (o.began >= c.began || !o.done || o.ended >= c.began)
+		overlaps := func(o *operatorCall) bool {
+			return c.zoneName(o.action.On) == c.zoneName(call.action.On) && (o.startedAt >= call.startedAt || !o.done || o.endedAt >= call.startedAt)
 		}
-		if !slices.ContainsFunc(w.restoring, open) { // else it cannot be said which of the two came last
-			w.outAt[w.zone(c.act.On)] = w.now
+		if !slices.ContainsFunc(c.restoreCalls, overlaps) { // else it cannot be said which of the two came last
+			c.evacuatedAt[c.zoneName(call.action.On)] = c.now
 		}
 	}
-	w.lasts(c)
+	c.checkDurability(call)
 }
 
-// lonely tells whether a machine has reached no other for seconds.
-func (w *world) lonely(m *machine) bool {
-	if w.s.Tolerance > 0 {
-		return m.cutOff() && w.now-m.cutAt > contact
+// isIsolated tells whether a machine has reached no other for seconds.
+func (c *cluster) isIsolated(m *member) bool {
+	if c.schedule.Tolerance > 0 {
+		return m.isCutOff() && c.now-m.cutAt > contactTimeout
 	}
-	at, ok := w.down[m.i]
-	if !ok || w.now-at <= 3*time.Second || m.frozen {
+	at, ok := c.downSince[m.index]
+	if !ok || c.now-at <= 3*time.Second || m.frozen {
 		return false
 	}
-	for _, o := range w.combs {
-		if o != m && w.cut[[2]string{m.name, o.name}] == 0 {
+	for _, other := range c.members {
+		if other != m && c.cutLinks[[2]string{m.name, other.name}] == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// lasts watches that what was just acknowledged is on more disks than may be lost at once, whatever power takes away.
-func (w *world) lasts(c *call) {
-	n := 0
-	for _, m := range w.combs {
+// checkDurability watches that what was just acknowledged is on more disks than may be lost at once, whatever power takes away.
+func (c *cluster) checkDurability(call *operatorCall) {
+	copies := 0
+	for _, m := range c.members {
 		if m.gone {
 			continue
 		}
-		if k := m.disk.lasting(); k != nil && (c.act.Kind != "put" || k.Register.Version >= c.version) {
-			n++
+		if state := m.disk.durableState(); state != nil && (call.action.Kind != "put" || state.Register.Version >= call.version) {
+			copies++
 		}
 	}
-	most := min((w.s.Machines-1)/2, (w.s.Seeds-1)/2)
-	if w.hard.formed {
-		most = w.s.Tolerance
+	tolerated := min((c.schedule.Machines-1)/2, (c.schedule.Seeds-1)/2)
+	if c.core.formed {
+		tolerated = c.schedule.Tolerance
 	}
-	if n <= most {
-		w.broken("call %d was acknowledged with only %d disks that hold it", c.n, n)
+	if copies <= tolerated {
+		c.violationf("call %d was acknowledged with only %d disks that hold it", call.number, copies)
 	}
 }
 
-// last asks once more, when all is calm again: what was acknowledged must be there.
-func (w *world) last() {
-	w.say("the last question: version %d or newer", w.acked)
-	c := &call{n: -1, act: Act{Kind: "read"}, floor: w.acked, began: w.now, deadline: w.now + 6*time.Second}
-	w.again(c)
-	w.after(5*time.Second, func() {
-		if !c.done {
-			w.broken("the last question was not answered")
+// finalRead asks once more, when all is calm again: what was acknowledged must be there.
+func (c *cluster) finalRead() {
+	c.tracef("the last question: version %d or newer", c.acknowledgedVersion)
+	call := &operatorCall{number: -1, action: Action{Kind: "read"}, minimumVersion: c.acknowledgedVersion, startedAt: c.now, deadline: c.now + 6*time.Second}
+	c.attempt(call)
+	c.after(5*time.Second, func() {
+		if !call.done {
+			c.violationf("the last question was not answered")
 		}
-		w.quiet = true
+		c.finished = true
 	})
 }
 
-// beats has a replica's word reach a comb; done is told whether it was acknowledged.
-func (w *world) beats(m *machine, l registry.Instance, leave bool, done func(ok bool, next string)) {
-	w.tokens++
-	e := controller.Event{Token: w.tokens, Heartbeat: &l}
+// deliverHeartbeat has a replica's word reach a comb; done is told whether it was acknowledged.
+func (c *cluster) deliverHeartbeat(m *member, instance registry.Instance, leave bool, done func(ok bool, next string)) {
+	c.lastToken++
+	event := controller.Event{Token: c.lastToken, Heartbeat: &instance}
 	if leave {
-		e = controller.Event{Token: w.tokens, Deregister: l.ID}
+		event = controller.Event{Token: c.lastToken, Deregister: instance.ID}
 	}
-	m.calls[e.Token] = func(a controller.Response) {
-		if a.Status == http.StatusOK && m.cutOff() {
-			w.res.Beats = append(w.res.Beats, w.now-m.cutAt)
+	m.pendingCalls[event.Token] = func(a controller.Response) {
+		if a.Status == http.StatusOK && m.isCutOff() {
+			c.result.HeartbeatsWhileCut = append(c.result.HeartbeatsWhileCut, c.now-m.cutAt)
 		}
 		done(a.Status == http.StatusOK, a.Address)
 	}
-	w.step(m, e)
+	c.step(m, event)
 }
--- a/internal/simulation/schedule.go
+++ b/internal/simulation/schedule.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Trouble is one thing that goes wrong, for a while.
-type Trouble struct {
+// Fault is one thing that goes wrong, for a while.
+type Fault struct {
 	At, For time.Duration
 
 	// Kind: kill, power, wipe, freeze, cut, oneway, full, refuse, stall, step (of the clock) strike a core machine; all,
@@ -35,22 +35,22 @@
 	When string `json:",omitempty"`
 }
 
-func (t Trouble) String() string {
+func (fault Fault) String() string {
 	what := "of machine"
-	switch t.Kind {
+	switch fault.Kind {
 	case "bkill", "bfreeze", "bcut":
 		what = "of forager"
 	case "rcrash":
 		what = "of replica"
 	}
-	if t.Role != "" {
-		what += " (the " + t.Role + ")"
+	if fault.Role != "" {
+		what += " (the " + fault.Role + ")"
 	}
-	return fmt.Sprintf("%.2fs %s %s %d for %.2fs", t.At.Seconds(), t.Kind, what, t.On, t.For.Seconds())
+	return fmt.Sprintf("%.2fs %s %s %d for %.2fs", fault.At.Seconds(), fault.Kind, what, fault.On, fault.For.Seconds())
 }
 
-// Act is something that operators or replicas do.
-type Act struct {
+// Action is something that operators or replicas do.
+type Action struct {
 	At      time.Duration
 	Kind    string // put, evacuate, restore, read; drain, begin (cold); agree, ask, finish, cancel (a window)
 	Version uint64 // put
@@ -70,12 +70,12 @@
 	Replicas int
 	Zones    int
 	Lasts    time.Duration
-	Troubles []Trouble
-	Acts     []Act
+	Troubles []Fault
+	Acts     []Action
 	Loss     float64 // share of messages between combs that are lost
 	Reorder  float64 // share that come late, behind later ones
 	Late     time.Duration
-	Fault    Fault `json:",omitempty"`
+	Fault    PlantedBug `json:",omitempty"`
 
 	// Tolerance, where set, is how many machines may be lost at once; what is promised beside that is watched too.
 	Tolerance int           `json:",omitempty"`
@@ -86,38 +86,38 @@
 	Unasked bool `json:",omitempty"`
 }
 
-// Fault is a bug put in on purpose, to see that the invariants find it.
-type Fault string
+// PlantedBug is a bug put in on purpose, to see that the invariants find it.
+type PlantedBug string
 
 const (
-	NoViewNumber  Fault = "a pass of any view is taken"
-	Amnesia       Fault = "a machine that lost its disk keeps its vote"
-	AckBeforeSync Fault = "a write is told as done before the sync"
-	NoFolderSync  Fault = "a new file's folder is not synced"
-	StaleTables   Fault = "a forager takes an older register"
-	OwnGrants     Fault = "each comb deals out all that a cold replica bears"
+	IgnoreViewNumber      PlantedBug = "a pass of any view is taken"
+	KeepVoteAfterWipe     PlantedBug = "a machine that lost its disk keeps its vote"
+	AcknowledgeBeforeSync PlantedBug = "a write is told as done before the sync"
+	SkipFolderSync        PlantedBug = "a new file's folder is not synced"
+	AcceptStaleState      PlantedBug = "a forager takes an older register"
+	UndividedWarmupQuota  PlantedBug = "each comb deals out all that a cold replica bears"
 
 	// On days with a Tolerance.
-	ToldUnasked     Fault = "a forager that joins is told what is held, without asking the others"
-	VouchesAnyway   Fault = "a view is vouched for by those who know of a later one"
-	NoIdentity      Fault = "an order that is entered again is a new one"
-	LateCalls       Fault = "what lay in the socket of a machine that stood still is taken for new"
-	ConflictUntold  Fault = "the head does not tell that a number is others'"
-	ClaimsForgotten Fault = "numbers that were taken are forgotten at a restart"
-	LeavesAtOnce    Fault = "a leaver ends without waiting for anybody"
+	UnconfirmedFirstState PlantedBug = "a forager that joins is told what is held, without asking the others"
+	ConfirmSupersededView PlantedBug = "a view is vouched for by those who know of a later one"
+	DropCommandID         PlantedBug = "an order that is entered again is a new one"
+	AcceptDelayedCalls    PlantedBug = "what lay in the socket of a machine that stood still is taken for new"
+	HideConflict          PlantedBug = "the head does not tell that a number is others'"
+	ForgetClaims          PlantedBug = "numbers that were taken are forgotten at a restart"
+	LeaveWithoutHandover  PlantedBug = "a leaver ends without waiting for anybody"
 )
 
 // kinds of trouble that a core machine has alone, and those of all.
 var (
-	alone = []string{"kill", "power", "wipe", "freeze", "cut", "oneway", "full", "refuse", "stall", "step", "ackpower", "ackwipe"}
-	whole = []string{"all", "allpower", "wipepower", "ackallpower", "viewall"}
-	edge  = []string{"bkill", "bfreeze", "bcut", "rcrash"}
+	memberFaults  = []string{"kill", "power", "wipe", "freeze", "cut", "oneway", "full", "refuse", "stall", "step", "ackpower", "ackwipe"}
+	clusterFaults = []string{"all", "allpower", "wipepower", "ackallpower", "viewall"}
+	edgeFaults    = []string{"bkill", "bfreeze", "bcut", "rcrash"}
 )
 
-// Draw makes a schedule with n troubles that never lose more machines at once than a core of this size must bear.
-func Draw(seed uint64, machines, n int, lasts time.Duration) Schedule {
+// Generate makes a schedule with n troubles that never lose more machines at once than a core of this size must bear.
+func Generate(seed uint64, machines, n int, lasts time.Duration) Schedule {
 	r := rand.New(rand.NewPCG(seed, 1))
-	s := Schedule{Seed: seed, Machines: machines, Seeds: min(machines, 3), Lasts: lasts, Foragers: 3, Replicas: 5, Zones: zones,
+	s := Schedule{Seed: seed, Machines: machines, Seeds: min(machines, 3), Lasts: lasts, Foragers: 3, Replicas: 5, Zones: generatedZones,
 		Loss: 0.002 * float64(r.IntN(3)), Reorder: 0.002 * float64(r.IntN(3)), Late: 80 * time.Millisecond}
 	if r.IntN(4) == 0 {
 		s.Late = 3 * time.Second
@@ -126,74 +126,74 @@
 	at := 2500 * time.Millisecond
 	for range n {
 		at += time.Duration(r.Int64N(int64(3 * time.Second)))
-		t := Trouble{At: at, For: time.Duration(200+r.IntN(4000)) * time.Millisecond, On: r.IntN(machines)}
+		t := Fault{At: at, For: time.Duration(200+r.IntN(4000)) * time.Millisecond, On: r.IntN(machines)}
 		switch k := r.IntN(20); {
 		case k < 4:
-			t.Kind, t.On = edge[r.IntN(len(edge))], r.IntN(s.Foragers)
+			t.Kind, t.On = edgeFaults[r.IntN(len(edgeFaults))], r.IntN(s.Foragers)
 			s.Troubles = append(s.Troubles, t)
 			continue
 		case k < 7:
-			t.Kind, t.For = whole[r.IntN(len(whole))], time.Duration(r.IntN(900))*time.Millisecond
+			t.Kind, t.For = clusterFaults[r.IntN(len(clusterFaults))], time.Duration(r.IntN(900))*time.Millisecond
 			if slices.Max(free) > at {
 				continue // only when nothing else is lost
 			}
 			for i := range free {
-				free[i] = at + t.For + catchUp + 4*time.Second
+				free[i] = at + t.For + catchUpTime + 4*time.Second
 			}
 			s.Troubles = append(s.Troubles, t)
 			continue
 		}
-		t.Kind = alone[r.IntN(len(alone))]
+		t.Kind = memberFaults[r.IntN(len(memberFaults))]
 		slot := slices.IndexFunc(free, func(until time.Duration) bool { return until <= at })
 		if slot < 0 {
 			continue
 		}
-		free[slot] = at + t.For + restart + catchUp
+		free[slot] = at + t.For + restartTime + catchUpTime
 		if strings.HasPrefix(t.Kind, "ack") {
 			free[slot] += 2 * time.Second // it strikes within this
 		}
 		s.Troubles = append(s.Troubles, t)
 	}
-	s.Acts = DrawActs(seed, 40, s.Replicas, lasts)
+	s.Acts = GenerateActions(seed, 40, s.Replicas, lasts)
 	return s
 }
 
-// DrawActs makes n acts of operators, and some of replicas.
-func DrawActs(seed uint64, n, replicas int, lasts time.Duration) (acts []Act) {
+// GenerateActions makes n acts of operators, and some of replicas.
+func GenerateActions(seed uint64, n, replicas int, lasts time.Duration) (acts []Action) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	for range n {
-		a := Act{At: time.Second + time.Duration(r.Int64N(int64(lasts-2*time.Second)))}
+		a := Action{At: time.Second + time.Duration(r.Int64N(int64(lasts-2*time.Second)))}
 		switch k := r.IntN(12); {
 		case k < 5:
 			a.Kind, a.Version = "put", uint64(10*int(a.At/(500*time.Millisecond))+r.IntN(3))
 		case k < 7:
-			a.Kind, a.On = []string{"evacuate", "restore"}[r.IntN(2)], r.IntN(zones)
+			a.Kind, a.On = []string{"evacuate", "restore"}[r.IntN(2)], r.IntN(generatedZones)
 		case k < 10:
 			a.Kind = "read"
 		case k < 11:
 			a.Kind, a.On = "drain", r.IntN(replicas)
 		default:
-			a.Kind, a.On = "begin", r.IntN(zones)
+			a.Kind, a.On = "begin", r.IntN(generatedZones)
 		}
 		acts = append(acts, a)
 	}
-	slices.SortStableFunc(acts, func(a, b Act) int { return int(a.At - b.At) })
+	slices.SortStableFunc(acts, func(a, b Action) int { return int(a.At - b.At) })
 	return acts
 }
 
-// DrawWindows is a schedule in which maintenance windows of nine foragers in three regions are asked for, finished and
+// GenerateWindows is a schedule in which maintenance windows of nine foragers in three regions are asked for, finished and
 // cancelled at random, by several operators; combs are struck as they grant, zones are lost in mid-window.
-func DrawWindows(seed uint64, machines, n int, lasts time.Duration) Schedule {
-	s := Draw(seed, machines, n, lasts)
+func GenerateWindows(seed uint64, machines, n int, lasts time.Duration) Schedule {
+	s := Generate(seed, machines, n, lasts)
 	s.Foragers, s.Replicas = 9, 4
 	r := rand.New(rand.NewPCG(seed, 4))
 	if r.IntN(2) == 0 { // instead of what was drawn: struck at a grant, and a zone after that
-		s.Troubles = []Trouble{{At: 6 * time.Second, For: time.Duration(300+r.IntN(2500)) * time.Millisecond, Kind: []string{"grantpower", "grantall"}[r.IntN(2)]},
-			{At: 20 * time.Second, For: time.Duration(1000+r.IntN(3000)) * time.Millisecond, Kind: "zone", On: r.IntN(zones)}}
+		s.Troubles = []Fault{{At: 6 * time.Second, For: time.Duration(300+r.IntN(2500)) * time.Millisecond, Kind: []string{"grantpower", "grantall"}[r.IntN(2)]},
+			{At: 20 * time.Second, For: time.Duration(1000+r.IntN(3000)) * time.Millisecond, Kind: "zone", On: r.IntN(generatedZones)}}
 	}
-	s.Acts = []Act{{At: 1200 * time.Millisecond, Kind: "put", Version: 1}, {At: 2 * time.Second, Kind: "agree"}}
+	s.Acts = []Action{{At: 1200 * time.Millisecond, Kind: "put", Version: 1}, {At: 2 * time.Second, Kind: "agree"}}
 	for range 40 {
-		a := Act{At: 5*time.Second + time.Duration(r.Int64N(int64(lasts-6*time.Second))), On: r.IntN(s.Foragers)}
+		a := Action{At: 5*time.Second + time.Duration(r.Int64N(int64(lasts-6*time.Second))), On: r.IntN(s.Foragers)}
 		switch k := r.IntN(10); {
 		case k < 6:
 			a.Kind = "ask"
@@ -204,42 +204,42 @@
 		}
 		s.Acts = append(s.Acts, a)
 	}
-	slices.SortStableFunc(s.Acts, func(a, b Act) int { return int(a.At - b.At) })
+	slices.SortStableFunc(s.Acts, func(a, b Action) int { return int(a.At - b.At) })
 	return s
 }
 
 // Shrink drops troubles (no successors), acts, foragers and replicas from a schedule as long as it still breaks something.
-func Shrink(s Schedule) (Schedule, Result) {
-	return ShrinkBy(s, func(s Schedule) (Result, bool) { r := Run(s); return r, len(r.Broken) > 0 })
+func Shrink(schedule Schedule) (Schedule, Result) {
+	return ShrinkBy(schedule, func(schedule Schedule) (Result, bool) { r := Run(schedule); return r, len(r.Violations) > 0 })
 }
 
 // ShrinkBy does the same with a check of one's own.
-func ShrinkBy(s Schedule, play func(Schedule) (Result, bool)) (Schedule, Result) {
-	res, _ := play(s)
+func ShrinkBy(schedule Schedule, play func(Schedule) (Result, bool)) (Schedule, Result) {
+	res, _ := play(schedule)
 	try := func(t Schedule) bool {
 		r, breaks := play(t)
 		if breaks {
-			s, res = t, r
+			schedule, res = t, r
 		}
 		return breaks
 	}
 	for again := true; again; {
 		again = false
-		for i := 0; i < len(s.Troubles); i++ {
-			if s.Troubles[i].Kind == "spare" {
+		for i := 0; i < len(schedule.Troubles); i++ {
+			if schedule.Troubles[i].Kind == "spare" {
 				continue // without the successor more would be lost than may be
 			}
-			t := s
-			t.Troubles = slices.Delete(slices.Clone(s.Troubles), i, i+1)
+			t := schedule
+			t.Troubles = slices.Delete(slices.Clone(schedule.Troubles), i, i+1)
 			if try(t) {
 				again = true
 				i--
 			}
 		}
-		for part := len(s.Acts) / 2; part > 0; part /= 2 {
-			for i := 0; i+part <= len(s.Acts); {
-				t := s
-				t.Acts = slices.Delete(slices.Clone(s.Acts), i, i+part)
+		for part := len(schedule.Acts) / 2; part > 0; part /= 2 {
+			for i := 0; i+part <= len(schedule.Acts); {
+				t := schedule
+				t.Acts = slices.Delete(slices.Clone(schedule.Acts), i, i+part)
 				if try(t) {
 					again = true
 				} else {
@@ -247,10 +247,10 @@
 				}
 			}
 		}
-		for _, n := range []*int{&s.Foragers, &s.Replicas} {
+		for _, n := range []*int{&schedule.Foragers, &schedule.Replicas} {
 			for *n > 0 {
-				t := s
-				if n == &s.Foragers {
+				t := schedule
+				if n == &schedule.Foragers {
 					t.Foragers--
 				} else {
 					t.Replicas--
@@ -261,16 +261,16 @@
 				again = true
 			}
 		}
-		if len(s.Troubles)+len(s.Acts) > 60 {
+		if len(schedule.Troubles)+len(schedule.Acts) > 60 {
 			break
 		}
 	}
-	return s, res
+	return schedule, res
 }
 
 // Text is a schedule as it is kept for a test.
-func (s Schedule) Text() string {
-	b, err := json.MarshalIndent(s, "", " ")
+func (schedule Schedule) Text() string {
+	b, err := json.MarshalIndent(schedule, "", " ")
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/simulation/sites.go
+++ b/internal/simulation/sites.go
@@ -9,297 +9,297 @@
 	"zincloft.example/zincloft/dataplane/overflow"
 )
 
-// Way is how sites spill in a rush.
-type Way string
+// OverflowStrategy is how sites spill in a rush.
+type OverflowStrategy string
 
 const (
-	ByLeases Way = "leases" // dataplane/overflow
-	Nowhere  Way = "none"
-	AtRandom Way = "random" // to any neighbour, without asking
-	Oracle   Way = "oracle" // to whoever has room at the moment, seen without delay
+	LeaseOverflow  OverflowStrategy = "leases" // dataplane/overflow
+	NoOverflow     OverflowStrategy = "none"
+	RandomOverflow OverflowStrategy = "random" // to any neighbour, without asking
+	OracleOverflow OverflowStrategy = "oracle" // to whoever has room at the moment, seen without delay
 )
 
-// Rush is a day on which some sites are swamped.
-type Rush struct {
-	Seed    uint64
-	Sites   int
-	Swamped int // of them
-	Times   float64
-	Lasts   time.Duration
-	Trouble bool // links that are cut one way or hold everything back, a site that restarts whole, neighbours swamped later
-	Way     Way
+// OverflowScenario is a day on which some sites are swamped.
+type OverflowScenario struct {
+	Seed            uint64
+	Sites           int
+	OverloadedSites int // of them
+	LoadFactor      float64
+	Duration        time.Duration
+	WithFaults      bool // links that are cut one way or hold everything back, a site that restarts whole, neighbours swamped later
+	Strategy        OverflowStrategy
 }
 
-// RushResult is what was seen.
-type RushResult struct {
-	Broken              []string
-	Lookups, Unanswered int // first tries, and those not answered within their deadline though some site had room
-	Orders, Charged     int
-	Doubts, Spilled     int
-	Own                 []time.Duration // latencies of the own clients of sites that were not swamped
-	Guests              []time.Duration // of spilled lookups that were answered
-	Used, Idle          float64         // seconds of slots at sites that were not swamped: used by guests, and free while others refused
+// OverflowResult is what was seen.
+type OverflowResult struct {
+	Violations                       []string
+	Lookups, Unanswered              int // first tries, and those not answered within their deadline though some site had room
+	Orders, Charged                  int
+	Uncertain, Forwarded             int
+	OwnLatencies                     []time.Duration // latencies of the own clients of sites that were not swamped
+	ForwardedLatencies               []time.Duration // of spilled lookups that were answered
+	UsedSlotSeconds, IdleSlotSeconds float64         // seconds of slots at sites that were not swamped: used by guests, and free while others refused
 }
 
 const (
-	siteWork   = 200 * time.Millisecond
-	siteSlots  = 60
-	siteBase   = 0.45 // of what a site can serve, that usually comes
-	siteAim    = 800 * time.Millisecond
-	siteWait   = 3 * time.Second // a client's deadline
-	ordersPart = 0.25
+	siteServiceTime   = 200 * time.Millisecond
+	siteSlots         = 60
+	siteBaseLoad      = 0.45 // of what a site can serve, that usually comes
+	siteLatencyTarget = 800 * time.Millisecond
+	clientDeadline    = 3 * time.Second // a client's deadline
+	orderShare        = 0.25
 )
 
-type siteReq struct {
-	id    int
-	order bool
-	home  int
-	came  time.Duration
-	runs  int
-	done  bool
-	doubt bool
-	tries int
+type siteRequest struct {
+	id         int
+	isOrder    bool
+	home       int
+	arrivedAt  time.Duration
+	executions int
+	answered   bool
+	uncertain  bool
+	attempts   int
 }
 
-type rushSite struct {
-	i                        int
-	up                       bool
-	life                     int
-	slots                    int
-	running, guests          int
-	queue                    []*siteReq
-	rate                     float64 // requests a second that come
-	refused, spilled, served int     // in the second at hand
-	lender                   *overflow.Lender
-	borrower                 *overflow.Borrower
-	purse                    *overflow.BorrowedQuota
-	door                     *overflow.LentQuota
-	stats                    overflow.Stats
-	swamped                  bool
+type site struct {
+	index                       int
+	up                          bool
+	incarnation                 int
+	slots                       int
+	running, forwardedRunning   int
+	queue                       []*siteRequest
+	rate                        float64 // requests a second that come
+	rejected, forwarded, served int     // in the second at hand
+	lender                      *overflow.Lender
+	borrower                    *overflow.Borrower
+	purse                       *overflow.BorrowedQuota
+	door                        *overflow.LentQuota
+	stats                       overflow.Stats
+	overloaded                  bool
 }
 
-type rush struct {
-	r       Rush
-	history *historyChecksum // nil: none is taken down
-	c       *rand.Rand
-	now     time.Duration
-	q       queue
-	seq     int
-	sites   []*rushSite
-	cut     map[[2]int]bool
-	held    map[[2]int][]func() // what a link holds back
-	holds   map[[2]int]bool
-	res     RushResult
-	all     []*siteReq
+type overflowSimulation struct {
+	scenario     OverflowScenario
+	history      *historyChecksum // nil: none is taken down
+	random       *rand.Rand
+	now          time.Duration
+	queue        eventQueue
+	lastEvent    int
+	sites        []*site
+	cutLinks     map[[2]int]bool
+	heldMessages map[[2]int][]func() // what a link holds back
+	holdingLinks map[[2]int]bool
+	result       OverflowResult
+	requests     []*siteRequest
 }
 
-func (w *rush) after(d time.Duration, f func()) {
-	w.seq++
-	w.q.push(event{w.now + d, w.seq, f})
+func (o *overflowSimulation) after(d time.Duration, f func()) {
+	o.lastEvent++
+	o.queue.push(event{o.now + d, o.lastEvent, f})
 }
 
-func distance(a, b int) time.Duration { return time.Duration(10+(a*7+b*7)%71) * time.Millisecond }
+func siteDistance(a, b int) time.Duration { return time.Duration(10+(a*7+b*7)%71) * time.Millisecond }
 
-// PlayRush plays a rush.
-func PlayRush(r Rush) RushResult { return playRush(r, nil) }
+// RunOverflow plays a rush.
+func RunOverflow(scenario OverflowScenario) OverflowResult { return playRush(scenario, nil) }
 
 // playRush plays a rush and takes its history down, if one is given.
-func playRush(r Rush, h *historyChecksum) RushResult {
-	w := &rush{r: r, history: h, c: rand.New(rand.NewPCG(r.Seed, 1)), cut: map[[2]int]bool{}, held: map[[2]int][]func(){}, holds: map[[2]int]bool{}}
+func playRush(r OverflowScenario, h *historyChecksum) OverflowResult {
+	w := &overflowSimulation{scenario: r, history: h, random: rand.New(rand.NewPCG(r.Seed, 1)), cutLinks: map[[2]int]bool{}, heldMessages: map[[2]int][]func(){}, holdingLinks: map[[2]int]bool{}}
 	for i := range r.Sites {
-		s := &rushSite{i: i, slots: siteSlots, rate: siteBase * siteSlots / siteWork.Seconds(), swamped: i < r.Swamped}
+		s := &site{index: i, slots: siteSlots, rate: siteBaseLoad * siteSlots / siteServiceTime.Seconds(), overloaded: i < r.OverloadedSites}
 		w.sites = append(w.sites, s)
-		w.boot(s)
+		w.startSite(s)
 	}
 	for _, s := range w.sites {
-		w.arrivals(s)
-		w.seconds(s)
+		w.scheduleArrivals(s)
+		w.everySecond(s)
 	}
-	for i := range r.Swamped {
-		w.after(3*time.Second, func() { w.sites[i].rate *= r.Times })
-		w.after(r.Lasts-8*time.Second, func() { w.sites[i].rate /= r.Times })
+	for i := range r.OverloadedSites {
+		w.after(3*time.Second, func() { w.sites[i].rate *= r.LoadFactor })
+		w.after(r.Duration-8*time.Second, func() { w.sites[i].rate /= r.LoadFactor })
 	}
-	if r.Trouble {
-		w.troubles()
+	if r.WithFaults {
+		w.scheduleFaults()
 	}
-	for len(w.q) > 0 && w.now < r.Lasts {
-		e := w.q.pop()
+	for len(w.queue) > 0 && w.now < r.Duration {
+		e := w.queue.pop()
 		w.now = e.at
 		e.do()
 	}
-	for _, q := range w.all {
+	for _, q := range w.requests {
 		switch {
-		case q.order:
-			w.res.Orders++
-			if q.done {
-				w.res.Charged++
+		case q.isOrder:
+			w.result.Orders++
+			if q.answered {
+				w.result.Charged++
 			}
-			if q.doubt {
-				w.res.Doubts++
+			if q.uncertain {
+				w.result.Uncertain++
 			}
-			if q.runs > 1 {
-				w.res.Broken = append(w.res.Broken, fmt.Sprintf("order %d ran %d times", q.id, q.runs))
+			if q.executions > 1 {
+				w.result.Violations = append(w.result.Violations, fmt.Sprintf("order %d ran %d times", q.id, q.executions))
 			}
-			if q.done && q.runs != 1 {
-				w.res.Broken = append(w.res.Broken, fmt.Sprintf("order %d was answered and ran %d times", q.id, q.runs))
+			if q.answered && q.executions != 1 {
+				w.result.Violations = append(w.result.Violations, fmt.Sprintf("order %d was answered and ran %d times", q.id, q.executions))
 			}
 		default:
-			w.res.Lookups++
-			if !q.done && q.came < r.Lasts-siteWait-time.Second {
-				w.res.Unanswered++
+			w.result.Lookups++
+			if !q.answered && q.arrivedAt < r.Duration-clientDeadline-time.Second {
+				w.result.Unanswered++
 			}
 		}
 	}
 	h.endRush(w)
-	return w.res
+	return w.result
 }
 
-func (w *rush) boot(s *rushSite) {
-	s.up, s.life = true, s.life+1
-	s.lender, s.borrower = overflow.NewLender(fmt.Sprintf("s%d.%d", s.i, s.life)), overflow.NewBorrower()
-	s.purse, s.door = overflow.NewBorrowedQuota(fmt.Sprintf("p%d.%d", s.i, s.life)), overflow.NewLentQuota()
-	s.running, s.guests, s.queue = 0, 0, nil
+func (o *overflowSimulation) startSite(site *site) {
+	site.up, site.incarnation = true, site.incarnation+1
+	site.lender, site.borrower = overflow.NewLender(fmt.Sprintf("s%d.%d", site.index, site.incarnation)), overflow.NewBorrower()
+	site.purse, site.door = overflow.NewBorrowedQuota(fmt.Sprintf("p%d.%d", site.index, site.incarnation)), overflow.NewLentQuota()
+	site.running, site.forwardedRunning, site.queue = 0, 0, nil
 }
 
-func (w *rush) troubles() {
-	if w.r.Sites > 2 && w.c.IntN(2) == 0 { // a neighbour is swamped a little later
-		s := w.sites[w.r.Swamped+w.c.IntN(w.r.Sites-w.r.Swamped)]
-		s.swamped = true
-		w.after(4*time.Second, func() { s.rate *= w.r.Times })
-		w.after(w.r.Lasts-10*time.Second, func() { s.rate /= w.r.Times })
+func (o *overflowSimulation) scheduleFaults() {
+	if o.scenario.Sites > 2 && o.random.IntN(2) == 0 { // a neighbour is swamped a little later
+		site := o.sites[o.scenario.OverloadedSites+o.random.IntN(o.scenario.Sites-o.scenario.OverloadedSites)]
+		site.overloaded = true
+		o.after(4*time.Second, func() { site.rate *= o.scenario.LoadFactor })
+		o.after(o.scenario.Duration-10*time.Second, func() { site.rate /= o.scenario.LoadFactor })
 	}
 	for range 4 {
-		a, b := w.c.IntN(w.r.Sites), w.c.IntN(w.r.Sites)
+		a, b := o.random.IntN(o.scenario.Sites), o.random.IntN(o.scenario.Sites)
 		if a == b {
 			continue
 		}
-		link, at, span := [2]int{a, b}, 5*time.Second+time.Duration(w.c.Int64N(int64(w.r.Lasts/2))), time.Duration(500+w.c.IntN(3000))*time.Millisecond
-		if w.c.IntN(2) == 0 {
-			w.after(at, func() { w.cut[link] = true })
-			w.after(at+span, func() { w.cut[link] = false })
+		link, at, span := [2]int{a, b}, 5*time.Second+time.Duration(o.random.Int64N(int64(o.scenario.Duration/2))), time.Duration(500+o.random.IntN(3000))*time.Millisecond
+		if o.random.IntN(2) == 0 {
+			o.after(at, func() { o.cutLinks[link] = true })
+			o.after(at+span, func() { o.cutLinks[link] = false })
 			continue
 		}
-		w.after(at, func() { w.holds[link] = true })
-		w.after(at+span, func() { // it delivers all
-			w.holds[link] = false
-			late := w.held[link]
-			w.held[link] = nil
+		o.after(at, func() { o.holdingLinks[link] = true })
+		o.after(at+span, func() { // it delivers all
+			o.holdingLinks[link] = false
+			late := o.heldMessages[link]
+			o.heldMessages[link] = nil
 			for _, f := range late {
 				f()
 			}
 		})
 	}
-	if w.c.IntN(2) == 0 {
-		s := w.sites[w.c.IntN(w.r.Sites)]
-		w.after(8*time.Second, func() { s.up = false })
-		w.after(9*time.Second, func() { w.boot(s) })
+	if o.random.IntN(2) == 0 {
+		site := o.sites[o.random.IntN(o.scenario.Sites)]
+		o.after(8*time.Second, func() { site.up = false })
+		o.after(9*time.Second, func() { o.startSite(site) })
 	}
 }
 
-// over brings something to another site, if it arrives.
-func (w *rush) over(from, to int, f func()) {
+// send brings something to another site, if it arrives.
+func (o *overflowSimulation) send(from, to int, f func()) {
 	link := [2]int{from, to}
-	w.after(distance(from, to)+time.Duration(w.c.Int64N(int64(2*time.Millisecond))), func() {
+	o.after(siteDistance(from, to)+time.Duration(o.random.Int64N(int64(2*time.Millisecond))), func() {
 		switch {
-		case w.cut[link]:
-		case w.holds[link]:
-			w.held[link] = append(w.held[link], f)
+		case o.cutLinks[link]:
+		case o.holdingLinks[link]:
+			o.heldMessages[link] = append(o.heldMessages[link], f)
 		default:
 			f()
 		}
 	})
 }
 
-func (w *rush) arrivals(s *rushSite) {
-	w.after(time.Duration(w.c.ExpFloat64()/s.rate*float64(time.Second)), func() {
-		q := &siteReq{id: len(w.all), order: w.c.Float64() < ordersPart, home: s.i, came: w.now}
-		w.all = append(w.all, q)
-		w.try(s, q)
-		w.arrivals(s)
+func (o *overflowSimulation) scheduleArrivals(site *site) {
+	o.after(time.Duration(o.random.ExpFloat64()/site.rate*float64(time.Second)), func() {
+		request := &siteRequest{id: len(o.requests), isOrder: o.random.Float64() < orderShare, home: site.index, arrivedAt: o.now}
+		o.requests = append(o.requests, request)
+		o.attempt(site, request)
+		o.scheduleArrivals(site)
 	})
 }
 
-// try is a client's: it is admitted, sent over, or refused and told to come back.
-func (w *rush) try(s *rushSite, q *siteReq) {
-	q.tries++
-	if w.history != nil {
-		w.history.add(entryRush, w.now, s.i, q.id, q.tries, s.up, len(s.queue))
+// attempt is a client's: it is admitted, sent over, or refused and told to come back.
+func (o *overflowSimulation) attempt(site *site, request *siteRequest) {
+	request.attempts++
+	if o.history != nil {
+		o.history.add(entryRush, o.now, site.index, request.id, request.attempts, site.up, len(site.queue))
 	}
 	again := func() {
-		if w.now-q.came < siteWait-300*time.Millisecond {
-			w.after(time.Duration(200+w.c.IntN(300))*time.Millisecond, func() { w.try(s, q) })
+		if o.now-request.arrivedAt < clientDeadline-300*time.Millisecond {
+			o.after(time.Duration(200+o.random.IntN(300))*time.Millisecond, func() { o.attempt(site, request) })
 		}
 	}
-	if !s.up {
+	if !site.up {
 		again()
 		return
 	}
-	wait := time.Duration(len(s.queue)) * siteWork / time.Duration(s.slots)
-	if s.running < s.slots || siteWork+wait < siteAim/2 {
-		w.admit(s, q, false, func(ran bool) {})
+	wait := time.Duration(len(site.queue)) * siteServiceTime / time.Duration(site.slots)
+	if site.running < site.slots || siteServiceTime+wait < siteLatencyTarget/2 {
+		o.admit(site, request, false, func(ran bool) {})
 		return
 	}
-	if w.now-q.came > siteWait/2 {
-		s.refused++
+	if o.now-request.arrivedAt > clientDeadline/2 {
+		site.rejected++
 		again()
 		return
 	}
-	if to, token, ok := w.target(s, q); ok {
-		s.spilled++
-		w.res.Spilled++
-		w.send(s, to, q, token, again)
+	if to, token, ok := o.chooseTarget(site, request); ok {
+		site.forwarded++
+		o.result.Forwarded++
+		o.forward(site, to, request, token, again)
 		return
 	}
-	s.refused++
+	site.rejected++
 	again()
 }
 
-// target chooses where to send what there is no room for.
-func (w *rush) target(s *rushSite, q *siteReq) (int, overflow.Token, bool) {
-	switch w.r.Way {
-	case ByLeases:
-		t, ok := s.purse.Spend(w.now, "svc", !q.order)
+// chooseTarget chooses where to send what there is no room for.
+func (o *overflowSimulation) chooseTarget(site *site, request *siteRequest) (int, overflow.Token, bool) {
+	switch o.scenario.Strategy {
+	case LeaseOverflow:
+		token, ok := site.purse.Spend(o.now, "svc", !request.isOrder)
 		if !ok {
-			return 0, t, false
+			return 0, token, false
 		}
 		var to int
-		fmt.Sscanf(t.Addr, "%d", &to)
-		return to, t, true
-	case AtRandom:
-		to := w.c.IntN(w.r.Sites)
-		return to, overflow.Token{Serial: fmt.Sprint(q.id, q.tries)}, to != s.i
-	case Oracle:
-		for _, o := range w.sites {
-			if o != s && o.up && o.running < int(0.85*float64(o.slots)) {
-				return o.i, overflow.Token{}, true
+		fmt.Sscanf(token.Addr, "%d", &to)
+		return to, token, true
+	case RandomOverflow:
+		to := o.random.IntN(o.scenario.Sites)
+		return to, overflow.Token{Serial: fmt.Sprint(request.id, request.attempts)}, to != site.index
+	case OracleOverflow:
+		for _, other := range o.sites {
+			if other != site && other.up && other.running < int(0.85*float64(other.slots)) {
+				return other.index, overflow.Token{}, true
 			}
 		}
 	}
 	return 0, overflow.Token{}, false
 }
 
-// send hands a request over. The home side hears what became of it, or nothing: then it is a doubt, and an order is tried
+// forward hands a request over. The home side hears what became of it, or nothing: then it is a doubt, and an order is tried
 // nowhere else.
-func (w *rush) send(s *rushSite, to int, q *siteReq, token overflow.Token, again func()) {
-	o, life, heard := w.sites[to], s.life, false
+func (o *overflowSimulation) forward(site *site, destination int, request *siteRequest, token overflow.Token, again func()) {
+	target, incarnation, heard := o.sites[destination], site.incarnation, false
 	back := func(f func()) {
-		w.over(to, s.i, func() {
-			if s.up && s.life == life && !heard {
+		o.send(destination, site.index, func() {
+			if site.up && site.incarnation == incarnation && !heard {
 				heard = true
 				f()
 			}
 		})
 	}
-	if w.r.Trouble && w.c.IntN(50) == 0 { // a duplicate that arrives late
-		w.over(s.i, to, func() {
-			w.after(time.Duration(w.c.IntN(2500))*time.Millisecond, func() { w.guest(o, q, token, func(func()) {}, func() {}) })
+	if o.scenario.WithFaults && o.random.IntN(50) == 0 { // a duplicate that arrives late
+		o.send(site.index, destination, func() {
+			o.after(time.Duration(o.random.IntN(2500))*time.Millisecond, func() { o.receiveForwarded(target, request, token, func(func()) {}, func() {}) })
 		})
 	}
-	w.over(s.i, to, func() { w.guest(o, q, token, back, again) })
-	w.after(siteWait/2, func() { // no answer
-		if !heard && s.up && s.life == life {
-			if heard = true; q.order {
-				q.doubt = true
+	o.send(site.index, destination, func() { o.receiveForwarded(target, request, token, back, again) })
+	o.after(clientDeadline/2, func() { // no answer
+		if !heard && site.up && site.incarnation == incarnation {
+			if heard = true; request.isOrder {
+				request.uncertain = true
 			} else {
 				again()
 			}
@@ -307,13 +307,13 @@
 	})
 }
 
-// guest is a request of another site at the door.
-func (w *rush) guest(o *rushSite, q *siteReq, token overflow.Token, back func(func()), again func()) {
-	if !o.up {
+// receiveForwarded is a request of another site at the door.
+func (o *overflowSimulation) receiveForwarded(target *site, request *siteRequest, token overflow.Token, back func(func()), again func()) {
+	if !target.up {
 		return
 	}
-	if w.r.Way == ByLeases {
-		switch o.door.Admit(w.now, token, "svc") {
+	if o.scenario.Strategy == LeaseOverflow {
+		switch target.door.Admit(o.now, token, "svc") {
 		case overflow.NotExecuted:
 			back(again)
 			return
@@ -321,112 +321,112 @@
 			return
 		}
 	}
-	if w.r.Way != AtRandom && o.running >= int(0.85*float64(o.slots)) || w.r.Way == AtRandom && o.running >= o.slots {
+	if o.scenario.Strategy != RandomOverflow && target.running >= int(0.85*float64(target.slots)) || o.scenario.Strategy == RandomOverflow && target.running >= target.slots {
 		back(again) // its own clients go first; this one has not run
 		return
 	}
-	w.admit(o, q, true, func(bool) {
+	o.admit(target, request, true, func(bool) {
 		back(func() {
-			if !q.done {
-				q.done = true
-				w.res.Guests = append(w.res.Guests, w.now-q.came)
+			if !request.answered {
+				request.answered = true
+				o.result.ForwardedLatencies = append(o.result.ForwardedLatencies, o.now-request.arrivedAt)
 			}
 		})
 	})
 }
 
-func (w *rush) admit(s *rushSite, q *siteReq, guest bool, ended func(bool)) {
-	if s.running >= s.slots {
-		s.queue = append(s.queue, q)
+func (o *overflowSimulation) admit(site *site, request *siteRequest, guest bool, ended func(bool)) {
+	if site.running >= site.slots {
+		site.queue = append(site.queue, request)
 		return
 	}
-	s.running++
-	s.served++
-	q.runs++
-	if w.history != nil {
-		w.history.add(entryRush, w.now, s.i, q.id, q.tries, guest, s.running)
+	site.running++
+	site.served++
+	request.executions++
+	if o.history != nil {
+		o.history.add(entryRush, o.now, site.index, request.id, request.attempts, guest, site.running)
 	}
-	life := s.life
+	incarnation := site.incarnation
 	if guest {
-		s.guests++
-		w.res.Used += siteWork.Seconds()
+		site.forwardedRunning++
+		o.result.UsedSlotSeconds += siteServiceTime.Seconds()
 	}
-	w.after(time.Duration(float64(siteWork)*(0.7+0.6*w.c.Float64())), func() {
-		if s.life != life || !s.up {
+	o.after(time.Duration(float64(siteServiceTime)*(0.7+0.6*o.random.Float64())), func() {
+		if site.incarnation != incarnation || !site.up {
 			return // it was cut off in mid-work: its client waits for its deadline
 		}
-		s.running--
+		site.running--
 		if guest {
-			s.guests--
-		} else if !q.done {
-			q.done = true
-			if !s.swamped {
-				w.res.Own = append(w.res.Own, w.now-q.came)
+			site.forwardedRunning--
+		} else if !request.answered {
+			request.answered = true
+			if !site.overloaded {
+				o.result.OwnLatencies = append(o.result.OwnLatencies, o.now-request.arrivedAt)
 			}
 		}
 		ended(true)
-		if len(s.queue) > 0 {
-			next := s.queue[0]
-			s.queue = s.queue[1:]
-			w.admit(s, next, false, func(bool) {})
+		if len(site.queue) > 0 {
+			next := site.queue[0]
+			site.queue = site.queue[1:]
+			o.admit(site, next, false, func(bool) {})
 		}
 	})
 }
 
-// seconds has a site look at itself once a second, ask its neighbours and answer theirs.
-func (w *rush) seconds(s *rushSite) {
-	w.after(time.Second, func() {
-		defer w.seconds(s)
-		if !s.up {
+// everySecond has a site look at itself once a second, ask its neighbours and answer theirs.
+func (o *overflowSimulation) everySecond(site *site) {
+	o.after(time.Second, func() {
+		defer o.everySecond(site)
+		if !site.up {
 			return
 		}
-		s.stats = overflow.Stats{Slots: float64(s.slots), Rate: float64(s.served), ServiceSeconds: siteWork.Seconds(), RejectedRate: float64(s.refused)}
-		busy := s.refused > 0
+		site.stats = overflow.Stats{Slots: float64(site.slots), Rate: float64(site.served), ServiceSeconds: siteServiceTime.Seconds(), RejectedRate: float64(site.rejected)}
+		busy := site.rejected > 0
 		if busy {
-			for _, o := range w.sites {
-				if !o.swamped && o.up {
-					w.res.Idle += max(0.85*float64(o.slots)-float64(o.running), 0)
+			for _, other := range o.sites {
+				if !other.overloaded && other.up {
+					o.result.IdleSlotSeconds += max(0.85*float64(other.slots)-float64(other.running), 0)
 				}
 			}
 		}
-		s.borrower.RecordDemand(w.now, "svc", float64(s.refused), float64(s.spilled))
-		if busy || len(s.borrower.Services()) > 0 {
-			s.lender.MarkShort(w.now, "svc")
+		site.borrower.RecordDemand(o.now, "svc", float64(site.rejected), float64(site.forwarded))
+		if busy || len(site.borrower.Services()) > 0 {
+			site.lender.MarkShort(o.now, "svc")
 		}
-		s.refused, s.spilled, s.served = 0, 0, 0
-		s.door.SetLeases(w.now, s.lender.ActiveLeases(w.now))
-		s.purse.SetLeases(w.now, s.borrower.UsableLeases(w.now, "svc"))
-		if w.r.Way != ByLeases {
+		site.rejected, site.forwarded, site.served = 0, 0, 0
+		site.door.SetLeases(o.now, site.lender.ActiveLeases(o.now))
+		site.purse.SetLeases(o.now, site.borrower.UsableLeases(o.now, "svc"))
+		if o.scenario.Strategy != LeaseOverflow {
 			return
 		}
 		var near []overflow.PeerSite
-		for _, o := range w.sites {
-			if o != s {
-				near = append(near, overflow.PeerSite{Site: fmt.Sprint(o.i), Distance: distance(s.i, o.i)})
+		for _, other := range o.sites {
+			if other != site {
+				near = append(near, overflow.PeerSite{Site: fmt.Sprint(other.index), Distance: siteDistance(site.index, other.index)})
 			}
 		}
-		for _, x := range s.borrower.LeaseRequests(w.now, near) {
+		for _, want := range site.borrower.LeaseRequests(o.now, near) {
 			var to int
-			fmt.Sscan(x.Site, &to)
-			o, sent, life := w.sites[to], w.now, s.life
-			w.over(s.i, to, func() {
-				if !o.up {
+			fmt.Sscan(want.Site, &to)
+			other, sent, incarnation := o.sites[to], o.now, site.incarnation
+			o.send(site.index, to, func() {
+				if !other.up {
 					return
 				}
-				l, ok := o.lender.Grant(w.now, fmt.Sprint(s.i), "svc", x.Rate, o.stats.SpareRate(), 0)
-				if w.history != nil {
-					w.history.add(entryRush, w.now, s.i, x, l, ok)
+				lease, ok := other.lender.Grant(o.now, fmt.Sprint(site.index), "svc", want.Rate, other.stats.SpareRate(), 0)
+				if o.history != nil {
+					o.history.add(entryRush, o.now, site.index, want, lease, ok)
 				}
-				o.door.SetLeases(w.now, o.lender.ActiveLeases(w.now))
-				w.over(to, s.i, func() {
-					if !s.up || s.life != life {
+				other.door.SetLeases(o.now, other.lender.ActiveLeases(o.now))
+				o.send(to, site.index, func() {
+					if !site.up || site.incarnation != incarnation {
 						return
 					}
-					if l.Service = "svc"; ok {
-						l.Addrs = []string{fmt.Sprint(to)}
+					if lease.Service = "svc"; ok {
+						lease.Addrs = []string{fmt.Sprint(to)}
 					}
-					s.borrower.HandleResponse(w.now, sent, x.Site, l)
-					s.purse.SetLeases(w.now, s.borrower.UsableLeases(w.now, "svc"))
+					site.borrower.HandleResponse(o.now, sent, want.Site, lease)
+					site.purse.SetLeases(o.now, site.borrower.UsableLeases(o.now, "svc"))
 				})
 			})
 		}
