--- a/controlplane/controller/comb.go
+++ b/controlplane/controller/comb.go
@@ -58,7 +58,7 @@
 	Coordinator *coordinator.Message     `cbor:"1,keyasint,omitempty"`
 	Instances   []registry.Instance      `cbor:"2,keyasint,omitempty"`
 	Fleet       *messages.GatewaySummary `cbor:"3,keyasint,omitempty"`
-	Ejections   []outlier.Out            `cbor:"4,keyasint,omitempty"`
+	Ejections   []outlier.Ejection       `cbor:"4,keyasint,omitempty"`
 }
 
 // Event is something that happened. One of its fields is set; an event with none lets time pass.
@@ -171,7 +171,7 @@
 	pendingJoins      []GatewayJoined // foragers that wait for a question to the others to begin, and those that wait for the one at hand
 	confirmingJoins   []GatewayJoined
 	confirmToken      uint64 // the core's token; 0: none
-	outliers          *outlier.Falls
+	outliers          *outlier.Detector
 	maintenance       maintenanceTracker
 	actions           Actions
 }
@@ -330,7 +330,7 @@
 	c.lastTickAt = now
 	if now-c.lastForgetAt > outlierForgetInterval {
 		c.lastForgetAt = now
-		c.outliers.Forget(now)
+		c.outliers.Expire(now)
 	}
 	c.applyCoordinatorActions(now, c.coordinator.Tick(now))
 	c.updateConnectivity(now)
@@ -486,7 +486,7 @@
 		}
 	}
 	for _, ejection := range message.Ejections {
-		c.outliers.Heard(now, ejection)
+		c.outliers.RecordRemote(now, ejection)
 		c.publishEjection(ejection)
 	}
 	if len(message.Instances) > 0 {
--- a/controlplane/controller/streams.go
+++ b/controlplane/controller/streams.go
@@ -19,7 +19,7 @@
 const warmupQuotaShare = 0.9
 
 // warmupQuotaDelay is for how long a comb that is newly in touch deals nothing.
-const warmupQuotaDelay = router.GrantsHold + 100*time.Millisecond
+const warmupQuotaDelay = router.WarmupRateLifetime + 100*time.Millisecond
 
 // gatewayStream is a forager that holds to this comb, with what it has been told.
 type gatewayStream struct {
@@ -109,11 +109,11 @@
 		stream.status, stream.statusAt = report.Status, now
 	}
 	for _, observation := range report.Observations {
-		if ejection, ok := c.outliers.Told(now, stream.gateway, observation, c.activeReplicas(now, observation.Replica)); ok {
-			c.logInfo("fell", "id", ejection.Replica, "out_ms", ejection.Millis, "by", stream.gateway)
+		if ejection, ok := c.outliers.Observe(now, stream.gateway, observation, c.activeReplicas(now, observation.Replica)); ok {
+			c.logInfo("fell", "id", ejection.Replica, "out_ms", ejection.Milliseconds, "by", stream.gateway)
 			c.publishEjection(ejection)
 			for _, peer := range c.coordinator.Peers(now) {
-				c.send(peer.Addr, Message{Ejections: []outlier.Out{ejection}})
+				c.send(peer.Addr, Message{Ejections: []outlier.Ejection{ejection}})
 			}
 		}
 	}
@@ -142,8 +142,8 @@
 }
 
 // publishEjection tells the foragers of a replica that broke.
-func (c *Controller) publishEjection(ejection outlier.Out) {
-	publication := Publication{Update: messages.StateUpdate{Ejections: []outlier.Out{ejection}}}
+func (c *Controller) publishEjection(ejection outlier.Ejection) {
+	publication := Publication{Update: messages.StateUpdate{Ejections: []outlier.Ejection{ejection}}}
 	for _, s := range c.streams {
 		if s.snapshotSent {
 			publication.Streams = append(publication.Streams, s.id)
--- a/dataplane/framing/framing.go
+++ b/dataplane/framing/framing.go
@@ -16,39 +16,39 @@
 const Poison = "\x00\r\n\r\n"
 
 const (
-	lineMost   = 1 << 20 // the server's own limit of heads is far below
-	chunkLine  = 4096    // as net/http's
-	lengthMost = 18      // digits
+	maxLineBytes      = 1 << 20 // the server's own limit of heads is far below
+	maxChunkLineBytes = 4096    // as net/http's
+	maxLengthDigits   = 18      // digits
 )
 
 type state uint8
 
 const (
-	start   state = iota // of a request; nothing of it is there
-	head                 // its lines
-	length               // a body of known length
-	size                 // the line before a chunk
-	chunk                // a chunk's bytes
-	ending               // the CRLF behind a chunk
-	trailer              // lines behind the last chunk
-	dead                 // something bad was found
+	requestStart state = iota // of a request; nothing of it is there
+	head                      // its lines
+	fixedBody                 // a body of known length
+	chunkSize                 // the line before a chunk
+	chunkData                 // a chunk's bytes
+	chunkEnd                  // the CRLF behind a chunk
+	trailer                   // lines behind the last chunk
+	failed                    // something bad was found
 )
 
 // Scanner follows one connection. The zero value is ready.
 type Scanner struct {
-	state    state
-	left     int64  // bytes of a body or a chunk to come
-	part     []byte // a line's beginning from earlier reads
-	first    bool   // the request line is still to come
-	old      bool   // HTTP/1.0
-	chunked  bool
-	lengths  int
-	bad      string // found in this head
-	requests int
+	state          state
+	remaining      int64  // bytes of a body or a chunk to come
+	partialLine    []byte // a line's beginning from earlier reads
+	atRequestLine  bool   // the request line is still to come
+	http10         bool   // HTTP/1.0
+	chunked        bool
+	contentLengths int
+	headViolation  string // found in this head
+	requests       int
 }
 
-// Resting tells whether the last request is over and nothing of the next has come.
-func (s *Scanner) Resting() bool { return s.state == start }
+// Idle tells whether the last request is over and nothing of the next has come.
+func (s *Scanner) Idle() bool { return s.state == requestStart }
 
 // Requests is how many requests have begun.
 func (s *Scanner) Requests() int { return s.requests }
@@ -58,42 +58,42 @@
 func (s *Scanner) Feed(b []byte) (good int, cause string) {
 	for i := 0; i < len(b); {
 		switch s.state {
-		case dead:
+		case failed:
 			return i, "after_bad"
-		case start:
+		case requestStart:
 			if b[i] == '\r' || b[i] == '\n' { // left over by old clients; the server knows
 				i++
 				continue
 			}
-			s.state, s.first, s.old, s.chunked, s.lengths, s.left, s.bad = head, true, false, false, 0, 0, ""
+			s.state, s.atRequestLine, s.http10, s.chunked, s.contentLengths, s.remaining, s.headViolation = head, true, false, false, 0, 0, ""
 			s.requests++
-		case length, chunk:
-			n := min(int64(len(b)-i), s.left)
+		case fixedBody, chunkData:
+			n := min(int64(len(b)-i), s.remaining)
 			i += int(n)
-			if s.left -= n; s.left == 0 {
-				if s.state == chunk {
-					s.state = ending
+			if s.remaining -= n; s.remaining == 0 {
+				if s.state == chunkData {
+					s.state = chunkEnd
 				} else {
-					s.state = start
+					s.state = requestStart
 				}
 			}
 		default:
 			j := bytes.IndexByte(b[i:], '\n')
 			if j < 0 {
-				if s.part = append(s.part, b[i:]...); len(s.part) > lineMost {
-					return s.end(i, "line_too_long")
+				if s.partialLine = append(s.partialLine, b[i:]...); len(s.partialLine) > maxLineBytes {
+					return s.fail(i, "line_too_long")
 				}
 				return len(b), ""
 			}
 			line := b[i : i+j+1]
-			if len(s.part) > 0 {
-				s.part = append(s.part, line...)
-				line = s.part
+			if len(s.partialLine) > 0 {
+				s.partialLine = append(s.partialLine, line...)
+				line = s.partialLine
 			}
-			bad := s.line(line)
-			s.part = s.part[:0]
+			bad := s.scanLine(line)
+			s.partialLine = s.partialLine[:0]
 			if bad != "" {
-				return s.end(i, bad)
+				return s.fail(i, bad)
 			}
 			i += j + 1
 		}
@@ -101,105 +101,105 @@
 	return len(b), ""
 }
 
-func (s *Scanner) end(at int, cause string) (int, string) {
-	s.state = dead
+func (s *Scanner) fail(at int, cause string) (int, string) {
+	s.state = failed
 	return at, cause
 }
 
-// line takes one line with its end. What is bad in a head is told at its end, so that the server has read it by then.
-func (s *Scanner) line(l []byte) string {
+// scanLine takes one line with its end. What is bad in a head is told at its end, so that the server has read it by then.
+func (s *Scanner) scanLine(l []byte) string {
 	crlf := len(l) > 1 && l[len(l)-2] == '\r'
 	l = l[:len(l)-1]
 	if crlf {
 		l = l[:len(l)-1]
 	}
 	switch s.state {
-	case size:
-		return s.sized(l, crlf)
-	case ending:
+	case chunkSize:
+		return s.scanChunkSize(l, crlf)
+	case chunkEnd:
 		if !crlf || len(l) > 0 {
 			return "chunk_end"
 		}
-		s.state = size
+		s.state = chunkSize
 		return ""
 	case trailer:
 		switch {
 		case !crlf:
 			return "trailer"
 		case len(l) == 0:
-			s.state = start
+			s.state = requestStart
 		case l[0] == ' ' || l[0] == '\t' || bytes.IndexByte(l, '\r') >= 0 || bytes.IndexByte(l, ':') <= 0:
 			return "trailer"
 		}
 		return ""
 	}
 	if len(l) == 0 {
-		return s.headed()
+		return s.endHead()
 	}
 	if bytes.IndexByte(l, '\r') >= 0 {
-		s.note("bare_cr")
+		s.recordViolation("bare_cr")
 	}
-	if s.first {
-		s.first = false
-		s.old = bytes.HasSuffix(l, []byte(" HTTP/1.0"))
+	if s.atRequestLine {
+		s.atRequestLine = false
+		s.http10 = bytes.HasSuffix(l, []byte(" HTTP/1.0"))
 		return ""
 	}
 	if l[0] == ' ' || l[0] == '\t' {
-		s.note("folded_line")
+		s.recordViolation("folded_line")
 		return ""
 	}
 	name, value, ok := bytes.Cut(l, []byte{':'})
 	if !ok {
-		s.note("no_colon")
+		s.recordViolation("no_colon")
 		return ""
 	}
 	switch {
 	case len(name) == len("Content-Length") && bytes.EqualFold(name, []byte("Content-Length")):
 		value = bytes.Trim(value, " \t")
 		n, err := strconv.ParseInt(string(value), 10, 64)
-		if err != nil || n < 0 || value[0] == '+' || len(value) > lengthMost {
-			s.note("length")
+		if err != nil || n < 0 || value[0] == '+' || len(value) > maxLengthDigits {
+			s.recordViolation("length")
 		}
-		s.left = n
-		s.lengths++
+		s.remaining = n
+		s.contentLengths++
 	case len(name) == len("Transfer-Encoding") && bytes.EqualFold(name, []byte("Transfer-Encoding")):
 		value = bytes.Trim(value, " \t")
 		if s.chunked || !bytes.EqualFold(value, []byte("chunked")) {
-			s.note("transfer_encoding")
+			s.recordViolation("transfer_encoding")
 		}
 		s.chunked = true
 	}
 	return ""
 }
 
-func (s *Scanner) note(bad string) {
-	if s.bad == "" {
-		s.bad = bad
+func (s *Scanner) recordViolation(bad string) {
+	if s.headViolation == "" {
+		s.headViolation = bad
 	}
 }
 
-// headed decides at the end of a head how the body is framed.
-func (s *Scanner) headed() string {
+// endHead decides at the end of a head how the body is framed.
+func (s *Scanner) endHead() string {
 	switch {
-	case s.bad != "":
-	case s.lengths > 1:
-		s.bad = "two_lengths"
-	case s.chunked && s.lengths > 0:
-		s.bad = "length_and_chunks"
-	case s.chunked && s.old:
-		s.bad = "chunks_in_http10"
+	case s.headViolation != "":
+	case s.contentLengths > 1:
+		s.headViolation = "two_lengths"
+	case s.chunked && s.contentLengths > 0:
+		s.headViolation = "length_and_chunks"
+	case s.chunked && s.http10:
+		s.headViolation = "chunks_in_http10"
 	case s.chunked:
-		s.state = size
-	case s.left > 0:
-		s.state = length
+		s.state = chunkSize
+	case s.remaining > 0:
+		s.state = fixedBody
 	default:
-		s.state = start
+		s.state = requestStart
 	}
-	return s.bad
+	return s.headViolation
 }
 
-func (s *Scanner) sized(l []byte, crlf bool) string {
-	if !crlf || len(l) > chunkLine {
+func (s *Scanner) scanChunkSize(l []byte, crlf bool) string {
+	if !crlf || len(l) > maxChunkLineBytes {
 		return "chunk_size"
 	}
 	l, _, _ = bytes.Cut(l, []byte{';'})
@@ -208,10 +208,10 @@
 	if err != nil || len(l) > 16 || l[0] == '+' || bytes.IndexByte(l, '_') >= 0 {
 		return "chunk_size"
 	}
-	if s.left = int64(n); n == 0 {
+	if s.remaining = int64(n); n == 0 {
 		s.state = trailer
 	} else {
-		s.state = chunk
+		s.state = chunkData
 	}
 	return ""
 }
--- a/dataplane/framing/framing_test.go
+++ b/dataplane/framing/framing_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards requests inside requests: each of these is taken by net/http in silence, or closes nothing after it.
-func TestDoubtfulFramingIsRefused(t *testing.T) {
+func TestAmbiguousFramingIsRejected(t *testing.T) {
 	for _, x := range []struct{ in, cause string }{
 		{"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "length_and_chunks"},
 		{"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n", "length_and_chunks"},
@@ -49,8 +49,8 @@
 			t.Fatalf("at %d: %d %q", i, n, cause)
 		}
 	}
-	if s.Requests() != 4 || !s.Resting() {
-		t.Fatalf("%d requests, resting %v", s.Requests(), s.Resting())
+	if s.Requests() != 4 || !s.Idle() {
+		t.Fatalf("%d requests, resting %v", s.Requests(), s.Idle())
 	}
 }
 
--- a/dataplane/loadbalancer/capacity_test.go
+++ b/dataplane/loadbalancer/capacity_test.go
@@ -40,7 +40,7 @@
 				before := heap()
 				lives := f.Instances()
 				s := loadbalancer.New(sizes.ZoneName(0))
-				s.Lives(0, true, lives)
+				s.UpdateInstances(0, true, lives)
 				lives = nil
 				held := float64(heap()) - float64(before)
 				chance := rand.New(rand.NewPCG(1, 2)).Float64
@@ -51,8 +51,8 @@
 					if r == nil {
 						b.Fatal("nobody")
 					}
-					s.Begin(now, r)
-					s.End(now, r, loadbalancer.Good, time.Millisecond)
+					s.StartAttempt(now, r)
+					s.EndAttempt(now, r, loadbalancer.Success, time.Millisecond)
 				}
 				b.ReportMetric(max(held, 0), "heap-B")
 			})
@@ -60,24 +60,24 @@
 	}
 }
 
-// BenchmarkCapacityLives takes a whole state in at a new forager, and again at one that holds it; "change" is one life that
+// BenchmarkCapacityInstances takes a whole state in at a new forager, and again at one that holds it; "change" is one life that
 // moved; "report" goes over all for the report of a second.
-func BenchmarkCapacityLives(b *testing.B) {
+func BenchmarkCapacityInstances(b *testing.B) {
 	for _, what := range []string{"first", "again", "change", "report"} {
 		for _, n := range capacitySizes {
 			b.Run(fmt.Sprintf("%s/n=%d", what, n), func(b *testing.B) {
 				lives := sized(n, n/36).Instances()
 				s := loadbalancer.New(sizes.ZoneName(0))
-				s.Lives(0, true, lives)
+				s.UpdateInstances(0, true, lives)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					switch what {
 					case "first":
-						loadbalancer.New(sizes.ZoneName(0)).Lives(0, true, lives)
+						loadbalancer.New(sizes.ZoneName(0)).UpdateInstances(0, true, lives)
 					case "again":
-						s.Lives(0, true, lives)
+						s.UpdateInstances(0, true, lives)
 					case "change":
-						s.Lives(0, false, lives[i%n:i%n+1])
+						s.UpdateInstances(0, false, lives[i%n:i%n+1])
 					case "report":
 						s.All()
 					}
--- a/dataplane/loadbalancer/cold_test.go
+++ b/dataplane/loadbalancer/cold_test.go
@@ -10,15 +10,15 @@
 	"zincloft.example/zincloft/controlplane/registry"
 )
 
-// TestColdWords has words of one replica come from combs that know more or less of it.
-func TestColdWords(t *testing.T) {
+// TestWarmthUpdates has words of one replica come from combs that know more or less of it.
+func TestWarmthUpdates(t *testing.T) {
 	Convey("Given a forager that was told of a replica's fifth beat", t, func() {
 		x := New("a")
 		told := func(now time.Duration, seq uint64, cold int64, mark string) bool {
 			l := life("c1", "a")
 			l.Sequence, l.WarmupMillis, l.WarmthUnknown, l.Stale = seq, cold, strings.Contains(mark, "doubt"), strings.Contains(mark, "old")
-			x.Lives(now, mark == "old", []registry.Instance{l})
-			return x.Get("c1").Cold(now)
+			x.UpdateInstances(now, mark == "old", []registry.Instance{l})
+			return x.Get("c1").WarmingUp(now)
 		}
 		told(0, 5, 3000, "")
 		// Guards a forager that changes sides: the next comb had not heard of the beat that told of cold.
@@ -39,8 +39,8 @@
 		Convey("doubt that no comb remembers ends", func() {
 			told(s, 6, 0, "")
 			told(s, 6, 0, "doubt")
-			So(x.Get("c1").Cold(s+doubtMost-1), ShouldBeTrue)
-			So(x.Get("c1").Cold(s+doubtMost), ShouldBeFalse)
+			So(x.Get("c1").WarmingUp(s+maxWarmthUnknown-1), ShouldBeTrue)
+			So(x.Get("c1").WarmingUp(s+maxWarmthUnknown), ShouldBeFalse)
 		})
 		// Guards a comb that has just started from its disk: whoever knows the replica knows better.
 		Convey("what a comb knows from its disk takes nothing back", func() {
@@ -64,46 +64,46 @@
 		beat := func(now time.Duration, seq uint64) bool {
 			l := life("c1", "a")
 			l.Sequence = seq
-			x.Lives(now, false, []registry.Instance{l})
-			return x.Get("c1").Cold(now)
+			x.UpdateInstances(now, false, []registry.Instance{l})
+			return x.Get("c1").WarmingUp(now)
 		}
 		beat(0, 5)
-		x.Evacuated(0, []string{"a", "b"})
+		x.SetEvacuatedZones(0, []string{"a", "b"})
 		Convey("its replicas are spared when it is given back, until the second beat that is new", func() {
-			x.Evacuated(s, []string{"b"})
-			So(x.Get("c1").Cold(s), ShouldBeTrue)
+			x.SetEvacuatedZones(s, []string{"b"})
+			So(x.Get("c1").WarmingUp(s), ShouldBeTrue)
 			So(beat(s, 5), ShouldBeTrue)
 			So(beat(s, 6), ShouldBeTrue) // may have been under way as it was given back
 			So(beat(2*s, 7), ShouldBeFalse)
 		})
 		Convey("or for a while, as beats that tell nothing new are not passed on", func() {
-			x.Evacuated(s, []string{"b"})
-			So(x.Get("c1").Cold(s+givenBack-1), ShouldBeTrue)
-			So(x.Get("c1").Cold(s+givenBack), ShouldBeFalse)
+			x.SetEvacuatedZones(s, []string{"b"})
+			So(x.Get("c1").WarmingUp(s+restoredZoneWarmup-1), ShouldBeTrue)
+			So(x.Get("c1").WarmingUp(s+restoredZoneWarmup), ShouldBeFalse)
 		})
 		Convey("not when another zone is given back", func() {
-			x.Evacuated(s, []string{"a"})
-			So(x.Get("c1").Cold(s), ShouldBeFalse)
+			x.SetEvacuatedZones(s, []string{"a"})
+			So(x.Get("c1").WarmingUp(s), ShouldBeFalse)
 		})
 		Convey("a comb's doubt holds longer than its own", func() {
 			l := life("c1", "a")
 			l.Sequence, l.WarmthUnknown = 5, true
-			x.Lives(s, false, []registry.Instance{l})
-			x.Evacuated(s, []string{"b"})
-			So(x.Get("c1").Cold(s+givenBack), ShouldBeTrue)
-			So(beat(s+givenBack, 6), ShouldBeFalse)
+			x.UpdateInstances(s, false, []registry.Instance{l})
+			x.SetEvacuatedZones(s, []string{"b"})
+			So(x.Get("c1").WarmingUp(s+restoredZoneWarmup), ShouldBeTrue)
+			So(beat(s+restoredZoneWarmup, 6), ShouldBeFalse)
 		})
 	})
 	Convey("Given a forager that begins anew and is told what a comb knew before it was cut off", t, func() {
 		x := New("a")
 		l := life("c1", "a")
 		l.Sequence, l.Stale = 5, true
-		x.Lives(0, true, []registry.Instance{l})
+		x.UpdateInstances(0, true, []registry.Instance{l})
 		Convey("the replica counts as cold until there is a newer word", func() {
-			So(x.Get("c1").Cold(s), ShouldBeTrue)
+			So(x.Get("c1").WarmingUp(s), ShouldBeTrue)
 			l.Stale = false
-			x.Lives(s, false, []registry.Instance{l})
-			So(x.Get("c1").Cold(s), ShouldBeFalse)
+			x.UpdateInstances(s, false, []registry.Instance{l})
+			So(x.Get("c1").WarmingUp(s), ShouldBeFalse)
 		})
 	})
 }
--- a/dataplane/loadbalancer/spread_test.go
+++ b/dataplane/loadbalancer/spread_test.go
@@ -20,7 +20,7 @@
 func nobody(string) bool { return false }
 
 // picks counts what is chosen, each request ending at once.
-func picks(x *Spread, now time.Duration, n int) map[string]int {
+func picks(x *Balancer, now time.Duration, n int) map[string]int {
 	r := rand.New(rand.NewPCG(1, 2))
 	out := map[string]int{}
 	for range n {
@@ -30,8 +30,8 @@
 			continue
 		}
 		out[p.ID]++
-		x.Begin(now, p)
-		x.End(now, p, Good, time.Millisecond)
+		x.StartAttempt(now, p)
+		x.EndAttempt(now, p, Success, time.Millisecond)
 	}
 	return out
 }
@@ -39,10 +39,10 @@
 func TestPick(t *testing.T) {
 	Convey("Given replicas in two zones", t, func() {
 		x := New("a")
-		x.Lives(0, true, []registry.Instance{life("a1", "a"), life("a2", "a"), life("b1", "b")})
+		x.UpdateInstances(0, true, []registry.Instance{life("a1", "a"), life("a2", "a"), life("b1", "b")})
 		Convey("the own zone goes first, by weight", func() {
-			x.Line("a1", 60)
-			x.Line("a2", 20)
+			x.SetWeight("a1", 60)
+			x.SetWeight("a2", 20)
 			n := picks(x, s, 1000)
 			So(n["b1"], ShouldEqual, 0)
 			So(n["a1"], ShouldBeGreaterThan, n["a2"])
@@ -50,7 +50,7 @@
 		Convey("others are used once its slots are filled", func() {
 			for _, id := range []string{"a1", "a2"} {
 				for range 4 {
-					x.Begin(s, x.Get(id))
+					x.StartAttempt(s, x.Get(id))
 				}
 			}
 			So(picks(x, s, 100)["b1"], ShouldEqual, 100)
@@ -58,58 +58,58 @@
 		Convey("nothing goes to one that drains, is gone, or whose zone is emptied", func() {
 			l := life("a1", "a")
 			l.Draining = true
-			So(x.Lives(s, false, []registry.Instance{l, {ID: "b1", Deregistered: true}}), ShouldResemble, []string{"a1", "b1"})
+			So(x.UpdateInstances(s, false, []registry.Instance{l, {ID: "b1", Deregistered: true}}), ShouldResemble, []string{"a1", "b1"})
 			So(picks(x, s, 100)["a2"], ShouldEqual, 100)
-			x.Evacuated(s, []string{"a"})
+			x.SetEvacuatedZones(s, []string{"a"})
 			So(picks(x, s, 100)[""], ShouldEqual, 100)
 			// Guards against a stale word from a comb that had lost its memory: what drained must not come back.
 			Convey("and a stale word does not bring it back", func() {
-				x.Evacuated(s, nil)
-				x.Lives(2*s, false, []registry.Instance{life("a1", "a"), life("b1", "b")})
+				x.SetEvacuatedZones(s, nil)
+				x.UpdateInstances(2*s, false, []registry.Instance{life("a1", "a"), life("b1", "b")})
 				So(picks(x, 2*s, 100)[""], ShouldEqual, 100) // its zone was just given back
-				So(picks(x, s+givenBack, 100)["a2"], ShouldEqual, 100)
+				So(picks(x, s+restoredZoneWarmup, 100)["a2"], ShouldEqual, 100)
 			})
 		})
 		Convey("one that cannot be called is left for a while, and tried when all are so", func() {
-			x.Begin(s, x.Get("a1"))
-			x.End(s, x.Get("a1"), Uncalled, 0)
+			x.StartAttempt(s, x.Get("a1"))
+			x.EndAttempt(s, x.Get("a1"), ConnectFailed, 0)
 			So(picks(x, s, 100)["a1"], ShouldEqual, 0)
 			So(picks(x, 10*s, 100)["a1"], ShouldBeGreaterThan, 0)
 		})
 		Convey("no more requests are at one replica than its part of the connections allows", func() {
-			x.Caps(map[string]int{"svc": 2})
+			x.SetMaxInFlight(map[string]int{"svc": 2})
 			for range 6 {
-				x.Begin(s, x.Pick(s, "svc", nobody, 1e9, func() float64 { return 0.5 }))
+				x.StartAttempt(s, x.Pick(s, "svc", nobody, 1e9, func() float64 { return 0.5 }))
 			}
 			So(x.Pick(s, "svc", nobody, 1e9, func() float64 { return 0.5 }), ShouldBeNil)
-			So(Part(93, 90, 3), ShouldEqual, 2)
-			So(Part(120, 10, 3), ShouldEqual, 24)
-			So(Part(0, 0, 0), ShouldEqual, partLeast)
+			So(ConnectionShare(93, 90, 3), ShouldEqual, 2)
+			So(ConnectionShare(120, 10, 3), ShouldEqual, 24)
+			So(ConnectionShare(0, 0, 0), ShouldEqual, minConnectionShare)
 		})
 		Convey("a silent one is the last choice", func() {
 			l := life("a1", "a")
 			l.HeartbeatTimedOut = true
-			x.Lives(s, false, []registry.Instance{l})
+			x.UpdateInstances(s, false, []registry.Instance{l})
 			So(picks(x, s, 100)["a1"], ShouldEqual, 0)
 		})
 		Convey("what a replica tells of others' requests there counts", func() {
-			x.Get("a1").Load(s, 4, 2, 4)
+			x.Get("a1").RecordLoad(s, 4, 2, 4)
 			So(picks(x, s, 100)["a1"], ShouldEqual, 0)
 		})
 	})
 }
 
-// TestColdSum has many foragers press on one cold replica, as one comb's foragers hold the right after another: the
+// TestWarmupRateSumOverGateways has many foragers press on one cold replica, as one comb's foragers hold the right after another: the
 // sum over all in any second stays within what is allowed, also while the right changes hands.
-func TestColdSum(t *testing.T) {
+func TestWarmupRateSumOverGateways(t *testing.T) {
 	Convey("Given ten foragers, three combs and one cold replica", t, func() {
 		const perSecond, overage, slack = 5.9, 1.5, 5.0
-		var all []*Spread
+		var all []*Balancer
 		for range 10 {
 			x := New("a")
 			l := life("c1", "a")
 			l.WarmupMillis = 60000
-			x.Lives(0, true, []registry.Instance{l})
+			x.UpdateInstances(0, true, []registry.Instance{l})
 			all = append(all, x)
 		}
 		r := rand.New(rand.NewPCG(3, 4))
@@ -121,13 +121,13 @@
 					if (i+int(now/(5*s)))%3 == 0 && len(g) == 0 && i < 9 {
 						g["c1"] = perSecond * 0.9 / 3
 					}
-					x.Grants(now, g)
+					x.SetWarmupRates(now, g)
 				}
 			}
 			for _, x := range all {
 				if p := x.Pick(now, "svc", nobody, 1e9, r.Float64); p != nil {
-					x.Begin(now, p)
-					x.End(now, p, Good, time.Millisecond)
+					x.StartAttempt(now, p)
+					x.EndAttempt(now, p, Success, time.Millisecond)
 					sent = append(sent, now)
 				}
 			}
@@ -145,7 +145,7 @@
 		x := New("a")
 		l := life("c1", "a")
 		l.WarmthUnknown = true
-		x.Lives(0, true, []registry.Instance{l})
+		x.UpdateInstances(0, true, []registry.Instance{l})
 		So(fmt.Sprint(picks(x, s, 50)), ShouldEqual, "map[:50]")
 	})
 }
--- a/dataplane/outlier/falls.go
+++ b/dataplane/outlier/falls.go
@@ -9,90 +9,90 @@
 )
 
 const (
-	first     = 800 * time.Millisecond // a replica that fell is left for so long, twice as long each further time
-	most      = 8 * time.Second
-	forget    = 20 * time.Second // without a fall, the next one counts as the first
-	together  = time.Second      // words of several foragers within this are of one fall
-	witnesses = 2                // foragers that must tell of a broken connection; a refused call tells enough by itself
-	outMost   = 0.4              // part of a service's replicas that may be out by hearsay
+	baseEjectionTime  = 800 * time.Millisecond // a replica that fell is left for so long, twice as long each further time
+	maxEjectionTime   = 8 * time.Second
+	ejectionMemory    = 20 * time.Second // without a fall, the next one counts as the first
+	observationWindow = time.Second      // words of several foragers within this are of one fall
+	minObservers      = 2                // foragers that must tell of a broken connection; a refused call tells enough by itself
+	maxEjectedShare   = 0.4              // part of a service's replicas that may be out by hearsay
 )
 
-// Word is what a forager tells.
-type Word struct {
-	Replica string `cbor:"1,keyasint"`
-	Refused bool   `cbor:"2,keyasint,omitempty"` // nobody listens there: proof, unless the forager's own link is at fault
+// Observation is what a forager tells.
+type Observation struct {
+	Replica           string `cbor:"1,keyasint"`
+	ConnectionRefused bool   `cbor:"2,keyasint,omitempty"` // nobody listens there: proof, unless the forager's own link is at fault
 }
 
-// Out is told to foragers: a replica is the last choice for so long.
-type Out struct {
-	Replica string `cbor:"1,keyasint"`
-	Millis  int64  `cbor:"2,keyasint"`
+// Ejection is told to foragers: a replica is the last choice for so long.
+type Ejection struct {
+	Replica      string `cbor:"1,keyasint"`
+	Milliseconds int64  `cbor:"2,keyasint"`
 }
 
-type fall struct {
-	by    map[string]bool // foragers that told of the fall at hand
-	since time.Duration
-	times int
-	until time.Duration
-	last  time.Duration
+type ejectionState struct {
+	observers     map[string]bool // foragers that told of the fall at hand
+	observedSince time.Duration
+	ejections     int
+	ejectedUntil  time.Duration
+	lastEjectedAt time.Duration
 }
 
-// Falls is one comb's part.
-type Falls struct{ all map[string]*fall }
+// Detector is one comb's part.
+type Detector struct{ replicas map[string]*ejectionState }
 
 // New makes one.
-func New() *Falls { return &Falls{all: map[string]*fall{}} }
+func New() *Detector { return &Detector{replicas: map[string]*ejectionState{}} }
 
-// Told takes a forager's word. Peers are the replicas of the same service that are in use. It returns what all are to
+// Observe takes a forager's word. Peers are the replicas of the same service that are in use. It returns what all are to
 // be told, if anything.
-func (f *Falls) Told(now time.Duration, forager string, w Word, peers []string) (Out, bool) {
-	x := f.all[w.Replica]
-	if x == nil {
-		x = &fall{by: map[string]bool{}, last: -forget}
-		f.all[w.Replica] = x
+func (d *Detector) Observe(now time.Duration, gateway string, observation Observation, peers []string) (Ejection, bool) {
+	state := d.replicas[observation.Replica]
+	if state == nil {
+		state = &ejectionState{observers: map[string]bool{}, lastEjectedAt: -ejectionMemory}
+		d.replicas[observation.Replica] = state
 	}
-	if now-x.since > together {
-		x.since = now
-		clear(x.by)
+	if now-state.observedSince > observationWindow {
+		state.observedSince = now
+		clear(state.observers)
 	}
-	x.by[forager] = true
-	if now < x.until || !w.Refused && len(x.by) < witnesses {
-		return Out{}, false
+	state.observers[gateway] = true
+	if now < state.ejectedUntil || !observation.ConnectionRefused && len(state.observers) < minObservers {
+		return Ejection{}, false
 	}
-	out := 0
+	ejected := 0
 	for _, id := range peers {
-		if p := f.all[id]; p != nil && now < p.until {
-			out++
+		if peer := d.replicas[id]; peer != nil && now < peer.ejectedUntil {
+			ejected++
 		}
 	}
-	if float64(out+1) > outMost*float64(len(peers)) {
-		return Out{}, false // where many fall the fault may lie elsewhere, and somebody must serve
+	if float64(ejected+1) > maxEjectedShare*float64(len(peers)) {
+		return Ejection{}, false // where many fall the fault may lie elsewhere, and somebody must serve
 	}
-	if now-x.last > forget {
-		x.times = 0
+	if now-state.lastEjectedAt > ejectionMemory {
+		state.ejections = 0
 	}
-	span := min(first<<min(x.times, 10), most)
-	x.times++
-	x.last, x.until = now, now+span
-	return Out{w.Replica, span.Milliseconds()}, true
+	duration := min(baseEjectionTime<<min(state.ejections, 10), maxEjectionTime)
+	state.ejections++
+	state.lastEjectedAt, state.ejectedUntil = now, now+duration
+	return Ejection{observation.Replica, duration.Milliseconds()}, true
 }
 
-// Heard takes another comb's word, so that the next fall counts on from it.
-func (f *Falls) Heard(now time.Duration, o Out) {
-	x := f.all[o.Replica]
-	if x == nil {
-		x = &fall{by: map[string]bool{}}
-		f.all[o.Replica] = x
+// RecordRemote takes another comb's word, so that the next fall counts on from it.
+func (d *Detector) RecordRemote(now time.Duration, ejection Ejection) {
+	state := d.replicas[ejection.Replica]
+	if state == nil {
+		state = &ejectionState{observers: map[string]bool{}}
+		d.replicas[ejection.Replica] = state
 	}
-	x.until, x.last = max(x.until, now+time.Duration(o.Millis)*time.Millisecond), now
-	x.times++
+	state.ejectedUntil, state.lastEjectedAt = max(state.ejectedUntil, now+time.Duration(ejection.Milliseconds)*time.Millisecond), now
+	state.ejections++
 }
 
-// Forget drops what is long past.
-func (f *Falls) Forget(now time.Duration) {
-	for _, id := range slices.Collect(maps.Keys(f.all)) {
-		if x := f.all[id]; now-max(x.last, x.since) > 2*forget {
-			delete(f.all, id)
+// Expire drops what is long past.
+func (d *Detector) Expire(now time.Duration) {
+	for _, id := range slices.Collect(maps.Keys(d.replicas)) {
+		if state := d.replicas[id]; now-max(state.lastEjectedAt, state.observedSince) > 2*ejectionMemory {
+			delete(d.replicas, id)
 		}
 	}
 }
--- a/dataplane/retry/tries.go
+++ b/dataplane/retry/tries.go
@@ -7,73 +7,73 @@
 	"time"
 )
 
-// Verdict says whether a request may have run.
-type Verdict int
+// Execution says whether a request may have run.
+type Execution int
 
 const (
-	NotRun     Verdict = iota // with proof: it was never sent, or the replica said that it did not run it
-	MayHaveRun                // it was sent, and nothing proves that it did not run
-	Answered                  // the replica's whole answer is there
+	NotExecuted     Execution = iota // with proof: it was never sent, or the replica said that it did not run it
+	MayHaveExecuted                  // it was sent, and nothing proves that it did not run
+	Answered                         // the replica's whole answer is there
 )
 
-func (v Verdict) String() string { return [...]string{"not_run", "may_have_run", "answered"}[v] }
-
-// Request is what bears on the decision.
-type Request struct {
-	Safe        bool
-	MaxAttempts int
-	Sent        int // replicas that it was sent to
-	Unsent      int // replicas that could not even be called
-	Left        time.Duration
-	Target      time.Duration // the route's; 0: none
-	Failed      bool          // Answered: with a failure of the replica's own
+func (v Execution) String() string { return [...]string{"not_run", "may_have_run", "answered"}[v] }
+
+// State is what bears on the decision.
+type State struct {
+	Safe            bool
+	MaxAttempts     int
+	Attempts        int // replicas that it was sent to
+	ConnectFailures int // replicas that could not even be called
+	TimeLeft        time.Duration
+	LatencyTarget   time.Duration // the route's; 0: none
+	ServerError     bool          // Answered: with a failure of the replica's own
 }
 
 const (
-	leastLeft = 20 * time.Millisecond // with less time than this left, another try is of no use
+	minTimeLeft = 20 * time.Millisecond // with less time than this left, another try is of no use
 
-	// UnsentMost bounds calls that fail before anything is sent: they are no arrivals, but cost time.
-	UnsentMost = 4
+	// MaxConnectFailures bounds calls that fail before anything is sent: they are no arrivals, but cost time.
+	MaxConnectFailures = 4
 
-	leastShare = 0.1 // of the route's target: with less time than this a replica cannot be said to have been offered anything
+	minLatencyTargetShare = 0.1 // of the route's target: with less time than this a replica cannot be said to have been offered anything
 
-	hedgeShare = 0.55 // of the route's target, after which a second replica can still answer within it
+	hedgeLatencyTargetShare = 0.55 // of the route's target, after which a second replica can still answer within it
 )
 
-// Offers tells whether the time left is enough to offer a request to a replica at all.
-func Offers(left, target time.Duration) bool {
-	return left >= max(leastLeft, time.Duration(leastShare*float64(target)))
+// EnoughTime tells whether the time left is enough to offer a request to a replica at all.
+func EnoughTime(timeLeft, latencyTarget time.Duration) bool {
+	return timeLeft >= max(minTimeLeft, time.Duration(minLatencyTargetShare*float64(latencyTarget)))
 }
 
-// HedgeAfter is how long a safe request waits for its answer until it is offered to a second replica beside the first.
-func HedgeAfter(target, left time.Duration) (time.Duration, bool) {
-	wait := time.Duration(hedgeShare * float64(target))
-	return wait, target > 0 && Offers(left-wait, target)
+// HedgeDelay is how long a safe request waits for its answer until it is offered to a second replica beside the first.
+func HedgeDelay(latencyTarget, timeLeft time.Duration) (time.Duration, bool) {
+	delay := time.Duration(hedgeLatencyTargetShare * float64(latencyTarget))
+	return delay, latencyTarget > 0 && EnoughTime(timeLeft-delay, latencyTarget)
 }
 
-// Again tells whether the request may be offered to another replica. Further arrivals must be covered by a budget
+// ShouldRetry tells whether the request may be offered to another replica. Further arrivals must be covered by a budget
 // besides, which is asked last so that nothing is taken from it in vain.
-func Again(v Verdict, r Request) bool {
-	if !Offers(r.Left, r.Target) || r.Unsent > UnsentMost {
+func ShouldRetry(execution Execution, state State) bool {
+	if !EnoughTime(state.TimeLeft, state.LatencyTarget) || state.ConnectFailures > MaxConnectFailures {
 		return false
 	}
-	if r.Sent >= r.MaxAttempts {
+	if state.Attempts >= state.MaxAttempts {
 		return false
 	}
-	switch v {
-	case NotRun:
+	switch execution {
+	case NotExecuted:
 		return true
-	case MayHaveRun:
-		return r.Safe // against double charges: a doubt is never tried again
+	case MayHaveExecuted:
+		return state.Safe // against double charges: a doubt is never tried again
 	}
-	return r.Failed && r.Safe
+	return state.ServerError && state.Safe
 }
 
-// Final is the status that a client is told when no answer of a replica can be passed on. 503 promises that the
+// FinalStatus is the status that a client is told when no answer of a replica can be passed on. 503 promises that the
 // request has not run and never will; 502 and 504 promise nothing.
-func Final(v Verdict, expired bool) int {
+func FinalStatus(execution Execution, expired bool) int {
 	switch {
-	case v == NotRun:
+	case execution == NotExecuted:
 		return http.StatusServiceUnavailable
 	case expired:
 		return http.StatusGatewayTimeout
@@ -84,23 +84,23 @@
 // Budget is one governor's part of the further tries that all governors may make at a service: a bucket filled by
 // requests. Parts are dealt so that the sum holds: a share of the ratio for each request, and a part of the slack.
 type Budget struct {
-	ratio, most float64
-	have        float64
+	ratio, burst float64
+	tokens       float64
 }
 
 // NewBudget makes a budget. In any window, n governors together make at most n x burst + ratio x requests.
 func NewBudget(ratio, burst float64) *Budget {
-	return &Budget{ratio: ratio, most: burst, have: burst}
+	return &Budget{ratio: ratio, burst: burst, tokens: burst}
 }
 
-// Earn counts a request of a client.
-func (b *Budget) Earn() { b.have = min(b.have+b.ratio, b.most) }
+// Deposit counts a request of a client.
+func (b *Budget) Deposit() { b.tokens = min(b.tokens+b.ratio, b.burst) }
 
-// Spend takes one further try, if there is one.
-func (b *Budget) Spend() bool {
-	if b.have < 1 {
+// TryWithdraw takes one further try, if there is one.
+func (b *Budget) TryWithdraw() bool {
+	if b.tokens < 1 {
 		return false
 	}
-	b.have--
+	b.tokens--
 	return true
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -110,13 +110,13 @@
 		front := at(p[2+2*i])
 		set, err = nodesettings.Parse([]byte(fmt.Sprintf(settings, fmt.Sprintf("forager-%d", i+1), "", front, at(p[3+2*i]), "", inner, inner+4, g.ControlAddress)))
 		if err == nil {
-			var f *gateway.Forager
+			var f *gateway.Gateway
 			f, err = gateway.New(set, program.NewLogger(w, "forager"))
 			err = run(f, err)
 		}
 		g.FrontAddresses, g.ReadinessAddresses = append(g.FrontAddresses, front), append(g.ReadinessAddresses, at(p[3+2*i]))
 	}
-	book := hostile.NewBook()
+	book := hostile.NewLedger()
 	for i := 0; i < replicas && err == nil; i++ {
 		var r *upstream.Replica
 		if r, err = upstream.Start(fmt.Sprintf("i-demo-%d", i+1)); err == nil {
--- a/internal/demo/hostile_test.go
+++ b/internal/demo/hostile_test.go
@@ -16,9 +16,9 @@
 	defer g.Stop()
 	heard := 0
 	for i := range 40 {
-		for _, x := range hostile.NewClient(g.FrontAddresses[i%2], "127.0.0.1", "demo", uint64(i)).Round() {
-			if heard++; x.Wrong != "" {
-				t.Error(x.Wrong)
+		for _, x := range hostile.NewClient(g.FrontAddresses[i%2], "127.0.0.1", "demo", uint64(i)).RunConnection() {
+			if heard++; x.Violation != "" {
+				t.Error(x.Violation)
 			}
 		}
 	}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -55,13 +55,13 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	f.front.Do(func() {})
-	f.take(&messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: configured(1, "safe"),
+	f.frontOnce.Do(func() {})
+	f.applyUpdate(&messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: configured(1, "safe"),
 		Instances: []registry.Instance{{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4}}})
 	for _, x := range []struct {
 		name string
 		h    http.Handler
-	}{{"forager", http.HandlerFunc(f.serve)}, {"plain", plain(up.Addr())}, {"direct", nil}} {
+	}{{"forager", http.HandlerFunc(f.handleRequest)}, {"plain", plain(up.Addr())}, {"direct", nil}} {
 		b.Run(x.name, func(b *testing.B) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -69,8 +69,8 @@
 			}
 			srv := &http.Server{Handler: x.h}
 			if x.name == "forager" { // as in service: with what watches its clients' bytes
-				srv.ConnContext = withClient
-				go srv.Serve(clients{ln, f})
+				srv.ConnContext = withClientConn
+				go srv.Serve(clientListener{ln, f})
 			} else {
 				go srv.Serve(ln)
 			}
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -23,51 +23,51 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// lines keeps a log.
-type lines struct {
+// logBuffer keeps a log.
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
-// served starts a forager for clients on loopback, before replicas.
-func served(t testing.TB, limits string, ups ...*upstream.Replica) (addr string, f *Forager, log *lines) {
+// startGateway starts a forager for clients on loopback, before replicas.
+func startGateway(t testing.TB, limits string, ups ...*upstream.Replica) (addr string, f *Gateway, log *logBuffer) {
 	set, err := nodesettings.Parse([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	log = &lines{}
+	log = &logBuffer{}
 	if f, err = New(set, program.NewLogger(log, "forager")); err != nil {
 		t.Fatal(err)
 	}
-	if f.frontLn, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if f.frontListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	st := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: limited(1, limits)}
 	for _, up := range ups {
 		st.Instances = append(st.Instances, registry.Instance{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4})
 	}
-	f.take(st)
+	f.applyUpdate(st)
 	t.Cleanup(func() { f.server.Close() })
-	return f.frontLn.Addr().String(), f, log
+	return f.frontListener.Addr().String(), f, log
 }
 
 func limited(version int, limits string) []byte {
 	return bytes.Replace(configured(version, "unsafe"), []byte(`"max_body_bytes":100`), []byte(limits), 1)
 }
 
-func stood(t testing.TB, id string, next ...upstream.Behaviour) *upstream.Replica {
+func startReplica(t testing.TB, id string, next ...upstream.Behaviour) *upstream.Replica {
 	up, err := upstream.Start(id, next...)
 	if err != nil {
 		t.Fatal(err)
@@ -76,8 +76,8 @@
 	return up
 }
 
-// say sends bytes on a new connection and reads answers until it ends.
-func say(t testing.TB, addr, bytes string) (codes []int) {
+// sendRaw sends bytes on a new connection and reads answers until it ends.
+func sendRaw(t testing.TB, addr, bytes string) (codes []int) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -102,8 +102,8 @@
 // Guards replicas against what clients send in two meanings: it is answered 400 and closed, in a log line with its cause,
 // and nothing of it, nor behind it, reaches a replica; what came whole before it is answered in its turn.
 func TestBadRequestsReachNobody(t *testing.T) {
-	up := stood(t, "i0")
-	addr, f, log := served(t, `"max_body_bytes":1000,"max_header_bytes":4000`, up)
+	up := startReplica(t, "i0")
+	addr, f, log := startGateway(t, `"max_body_bytes":1000,"max_header_bytes":4000`, up)
 	head := "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: bad\r\n"
 	smuggled := "GET /x/smuggled HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: smuggled\r\n\r\n"
 	good := "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: good\r\nContent-Length: 2\r\n\r\nab"
@@ -130,7 +130,7 @@
 		{good + strings.Replace(good, "/x/1", "http://h.example/x/1", 1), "[200 200]", ""},
 	} {
 		before := log.String()
-		if got := fmt.Sprint(say(t, addr, x.say)); got != x.codes {
+		if got := fmt.Sprint(sendRaw(t, addr, x.say)); got != x.codes {
 			t.Errorf("%q: %s, want %s", x.say[:min(len(x.say), 200)], got, x.codes)
 		}
 		if line := log.String()[len(before):]; x.cause != "" && !(strings.Contains(line, "event=bad_request") && strings.Contains(line, x.cause)) {
@@ -140,16 +140,16 @@
 	if ran := up.Executions(); ran["bad"]+ran["smuggled"] > 0 || ran["good"] != 3 {
 		t.Error(ran)
 	}
-	if n := f.bodies.held.Load(); n != 0 {
+	if n := f.bodyMemory.used.Load(); n != 0 {
 		t.Errorf("%d bytes of bodies are still counted", n)
 	}
 }
 
 // Guards clients that send too slowly: what has not come whole has not run, and they are told so.
 func TestALateBodyIs408(t *testing.T) {
-	up := stood(t, "i0")
-	addr, _, _ := served(t, `"max_body_bytes":1000`, up)
-	codes := say(t, addr, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: 1\r\nX-Deadline-Ms: 100\r\nContent-Length: 10\r\n\r\nhalf")
+	up := startReplica(t, "i0")
+	addr, _, _ := startGateway(t, `"max_body_bytes":1000`, up)
+	codes := sendRaw(t, addr, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: 1\r\nX-Deadline-Ms: 100\r\nContent-Length: 10\r\n\r\nhalf")
 	if fmt.Sprint(codes) != "[408]" || len(up.Requests()) > 0 {
 		t.Error(codes, up.Requests())
 	}
@@ -158,8 +158,8 @@
 // Guards heads and rests by a configuration that came later: more is allowed by it, also to a connection that was
 // resting when it came.
 func TestLimitsOfALaterConfiguration(t *testing.T) {
-	up := stood(t, "i0")
-	addr, f, _ := served(t, `"max_header_bytes":1000,"idle_timeout":"150ms"`, up)
+	up := startReplica(t, "i0")
+	addr, f, _ := startGateway(t, `"max_header_bytes":1000,"idle_timeout":"150ms"`, up)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 	br := bufio.NewReader(c)
 	c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	br.Peek(1) // it rests
-	f.take(&messages.StateUpdate{Sequence: 2, ConfigVersion: 2, Config: limited(2, `"max_header_bytes":30000,"idle_timeout":"30s"`)})
+	f.applyUpdate(&messages.StateUpdate{Sequence: 2, ConfigVersion: 2, Config: limited(2, `"max_header_bytes":30000,"idle_timeout":"30s"`)})
 	c.SetReadDeadline(time.Now().Add(400 * time.Millisecond))
 	if _, err := br.Peek(1); err == nil || err == io.EOF {
 		t.Fatal("a resting connection ended by an earlier configuration:", err)
@@ -183,26 +183,30 @@
 // Guards the end of a process: connections that clients opened in advance held it up until the grace period was over, in
 // which nobody listened.
 func TestUnusedConnectionsDoNotHoldUpTheEnd(t *testing.T) {
-	up := stood(t, "i0")
-	addr, f, _ := served(t, `"idle_timeout":"30s"`, up)
+	up := startReplica(t, "i0")
+	addr, f, _ := startGateway(t, `"idle_timeout":"30s"`, up)
 	unused, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unused.Close()
-	if got := fmt.Sprint(say(t, addr, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")); got != "[200]" {
+	if got := fmt.Sprint(sendRaw(t, addr, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")); got != "[200]" {
 		t.Fatal(got)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	if err := f.shut(ctx); err != nil {
+	if err := f.shutdownServer(ctx); err != nil {
 		t.Error(err)
 	}
 	unused.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := unused.Read(make([]byte, 1)); err != io.EOF {
 		t.Error("the unused connection:", err)
 	}
-	if !until(func() bool { f.unused.mu.Lock(); defer f.unused.mu.Unlock(); return len(f.unused.m) == 0 }) {
+	if !until(func() bool {
+		f.unusedConns.mu.Lock()
+		defer f.unusedConns.mu.Unlock()
+		return len(f.unusedConns.conns) == 0
+	}) {
 		t.Error("connections that ended are kept")
 	}
 }
@@ -211,8 +215,8 @@
 // had its answer yet, so that it held up the end, and rested without end in the server's eyes.
 func TestAnsweredConnectionsRest(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
-		up := stood(t, "i0")
-		addr, f, _ := served(t, `"idle_timeout":"30s"`, up)
+		up := startReplica(t, "i0")
+		addr, f, _ := startGateway(t, `"idle_timeout":"30s"`, up)
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -230,7 +234,7 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		if err := f.shut(ctx); err != nil {
+		if err := f.shutdownServer(ctx); err != nil {
 			t.Error(method, err)
 		}
 		if _, err := br.Peek(1); err != io.EOF {
@@ -242,9 +246,9 @@
 // Guards connections that rest: clients take them up within the time that the configuration in force names, also before
 // the first request, and also where an earlier one named less; a head that has begun has a head's time.
 func TestConnectionsRestByTheConfigurationInForce(t *testing.T) {
-	up := stood(t, "i0")
-	addr, f, _ := served(t, `"header_timeout":"100ms","idle_timeout":"100ms"`, up)
-	f.take(&messages.StateUpdate{Sequence: 2, ConfigVersion: 2, Config: limited(2, `"header_timeout":"150ms","idle_timeout":"30s"`)})
+	up := startReplica(t, "i0")
+	addr, f, _ := startGateway(t, `"header_timeout":"100ms","idle_timeout":"100ms"`, up)
+	f.applyUpdate(&messages.StateUpdate{Sequence: 2, ConfigVersion: 2, Config: limited(2, `"header_timeout":"150ms","idle_timeout":"30s"`)})
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -271,10 +275,10 @@
 	}
 }
 
-func TestPromises(t *testing.T) {
+func TestExecutionPromises(t *testing.T) {
 	Convey("A doubt stays a doubt, also where another try is proven not to have run", t, func() {
 		// Guards the promise of 503: the proof of a later try hid the doubt of the first.
-		r := newRig("safe", 2)
+		r := newFixture("safe", 2)
 		r.all(upstream.ClosesWithoutResponse)
 		r.up[0].SetBehaviours(upstream.ClosesWithoutResponse)
 		r.up[1].SetBehaviours(upstream.ClosesWithoutResponse)
@@ -288,13 +292,13 @@
 		}
 	})
 	Convey("A replica's own 503 promises nothing where it does not say that it did not run it", t, func() {
-		r := newRig("unsafe", 2)
+		r := newFixture("unsafe", 2)
 		r.all(upstream.OmitsNotExecuted)
 		So(r.do("POST", "/x/1", "order").Code, ShouldEqual, http.StatusBadGateway)
 		So(r.ran(), ShouldEqual, 1)
 	})
 	Convey("What nobody waits for is not sent, nor sent again", t, func() {
-		r := newRig("unsafe", 2)
+		r := newFixture("unsafe", 2)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		ask := func() {
@@ -302,7 +306,7 @@
 			q.Host = "h.example"
 			q.Header.Set("X-Attempt-Id", "gone")
 			defer func() { recover() }() // its connection is ended
-			r.f.serve(httptest.NewRecorder(), q)
+			r.f.handleRequest(httptest.NewRecorder(), q)
 		}
 		for _, up := range r.up {
 			up.SetBehaviours(upstream.RejectsNotExecuted)
@@ -314,25 +318,25 @@
 		So(len(r.up[0].Requests())+len(r.up[1].Requests()), ShouldEqual, 1)
 	})
 	Convey("With under a tenth of the target left nothing is offered", t, func() {
-		r := newRig("unsafe", 2)
+		r := newFixture("unsafe", 2)
 		q := httptest.NewRequest("POST", "/x/1", strings.NewReader("order"))
 		q.Host = "h.example"
 		q.Header.Set("X-Attempt-Id", "late")
 		q.Header.Set("X-Deadline-Ms", "90")
 		w := httptest.NewRecorder()
-		r.f.serve(w, q)
+		r.f.handleRequest(w, q)
 		So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
 		So(len(r.up[0].Requests())+len(r.up[1].Requests()), ShouldEqual, 0)
 	})
 	Convey("A deadline beyond all numbers is the route's", t, func() {
 		for _, ms := range []string{"Inf", "1e300", "99999999999999999999"} {
-			r := newRig("unsafe", 1)
+			r := newFixture("unsafe", 1)
 			q := httptest.NewRequest("POST", "/x/1", strings.NewReader("order"))
 			q.Host = "h.example"
 			q.Header.Set("X-Attempt-Id", "1")
 			q.Header.Set("X-Deadline-Ms", ms)
 			w := httptest.NewRecorder()
-			r.f.serve(w, q)
+			r.f.handleRequest(w, q)
 			So(w.Code, ShouldEqual, 200)
 		}
 	})
@@ -345,7 +349,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, ok := target(r); got != want || ok != strings.HasPrefix(want, "/") {
+		if got, ok := requestTarget(r); got != want || ok != strings.HasPrefix(want, "/") {
 			t.Errorf("%s: %s %v", in, got, ok)
 		}
 	}
--- a/internal/gateway/forager.go
+++ b/internal/gateway/forager.go
@@ -30,193 +30,193 @@
 )
 
 const (
-	sweepEvery  = time.Second
-	countsEvery = 10 * time.Second
-	heldUpHere  = 50 * time.Millisecond  // of a request's time, beside the replica's, from which this node counts as slow
-	leastGrace  = 300 * time.Millisecond // of the grace period, kept for the end of the process itself
-	bodyPart    = 0.25                   // of the memory limit, for requests' bodies
-	linesRate   = 10                     // log lines a second that others cause
-	linesBurst  = 100
-	unusedEvery = 20 * time.Millisecond
-	headsMost   = 64 << 10 // bytes that the server reads of a head; the configuration in force allows less
-	connPart    = 0.7      // of the descriptors, for clients
-	memoryPart  = 0.6      // of the memory limit, the garbage collector's goal
+	sweepInterval         = time.Second
+	countersInterval      = 10 * time.Second
+	slowOverhead          = 50 * time.Millisecond  // of a request's time, beside the replica's, from which this node counts as slow
+	exitReserve           = 300 * time.Millisecond // of the grace period, kept for the end of the process itself
+	bodyMemoryShare       = 0.25                   // of the memory limit, for requests' bodies
+	logRate               = 10                     // log lines a second that others cause
+	logBurst              = 100
+	closeUnusedInterval   = 20 * time.Millisecond
+	minServerHeaderBytes  = 64 << 10 // bytes that the server reads of a head; the configuration in force allows less
+	clientDescriptorShare = 0.7      // of the descriptors, for clients
+	gcMemoryShare         = 0.6      // of the memory limit, the garbage collector's goal
 )
 
-// Forager is one proxy governor.
-type Forager struct {
-	set      *nodesettings.Settings
-	log      *log.Logger
-	start    time.Time
-	config   atomic.Pointer[gatewayconfig.Config]
-	replicas *replica.Pool
-	stopping atomic.Bool
-	draining atomic.Bool   // for a maintenance window
-	used     time.Duration // processor time at the last report
-	tabled   atomic.Bool   // a whole table has come
-	front    sync.Once
-	server   *http.Server
-	frontLn  net.Listener
-	failed   chan error
-	dance    *gossip.Shuffler
-	bodies   bodies
-	fell     chan outlier.Word
-	gone     chan string // replicas whose address another one has
-
-	unused unused
-	lines  *rate.Limiter // of what others cause in the log
-
-	mu     sync.Mutex
-	brain  *router.Forager
-	counts map[string]int
+// Gateway is one proxy governor.
+type Gateway struct {
+	settings      *nodesettings.Settings
+	logger        *log.Logger
+	startedAt     time.Time
+	config        atomic.Pointer[gatewayconfig.Config]
+	pool          *replica.Pool
+	stopping      atomic.Bool
+	draining      atomic.Bool   // for a maintenance window
+	processorTime time.Duration // processor time at the last report
+	hasTable      atomic.Bool   // a whole table has come
+	frontOnce     sync.Once
+	server        *http.Server
+	frontListener net.Listener
+	serveErrors   chan error
+	gossip        *gossip.Shuffler
+	bodyMemory    bodyMemory
+	observations  chan outlier.Observation
+	misdirected   chan string // replicas whose address another one has
+
+	unusedConns unusedConns
+	logLimiter  *rate.Limiter // of what others cause in the log
+
+	mu       sync.Mutex
+	router   *router.Router
+	counters map[string]int
 }
 
 // New makes a forager from its settings.
-func New(set *nodesettings.Settings, logger *log.Logger) (*Forager, error) {
+func New(set *nodesettings.Settings, logger *log.Logger) (*Gateway, error) {
 	if set.FrontAddress == "" || set.ReadinessAddress == "" {
 		return nil, merry.New("settings: network_settings.listen_addresses: a forager needs front and readiness")
 	}
 	brain := router.New(router.Settings{Zone: set.Zone, Zones: len(set.ZoneRegions), RetryRatio: set.Bounds.RetryBudgetRatio, RetrySlack: set.Bounds.RetryBudgetSlack,
-		ColdTimes: set.Bounds.WarmupOverage, ColdSlack: set.Bounds.WarmupSlack, Seed: rand.Uint64()})
-	return &Forager{set: set, log: logger, start: time.Now(), replicas: replica.NewPool(), brain: brain,
-		counts: map[string]int{}, failed: make(chan error, 4), gone: make(chan string, 64), fell: make(chan outlier.Word, 64),
-		lines: rate.NewLimiter(linesRate, linesBurst), bodies: bodies{most: int64(float64(set.MemoryMB<<20) * bodyPart)}}, nil
+		WarmupOverage: set.Bounds.WarmupOverage, WarmupSlack: set.Bounds.WarmupSlack, Seed: rand.Uint64()})
+	return &Gateway{settings: set, logger: logger, startedAt: time.Now(), pool: replica.NewPool(), router: brain,
+		counters: map[string]int{}, serveErrors: make(chan error, 4), misdirected: make(chan string, 64), observations: make(chan outlier.Observation, 64),
+		logLimiter: rate.NewLimiter(logRate, logBurst), bodyMemory: bodyMemory{limit: int64(float64(set.MemoryMB<<20) * bodyMemoryShare)}}, nil
 }
 
-func (f *Forager) now() time.Duration { return time.Since(f.start) }
+func (g *Gateway) now() time.Duration { return time.Since(g.startedAt) }
 
-func (f *Forager) count(what string) {
-	f.mu.Lock()
-	f.counts[what]++
-	f.mu.Unlock()
+func (g *Gateway) count(what string) {
+	g.mu.Lock()
+	g.counters[what]++
+	g.mu.Unlock()
 }
 
-func (f *Forager) pick(a router.Ask) router.Picked {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.brain.Pick(f.now(), a)
+func (g *Gateway) pick(a router.PickRequest) router.PickResult {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.router.Pick(g.now(), a)
 }
 
-func (f *Forager) arrived(service string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.brain.Arrived(service)
+func (g *Gateway) startRequest(service string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.router.StartRequest(service)
 }
 
-// done counts the end of a client's request, and whether it was held up here.
-func (f *Forager) done(safe bool, took, there time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.brain.Done(f.now(), safe, took-there > heldUpHere)
+// endRequest counts the end of a client's request, and whether it was held up here.
+func (g *Gateway) endRequest(safe bool, total, atReplicas time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.router.EndRequest(g.now(), safe, total-atReplicas > slowOverhead)
 }
 
-func (f *Forager) refuses() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.brain.Refuses(f.now())
+func (g *Gateway) rejectsRequests() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.router.RejectsRequests(g.now())
 }
 
-func (f *Forager) spend(service string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.brain.Spend(service)
+func (g *Gateway) tryRetry(service string) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.router.TryRetry(service)
 }
 
 // Run serves until the context ends, then ends in order.
-func (f *Forager) Run(ctx context.Context, hup <-chan os.Signal) error {
-	debug.SetMemoryLimit(int64(float64(f.set.MemoryMB<<20) * memoryPart))
-	ready, err := net.Listen("tcp", f.set.ReadinessAddress)
+func (g *Gateway) Run(ctx context.Context, hup <-chan os.Signal) error {
+	debug.SetMemoryLimit(int64(float64(g.settings.MemoryMB<<20) * gcMemoryShare))
+	ready, err := net.Listen("tcp", g.settings.ReadinessAddress)
 	if err != nil {
 		return merry.Prepend(err, "listening for readiness")
 	}
-	if f.frontLn, err = net.Listen("tcp", f.set.FrontAddress); err != nil {
+	if g.frontListener, err = net.Listen("tcp", g.settings.FrontAddress); err != nil {
 		return merry.Prepend(err, "listening for clients")
 	}
 	mux := chi.NewRouter()
-	mux.Get("/api/readiness", f.readiness)
+	mux.Get("/api/readiness", g.handleReadiness)
 	readySrv := &http.Server{Handler: mux, ReadHeaderTimeout: 3 * time.Second}
-	go func() { f.failed <- readySrv.Serve(ready) }()
+	go func() { g.serveErrors <- readySrv.Serve(ready) }()
 	defer readySrv.Close()
 	following, cancel := context.WithCancel(context.Background()) // also while it ends: drains still count
 	defer cancel()
-	for port := f.set.LastInternalPort; f.dance == nil; port-- { // another process of this machine may have some of them
-		self := peersampling.Descriptor{Addr: netip.AddrPortFrom(f.set.IP, uint16(port)).String(), Role: peersampling.RoleGateway, Zone: f.set.Zone}
-		if f.dance, err = gossip.Start(following, self, f.set.SeedPeerAddresses()); err != nil && port <= f.set.FirstInternalPort {
+	for port := g.settings.LastInternalPort; g.gossip == nil; port-- { // another process of this machine may have some of them
+		self := peersampling.Descriptor{Addr: netip.AddrPortFrom(g.settings.IP, uint16(port)).String(), Role: peersampling.RoleGateway, Zone: g.settings.Zone}
+		if g.gossip, err = gossip.Start(following, self, g.settings.SeedPeerAddresses()); err != nil && port <= g.settings.FirstInternalPort {
 			return err
 		}
 	}
-	go f.follow(following)
-	f.log.Info().Str("event", "start").Str("name", f.set.Name).Str("zone", f.set.Zone).Str("front", f.set.FrontAddress).Msg("")
-	sweep, counts := time.NewTicker(sweepEvery), time.NewTicker(countsEvery)
+	go g.followControlPlane(following)
+	g.logger.Info().Str("event", "start").Str("name", g.settings.Name).Str("zone", g.settings.Zone).Str("front", g.settings.FrontAddress).Msg("")
+	sweep, counts := time.NewTicker(sweepInterval), time.NewTicker(countersInterval)
 	for {
 		select {
-		case err := <-f.failed:
+		case err := <-g.serveErrors:
 			return merry.Prepend(err, "serving")
 		case <-sweep.C:
-			f.replicas.Sweep(time.Now())
+			g.pool.Sweep(time.Now())
 			if nodesettings.FileChanged() { // without a signal
-				f.reload()
+				g.reloadSettings()
 			}
 		case <-counts.C:
-			f.logCounts()
+			g.logCounters()
 		case <-hup:
-			f.reload()
+			g.reloadSettings()
 		case <-ctx.Done():
-			f.log.Info().Str("event", "stopping").Msg("")
-			f.stop()
-			f.logCounts()
-			f.log.Info().Str("event", "stopped").Msg("")
+			g.logger.Info().Str("event", "stopping").Msg("")
+			g.shutdown()
+			g.logCounters()
+			g.logger.Info().Str("event", "stopped").Msg("")
 			return nil
 		}
 	}
 }
 
-// open starts to serve clients, with the limits of the first configuration.
-func (f *Forager) open(c *gatewayconfig.Config) {
-	f.front.Do(func() {
+// openFront starts to serve clients, with the limits of the first configuration.
+func (g *Gateway) openFront(c *gatewayconfig.Config) {
+	g.frontOnce.Do(func() {
 		mux := chi.NewRouter()
-		mux.Handle("/*", http.HandlerFunc(f.serve))
-		mux.NotFound(f.serve)
-		mux.MethodNotAllowed(f.serve)
-		f.server = &http.Server{Handler: mux, ReadHeaderTimeout: c.Limits.HeaderTimeout, IdleTimeout: c.Limits.IdleTimeout,
-			MaxHeaderBytes: max(int(c.Limits.MaxHeaderBytes), headsMost), ErrorLog: nil, ConnContext: withClient, ConnState: f.unused.state}
-		f.server.ErrorLog = f.log.Std("", 0)
+		mux.Handle("/*", http.HandlerFunc(g.handleRequest))
+		mux.NotFound(g.handleRequest)
+		mux.MethodNotAllowed(g.handleRequest)
+		g.server = &http.Server{Handler: mux, ReadHeaderTimeout: c.Limits.HeaderTimeout, IdleTimeout: c.Limits.IdleTimeout,
+			MaxHeaderBytes: max(int(c.Limits.MaxHeaderBytes), minServerHeaderBytes), ErrorLog: nil, ConnContext: withClientConn, ConnState: g.unusedConns.connState}
+		g.server.ErrorLog = g.logger.Std("", 0)
 		go func() {
-			if err := f.server.Serve(clients{netutil.LimitListener(f.frontLn, int(float64(f.set.FileDescriptors)*connPart)), f}); err != http.ErrServerClosed {
-				f.failed <- err
+			if err := g.server.Serve(clientListener{netutil.LimitListener(g.frontListener, int(float64(g.settings.FileDescriptors)*clientDescriptorShare)), g}); err != http.ErrServerClosed {
+				g.serveErrors <- err
 			}
 		}()
 	})
 }
 
-func (f *Forager) readiness(w http.ResponseWriter, _ *http.Request) {
-	if f.stopping.Load() || f.draining.Load() || f.config.Load() == nil || !f.tabled.Load() {
+func (g *Gateway) handleReadiness(w http.ResponseWriter, _ *http.Request) {
+	if g.stopping.Load() || g.draining.Load() || g.config.Load() == nil || !g.hasTable.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// stop ends in order: readiness falls, connections end by their answers, then what is under way ends.
-func (f *Forager) stop() {
-	f.stopping.Store(true)
-	end := time.Now().Add(f.set.Bounds.GracePeriod - leastGrace)
-	time.Sleep(min(router.LeaveFor, f.set.Bounds.GracePeriod/2))
-	if f.server == nil {
+// shutdown ends in order: readiness falls, connections end by their answers, then what is under way ends.
+func (g *Gateway) shutdown() {
+	g.stopping.Store(true)
+	end := time.Now().Add(g.settings.Bounds.GracePeriod - exitReserve)
+	time.Sleep(min(router.ReadinessPropagation, g.settings.Bounds.GracePeriod/2))
+	if g.server == nil {
 		return
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
-	f.shut(ctx)
+	g.shutdownServer(ctx)
 }
 
-// shut ends the server once what is under way has its answer. It would wait five seconds for connections that have not
+// shutdownServer ends the server once what is under way has its answer. It would wait five seconds for connections that have not
 // had a request yet, as clients open them in advance; those are closed.
-func (f *Forager) shut(ctx context.Context) error {
+func (g *Gateway) shutdownServer(ctx context.Context) error {
 	done := make(chan error, 1)
-	go func() { done <- f.server.Shutdown(ctx) }()
-	again := time.NewTicker(unusedEvery)
+	go func() { done <- g.server.Shutdown(ctx) }()
+	again := time.NewTicker(closeUnusedInterval)
 	defer again.Stop()
 	for {
-		f.unused.close()
+		g.unusedConns.closeAll()
 		select {
 		case err := <-done:
 			return err
@@ -225,28 +225,28 @@
 	}
 }
 
-func (f *Forager) reload() {
+func (g *Gateway) reloadSettings() {
 	set, err := nodesettings.Load()
 	if err != nil {
-		f.log.Error().Str("event", "settings_refused").Err(err).Msg("")
+		g.logger.Error().Str("event", "settings_refused").Err(err).Msg("")
 		return
 	}
-	f.mu.Lock()
-	f.set.Seeds = set.Seeds
-	f.mu.Unlock()
-	f.log.Info().Str("event", "settings_read").Int("seeds", len(set.Seeds)).Msg("")
+	g.mu.Lock()
+	g.settings.Seeds = set.Seeds
+	g.mu.Unlock()
+	g.logger.Info().Str("event", "settings_read").Int("seeds", len(set.Seeds)).Msg("")
 }
 
-func (f *Forager) logCounts() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.counts) == 0 {
+func (g *Gateway) logCounters() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if len(g.counters) == 0 {
 		return
 	}
-	e := f.log.Info().Str("event", "counts")
-	for _, k := range sortedKeys(f.counts) {
-		e = e.Int(k, f.counts[k])
+	e := g.logger.Info().Str("event", "counts")
+	for _, k := range sortedKeys(g.counters) {
+		e = e.Int(k, g.counters[k])
 	}
 	e.Msg("")
-	clear(f.counts)
+	clear(g.counters)
 }
--- a/internal/gateway/front.go
+++ b/internal/gateway/front.go
@@ -22,66 +22,66 @@
 )
 
 const (
-	noDeadline  = 30 * time.Second       // where neither the client nor the route sets one
-	lastMoment  = 10 * time.Millisecond  // an answer on time must still travel
-	comeBack    = 300 * time.Millisecond // until a refused client finds room, where nothing better is known
-	notYetReady = time.Second
-	passOver    = 20 * time.Millisecond // another governor has room at once
-	headSlack   = 4096                  // bytes of a head beyond the limit that are let pass, as net/http does
-	writeMost   = 5 * time.Second       // beyond its deadline, for a client to read its answer
+	defaultTimeout     = 30 * time.Second       // where neither the client nor the route sets one
+	responseTravelTime = 10 * time.Millisecond  // an answer on time must still travel
+	defaultRetryAfter  = 300 * time.Millisecond // until a refused client finds room, where nothing better is known
+	notReadyRetryAfter = time.Second
+	drainingRetryAfter = 20 * time.Millisecond // another governor has room at once
+	headerSlack        = 4096                  // bytes of a head beyond the limit that are let pass, as net/http does
+	writeGrace         = 5 * time.Second       // beyond its deadline, for a client to read its answer
 )
 
-// refuse answers that the request has not run and when to come again.
-func refuse(w http.ResponseWriter, status int, after time.Duration) {
+// reject answers that the request has not run and when to come again.
+func reject(w http.ResponseWriter, status int, after time.Duration) {
 	w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
-	finish(w, status)
+	respondEmpty(w, status)
 }
 
-func finish(w http.ResponseWriter, status int) {
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeMost))
+func respondEmpty(w http.ResponseWriter, status int) {
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeGrace))
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
 }
 
-// serve takes one request of a client through to its end.
-func (f *Forager) serve(w http.ResponseWriter, r *http.Request) {
-	defer serving(r)()
+// handleRequest takes one request of a client through to its end.
+func (g *Gateway) handleRequest(w http.ResponseWriter, r *http.Request) {
+	defer markBusy(r)()
 	began := time.Now()
 	control := http.NewResponseController(w)
-	if f.stopping.Load() || f.draining.Load() {
+	if g.stopping.Load() || g.draining.Load() {
 		w.Header().Set("Connection", "close")
-		if f.draining.Load() && f.refuses() { // read and not sent: it passes over whole to another governor
-			f.count("drained")
-			refuse(w, http.StatusServiceUnavailable, passOver)
+		if g.draining.Load() && g.rejectsRequests() { // read and not sent: it passes over whole to another governor
+			g.count("drained")
+			reject(w, http.StatusServiceUnavailable, drainingRetryAfter)
 			return
 		}
 	}
-	c := f.config.Load()
+	c := g.config.Load()
 	if c == nil {
-		refuse(w, http.StatusServiceUnavailable, notYetReady)
+		reject(w, http.StatusServiceUnavailable, notReadyRetryAfter)
 		return
 	}
-	uri, ok := target(r)
+	uri, ok := requestTarget(r)
 	if !ok || len(r.Header["X-Attempt-Id"]) > 1 {
-		f.badRequest(r, "target_or_identity")
+		g.rejectBadRequest(r, "target_or_identity")
 		w.Header().Set("Connection", "close")
-		finish(w, http.StatusBadRequest)
+		respondEmpty(w, http.StatusBadRequest)
 		return
 	}
-	if headBytes(r) > c.Limits.MaxHeaderBytes+headSlack {
-		f.badRequest(r, "head_too_large")
+	if headerSize(r) > c.Limits.MaxHeaderBytes+headerSlack {
+		g.rejectBadRequest(r, "head_too_large")
 		w.Header().Set("Connection", "close")
-		finish(w, http.StatusRequestHeaderFieldsTooLarge)
+		respondEmpty(w, http.StatusRequestHeaderFieldsTooLarge)
 		return
 	}
 	path, _, _ := strings.Cut(uri, "?")
 	route, ok := c.FindRoute(r.Host, path)
 	if !ok {
-		f.count("no_route")
-		finish(w, http.StatusNotFound)
+		g.count("no_route")
+		respondEmpty(w, http.StatusNotFound)
 		return
 	}
-	most := noDeadline
+	most := defaultTimeout
 	if route.Timeout > 0 {
 		most = route.Timeout
 	}
@@ -93,43 +93,43 @@
 	if bodied {
 		control.SetReadDeadline(began.Add(most))
 	}
-	control.SetWriteDeadline(began.Add(most + writeMost))
-	body, err := f.readBody(r, c.Limits.MaxBodyBytes)
-	defer f.bodies.release(body)
+	control.SetWriteDeadline(began.Add(most + writeGrace))
+	body, err := g.readBody(r, c.Limits.MaxBodyBytes)
+	defer g.bodyMemory.release(body)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		f.count("body_too_large")
+		g.count("body_too_large")
 		w.Header().Set("Connection", "close")
-		finish(w, http.StatusRequestEntityTooLarge)
+		respondEmpty(w, http.StatusRequestEntityTooLarge)
 		return
-	case errors.Is(err, errCrowded):
-		f.count("body_crowded")
+	case errors.Is(err, errBodyMemoryFull):
+		g.count("body_crowded")
 		w.Header().Set("Connection", "close")
-		refuse(w, http.StatusServiceUnavailable, comeBack)
+		reject(w, http.StatusServiceUnavailable, defaultRetryAfter)
 		return
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		f.badRequest(r, "body_late")
+		g.rejectBadRequest(r, "body_late")
 		w.Header().Set("Connection", "close")
-		finish(w, http.StatusRequestTimeout) // nothing of it went anywhere
+		respondEmpty(w, http.StatusRequestTimeout) // nothing of it went anywhere
 		return
 	case err != nil && !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, net.ErrClosed) && !errors.Is(err, syscall.ECONNRESET):
-		f.badRequest(r, "body_framing")
+		g.rejectBadRequest(r, "body_framing")
 		w.Header().Set("Connection", "close")
-		finish(w, http.StatusBadRequest)
+		respondEmpty(w, http.StatusBadRequest)
 		return
 	case err != nil:
-		f.count("body_broken")
+		g.count("body_broken")
 		panic(http.ErrAbortHandler) // the rest never came: nobody waits for an answer
 	}
 	if bodied {
 		control.SetReadDeadline(time.Time{})
 	}
-	f.forward(w, r, uri, route, body, began.Add(most-min(lastMoment, most/10)))
+	g.forward(w, r, uri, route, body, began.Add(most-min(responseTravelTime, most/10)))
 }
 
-// headBytes is how long a request's head was, about.
-func headBytes(r *http.Request) int64 {
+// headerSize is how long a request's head was, about.
+func headerSize(r *http.Request) int64 {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + 32
 	for k, vs := range r.Header {
 		for _, v := range vs {
@@ -139,8 +139,8 @@
 	return int64(n)
 }
 
-// target is the path and query that a request asks for; also of one that names the whole address (RFC 9112, 3.2.2).
-func target(r *http.Request) (string, bool) {
+// requestTarget is the path and query that a request asks for; also of one that names the whole address (RFC 9112, 3.2.2).
+func requestTarget(r *http.Request) (string, bool) {
 	uri := r.RequestURI
 	if r.URL.IsAbs() {
 		_, uri, _ = strings.Cut(uri, "://")
@@ -153,17 +153,17 @@
 	return uri, strings.HasPrefix(uri, "/")
 }
 
-func (f *Forager) readBody(r *http.Request, most int64) ([]byte, error) {
+func (g *Gateway) readBody(r *http.Request, most int64) ([]byte, error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
 	}
-	return f.bodies.read(r.Body, r.ContentLength, most)
+	return g.bodyMemory.read(r.Body, r.ContentLength, most)
 }
 
-// attempt is a try's end.
-type attempt struct {
-	replica.Result
-	took time.Duration
+// attemptEnd is a try's end.
+type attemptEnd struct {
+	replica.Outcome
+	latency time.Duration
 }
 
 // forward offers a request to replicas until one has answered or no further try may be made.
@@ -171,98 +171,98 @@
 // A safe request that waits long for its answer is offered to a second replica beside the first: against replicas that
 // went dark under it, and answers that got lost. Whoever answers first is heard; the other connection is closed, and
 // with it the work there.
-func (f *Forager) forward(w http.ResponseWriter, r *http.Request, uri string, route gatewayconfig.Route, body []byte, deadline time.Time) {
+func (g *Gateway) forward(w http.ResponseWriter, r *http.Request, uri string, route gatewayconfig.Route, body []byte, deadline time.Time) {
 	service := route.PickService(rand.Float64())
-	q := replica.Request{Method: r.Method, URI: uri, Host: r.Host, Header: replica.EndToEnd(r.Header), Body: body,
-		Attempt: r.Header.Get("X-Attempt-Id"), Deadline: deadline, Service: service, Patient: !route.Idempotent}
+	q := replica.Request{Method: r.Method, URI: uri, Host: r.Host, Header: replica.EndToEndHeaders(r.Header), Body: body,
+		AttemptID: r.Header.Get("X-Attempt-Id"), Deadline: deadline, Service: service, WaitForDeadline: !route.Idempotent}
 	var hedge <-chan time.Time
 	if route.Idempotent { // a safe request whose client left is dropped; an unsafe one is left to end
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		q.Stop = ctx
-		if wait, ok := retry.HedgeAfter(route.LatencyTarget, time.Until(deadline)); ok && route.MaxAttempts > 1 {
+		q.Cancel = ctx
+		if wait, ok := retry.HedgeDelay(route.LatencyTarget, time.Until(deadline)); ok && route.MaxAttempts > 1 {
 			timer := time.NewTimer(wait)
 			defer timer.Stop()
 			hedge = timer.C
 		}
 	}
-	f.arrived(service)
+	g.startRequest(service)
 	began, there := time.Now(), time.Duration(0)
-	defer func() { f.done(route.Idempotent, time.Since(began), there) }()
-	t := retry.Request{Safe: route.Idempotent, MaxAttempts: route.MaxAttempts, Target: route.LatencyTarget}
+	defer func() { g.endRequest(route.Idempotent, time.Since(began), there) }()
+	t := retry.State{Safe: route.Idempotent, MaxAttempts: route.MaxAttempts, LatencyTarget: route.LatencyTarget}
 	var tried []string
-	ends := make(chan attempt, route.MaxAttempts+retry.UnsentMost+1)
+	ends := make(chan attemptEnd, route.MaxAttempts+retry.MaxConnectFailures+1)
 	pending := 0
-	last := replica.Result{Verdict: retry.NotRun}
+	last := replica.Outcome{Execution: retry.NotExecuted}
 	defer func() {
-		last.Drop()
+		last.Discard()
 		if pending > 0 { // beaten ones: what they still bring is let go of
 			go func(n int) {
 				for range n {
-					(<-ends).Drop()
+					(<-ends).Discard()
 				}
 			}(pending)
 		}
 	}()
 	offer := func(spare bool) (bool, time.Duration) {
-		p := f.pick(router.Ask{Service: service, Tried: tried, Spare: spare,
-			Request: admission.Request{Route: route.Name, Target: route.LatencyTarget, Priority: route.Priority, Left: time.Until(deadline)}})
-		if p.ID == "" {
-			return false, p.Wait
+		p := g.pick(router.PickRequest{Service: service, Attempted: tried, OnlyIdle: spare,
+			Admission: admission.Request{Route: route.Name, LatencyTarget: route.LatencyTarget, Priority: route.Priority, TimeLeft: time.Until(deadline)}})
+		if p.EndpointID == "" {
+			return false, p.RetryAfter
 		}
-		tried = append(tried, p.ID)
+		tried = append(tried, p.EndpointID)
 		q := q
-		q.Instance = p.ID
+		q.InstanceID = p.EndpointID
 		pending++
-		t.Sent++
+		t.Attempts++
 		go func() {
 			sent := time.Now()
-			res := f.replicas.Do(p.ID, p.Addr, &q)
-			f.outcome(p, q.Attempt, res, time.Since(sent), q.Stop != nil && q.Stop.Err() != nil)
-			ends <- attempt{res, time.Since(sent)}
+			res := g.pool.Do(p.EndpointID, p.Addr, &q)
+			g.recordAttempt(p, q.AttemptID, res, time.Since(sent), q.Cancel != nil && q.Cancel.Err() != nil)
+			ends <- attemptEnd{res, time.Since(sent)}
 		}()
 		return true, 0
 	}
 	if r.Context().Err() != nil { // nobody waits for it, and it has not run
-		f.count("left")
+		g.count("left")
 		panic(http.ErrAbortHandler)
 	}
-	if !retry.Offers(time.Until(deadline), route.LatencyTarget) {
-		f.count("no_time")
-		refuse(w, http.StatusServiceUnavailable, comeBack)
+	if !retry.EnoughTime(time.Until(deadline), route.LatencyTarget) {
+		g.count("no_time")
+		reject(w, http.StatusServiceUnavailable, defaultRetryAfter)
 		return
 	}
 	if ok, wait := offer(false); !ok {
-		f.count("no_room")
-		refuse(w, http.StatusServiceUnavailable, wait)
+		g.count("no_room")
+		reject(w, http.StatusServiceUnavailable, wait)
 		return
 	}
 	for pending > 0 {
 		select {
 		case <-hedge:
 			hedge = nil
-			if t.Sent < t.MaxAttempts && pending == 1 && f.spend(service) {
+			if t.Attempts < t.MaxAttempts && pending == 1 && g.tryRetry(service) {
 				if ok, _ := offer(true); ok {
-					f.count("hedged")
+					g.count("hedged")
 				}
 			}
 			continue
 		case e := <-ends:
-			res := e.Result
-			there += e.took
+			res := e.Outcome
+			there += e.latency
 			pending--
-			if res.Unsent {
-				t.Sent--
-				t.Unsent++
+			if res.NotSent {
+				t.Attempts--
+				t.ConnectFailures++
 			}
-			t.Left = time.Until(deadline)
-			t.Failed = res.Answer != nil && res.Answer.Status >= 500
-			if res.Verdict >= last.Verdict { // a later proof of one try says nothing of another
+			t.TimeLeft = time.Until(deadline)
+			t.ServerError = res.Response != nil && res.Response.Status >= 500
+			if res.Execution >= last.Execution { // a later proof of one try says nothing of another
 				last, res = res, last
 			}
-			res.Drop()
-			if res = e.Result; res.Verdict == retry.Answered && !t.Failed {
-				pass(w, r, res.Answer)
+			res.Discard()
+			if res = e.Outcome; res.Execution == retry.Answered && !t.ServerError {
+				writeResponse(w, r, res.Response)
 				return
 			}
 			if r.Context().Err() != nil {
@@ -271,33 +271,33 @@
 				}
 				continue // nobody waits: what has not run is not offered again
 			}
-			if !retry.Again(res.Verdict, t) || pending > 0 {
+			if !retry.ShouldRetry(res.Execution, t) || pending > 0 {
 				continue
 			}
-			if !res.Unsent && !f.spend(service) {
-				f.count("budget")
+			if !res.NotSent && !g.tryRetry(service) {
+				g.count("budget")
 				continue
 			}
 			offer(false)
 		}
 	}
-	if last.Verdict == retry.Answered {
-		pass(w, r, last.Answer)
+	if last.Execution == retry.Answered {
+		writeResponse(w, r, last.Response)
 		return
 	}
-	switch status := retry.Final(last.Verdict, last.Expired); status {
+	switch status := retry.FinalStatus(last.Execution, last.DeadlineExceeded); status {
 	case http.StatusServiceUnavailable:
-		refuse(w, status, comeBack)
+		reject(w, status, defaultRetryAfter)
 	default:
-		f.count("final_" + strconv.Itoa(status))
-		finish(w, status)
+		g.count("final_" + strconv.Itoa(status))
+		respondEmpty(w, status)
 	}
 }
 
-// pass hands a replica's answer to the client.
-func pass(w http.ResponseWriter, r *http.Request, a *replica.Answer) {
+// writeResponse hands a replica's answer to the client.
+func writeResponse(w http.ResponseWriter, r *http.Request, a *replica.Response) {
 	h := w.Header()
-	for k, v := range replica.EndToEnd(a.Header) {
+	for k, v := range replica.EndToEndHeaders(a.Header) {
 		h[k] = v
 	}
 	if h["Content-Type"] == nil {
@@ -306,66 +306,66 @@
 	if a.Status == http.StatusNoContent {
 		h.Del("Content-Length")
 	}
-	if a.Length >= 0 && r.Method != http.MethodHead && a.Status != http.StatusNoContent && a.Status != http.StatusNotModified {
-		h.Set("Content-Length", strconv.FormatInt(a.Length, 10))
+	if a.ContentLength >= 0 && r.Method != http.MethodHead && a.Status != http.StatusNoContent && a.Status != http.StatusNotModified {
+		h.Set("Content-Length", strconv.FormatInt(a.ContentLength, 10))
 	}
 	w.WriteHeader(a.Status)
 	w.Write(a.Body)
-	if a.Rest != nil {
-		if err := a.Rest(w); err != nil {
+	if a.CopyRest != nil {
+		if err := a.CopyRest(w); err != nil {
 			panic(http.ErrAbortHandler) // a cut answer must not appear complete
 		}
 	}
 }
 
-// outcome books what became of a try.
-func (f *Forager) outcome(p router.Picked, attempt string, res replica.Result, took time.Duration, stopped bool) {
-	e := router.End{N: p.N, Outcome: loadbalancer.Good, Took: took, Refused: res.Refused}
+// recordAttempt books what became of a try.
+func (g *Gateway) recordAttempt(p router.PickResult, attempt string, res replica.Outcome, took time.Duration, stopped bool) {
+	e := router.AttemptResult{AttemptID: p.AttemptID, Result: loadbalancer.Success, Latency: took, ConnectionRefused: res.ConnectionRefused}
 	switch {
-	case res.Unsent && (res.Expired || stopped):
-		e.Outcome = loadbalancer.Left
-	case res.Unsent:
-		e.Outcome = loadbalancer.Uncalled
-	case res.Full:
-		e.Outcome = loadbalancer.Full
-	case stopped && res.Verdict != retry.Answered:
-		e.Outcome = loadbalancer.Left
-	case res.Verdict == retry.MayHaveRun && (res.Cause == "spoilt" || res.Cause == "cut" || res.Cause == "surplus" || res.Cause == "unproven" || res.Cause == "nameless" || res.Cause == "not_http"):
-		e.Outcome = loadbalancer.Spoilt
-	case res.Verdict == retry.MayHaveRun:
-		e.Outcome = loadbalancer.Silent
-	case res.Answer.Status >= 500:
-		e.Outcome = loadbalancer.Spoilt
-	}
-	if res.Answer != nil {
-		e.Misdirected, e.Load = res.Answer.Status == http.StatusMisdirectedRequest, loadOf(res.Answer.Header)
+	case res.NotSent && (res.DeadlineExceeded || stopped):
+		e.Result = loadbalancer.Canceled
+	case res.NotSent:
+		e.Result = loadbalancer.ConnectFailed
+	case res.Rejected:
+		e.Result = loadbalancer.Rejected
+	case stopped && res.Execution != retry.Answered:
+		e.Result = loadbalancer.Canceled
+	case res.Execution == retry.MayHaveExecuted && (res.Cause == "spoilt" || res.Cause == "cut" || res.Cause == "surplus" || res.Cause == "unproven" || res.Cause == "nameless" || res.Cause == "not_http"):
+		e.Result = loadbalancer.BadResponse
+	case res.Execution == retry.MayHaveExecuted:
+		e.Result = loadbalancer.NoResponse
+	case res.Response.Status >= 500:
+		e.Result = loadbalancer.BadResponse
+	}
+	if res.Response != nil {
+		e.Misdirected, e.Load = res.Response.Status == http.StatusMisdirectedRequest, parseLoad(res.Response.Header)
 	}
 	if res.Cause != "" {
-		f.count("try_" + res.Cause)
+		g.count("try_" + res.Cause)
 	}
-	if (res.Verdict == retry.MayHaveRun && !stopped || res.Skipped > 0) && f.lines.Allow() {
-		f.log.Info().Str("event", "try").Str("attempt", attempt[:min(len(attempt), 64)]).Str("replica", p.ID).Uint64("conn", res.Conn).Int("use", res.Use).
-			Str("verdict", res.Verdict.String()).Str("cause", res.Cause).Int("skipped", res.Skipped).Msg("")
+	if (res.Execution == retry.MayHaveExecuted && !stopped || res.SkippedResponses > 0) && g.logLimiter.Allow() {
+		g.logger.Info().Str("event", "try").Str("attempt", attempt[:min(len(attempt), 64)]).Str("replica", p.EndpointID).Uint64("conn", res.ConnID).Int("use", res.ConnUse).
+			Str("verdict", res.Execution.String()).Str("cause", res.Cause).Int("skipped", res.SkippedResponses).Msg("")
 	}
-	f.mu.Lock()
-	follows := f.brain.End(f.now(), e)
-	f.mu.Unlock()
-	if follows.Fell != nil {
+	g.mu.Lock()
+	follows := g.router.EndAttempt(g.now(), e)
+	g.mu.Unlock()
+	if follows.Observation != nil {
 		select {
-		case f.fell <- *follows.Fell:
+		case g.observations <- *follows.Observation:
 		default:
 		}
 	}
-	if follows.Gone != "" {
+	if follows.MisdirectedEndpoint != "" {
 		select {
-		case f.gone <- follows.Gone: // everybody is to know at once
+		case g.misdirected <- follows.MisdirectedEndpoint: // everybody is to know at once
 		default:
 		}
 	}
 }
 
-// loadOf reads a replica's own word on its load: running, waiting, slots.
-func loadOf(h http.Header) (n [3]int) {
+// parseLoad reads a replica's own word on its load: running, waiting, slots.
+func parseLoad(h http.Header) (n [3]int) {
 	v := h.Get("X-Instance-Load")
 	if v == "" {
 		return
--- a/internal/gateway/front_test.go
+++ b/internal/gateway/front_test.go
@@ -29,19 +29,19 @@
 "virtual_hosts":[{"hostname":"h.example","path_routes":[{"name":"r","path_prefix":"/x/","kind":%q,"timeout":"3s","target_latency":"1s","max_attempts":2,"service":"svc"}]}]}`, version, kind))
 }
 
-type rig struct {
-	f  *Forager
+type fixture struct {
+	f  *Gateway
 	up []*upstream.Replica
 	n  int
 }
 
-func newRig(kind string, replicas int) *rig {
+func newFixture(kind string, replicas int) *fixture {
 	set, err := nodesettings.Parse([]byte(settings))
 	So(err, ShouldBeNil)
 	f, err := New(set, program.NewLogger(io.Discard, "forager"))
 	So(err, ShouldBeNil)
-	f.front.Do(func() {}) // requests come by the handler here, not by a listener
-	r := &rig{f: f}
+	f.frontOnce.Do(func() {}) // requests come by the handler here, not by a listener
+	r := &fixture{f: f}
 	st := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: configured(1, kind)}
 	for i := range replicas {
 		up, err := upstream.Start(fmt.Sprintf("i%d", i))
@@ -49,7 +49,7 @@
 		r.up = append(r.up, up)
 		st.Instances = append(st.Instances, registry.Instance{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4})
 	}
-	f.take(st)
+	f.applyUpdate(st)
 	Reset(func() {
 		for _, up := range r.up {
 			up.Close()
@@ -58,34 +58,34 @@
 	return r
 }
 
-func (r *rig) do(method, path, body string) *httptest.ResponseRecorder {
+func (r *fixture) do(method, path, body string) *httptest.ResponseRecorder {
 	r.n++
 	q := httptest.NewRequest(method, path, strings.NewReader(body))
 	q.Host = "h.example"
 	q.Header.Set("X-Attempt-Id", fmt.Sprint(r.n))
 	q.Header.Set("X-Deadline-Ms", "2000")
 	w := httptest.NewRecorder()
-	r.f.serve(w, q)
+	r.f.handleRequest(w, q)
 	return w
 }
 
 // all sets what every replica does next.
-func (r *rig) all(b ...upstream.Behaviour) {
+func (r *fixture) all(b ...upstream.Behaviour) {
 	for _, up := range r.up {
 		up.SetBehaviours(b...)
 	}
 }
 
-func (r *rig) ran() (n int) {
+func (r *fixture) ran() (n int) {
 	for _, up := range r.up {
 		n += up.Executions()[fmt.Sprint(r.n)]
 	}
 	return n
 }
 
-func TestRequests(t *testing.T) {
+func TestRequestOutcomes(t *testing.T) {
 	Convey("An unsafe request", t, func() {
-		r := newRig("unsafe", 3)
+		r := newFixture("unsafe", 3)
 		Convey("is answered by a replica", func() {
 			w := r.do("POST", "/x/1", "order")
 			So(w.Code, ShouldEqual, 200)
@@ -110,7 +110,7 @@
 			So(r.do("POST", "/x/1", "order").Code, ShouldEqual, 200)
 		})
 		Convey("is refused at once where no replica may take it", func() {
-			r.f.take(&messages.StateUpdate{Sequence: 2, ConfigVersion: 1, EvacuatedZones: []string{"a"}})
+			r.f.applyUpdate(&messages.StateUpdate{Sequence: 2, ConfigVersion: 1, EvacuatedZones: []string{"a"}})
 			w := r.do("POST", "/x/1", "order")
 			So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(w.Header().Get("Retry-After"), ShouldNotEqual, "")
@@ -120,20 +120,20 @@
 			So(r.ran(), ShouldEqual, 0)
 		})
 		Convey("is refused while too many bytes of others are held, and its own are given back", func() {
-			r.f.bodies.most = 10
+			r.f.bodyMemory.limit = 10
 			w := r.do("POST", "/x/1", "more than ten bytes")
 			So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(w.Header().Get("Retry-After"), ShouldNotEqual, "")
 			So(r.ran(), ShouldEqual, 0)
 			So(r.do("POST", "/x/1", "few").Code, ShouldEqual, 200)
-			So(r.f.bodies.held.Load(), ShouldEqual, 0)
+			So(r.f.bodyMemory.used.Load(), ShouldEqual, 0)
 		})
 		Convey("without a route is 404", func() {
 			So(r.do("POST", "/y/1", "").Code, ShouldEqual, http.StatusNotFound)
 		})
 	})
 	Convey("A safe request", t, func() {
-		r := newRig("safe", 2)
+		r := newFixture("safe", 2)
 		for _, b := range []upstream.Behaviour{upstream.TruncatesResponse, upstream.ClosesWithoutResponse, upstream.RespondsInternalError, upstream.RejectsNotExecuted} {
 			Convey("is offered to another replica where the first one "+string(b), func() {
 				r.up[0].SetBehaviours(b, b, b)
@@ -164,31 +164,31 @@
 	})
 }
 
-func TestVersions(t *testing.T) {
+func TestConfigurationVersions(t *testing.T) {
 	Convey("Within a life no older register takes hold", t, func() {
-		r := newRig("safe", 1)
-		r.f.take(&messages.StateUpdate{Sequence: 5, ConfigVersion: 9, Config: configured(9, "unsafe"), EvacuatedZones: []string{"a"}})
-		r.f.take(&messages.StateUpdate{Full: true, Bootstrapping: true, Sequence: 3, ConfigVersion: 4, Config: configured(4, "safe")})
+		r := newFixture("safe", 1)
+		r.f.applyUpdate(&messages.StateUpdate{Sequence: 5, ConfigVersion: 9, Config: configured(9, "unsafe"), EvacuatedZones: []string{"a"}})
+		r.f.applyUpdate(&messages.StateUpdate{Full: true, Bootstrapping: true, Sequence: 3, ConfigVersion: 4, Config: configured(4, "safe")})
 		So(r.f.config.Load().Version, ShouldEqual, 9)
 		So(r.do("GET", "/x/1", "").Code, ShouldEqual, http.StatusServiceUnavailable)
 		Convey("nor does a spoilt one", func() {
-			r.f.take(&messages.StateUpdate{Sequence: 6, ConfigVersion: 12, Config: []byte("{")})
+			r.f.applyUpdate(&messages.StateUpdate{Sequence: 6, ConfigVersion: 12, Config: []byte("{")})
 			So(r.f.config.Load().Version, ShouldEqual, 9)
 		})
 	})
 	Convey("It is ready only with a configuration and a table", t, func() {
 		set, _ := nodesettings.Parse([]byte(settings))
 		f, _ := New(set, program.NewLogger(io.Discard, "forager"))
-		f.front.Do(func() {})
+		f.frontOnce.Do(func() {})
 		code := func() int {
 			w := httptest.NewRecorder()
-			f.readiness(w, nil)
+			f.handleReadiness(w, nil)
 			return w.Code
 		}
 		So(code(), ShouldEqual, 503)
-		f.take(&messages.StateUpdate{Sequence: 1, ConfigVersion: 1, Config: configured(1, "safe")})
+		f.applyUpdate(&messages.StateUpdate{Sequence: 1, ConfigVersion: 1, Config: configured(1, "safe")})
 		So(code(), ShouldEqual, 503)
-		f.take(&messages.StateUpdate{Full: true})
+		f.applyUpdate(&messages.StateUpdate{Full: true})
 		So(code(), ShouldEqual, 200)
 		f.stopping.Store(true)
 		So(code(), ShouldEqual, 503)
--- a/internal/gateway/hostile_test.go
+++ b/internal/gateway/hostile_test.go
@@ -63,19 +63,19 @@
 		t.Fatal(err)
 	}
 	set.FileDescriptors, set.MemoryMB = 2000, 256
-	log := &lines{}
+	log := &logBuffer{}
 	f, err := New(set, program.NewLogger(log, "forager"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.frontLn, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if f.frontListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	book := hostile.NewBook()
+	book := hostile.NewLedger()
 	var replicas []*hostile.Replica
 	var addrs []string
 	for i := range 24 {
-		up := stood(t, fmt.Sprint(i))
+		up := startReplica(t, fmt.Sprint(i))
 		r := hostile.New("", seed+uint64(i), hostileRate, book)
 		up.SetConnectionHandler(r.Serve)
 		replicas, addrs = append(replicas, r), append(addrs, up.Addr())
@@ -85,31 +85,31 @@
 		st := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: []byte(hostileConfiguration)}
 		for i, r := range replicas {
 			id := fmt.Sprintf("i%d.%d", i, n)
-			r.Become(id)
+			r.SetID(id)
 			st.Instances = append(st.Instances, registry.Instance{ID: id, Service: "svc", Addr: addrs[i], Zone: "a", Slots: 64})
 		}
-		f.take(st)
+		f.applyUpdate(st)
 	}
 	release(0)
 	defer f.server.Close()
 
 	var began, wrongs atomic.Int64
 	var mu sync.Mutex
-	told := map[string]hostile.Told{}
+	told := map[string]hostile.ClientResult{}
 	statuses := map[int]int{}
 	round := func(c *hostile.Client) {
-		all := c.Round()
+		all := c.RunConnection()
 		began.Add(int64(len(all)))
 		mu.Lock()
 		defer mu.Unlock()
 		for _, x := range all {
 			statuses[x.Status]++
-			if x.Wrong != "" {
+			if x.Violation != "" {
 				if wrongs.Add(1) <= 10 {
-					t.Errorf("%s", x.Wrong)
+					t.Errorf("%s", x.Violation)
 				}
 			}
-			if !x.Bad || x.Status != 0 {
+			if !x.Invalid || x.Status != 0 {
 				told[x.ID] = x
 			}
 		}
@@ -117,7 +117,7 @@
 	work := func(from, to int64) {
 		var wg sync.WaitGroup
 		for i := range hostileClients {
-			c := hostile.NewClient(f.frontLn.Addr().String(), "h.example", fmt.Sprintf("c%d.%d", i, from), seed+1000*uint64(from+1)+uint64(i))
+			c := hostile.NewClient(f.frontListener.Addr().String(), "h.example", fmt.Sprintf("c%d.%d", i, from), seed+1000*uint64(from+1)+uint64(i))
 			wg.Go(func() {
 				for began.Load() < to {
 					round(c)
@@ -137,14 +137,14 @@
 		}
 	}
 	quiet := func() bool {
-		f.replicas.Sweep(time.Now().Add(time.Hour))
+		f.pool.Sweep(time.Now().Add(time.Hour))
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.brain.Underway() == 0 && f.bodies.held.Load() == 0
+		return f.router.InFlight() == 0 && f.bodyMemory.used.Load() == 0
 	}
 	level := func() (int, int, uint64) {
 		if !until(quiet) {
-			t.Error("requests are still under way, or bytes of bodies still counted:", f.bodies.held.Load())
+			t.Error("requests are still under way, or bytes of bodies still counted:", f.bodyMemory.used.Load())
 		}
 		debug.FreeOSMemory()
 		var m runtime.MemStats
@@ -168,12 +168,12 @@
 
 	twice, broken, hidden := 0, 0, 0
 	for id, x := range told {
-		ran := book.Ran(id)
+		ran := book.Executions(id)
 		switch {
-		case x.Bad && ran > 0:
+		case x.Invalid && ran > 0:
 			hidden++
 			t.Errorf("%s ran %d times", id, ran)
-		case x.Bad:
+		case x.Invalid:
 		case !x.Safe && ran > 1:
 			twice++
 			t.Errorf("%s ran %d times", id, ran)
@@ -183,12 +183,12 @@
 		}
 	}
 	f.mu.Lock()
-	counts := fmt.Sprint(f.counts)
+	counts := fmt.Sprint(f.counters)
 	f.mu.Unlock()
-	acts := book.Acts()
+	acts := book.Behaviours()
 	asked := len(told)
 	told = nil
-	book.Forget()
+	book.Reset()
 	_, _, heap := level()
 	if heap > heapBefore+8<<20 {
 		t.Errorf("%d KiB on the heap, before %d", heap>>10, heapBefore>>10)
--- a/internal/modelcheck/requestmodel/trymodel.go
+++ b/internal/modelcheck/requestmodel/trymodel.go
@@ -19,205 +19,205 @@
 type Fault int
 
 const (
-	Sound               Fault = iota
-	ReusesWithBytes           // a connection is used again with bytes behind the answer
-	RepeatsAfterSilence       // an unsafe request goes to a second replica after a silence
-	IgnoresIdentity           // an answer's identity is not compared
-	PromisesAfterReset        // a reset is taken for proof that the request has not run
-	ReusesPastTime            // a pooled connection is used beyond its Keep-Alive
-	BelievesNameless          // a refusal that names nobody is believed
-	ForgetsDoubt              // the verdict of the last try counts, not the worst of all
-	OffersForNobody           // a request whose client has left is offered again
-	ReusesAfterSilence        // a connection goes back to the pool when its try ends without an answer
-	KeepsBeatenTry            // the connection of a beaten try goes back to the pool before its answer came
+	NoFault                   Fault = iota
+	ReusesWithBufferedBytes         // a connection is used again with bytes behind the answer
+	RetriesUnsafeAfterSilence       // an unsafe request goes to a second replica after a silence
+	IgnoresIdentity                 // an answer's identity is not compared
+	TrustsReset                     // a reset is taken for proof that the request has not run
+	ReusesPastKeepAlive             // a pooled connection is used beyond its Keep-Alive
+	TrustsNamelessRejection         // a refusal that names nobody is believed
+	ReportsLastExecution            // the verdict of the last try counts, not the worst of all
+	RetriesForGoneClient            // a request whose client has left is offered again
+	ReusesAfterSilence              // a connection goes back to the pool when its try ends without an answer
+	KeepsHedgedConnection           // the connection of a beaten try goes back to the pool before its answer came
 )
 
 // Bounds limit what happens in a run.
 type Bounds struct {
-	Safe    [2]bool // the clients' requests
-	Surplus uint8   // answers that nobody asked for
-	Breaks  uint8   // resets, silences, cut and spoilt answers
-	States  int     // exploring ends after so many
+	Safe             [2]bool // the clients' requests
+	SurplusResponses uint8   // answers that nobody asked for
+	Failures         uint8   // resets, silences, cut and spoilt answers
+	MaxStates        int     // exploring ends after so many
 }
 
 // Result is what an exploration found.
 type Result struct {
-	States   int
-	Complete bool
-	Broken   string // empty: nothing
-	Trace    []string
+	States    int
+	Complete  bool
+	Violation string // empty: nothing
+	Trace     []string
 }
 
 type (
-	kind uint8
-	item struct {
-		what kind
-		id   uint8 // that it names: a client, from 1; 0: none
-		of   uint8 // whose it is in truth; 0: nobody's
+	messageKind uint8
+	message     struct {
+		kind        messageKind
+		namedClient uint8 // that it names: a client, from 1; 0: none
+		origin      uint8 // whose it is in truth; 0: nobody's
 	}
 	conn struct {
-		state   uint8 // closed, idle, busy
-		replica uint8
-		client  uint8 // whose try it carries
-		try     uint8
-		used    uint8
-		had     uint8 // bits of clients
-		taint   bool
-		past    bool // beyond the time that the replica told
-		forgot  bool // by the replica
-		ending  bool // its end is on the way
-		ended   bool // and has arrived
-		sent    uint8
-		work    uint8 // at the replica
-		done    uint8 // bits: answered or refused there, so that it may say so once more
-		refused uint8 // bits
-		wire    [2]item
-		buf     [2]item
-	}
-	try struct {
-		state   uint8 // not made, under way, ended
-		replica uint8
-		verdict retry.Verdict
+		state           uint8 // closed, idle, busy
+		replica         uint8
+		client          uint8 // whose try it carries
+		attempt         uint8
+		uses            uint8
+		carried         uint8 // bits of clients
+		tainted         bool
+		pastKeepAlive   bool // beyond the time that the replica told
+		forgotten       bool // by the replica
+		closing         bool // its end is on the way
+		closedByReplica bool // and has arrived
+		request         uint8
+		executing       uint8 // at the replica
+		answered        uint8 // bits: answered or refused there, so that it may say so once more
+		rejected        uint8 // bits
+		wire            [2]message
+		buffer          [2]message
+	}
+	attempt struct {
+		state     uint8 // not made, under way, ended
+		replica   uint8
+		execution retry.Execution
 	}
 	client struct {
-		state   uint8 // to come, under way, told
-		gone    bool
-		tries   [2]try
-		told    uint8
-		last    retry.Verdict
-		runs    uint8
-		flying  uint8 // bits of replicas that a closed connection's request may still reach
-		offered uint8
+		state      uint8 // to come, under way, told
+		gone       bool
+		attempts   [2]attempt
+		outcome    uint8
+		execution  retry.Execution
+		executions uint8
+		delayed    uint8 // bits of replicas that a closed connection's request may still reach
+		sent       uint8
 	}
 	state struct {
-		c       [2]client
-		k       [2]conn
-		surplus uint8
-		breaks  uint8
-		wrong   uint8
+		clients   [2]client
+		conns     [2]conn
+		surplus   uint8
+		failures  uint8
+		violation uint8
 	}
 	step struct {
-		s     state
+		state state
 		label string
 	}
 )
 
 const (
-	nothing kind = iota
-	answer
-	refusal
-	cutShort
-	noAnswer
+	noMessage messageKind = iota
+	response
+	rejection
+	truncated
+	garbage
 )
 
 const (
-	closed = iota
-	idle
-	busy
+	connClosed = iota
+	connIdle
+	connBusy
 )
 
 const (
-	toCome = iota
-	underWay
-	over
+	notStarted = iota
+	inFlight
+	finished
 )
 
 const (
-	toldNothing = iota
-	toldAnswer
-	toldNotRun
-	toldDoubt
-	toldLeft
+	outcomeNone = iota
+	outcomeAnswered
+	outcomeNotExecuted
+	outcomeUnknown
+	outcomeClientGone
 )
 
 const (
-	right = iota
+	noViolation = iota
 	wrongCaller
-	sentPast
-	sentOnBytes
-	sentForNobody
-	sentSecond
+	sentPastKeepAlive
+	sentBehindBytes
+	sentForGoneClient
+	sentOnBusyConn
 )
 
-var wrongs = [...]string{"", "an answer went to another caller", "a request was sent on a connection past its time",
+var violations = [...]string{"", "an answer went to another caller", "a request was sent on a connection past its time",
 	"a request was sent on a connection with bytes behind the answer", "a request was offered though its client had left", "a request was sent on a connection that still carried another"}
 
-// machine explores one set of bounds.
-type machine struct {
-	b     Bounds
-	fault Fault
-	out   []step
-	tells bool // steps have labels
-	seed  maphash.Seed
+// explorer explores one set of bounds.
+type explorer struct {
+	bounds     Bounds
+	fault      Fault
+	successors []step
+	labelled   bool // steps have labels
+	seed       maphash.Seed
 }
 
-func (m *machine) say(format string, args ...any) string {
-	if !m.tells {
+func (m *explorer) label(format string, args ...any) string {
+	if !m.labelled {
 		return ""
 	}
 	return fmt.Sprintf(format, args...)
 }
 
-func (m *machine) add(s state, format string, args ...any) {
-	for i := range s.c { // what bears on nothing any more
-		if c := &s.c[i]; c.state == over {
-			*c = client{state: over, told: c.told, runs: c.runs, flying: c.flying}
-			if m.b.Safe[i] && c.told != toldNotRun {
-				c.runs, c.flying = 0, 0
+func (m *explorer) add(s state, format string, args ...any) {
+	for i := range s.clients { // what bears on nothing any more
+		if c := &s.clients[i]; c.state == finished {
+			*c = client{state: finished, outcome: c.outcome, executions: c.executions, delayed: c.delayed}
+			if m.bounds.Safe[i] && c.outcome != outcomeNotExecuted {
+				c.executions, c.delayed = 0, 0
 			}
 		}
-		if m.b.Safe[i] {
-			s.c[i].runs = min(s.c[i].runs, 1)
+		if m.bounds.Safe[i] {
+			s.clients[i].executions = min(s.clients[i].executions, 1)
 		}
 	}
-	m.out = append(m.out, step{s, m.say(format, args...)})
+	m.successors = append(m.successors, step{s, m.label(format, args...)})
 }
 
 // hash is the same for states that differ in the names of connections and replicas only.
-func (m *machine) hash(s state) uint64 {
+func (m *explorer) hash(s state) uint64 {
 	other := s
-	for i := range other.c {
-		c := &other.c[i]
-		c.flying = c.flying>>1 | c.flying&1<<1
-		for j := range c.tries {
-			if c.tries[j].state != toCome {
-				c.tries[j].replica = 1 - c.tries[j].replica
+	for i := range other.clients {
+		c := &other.clients[i]
+		c.delayed = c.delayed>>1 | c.delayed&1<<1
+		for j := range c.attempts {
+			if c.attempts[j].state != notStarted {
+				c.attempts[j].replica = 1 - c.attempts[j].replica
 			}
 		}
 	}
-	for k := range other.k {
-		if other.k[k].state != closed {
-			other.k[k].replica = 1 - other.k[k].replica
+	for k := range other.conns {
+		if other.conns[k].state != connClosed {
+			other.conns[k].replica = 1 - other.conns[k].replica
 		}
 	}
 	h := uint64(1<<64 - 1)
 	for _, v := range [...]state{s, other} {
 		h = min(h, maphash.Comparable(m.seed, v))
-		v.k[0], v.k[1] = v.k[1], v.k[0]
+		v.conns[0], v.conns[1] = v.conns[1], v.conns[0]
 		h = min(h, maphash.Comparable(m.seed, v))
 	}
 	return h
 }
 
 // check tells which promise a state breaks.
-func (m *machine) check(s *state) string {
-	if s.wrong != right {
-		return wrongs[s.wrong]
+func (m *explorer) check(s *state) string {
+	if s.violation != noViolation {
+		return violations[s.violation]
 	}
-	for i, c := range s.c {
-		if !m.b.Safe[i] && c.runs > 1 {
+	for i, c := range s.clients {
+		if !m.bounds.Safe[i] && c.executions > 1 {
 			return "an unsafe request ran twice"
 		}
-		if c.told == toldNotRun && c.runs > 0 {
+		if c.outcome == outcomeNotExecuted && c.executions > 0 {
 			return "a request that ran was told not to have run"
 		}
 	}
 	return ""
 }
 
-func push(q *[2]item, x item) bool {
+func push(q *[2]message, x message) bool {
 	for i := range q {
-		if q[i].what == nothing {
+		if q[i].kind == noMessage {
 			q[i] = x
 			return true
 		}
@@ -225,347 +225,347 @@
 	return false
 }
 
-func pop(q *[2]item) item {
+func pop(q *[2]message) message {
 	x := q[0]
-	q[0], q[1] = q[1], item{}
+	q[0], q[1] = q[1], message{}
 	return x
 }
 
-// shut ends a connection at the forager. What it had sent may still arrive.
-func shut(s *state, k int) {
-	c := &s.k[k]
-	if c.sent > 0 {
-		s.c[c.sent-1].flying |= 1 << c.replica
+// closeConn ends a connection at the forager. What it had sent may still arrive.
+func closeConn(s *state, k int) {
+	c := &s.conns[k]
+	if c.request > 0 {
+		s.clients[c.request-1].delayed |= 1 << c.replica
 	}
 	*c = conn{}
 }
 
-// offer sends a client's next try to each replica in turn that has not had it, by each connection that could be taken.
-func (m *machine) offer(s state, i, n int, label string) bool {
+// sendAttempt sends a client's next try to each replica in turn that has not had it, by each connection that could be taken.
+func (m *explorer) sendAttempt(s state, i, n int, label string) bool {
 	offered := false
 	for r := uint8(0); r < 2; r++ {
-		if n == 1 && s.c[i].tries[0].replica == r {
+		if n == 1 && s.clients[i].attempts[0].replica == r {
 			continue
 		}
 		fresh := false
-		for k := range s.k {
-			c := s.k[k]
-			old := c.state == idle && c.replica == r && (c.had>>i)&1 == 0 && !c.ended
-			if old && (c.past && m.fault != ReusesPastTime || c.buf[0].what != nothing && m.fault != ReusesWithBytes) {
+		for k := range s.conns {
+			c := s.conns[k]
+			old := c.state == connIdle && c.replica == r && (c.carried>>i)&1 == 0 && !c.closedByReplica
+			if old && (c.pastKeepAlive && m.fault != ReusesPastKeepAlive || c.buffer[0].kind != noMessage && m.fault != ReusesWithBufferedBytes) {
 				old = false
 			}
-			if !old && (c.state != closed || fresh) {
+			if !old && (c.state != connClosed || fresh) {
 				continue
 			}
 			t := s
-			c = t.k[k]
+			c = t.conns[k]
 			if !old {
 				fresh = true
 				c = conn{replica: r}
 			}
-			if c.past {
-				t.wrong = sentPast
+			if c.pastKeepAlive {
+				t.violation = sentPastKeepAlive
 			}
-			if c.buf[0].what != nothing {
-				t.wrong = sentOnBytes
+			if c.buffer[0].kind != noMessage {
+				t.violation = sentBehindBytes
 			}
-			if c.sent+c.work > 0 {
-				t.wrong = sentSecond
+			if c.request+c.executing > 0 {
+				t.violation = sentOnBusyConn
 			}
-			if t.c[i].gone {
-				t.wrong = sentForNobody
+			if t.clients[i].gone {
+				t.violation = sentForGoneClient
 			}
-			c.state, c.client, c.try, c.sent = busy, uint8(i), uint8(n), uint8(i+1)
-			c.used++
-			c.had |= 1 << i
-			t.k[k] = c
-			t.c[i].state = underWay
-			t.c[i].offered++
-			t.c[i].tries[n] = try{state: underWay, replica: r}
-			m.add(t, "%s; try %d of client %d to replica %d on connection %d (use %d)", label, n, i, r, k, c.used)
+			c.state, c.client, c.attempt, c.request = connBusy, uint8(i), uint8(n), uint8(i+1)
+			c.uses++
+			c.carried |= 1 << i
+			t.conns[k] = c
+			t.clients[i].state = inFlight
+			t.clients[i].sent++
+			t.clients[i].attempts[n] = attempt{state: inFlight, replica: r}
+			m.add(t, "%s; try %d of client %d to replica %d on connection %d (use %d)", label, n, i, r, k, c.uses)
 			offered = true
 		}
 	}
 	return offered
 }
 
-// ended takes a try's verdict and goes on as internal/gateway does.
-func (m *machine) ended(s state, k int, v retry.Verdict, keep bool, label string) {
-	c := s.k[k]
-	i, n := int(c.client), int(c.try)
+// endAttempt takes a try's verdict and goes on as internal/gateway does.
+func (m *explorer) endAttempt(s state, k int, v retry.Execution, keep bool, label string) {
+	c := s.conns[k]
+	i, n := int(c.client), int(c.attempt)
 	if keep {
-		c.state, c.client, c.try = idle, 0, 0
-		s.k[k] = c
+		c.state, c.client, c.attempt = connIdle, 0, 0
+		s.conns[k] = c
 	} else {
-		shut(&s, k)
+		closeConn(&s, k)
 	}
-	cl := &s.c[i]
-	if cl.state != underWay {
+	cl := &s.clients[i]
+	if cl.state != inFlight {
 		m.add(s, "%s", label)
 		return
 	}
-	cl.tries[n].state, cl.tries[n].verdict = over, v
+	cl.attempts[n].state, cl.attempts[n].execution = finished, v
 	if v == retry.Answered {
-		for j := range s.k { // the beaten one is closed
-			if b := &s.k[j]; b.state == busy && int(b.client) == i {
-				if m.fault == KeepsBeatenTry {
-					b.state, b.client, b.try = idle, 0, 0
+		for j := range s.conns { // the beaten one is closed
+			if b := &s.conns[j]; b.state == connBusy && int(b.client) == i {
+				if m.fault == KeepsHedgedConnection {
+					b.state, b.client, b.attempt = connIdle, 0, 0
 				} else {
-					shut(&s, j)
+					closeConn(&s, j)
 				}
 			}
 		}
-		cl.state, cl.told = over, toldAnswer
+		cl.state, cl.outcome = finished, outcomeAnswered
 		m.add(s, "%s: told", label)
 		return
 	}
-	if v > cl.last || m.fault == ForgetsDoubt {
-		cl.last = v
+	if v > cl.execution || m.fault == ReportsLastExecution {
+		cl.execution = v
 	}
-	pending := cl.tries[0].state == underWay || cl.tries[1].state == underWay
+	pending := cl.attempts[0].state == inFlight || cl.attempts[1].state == inFlight
 	if pending {
 		m.add(s, "%s", label)
 		return
 	}
-	safe := m.b.Safe[i] || m.fault == RepeatsAfterSilence
-	again := retry.Again(v, retry.Request{Safe: safe, MaxAttempts: 2, Sent: int(cl.offered), Left: time.Second})
-	if cl.gone && m.fault != OffersForNobody {
+	safe := m.bounds.Safe[i] || m.fault == RetriesUnsafeAfterSilence
+	again := retry.ShouldRetry(v, retry.State{Safe: safe, MaxAttempts: 2, Attempts: int(cl.sent), TimeLeft: time.Second})
+	if cl.gone && m.fault != RetriesForGoneClient {
 		again = false
 	}
-	if again && m.offer(s, i, 1, label) {
+	if again && m.sendAttempt(s, i, 1, label) {
 		return
 	}
-	cl.state = over
+	cl.state = finished
 	switch {
 	case cl.gone:
-		cl.told = toldLeft
-	case retry.Final(cl.last, false) == 503:
-		cl.told = toldNotRun
+		cl.outcome = outcomeClientGone
+	case retry.FinalStatus(cl.execution, false) == 503:
+		cl.outcome = outcomeNotExecuted
 	default:
-		cl.told = toldDoubt
+		cl.outcome = outcomeUnknown
 	}
 	m.add(s, "%s: the end", label)
 }
 
-// read is what internal/replica makes of the next bytes on a connection that carries a try.
-func (m *machine) read(s state, k int) {
-	c := &s.k[k]
-	x := pop(&c.buf)
+// readMessage is what internal/replica makes of the next bytes on a connection that carries a try.
+func (m *explorer) readMessage(s state, k int) {
+	c := &s.conns[k]
+	x := pop(&c.buffer)
 	i := c.client
-	label := m.say("connection %d reads %v", k, x)
-	id := x.id
+	label := m.label("connection %d reads %v", k, x)
+	id := x.namedClient
 	if m.fault == IgnoresIdentity {
 		id = i + 1
 	}
-	quiet := c.buf[0].what == nothing && !c.ended || m.fault == ReusesWithBytes
+	quiet := c.buffer[0].kind == noMessage && !c.closedByReplica || m.fault == ReusesWithBufferedBytes
 	switch {
-	case x.what == noAnswer || x.what == cutShort:
-		m.ended(s, k, retry.MayHaveRun, false, label)
+	case x.kind == garbage || x.kind == truncated:
+		m.endAttempt(s, k, retry.MayHaveExecuted, false, label)
 	case id != 0 && id != i+1:
-		c.taint = true
+		c.tainted = true
 		m.add(s, "%s: another's", label)
-	case x.what == refusal && (id != 0 || m.fault == BelievesNameless):
-		m.ended(s, k, retry.NotRun, quiet && !c.taint, label)
-	case x.what == refusal || id == 0:
-		m.ended(s, k, retry.MayHaveRun, false, label)
+	case x.kind == rejection && (id != 0 || m.fault == TrustsNamelessRejection):
+		m.endAttempt(s, k, retry.NotExecuted, quiet && !c.tainted, label)
+	case x.kind == rejection || id == 0:
+		m.endAttempt(s, k, retry.MayHaveExecuted, false, label)
 	default:
-		if x.of != i+1 {
-			s.wrong = wrongCaller
+		if x.origin != i+1 {
+			s.violation = wrongCaller
 		}
-		m.ended(s, k, retry.Answered, quiet && !c.taint, label)
+		m.endAttempt(s, k, retry.Answered, quiet && !c.tainted, label)
 	}
 }
 
-func (m *machine) next(s state) []step {
-	m.out = m.out[:0]
-	for i := range s.c {
-		c := s.c[i]
-		if c.state == toCome {
-			m.offer(s, i, 0, m.say("client %d asks", i))
+func (m *explorer) expand(s state) []step {
+	m.successors = m.successors[:0]
+	for i := range s.clients {
+		c := s.clients[i]
+		if c.state == notStarted {
+			m.sendAttempt(s, i, 0, m.label("client %d asks", i))
 		}
-		if c.state == underWay && c.tries[1].state == toCome && c.tries[0].state == underWay && m.b.Safe[i] && !c.gone {
-			m.offer(s, i, 1, "a second beside the first")
+		if c.state == inFlight && c.attempts[1].state == notStarted && c.attempts[0].state == inFlight && m.bounds.Safe[i] && !c.gone {
+			m.sendAttempt(s, i, 1, "a second beside the first")
 		}
-		if c.state == underWay && !c.gone {
+		if c.state == inFlight && !c.gone {
 			t := s
-			t.c[i].gone = true
-			if m.b.Safe[i] {
-				for k := range t.k {
-					if t.k[k].state == busy && int(t.k[k].client) == i {
-						shut(&t, k)
+			t.clients[i].gone = true
+			if m.bounds.Safe[i] {
+				for k := range t.conns {
+					if t.conns[k].state == connBusy && int(t.conns[k].client) == i {
+						closeConn(&t, k)
 					}
 				}
-				t.c[i].state, t.c[i].told = over, toldLeft
+				t.clients[i].state, t.clients[i].outcome = finished, outcomeClientGone
 			}
 			m.add(t, "client %d leaves", i)
 		}
 		for r := range 2 {
-			if c.flying&(1<<r) != 0 {
+			if c.delayed&(1<<r) != 0 {
 				t := s
-				t.c[i].flying &^= 1 << r
+				t.clients[i].delayed &^= 1 << r
 				m.add(t, "what client %d had sent to replica %d is lost", i, r)
-				t.c[i].runs++
+				t.clients[i].executions++
 				m.add(t, "what client %d had sent to replica %d arrives after all, and runs", i, r)
 			}
 		}
 	}
-	for k := range s.k {
-		if s.k[k].state == closed {
+	for k := range s.conns {
+		if s.conns[k].state == connClosed {
 			continue
 		}
 		m.arrivals(s, k)
-		m.replica(s, k)
-		c := s.k[k]
+		m.replicaSteps(s, k)
+		c := s.conns[k]
 		switch {
-		case c.state == busy && c.buf[0].what != nothing:
-			m.read(s, k)
-		case c.state == busy && c.ended:
-			v := retry.MayHaveRun
-			if m.fault == PromisesAfterReset {
-				v = retry.NotRun
+		case c.state == connBusy && c.buffer[0].kind != noMessage:
+			m.readMessage(s, k)
+		case c.state == connBusy && c.closedByReplica:
+			v := retry.MayHaveExecuted
+			if m.fault == TrustsReset {
+				v = retry.NotExecuted
 			}
-			m.ended(s, k, v, false, m.say("connection %d ended", k))
-		case c.state == busy && s.breaks > 0:
+			m.endAttempt(s, k, v, false, m.label("connection %d ended", k))
+		case c.state == connBusy && s.failures > 0:
 			t := s
-			t.breaks--
-			m.ended(t, k, retry.MayHaveRun, m.fault == ReusesAfterSilence, m.say("silence on connection %d", k))
-		case c.state == idle && !c.past:
+			t.failures--
+			m.endAttempt(t, k, retry.MayHaveExecuted, m.fault == ReusesAfterSilence, m.label("silence on connection %d", k))
+		case c.state == connIdle && !c.pastKeepAlive:
 			t := s
-			t.k[k].past = true
+			t.conns[k].pastKeepAlive = true
 			m.add(t, "connection %d has rested for its time", k)
-		case c.state == idle:
+		case c.state == connIdle:
 			t := s
-			shut(&t, k)
+			closeConn(&t, k)
 			m.add(t, "connection %d is swept", k)
 		}
 	}
-	return m.out
+	return m.successors
 }
 
 // arrivals move what is on the way.
-func (m *machine) arrivals(s state, k int) {
-	c := s.k[k]
-	if c.wire[0].what != nothing {
+func (m *explorer) arrivals(s state, k int) {
+	c := s.conns[k]
+	if c.wire[0].kind != noMessage {
 		t := s
-		x := pop(&t.k[k].wire)
-		if push(&t.k[k].buf, x) {
+		x := pop(&t.conns[k].wire)
+		if push(&t.conns[k].buffer, x) {
 			m.add(t, "%v arrives on connection %d", x, k)
 		}
-	} else if c.ending && !c.ended {
+	} else if c.closing && !c.closedByReplica {
 		t := s
-		t.k[k].ended = true
+		t.conns[k].closedByReplica = true
 		m.add(t, "the end of connection %d arrives", k)
 	}
 }
 
-// replica is all that the other end may do.
-func (m *machine) replica(s state, k int) {
-	c := s.k[k]
-	emit := func(s state, breaks, ends bool, x item, label string) {
-		t := &s.k[k]
+// replicaSteps is all that the other end may do.
+func (m *explorer) replicaSteps(s state, k int) {
+	c := s.conns[k]
+	emit := func(s state, breaks, ends bool, x message, label string) {
+		t := &s.conns[k]
 		if breaks {
-			if s.breaks == 0 {
+			if s.failures == 0 {
 				return
 			}
-			s.breaks--
+			s.failures--
 		}
-		if x.what != nothing && !push(&t.wire, x) {
+		if x.kind != noMessage && !push(&t.wire, x) {
 			return
 		}
-		t.ending = t.ending || ends
+		t.closing = t.closing || ends
 		m.add(s, "on connection %d the replica %s", k, label)
 	}
-	if c.ending {
+	if c.closing {
 		return
 	}
-	if q := c.sent; q > 0 {
+	if q := c.request; q > 0 {
 		t := s
-		t.k[k].sent = 0
+		t.conns[k].request = 0
 		switch {
-		case c.forgot:
-			emit(t, false, true, item{}, "knows nothing of the connection")
-		case c.work == 0:
-			emit(t, true, true, item{}, "breaks off before it ran anything")
+		case c.forgotten:
+			emit(t, false, true, message{}, "knows nothing of the connection")
+		case c.executing == 0:
+			emit(t, true, true, message{}, "breaks off before it ran anything")
 			u := t
-			u.k[k].done |= 1 << (q - 1)
-			u.k[k].refused |= 1 << (q - 1)
-			emit(u, false, false, item{refusal, q, q}, "refuses")
-			emit(u, true, false, item{refusal, 0, q}, "refuses and names nobody")
-			t.k[k].work = q
-			t.c[q-1].runs++
+			u.conns[k].answered |= 1 << (q - 1)
+			u.conns[k].rejected |= 1 << (q - 1)
+			emit(u, false, false, message{rejection, q, q}, "refuses")
+			emit(u, true, false, message{rejection, 0, q}, "refuses and names nobody")
+			t.conns[k].executing = q
+			t.clients[q-1].executions++
 			m.add(t, "on connection %d the replica runs what client %d asks", k, q-1)
 		}
 	}
-	if q := c.work; q > 0 {
+	if q := c.executing; q > 0 {
 		t := s
-		t.k[k].work = 0
-		t.k[k].done |= 1 << (q - 1)
-		emit(t, false, false, item{answer, q, q}, "answers")
-		emit(t, false, true, item{answer, q, q}, "answers and closes")
-		emit(t, true, false, item{answer, 0, q}, "answers and names nobody")
-		emit(t, true, false, item{answer, 3 - q, q}, "answers and names another")
-		emit(t, true, true, item{cutShort, q, q}, "cuts its answer short")
-		emit(t, true, true, item{noAnswer, 0, 0}, "sends what is no answer")
-		emit(t, true, true, item{}, "breaks off")
+		t.conns[k].executing = 0
+		t.conns[k].answered |= 1 << (q - 1)
+		emit(t, false, false, message{response, q, q}, "answers")
+		emit(t, false, true, message{response, q, q}, "answers and closes")
+		emit(t, true, false, message{response, 0, q}, "answers and names nobody")
+		emit(t, true, false, message{response, 3 - q, q}, "answers and names another")
+		emit(t, true, true, message{truncated, q, q}, "cuts its answer short")
+		emit(t, true, true, message{garbage, 0, 0}, "sends what is no answer")
+		emit(t, true, true, message{}, "breaks off")
 	}
 	if s.surplus > 0 {
 		t := s
 		t.surplus--
 		for q := uint8(1); q <= 2; q++ {
-			if c.done>>(q-1)&1 == 0 {
+			if c.answered>>(q-1)&1 == 0 {
 				continue
 			}
-			if c.refused>>(q-1)&1 == 1 {
-				emit(t, false, false, item{refusal, q, q}, "refuses once more")
-				emit(t, false, false, item{refusal, 0, q}, "refuses once more and names nobody")
+			if c.rejected>>(q-1)&1 == 1 {
+				emit(t, false, false, message{rejection, q, q}, "refuses once more")
+				emit(t, false, false, message{rejection, 0, q}, "refuses once more and names nobody")
 				continue
 			}
-			emit(t, false, false, item{answer, q, q}, "answers once more")
-			emit(t, false, false, item{answer, 0, q}, "answers once more and names nobody")
+			emit(t, false, false, message{response, q, q}, "answers once more")
+			emit(t, false, false, message{response, 0, q}, "answers once more and names nobody")
 		}
-		if c.used > 0 {
-			emit(t, false, false, item{noAnswer, 0, 0}, "sends bytes")
+		if c.uses > 0 {
+			emit(t, false, false, message{garbage, 0, 0}, "sends bytes")
 		}
 	}
-	if c.state == idle && !c.forgot && (c.past || s.breaks > 0) {
+	if c.state == connIdle && !c.forgotten && (c.pastKeepAlive || s.failures > 0) {
 		t := s
-		if !c.past {
-			t.breaks--
+		if !c.pastKeepAlive {
+			t.failures--
 		}
-		t.k[k].forgot = true
+		t.conns[k].forgotten = true
 		m.add(t, "the replica forgets connection %d", k)
-		t.k[k].ending = true
+		t.conns[k].closing = true
 		m.add(t, "the replica closes connection %d", k)
 	}
 }
 
 // Explore sees all states within the bounds, the nearest first.
 func Explore(b Bounds, fault Fault) Result {
-	m := &machine{b: b, fault: fault, seed: maphash.MakeSeed()}
+	m := &explorer{bounds: b, fault: fault, seed: maphash.MakeSeed()}
 	type node struct {
 		s    state
 		from int
 	}
-	begin := state{surplus: b.Surplus, breaks: b.Breaks}
+	begin := state{surplus: b.SurplusResponses, failures: b.Failures}
 	all := []node{{s: begin, from: -1}}
 	seen := map[uint64]struct{}{m.hash(begin): {}}
 	for at := 0; at < len(all); at++ {
-		if len(all) > b.States {
+		if len(all) > b.MaxStates {
 			return Result{States: len(all)}
 		}
-		for _, n := range m.next(all[at].s) {
-			h := m.hash(n.s)
+		for _, n := range m.expand(all[at].s) {
+			h := m.hash(n.state)
 			if _, ok := seen[h]; ok {
 				continue
 			}
 			seen[h] = struct{}{}
-			all = append(all, node{n.s, at})
-			if broken := m.check(&n.s); broken != "" {
-				r := Result{States: len(all), Broken: broken}
-				m.tells = true
+			all = append(all, node{n.state, at})
+			if broken := m.check(&n.state); broken != "" {
+				r := Result{States: len(all), Violation: broken}
+				m.labelled = true
 				for i := len(all) - 1; i > 0; i = all[i].from {
-					for _, x := range m.next(all[all[i].from].s) {
-						if x.s == all[i].s {
+					for _, x := range m.expand(all[all[i].from].s) {
+						if x.state == all[i].s {
 							r.Trace = append([]string{x.label}, r.Trace...)
 							break
 						}
--- a/internal/peertransport/fuzz_test.go
+++ b/internal/peertransport/fuzz_test.go
@@ -38,7 +38,7 @@
 
 // FuzzReadFrame reads what another governor may send: it ends in a message that can be sent on, or in an error.
 func FuzzReadFrame(f *testing.F) {
-	for _, m := range []*Frame{{}, {Hello: &messages.Hello{Gateway: "f", Member: membership.Member{ID: "d", Addr: "a:1", Zone: "z"}}}, {StateUpdate: &messages.StateUpdate{Full: true, Sequence: 4, Config: []byte("{}")}}, {Ejections: []outlier.Out{{}}}} {
+	for _, m := range []*Frame{{}, {Hello: &messages.Hello{Gateway: "f", Member: membership.Member{ID: "d", Addr: "a:1", Zone: "z"}}}, {StateUpdate: &messages.StateUpdate{Full: true, Sequence: 4, Config: []byte("{}")}}, {Ejections: []outlier.Ejection{{}}}} {
 		b, err := EncodeFrame(m)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/peertransport/link.go
+++ b/internal/peertransport/link.go
@@ -38,7 +38,7 @@
 	StateUpdate    *messages.StateUpdate    `cbor:"4,keyasint,omitempty"`
 	LoadReport     *messages.LoadReport     `cbor:"5,keyasint,omitempty"`
 	GatewaySummary *messages.GatewaySummary `cbor:"6,keyasint,omitempty"`
-	Ejections      []outlier.Out            `cbor:"7,keyasint,omitempty"`
+	Ejections      []outlier.Ejection       `cbor:"7,keyasint,omitempty"`
 }
 
 var decodeMode = func() cbor.DecMode {
--- a/internal/replica/hostile_test.go
+++ b/internal/replica/hostile_test.go
@@ -58,12 +58,12 @@
 	return ln.Addr().String(), &open
 }
 
-// whole is a proper answer with a body.
-func whole(id, body string, head ...string) string {
+// validResponse is a proper answer with a body.
+func validResponse(id, body string, head ...string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Response-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s", id, strings.Join(head, ""), len(body), body)
 }
 
-func try(p *Pool, addr, id, method string) Result {
+func attempt(p *Pool, addr, id, method string) Outcome {
 	q := request(id, time.Second)
 	q.Method = method
 	if id == "" {
@@ -72,28 +72,28 @@
 	return p.Do("i1", addr, q)
 }
 
-func expect(t *testing.T, r Result, v retry.Verdict, body string) {
+func expect(t *testing.T, r Outcome, v retry.Execution, body string) {
 	t.Helper()
-	if r.Verdict != v || v == retry.Answered && string(r.Answer.Body) != body {
-		t.Fatalf("%s %q (%s), want %s %q", r.Verdict, bodyOf(r), r.Cause, v, body)
+	if r.Execution != v || v == retry.Answered && string(r.Response.Body) != body {
+		t.Fatalf("%s %q (%s), want %s %q", r.Execution, bodyOf(r), r.Cause, v, body)
 	}
 }
 
-func bodyOf(r Result) string {
-	if r.Answer == nil {
+func bodyOf(r Outcome) string {
+	if r.Response == nil {
 		return ""
 	}
-	return string(r.Answer.Body)
+	return string(r.Response.Body)
 }
 
 // Guards answers made of another's body: a surplus answer that is longer than what is passed over was read on from its
 // middle, and whatever stood there was taken for the next answer.
 func TestNoAnswerIsReadOutOfAnothersBody(t *testing.T) {
-	forged := whole("2", "forged")
+	forged := validResponse("2", "forged")
 	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) {
-		return whole("other", strings.Repeat("x", skipBytes)+forged) + whole("2", "ours"), false
+		return validResponse("other", strings.Repeat("x", maxSkippedBytes)+forged) + validResponse("2", "ours"), false
 	})
-	expect(t, try(NewPool(), addr, "2", "POST"), retry.MayHaveRun, "")
+	expect(t, attempt(NewPool(), addr, "2", "POST"), retry.MayHaveExecuted, "")
 }
 
 // Guards the same by methods: a surplus answer of a HEAD has a length and no body, so under another method it swallows
@@ -104,11 +104,11 @@
 			if q.Method == "HEAD" {
 				return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + q.Header.Get("X-Attempt-Id") + "\r\nX-Response-Seal: s\r\nContent-Length: 9\r\n\r\n", false
 			}
-			return whole(q.Header.Get("X-Attempt-Id"), "body of "+q.Header.Get("X-Attempt-Id")), false
+			return validResponse(q.Header.Get("X-Attempt-Id"), "body of "+q.Header.Get("X-Attempt-Id")), false
 		})
 		p := NewPool()
-		try(p, addr, "1", x.first)
-		try(p, addr, "2", x.second)
+		attempt(p, addr, "1", x.first)
+		attempt(p, addr, "2", x.second)
 		if opens.Load() != 2 {
 			t.Errorf("%s and %s shared a connection", x.first, x.second)
 		}
@@ -120,7 +120,7 @@
 	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) {
 		return "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\nX-Response-Seal: s\r\n\r\n", false
 	})
-	expect(t, try(NewPool(), addr, "1", "HEAD"), retry.Answered, "")
+	expect(t, attempt(NewPool(), addr, "1", "HEAD"), retry.Answered, "")
 }
 
 // Guards the promise that a request has not run: what proves it must be an answer to this request, on a connection on
@@ -138,26 +138,26 @@
 	}
 	for _, x := range []struct {
 		name, say string
-		v         retry.Verdict
+		v         retry.Execution
 	}{
-		{"its own word", no(503, "1"), retry.NotRun},
-		{"no id, the first words of a new connection", no(400, ""), retry.MayHaveRun},
-		{"no id, behind an answer of another", whole("other", "x") + no(503, ""), retry.MayHaveRun},
-		{"another's refusal", no(503, "other") + whole("1", "ours"), retry.Answered},
-		{"a success that says it was none", strings.Replace(whole("1", "x"), "Content", "X-Not-Executed: 1\r\nContent", 1), retry.MayHaveRun},
-		{"two ids", "HTTP/1.1 503 X\r\nX-Attempt-Id: 1\r\nX-Attempt-Id: 2\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", retry.MayHaveRun},
-		{"503 without a word on whether it ran", plain(503), retry.MayHaveRun},
-		{"429 without a word on whether it ran", plain(429), retry.MayHaveRun},
-		{"408 without a word on whether it ran", plain(408), retry.MayHaveRun},
-		{"421: it is another one", plain(421), retry.NotRun},
+		{"its own word", no(503, "1"), retry.NotExecuted},
+		{"no id, the first words of a new connection", no(400, ""), retry.MayHaveExecuted},
+		{"no id, behind an answer of another", validResponse("other", "x") + no(503, ""), retry.MayHaveExecuted},
+		{"another's refusal", no(503, "other") + validResponse("1", "ours"), retry.Answered},
+		{"a success that says it was none", strings.Replace(validResponse("1", "x"), "Content", "X-Not-Executed: 1\r\nContent", 1), retry.MayHaveExecuted},
+		{"two ids", "HTTP/1.1 503 X\r\nX-Attempt-Id: 1\r\nX-Attempt-Id: 2\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", retry.MayHaveExecuted},
+		{"503 without a word on whether it ran", plain(503), retry.MayHaveExecuted},
+		{"429 without a word on whether it ran", plain(429), retry.MayHaveExecuted},
+		{"408 without a word on whether it ran", plain(408), retry.MayHaveExecuted},
+		{"421: it is another one", plain(421), retry.NotExecuted},
 		{"a failure of its own", plain(500), retry.Answered},
 	} {
 		addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) { return x.say, false })
-		if r := try(NewPool(), addr, "", "POST"); x.name == "no id, the first words of a new connection" && r.Verdict != retry.NotRun {
-			t.Errorf("a request without an identity: %s (%s)", r.Verdict, r.Cause)
+		if r := attempt(NewPool(), addr, "", "POST"); x.name == "no id, the first words of a new connection" && r.Execution != retry.NotExecuted {
+			t.Errorf("a request without an identity: %s (%s)", r.Execution, r.Cause)
 		}
-		if r := try(NewPool(), addr, "1", "POST"); r.Verdict != x.v || x.v == retry.Answered && bodyOf(r) == "x" {
-			t.Errorf("%s: %s (%s), want %s", x.name, r.Verdict, r.Cause, x.v)
+		if r := attempt(NewPool(), addr, "1", "POST"); r.Execution != x.v || x.v == retry.Answered && bodyOf(r) == "x" {
+			t.Errorf("%s: %s (%s), want %s", x.name, r.Execution, r.Cause, x.v)
 		}
 	}
 }
@@ -166,19 +166,19 @@
 // different answers.
 func TestHeadsThatAreNone(t *testing.T) {
 	for name, say := range map[string]string{
-		"a surplus head that ends in the middle of a line": "HTTP/1.1 500 X\r\nX-Y: " + whole("1", "ours"),
-		"a surplus status line without an end":             "HTTP/1.1 500 " + whole("1", "ours"),
-		"a length and chunks":                              whole("1", "0\r\n\r\n", "Transfer-Encoding: chunked\r\n"),
-		"two lengths":                                      whole("1", "x", "Content-Length: 1\r\n"),
-		"status 000":                                       "HTTP/1.1 000 X\r\n\r\n" + whole("1", "ours"),
+		"a surplus head that ends in the middle of a line": "HTTP/1.1 500 X\r\nX-Y: " + validResponse("1", "ours"),
+		"a surplus status line without an end":             "HTTP/1.1 500 " + validResponse("1", "ours"),
+		"a length and chunks":                              validResponse("1", "0\r\n\r\n", "Transfer-Encoding: chunked\r\n"),
+		"two lengths":                                      validResponse("1", "x", "Content-Length: 1\r\n"),
+		"status 000":                                       "HTTP/1.1 000 X\r\n\r\n" + validResponse("1", "ours"),
 		"status 700":                                       "HTTP/1.1 700 X\r\nX-Attempt-Id: 1\r\nContent-Length: 0\r\n\r\n",
 		"101":                                              "HTTP/1.1 101 X\r\nX-Attempt-Id: 1\r\n\r\n",
-		"interim answers without end":                      strings.Repeat("HTTP/1.1 102 X\r\n\r\n", 1000) + whole("1", "ours"),
+		"interim answers without end":                      strings.Repeat("HTTP/1.1 102 X\r\n\r\n", 1000) + validResponse("1", "ours"),
 		"a head without end":                               "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Y: "+strings.Repeat("z", 1000)+"\r\n", 200) + "X-Attempt-Id: 1\r\nX-Response-Seal: s\r\nContent-Length: 0\r\n\r\n",
 	} {
 		addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) { return say, n > 1 })
-		if r := try(NewPool(), addr, "1", "POST"); r.Verdict != retry.MayHaveRun || r.Expired {
-			t.Errorf("%s: %s %q (%s)", name, r.Verdict, bodyOf(r), r.Cause)
+		if r := attempt(NewPool(), addr, "1", "POST"); r.Execution != retry.MayHaveExecuted || r.DeadlineExceeded {
+			t.Errorf("%s: %s %q (%s)", name, r.Execution, bodyOf(r), r.Cause)
 		}
 	}
 }
@@ -187,11 +187,11 @@
 func TestAnIdentityIsUsedOnceOnAConnection(t *testing.T) {
 	for _, id := range []string{"same", ""} {
 		addr, opens := scripted(t, func(q *http.Request, n int) (string, bool) {
-			return whole(id, fmt.Sprint(n)), false
+			return validResponse(id, fmt.Sprint(n)), false
 		})
 		p := NewPool()
-		try(p, addr, id, "POST")
-		try(p, addr, id, "POST")
+		attempt(p, addr, id, "POST")
+		attempt(p, addr, id, "POST")
 		if opens.Load() != 2 {
 			t.Errorf("two requests with the id %q shared a connection", id)
 		}
@@ -208,7 +208,7 @@
 	q.Header.Set("X-Early", "1")
 	q.Body = make([]byte, 32<<20)
 	began := time.Now()
-	expect(t, p.Do("i1", addr, q), retry.NotRun, "")
+	expect(t, p.Do("i1", addr, q), retry.NotExecuted, "")
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("heard after %v", took)
 	}
@@ -230,16 +230,16 @@
 			return
 		}
 		http.ReadRequest(bufio.NewReader(c))
-		io.WriteString(c, strings.Replace(whole("1", ""), "Content-Length: 0", fmt.Sprint("Content-Length: ", heldMost*64), 1))
-		_, err = io.CopyN(c, zeros{}, heldMost*64)
+		io.WriteString(c, strings.Replace(validResponse("1", ""), "Content-Length: 0", fmt.Sprint("Content-Length: ", maxBufferedBody*64), 1))
+		_, err = io.CopyN(c, zeros{}, maxBufferedBody*64)
 		ended <- err != nil
 	}()
 	q := request("1", 20*time.Second)
 	r := NewPool().Do("i1", ln.Addr().String(), q)
-	if r.Answer == nil || r.Answer.Rest == nil {
+	if r.Response == nil || r.Response.CopyRest == nil {
 		t.Fatalf("%+v", r)
 	}
-	r.Drop()
+	r.Discard()
 	if !<-ended {
 		t.Error("the replica sent all of an answer that nobody wants")
 	}
@@ -252,18 +252,18 @@
 // Guards requests that nobody waits for: nothing is sent once the caller has left or its time is over.
 func TestNothingIsSentTooLate(t *testing.T) {
 	var seen atomic.Int64
-	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) { seen.Add(1); return whole("1", ""), false })
+	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) { seen.Add(1); return validResponse("1", ""), false })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	q := request("1", time.Second)
-	q.Stop = ctx
+	q.Cancel = ctx
 	for _, q := range []*Request{q, request("1", -time.Second)} {
 		p := NewPool()
-		if r := try(p, addr, "0", "POST"); r.Verdict != retry.Answered && r.Verdict != retry.MayHaveRun {
+		if r := attempt(p, addr, "0", "POST"); r.Execution != retry.Answered && r.Execution != retry.MayHaveExecuted {
 			t.Fatal(r)
 		}
 		seen.Store(0)
-		if r := p.Do("i1", addr, q); r.Verdict != retry.NotRun || !r.Unsent || seen.Load() != 0 {
+		if r := p.Do("i1", addr, q); r.Execution != retry.NotExecuted || !r.NotSent || seen.Load() != 0 {
 			t.Errorf("%+v, %d seen", r, seen.Load())
 		}
 	}
@@ -276,11 +276,11 @@
 		opens int64
 	}{{"timeout=10", 1}, {"timeout=0", 2}, {"timeout=9223372036854775807", 1}, {"timeout=-5", 1}, {"max=5, timeout=3", 1}} {
 		addr, opens := scripted(t, func(q *http.Request, n int) (string, bool) {
-			return whole(q.Header.Get("X-Attempt-Id"), "", "Keep-Alive: "+x.say+"\r\n"), false
+			return validResponse(q.Header.Get("X-Attempt-Id"), "", "Keep-Alive: "+x.say+"\r\n"), false
 		})
 		p := NewPool()
-		try(p, addr, "1", "POST")
-		try(p, addr, "2", "POST")
+		attempt(p, addr, "1", "POST")
+		attempt(p, addr, "2", "POST")
 		if opens.Load() != x.opens {
 			t.Errorf("%s: %d connections", x.say, opens.Load())
 		}
@@ -289,7 +289,7 @@
 
 // Guards the seal and the identity: a Connection header may not take what is meant for the other end.
 func TestConnectionOptionsTakeNothingOfTheEnds(t *testing.T) {
-	h := EndToEnd(http.Header{"Connection": {"X-Response-Seal, x-attempt-id, X-Hop"}, "X-Hop": {"1"}, "X-Attempt-Id": {"1"}, "X-Response-Seal": {"s"}})
+	h := EndToEndHeaders(http.Header{"Connection": {"X-Response-Seal, x-attempt-id, X-Hop"}, "X-Hop": {"1"}, "X-Attempt-Id": {"1"}, "X-Response-Seal": {"s"}})
 	if len(h) != 2 {
 		t.Error(h)
 	}
@@ -307,7 +307,7 @@
 	during := make(chan bool, 2)
 	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) {
 		during <- asks()
-		return whole(q.Header.Get("X-Attempt-Id"), ""), false
+		return validResponse(q.Header.Get("X-Attempt-Id"), ""), false
 	})
 	p := NewPool()
 	var err error
@@ -315,10 +315,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.put("i1", c)
+	p.putIdle("i1", c)
 	for _, patient := range []bool{true, false} {
 		q := request(fmt.Sprint(patient), time.Second)
-		q.Patient = patient
+		q.WaitForDeadline = patient
 		expect(t, p.Do("i1", addr, q), retry.Answered, "")
 		if got := <-during; got == patient || !asks() {
 			t.Errorf("patient %v: asks while it waits: %v, while it rests: %v", patient, got, asks())
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -27,128 +27,128 @@
 )
 
 const (
-	dialMost    = 300 * time.Millisecond
-	unackedMost = 500 * time.Millisecond // sent bytes that a live replica would have acknowledged long ago
-	idleGuess   = 4 * time.Second        // where a replica does not tell how long it keeps idle connections
-	heldMost    = 1 << 20                // answers up to this size are held whole before their first byte is passed on
-	skipMost    = 3                      // surplus answers passed over on one connection
-	skipBytes   = 256 << 10
-	headBuffer  = 4 << 10
-	headMost    = 64 << 10 // of an answer's head
-	interimMost = 8        // answers 1xx before the final one
-	writeApart  = 64 << 10 // requests beyond this size are written beside the reading of their answer
-	idsKept     = 16       // identities that a connection remembers
-	idleMost    = 30 * time.Second
-	keepMost    = 3600                  // seconds of Keep-Alive
-	atOnce      = 50 * time.Millisecond // a connection that was forgotten answers with a reset by then; later, work broke off
-	restLeast   = 20 * time.Millisecond
-	restDoubles = 5 * time.Second
+	dialTimeout          = 300 * time.Millisecond
+	unackedTimeout       = 500 * time.Millisecond // sent bytes that a live replica would have acknowledged long ago
+	defaultMaxIdle       = 4 * time.Second        // where a replica does not tell how long it keeps idle connections
+	maxBufferedBody      = 1 << 20                // answers up to this size are held whole before their first byte is passed on
+	maxSkippedResponses  = 3                      // surplus answers passed over on one connection
+	maxSkippedBytes      = 256 << 10
+	readBufferBytes      = 4 << 10
+	maxHeadBytes         = 64 << 10 // of an answer's head
+	maxInterimResponses  = 8        // answers 1xx before the final one
+	concurrentWriteBytes = 64 << 10 // requests beyond this size are written beside the reading of their answer
+	recentAttemptsKept   = 16       // identities that a connection remembers
+	maxIdleTime          = 30 * time.Second
+	maxKeepAliveSeconds  = 3600                  // seconds of Keep-Alive
+	immediateResetWindow = 50 * time.Millisecond // a connection that was forgotten answers with a reset by then; later, work broke off
+	minIdleLimit         = 20 * time.Millisecond
+	idleLimitDoubling    = 5 * time.Second
 )
 
 // Request is what goes to a replica. The path, method and body are the client's.
 type Request struct {
-	Method, URI, Host string
-	Header            http.Header // without those that concern one connection
-	Body              []byte
-	Attempt           string // X-Attempt-Id
-	Instance, Service string
-	Deadline          time.Time
-	Patient           bool            // what is silent is waited for to the deadline, where another try may not be made anyway
-	Stop              context.Context // ends the try, where the client has left and nothing is lost by that; may be nil
+	Method, URI, Host   string
+	Header              http.Header // without those that concern one connection
+	Body                []byte
+	AttemptID           string // X-Attempt-Id
+	InstanceID, Service string
+	Deadline            time.Time
+	WaitForDeadline     bool            // what is silent is waited for to the deadline, where another try may not be made anyway
+	Cancel              context.Context // ends the try, where the client has left and nothing is lost by that; may be nil
 }
 
-// Answer is a replica's answer. Body is whole unless Rest is set: then Rest copies what follows, and its error
+// Response is a replica's answer. Body is whole unless Rest is set: then Rest copies what follows, and its error
 // means that the answer was cut.
-type Answer struct {
-	Status int
-	Header http.Header
-	Body   []byte
-	Length int64 // of the whole body; -1: not told
-	Rest   func(io.Writer) error
-	Close  func() // ends Rest's connection; one that is not passed on must be dropped
+type Response struct {
+	Status        int
+	Header        http.Header
+	Body          []byte
+	ContentLength int64 // of the whole body; -1: not told
+	CopyRest      func(io.Writer) error
+	Close         func() // ends Rest's connection; one that is not passed on must be dropped
 }
 
-// Result is a try's outcome.
-type Result struct {
-	Verdict retry.Verdict
-	Answer  *Answer
-	Cause   string // for counts; empty: answered
-	Unsent  bool   // nothing was sent
-	Conn    uint64 // the connection's number in its pool; 0: there was none
-	Use     int    // how many requests it had carried by then, this one too
-	Skipped int    // answers to others that came in the place of ours
-	Expired bool
-	Refused bool // nobody listens at the address
-	Full    bool // NotRun: by the replica's own word
+// Outcome is a try's outcome.
+type Outcome struct {
+	Execution         retry.Execution
+	Response          *Response
+	Cause             string // for counts; empty: answered
+	NotSent           bool   // nothing was sent
+	ConnID            uint64 // the connection's number in its pool; 0: there was none
+	ConnUse           int    // how many requests it had carried by then, this one too
+	SkippedResponses  int    // answers to others that came in the place of ours
+	DeadlineExceeded  bool
+	ConnectionRefused bool // nobody listens at the address
+	Rejected          bool // NotRun: by the replica's own word
 }
 
-// Drop lets go of an answer that is not passed on.
-func (r Result) Drop() {
-	if r.Answer != nil && r.Answer.Close != nil {
-		r.Answer.Close()
+// Discard lets go of an answer that is not passed on.
+func (r Outcome) Discard() {
+	if r.Response != nil && r.Response.Close != nil {
+		r.Response.Close()
 	}
 }
 
-// rest is how long connections to a service's replicas may lie idle, where they were found forgotten sooner than told.
-type rest struct {
-	most time.Duration
-	at   time.Time
+// idleLimit is how long connections to a service's replicas may lie idle, where they were found forgotten sooner than told.
+type idleLimit struct {
+	limit     time.Duration
+	learnedAt time.Time
 }
 
 type conn struct {
 	net.Conn
-	tcp       *net.TCPConn
-	raw       syscall.RawConn
-	br        *bufio.Reader
-	idleSince time.Time
-	idleMost  time.Duration
-	n         uint64
-	used      int
-	ids       [idsKept]string // of the last requests; the next stands at used % idsKept
-	unfit     bool            // for another request, until this one has its whole answer and nothing else has come
-	taint     bool            // an answer to another came on it
-	age       time.Duration   // idle before this request; 0: it is new
+	tcp            *net.TCPConn
+	raw            syscall.RawConn
+	reader         *bufio.Reader
+	idleSince      time.Time
+	maxIdle        time.Duration
+	id             uint64
+	requests       int
+	recentAttempts [recentAttemptsKept]string // of the last requests; the next stands at used % idsKept
+	unusable       bool                       // for another request, until this one has its whole answer and nothing else has come
+	tainted        bool                       // an answer to another came on it
+	idleBefore     time.Duration              // idle before this request; 0: it is new
 }
 
 // Pool keeps idle connections to replicas, by the replica's id: an address may pass to another.
 type Pool struct {
-	mu     sync.Mutex
-	idle   map[string][]*conn
-	rests  map[string]rest // by service
-	Opened int64           // connections opened so far
+	mu         sync.Mutex
+	idle       map[string][]*conn
+	idleLimits map[string]idleLimit // by service
+	Opened     int64                // connections opened so far
 }
 
 // NewPool makes an empty pool.
-func NewPool() *Pool { return &Pool{idle: map[string][]*conn{}, rests: map[string]rest{}} }
+func NewPool() *Pool { return &Pool{idle: map[string][]*conn{}, idleLimits: map[string]idleLimit{}} }
 
-// restMost is how idle a connection to a service may be. What was learnt is doubted more and more: twice as long is
+// maxIdle is how idle a connection to a service may be. What was learnt is doubted more and more: twice as long is
 // tried after each restDoubles.
-func (p *Pool) restMost(service string, now time.Time) time.Duration {
-	r, ok := p.rests[service]
+func (p *Pool) maxIdle(service string, now time.Time) time.Duration {
+	r, ok := p.idleLimits[service]
 	if !ok {
-		return idleMost
+		return maxIdleTime
 	}
-	most := r.most << min(int(now.Sub(r.at)/restDoubles), 20)
-	if most >= idleMost || most <= 0 {
-		delete(p.rests, service)
-		return idleMost
+	most := r.limit << min(int(now.Sub(r.learnedAt)/idleLimitDoubling), 20)
+	if most >= maxIdleTime || most <= 0 {
+		delete(p.idleLimits, service)
+		return maxIdleTime
 	}
 	return most
 }
 
-// forgotten learns that a replica of a service had forgotten a connection idle for so long, without a word. The next
+// learnIdleLimit learns that a replica of a service had forgotten a connection idle for so long, without a word. The next
 // unsafe request on such a one would be a doubt that can be told to nobody but the client.
-func (p *Pool) forgotten(service string, age time.Duration) {
+func (p *Pool) learnIdleLimit(service string, age time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if most := max(age/2, restLeast); most < p.restMost(service, now) {
-		p.rests[service] = rest{most, now}
+	if most := max(age/2, minIdleLimit); most < p.maxIdle(service, now) {
+		p.idleLimits[service] = idleLimit{most, now}
 	}
 }
 
-// Drop closes the idle connections to a replica.
-func (p *Pool) Drop(id string) {
+// CloseIdle closes the idle connections to a replica.
+func (p *Pool) CloseIdle(id string) {
 	p.mu.Lock()
 	list := p.idle[id]
 	delete(p.idle, id)
@@ -165,7 +165,7 @@
 	for id, list := range p.idle {
 		keep := list[:0]
 		for _, c := range list {
-			if now.Sub(c.idleSince) > c.idleMost {
+			if now.Sub(c.idleSince) > c.maxIdle {
 				old = append(old, c)
 			} else {
 				keep = append(keep, c)
@@ -183,28 +183,30 @@
 	}
 }
 
-// alone tells whether a request has a connection of its own: without an identity its answer is known by nothing else,
+// needsOwnConn tells whether a request has a connection of its own: without an identity its answer is known by nothing else,
 // and an answer to HEAD ends where that to another method goes on.
-func (q *Request) alone() bool { return q.Attempt == "" || q.Method == http.MethodHead }
+func (q *Request) needsOwnConn() bool { return q.AttemptID == "" || q.Method == http.MethodHead }
 
 // SetKeepAlive has the kernel ask whether the other end is still there: a machine that is gone without a word is noticed.
 func (c *conn) SetKeepAlive(on bool) { c.tcp.SetKeepAlive(on) }
 
-// had tells whether a request with this identity went over the connection before: an answer could be either's.
-func (c *conn) had(attempt string) bool { return slices.Contains(c.ids[:], attempt) }
+// carried tells whether a request with this identity went over the connection before: an answer could be either's.
+func (c *conn) carried(attempt string) bool { return slices.Contains(c.recentAttempts[:], attempt) }
 
-// fit is the one place that decides whether a connection may carry a further request: the last one has its whole
+// reusable is the one place that decides whether a connection may carry a further request: the last one has its whole
 // answer, whose end it tells by itself, nothing more has come in, and the replica keeps it.
-func (c *conn) fit() bool { return !c.unfit && !c.taint && c.idleMost > 0 && c.br.Buffered() == 0 }
+func (c *conn) reusable() bool {
+	return !c.unusable && !c.tainted && c.maxIdle > 0 && c.reader.Buffered() == 0
+}
 
-func (p *Pool) take(id string, q *Request) *conn {
-	if q.alone() {
+func (p *Pool) takeIdle(id string, q *Request) *conn {
+	if q.needsOwnConn() {
 		return nil
 	}
 	now := time.Now()
 	for {
 		p.mu.Lock()
-		most := p.restMost(q.Service, now)
+		most := p.maxIdle(q.Service, now)
 		list := p.idle[id]
 		if len(list) == 0 {
 			p.mu.Unlock()
@@ -213,16 +215,16 @@
 		c := list[len(list)-1]
 		p.idle[id] = list[:len(list)-1]
 		p.mu.Unlock()
-		if c.age = now.Sub(c.idleSince); c.age <= min(c.idleMost, most) && !c.had(q.Attempt) && c.quiet() {
+		if c.idleBefore = now.Sub(c.idleSince); c.idleBefore <= min(c.maxIdle, most) && !c.carried(q.AttemptID) && c.isQuiet() {
 			return c
 		}
 		c.Close()
 	}
 }
 
-// quiet tells whether nothing has come in on an idle connection, not even its end.
-func (c *conn) quiet() bool {
-	if c.br.Buffered() > 0 {
+// isQuiet tells whether nothing has come in on an idle connection, not even its end.
+func (c *conn) isQuiet() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
 	ok := false
@@ -235,7 +237,7 @@
 	return err == nil && ok
 }
 
-func (p *Pool) put(id string, c *conn) {
+func (p *Pool) putIdle(id string, c *conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
 	p.idle[id] = append(p.idle[id], c)
@@ -243,7 +245,7 @@
 }
 
 func (p *Pool) dial(addr string, deadline time.Time) (*conn, error) {
-	d := peertransport.NewDialer(min(dialMost, time.Until(deadline)), unackedMost)
+	d := peertransport.NewDialer(min(dialTimeout, time.Until(deadline)), unackedTimeout)
 	nc, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -259,69 +261,69 @@
 	p.Opened++
 	n := uint64(p.Opened)
 	p.mu.Unlock()
-	return &conn{Conn: nc, tcp: tc, n: n, raw: raw, br: bufio.NewReaderSize(nc, headBuffer), idleMost: idleGuess}, nil
+	return &conn{Conn: nc, tcp: tc, id: n, raw: raw, reader: bufio.NewReaderSize(nc, readBufferBytes), maxIdle: defaultMaxIdle}, nil
 }
 
 // Do sends a request to the replica at addr and waits for its answer.
-func (p *Pool) Do(id, addr string, q *Request) Result {
-	if q.Stop != nil && q.Stop.Err() != nil {
-		return Result{Verdict: retry.NotRun, Cause: "left", Unsent: true}
+func (p *Pool) Do(id, addr string, q *Request) Outcome {
+	if q.Cancel != nil && q.Cancel.Err() != nil {
+		return Outcome{Execution: retry.NotExecuted, Cause: "left", NotSent: true}
 	}
 	if !time.Now().Before(q.Deadline) {
-		return Result{Verdict: retry.NotRun, Cause: "late", Unsent: true, Expired: true}
+		return Outcome{Execution: retry.NotExecuted, Cause: "late", NotSent: true, DeadlineExceeded: true}
 	}
-	c := p.take(id, q)
+	c := p.takeIdle(id, q)
 	if c == nil {
 		var err error
 		if c, err = p.dial(addr, q.Deadline); err != nil {
-			return Result{Verdict: retry.NotRun, Cause: "dial", Unsent: true, Refused: errors.Is(err, syscall.ECONNREFUSED), Expired: !time.Now().Before(q.Deadline)}
+			return Outcome{Execution: retry.NotExecuted, Cause: "dial", NotSent: true, ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED), DeadlineExceeded: !time.Now().Before(q.Deadline)}
 		}
 	}
 	c.SetDeadline(q.Deadline)
-	if q.Patient {
+	if q.WaitForDeadline {
 		c.SetKeepAlive(false)
 	}
 	stop := func() bool { return true }
-	if q.Stop != nil {
-		stop = context.AfterFunc(q.Stop, func() { c.SetDeadline(time.Unix(1, 0)) })
+	if q.Cancel != nil {
+		stop = context.AfterFunc(q.Cancel, func() { c.SetDeadline(time.Unix(1, 0)) })
 	}
 	sent := time.Now()
-	res := c.exchange(q)
-	res.Conn, res.Use = c.n, c.used
-	if c.age > 0 && time.Since(sent) < atOnce && (res.Cause == "broken" || res.Cause == "closed" || res.Cause == "write") && q.Service != "" {
-		p.forgotten(q.Service, c.age)
+	res := c.roundTrip(q)
+	res.ConnID, res.ConnUse = c.id, c.requests
+	if c.idleBefore > 0 && time.Since(sent) < immediateResetWindow && (res.Cause == "broken" || res.Cause == "closed" || res.Cause == "write") && q.Service != "" {
+		p.learnIdleLimit(q.Service, c.idleBefore)
 	}
 	if !stop() {
-		c.unfit = true
+		c.unusable = true
 	}
 	switch {
-	case res.Answer != nil && res.Answer.Rest != nil:
-		rest := res.Answer.Rest
-		res.Answer.Rest = func(w io.Writer) error { defer c.Close(); return rest(w) }
-		res.Answer.Close = func() { c.Close() }
-	case c.fit():
-		if q.Patient {
+	case res.Response != nil && res.Response.CopyRest != nil:
+		rest := res.Response.CopyRest
+		res.Response.CopyRest = func(w io.Writer) error { defer c.Close(); return rest(w) }
+		res.Response.Close = func() { c.Close() }
+	case c.reusable():
+		if q.WaitForDeadline {
 			c.SetKeepAlive(true)
 		}
-		p.put(id, c)
+		p.putIdle(id, c)
 	default:
 		c.Close()
 	}
 	return res
 }
 
-// exchange sends the request and reads until its answer is there. What was handed to the kernel may have run, whether
+// roundTrip sends the request and reads until its answer is there. What was handed to the kernel may have run, whether
 // it had left by then or not.
-func (c *conn) exchange(q *Request) Result {
-	c.unfit = true
-	c.ids[c.used%idsKept] = q.Attempt
-	c.used++
-	head := q.head()
-	if len(q.Body) <= writeApart {
+func (c *conn) roundTrip(q *Request) Outcome {
+	c.unusable = true
+	c.recentAttempts[c.requests%recentAttemptsKept] = q.AttemptID
+	c.requests++
+	head := q.encodeHead()
+	if len(q.Body) <= concurrentWriteBytes {
 		if n, err := c.Write(append(head, q.Body...)); err != nil {
-			return unwritten(n, err)
+			return writeFailed(n, err)
 		}
-		return c.answer(q)
+		return c.readResponse(q)
 	}
 	type end struct {
 		n   int
@@ -337,76 +339,76 @@
 		}
 		written <- end{n, err}
 	}()
-	res := c.answer(q)
+	res := c.readResponse(q)
 	c.SetWriteDeadline(time.Unix(1, 0)) // who has answered need not read on
 	w := <-written
 	if w.err != nil {
-		c.unfit = true
-		if res.Verdict == retry.MayHaveRun && w.n == 0 {
-			return unwritten(w.n, w.err)
+		c.unusable = true
+		if res.Execution == retry.MayHaveExecuted && w.n == 0 {
+			return writeFailed(w.n, w.err)
 		}
 	}
 	return res
 }
 
-func unwritten(n int, err error) Result {
-	res := failed(err, "write")
+func writeFailed(n int, err error) Outcome {
+	res := connectionFailed(err, "write")
 	if n == 0 {
-		res.Verdict, res.Unsent = retry.NotRun, true
+		res.Execution, res.NotSent = retry.NotExecuted, true
 	}
 	return res
 }
 
-// answer reads until an answer to this request has come.
-func (c *conn) answer(q *Request) Result {
+// readResponse reads until an answer to this request has come.
+func (c *conn) readResponse(q *Request) Outcome {
 	for skipped := 0; ; skipped++ {
-		res, skip := c.read(q)
-		res.Skipped = skipped
+		res, skip := c.readNext(q)
+		res.SkippedResponses = skipped
 		if !skip {
 			return res
 		}
-		c.taint = true
-		if skipped >= skipMost {
-			return Result{Verdict: retry.MayHaveRun, Cause: "surplus", Skipped: skipped}
+		c.tainted = true
+		if skipped >= maxSkippedResponses {
+			return Outcome{Execution: retry.MayHaveExecuted, Cause: "surplus", SkippedResponses: skipped}
 		}
 	}
 }
 
-func failed(err error, cause string) Result {
+func connectionFailed(err error, cause string) Outcome {
 	expired := errors.Is(err, os.ErrDeadlineExceeded)
 	if expired {
 		cause = "deadline"
 	}
-	return Result{Verdict: retry.MayHaveRun, Cause: cause, Expired: expired}
+	return Outcome{Execution: retry.MayHaveExecuted, Cause: cause, DeadlineExceeded: expired}
 }
 
-func spoilt() Result { return Result{Verdict: retry.MayHaveRun, Cause: "spoilt"} }
+func badResponse() Outcome { return Outcome{Execution: retry.MayHaveExecuted, Cause: "spoilt"} }
 
-var errHead = errors.New("a head that can be read in two ways, or has no end")
+var errAmbiguousHead = errors.New("a head that can be read in two ways, or has no end")
 
-// head waits for the whole head of the next answer and checks what http.ReadResponse would mend in silence.
-func (c *conn) head() error {
+// awaitHead waits for the whole head of the next answer and checks what http.ReadResponse would mend in silence.
+func (c *conn) awaitHead() error {
 	for seen := 0; ; {
-		b, _ := c.br.Peek(c.br.Buffered())
-		if end := headEnd(b, max(seen-3, 0)); end >= 0 {
-			if !plain(b[:end]) {
-				return errHead
+		b, _ := c.reader.Peek(c.reader.Buffered())
+		if end := endOfHead(b, max(seen-3, 0)); end >= 0 {
+			if !isUnambiguous(b[:end]) {
+				return errAmbiguousHead
 			}
 			return nil
 		}
-		if seen = len(b); seen >= headMost {
-			return errHead
+		if seen = len(b); seen >= maxHeadBytes {
+			return errAmbiguousHead
 		}
-		if seen == c.br.Size() {
-			c.br = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(bytes.Clone(b)), c.Conn), headMost)
+		if seen == c.reader.Size() {
+			c.reader = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(bytes.Clone(b)), c.Conn), maxHeadBytes)
 		}
-		if _, err := c.br.Peek(seen + 1); err != nil {
+		if _, err := c.reader.Peek(seen + 1); err != nil {
 			return err
 		}
 	}
 }
 
-func headEnd(b []byte, from int) int {
+func endOfHead(b []byte, from int) int {
 	for i := from; ; {
 		j := bytes.IndexByte(b[i:], '\n')
 		if j < 0 {
@@ -425,8 +427,8 @@
 // statusLine is what an answer begins with. Within a head it is the beginning of ours behind a piece of a surplus one.
 var statusLine = regexp.MustCompile(`HTTP/1\.[01] [0-9]{3}`)
 
-// plain tells whether a head can be read in one way only.
-func plain(b []byte) bool {
+// isUnambiguous tells whether a head can be read in one way only.
+func isUnambiguous(b []byte) bool {
 	if i := bytes.Index(b[1:], []byte("HTTP/1.")); i >= 0 && statusLine.Match(b[1+i:]) {
 		return false
 	}
@@ -448,26 +450,26 @@
 	return lengths+chunks <= 1
 }
 
-// read takes the next answer. It tells to skip one that belongs to another request.
-func (c *conn) read(q *Request) (res Result, skip bool) {
+// readNext takes the next answer. It tells to skip one that belongs to another request.
+func (c *conn) readNext(q *Request) (res Outcome, skip bool) {
 	var resp *http.Response
 	for interim := 0; ; interim++ {
-		err := c.head()
+		err := c.awaitHead()
 		if err == nil {
-			resp, err = http.ReadResponse(c.br, &http.Request{Method: q.Method})
+			resp, err = http.ReadResponse(c.reader, &http.Request{Method: q.Method})
 		}
 		var ne net.Error
 		switch {
 		case err == nil:
 		case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
-			return failed(err, "closed"), false
+			return connectionFailed(err, "closed"), false
 		case errors.As(err, &ne):
-			return failed(err, "broken"), false
+			return connectionFailed(err, "broken"), false
 		default:
-			return failed(err, "not_http"), false
+			return connectionFailed(err, "not_http"), false
 		}
-		if resp.StatusCode < 100 || resp.StatusCode > 599 || resp.StatusCode == http.StatusSwitchingProtocols || interim >= interimMost {
-			return spoilt(), false
+		if resp.StatusCode < 100 || resp.StatusCode > 599 || resp.StatusCode == http.StatusSwitchingProtocols || interim >= maxInterimResponses {
+			return badResponse(), false
 		}
 		if resp.StatusCode >= 200 {
 			break
@@ -476,99 +478,99 @@
 	h := resp.Header
 	ids := h["X-Attempt-Id"]
 	if len(ids) > 1 {
-		return spoilt(), false
+		return badResponse(), false
 	}
 	id := h.Get("X-Attempt-Id")
 	delimited := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 || q.Method == http.MethodHead ||
 		resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified
-	if id != "" && id != q.Attempt {
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, skipBytes))
-		if err != nil || n >= skipBytes || !delimited || resp.Close || q.Method == http.MethodHead {
-			return failed(err, "surplus"), false // where the next answer begins isn't known
+	if id != "" && id != q.AttemptID {
+		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBytes))
+		if err != nil || n >= maxSkippedBytes || !delimited || resp.Close || q.Method == http.MethodHead {
+			return connectionFailed(err, "surplus"), false // where the next answer begins isn't known
 		}
-		return Result{}, true
+		return Outcome{}, true
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, heldMost+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBody+1))
 	if err != nil {
-		return failed(err, "cut"), false
+		return connectionFailed(err, "cut"), false
 	}
-	a := &Answer{Status: resp.StatusCode, Header: h, Body: body, Length: resp.ContentLength}
-	whole := len(body) <= heldMost
-	if whole && a.Length < 0 {
-		a.Length = int64(len(body))
+	a := &Response{Status: resp.StatusCode, Header: h, Body: body, ContentLength: resp.ContentLength}
+	whole := len(body) <= maxBufferedBody
+	if whole && a.ContentLength < 0 {
+		a.ContentLength = int64(len(body))
 	}
-	if res = c.judge(q, a, id, delimited); res.Answer == nil {
+	if res = c.classify(q, a, id, delimited); res.Response == nil {
 		return res, false
 	}
 	if !whole {
-		a.Rest = func(w io.Writer) error {
+		a.CopyRest = func(w io.Writer) error {
 			_, err := io.Copy(w, resp.Body)
 			return err
 		}
 		return res, false
 	}
-	c.unfit = resp.Close || !delimited || q.alone()
-	if s, ok := keepAlive(h); ok {
-		c.idleMost = max(s*7/10, s-time.Second)
+	c.unusable = resp.Close || !delimited || q.needsOwnConn()
+	if s, ok := keepAliveTimeout(h); ok {
+		c.maxIdle = max(s*7/10, s-time.Second)
 		if s <= time.Second {
-			c.idleMost = s / 2
+			c.maxIdle = s / 2
 		}
 	}
 	return res, false
 }
 
-// judge is the one verdict on an answer that names this request, or nobody.
+// classify is the one verdict on an answer that names this request, or nobody.
 //
 // It has not run where the answer says so, has a status of refusal and names this request; to one without an identity
 // nobody can, and it has a connection of its own. A success needs its seal. 408, 429 and 503 would be a promise to the client which the replica has
 // not given.
-func (c *conn) judge(q *Request, a *Answer, id string, delimited bool) Result {
+func (c *conn) classify(q *Request, a *Response, id string, delimited bool) Outcome {
 	refused := a.Header.Get("X-Not-Executed") != "" || a.Status == http.StatusMisdirectedRequest
 	switch {
-	case refused && a.Status >= 400 && (id != "" || q.Attempt == "" && !c.taint):
-		return Result{Verdict: retry.NotRun, Answer: a, Cause: "refused_" + strconv.Itoa(a.Status), Full: true}
+	case refused && a.Status >= 400 && (id != "" || q.AttemptID == "" && !c.tainted):
+		return Outcome{Execution: retry.NotExecuted, Response: a, Cause: "refused_" + strconv.Itoa(a.Status), Rejected: true}
 	case refused && id == "":
-		return Result{Verdict: retry.MayHaveRun, Cause: "nameless"}
+		return Outcome{Execution: retry.MayHaveExecuted, Cause: "nameless"}
 	case refused, id == "", !delimited, a.Header.Get("Content-Encoding") != "", a.Status/100 == 2 && a.Header.Get("X-Response-Seal") == "":
-		return spoilt()
+		return badResponse()
 	case a.Status == http.StatusRequestTimeout, a.Status == http.StatusTooManyRequests, a.Status == http.StatusServiceUnavailable:
-		return Result{Verdict: retry.MayHaveRun, Cause: "unproven"}
+		return Outcome{Execution: retry.MayHaveExecuted, Cause: "unproven"}
 	}
-	return Result{Verdict: retry.Answered, Answer: a}
+	return Outcome{Execution: retry.Answered, Response: a}
 }
 
-// keepAlive reads the timeout of a Keep-Alive header.
-func keepAlive(h http.Header) (time.Duration, bool) {
+// keepAliveTimeout reads the timeout of a Keep-Alive header.
+func keepAliveTimeout(h http.Header) (time.Duration, bool) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		k, v, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if strings.EqualFold(k, "timeout") {
 			if n, err := strconv.Atoi(strings.TrimSpace(v)); err == nil && n >= 0 {
-				return time.Duration(min(n, keepMost)) * time.Second, true
+				return time.Duration(min(n, maxKeepAliveSeconds)) * time.Second, true
 			}
 		}
 	}
 	return 0, false
 }
 
-// perConnection are the headers that concern one connection only.
-var perConnection = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
+// hopByHop are the headers that concern one connection only.
+var hopByHop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true}
 
-// endToEnd are those that a Connection header may not take: they are meant for the other end (RFC 9110, 7.6.1).
-var endToEnd = map[string]bool{"X-Attempt-Id": true, "X-Response-Seal": true, "Content-Type": true, "Retry-After": true}
+// protectedHeaders are those that a Connection header may not take: they are meant for the other end (RFC 9110, 7.6.1).
+var protectedHeaders = map[string]bool{"X-Attempt-Id": true, "X-Response-Seal": true, "Content-Type": true, "Retry-After": true}
 
-// EndToEnd returns the headers that are passed on: without those that concern one connection, by name or as the
+// EndToEndHeaders returns the headers that are passed on: without those that concern one connection, by name or as the
 // Connection header lists them.
-func EndToEnd(h http.Header) http.Header {
+func EndToEndHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for k, v := range h {
-		if !perConnection[k] {
+		if !hopByHop[k] {
 			out[k] = v
 		}
 	}
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
-			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); !endToEnd[name] {
+			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); !protectedHeaders[name] {
 				delete(out, name)
 			}
 		}
@@ -576,12 +578,12 @@
 	return out
 }
 
-func (q *Request) head() []byte {
+func (q *Request) encodeHead() []byte {
 	var b bytes.Buffer
-	b.Grow(1024 + min(len(q.Body), writeApart))
+	b.Grow(1024 + min(len(q.Body), concurrentWriteBytes))
 	b.WriteString(q.Method + " " + q.URI + " HTTP/1.1\r\nHost: " + q.Host + "\r\n")
 	left := max(time.Until(q.Deadline).Milliseconds(), 1)
-	b.WriteString("X-Deadline-Ms: " + strconv.FormatInt(left, 10) + "\r\nX-Target-Instance: " + q.Instance + "\r\n")
+	b.WriteString("X-Deadline-Ms: " + strconv.FormatInt(left, 10) + "\r\nX-Target-Instance: " + q.InstanceID + "\r\n")
 	if len(q.Body) > 0 || q.Method == http.MethodPost || q.Method == http.MethodPut || q.Method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(q.Body)) + "\r\n")
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -14,22 +14,22 @@
 
 func request(id string, most time.Duration) *Request {
 	return &Request{Method: "POST", URI: "/x?y=1", Host: "h.example", Header: http.Header{"X-Attempt-Id": {id}, "Accept": {"*/*"}},
-		Body: []byte("body"), Attempt: id, Instance: "i1", Deadline: time.Now().Add(most)}
+		Body: []byte("body"), AttemptID: id, InstanceID: "i1", Deadline: time.Now().Add(most)}
 }
 
-func TestVerdicts(t *testing.T) {
+func TestExecutionOutcomes(t *testing.T) {
 	Convey("Given a replica", t, func() {
 		r, err := upstream.Start("i1")
 		So(err, ShouldBeNil)
 		defer r.Close()
 		p := NewPool()
-		do := func(id string) Result { return p.Do("i1", r.Addr(), request(id, 2*time.Second)) }
+		do := func(id string) Outcome { return p.Do("i1", r.Addr(), request(id, 2*time.Second)) }
 
 		Convey("a whole answer is passed on, and the connection used again", func() {
 			for _, id := range []string{"1", "2", "3"} {
 				res := do(id)
-				So(res.Verdict, ShouldEqual, retry.Answered)
-				So(string(res.Answer.Body), ShouldEqual, "body of "+id+" from i1\n")
+				So(res.Execution, ShouldEqual, retry.Answered)
+				So(string(res.Response.Body), ShouldEqual, "body of "+id+" from i1\n")
 			}
 			So(r.ConnectionCount(), ShouldEqual, 1)
 			q := r.Requests()[0]
@@ -41,33 +41,33 @@
 		Convey("what bad replicas send gets the verdict that is safe", func() {
 			for _, x := range []struct {
 				b upstream.Behaviour
-				v retry.Verdict
+				v retry.Execution
 			}{
-				{upstream.RejectsNotExecuted, retry.NotRun}, {upstream.Misdirected, retry.NotRun},
-				{upstream.TruncatesResponse, retry.MayHaveRun}, {upstream.SendsGarbage, retry.MayHaveRun}, {upstream.OmitsSeal, retry.MayHaveRun},
-				{upstream.ClaimsEncoding, retry.MayHaveRun}, {upstream.ClosesWithoutResponse, retry.MayHaveRun}, {upstream.OmitsAttemptID, retry.MayHaveRun},
+				{upstream.RejectsNotExecuted, retry.NotExecuted}, {upstream.Misdirected, retry.NotExecuted},
+				{upstream.TruncatesResponse, retry.MayHaveExecuted}, {upstream.SendsGarbage, retry.MayHaveExecuted}, {upstream.OmitsSeal, retry.MayHaveExecuted},
+				{upstream.ClaimsEncoding, retry.MayHaveExecuted}, {upstream.ClosesWithoutResponse, retry.MayHaveExecuted}, {upstream.OmitsAttemptID, retry.MayHaveExecuted},
 				{upstream.RespondsInternalError, retry.Answered}, {upstream.SendsStaleResponseFirst, retry.Answered}, {upstream.SendsExtraResponse, retry.Answered},
 			} {
 				r.SetBehaviours(x.b)
 				res := do(string(x.b))
-				So(string(x.b)+" "+res.Verdict.String(), ShouldEqual, string(x.b)+" "+x.v.String())
-				if x.v == retry.Answered && res.Answer.Status == 200 {
-					So(string(res.Answer.Body), ShouldEqual, "body of "+string(x.b)+" from i1\n")
+				So(string(x.b)+" "+res.Execution.String(), ShouldEqual, string(x.b)+" "+x.v.String())
+				if x.v == retry.Answered && res.Response.Status == 200 {
+					So(string(res.Response.Body), ShouldEqual, "body of "+string(x.b)+" from i1\n")
 				}
 				// Guards answers that belong to another request: whatever was left over must not meet the next one.
 				next := do("after-" + string(x.b))
-				So(next.Verdict, ShouldEqual, retry.Answered)
-				So(string(next.Answer.Body), ShouldEqual, "body of after-"+string(x.b)+" from i1\n")
+				So(next.Execution, ShouldEqual, retry.Answered)
+				So(string(next.Response.Body), ShouldEqual, "body of after-"+string(x.b)+" from i1\n")
 				// Guards hidden repeats: each attempt has run at most once.
 				So(r.Executions()[string(x.b)], ShouldBeLessThanOrEqualTo, 1)
 			}
 		})
 		Convey("a connection that the replica closed while it lay idle is not used", func() {
 			r.SetBehaviours(upstream.ClosesAfterResponse)
-			So(do("1").Verdict, ShouldEqual, retry.Answered)
-			for p.mustBeQuiet("i1") { // until its end has arrived
+			So(do("1").Execution, ShouldEqual, retry.Answered)
+			for p.newestIdleIsQuiet("i1") { // until its end has arrived
 			}
-			So(do("2").Verdict, ShouldEqual, retry.Answered)
+			So(do("2").Execution, ShouldEqual, retry.Answered)
 			So(r.ConnectionCount(), ShouldEqual, 2)
 		})
 		// Guards replicas that forget idle connections sooner than they tell: what is sent next is a doubt.
@@ -77,49 +77,49 @@
 				q.Service = "svc"
 				return q
 			}
-			So(p.Do("i1", r.Addr(), q("1")).Verdict, ShouldEqual, retry.Answered)
+			So(p.Do("i1", r.Addr(), q("1")).Execution, ShouldEqual, retry.Answered)
 			p.idle["i1"][0].idleSince = time.Now().Add(-time.Second)
 			r.SetBehaviours(upstream.ClosesWithoutResponse)
-			So(p.Do("i1", r.Addr(), q("2")).Verdict, ShouldEqual, retry.MayHaveRun)
-			So(p.restMost("svc", time.Now()), ShouldBeBetween, 400*time.Millisecond, 600*time.Millisecond)
-			So(p.restMost("other", time.Now()), ShouldEqual, idleMost)
-			So(p.restMost("svc", time.Now().Add(time.Minute)), ShouldEqual, idleMost)
+			So(p.Do("i1", r.Addr(), q("2")).Execution, ShouldEqual, retry.MayHaveExecuted)
+			So(p.maxIdle("svc", time.Now()), ShouldBeBetween, 400*time.Millisecond, 600*time.Millisecond)
+			So(p.maxIdle("other", time.Now()), ShouldEqual, maxIdleTime)
+			So(p.maxIdle("svc", time.Now().Add(time.Minute)), ShouldEqual, maxIdleTime)
 		})
 		Convey("silence ends at the deadline, as a doubt", func() {
 			r.SetBehaviours(upstream.NeverResponds)
 			res := p.Do("i1", r.Addr(), request("1", 50*time.Millisecond))
-			So(res.Verdict, ShouldEqual, retry.MayHaveRun)
-			So(res.Expired, ShouldBeTrue)
+			So(res.Execution, ShouldEqual, retry.MayHaveExecuted)
+			So(res.DeadlineExceeded, ShouldBeTrue)
 		})
 		Convey("a try whose client left ends at once", func() {
 			r.SetBehaviours(upstream.NeverResponds)
 			ctx, cancel := context.WithCancel(context.Background())
 			q := request("1", time.Minute)
-			q.Stop = ctx
+			q.Cancel = ctx
 			go func() {
 				for len(r.Requests()) == 0 { // until it has arrived: before that it has not run
 				}
 				cancel()
 			}()
-			So(p.Do("i1", r.Addr(), q).Verdict, ShouldEqual, retry.MayHaveRun)
+			So(p.Do("i1", r.Addr(), q).Execution, ShouldEqual, retry.MayHaveExecuted)
 		})
 		Convey("one that cannot be called has not run it", func() {
 			r.Close()
 			res := do("1")
-			So(res.Verdict, ShouldEqual, retry.NotRun)
-			So(res.Unsent, ShouldBeTrue)
+			So(res.Execution, ShouldEqual, retry.NotExecuted)
+			So(res.NotSent, ShouldBeTrue)
 		})
 	})
 	Convey("Headers that concern one connection stay there", t, func() {
-		h := EndToEnd(http.Header{"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=5"}, "Te": {"x"}, "X-Attempt-Id": {"1"}, "X-Response-Seal": {"s"}})
+		h := EndToEndHeaders(http.Header{"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=5"}, "Te": {"x"}, "X-Attempt-Id": {"1"}, "X-Response-Seal": {"s"}})
 		So(h, ShouldResemble, http.Header{"X-Attempt-Id": {"1"}, "X-Response-Seal": {"s"}})
 	})
 }
 
-// mustBeQuiet tells whether the newest idle connection still looks usable.
-func (p *Pool) mustBeQuiet(id string) bool {
+// newestIdleIsQuiet tells whether the newest idle connection still looks usable.
+func (p *Pool) newestIdleIsQuiet(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[id]
-	return len(list) > 0 && list[len(list)-1].quiet()
+	return len(list) > 0 && list[len(list)-1].isQuiet()
 }
--- a/internal/scalerun/hollow.go
+++ b/internal/scalerun/hollow.go
@@ -161,7 +161,7 @@
 	Received, Sent *TrafficCounts
 
 	instances *sharedInstances
-	router    *router.Forager // knows the combs, and chooses among them
+	router    *router.Router // knows the combs, and chooses among them
 
 	mu              sync.Mutex
 	member          string // it holds to; empty: none
@@ -253,7 +253,7 @@
 			go f.report(send, done)
 		}
 		near, home := false, false
-		for _, m := range f.router.Combs() {
+		for _, m := range f.router.Members() {
 			if m.Zone == f.Zone {
 				near, home = true, home || m.Addr == addr
 			}
@@ -323,7 +323,7 @@
 		if err := cbor.Unmarshal(s.Members, &combs); err != nil {
 			return nil, err
 		}
-		f.router.Take(0, &messages.StateUpdate{Members: combs})
+		f.router.Apply(0, &messages.StateUpdate{Members: combs})
 	}
 	return s, nil
 }
--- a/internal/simulation/edge.go
+++ b/internal/simulation/edge.go
@@ -30,7 +30,7 @@
 type gatewayNode struct {
 	process
 	index          int
-	router         *router.Forager
+	router         *router.Router
 	member         *member // whose stream it holds; nil: none
 	stream         uint64
 	hasSnapshot    bool
@@ -46,7 +46,7 @@
 func (c *cluster) startGateway(g *gatewayNode) {
 	c.startProcess(&g.process)
 	g.router = router.New(router.Settings{Zone: c.zoneName(g.index), Zones: c.zoneCount(), RetryRatio: 0.2, RetrySlack: 60,
-		ColdTimes: warmupBurstFactor, ColdSlack: warmupSlack, Seed: c.random.Uint64()})
+		WarmupOverage: warmupBurstFactor, WarmupSlack: warmupSlack, Seed: c.random.Uint64()})
 	g.member, g.stream, g.version, g.sequence, g.nextCandidate, g.seedAddresses = nil, 0, 0, 0, 0, c.seedAddresses(false)
 	incarnation := g.incarnation
 	var follow, send func()
@@ -129,7 +129,7 @@
 	}
 	m := g.member
 	g.member = nil
-	g.router.Left(c.monotonicTime(&g.process))
+	g.router.StreamEnded(c.monotonicTime(&g.process))
 	c.send(&g.process, &m.process, 0, 0, func() { c.endStream(m, n) })
 	incarnation := m.incarnation
 	c.after(4*time.Second, func() { // at the latest, nothing is read there any more
@@ -172,7 +172,7 @@
 		if g.member == m && !g.hasSnapshot && state.Full {
 			g.hasSnapshot = true
 			g.nextCandidate = 0
-			c.sendReport(m, g, n, g.router.First(c.monotonicTime(&g.process)))
+			c.sendReport(m, g, n, g.router.InitialReport(c.monotonicTime(&g.process)))
 			c.scheduleReports(m, g, n)
 		}
 	})
@@ -202,15 +202,15 @@
 	if c.schedule.Fault == AcceptStaleState && state.Sequence > 0 && state.Sequence < g.sequence {
 		g.router = router.New(router.Settings{Zone: c.zoneName(g.index), Zones: c.zoneCount(), Seed: 1})
 	}
-	t := g.router.Take(c.monotonicTime(&g.process), state)
+	t := g.router.Apply(c.monotonicTime(&g.process), state)
 	if c.history != nil {
-		c.history.add(entryUpdate, c.now, historyGateways+g.index, c.monotonicTime(&g.process), state, t.Ended, t.Table, t.Late, g.router.Seq())
+		c.history.add(entryUpdate, c.now, historyGateways+g.index, c.monotonicTime(&g.process), state, t.RemovedEndpoints, t.FullTable, t.Late, g.router.Sequence())
 	}
 	if t.Late {
 		c.streamLost(g, g.stream)
 		return
 	}
-	if seq := g.router.Seq(); seq < g.sequence {
+	if seq := g.router.Sequence(); seq < g.sequence {
 		c.violationf("%s went back from register %d to %d within a life", g.name, g.sequence, seq)
 	} else {
 		g.sequence = seq
@@ -246,44 +246,44 @@
 	now := c.monotonicTime(&g.process)
 	c.checkGatewaySettled(g)
 	c.checkWarmupQuotas()
-	if !g.router.Serves() && c.random.IntN(4) > 0 || g.router.Refuses(now) { // few come still
+	if !g.router.IsServing() && c.random.IntN(4) > 0 || g.router.RejectsRequests(now) { // few come still
 		return
 	}
-	g.router.Arrived(serviceName)
-	pick := g.router.Pick(now, router.Ask{Service: serviceName, Request: admission.Request{Route: "r", Target: time.Second, Left: 3 * time.Second}})
+	g.router.StartRequest(serviceName)
+	pick := g.router.Pick(now, router.PickRequest{Service: serviceName, Admission: admission.Request{Route: "r", LatencyTarget: time.Second, TimeLeft: 3 * time.Second}})
 	if c.history != nil {
 		c.history.add(entryPick, c.now, historyGateways+g.index, now, pick)
 	}
 	c.checkConfigCurrent(g)
-	if pick.ID == "" {
-		g.router.Done(now, true, false)
+	if pick.EndpointID == "" {
+		g.router.EndRequest(now, true, false)
 		return
 	}
 	c.result.Requests++
 	starts := max(c.now, g.idleAt) // a forager takes one request after the other
 	g.idleAt = starts + forwardingTime
 	c.result.RequestLatencies[c.openWindowIndex()] = append(c.result.RequestLatencies[c.openWindowIndex()], starts-c.now+forwardingTime+serviceTime)
-	i := slices.IndexFunc(c.replicas, func(target *replica) bool { return target.id == pick.ID })
+	i := slices.IndexFunc(c.replicas, func(target *replica) bool { return target.id == pick.EndpointID })
 	if i < 0 {
-		c.violationf("%s sends to %s, which never was", g.name, pick.ID)
+		c.violationf("%s sends to %s, which never was", g.name, pick.EndpointID)
 		return
 	}
 	target, incarnation := c.replicas[i], g.incarnation
 	c.checkReplicaRequest(g, target)
-	end := router.End{N: pick.N, Outcome: loadbalancer.Good, Took: serviceTime, Load: [3]int{replicaSlots, 1, replicaSlots}}
+	end := router.AttemptResult{AttemptID: pick.AttemptID, Result: loadbalancer.Success, Latency: serviceTime, Load: [3]int{replicaSlots, 1, replicaSlots}}
 	took := serviceTime
 	if !target.alive {
-		end, took = router.End{N: pick.N, Outcome: loadbalancer.Uncalled, Refused: true}, time.Millisecond
+		end, took = router.AttemptResult{AttemptID: pick.AttemptID, Result: loadbalancer.ConnectFailed, ConnectionRefused: true}, time.Millisecond
 	}
 	c.after(took, func() {
 		c.runOn(&g.process, incarnation, func() {
-			g.router.Done(c.monotonicTime(&g.process), true, false)
-			out := g.router.End(c.monotonicTime(&g.process), end)
+			g.router.EndRequest(c.monotonicTime(&g.process), true, false)
+			out := g.router.EndAttempt(c.monotonicTime(&g.process), end)
 			if c.history != nil {
 				c.history.add(entryAttempt, c.now, historyGateways+g.index, end, out)
 			}
-			if out.Fell != nil && g.member != nil {
-				c.sendReport(g.member, g, g.stream, &messages.LoadReport{Observations: []outlier.Word{*out.Fell}})
+			if out.Observation != nil && g.member != nil {
+				c.sendReport(g.member, g, g.stream, &messages.LoadReport{Observations: []outlier.Observation{*out.Observation}})
 			}
 		})
 	})
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -190,7 +190,7 @@
 		}
 	}
 	for _, b := range w.gateways {
-		h.add(entryFinalState, w.now, historyGateways+b.index, b.up, b.incarnation, b.version, b.sequence, b.router.Seq(), b.router.Serves())
+		h.add(entryFinalState, w.now, historyGateways+b.index, b.up, b.incarnation, b.version, b.sequence, b.router.Sequence(), b.router.IsServing())
 	}
 	for i, r := range w.replicas {
 		h.add(entryFinalState, w.now, historyReplicas+i, r.heartbeatSequence, r.alive, r.draining, r.warmupUntil, r.drainAcknowledgedAt)
--- a/internal/simulation/rights.go
+++ b/internal/simulation/rights.go
@@ -14,7 +14,7 @@
 		sum, held := 0.0, 0
 		for _, g := range c.gateways {
 			if g.up && !g.frozen {
-				if right := g.router.Right(c.monotonicTime(&g.process), r.id); right > 0 {
+				if right := g.router.WarmupRate(c.monotonicTime(&g.process), r.id); right > 0 {
 					sum += right
 					held++
 				}
--- a/internal/simulation/windows.go
+++ b/internal/simulation/windows.go
@@ -128,7 +128,7 @@
 		return
 	}
 	window, has := c.windowState.Instructions()[g.name]
-	if !has && !g.router.Serves() {
+	if !has && !g.router.IsServing() {
 		c.violationf("%s does not serve, though it has no window any more", g.name)
 	}
 	if has && (window.Phase == maintenance.Draining || window.Phase == maintenance.Returning) {
--- a/internal/standin/hostile/clients.go
+++ b/internal/standin/hostile/clients.go
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// Told is what a client heard of a request. Status 0: nothing, the connection ended or the client left.
-type Told struct {
-	ID     string
-	Safe   bool
-	Bad    bool // not to be taken for a request at all
-	Status int
-	Wrong  string // what was wrong with the answer; empty: nothing
+// ClientResult is what a client heard of a request. Status 0: nothing, the connection ended or the client left.
+type ClientResult struct {
+	ID        string
+	Safe      bool
+	Invalid   bool // not to be taken for a request at all
+	Status    int
+	Violation string // what was wrong with the answer; empty: nothing
 }
 
 // Client sends requests to a front, well and badly, by its seed.
 type Client struct {
-	Addr string
-	Host string
-	Name string
-	rng  *rand.Rand
-	n    int
+	Addr     string
+	Host     string
+	Name     string
+	rng      *rand.Rand
+	requests int
 }
 
 // NewClient makes one whose acts follow from the seed.
@@ -34,16 +34,16 @@
 	return &Client{Addr: addr, Host: host, Name: name, rng: rand.New(rand.NewPCG(seed, 9))}
 }
 
-type request struct {
+type clientRequest struct {
 	id, method, uri string
 	body            []byte
 	safe            bool
-	text            string // on the wire
+	wire            string // on the wire
 }
 
-func (c *Client) request() *request {
-	c.n++
-	q := &request{id: fmt.Sprintf("%s-%d", c.Name, c.n), method: http.MethodPost, safe: c.rng.IntN(2) == 0}
+func (c *Client) validRequest() *clientRequest {
+	c.requests++
+	q := &clientRequest{id: fmt.Sprintf("%s-%d", c.Name, c.requests), method: http.MethodPost, safe: c.rng.IntN(2) == 0}
 	q.uri = "/u/" + q.id
 	if q.safe {
 		q.uri = "/s/" + q.id
@@ -54,7 +54,7 @@
 	}
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\nX-Attempt-Id: %s\r\nX-Deadline-Ms: %d\r\n", q.method, q.uri, c.Host, q.id, 150+c.rng.IntN(300))
 	if q.method != http.MethodPost {
-		q.text = head + "\r\n"
+		q.wire = head + "\r\n"
 		return q
 	}
 	n := c.rng.IntN(300)
@@ -66,7 +66,7 @@
 		q.body[i] = byte('a' + i%26)
 	}
 	if c.rng.IntN(2) == 0 {
-		q.text = head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", n, q.body)
+		q.wire = head + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", n, q.body)
 		return q
 	}
 	var b strings.Builder
@@ -77,18 +77,18 @@
 		rest = rest[m:]
 	}
 	b.WriteString("0\r\n\r\n")
-	q.text = b.String()
+	q.wire = b.String()
 	return q
 }
 
-// bad is a request that must reach no replica, with one in tow that is hidden in or behind it.
-func (c *Client) bad() *request {
-	c.n++
-	q := &request{id: fmt.Sprintf("bad-%s-%d", c.Name, c.n)}
+// invalidRequest is a request that must reach no replica, with one in tow that is hidden in or behind it.
+func (c *Client) invalidRequest() *clientRequest {
+	c.requests++
+	q := &clientRequest{id: fmt.Sprintf("bad-%s-%d", c.Name, c.requests)}
 	head := fmt.Sprintf("POST /u/%s HTTP/1.1\r\nHost: %s\r\nX-Attempt-Id: %s\r\n", q.id, c.Host, q.id)
 	hidden := fmt.Sprintf("GET /s/%s HTTP/1.1\r\nHost: %s\r\nX-Attempt-Id: %s\r\n\r\n", q.id, c.Host, q.id)
 	old := strings.Replace(head, "HTTP/1.1", "HTTP/1.0", 1)
-	q.text = []string{
+	q.wire = []string{
 		head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
 		head + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden,
 		head + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n" + hidden,
@@ -121,8 +121,8 @@
 	return q
 }
 
-// Round opens one connection and uses it in one of many ways. It returns what was heard of each request.
-func (c *Client) Round() (all []Told) {
+// RunConnection opens one connection and uses it in one of many ways. It returns what was heard of each request.
+func (c *Client) RunConnection() (all []ClientResult) {
 	conn, err := net.Dial("tcp", c.Addr)
 	if err != nil {
 		return nil
@@ -133,9 +133,9 @@
 	switch c.rng.IntN(12) {
 	default: // one after the other
 		for range 1 + c.rng.IntN(20) {
-			q := c.request()
-			io.WriteString(conn, q.text)
-			t, more := hear(br, q)
+			q := c.validRequest()
+			io.WriteString(conn, q.wire)
+			t, more := readResponse(br, q)
 			if all = append(all, t); !more {
 				return all
 			}
@@ -144,80 +144,80 @@
 			}
 		}
 	case 1: // pipelined
-		var sent []*request
+		var sent []*clientRequest
 		for range 2 + c.rng.IntN(4) {
-			sent = append(sent, c.request())
+			sent = append(sent, c.validRequest())
 		}
 		go func() {
 			for _, q := range sent {
-				io.WriteString(conn, q.text)
+				io.WriteString(conn, q.wire)
 			}
 		}()
 		more := true
 		for _, q := range sent {
-			t := Told{ID: q.id, Safe: q.safe}
+			t := ClientResult{ID: q.id, Safe: q.safe}
 			if more {
-				t, more = hear(br, q)
+				t, more = readResponse(br, q)
 			}
 			all = append(all, t)
 		}
 	case 2: // leaves at a byte
-		q := c.request()
-		io.WriteString(conn, q.text[:c.rng.IntN(len(q.text)+1)])
+		q := c.validRequest()
+		io.WriteString(conn, q.wire[:c.rng.IntN(len(q.wire)+1)])
 		if c.rng.IntN(2) == 0 {
 			conn.(*net.TCPConn).SetLinger(0)
 		}
-		return append(all, Told{ID: q.id, Safe: q.safe})
+		return append(all, ClientResult{ID: q.id, Safe: q.safe})
 	case 3: // leaves while a try runs
-		q := c.request()
-		io.WriteString(conn, q.text)
+		q := c.validRequest()
+		io.WriteString(conn, q.wire)
 		conn.SetReadDeadline(time.Now().Add(time.Duration(c.rng.IntN(3000)) * time.Microsecond))
-		t, _ := hear(br, q)
+		t, _ := readResponse(br, q)
 		return append(all, t)
 	case 4: // by pieces
-		q := c.request()
-		for rest := q.text; len(rest) > 0; {
-			n := min(1+c.rng.IntN(max(len(q.text)/6, 8)), len(rest))
+		q := c.validRequest()
+		for rest := q.wire; len(rest) > 0; {
+			n := min(1+c.rng.IntN(max(len(q.wire)/6, 8)), len(rest))
 			io.WriteString(conn, rest[:n])
 			rest = rest[n:]
 			time.Sleep(time.Duration(c.rng.IntN(2000)) * time.Microsecond)
 		}
-		t, _ := hear(br, q)
+		t, _ := readResponse(br, q)
 		return append(all, t)
 	case 5, 6: // in two meanings, perhaps behind a good one
 		if c.rng.IntN(2) == 0 {
-			q := c.request()
-			io.WriteString(conn, q.text)
-			t, more := hear(br, q)
+			q := c.validRequest()
+			io.WriteString(conn, q.wire)
+			t, more := readResponse(br, q)
 			if all = append(all, t); !more {
 				return all
 			}
 		}
-		q := c.bad()
-		go io.WriteString(conn, q.text)
+		q := c.invalidRequest()
+		go io.WriteString(conn, q.wire)
 		for i := 0; i < 4; i++ {
-			t, more := hear(br, q)
-			t.Bad = true
-			if t.Wrong = ""; t.Status != 0 && t.Status/100 != 4 && t.Status != 505 && t.Status != 501 {
-				t.Wrong = fmt.Sprintf("%d for %q", t.Status, q.text[:min(len(q.text), 300)])
+			t, more := readResponse(br, q)
+			t.Invalid = true
+			if t.Violation = ""; t.Status != 0 && t.Status/100 != 4 && t.Status != 505 && t.Status != 501 {
+				t.Violation = fmt.Sprintf("%d for %q", t.Status, q.wire[:min(len(q.wire), 300)])
 			}
 			if all = append(all, t); !more || t.Status == 0 {
 				return all
 			}
 		}
 	case 7: // closes its half behind the request
-		q := c.request()
-		io.WriteString(conn, q.text)
+		q := c.validRequest()
+		io.WriteString(conn, q.wire)
 		conn.(*net.TCPConn).CloseWrite()
-		t, _ := hear(br, q)
+		t, _ := readResponse(br, q)
 		return append(all, t)
 	}
 	return all
 }
 
-// hear reads the answer to a request and matches it by content.
-func hear(br *bufio.Reader, q *request) (t Told, more bool) {
-	t = Told{ID: q.id, Safe: q.safe}
+// readResponse reads the answer to a request and matches it by content.
+func readResponse(br *bufio.Reader, q *clientRequest) (t ClientResult, more bool) {
+	t = ClientResult{ID: q.id, Safe: q.safe}
 	r, err := http.ReadResponse(br, &http.Request{Method: q.method})
 	if err != nil {
 		return t, false
@@ -230,15 +230,15 @@
 	id := r.Header.Get("X-Attempt-Id")
 	switch {
 	case id != "" && id != q.id:
-		t.Wrong = fmt.Sprintf("%s heard the answer to %s: %d %.80q", q.id, id, r.StatusCode, body)
+		t.Violation = fmt.Sprintf("%s heard the answer to %s: %d %.80q", q.id, id, r.StatusCode, body)
 	case r.StatusCode/100 == 2 && (id != q.id || r.Header.Get("X-Response-Seal") != "seal-"+q.id):
-		t.Wrong = fmt.Sprintf("%s heard a success without its seal: %v %.80q", q.id, r.Header, body)
-	case r.StatusCode == http.StatusOK && q.method != http.MethodHead && string(body) != Content(q.id, q.method, q.uri, q.body):
-		t.Wrong = fmt.Sprintf("%s heard another body: %.80q", q.id, body)
+		t.Violation = fmt.Sprintf("%s heard a success without its seal: %v %.80q", q.id, r.Header, body)
+	case r.StatusCode == http.StatusOK && q.method != http.MethodHead && string(body) != ResponseBody(q.id, q.method, q.uri, q.body):
+		t.Violation = fmt.Sprintf("%s heard another body: %.80q", q.id, body)
 	case r.StatusCode != http.StatusOK && len(body) > 0 && q.method != http.MethodHead && r.StatusCode < 400:
-		t.Wrong = fmt.Sprintf("%s heard a body with %d: %.80q", q.id, r.StatusCode, body)
+		t.Violation = fmt.Sprintf("%s heard a body with %d: %.80q", q.id, r.StatusCode, body)
 	case (r.StatusCode == http.StatusServiceUnavailable) && r.Header.Get("Retry-After") == "":
-		t.Wrong = q.id + " was refused without when to come back"
+		t.Violation = q.id + " was refused without when to come back"
 	}
 	return t, !r.Close
 }
--- a/messages/words.go
+++ b/messages/words.go
@@ -86,7 +86,7 @@
 	GatewayCount        int                 `cbor:"9,keyasint,omitempty"` // known over all combs
 	WarmupRates         []EndpointWeight    `cbor:"10,keyasint,omitempty"`
 	WarmupRatesComplete bool                `cbor:"11,keyasint,omitempty"` // Grants are all that hold
-	Ejections           []outlier.Out       `cbor:"13,keyasint,omitempty"`
+	Ejections           []outlier.Ejection  `cbor:"13,keyasint,omitempty"`
 	MaintenanceEnabled  bool                `cbor:"15,keyasint,omitempty"` // with Seq: windows are used, and Window says what holds here
 	Maintenance         MaintenanceWindow   `cbor:"16,keyasint,omitempty"`
 	PairEjections       []PairEjection      `cbor:"14,keyasint,omitempty"`
@@ -106,15 +106,15 @@
 
 // LoadReport is what a forager tells its comb, once per report period.
 type LoadReport struct {
-	PeriodMillis int64               `cbor:"1,keyasint"` // milliseconds
-	Endpoints    []EndpointStats     `cbor:"2,keyasint,omitempty"`
-	Requests     map[string]int      `cbor:"3,keyasint,omitempty"` // by service
-	Failed       map[string]int      `cbor:"4,keyasint,omitempty"`
-	Instances    []registry.Instance `cbor:"5,keyasint,omitempty"` // what it was told, to a comb that may not know
-	Sequence     uint64              `cbor:"6,keyasint,omitempty"`
-	Observations []outlier.Word      `cbor:"8,keyasint,omitempty"`
-	Deregistered []string            `cbor:"7,keyasint,omitempty"` // another replica answered at their addresses
-	Status       *GatewayStatus      `cbor:"9,keyasint,omitempty"`
+	PeriodMillis int64                 `cbor:"1,keyasint"` // milliseconds
+	Endpoints    []EndpointStats       `cbor:"2,keyasint,omitempty"`
+	Requests     map[string]int        `cbor:"3,keyasint,omitempty"` // by service
+	Failed       map[string]int        `cbor:"4,keyasint,omitempty"`
+	Instances    []registry.Instance   `cbor:"5,keyasint,omitempty"` // what it was told, to a comb that may not know
+	Sequence     uint64                `cbor:"6,keyasint,omitempty"`
+	Observations []outlier.Observation `cbor:"8,keyasint,omitempty"`
+	Deregistered []string              `cbor:"7,keyasint,omitempty"` // another replica answered at their addresses
+	Status       *GatewayStatus        `cbor:"9,keyasint,omitempty"`
 }
 
 // GatewaySummary tells other combs which foragers are with one.
