--- a/internal/compatibility/disk_test.go
+++ b/internal/compatibility/disk_test.go
@@ -17,6 +17,7 @@
 	"zincloft.example/zincloft/internal/maintenancefile"
 	"zincloft.example/zincloft/internal/statestore"
 	"zincloft.example/zincloft/internal/store"
+	"zincloft.example/zincloft/internal/testkit"
 	"zincloft.example/zincloft/recovery"
 )
 
@@ -56,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer testkit.Close(t, s)
 	for _, values := range stateWrites(t) {
 		if err := s.Put(values); err != nil {
 			t.Fatal(err)
@@ -98,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer testkit.Close(t, s)
 	if len(s.SetAside) > 0 {
 		t.Errorf("set aside: %v", s.SetAside)
 	}
@@ -167,7 +168,7 @@
 	if err != nil || damaged != nil {
 		t.Fatal(err, damaged)
 	}
-	defer s.Close()
+	defer testkit.Close(t, s)
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("opened %+v, want %+v", got, want)
 	}
@@ -180,7 +181,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer db.Close()
+	defer testkit.Close(t, db)
 	values := map[string]string{}
 	err = db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
