--- a/controlplane/membership/view.go
+++ b/controlplane/membership/view.go
@@ -43,18 +43,18 @@
 	ID      string `cbor:"1,keyasint"` // its disk's identity
 	Addr    string `cbor:"2,keyasint"` // where governors call it
 	Zone    string `cbor:"3,keyasint,omitempty"`
-	APIAddr string `cbor:"4,keyasint,omitempty"` // where replicas and operators call it
+	APIAddr string `cbor:"4,keyasint,omitempty" json:"Call"` // where replicas and operators call it
 }
 
 // View is one agreed state of the core. It is not changed once made.
 type View struct {
-	Number uint64   `cbor:"1,keyasint"`
-	Voters []Member `cbor:"2,keyasint"`
+	Number uint64   `cbor:"1,keyasint" json:"N"`
+	Voters []Member `cbor:"2,keyasint" json:"Roster"`
 	Chain  []string `cbor:"3,keyasint"` // identities, head first
 
 	// Fresh names those of the chain that may not hold yet what their predecessors hold. None of them may become the
 	// head before a commit in this view has shown that it was filled.
-	Unsynced []string `cbor:"4,keyasint,omitempty"`
+	Unsynced []string `cbor:"4,keyasint,omitempty" json:"Fresh"`
 
 	// Learners stand in the chain and are filled there; their word does not count. One at a time.
 	Learners []Member `cbor:"5,keyasint,omitempty"`
--- a/controlplane/registry/registry.go
+++ b/controlplane/registry/registry.go
@@ -28,20 +28,20 @@
 	Zone               string `cbor:"4,keyasint,omitempty"`
 	Slots              int    `cbor:"5,keyasint,omitempty"`
 	Draining           bool   `cbor:"6,keyasint,omitempty"`
-	Deregistered       bool   `cbor:"7,keyasint,omitempty"`
-	WarmupMillis       int64  `cbor:"8,keyasint,omitempty"` // milliseconds that it stays cold
-	Sequence           uint64 `cbor:"9,keyasint,omitempty"`
-	HeartbeatAgeMillis int64  `cbor:"10,keyasint,omitempty"` // milliseconds since it beat
-	WarmthUnknown      bool   `cbor:"11,keyasint,omitempty"` // it may have turned cold: its zone was just given back
+	Deregistered       bool   `cbor:"7,keyasint,omitempty" json:"Gone"`
+	WarmupMillis       int64  `cbor:"8,keyasint,omitempty" json:"Cold"` // milliseconds that it stays cold
+	Sequence           uint64 `cbor:"9,keyasint,omitempty" json:"Seq"`
+	HeartbeatAgeMillis int64  `cbor:"10,keyasint,omitempty" json:"Age"`   // milliseconds since it beat
+	WarmthUnknown      bool   `cbor:"11,keyasint,omitempty" json:"Doubt"` // it may have turned cold: its zone was just given back
 
 	// Silent is one governor's own judgement, and is taken back by the next sign of life. It is never taken over from
 	// others nor final: a comb that was frozen has heard nobody, and must not end the whole fleet when it wakes.
-	HeartbeatTimedOut bool `cbor:"12,keyasint,omitempty"`
+	HeartbeatTimedOut bool `cbor:"12,keyasint,omitempty" json:"Silent"`
 
 	// Old: known from a disk that holds its zone as evacuated, or from a forager that heard no comb for long. It may have
 	// turned cold since. Who knows the replica otherwise passes over that; who does not takes it for cold until there is a
 	// newer word.
-	Stale bool `cbor:"13,keyasint,omitempty"`
+	Stale bool `cbor:"13,keyasint,omitempty" json:"Old"`
 }
 
 type record struct {
