--- /dev/null
+++ b/controlplane/membership/cluster_test.go
@@ -0,0 +1,224 @@
+package membership
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+)
+
+const (
+	tickInterval = 50 * time.Millisecond
+	linkDelay    = 5 * time.Millisecond
+)
+
+// cluster runs nodes over simulated links in virtual time. Each node's commits are simulated too: a chain whose members
+// have all installed a view is synced in it a little later.
+type cluster struct {
+	t       *testing.T
+	now     Time
+	random  *rand.Rand
+	nodes   map[string]*Node // By identity; those that run.
+	saved   map[string]DurableState
+	cut     map[[2]string]bool // Directed links, by address.
+	flights []flight
+	decided map[uint64]View
+	delay   func() Time
+	loses   func() bool
+}
+
+type flight struct {
+	at      Time
+	from    string // Address.
+	to      Member
+	message Message
+}
+
+// newCluster starts as many members, named a, b, c, ..., in a first view.
+func newCluster(t *testing.T, members int) *cluster {
+	c := &cluster{
+		t:       t,
+		random:  rand.New(rand.NewPCG(1, 2)),
+		nodes:   map[string]*Node{},
+		saved:   map[string]DurableState{},
+		cut:     map[[2]string]bool{},
+		decided: map[uint64]View{},
+		delay:   func() Time { return linkDelay },
+		loses:   func() bool { return false },
+	}
+	first := View{Number: 1}
+	for i := range members {
+		m := testMember(string(rune('a' + i)))
+		first.Voters = append(first.Voters, m)
+		first.Chain = append(first.Chain, m.ID)
+	}
+	for _, m := range first.Voters {
+		c.start(m, DurableState{View: first})
+	}
+	return c
+}
+
+// testMember returns the member that runs at an address with the disk that it started with.
+func testMember(addr string) Member { return Member{ID: addr + "/0", Addr: addr} }
+
+// start starts a node. Its seeds are the first members' addresses.
+func (c *cluster) start(m Member, state DurableState) *Node {
+	node := New(m, state, []string{"a", "b", "c"}, c.random.Float64)
+	c.nodes[m.ID], c.saved[m.ID] = node, state
+	return node
+}
+
+func (c *cluster) node(addr string) *Node {
+	c.t.Helper()
+	node := c.nodes[testMember(addr).ID]
+	if node == nil {
+		c.t.Fatalf("%s does not run", addr)
+	}
+	return node
+}
+
+func (c *cluster) kill(addr string) { delete(c.nodes, testMember(addr).ID) }
+
+func (c *cluster) restart(addr string) *Node {
+	return c.start(testMember(addr), c.saved[testMember(addr).ID])
+}
+
+// cutLink cuts the link between two addresses in one direction.
+func (c *cluster) cutLink(from, to string) { c.cut[[2]string{from, to}] = true }
+
+func (c *cluster) run(span time.Duration) {
+	for end := c.now + span; c.now < end; {
+		c.now += linkDelay
+		c.deliver()
+		if c.now%tickInterval == 0 {
+			c.tick()
+		}
+	}
+}
+
+func (c *cluster) tick() {
+	for _, id := range c.running() {
+		c.markSynced(c.nodes[id])
+		c.handle(c.nodes[id], c.nodes[id].Tick(c.now))
+	}
+}
+
+// running returns the identities of the nodes that run, sorted.
+func (c *cluster) running() []string {
+	ids := make([]string, 0, len(c.nodes))
+	for id := range c.nodes {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	return ids
+}
+
+// markSynced simulates the chain: a view is committed once all members of its chain have installed it.
+func (c *cluster) markSynced(node *Node) {
+	v := node.View()
+	for _, id := range v.Chain {
+		if member := c.nodes[id]; member == nil || member.View().Number != v.Number {
+			return
+		}
+	}
+	node.SetCommittedView(v.Number)
+	node.SetSyncedView(v.Number)
+}
+
+func (c *cluster) deliver() {
+	slices.SortStableFunc(c.flights, func(a, b flight) int { return int(a.at - b.at) })
+	for len(c.flights) > 0 && c.flights[0].at <= c.now {
+		next := c.flights[0]
+		c.flights = c.flights[1:]
+		for _, id := range c.running() {
+			node := c.nodes[id]
+			addressed := next.to.ID == id || next.to.ID == "" && next.to.Addr == node.Self().Addr
+			if addressed && !c.cut[[2]string{next.from, node.Self().Addr}] {
+				c.handle(node, node.Step(c.now, next.message))
+			}
+		}
+	}
+}
+
+// handle saves the node's state, sends its messages and checks agreement.
+func (c *cluster) handle(node *Node, ready Ready) {
+	id := node.Self().ID
+	if ready.MustSave {
+		c.saved[id] = node.State()
+	} else if !reflect.DeepEqual(c.saved[id], node.State()) {
+		c.t.Fatalf("%s changed its state without asking to save it", id)
+	}
+	if ready.ViewInstalled {
+		v := node.View()
+		if other, known := c.decided[v.Number]; known && !reflect.DeepEqual(other, v) {
+			c.t.Fatalf("view %d is decided as %+v and as %+v", v.Number, other, v)
+		}
+		c.decided[v.Number] = v
+	}
+	for _, out := range ready.Messages {
+		if !c.loses() {
+			c.flights = append(c.flights, flight{c.now + c.delay(), node.Self().Addr, out.To, out.Message})
+		}
+	}
+}
+
+// wantView checks that some nodes hold a view with the given chain and voters, by address.
+func (c *cluster) wantView(holders, chain, voters string) {
+	c.t.Helper()
+	for _, addr := range holders {
+		v := c.node(string(addr)).View()
+		var gotChain, gotVoters string
+		for _, id := range v.Chain {
+			gotChain += id[:1]
+		}
+		for _, m := range v.Voters {
+			gotVoters += m.Addr
+		}
+		if gotChain != chain || gotVoters != voters {
+			c.t.Errorf("%c holds view %d with chain %s and voters %s, want %s and %s", addr, v.Number, gotChain, gotVoters, chain, voters)
+		}
+	}
+}
+
+// TestAgreement runs clusters over links that lose and delay messages, with restarts and cuts: no two nodes may hold
+// different views under one number (cluster.handle), and once all is well every member is in the chain again.
+func TestAgreement(t *testing.T) {
+	for seed := range uint64(20) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			c := newCluster(t, 5)
+			c.random = rand.New(rand.NewPCG(seed, 1))
+			c.loses = func() bool { return c.random.IntN(10) == 0 }
+			c.delay = func() Time { return linkDelay + Time(c.random.IntN(int(200*time.Millisecond))) }
+			for range 40 {
+				addr := string(rune('a' + c.random.IntN(5)))
+				switch {
+				case c.nodes[testMember(addr).ID] == nil:
+					c.restart(addr)
+				case c.random.IntN(2) == 0:
+					c.kill(addr)
+				default:
+					c.cutLink(addr, string(rune('a'+c.random.IntN(5))))
+				}
+				c.run(time.Duration(c.random.IntN(int(time.Second))))
+				if c.random.IntN(3) == 0 {
+					clear(c.cut)
+				}
+			}
+			clear(c.cut)
+			c.loses = func() bool { return false }
+			for _, addr := range []string{"a", "b", "c", "d", "e"} {
+				if c.nodes[testMember(addr).ID] == nil {
+					c.restart(addr)
+				}
+			}
+			c.run(10 * time.Second)
+			for _, id := range c.running() {
+				if v := c.nodes[id].View(); len(v.Chain) != len(v.Voters) || !reflect.DeepEqual(v, c.node("a").View()) {
+					t.Errorf("%s holds %+v", id, v)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/controlplane/membership/heartbeat.go
@@ -0,0 +1,65 @@
+package membership
+
+// broadcastHeartbeat sends a heartbeat to every peer.
+func (node *Node) broadcastHeartbeat(now Time) {
+	heartbeat := node.heartbeat(now)
+	heartbeat.ReplyRequested = !node.HasQuorumContact(now)
+	for _, m := range node.Peers(now) {
+		node.send(m, heartbeat, false)
+	}
+}
+
+// heartbeat returns a message that says that this node runs, and whom it hears.
+func (node *Node) heartbeat(now Time) Message {
+	echoes := map[string]ClockReading{}
+	for id, p := range node.peers {
+		if !p.isSilent(now) {
+			echoes[id] = p.clock.reading
+		}
+	}
+	return Message{
+		Kind:          Heartbeat,
+		ViewNumber:    node.state.View.Number,
+		DiskUnhealthy: node.diskUnhealthy,
+		Clock:         node.Clock(now),
+		Echoes:        echoes,
+		Leaving:       node.leaving,
+		SyncedView:    node.syncedView,
+	}
+}
+
+// handleHeartbeat takes in what a peer says of itself.
+func (node *Node) handleHeartbeat(now Time, m Message) {
+	if m.From.ID == node.self.ID {
+		return
+	}
+	p := node.peers[m.From.ID]
+	wasSilent := p == nil || p.isSilent(now)
+	if p == nil {
+		p = &peer{}
+		node.peers[m.From.ID] = p
+	}
+	echo, hearsUs := m.Echoes[node.self.ID]
+	if wasSilent || hearsUs && !p.hearsUs {
+		p.connectedSince = now
+	}
+	if m.DiskUnhealthy && !p.diskUnhealthy {
+		p.diskUnhealthySince = now
+	}
+	node.observeClock(now, p, m.Clock)
+	p.Member, p.lastHeard = m.From, now
+	p.hearsUs, p.echoes = hearsUs, m.Echoes
+	p.diskUnhealthy, p.leaving, p.syncedView = m.DiskUnhealthy, m.Leaving, m.SyncedView
+	if hearsUs {
+		node.observeEcho(now, p, echo)
+	}
+
+	// Before all else: in an older view the peer may have a vote that it has no more.
+	if m.ViewNumber < node.state.View.Number {
+		node.sendDecided(m.From)
+	}
+	// The peer is notified at once that it is heard: after a restart of all members nothing can begin before.
+	if wasSilent || m.ReplyRequested {
+		node.send(m.From, node.heartbeat(now), false)
+	}
+}
