--- a/controlplane/controller/comb.go
+++ b/controlplane/controller/comb.go
@@ -440,14 +440,14 @@
 		c.respond(Response{Token: token, Status: http.StatusServiceUnavailable})
 		return
 	}
-	if changed, urgent := c.registry.Heartbeat(now, heartbeat); changed {
-		if urgent {
+	if change := c.registry.Heartbeat(now, heartbeat); change.Changed {
+		if change.Urgent {
 			c.logInfo("draining", "id", heartbeat.ID)
 		}
-		if urgent || heartbeat.WarmupMillis > 0 { // it may have been warm, or cold until sooner, for the others
+		if change.Urgent || heartbeat.WarmupMillis > 0 { // it may have been warm, or cold until sooner, for the others
 			c.broadcastInstances(now, []registry.Instance{heartbeat})
 		}
-		c.publish(now, urgent)
+		c.publish(now, change.Urgent)
 	}
 	c.respond(Response{Token: token, Status: http.StatusOK, Address: c.heartbeatTarget(now, heartbeat.Zone)})
 }
@@ -490,8 +490,8 @@
 		c.publishEjection(ejection)
 	}
 	if len(message.Instances) > 0 {
-		if changed, urgent := c.registry.Merge(now, message.Instances); changed {
-			c.publish(now, urgent)
+		if change := c.registry.Merge(now, message.Instances); change.Changed {
+			c.publish(now, change.Urgent)
 		}
 	}
 }
--- a/controlplane/controller/streams.go
+++ b/controlplane/controller/streams.go
@@ -121,8 +121,8 @@
 		c.deregister(now, id, stream.gateway)
 	}
 	if len(report.Instances) > 0 {
-		if changed, urgent := c.registry.Merge(now, report.Instances); changed {
-			c.publish(now, urgent)
+		if change := c.registry.Merge(now, report.Instances); change.Changed {
+			c.publish(now, change.Urgent)
 		}
 	}
 }
--- a/controlplane/registry/capacity_test.go
+++ b/controlplane/registry/capacity_test.go
@@ -12,9 +12,9 @@
 	"zincloft.example/zincloft/internal/sizes"
 )
 
-var usersSize = flag.Bool("users", false, "benchmarks of capacity also at the users' size, whose filling takes ten minutes of a core")
+var usersSize = flag.Bool("users", false, "run the capacity benchmarks at the users' size too; filling the registry takes ten minutes of a core")
 
-// Each size is three times the one before; the one after them is the users'. docs/CAPACITY.md has the figures.
+// capacitySizes are numbers of instances, each three times the one before; the last one is the users'. docs/CAPACITY.md has the figures.
 func capacitySizes() []int {
 	if *usersSize {
 		return []int{580, 1740, 5220, 15700, 47000}
@@ -28,7 +28,7 @@
 	return f.Instances()
 }
 
-var filledRegistries = map[int]*registry.Registry{} // filling costs the square of the size, so it is done once for all that leave it as it is
+var filledRegistries = map[int]*registry.Registry{} // by size: filling one costs the square of its size, so benchmarks that leave it as it is share it
 
 func filledRegistry(n int) (*registry.Registry, []registry.Instance) {
 	instances := fleet(n)
@@ -39,7 +39,7 @@
 	return filledRegistries[n], instances
 }
 
-// BenchmarkCapacityFill has an empty registry hear of all replicas, as a comb that starts does.
+// BenchmarkCapacityFill merges all instances into an empty registry, as a member that starts does.
 func BenchmarkCapacityFill(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// BenchmarkCapacityHeartbeat is a beat that tells nothing new.
+// BenchmarkCapacityHeartbeat is a heartbeat that tells nothing new.
 func BenchmarkCapacityHeartbeat(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -61,15 +61,14 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				heartbeat := instances[i%n]
-				heartbeat.Sequence = uint64(i/n + 2) // of later runs: late ones, at the same cost
+				heartbeat.Sequence = uint64(i/n + 2) // in later runs an outdated one, at the same cost
 				r.Heartbeat(time.Duration(i)*1500*time.Millisecond/time.Duration(n), heartbeat)
 			}
 		})
 	}
 }
 
-// BenchmarkCapacityChangesSince lists the changes of one revision, as each forager has it done whenever something is new;
-// BenchmarkCapacitySigns what a comb tells the others each second where a third of the replicas beat at it.
+// BenchmarkCapacityChangesSince lists the changes of one revision, as is done for each gateway whenever something is new.
 func BenchmarkCapacityChangesSince(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -77,13 +76,14 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if len(r.ChangesSince(time.Second, r.Revision()-1)) != 1 {
-					b.Fatal("one change was to be listed")
+					b.Fatal("want one change listed")
 				}
 			}
 		})
 	}
 }
 
+// BenchmarkCapacityDirectHeartbeats encodes what a member tells the others each second, where a third of the replicas send it their heartbeats.
 func BenchmarkCapacityDirectHeartbeats(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// BenchmarkCapacityNewInstance is a first beat of a replica, at an address of its own; it ends again and is forgotten by a sweep,
+// BenchmarkCapacityNewInstance registers an instance at an address of its own, deregisters it and has a sweep forget it,
 // so that the registry keeps its size.
 func BenchmarkCapacityNewInstance(b *testing.B) {
 	for _, n := range capacitySizes() {
