--- a/cmd/zincloftctl/main.go
+++ b/cmd/zincloftctl/main.go
@@ -67,7 +67,7 @@
 	restore.AddPositionalValue(&addr, "ADDRESS", 1, true, callees)
 	restore.AddPositionalValue(&zone, "ZONE", 2, true, "the zone")
 	win := newWindows(p)
-	replicas, logs, hostility := 3, false, demo.Hostility{}
+	replicas, logs, hostility := 3, false, demo.FaultInjection{}
 	play := verb("demo", "run one comb, two foragers and stand-in replicas on loopback, until Ctrl-C")
 	play.Int(&replicas, "n", "replicas", "stand-in replicas")
 	play.Float64(&hostility.Rate, "H", "hostile", "share of requests that the replicas meet badly, 0 to 1")
@@ -82,7 +82,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "version %08x: %d routes, %d services\n", c.Version, c.Routes, len(c.Services))
+		fmt.Fprintf(out, "version %08x: %d routes, %d services\n", c.Version, c.RouteCount, len(c.Services))
 		return nil
 	case put.Used:
 		c, err := read(file)
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	var newest *statestore.Copy
+	var newest *statestore.FileCopy
 	for i, c := range copies {
 		if !export && c.Err != nil {
 			fmt.Fprintf(out, "%s: damaged: %v\n", c.Name, c.Err)
@@ -132,16 +132,16 @@
 		if c.Err != nil {
 			continue
 		}
-		if newest == nil || c.Number > newest.Number {
+		if newest == nil || c.Generation > newest.Generation {
 			newest = &copies[i]
 		}
-		k, err := coordinator.Decode(c.Values["state"])
+		k, err := coordinator.DecodePersistentState(c.Values["state"])
 		if err != nil {
 			return merry.Prepend(err, c.Name)
 		}
 		if !export {
-			fmt.Fprintf(out, "%s: whole, write %d: disk %s, view %d, %d orders, version %08x, %d replicas\n", c.Name, c.Number, k.Disk, k.View.View.N,
-				k.Register.Seq, k.Register.Version, len(k.Lives))
+			fmt.Fprintf(out, "%s: whole, write %d: disk %s, view %d, %d orders, version %08x, %d replicas\n", c.Name, c.Generation, k.DiskID, k.View.View.Number,
+				k.Register.Sequence, k.Register.Version, len(k.Instances))
 		}
 	}
 	if newest == nil {
@@ -150,12 +150,12 @@
 	if !export {
 		return nil
 	}
-	k, err := coordinator.Decode(newest.Values["state"])
+	k, err := coordinator.DecodePersistentState(newest.Values["state"])
 	if err != nil {
 		return err
 	}
-	body, err := json.MarshalIndent(map[string]any{"disk": k.Disk, "view": k.View.View, "orders": k.Register.Seq, "evacuated": k.Register.Out,
-		"configuration": json.RawMessage(orNull(k.Register.Body)), "replicas": k.Lives}, "", "  ")
+	body, err := json.MarshalIndent(map[string]any{"disk": k.DiskID, "view": k.View.View, "orders": k.Register.Sequence, "evacuated": k.Register.EvacuatedZones,
+		"configuration": json.RawMessage(orNull(k.Register.Body)), "replicas": k.Instances}, "", "  ")
 	if err != nil {
 		return err
 	}
@@ -194,7 +194,7 @@
 	return nil
 }
 
-func runDemo(out io.Writer, replicas int, logs bool, h demo.Hostility) error {
+func runDemo(out io.Writer, replicas int, logs bool, h demo.FaultInjection) error {
 	dir, err := os.MkdirTemp("", "zincloft-demo-")
 	if err != nil {
 		return err
@@ -204,14 +204,14 @@
 	if logs {
 		w = os.Stderr
 	}
-	g, err := demo.StartHostile(dir, w, max(replicas, 1), h)
+	g, err := demo.StartWithFaults(dir, w, max(replicas, 1), h)
 	if err != nil {
 		return err
 	}
-	for _, front := range g.Fronts {
+	for _, front := range g.FrontAddresses {
 		fmt.Fprintf(out, "a forager answers at http://%s/   (curl -H 'X-Attempt-Id: 1' http://%s/)\n", front, front)
 	}
-	fmt.Fprintf(out, "the comb is called at %s   (bin/zincloftctl show %s)\n", g.Control, g.Control)
+	fmt.Fprintf(out, "the comb is called at %s   (bin/zincloftctl show %s)\n", g.ControlAddress, g.ControlAddress)
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt, syscall.SIGTERM)
 	<-stop
--- a/internal/gateway/front_test.go
+++ b/internal/gateway/front_test.go
@@ -29,27 +29,27 @@
 "virtual_hosts":[{"hostname":"h.example","path_routes":[{"name":"r","path_prefix":"/x/","kind":%q,"timeout":"3s","target_latency":"1s","max_attempts":2,"service":"svc"}]}]}`, version, kind))
 }
 
-type rig struct {
-	f  *Forager
+type fixture struct {
+	f  *Gateway
 	up []*upstream.Replica
 	n  int
 }
 
-func newRig(kind string, replicas int) *rig {
+func newFixture(kind string, replicas int) *fixture {
 	set, err := nodesettings.Parse([]byte(settings))
 	So(err, ShouldBeNil)
-	f, err := New(set, program.Logger(io.Discard, "forager"))
+	f, err := New(set, program.NewLogger(io.Discard, "forager"))
 	So(err, ShouldBeNil)
-	f.front.Do(func() {}) // requests come by the handler here, not by a listener
-	r := &rig{f: f}
-	st := &messages.State{Whole: true, Seq: 1, Version: 1, Body: configured(1, kind)}
+	f.frontOnce.Do(func() {}) // requests come by the handler here, not by a listener
+	r := &fixture{f: f}
+	st := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: configured(1, kind)}
 	for i := range replicas {
 		up, err := upstream.Start(fmt.Sprintf("i%d", i))
 		So(err, ShouldBeNil)
 		r.up = append(r.up, up)
-		st.Lives = append(st.Lives, registry.Life{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4})
+		st.Instances = append(st.Instances, registry.Instance{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4})
 	}
-	f.take(st)
+	f.applyUpdate(st)
 	Reset(func() {
 		for _, up := range r.up {
 			up.Close()
@@ -58,41 +58,41 @@
 	return r
 }
 
-func (r *rig) do(method, path, body string) *httptest.ResponseRecorder {
+func (r *fixture) do(method, path, body string) *httptest.ResponseRecorder {
 	r.n++
 	q := httptest.NewRequest(method, path, strings.NewReader(body))
 	q.Host = "h.example"
 	q.Header.Set("X-Attempt-Id", fmt.Sprint(r.n))
 	q.Header.Set("X-Deadline-Ms", "2000")
 	w := httptest.NewRecorder()
-	r.f.serve(w, q)
+	r.f.handleRequest(w, q)
 	return w
 }
 
 // all sets what every replica does next.
-func (r *rig) all(b ...upstream.Behaviour) {
+func (r *fixture) all(b ...upstream.Behaviour) {
 	for _, up := range r.up {
-		up.Then(b...)
+		up.SetBehaviours(b...)
 	}
 }
 
-func (r *rig) ran() (n int) {
+func (r *fixture) ran() (n int) {
 	for _, up := range r.up {
-		n += up.Ran()[fmt.Sprint(r.n)]
+		n += up.Executions()[fmt.Sprint(r.n)]
 	}
 	return n
 }
 
-func TestRequests(t *testing.T) {
+func TestRequestOutcomes(t *testing.T) {
 	Convey("An unsafe request", t, func() {
-		r := newRig("unsafe", 3)
+		r := newFixture("unsafe", 3)
 		Convey("is answered by a replica", func() {
 			w := r.do("POST", "/x/1", "order")
 			So(w.Code, ShouldEqual, 200)
 			So(w.Header().Get("X-Response-Seal"), ShouldEqual, "seal-1")
 			So(r.ran(), ShouldEqual, 1)
 		})
-		for _, b := range []upstream.Behaviour{upstream.Cut, upstream.Lost, upstream.Garbage, upstream.Unsealed, upstream.NoIdentity} {
+		for _, b := range []upstream.Behaviour{upstream.TruncatesResponse, upstream.ClosesWithoutResponse, upstream.SendsGarbage, upstream.OmitsSeal, upstream.OmitsAttemptID} {
 			Convey("runs once and is told as a doubt where its answer is "+string(b), func() {
 				r.all(b)
 				w := r.do("POST", "/x/1", "order")
@@ -102,7 +102,7 @@
 			})
 		}
 		Convey("goes on after proof that it has not run, and is refused with when to come back after the last", func() {
-			r.all(upstream.Sheds)
+			r.all(upstream.RejectsNotExecuted)
 			w := r.do("POST", "/x/1", "order")
 			So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(w.Header().Get("Retry-After"), ShouldNotEqual, "")
@@ -110,7 +110,7 @@
 			So(r.do("POST", "/x/1", "order").Code, ShouldEqual, 200)
 		})
 		Convey("is refused at once where no replica may take it", func() {
-			r.f.take(&messages.State{Seq: 2, Version: 1, Out: []string{"a"}})
+			r.f.applyUpdate(&messages.StateUpdate{Sequence: 2, ConfigVersion: 1, EvacuatedZones: []string{"a"}})
 			w := r.do("POST", "/x/1", "order")
 			So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(w.Header().Get("Retry-After"), ShouldNotEqual, "")
@@ -120,23 +120,23 @@
 			So(r.ran(), ShouldEqual, 0)
 		})
 		Convey("is refused while too many bytes of others are held, and its own are given back", func() {
-			r.f.bodies.most = 10
+			r.f.bodyMemory.limit = 10
 			w := r.do("POST", "/x/1", "more than ten bytes")
 			So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(w.Header().Get("Retry-After"), ShouldNotEqual, "")
 			So(r.ran(), ShouldEqual, 0)
 			So(r.do("POST", "/x/1", "few").Code, ShouldEqual, 200)
-			So(r.f.bodies.held.Load(), ShouldEqual, 0)
+			So(r.f.bodyMemory.used.Load(), ShouldEqual, 0)
 		})
 		Convey("without a route is 404", func() {
 			So(r.do("POST", "/y/1", "").Code, ShouldEqual, http.StatusNotFound)
 		})
 	})
 	Convey("A safe request", t, func() {
-		r := newRig("safe", 2)
-		for _, b := range []upstream.Behaviour{upstream.Cut, upstream.Lost, upstream.Fails, upstream.Sheds} {
+		r := newFixture("safe", 2)
+		for _, b := range []upstream.Behaviour{upstream.TruncatesResponse, upstream.ClosesWithoutResponse, upstream.RespondsInternalError, upstream.RejectsNotExecuted} {
 			Convey("is offered to another replica where the first one "+string(b), func() {
-				r.up[0].Then(b, b, b)
+				r.up[0].SetBehaviours(b, b, b)
 				for range 4 {
 					w := r.do("GET", "/x/1", "")
 					So(w.Code, ShouldEqual, 200)
@@ -145,8 +145,8 @@
 			})
 		}
 		Convey("is offered to a second one beside the first where that one is silent", func() {
-			r.up[0].Then(upstream.Silent, upstream.Silent)
-			r.up[1].Then(upstream.Well, upstream.Well)
+			r.up[0].SetBehaviours(upstream.NeverResponds, upstream.NeverResponds)
+			r.up[1].SetBehaviours(upstream.AnswersCorrectly, upstream.AnswersCorrectly)
 			for range 3 {
 				began := time.Now()
 				So(r.do("GET", "/x/1", "").Code, ShouldEqual, 200)
@@ -159,36 +159,36 @@
 			for range 8 {
 				So(r.do("GET", "/x/1", "").Code, ShouldEqual, 200)
 			}
-			So(len(r.up[0].Seen()), ShouldBeLessThanOrEqualTo, 1)
+			So(len(r.up[0].Requests()), ShouldBeLessThanOrEqualTo, 1)
 		})
 	})
 }
 
-func TestVersions(t *testing.T) {
+func TestConfigurationVersions(t *testing.T) {
 	Convey("Within a life no older register takes hold", t, func() {
-		r := newRig("safe", 1)
-		r.f.take(&messages.State{Seq: 5, Version: 9, Body: configured(9, "unsafe"), Out: []string{"a"}})
-		r.f.take(&messages.State{Whole: true, Young: true, Seq: 3, Version: 4, Body: configured(4, "safe")})
+		r := newFixture("safe", 1)
+		r.f.applyUpdate(&messages.StateUpdate{Sequence: 5, ConfigVersion: 9, Config: configured(9, "unsafe"), EvacuatedZones: []string{"a"}})
+		r.f.applyUpdate(&messages.StateUpdate{Full: true, Bootstrapping: true, Sequence: 3, ConfigVersion: 4, Config: configured(4, "safe")})
 		So(r.f.config.Load().Version, ShouldEqual, 9)
 		So(r.do("GET", "/x/1", "").Code, ShouldEqual, http.StatusServiceUnavailable)
 		Convey("nor does a spoilt one", func() {
-			r.f.take(&messages.State{Seq: 6, Version: 12, Body: []byte("{")})
+			r.f.applyUpdate(&messages.StateUpdate{Sequence: 6, ConfigVersion: 12, Config: []byte("{")})
 			So(r.f.config.Load().Version, ShouldEqual, 9)
 		})
 	})
 	Convey("It is ready only with a configuration and a table", t, func() {
 		set, _ := nodesettings.Parse([]byte(settings))
-		f, _ := New(set, program.Logger(io.Discard, "forager"))
-		f.front.Do(func() {})
+		f, _ := New(set, program.NewLogger(io.Discard, "forager"))
+		f.frontOnce.Do(func() {})
 		code := func() int {
 			w := httptest.NewRecorder()
-			f.readiness(w, nil)
+			f.handleReadiness(w, nil)
 			return w.Code
 		}
 		So(code(), ShouldEqual, 503)
-		f.take(&messages.State{Seq: 1, Version: 1, Body: configured(1, "safe")})
+		f.applyUpdate(&messages.StateUpdate{Sequence: 1, ConfigVersion: 1, Config: configured(1, "safe")})
 		So(code(), ShouldEqual, 503)
-		f.take(&messages.State{Whole: true})
+		f.applyUpdate(&messages.StateUpdate{Full: true})
 		So(code(), ShouldEqual, 200)
 		f.stopping.Store(true)
 		So(code(), ShouldEqual, 503)
--- /dev/null
+++ b/internal/simulation/history.go
@@ -0,0 +1,201 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/fxamacker/cbor/v2"
+
+	"zincloft.example/zincloft/controlplane/controller"
+	"zincloft.example/zincloft/controlplane/coordinator"
+)
+
+// historyChecksum is a checksum of everything that happens in one simulation: each event with its simulated time, the node that
+// it happens to and its data in their wire encoding. Two builds that decide alike have the same history. It depends on
+// no identifier, log line or trace text of the source, so that it does not change when these are renamed.
+//
+// A nil one takes nothing down.
+type historyChecksum struct {
+	digest  *xxhash.Digest
+	entries int
+}
+
+// historyEntry tells apart what is taken down. The values are part of the checksum.
+type historyEntry uint8
+
+const (
+	entryStart      historyEntry = iota + 1 // a control-plane process starts
+	entryEvent                              // a controller has decided on an event
+	entryAnswer                             // a caller is answered
+	entryPersist                            // a controller's state is handed to its store
+	entryDisk                               // a disk operation was carried out
+	entryKill                               // a process or a machine has ended
+	entryUpdate                             // a gateway has taken a state update
+	entryPick                               // a gateway has picked a replica
+	entryAttempt                            // an attempt of a gateway has ended
+	entryResult                             // what was measured in all
+	entryFinalState                         // a node's state at the end
+	entryRush                               // a step of a rush
+)
+
+// Offsets of the indexes by which nodes that are not control-plane machines are named.
+const (
+	historyGateways = 1000
+	historyReplicas = 2000
+)
+
+// historyEncoding has the entries of maps in order, unlike the encoding on the wire.
+var historyEncoding = func() cbor.EncMode {
+	mode, err := cbor.EncOptions{Sort: cbor.SortBytewiseLexical}.EncMode()
+	if err != nil {
+		panic(err)
+	}
+	return mode
+}()
+
+func newHistoryChecksum() *historyChecksum { return &historyChecksum{digest: xxhash.New()} }
+
+// add takes an entry down. Values are numbers, bytes, strings that travel on the wire, or structs whose fields all have
+// numbers in CBOR.
+func (h *historyChecksum) add(entry historyEntry, now time.Duration, node int, values ...any) {
+	if h == nil {
+		return
+	}
+	raw, err := historyEncoding.Marshal([]any{entry, now, node, values})
+	if err != nil {
+		panic(fmt.Sprintf("simulation: history: %v", err))
+	}
+	h.entries++
+	h.digest.Write(raw) // never fails
+}
+
+// sum is the checksum so far.
+func (h *historyChecksum) sum() string { return fmt.Sprintf("%016x.%d", h.digest.Sum64(), h.entries) }
+
+// start takes down that a control-plane process starts, and with what state.
+func (h *historyChecksum) start(w *cluster, m *member, raw []byte) {
+	if h == nil {
+		return
+	}
+	h.add(entryStart, w.now, m.index, m.incarnation, decodedState(raw))
+}
+
+// event takes down an event that a controller has decided on, and how it stands since.
+func (h *historyChecksum) event(w *cluster, m *member, e controller.Event) {
+	if h == nil {
+		return
+	}
+	if e.WriteResult != nil && e.WriteResult.Error != "" { // its text is no part of the history
+		e.WriteResult = &controller.WriteResult{Error: "failed"}
+	}
+	local := w.monotonicTime(&m.process)
+	core := m.controller.Coordinator()
+	register, known := core.Register()
+	h.add(entryEvent, w.now, m.index, local, e, core.View().Number, register.Sequence, known, core.HasQuorumContact(local))
+}
+
+// answer takes down an answer to a caller. The text of a refusal is no part of the history.
+func (h *historyChecksum) answer(w *cluster, m *member, a controller.Response) {
+	if h == nil {
+		return
+	}
+	if a.Status != 200 {
+		a.Body = nil
+	}
+	h.add(entryAnswer, w.now, m.index, a)
+}
+
+// persist takes down the state that a controller hands to its store.
+func (h *historyChecksum) persist(w *cluster, m *member, raw []byte) {
+	if h == nil {
+		return
+	}
+	h.add(entryPersist, w.now, m.index, decodedState(raw))
+}
+
+// decodedState is a state that can be encoded with its maps in order; nil where there is none.
+func decodedState(raw []byte) *coordinator.PersistentState {
+	k, err := coordinator.DecodePersistentState(raw)
+	if err != nil {
+		return nil
+	}
+	return &k
+}
+
+// operation takes down a disk operation. The contents of the files are compared as states, since the order of what they
+// hold is not fixed.
+func (h *historyChecksum) operation(w *cluster, m *member, o diskOperation) {
+	if h == nil {
+		return
+	}
+	kind := 0
+	switch o.kind {
+	case "create":
+		kind = 1
+	case "write":
+		kind = 2
+	case "sync":
+		kind = 3
+	case "folder":
+		kind = 4
+	case "rename":
+		kind = 5
+	}
+	h.add(entryDisk, w.now, m.index, kind, o.name, o.offset, len(o.data))
+}
+
+// disk takes down what a machine would find on its disk after a loss of power, and how long its files are.
+func (h *historyChecksum) disk(entry historyEntry, w *cluster, m *member) {
+	if h == nil {
+		return
+	}
+	var sizes []int
+	for _, name := range sortedKeys(m.disk.files) {
+		f := m.disk.files[name]
+		sizes = append(sizes, len(f.content), len(f.synced), len(f.unsynced))
+	}
+	h.add(entry, w.now, m.index, m.disk.durableState(), sizes, m.up, m.incarnation)
+}
+
+// end takes down what was measured and each node's last state.
+func (h *historyChecksum) end(w *cluster) {
+	if h == nil {
+		return
+	}
+	r := &w.result
+	h.add(entryResult, w.now, 0, len(r.Violations), r.Acknowledged, r.AnsweredCalls, r.Requests, r.WarmupRequests, r.NewestView, r.RequestLatencies, r.DrainedWindows, r.CommandLatencies, r.ViewRepairTimes, r.ConfigPropagationTimes,
+		r.CatchUpTimes, r.JoinTimes, r.AnswersWhileCut, r.HeartbeatsWhileCut, r.AnswersAfterThaw, r.MaxDiskBytes, r.NewestSequence)
+	for _, o := range r.Operations {
+		h.add(entryResult, w.now, 1, o.Read, o.Version, o.Call, o.Return)
+	}
+	for _, t := range r.Attempts {
+		h.add(entryResult, w.now, 2, t.Version, t.BodyID, t.Sequence, t.Conflict, t.Answered, t.Call, t.Return)
+	}
+	for _, m := range w.members {
+		h.disk(entryFinalState, w, m)
+		if m.up && m.controller != nil {
+			if raw, err := m.controller.PersistentState(); err == nil {
+				h.add(entryFinalState, w.now, m.index, decodedState(raw), m.controller.Coordinator().View())
+			}
+		}
+	}
+	for _, b := range w.gateways {
+		h.add(entryFinalState, w.now, historyGateways+b.index, b.up, b.incarnation, b.version, b.sequence, b.router.Sequence(), b.router.IsServing())
+	}
+	for i, r := range w.replicas {
+		h.add(entryFinalState, w.now, historyReplicas+i, r.heartbeatSequence, r.alive, r.draining, r.warmupUntil, r.drainAcknowledgedAt)
+	}
+}
+
+// endRush takes down what was measured in a rush.
+func (h *historyChecksum) endRush(w *overflowSimulation) {
+	if h == nil {
+		return
+	}
+	r := &w.result
+	h.add(entryResult, w.now, 0, len(r.Violations), r.Lookups, r.Unanswered, r.Orders, r.Charged, r.Uncertain, r.Forwarded, r.OwnLatencies, r.ForwardedLatencies, r.UsedSlotSeconds, r.IdleSlotSeconds)
+	for _, q := range w.requests {
+		h.add(entryRush, w.now, q.home, q.id, q.isOrder, q.arrivedAt, q.executions, q.answered, q.uncertain, q.attempts)
+	}
+}
