--- a/controlplane/controller/comb.go
+++ b/controlplane/controller/comb.go
@@ -392,13 +392,13 @@
 	}
 	for _, answer := range a.Responses {
 		if answer.RequestID == c.confirmToken {
-			c.completeJoins(now, answer.Status)
+			c.completeJoins(now, answer.Status())
 		} else if token, ok := c.callTokens[answer.RequestID]; ok {
 			delete(c.callTokens, answer.RequestID)
-			c.respond(Response{token, answer.Status, answer.Body, answer.RedirectTo})
+			c.respond(Response{token, answer.Status(), answer.Body, answer.RedirectTo()})
 		} else if proposal, ok := c.maintenance.proposals[answer.RequestID]; ok {
 			delete(c.maintenance.proposals, answer.RequestID)
-			c.handleProposalResult(now, proposal, answer.Status)
+			c.handleProposalResult(now, proposal, answer.Status())
 		}
 	}
 }
--- /dev/null
+++ b/controlplane/coordinator/read.go
@@ -0,0 +1,108 @@
+package coordinator
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/messages"
+)
+
+// pendingRead is a caller's linearizable read that has no response yet.
+type pendingRead struct {
+	viewNumber    uint64          // of the view in which the read began
+	sequence      uint64          // what must be committed before it is answered
+	confirmations map[string]bool // IDs of voters that confirmed the view
+	requested     bool            // the voters have been asked
+	deadline      time.Duration
+}
+
+// Read starts a linearizable read of the committed configuration and returns its request ID. The Response comes with these
+// Actions or with later ones.
+//
+// It is answered once a quorum of voters has confirmed that no later view may have been decided, as in Raft's ReadIndex: a
+// member that was cut off must not answer with what it last knew. A member outside the chain responds with a RedirectError that
+// names the tail.
+func (c *Coordinator) Read(now time.Duration) (uint64, Actions) {
+	id := c.nextRequestID()
+	view := c.membership.View()
+	switch {
+	case !c.membership.HasQuorumContact(now):
+		c.actions.Responses = append(c.actions.Responses, Response{RequestID: id, Err: ErrNoQuorum})
+	case view.Position(c.membership.Self().ID) < 0:
+		c.actions.Responses = append(c.actions.Responses, Response{RequestID: id, Err: c.redirectToTail(now, view)})
+	default:
+		c.reads[id] = &pendingRead{
+			confirmations: map[string]bool{},
+			viewNumber:    view.Number,
+			sequence:      c.chain.Held().Sequence,
+			deadline:      now + RequestTimeout,
+		}
+	}
+	return id, c.takeActions(now)
+}
+
+// redirectToTail names the last voter of the chain that has an API address: it holds all that is committed.
+func (c *Coordinator) redirectToTail(now time.Duration, view membership.View) error {
+	var tail membership.Member
+	for _, peer := range c.membership.Peers(now) {
+		isCandidate := peer.APIAddr != "" && view.HasVoter(peer.ID) && view.Position(peer.ID) >= 0
+		if isCandidate && (tail.APIAddr == "" || view.Position(peer.ID) > view.Position(tail.ID)) {
+			tail = peer
+		}
+	}
+	if tail.APIAddr == "" {
+		return ErrNotInChain
+	}
+	return &RedirectError{Address: tail.APIAddr}
+}
+
+// advanceReads asks for confirmations, and answers or gives up each pending read.
+func (c *Coordinator) advanceReads(now time.Duration, step stepState) {
+	for _, id := range slices.Sorted(maps.Keys(c.reads)) {
+		read := c.reads[id]
+		switch {
+		case !step.hasQuorum:
+			c.finishRead(Response{RequestID: id, Err: ErrNoQuorum})
+		case now > read.deadline:
+			c.finishRead(Response{RequestID: id, Err: ErrTimeout})
+		case step.view.Number != read.viewNumber:
+			c.finishRead(Response{RequestID: id, Err: ErrViewChanged})
+		case len(read.confirmations) >= step.view.Quorum() && step.isCommittedInView(read.viewNumber, read.sequence):
+			response := Response{RequestID: id, Body: step.committed.Body}
+			if len(response.Body) == 0 {
+				response.Err = ErrNoConfiguration
+			}
+			c.finishRead(response)
+		case !read.requested:
+			read.requested = true
+			for _, voter := range step.view.Voters {
+				c.send(voter, Message{ConfirmViewRequest: &messages.ViewConfirmation{RequestID: id, ViewNumber: step.view.Number}})
+			}
+		}
+	}
+}
+
+func (c *Coordinator) finishRead(response Response) {
+	c.actions.Responses = append(c.actions.Responses, response)
+	delete(c.reads, response.RequestID)
+}
+
+// handleConfirmViewRequest answers whether this voter knows of no later view. The answer waits until the state that it rests on
+// is persisted.
+func (c *Coordinator) handleConfirmViewRequest(from membership.Member, request *messages.ViewConfirmation) {
+	response := &messages.ViewConfirmation{
+		RequestID:  request.RequestID,
+		ViewNumber: request.ViewNumber,
+		Confirmed:  c.membership.ConfirmsLatestView(request.ViewNumber),
+	}
+	c.sendWhenPersisted(from, Message{ConfirmViewResponse: response})
+}
+
+func (c *Coordinator) handleConfirmViewResponse(from membership.Member, response *messages.ViewConfirmation) {
+	read := c.reads[response.RequestID]
+	if read != nil && response.Confirmed && response.ViewNumber == read.viewNumber {
+		read.confirmations[from.ID] = true
+	}
+}
--- a/internal/compatibility/encoding_test.go
+++ b/internal/compatibility/encoding_test.go
@@ -68,7 +68,7 @@
 	{"messages/hello", inCBOR, reflect.TypeFor[messages.Hello]()},
 	{"messages/propose", inCBOR, reflect.TypeFor[messages.ProposeRequest]()},
 	{"messages/proposed", inCBOR, reflect.TypeFor[messages.ProposeResponse]()},
-	{"messages/confirm", inCBOR, reflect.TypeFor[messages.ConfirmView]()},
+	{"messages/confirm", inCBOR, reflect.TypeFor[messages.ViewConfirmation]()},
 	{"messages/endpoint-weight", inCBOR, reflect.TypeFor[messages.EndpointWeight]()},
 	{"messages/pair-ejection", inCBOR, reflect.TypeFor[messages.PairEjection]()},
 	{"messages/window", inCBOR, reflect.TypeFor[messages.MaintenanceWindow]()},
--- a/internal/peertransport/capacity_test.go
+++ b/internal/peertransport/capacity_test.go
@@ -10,51 +10,29 @@
 	"zincloft.example/zincloft/messages"
 )
 
-var capacitySizes = []int{1740, 5220, 15700, 47000}
+var capacityReplicas = []int{1740, 5220, 15700, 47000}
 
-func fleetOf(n int) sizes.Fleet {
-	f := sizes.ProductionFleet()
-	f.Replicas, f.Services = n, n/36
-	return f
+func fleetOf(replicas int) sizes.Fleet {
+	fleet := sizes.ProductionFleet()
+	fleet.Replicas, fleet.Services = replicas, replicas/36
+	return fleet
 }
 
-// BenchmarkCapacityStateUpdate frames and reads a state of each kind: whole (lives and a line each, without a configuration),
-// lives alone, lines alone, and one life and one line.
+// BenchmarkCapacityStateUpdate encodes and reads a state update of each kind: full (instances and a weight each, without a
+// configuration), instances alone, weights alone, and one instance and one weight.
 func BenchmarkCapacityStateUpdate(b *testing.B) {
-	for _, what := range []string{"whole", "lives", "lines", "one"} {
-		for _, n := range capacitySizes {
-			lives := fleetOf(n).Instances()
-			lines := make([]messages.EndpointWeight, n)
-			for i, l := range lives {
-				lines[i] = messages.EndpointWeight{Replica: l.ID, Weight: 100.0 / 36}
-			}
-			st := &messages.StateUpdate{}
-			switch what {
-			case "whole":
-				st.Full, st.Instances, st.Weights = true, lives, lines
-			case "lives":
-				st.Instances = lives
-			case "lines":
-				st.Weights = lines
-			case "one":
-				st.Instances, st.Weights = lives[:1], lines[:1]
-			}
-			m := &peertransport.Frame{StateUpdate: st}
-			frame, err := peertransport.EncodeFrame(m)
+	for _, kind := range []string{"full", "instances", "weights", "one"} {
+		for _, replicas := range capacityReplicas {
+			frame := &peertransport.Frame{StateUpdate: stateUpdateOf(kind, replicas)}
+			raw, err := peertransport.EncodeFrame(frame)
 			if err != nil {
 				b.Fatal(err)
 			}
-			b.Run(fmt.Sprintf("%s/frame/n=%d", what, n), func(b *testing.B) {
-				b.ReportAllocs()
-				for b.Loop() {
-					peertransport.EncodeFrame(m)
-				}
-				b.ReportMetric(float64(len(frame)), "wire-B")
-			})
-			b.Run(fmt.Sprintf("%s/read/n=%d", what, n), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/frame/n=%d", kind, replicas), func(b *testing.B) { benchmarkEncode(b, frame, len(raw)) })
+			b.Run(fmt.Sprintf("%s/read/n=%d", kind, replicas), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					if _, err := peertransport.ReadFrame(bytes.NewReader(frame)); err != nil {
+					if _, err := peertransport.ReadFrame(bytes.NewReader(raw)); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -63,50 +41,78 @@
 	}
 }
 
-// BenchmarkCapacityLoadReport frames a forager's report of so many replicas met in a second.
+func stateUpdateOf(kind string, replicas int) *messages.StateUpdate {
+	instances := fleetOf(replicas).Instances()
+	weights := make([]messages.EndpointWeight, replicas)
+	for i, instance := range instances {
+		weights[i] = messages.EndpointWeight{Replica: instance.ID, Weight: 100.0 / 36}
+	}
+	switch kind {
+	case "full":
+		return &messages.StateUpdate{Full: true, Instances: instances, Weights: weights}
+	case "instances":
+		return &messages.StateUpdate{Instances: instances}
+	case "weights":
+		return &messages.StateUpdate{Weights: weights}
+	default:
+		return &messages.StateUpdate{Instances: instances[:1], Weights: weights[:1]}
+	}
+}
+
+func benchmarkEncode(b *testing.B, frame *peertransport.Frame, size int) {
+	b.ReportAllocs()
+	for b.Loop() {
+		if _, err := peertransport.EncodeFrame(frame); err != nil {
+			b.Fatal(err)
+		}
+	}
+	b.ReportMetric(float64(size), "wire-B")
+}
+
+// BenchmarkCapacityLoadReport encodes a gateway's report of so many replicas that it called in a second.
 func BenchmarkCapacityLoadReport(b *testing.B) {
-	for _, n := range []int{8, 24, 70, 210} {
-		r := &messages.LoadReport{PeriodMillis: 1000, Requests: map[string]int{}}
-		for i, l := range fleetOf(1740).Instances()[:n] {
-			r.Requests[sizes.ServiceName(i)]++
-			r.Endpoints = append(r.Endpoints, messages.EndpointStats{Replica: l.ID, Attempts: 1, MeanLatencyMicros: 200000, Running: 2, Slots: 6})
+	for _, replicas := range []int{8, 24, 70, 210} {
+		report := &messages.LoadReport{PeriodMillis: 1000, Requests: map[string]int{}}
+		for i, instance := range fleetOf(1740).Instances()[:replicas] {
+			report.Requests[sizes.ServiceName(i)]++
+			stats := messages.EndpointStats{Replica: instance.ID, Attempts: 1, MeanLatencyMicros: 200000, Running: 2, Slots: 6}
+			report.Endpoints = append(report.Endpoints, stats)
 		}
-		m := &peertransport.Frame{LoadReport: r}
-		frame, err := peertransport.EncodeFrame(m)
+		frame := &peertransport.Frame{LoadReport: report}
+		raw, err := peertransport.EncodeFrame(frame)
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			b.ReportAllocs()
-			for b.Loop() {
-				peertransport.EncodeFrame(m)
-			}
-			b.ReportMetric(float64(len(frame)), "wire-B")
-		})
+		b.Run(fmt.Sprintf("n=%d", replicas), func(b *testing.B) { benchmarkEncode(b, frame, len(raw)) })
 	}
 }
 
-// The page's figures a life and a line rest on these frames; one that grows by a tenth changes the page.
+// TestEncodedItemSize holds the sizes of an instance and of a weight to a tenth of the figures on the page, which rest on these
+// frames.
 func TestEncodedItemSize(t *testing.T) {
-	f := fleetOf(1740)
-	of := func(st messages.StateUpdate) int {
-		b, err := peertransport.EncodeFrame(&peertransport.Frame{StateUpdate: &st})
+	fleet := fleetOf(1740)
+	sizeOf := func(update messages.StateUpdate) int {
+		raw, err := peertransport.EncodeFrame(&peertransport.Frame{StateUpdate: &update})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return len(b)
+		return len(raw)
 	}
-	empty := of(messages.StateUpdate{})
-	var lines []messages.EndpointWeight
-	for _, l := range f.Instances() {
-		lines = append(lines, messages.EndpointWeight{Replica: l.ID, Weight: 1})
+	empty := sizeOf(messages.StateUpdate{})
+	var weights []messages.EndpointWeight
+	for _, instance := range fleet.Instances() {
+		weights = append(weights, messages.EndpointWeight{Replica: instance.ID, Weight: 1})
 	}
-	for _, x := range []struct {
-		what      string
-		bytes, at int
-	}{{"a life", of(messages.StateUpdate{Instances: f.Instances()}) - empty, 57}, {"a line", of(messages.StateUpdate{Weights: lines}) - empty, 20}} {
-		if got := float64(x.bytes) / float64(f.Replicas); got < 0.9*float64(x.at) || got > 1.1*float64(x.at) {
-			t.Errorf("%s is %.1f bytes, docs/CAPACITY.md reckons with %d", x.what, got, x.at)
+	for _, test := range []struct {
+		name              string
+		total, documented int
+	}{
+		{"an instance", sizeOf(messages.StateUpdate{Instances: fleet.Instances()}) - empty, 57},
+		{"a weight", sizeOf(messages.StateUpdate{Weights: weights}) - empty, 20},
+	} {
+		got := float64(test.total) / float64(fleet.Replicas)
+		if got < 0.9*float64(test.documented) || got > 1.1*float64(test.documented) {
+			t.Errorf("%s is %.1f bytes, docs/CAPACITY.md reckons with %d", test.name, got, test.documented)
 		}
 	}
 }
--- a/internal/statestore/capacity_test.go
+++ b/internal/statestore/capacity_test.go
@@ -21,39 +21,42 @@
 	"zincloft.example/zincloft/internal/statestore"
 )
 
-// countingDisk is a disk that counts what is written to it.
+// countingDisk is a file system in memory that counts the bytes written to it.
 type countingDisk struct {
 	files   map[string][]byte
 	written int
 }
 
 func (d *countingDisk) ReadFile(name string) ([]byte, error) {
-	if b, ok := d.files[name]; ok {
-		return b, nil
+	if content, ok := d.files[name]; ok {
+		return content, nil
 	}
 	return nil, &fs.PathError{Op: "open", Path: name, Err: os.ErrNotExist}
 }
+
 func (d *countingDisk) OpenForWrite(name string) (statestore.File, error) {
 	return &countingFile{d, name}, nil
 }
-func (d *countingDisk) Rename(from, to string) error { return nil }
-func (d *countingDisk) SyncDirectory() error         { return nil }
+
+func (d *countingDisk) Rename(string, string) error { return nil }
+func (d *countingDisk) SyncDirectory() error        { return nil }
 
 type countingFile struct {
-	d    *countingDisk
+	disk *countingDisk
 	name string
 }
 
-func (f *countingFile) WriteAt(p []byte, off int64) (int, error) {
-	b := f.d.files[f.name]
-	if need := int(off) + len(p); need > len(b) {
-		b = append(b, make([]byte, need-len(b))...)
+func (f *countingFile) WriteAt(p []byte, offset int64) (int, error) {
+	content := f.disk.files[f.name]
+	if size := int(offset) + len(p); size > len(content) {
+		content = append(content, make([]byte, size-len(content))...)
 	}
-	copy(b[off:], p)
-	f.d.files[f.name] = b
-	f.d.written += len(p)
+	copy(content[offset:], p)
+	f.disk.files[f.name] = content
+	f.disk.written += len(p)
 	return len(p), nil
 }
+
 func (f *countingFile) Sync() error  { return nil }
 func (f *countingFile) Close() error { return nil }
 
@@ -73,204 +76,224 @@
 	down        bool
 }
 
-// cluster are core machines joined by frames that come at once, each with the real store; an order's bytes are counted.
+// cluster connects members by frames that arrive at once, each with the real store, and counts the bytes of what it does.
 type cluster struct {
 	b                *testing.B
 	now              time.Duration
-	all              []*clusterMember
-	transferredBytes int // bytes from machine to machine, beside beats
-	largestFrame     int // bytes of the largest frame
-	oversizedFrames  int // frames that internal/peertransport does not take
-	responses        map[uint64]int
+	members          []*clusterMember
+	transferredBytes int            // from member to member, without heartbeats
+	largestFrame     int            // in bytes
+	oversizedFrames  int            // frames that internal/peertransport refuses
+	statuses         map[uint64]int // of responses, by request ID
 	hints            *hints
 }
 
-func newCluster(b *testing.B, n int) *cluster {
-	m := &cluster{b: b, responses: map[uint64]int{}, hints: &hints{}}
+func newCluster(b *testing.B, size int) *cluster {
+	c := &cluster{b: b, statuses: map[uint64]int{}, hints: &hints{}}
 	var seeds []string
-	for i := range n {
+	for i := range size {
 		seeds = append(seeds, fmt.Sprintf("10.0.0.%d:7540", i+1))
 	}
 	for i, addr := range seeds {
-		x := &clusterMember{disk: &countingDisk{files: map[string][]byte{}}, self: membership.Member{ID: addr + "/0", Addr: addr, Zone: sizes.ZoneName(i), APIAddr: addr}}
+		member := &clusterMember{
+			disk: &countingDisk{files: map[string][]byte{}},
+			self: membership.Member{ID: addr + "/0", Addr: addr, Zone: sizes.ZoneName(i), APIAddr: addr},
+		}
 		var err error
-		if x.store, err = statestore.Open(x.disk); err != nil {
+		if member.store, err = statestore.Open(member.disk); err != nil {
 			b.Fatal(err)
 		}
-		k := coordinator.PersistentState{}
-		k.Initialize(addr, seeds, true, "")
-		x.coordinator = coordinator.New(x.self, k, seeds, rand.New(rand.NewPCG(uint64(i), 1)).Float64, m.hints)
-		m.all = append(m.all, x)
+		state := coordinator.PersistentState{}
+		state.Initialize(addr, seeds, true, "")
+		random := rand.New(rand.NewPCG(uint64(i), 1))
+		member.coordinator = coordinator.New(member.self, state, seeds, random.Float64, c.hints)
+		c.members = append(c.members, member)
 	}
-	for _, x := range m.all {
-		m.perform(x, x.coordinator.Start(m.now))
+	for _, member := range c.members {
+		c.perform(member, member.coordinator.Start(c.now))
 	}
-	m.until(func() bool {
-		for _, x := range m.all {
-			if !x.coordinator.HasQuorumContact(m.now) {
+	c.until(func() bool {
+		for _, member := range c.members {
+			if !member.coordinator.HasQuorumContact(c.now) {
 				return false
 			}
 		}
 		return true
 	})
-	return m
+	return c
 }
 
-func (m *cluster) perform(x *clusterMember, a coordinator.Actions) {
-	for _, s := range a.Responses {
-		m.responses[s.RequestID] = s.Status
+// perform does what a member's coordinator asks for, and all that follows from it.
+func (c *cluster) perform(member *clusterMember, actions coordinator.Actions) {
+	for _, response := range actions.Responses {
+		c.statuses[response.RequestID] = response.Status()
 	}
-	if a.StateToPersist != nil {
-		if err := x.store.Put(map[string][]byte{"state": a.StateToPersist}); err != nil {
-			m.b.Fatal(err)
+	if actions.StateToPersist != nil {
+		if err := member.store.Put(map[string][]byte{"state": actions.StateToPersist}); err != nil {
+			c.b.Fatal(err)
 		}
-		m.perform(x, x.coordinator.StatePersisted(m.now, ""))
+		c.perform(member, member.coordinator.StatePersisted(c.now, ""))
 	}
-	for _, s := range a.Messages {
-		frame, err := peertransport.EncodeFrame(&peertransport.Frame{Coordinator: &s.Message})
+	for _, outbound := range actions.Messages {
+		frame, err := peertransport.EncodeFrame(&peertransport.Frame{Coordinator: &outbound.Message})
 		if err != nil {
-			m.b.Fatal(err)
+			c.b.Fatal(err)
 		}
-		if s.Message.View == nil {
-			m.transferredBytes += len(frame)
-			m.largestFrame = max(m.largestFrame, len(frame))
+		if outbound.Message.View == nil {
+			c.transferredBytes += len(frame)
+			c.largestFrame = max(c.largestFrame, len(frame))
 		}
-		for _, to := range m.all {
-			if to.self.Addr == s.To && !to.down {
-				got, err := peertransport.ReadFrame(bytes.NewReader(frame))
-				if err != nil { // too long: a real peer ends the connection. Here it goes on, to measure what it would cost
-					m.oversizedFrames++
-					got = &peertransport.Frame{}
-					if err := cbor.Unmarshal(frame[4:], got); err != nil {
-						m.b.Fatal(err)
-					}
-				}
-				m.perform(to, to.coordinator.Step(m.now, x.self, *got.Coordinator))
+		for _, receiver := range c.members {
+			if receiver.self.Addr == outbound.To && !receiver.down {
+				c.perform(receiver, receiver.coordinator.Step(c.now, member.self, *c.decode(frame).Coordinator))
 			}
 		}
 	}
 }
 
-func (m *cluster) until(done func() bool) {
-	for end := m.now + time.Minute; !done(); m.now += 50 * time.Millisecond {
-		for _, x := range m.all {
-			if !x.down {
-				m.perform(x, x.coordinator.Tick(m.now))
+// decode reads a frame. A real peer ends the connection if a frame is too large; here it is decoded nevertheless, to measure what
+// it would cost.
+func (c *cluster) decode(raw []byte) *peertransport.Frame {
+	frame, err := peertransport.ReadFrame(bytes.NewReader(raw))
+	if err == nil {
+		return frame
+	}
+	c.oversizedFrames++
+	frame = &peertransport.Frame{}
+	if err := cbor.Unmarshal(raw[4:], frame); err != nil {
+		c.b.Fatal(err)
+	}
+	return frame
+}
+
+func (c *cluster) until(done func() bool) {
+	for end := c.now + time.Minute; !done(); c.now += 50 * time.Millisecond {
+		for _, member := range c.members {
+			if !member.down {
+				c.perform(member, member.coordinator.Tick(c.now))
 			}
 		}
-		if m.now > end {
-			m.b.Skipf("not within a minute of simulated time")
+		if c.now > end {
+			c.b.Skipf("not within a minute of simulated time")
 		}
 	}
 }
 
-func (m *cluster) propose(x *clusterMember, o chainreplication.Command) {
-	token, a := x.coordinator.Propose(m.now, o)
-	m.perform(x, a)
-	m.until(func() bool { return m.responses[token] != 0 })
-	if m.responses[token] != http.StatusOK {
-		m.b.Skipf("an order of %d bytes got %d", len(o.Body), m.responses[token])
+func (c *cluster) propose(member *clusterMember, command chainreplication.Command) {
+	id, actions := member.coordinator.Propose(c.now, command)
+	c.perform(member, actions)
+	c.until(func() bool { return c.statuses[id] != 0 })
+	if c.statuses[id] != http.StatusOK {
+		c.b.Skipf("a command of %d bytes got %d", len(command.Body), c.statuses[id])
 	}
 }
 
-func (m *cluster) written() (n int) {
-	for _, x := range m.all {
-		n += x.disk.written
+func (c *cluster) writtenBytes() int {
+	total := 0
+	for _, member := range c.members {
+		total += member.disk.written
 	}
-	return
+	return total
 }
 
-func body(routes int, version uint64) []byte {
-	f := sizes.ProductionFleet()
-	f.Routes, f.Services = routes, max(routes*f.Services/f.Routes, 3)
-	return f.Configuration(version, 8)
+func configurationBody(routes int, version uint64) []byte {
+	fleet := sizes.ProductionFleet()
+	fleet.Routes, fleet.Services = routes, max(routes*fleet.Services/fleet.Routes, 3)
+	return fleet.Configuration(version, 8)
 }
 
 var capacityRoutes = []int{8, 500, 5000, 51000}
 
-// BenchmarkCapacityPropose changes the configuration ("config") or evacuates a zone ("zone") at three combs, by an order to the
+// BenchmarkCapacityPropose changes the configuration ("config") or evacuates a zone ("zone") at three members, by a command at the
 // last of the chain: processor time and memory are those of all three together, frames and files included.
 func BenchmarkCapacityPropose(b *testing.B) {
-	for _, what := range []string{"config", "zone"} {
-		for _, n := range capacityRoutes {
-			b.Run(fmt.Sprintf("%s/n=%d", what, n), func(b *testing.B) {
-				m := newCluster(b, 3)
-				version := uint64(1)
-				raw := body(n, version)
-				m.propose(m.all[2], chainreplication.Command{Version: version, Body: raw})
-				m.transferredBytes, m.largestFrame, m.oversizedFrames = 0, 0, 0
-				before := m.written()
-				b.ReportAllocs()
-				i := 0
-				for ; b.Loop(); i++ {
-					o := chainreplication.Command{Zone: sizes.ZoneName(0), Evacuated: i%2 == 0}
-					if what == "config" {
-						version++
-						o = chainreplication.Command{Version: version, Body: raw}
-					}
-					m.propose(m.all[2], o)
-				}
-				b.ReportMetric(float64(m.transferredBytes)/float64(i), "passed-B")
-				b.ReportMetric(float64(m.largestFrame), "frame-B")
-				b.ReportMetric(float64(m.oversizedFrames)/float64(i), "refused")
-				b.ReportMetric(float64(m.written()-before)/float64(i), "disk-B")
-			})
+	for _, kind := range []string{"config", "zone"} {
+		for _, routes := range capacityRoutes {
+			b.Run(fmt.Sprintf("%s/n=%d", kind, routes), func(b *testing.B) { benchmarkPropose(b, kind, routes) })
+		}
+	}
+}
+
+func benchmarkPropose(b *testing.B, kind string, routes int) {
+	c := newCluster(b, 3)
+	version := uint64(1)
+	body := configurationBody(routes, version)
+	c.propose(c.members[2], chainreplication.Command{Version: version, Body: body})
+	c.transferredBytes, c.largestFrame, c.oversizedFrames = 0, 0, 0
+	writtenBefore := c.writtenBytes()
+	b.ReportAllocs()
+	i := 0
+	for ; b.Loop(); i++ {
+		command := chainreplication.Command{Zone: sizes.ZoneName(0), Evacuated: i%2 == 0}
+		if kind == "config" {
+			version++
+			command = chainreplication.Command{Version: version, Body: body}
 		}
+		c.propose(c.members[2], command)
 	}
+	b.ReportMetric(float64(c.transferredBytes)/float64(i), "passed-B")
+	b.ReportMetric(float64(c.largestFrame), "frame-B")
+	b.ReportMetric(float64(c.oversizedFrames)/float64(i), "refused")
+	b.ReportMetric(float64(c.writtenBytes()-writtenBefore)/float64(i), "disk-B")
 }
 
 // BenchmarkCapacityCatchUp has a member come back with its disk after ten changes that it missed.
 func BenchmarkCapacityCatchUp(b *testing.B) {
-	for _, n := range capacityRoutes {
-		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			m := newCluster(b, 3)
-			version := uint64(1)
-			raw := body(n, version)
-			m.propose(m.all[0], chainreplication.Command{Version: version, Body: raw})
-			passed, disk, took, rounds := 0, 0, time.Duration(0), 0
-			b.ReportAllocs()
-			for b.Loop() {
-				b.StopTimer()
-				m.all[2].down = true
-				m.until(func() bool { return m.all[0].coordinator.View().Position(m.all[2].self.ID) < 0 })
-				for range 10 {
-					version++
-					m.propose(m.all[0], chainreplication.Command{Version: version, Body: raw})
-				}
-				m.transferredBytes = 0
-				before, from := m.written(), m.now
-				b.StartTimer()
-				m.all[2].down = false
-				m.until(func() bool {
-					r, _ := m.all[2].coordinator.Register()
-					return r.Version == version && m.all[0].coordinator.View().Position(m.all[2].self.ID) >= 0 && m.all[2].coordinator.HasQuorumContact(m.now)
-				})
-				passed, disk, took, rounds = passed+m.transferredBytes, disk+m.written()-before, took+m.now-from, rounds+1
-			}
-			b.ReportMetric(float64(passed)/float64(rounds), "passed-B")
-			b.ReportMetric(float64(disk)/float64(rounds), "disk-B")
-			b.ReportMetric(float64(took.Milliseconds())/float64(rounds), "simulated-ms")
+	for _, routes := range capacityRoutes {
+		b.Run(fmt.Sprintf("n=%d", routes), func(b *testing.B) { benchmarkCatchUp(b, routes) })
+	}
+}
+
+func benchmarkCatchUp(b *testing.B, routes int) {
+	c := newCluster(b, 3)
+	head, returning := c.members[0], c.members[2]
+	version := uint64(1)
+	body := configurationBody(routes, version)
+	c.propose(head, chainreplication.Command{Version: version, Body: body})
+	transferred, written, took, rounds := 0, 0, time.Duration(0), 0
+	b.ReportAllocs()
+	for b.Loop() {
+		b.StopTimer()
+		returning.down = true
+		c.until(func() bool { return head.coordinator.View().Position(returning.self.ID) < 0 })
+		for range 10 {
+			version++
+			c.propose(head, chainreplication.Command{Version: version, Body: body})
+		}
+		c.transferredBytes = 0
+		writtenBefore, startedAt := c.writtenBytes(), c.now
+		b.StartTimer()
+		returning.down = false
+		c.until(func() bool {
+			register, _ := returning.coordinator.Register()
+			isInChain := head.coordinator.View().Position(returning.self.ID) >= 0
+			return register.Version == version && isInChain && returning.coordinator.HasQuorumContact(c.now)
 		})
+		transferred, written = transferred+c.transferredBytes, written+c.writtenBytes()-writtenBefore
+		took, rounds = took+c.now-startedAt, rounds+1
 	}
+	b.ReportMetric(float64(transferred)/float64(rounds), "passed-B")
+	b.ReportMetric(float64(written)/float64(rounds), "disk-B")
+	b.ReportMetric(float64(took.Milliseconds())/float64(rounds), "simulated-ms")
 }
 
-// BenchmarkCapacityHints encodes and writes what a comb keeps once a second while lives of replicas change, beside eight routes.
+// BenchmarkCapacityHints encodes and writes what a member keeps once a second while instances change, beside eight routes.
 func BenchmarkCapacityHints(b *testing.B) {
-	for _, n := range []int{1740, 5220, 15700, 47000} {
-		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			m := newCluster(b, 1)
-			f := sizes.ProductionFleet()
-			f.Replicas = n
-			m.hints.instances = f.Instances()
-			x := m.all[0]
-			before, i := x.disk.written, 0
+	for _, replicas := range []int{1740, 5220, 15700, 47000} {
+		b.Run(fmt.Sprintf("n=%d", replicas), func(b *testing.B) {
+			c := newCluster(b, 1)
+			fleet := sizes.ProductionFleet()
+			fleet.Replicas = replicas
+			c.hints.instances = fleet.Instances()
+			member := c.members[0]
+			writtenBefore, i := member.disk.written, 0
 			b.ReportAllocs()
 			for ; b.Loop(); i++ {
-				m.hints.revision++
-				m.now += 1100 * time.Millisecond
-				m.perform(x, x.coordinator.Tick(m.now))
+				c.hints.revision++
+				c.now += 1100 * time.Millisecond
+				c.perform(member, member.coordinator.Tick(c.now))
 			}
-			b.ReportMetric(float64(x.disk.written-before)/float64(i), "disk-B")
+			b.ReportMetric(float64(member.disk.written-writtenBefore)/float64(i), "disk-B")
 		})
 	}
 }
