--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -3,15 +3,9 @@
 
 import (
 	"zincloft.example/zincloft/internal/controlserver"
-	"zincloft.example/zincloft/internal/nodesettings"
 	"zincloft.example/zincloft/internal/program"
-
-	"github.com/phuslu/log"
 )
 
 func main() {
-	program.Main("controlplane", "registers replicas, keeps the configuration and publishes endpoint weights to gateways",
-		func(set *nodesettings.Settings, logger *log.Logger) (program.Runner, error) {
-			return controlserver.New(set, logger)
-		})
+	program.Main("controlplane", "registers replicas, keeps the configuration and publishes endpoint weights to gateways", controlserver.New)
 }
--- /dev/null
+++ b/internal/nodesettings/load_test.go
@@ -0,0 +1,31 @@
+package nodesettings
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+func TestFileChanged(t *testing.T) {
+	Convey("A file that changes without a signal is noticed once", t, func() {
+		path := filepath.Join(t.TempDir(), "node.yaml")
+		So(os.WriteFile(path, []byte(validFile), 0o600), ShouldBeNil)
+		t.Setenv(PathVariable, path)
+		_, err := Load()
+		So(err, ShouldBeNil)
+		So(FileChanged(), ShouldBeFalse)
+		So(os.WriteFile(path, []byte(validFile+"\n"), 0o600), ShouldBeNil)
+		So(FileChanged(), ShouldBeTrue)
+		So(FileChanged(), ShouldBeFalse)
+	})
+}
+
+func TestLoadWithoutPath(t *testing.T) {
+	t.Setenv(PathVariable, "")
+	if _, err := Load(); !errors.Is(err, ErrPathNotSet) {
+		t.Errorf("got %v, want ErrPathNotSet", err)
+	}
+}
--- a/internal/nodesettings/nodefile_test.go
+++ b/internal/nodesettings/parse_test.go
@@ -1,8 +1,7 @@
 package nodesettings
 
 import (
-	"os"
-	"path/filepath"
+	"errors"
 	"strings"
 	"testing"
 	"time"
@@ -10,7 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-const good = `
+// validFile is a settings file with unknown keys in several tables.
+const validFile = `
 self_settings:
   node_name: "edge-1"
   zone: "a"
@@ -31,9 +31,9 @@
   bounds: {grace_period: "6s", cold_slack: 5, address_reuse: "0s", a_later_one: true, another: 0.5, a_third: 7, a_fourth: [1]}
 `
 
-func TestSettings(t *testing.T) {
-	Convey("Settings are read, what is not known is skipped", t, func() {
-		s, err := Parse([]byte(good))
+func TestParse(t *testing.T) {
+	Convey("Settings are read and unknown keys are skipped", t, func() {
+		s, err := Parse([]byte(validFile))
 		So(err, ShouldBeNil)
 		So(s.FrontAddress, ShouldEqual, "10.1.0.34:8548")
 		So(s.DataDir, ShouldEqual, "")
@@ -46,15 +46,18 @@
 		So(s.ActiveContracts, ShouldResemble, []string{"base", "drain", "a-later-one"})
 		So(s.Bounds.AddressReuseDelay, ShouldEqual, 0)
 	})
-	Convey("One seed is enough, as fewer than three may serve control; what is not told has its default", t, func() {
-		s, err := Parse([]byte(strings.Replace(strings.Replace(good, `, "10.2.0.37:8544"`, "", 1), "first_start: true", "", 1)))
+	Convey("One seed is enough, as fewer than three members may serve control; what is missing has its default", t, func() {
+		s, err := Parse([]byte(strings.Replace(strings.Replace(validFile, `, "10.2.0.37:8544"`, "", 1), "first_start: true", "", 1)))
 		So(err, ShouldBeNil)
 		So(s.SeedPeerAddresses(), ShouldResemble, []string{"10.1.0.37:7540"})
 		So(s.FirstStart, ShouldBeFalse)
 		So(s.Bounds.AckDeadline, ShouldEqual, 5*time.Second)
 	})
+}
+
+func TestParseNamesThePathAtFault(t *testing.T) {
 	Convey("What is wrong is named by its path", t, func() {
-		for _, x := range []struct{ old, new, path string }{
+		for _, fault := range []struct{ old, new, path string }{
 			{`node_name: "edge-1"`, `node_name: ""`, "self_settings.node_name"},
 			{`ip_address: "10.1.0.34"`, `ip_address: "here"`, "self_settings.ip_address"},
 			{`[7540, 7555]`, `[7540]`, "network_settings.internal_port_range"},
@@ -64,7 +67,7 @@
 			{`cold_slack: 5`, `cold_slack: "five"`, "rule_terms.bounds.cold_slack"},
 			{`front: "10.1.0.34:8548"`, `front: 8548`, "network_settings.listen_addresses.front"},
 			{`memory_mb: 284`, `memory_mb: -1`, "self_settings.limits.memory_mb"},
-			// A text such as "no" was taken for false, and with it a core that starts for the first time for one that has lost its disks.
+			// A text such as "no" was once taken for false, and a control plane that starts for the first time for one that has lost its disks.
 			{`first_start: true`, `first_start: "no"`, "self_settings.first_start"},
 			{`first_start: true`, `first_start: 1`, "self_settings.first_start"},
 			{`machines: 2`, `machines: 1.5`, "rule_terms.fault_tolerance.machines"},
@@ -75,25 +78,17 @@
 			{`address_reuse: "0s"`, `address_reuse: "-1s"`, "rule_terms.bounds.address_reuse"},
 			{`grace_period: "6s"`, `grace_period: "0s"`, "rule_terms.bounds.grace_period"},
 		} {
-			So(strings.Contains(good, x.old), ShouldBeTrue)
-			_, err := Parse([]byte(strings.Replace(good, x.old, x.new, 1)))
+			So(strings.Contains(validFile, fault.old), ShouldBeTrue)
+			_, err := Parse([]byte(strings.Replace(validFile, fault.old, fault.new, 1)))
 			So(err, ShouldNotBeNil)
-			So(err.Error(), ShouldContainSubstring, x.path)
+			So(err.Error(), ShouldContainSubstring, fault.path)
+			var field *FieldError
+			So(errors.As(err, &field), ShouldBeTrue)
+			So(field.Path, ShouldEqual, fault.path)
 		}
 		_, err := Parse([]byte("a: [b"))
 		So(err, ShouldNotBeNil)
 		_, err = Parse([]byte("just a text"))
 		So(err, ShouldNotBeNil)
 	})
-	Convey("A file that changes without a signal is noticed once", t, func() {
-		path := filepath.Join(t.TempDir(), "node.yaml")
-		So(os.WriteFile(path, []byte(good), 0o600), ShouldBeNil)
-		t.Setenv(PathVariable, path)
-		_, err := Load()
-		So(err, ShouldBeNil)
-		So(FileChanged(), ShouldBeFalse)
-		So(os.WriteFile(path, []byte(good+"\n"), 0o600), ShouldBeNil)
-		So(FileChanged(), ShouldBeTrue)
-		So(FileChanged(), ShouldBeFalse)
-	})
 }
--- /dev/null
+++ b/internal/nodesettings/settings.go
@@ -0,0 +1,74 @@
+// Package nodesettings reads and checks the settings file that tells a process of the gateway who and where it is.
+//
+// The file is YAML. It is turned into JSON and then read by gjson paths, so that each error names the path at fault.
+// Unknown keys are skipped.
+package nodesettings
+
+import (
+	"net/netip"
+	"time"
+)
+
+// PathVariable is the environment variable that holds the settings file's path.
+const PathVariable = "ZINCLOFT_NODE_FILE"
+
+// Settings are what one process is configured with.
+type Settings struct {
+	Name         string
+	Role         string
+	MachineClass string
+	Serves       []string // traffic kinds, as the file names them
+	IP           netip.Addr
+	Zone         string
+	Region       string
+	Counted      bool   // this machine counts in FaultTolerance.Machines
+	FirstStart   bool   // the control plane has never run before, so its members may begin with empty disks
+	DataDir      string // empty: no disk
+
+	MemoryMB        int64
+	FileDescriptors int64
+	LinkMbps        float64
+	CPUCores        float64 // this process's part of the machine's cores
+
+	FrontAddress      string // empty where the role serves no clients
+	ReadinessAddress  string // empty where the role serves no clients
+	ControlAddress    string // empty where the role serves no replicas and operators
+	FirstInternalPort int
+	LastInternalPort  int
+	Seeds             []netip.AddrPort
+	ZoneRegions       map[string]string // region of each zone
+
+	HeartbeatInterval time.Duration // between two heartbeats of a replica
+	FaultTolerance    FaultTolerance
+	ActiveContracts   []string // parts of the rules that are in force
+	Bounds            Bounds
+}
+
+// SeedPeerAddresses lists where the seeds listen for other processes of the gateway: at their IP addresses, on the first
+// internal port.
+func (s *Settings) SeedPeerAddresses() []string {
+	var addresses []string
+	for _, seed := range s.Seeds {
+		addresses = append(addresses, netip.AddrPortFrom(seed.Addr(), uint16(s.FirstInternalPort)).String())
+	}
+	return addresses
+}
+
+// FaultTolerance is what may be lost at once with all rules kept: counted machines, or zones, or regions.
+type FaultTolerance struct{ Machines, Zones, Regions int }
+
+// Bounds are the figures of the rules that decisions depend on.
+type Bounds struct {
+	AddressReuseDelay  time.Duration // from a replica's end until its address may be another's
+	AckDeadline        time.Duration // for the acknowledgement of an operator's command
+	DrainDeadline      time.Duration // from the acknowledgement of a drain until nothing more is sent to the replica
+	GracePeriod        time.Duration // between SIGTERM and SIGKILL
+	ConfigDeadline     time.Duration // until a configuration is in force everywhere
+	EvacuationDeadline time.Duration // until an evacuated zone gets nothing more
+	CatchUpTime        time.Duration // for which a machine that came back still counts as lost
+	RetryBudgetRatio   float64       // retries for each request
+	RetryBudgetWindow  time.Duration
+	RetryBudgetSlack   float64 // retries beyond the ratio, in a window, over all gateways
+	WarmupOverage      float64 // times cold_per_s that a replica that is warming up may be sent in a second
+	WarmupSlack        float64 // requests beyond WarmupOverage
+}
--- /dev/null
+++ b/internal/program/log.go
@@ -0,0 +1,65 @@
+package program
+
+import (
+	"io"
+	"iter"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/phuslu/log"
+)
+
+// NewLogger returns a logger that writes one line of key=value pairs for each event to w, and names the program in each.
+func NewLogger(w io.Writer, name string) *log.Logger {
+	format := func(w io.Writer, entry *log.FormatterArgs) (int, error) { return w.Write(formatLine(name, entry)) }
+	return &log.Logger{
+		Level:      log.InfoLevel,
+		TimeFormat: "2006-01-02T15:04:05.000Z07:00",
+		Writer:     &log.ConsoleWriter{Writer: w, Formatter: format},
+	}
+}
+
+func formatLine(name string, entry *log.FormatterArgs) []byte {
+	line := append([]byte("time="), entry.Time...)
+	line = append(append(line, " level="...), entry.Level...)
+	line = append(append(line, " program="...), name...)
+	for _, field := range entry.KeyValues {
+		line = append(append(append(line, ' '), field.Key...), '=')
+		line = appendValue(line, field.Value)
+	}
+	if entry.Message != "" {
+		line = strconv.AppendQuote(append(line, " message="...), entry.Message)
+	}
+	return append(line, '\n')
+}
+
+// appendValue quotes a value that is empty or would end or split a field.
+func appendValue(line []byte, value string) []byte {
+	if value == "" || strings.ContainsAny(value, " \"=\n") {
+		return strconv.AppendQuote(line, value)
+	}
+	return append(line, value...)
+}
+
+// LogEvent writes one line with an event and its fields, as a warning or as information.
+func LogEvent(logger *log.Logger, warn bool, event string, fields iter.Seq2[string, any]) {
+	entry := logger.Info()
+	if warn {
+		entry = logger.Warn()
+	}
+	entry = entry.Str("event", event)
+	for key, value := range fields {
+		switch value := value.(type) {
+		case string:
+			entry = entry.Str(key, value)
+		case []string:
+			entry = entry.Strs(key, value)
+		case time.Duration:
+			entry = entry.Dur(key, value)
+		default:
+			entry = entry.Any(key, value)
+		}
+	}
+	entry.Msg("")
+}
--- /dev/null
+++ b/internal/program/main.go
@@ -0,0 +1,114 @@
+// Package program holds what the gateway's daemons share: command line, logs, signals and exit status.
+package program
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/signal"
+	"strings"
+	"syscall"
+
+	"github.com/integrii/flaggy"
+	"github.com/phuslu/log"
+
+	"zincloft.example/zincloft/internal/nodesettings"
+)
+
+// Version is printed by --version.
+var Version = "0.1.0"
+
+// Exit statuses of a daemon.
+const (
+	exitFailure = 1 // it ended with an error while it served
+	exitUsage   = 2 // the command line or the settings are wrong
+)
+
+// maxPendingReloads bounds the SIGHUPs that wait for a daemon to read its settings again.
+const maxPendingReloads = 4
+
+// Runner is a daemon.
+type Runner interface {
+	// Run serves until ctx ends. Each signal on reload has it read its settings again.
+	Run(ctx context.Context, reload <-chan os.Signal) error
+}
+
+// Main runs a daemon and does not return if it fails. Without a verb, or with `run`, it serves until SIGTERM or SIGINT;
+// `check` reads the settings, builds the daemon and reports what is wrong.
+func Main[R Runner](name, description string, build func(*nodesettings.Settings, *log.Logger) (R, error)) {
+	arguments, err := parseArguments(name, description, os.Args[1:])
+	if err != nil {
+		exit(exitUsage, err)
+	}
+	if arguments.settingsPath != "" {
+		if err := os.Setenv(nodesettings.PathVariable, arguments.settingsPath); err != nil {
+			exit(exitUsage, err)
+		}
+	}
+	settings, err := nodesettings.Load()
+	if err != nil {
+		exit(exitUsage, err)
+	}
+	logger := NewLogger(os.Stderr, name)
+	daemon, err := build(settings, logger)
+	if err != nil {
+		exit(exitUsage, err)
+	}
+	if arguments.checkOnly {
+		if err := printSummary(os.Stdout, name, settings); err != nil {
+			exit(exitFailure, err)
+		}
+		return
+	}
+	if err := serve(daemon); err != nil {
+		logger.Error().Str("event", "run_failed").Err(err).Msg("")
+		os.Exit(exitFailure)
+	}
+}
+
+func exit(status int, err error) {
+	fmt.Fprintln(os.Stderr, err)
+	os.Exit(status)
+}
+
+type arguments struct {
+	settingsPath string
+	checkOnly    bool
+}
+
+func parseArguments(name, description string, args []string) (arguments, error) {
+	parsed := arguments{settingsPath: os.Getenv(nodesettings.PathVariable)}
+	parser := flaggy.NewParser(name)
+	parser.Description = description
+	parser.Version = Version
+	parser.String(&parsed.settingsPath, "s", "settings", "path of the settings file; "+nodesettings.PathVariable+" names it too")
+	check := flaggy.NewSubcommand("check")
+	check.Description = "read the settings, say what is wrong, and end"
+	run := flaggy.NewSubcommand("run")
+	run.Description = "serve (also without a verb)"
+	parser.AttachSubcommand(check, 1)
+	parser.AttachSubcommand(run, 1)
+	err := parser.ParseArgs(args)
+	parsed.checkOnly = check.Used
+	return parsed, err
+}
+
+// printSummary prints what `check` found.
+func printSummary(out io.Writer, name string, settings *nodesettings.Settings) error {
+	tolerance := settings.FaultTolerance
+	_, headline := fmt.Fprintf(out, "%s: %s in zone %s: settings hold\n", name, settings.Name, settings.Zone)
+	_, details := fmt.Fprintf(out, "may be lost at once: %d machines that count, or %d zones, or %d regions; rules in force: %s\n",
+		tolerance.Machines, tolerance.Zones, tolerance.Regions, strings.Join(settings.ActiveContracts, ", "))
+	return errors.Join(headline, details)
+}
+
+// serve runs a daemon until a signal ends it.
+func serve(daemon Runner) error {
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	reload := make(chan os.Signal, maxPendingReloads)
+	signal.Notify(reload, syscall.SIGHUP)
+	return daemon.Run(ctx, reload)
+}
