--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simadapter runs governors on the simulator's wire: events on standard input, orders on standard output.
+// Command simadapter runs governors on the simulator's protocol: events on standard input, orders on standard output.
 package main
 
 import (
@@ -12,31 +12,35 @@
 	"zincloft.example/zincloft/rules"
 )
 
+const inputBufferSize = 1 << 16
+
 func main() {
-	if err := run(bufio.NewReaderSize(os.Stdin, 1<<16), os.Stdout); err != nil {
+	if err := run(bufio.NewReaderSize(os.Stdin, inputBufferSize), os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
+// run answers each batch of in with one reply, until in ends.
 func run(in io.Reader, out io.Writer) error {
-	dec := simadapter.NewDecoder(in)
+	decoder := simadapter.NewDecoder(in)
 	governors := map[simadapter.InstanceID]*rules.Governor{}
 	for {
-		batch, err := dec.Next()
+		batch, err := decoder.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
-		} else if err != nil {
+		}
+		if err != nil {
 			return err
 		}
 		var reply simadapter.Reply
-		for _, share := range batch.Instances {
-			g := governors[share.Instance]
-			if g == nil {
-				g = &rules.Governor{}
-				governors[share.Instance] = g
+		for _, instance := range batch.Instances {
+			governor := governors[instance.Instance]
+			if governor == nil {
+				governor = &rules.Governor{}
+				governors[instance.Instance] = governor
 			}
-			if err := answer(&reply, g, batch.Now, share); err != nil {
+			if err := answer(&reply, governor, batch.Now, instance); err != nil {
 				return err
 			}
 		}
@@ -47,32 +51,38 @@
 }
 
 // answer adds one governor's orders to the reply. A failure of the decision code becomes a bug report.
-func answer(reply *simadapter.Reply, g *rules.Governor, now rules.Time, share *simadapter.InstanceEvents) error {
-	orders, fault := step(g, now, share)
-	if fault == "" && len(orders) == 0 {
+func answer(reply *simadapter.Reply, governor *rules.Governor, now rules.Time, instance *simadapter.InstanceEvents) error {
+	orders, err := step(governor, now, instance)
+	if err == nil && len(orders) == 0 {
 		return nil
 	}
-	reply.SelectInstance(share.Instance)
-	if fault != "" {
-		reply.AddBug(fault)
+	reply.SelectInstance(instance.Instance)
+	if err != nil {
+		reply.AddBug(err.Error())
 		return nil
 	}
-	for _, o := range orders {
-		if err := reply.AddOrder(o); err != nil {
+	for _, order := range orders {
+		if err := reply.AddOrder(order); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func step(g *rules.Governor, now rules.Time, share *simadapter.InstanceEvents) (orders []rules.Order, fault string) {
+// panicError is a panic of the decision code.
+type panicError struct{ value any }
+
+func (e panicError) Error() string { return fmt.Sprint("panic: ", e.value) }
+
+// step lets a governor handle its events. It fails where the settings can't be used or the decision code panics.
+func step(governor *rules.Governor, now rules.Time, instance *simadapter.InstanceEvents) (orders []rules.Order, err error) {
 	defer func() {
-		if p := recover(); p != nil {
-			orders, fault = nil, fmt.Sprint("panic: ", p)
+		if value := recover(); value != nil {
+			orders, err = nil, panicError{value}
 		}
 	}()
-	if share.SettingsError != nil {
-		return nil, share.SettingsError.Error()
+	if instance.SettingsError != nil {
+		return nil, instance.SettingsError
 	}
-	return g.Step(now, share.Events), ""
+	return governor.Step(now, instance.Events), nil
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"strings"
 	"testing"
 
@@ -27,9 +28,11 @@
 }
 
 func TestPanicBecomesBug(t *testing.T) {
-	share := &simadapter.InstanceEvents{Events: []rules.Event{rules.Start{Settings: rules.Settings{Zones: 1}}, rules.Joined{Proxy: 1}}}
+	instance := &simadapter.InstanceEvents{Events: []rules.Event{rules.Start{Settings: rules.Settings{Zones: 1}}, rules.Joined{Proxy: 1}}}
 	var broken *rules.Governor
-	if _, fault := step(broken, 0, share); !strings.HasPrefix(fault, "panic: ") {
-		t.Errorf("got %q", fault)
+	_, err := step(broken, 0, instance)
+	var failure panicError
+	if !errors.As(err, &failure) || !strings.HasPrefix(err.Error(), "panic: ") {
+		t.Errorf("got %v", err)
 	}
 }
