--- /dev/null
+++ b/controlplane/maintenance/command.go
@@ -0,0 +1,125 @@
+package maintenance
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"zincloft.example/zincloft/dataplane/capacity"
+)
+
+// Verbs of commands.
+const (
+	VerbAgree  = "agree"  // set the agreed floors, the fault tolerance and the declared nodes
+	VerbAsk    = "ask"    // request windows
+	VerbFinish = "finish" // have nodes serve again
+	VerbCancel = "cancel" // drop requests; have nodes serve again
+	VerbPause  = "pause"  // grant nothing more
+	VerbResume = "resume" // grant again
+)
+
+// Command is an operator's command. Which fields it uses depends on its verb.
+type Command struct {
+	Verb            string                  `json:"verb" cbor:"1,keyasint"`
+	Nodes           []string                `json:"nodes,omitempty" cbor:"2,keyasint,omitempty"`
+	WindowName      string                  `json:"window,omitempty" cbor:"3,keyasint,omitempty"`
+	AgreedFloors    []capacity.Floor        `json:"agreed,omitempty" cbor:"4,keyasint,omitempty"`
+	FaultTolerance  capacity.FaultTolerance `json:"losses" cbor:"5,keyasint,omitempty"`
+	DeclaredNodes   []capacity.Node         `json:"told,omitempty" cbor:"6,keyasint,omitempty"`
+	DurationSeconds int64                   `json:"takes_s,omitempty" cbor:"7,keyasint,omitempty"`
+}
+
+// ErrNoAgreedFloors rejects requests for windows while no capacity is agreed.
+var ErrNoAgreedFloors = errors.New("windows: no capacity has been agreed, so none can be kept")
+
+// WindowExistsError rejects a request for a window of a node that has another one already.
+type WindowExistsError struct{ Existing Window }
+
+func (e *WindowExistsError) Error() string {
+	return fmt.Sprintf("windows: %s has a window already: %s, %s", e.Existing.Node, e.Existing.Name, e.Existing.Phase)
+}
+
+// NotBegunError rejects finishing a window that was not granted yet.
+type NotBegunError struct{ Node string }
+
+func (e *NotBegunError) Error() string {
+	return fmt.Sprintf("windows: %s has not begun; cancel it", e.Node)
+}
+
+// UnknownVerbError rejects a command whose verb is none.
+type UnknownVerbError struct{ Verb string }
+
+func (e *UnknownVerbError) Error() string {
+	return fmt.Sprintf("windows: verb: %q is none of agree, ask, finish, cancel, pause, resume", e.Verb)
+}
+
+// Apply returns the state after a command. It is idempotent. A command that is rejected changes nothing; the error is
+// ErrNoAgreedFloors, a *WindowExistsError, a *NotBegunError or an *UnknownVerbError.
+func (s State) Apply(command Command) (State, error) {
+	next := s.clone()
+	var err error
+	switch command.Verb {
+	case VerbAgree:
+		next.agree(command)
+	case VerbAsk:
+		err = next.request(command)
+	case VerbFinish, VerbCancel:
+		err = next.end(command)
+	case VerbPause, VerbResume:
+		next.Paused = command.Verb == VerbPause
+		next.appendAudit("%sd by an operator", command.Verb)
+	default:
+		err = &UnknownVerbError{Verb: command.Verb}
+	}
+	if err != nil {
+		return s, err
+	}
+	return next, nil
+}
+
+func (s *State) agree(command Command) {
+	s.AgreedFloors, s.FaultTolerance, s.DeclaredNodes = command.AgreedFloors, command.FaultTolerance, command.DeclaredNodes
+	s.appendAudit("%d floors agreed, %d machines and %d zones may be lost meanwhile",
+		len(command.AgreedFloors), command.FaultTolerance.Machines, command.FaultTolerance.Zones)
+}
+
+func (s *State) request(command Command) error {
+	if len(s.AgreedFloors) == 0 {
+		return ErrNoAgreedFloors
+	}
+	for _, node := range command.Nodes {
+		if i := s.indexOf(node); i >= 0 {
+			existing := s.Windows[i]
+			if existing.Phase == Returning || existing.Name != command.WindowName {
+				return &WindowExistsError{Existing: existing}
+			}
+			continue
+		}
+		s.Windows = append(s.Windows, Window{
+			Node:            node,
+			Name:            command.WindowName,
+			Phase:           Requested,
+			DurationSeconds: command.DurationSeconds,
+		})
+	}
+	return nil
+}
+
+// end finishes or cancels the windows of nodes. Nodes without one are passed over: theirs has ended.
+func (s *State) end(command Command) error {
+	for _, node := range command.Nodes {
+		i := s.indexOf(node)
+		if i < 0 {
+			continue
+		}
+		switch phase := s.Windows[i].Phase; {
+		case phase == Requested && command.Verb == VerbFinish:
+			return &NotBegunError{Node: node}
+		case phase == Requested:
+			s.Windows = slices.Delete(s.Windows, i, i+1)
+		case phase != Returning:
+			s.returnToService(i, "by an operator: "+command.Verb)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/controlplane/maintenance/shortfall.go
@@ -0,0 +1,72 @@
+package maintenance
+
+import (
+	"fmt"
+	"strings"
+
+	"zincloft.example/zincloft/dataplane/capacity"
+)
+
+// loadMargin is how many times the present load must be carried, where that is above the agreed floor.
+const loadMargin = 1.15
+
+// Shortfall is a floor that is not kept. Figures are requests a second.
+type Shortfall struct {
+	capacity.Floor
+	Required, Remaining float64
+}
+
+func (s Shortfall) String() string {
+	return fmt.Sprintf("%s of %s: %.1f a second are needed, %.1f are left", s.Group, s.Region, s.Required, s.Remaining)
+}
+
+// Shortfalls lists the floors that are not kept while some nodes are out.
+func (s State) Shortfalls(fleet Fleet, out func(node string) bool) []Shortfall {
+	var shortfalls []Shortfall
+	nodes := s.servingNodes(fleet)
+	for _, floor := range s.AgreedFloors {
+		required := max(floor.Minimum, loadMargin*fleet.Load[floor.Region][floor.Group])
+		remaining := capacity.RemainingAfterLosses(nodes, floor.Region, floor.Group, out, s.FaultTolerance)
+		if remaining < required {
+			shortfalls = append(shortfalls, Shortfall{Floor: floor, Required: required, Remaining: remaining})
+		}
+	}
+	return shortfalls
+}
+
+// servingNodes lists the nodes that serve, with the declared capacity of those that have none measured.
+func (s State) servingNodes(fleet Fleet) []capacity.Node {
+	var serving []capacity.Node
+	for _, node := range fleet.Nodes {
+		if !node.Serving {
+			continue
+		}
+		known := node.Node
+		if len(known.Capacity) == 0 {
+			for _, declared := range s.DeclaredNodes {
+				if declared.Name == node.Name {
+					known.Capacity = declared.Capacity
+				}
+			}
+		}
+		serving = append(serving, known)
+	}
+	return serving
+}
+
+// describeRemaining writes down what each floor keeps with a node out, by measured capacities alone.
+func (s State) describeRemaining(fleet Fleet, node string) string {
+	out := func(other string) bool { return other == node || s.IsOut(other) }
+	var measured []capacity.Node
+	for _, known := range fleet.Nodes {
+		if known.Serving {
+			measured = append(measured, known.Node)
+		}
+	}
+	var floors []string
+	for _, floor := range s.AgreedFloors {
+		remaining := capacity.RemainingAfterLosses(measured, floor.Region, floor.Group, out, s.FaultTolerance)
+		floors = append(floors, fmt.Sprintf("%s of %s %.1f for %.1f", floor.Group, floor.Region, remaining, floor.Minimum))
+	}
+	return strings.Join(floors, ", ")
+}
