--- /dev/null
+++ b/controlplane/maintenanceplanner/capacitytable.go
@@ -0,0 +1,193 @@
+package maintenanceplanner
+
+import (
+	"cmp"
+	"slices"
+)
+
+// tolerance absorbs rounding where capacities are compared, in requests a second.
+const tolerance = 1e-9
+
+// usualZoneCount bounds the zones whose sums are kept on the stack.
+const usualZoneCount = 8
+
+// capacityTable holds what is left of each demand's region in each slot while windows are placed.
+type capacityTable struct {
+	request    *Request
+	nodeIndex  map[string]int // by name
+	zones      []string
+	zoneOfNode []int // index in zones
+
+	capacity     [][]float64   // [demand][slot], of all nodes that are not out
+	zoneCapacity [][][]float64 // [demand][zone][slot]
+	machineLoss  []float64     // [demand], of the strongest machines that may be lost
+	zoneCount    []int         // [demand], zones of its region
+	concurrent   [][]int       // [window][slot], nodes that are out
+}
+
+func newCapacityTable(r *Request) *capacityTable {
+	t := &capacityTable{request: r, nodeIndex: map[string]int{}}
+	zoneIndex := map[string]int{}
+	for i, node := range r.Nodes {
+		t.nodeIndex[node.Name] = i
+		if _, ok := zoneIndex[node.Zone]; !ok {
+			zoneIndex[node.Zone] = len(t.zones)
+			t.zones = append(t.zones, node.Zone)
+		}
+		t.zoneOfNode = append(t.zoneOfNode, zoneIndex[node.Zone])
+	}
+	for _, demand := range r.Demands {
+		t.addDemand(demand)
+	}
+	for range r.Windows {
+		t.concurrent = append(t.concurrent, make([]int, r.SlotCount))
+	}
+	return t
+}
+
+// addDemand adds a row for a demand, with no node out.
+func (t *capacityTable) addDemand(demand Demand) {
+	r := t.request
+	total, byZone, zones := 0.0, make([]float64, len(t.zones)), map[string]bool{}
+	var machines []float64
+	for i, node := range r.Nodes {
+		if node.Region != demand.Region {
+			continue
+		}
+		capacity := node.Capacity[demand.Group]
+		total += capacity
+		machines = append(machines, capacity)
+		byZone[t.zoneOfNode[i]] += capacity
+		zones[node.Zone] = true
+	}
+	var zoneRows [][]float64
+	for _, capacity := range byZone {
+		zoneRows = append(zoneRows, slices.Repeat([]float64{capacity}, r.SlotCount))
+	}
+	t.capacity = append(t.capacity, slices.Repeat([]float64{total}, r.SlotCount))
+	t.zoneCapacity = append(t.zoneCapacity, zoneRows)
+	t.machineLoss = append(t.machineLoss, sumOfLargest(machines, min(r.FaultTolerance.Machines, len(machines))))
+	t.zoneCount = append(t.zoneCount, len(zones))
+}
+
+// sumOfLargest sums the largest count values; it sorts the values.
+func sumOfLargest(values []float64, count int) float64 {
+	slices.SortFunc(values, func(a, b float64) int { return cmp.Compare(b, a) })
+	sum := 0.0
+	for _, value := range values[:count] {
+		sum += value
+	}
+	return sum
+}
+
+// noNode stands for no further node being out.
+const noNode = -1
+
+// remaining is what is left of a demand's capacity in a slot after the worst loss, with one more node out, or noNode.
+func (t *capacityTable) remaining(demand, slot, node int) float64 {
+	required := t.request.Demands[demand]
+	out, zone := 0.0, noNode
+	if node != noNode && t.request.Nodes[node].Region == required.Region {
+		out, zone = t.request.Nodes[node].Capacity[required.Group], t.zoneOfNode[node]
+	}
+	return t.capacity[demand][slot] - out - max(t.machineLoss[demand], t.worstZoneLoss(demand, slot, zone, out))
+}
+
+// worstZoneLoss is the capacity of the strongest zones that may be lost, where the region has several; out of one zone's capacity
+// is out.
+func (t *capacityTable) worstZoneLoss(demand, slot, zone int, out float64) float64 {
+	zones := t.request.FaultTolerance.Zones
+	if t.zoneCount[demand] < 2 || zones == 0 {
+		return 0
+	}
+	var buffer [usualZoneCount]float64
+	sums := buffer[:0]
+	for z := range t.zones {
+		sum := t.zoneCapacity[demand][z][slot]
+		if z == zone {
+			sum -= out
+		}
+		sums = append(sums, sum)
+	}
+	if zones == 1 {
+		return slices.Max(sums)
+	}
+	return sumOfLargest(sums, min(zones, t.zoneCount[demand]-1))
+}
+
+// shortfall is a demand that is not met, and by how much; demand is noDemand where all are met.
+type shortfall struct {
+	demand int // index
+	amount float64
+}
+
+const noDemand = -1
+
+// shortfall returns the first demand that is not met in a slot with one more node out.
+func (t *capacityTable) shortfall(slot, node int) shortfall {
+	for i, demand := range t.request.Demands {
+		if demand.Region != t.request.Nodes[node].Region {
+			continue
+		}
+		if amount := demand.at(slot) - t.remaining(i, slot, node); amount > tolerance {
+			return shortfall{demand: i, amount: amount}
+		}
+	}
+	return shortfall{demand: noDemand}
+}
+
+// place takes a node out from a start on.
+func (t *capacityTable) place(placed placement, start int) {
+	node := t.request.Nodes[placed.node]
+	for slot := start; slot < start+placed.duration; slot++ {
+		t.concurrent[placed.window][slot]++
+		for i, demand := range t.request.Demands {
+			if demand.Region == node.Region {
+				t.capacity[i][slot] -= node.Capacity[demand.Group]
+				t.zoneCapacity[i][t.zoneOfNode[placed.node]][slot] -= node.Capacity[demand.Group]
+			}
+		}
+	}
+}
+
+// fits tells whether a node may be out in a slot.
+func (t *capacityTable) fits(placed placement, slot int) bool {
+	window := t.request.Windows[placed.window]
+	if window.MaxConcurrent > 0 && t.concurrent[placed.window][slot] >= window.MaxConcurrent {
+		return false
+	}
+	for i, other := range t.request.Windows {
+		if i != placed.window && t.concurrent[i][slot] > 0 && window.conflictsWith(other) {
+			return false
+		}
+	}
+	return t.shortfall(slot, placed.node).demand == noDemand
+}
+
+// earliestFit returns the earliest start of [first, latest-duration] at which a node may be out for its duration.
+func (t *capacityTable) earliestFit(placed placement, first, latest int) (start int, ok bool) {
+	run := 0
+	for slot := first; slot < latest; slot++ {
+		run++
+		if !t.fits(placed, slot) {
+			run = 0
+		}
+		if run == placed.duration {
+			return slot - placed.duration + 1, true
+		}
+	}
+	return 0, false
+}
+
+// longestFit returns the longest run of slots of [first, latest) in which a node may be out.
+func (t *capacityTable) longestFit(placed placement, first, latest int) int {
+	run, longest := 0, 0
+	for slot := first; slot < latest; slot++ {
+		run++
+		if !t.fits(placed, slot) {
+			run = 0
+		}
+		longest = max(longest, run)
+	}
+	return longest
+}
