--- a/internal/sizes/sizes.go
+++ b/internal/sizes/sizes.go
@@ -1,5 +1,5 @@
-// Package sizes makes fleets and configurations of a wanted size, alike from run to run, for benchmarks and for the scale
-// run (internal/scalerun). Names and addresses have the lengths of those that the users' sites have.
+// Package sizes generates fleets and configurations of a wanted size, alike from run to run, for benchmarks and for the scale
+// experiment (internal/scalerun). Names and addresses have the lengths of those that production sites have.
 package sizes
 
 import (
@@ -15,59 +15,87 @@
 	Gateways, Replicas, Services, Routes, Zones int
 }
 
-// Scale is a fleet so many times as large, with one of each thing and three zones at the least.
-func (f Fleet) Scale(x float64) Fleet {
-	n := func(all, least int) int { return max(int(float64(all)*x+0.5), least) }
-	return Fleet{n(f.Gateways, 1), n(f.Replicas, 3), n(f.Services, 1), n(f.Routes, 1), min(f.Zones, 3)}
-}
+// minReplicas and maxScaledZones bound a scaled fleet.
+const (
+	minReplicas    = 3
+	maxScaledZones = 3
+)
 
 // ProductionFleet is the size that the users plan for.
 func ProductionFleet() Fleet {
 	return Fleet{Gateways: 3300, Replicas: 47000, Services: 1300, Routes: 51000, Zones: 27}
 }
 
-// ServiceName names the i-th of so many services; Zone the i-th zone.
+// Scale returns a fleet that is so many times as large, with at least one of each thing and at most three zones.
+func (f Fleet) Scale(factor float64) Fleet {
+	scaled := func(count, minimum int) int { return max(int(float64(count)*factor+0.5), minimum) }
+	return Fleet{
+		Gateways: scaled(f.Gateways, 1),
+		Replicas: scaled(f.Replicas, minReplicas),
+		Services: scaled(f.Services, 1),
+		Routes:   scaled(f.Routes, 1),
+		Zones:    min(f.Zones, maxScaledZones),
+	}
+}
+
+// ServiceName names the i-th service.
 func ServiceName(i int) string { return fmt.Sprintf("service-%04d", i) }
-func ZoneName(i int) string    { return "zone-" + string(rune('a'+i%26)) + strconv.Itoa(i/26) }
 
-// Instances are the replicas of a fleet, dealt over services and zones by turns. All are warm and known by one beat.
+// ZoneName names the i-th zone.
+func ZoneName(i int) string { return "zone-" + string(rune('a'+i%26)) + strconv.Itoa(i/26) }
+
+// Hostname names the i-th virtual host.
+func Hostname(i int) string { return fmt.Sprintf("tenant-%05d.example", i) }
+
+// PathPrefix is the i-th route's path prefix.
+func PathPrefix(i int) string { return fmt.Sprintf("/path-%05d/", i) }
+
+// Instances are the replicas of a fleet, dealt over services and zones in turn. All are warm and known by one heartbeat.
 func (f Fleet) Instances() []registry.Instance {
-	lives := make([]registry.Instance, f.Replicas)
-	for i := range lives {
-		lives[i] = registry.Instance{ID: fmt.Sprintf("i-%08x", uint32(i)*2654435761), Service: ServiceName(i % f.Services),
-			Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255), Zone: ZoneName(i / f.Services % f.Zones), Slots: 6, Sequence: 1}
+	instances := make([]registry.Instance, f.Replicas)
+	for i := range instances {
+		instances[i] = registry.Instance{
+			ID:       fmt.Sprintf("i-%08x", uint32(i)*2654435761), // spread by Knuth's multiplicative hash
+			Service:  ServiceName(i % f.Services),
+			Addr:     fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
+			Zone:     ZoneName(i / f.Services % f.Zones),
+			Slots:    6,
+			Sequence: 1,
+		}
 	}
-	return lives
+	return instances
 }
 
-// Configuration is one in which the routes are dealt over hosts of so many routes each, and each goes to one service. All
-// under one host is what a platform with a single name has.
-func (f Fleet) Configuration(version uint64, routesOfHost int) []byte {
-	var b strings.Builder
-	fmt.Fprintf(&b, `{"version":"%08x","services":[`, version)
+// Configuration returns a configuration in JSON in which the routes are dealt over virtual hosts of so many routes each, and each
+// route goes to one service. All under one host is what a platform with a single name has.
+func (f Fleet) Configuration(version uint64, routesPerHost int) []byte {
+	var out strings.Builder
+	fmt.Fprintf(&out, `{"version":"%08x","services":[`, version)
 	for i := range f.Services {
 		if i > 0 {
-			b.WriteByte(',')
+			out.WriteByte(',')
 		}
-		fmt.Fprintf(&b, `{"name":"%s","health_check_path":"/health","max_connections":120,"cold_start":"8s","cold_per_s":4.1}`, ServiceName(i))
+		fmt.Fprintf(&out, `{"name":"%s","health_check_path":"/health","max_connections":120,"cold_start":"8s","cold_per_s":4.1}`, ServiceName(i))
 	}
-	b.WriteString(`],"limits":{"max_header_bytes":16384,"max_body_bytes":1048576,"header_timeout":"3000ms","idle_timeout":"15000ms"},"virtual_hosts":[`)
-	for i := range f.Routes {
-		if i%routesOfHost == 0 {
-			if i > 0 {
-				b.WriteString(`]},`)
+	out.WriteString(`],"limits":{"max_header_bytes":16384,"max_body_bytes":1048576,"header_timeout":"3000ms","idle_timeout":"15000ms"},"virtual_hosts":[`)
+	f.writeHosts(&out, routesPerHost)
+	out.WriteString(`]}`)
+	return []byte(out.String())
+}
+
+func (f Fleet) writeHosts(out *strings.Builder, routesPerHost int) {
+	for first := 0; first < f.Routes; first += routesPerHost {
+		if first > 0 {
+			out.WriteByte(',')
+		}
+		fmt.Fprintf(out, `{"hostname":"%s","path_routes":[`, Hostname(first/routesPerHost))
+		for i := first; i < min(first+routesPerHost, f.Routes); i++ {
+			if i > first {
+				out.WriteByte(',')
 			}
-			fmt.Fprintf(&b, `{"hostname":"%s","path_routes":[`, Hostname(i/routesOfHost))
-		} else {
-			b.WriteByte(',')
+			fmt.Fprintf(out, `{"name":"route-%05d","path_prefix":"%s","kind":"safe","timeout":"5s","target_latency":"800ms","priority":1,"max_attempts":2,"service":"%s"}`,
+				i, PathPrefix(i), ServiceName(i%f.Services))
 		}
-		fmt.Fprintf(&b, `{"name":"route-%05d","path_prefix":"%s","kind":"safe","timeout":"5s","target_latency":"800ms","priority":1,"max_attempts":2,"service":"%s"}`,
-			i, PathPrefix(i), ServiceName(i%f.Services))
+		out.WriteString(`]}`)
 	}
-	b.WriteString(`]}]}`)
-	return []byte(b.String())
 }
-
-// Hostname names the i-th host; Prefix the i-th route's prefix.
-func Hostname(i int) string   { return fmt.Sprintf("tenant-%05d.example", i) }
-func PathPrefix(i int) string { return fmt.Sprintf("/path-%05d/", i) }
