--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"net/http"
 	"slices"
 	"strings"
@@ -264,7 +265,8 @@
 	}
 	c.result.NewestView = max(c.result.NewestView, view.Number)
 	c.tracef("%s is in view %d: chain %s", m.name, view.Number, strings.Join(view.Chain, " > "))
-	for i, at := range c.downSince {
+	for _, i := range slices.Sorted(maps.Keys(c.downSince)) { // in order, so that the same schedule always comes to the same
+		at := c.downSince[i]
 		if !slices.ContainsFunc(view.Chain, func(id string) bool { return strings.HasPrefix(id, c.members[i].address+"/") }) && i != m.index {
 			c.result.ViewRepairTimes = append(c.result.ViewRepairTimes, c.now-at)
 			delete(c.downSince, i)
