--- a/internal/simulation/schedule.go
+++ b/internal/simulation/schedule.go
@@ -24,14 +24,14 @@
 	// from the other combs alone, both ways), deaf, mute (one way); gone (for good, without a word), leave (SIGTERM),
 	// spare (a new machine at a new address).
 	Kind string
-	On   int
+	On   int `json:"On"`
 
 	// On days with a Tolerance: Role, if any, says whom it strikes: head, tail, middle, seed, newest (the last spare).
 	// Meet has a forager begin a new life and call that machine first, soon after it was struck and when it is over. When
 	// says what is waited for, up to 6 s: joined (the first view with the newest spare in the chain), voter (in the
 	// roster), viewed (any view).
 	Role string `json:",omitempty"`
-	Meet bool   `json:",omitempty"`
+	Meet bool   `json:"Meet,omitempty"`
 	When string `json:",omitempty"`
 }
 
@@ -54,36 +54,36 @@
 	At      time.Duration
 	Kind    string // put, evacuate, restore, read; drain, begin (cold); agree, ask, finish, cancel (a window)
 	Version uint64 // put
-	To      int    `json:",omitempty"` // 1 + the comb of the list that is called first; 0: any
-	Back    bool   `json:",omitempty"` // that one is called again, not another
-	Lost    bool   `json:",omitempty"` // the first answer is lost on its way
-	Body    int    `json:",omitempty"` // put: names what is sent; 0: the act's place does
-	On      int    // evacuate, restore: the zone; drain: the replica; ask, finish, cancel: the forager
+	To      int    `json:",omitempty"`     // 1 + the comb of the list that is called first; 0: any
+	Back    bool   `json:"Back,omitempty"` // that one is called again, not another
+	Lost    bool   `json:"Lost,omitempty"` // the first answer is lost on its way
+	Body    int    `json:",omitempty"`     // put: names what is sent; 0: the act's place does
+	On      int    `json:"On"`             // evacuate, restore: the zone; drain: the replica; ask, finish, cancel: the forager
 }
 
 // Schedule is a day of the apiary.
 type Schedule struct {
 	Seed     uint64
-	Machines int
-	Seeds    int // of the machines, those that form the first view
-	Foragers int
+	Machines int `json:"Machines"`
+	Seeds    int `json:"Seeds"` // of the machines, those that form the first view
+	Foragers int `json:"Foragers"`
 	Replicas int
 	Zones    int
-	Lasts    time.Duration
-	Troubles []Fault
-	Acts     []Action
-	Loss     float64 // share of messages between combs that are lost
-	Reorder  float64 // share that come late, behind later ones
-	Late     time.Duration
-	Fault    PlantedBug `json:",omitempty"`
+	Lasts    time.Duration `json:"Lasts"`
+	Troubles []Fault       `json:"Troubles"`
+	Acts     []Action      `json:"Acts"`
+	Loss     float64       `json:"Loss"`    // share of messages between combs that are lost
+	Reorder  float64       `json:"Reorder"` // share that come late, behind later ones
+	Late     time.Duration `json:"Late"`
+	Fault    PlantedBug    `json:"Fault,omitempty"`
 
 	// Tolerance, where set, is how many machines may be lost at once; what is promised beside that is watched too.
 	Tolerance int           `json:",omitempty"`
-	Spread    time.Duration `json:",omitempty"` // machines start within this
+	Spread    time.Duration `json:"Spread,omitempty"` // machines start within this
 
 	// Unasked has a comb tell each forager that joins what it holds to be committed, before it has asked the others: what the
 	// forager itself keeps up when a comb is wrong shows only then.
-	Unasked bool `json:",omitempty"`
+	Unasked bool `json:"Unasked,omitempty"`
 }
 
 // PlantedBug is a bug put in on purpose, to see that the invariants find it.
