--- a/internal/simulation/apiary.go
+++ b/internal/simulation/apiary.go
@@ -174,7 +174,7 @@
 	onWindowGrant       []Fault
 	lastToken           uint64
 
-	core coreHistory
+	coreHistory coreHistory
 
 	windowState      maintenance.State // as committed
 	windowRevision   uint64
@@ -190,20 +190,20 @@
 func run(s Schedule, h *historyChecksum) Result {
 	w := &cluster{schedule: s, history: h, random: rand.New(rand.NewPCG(s.Seed, 2)), memberByAddress: map[string]*member{}, cutLinks: map[[2]string]int{}, lastArrival: map[[2]string]time.Duration{},
 		committedBySequence: map[uint64]string{}, versionByBody: map[string]uint64{}, committedAt: map[uint64]time.Duration{}, evacuatedAt: map[string]time.Duration{}, downSince: map[int]time.Duration{}}
-	for i := range s.Machines {
+	for i := range s.Members {
 		m := &member{index: i, process: process{name: fmt.Sprintf("comb %d", i), isMember: true}, address: fmt.Sprintf("10.0.0.%d:7000", i+1), disk: newDisk()}
-		m.disk.skipsFolderSync = s.Fault == SkipFolderSync
+		m.disk.skipsFolderSync = s.PlantedBug == SkipFolderSync
 		w.members = append(w.members, m)
 		w.memberByAddress[m.address] = m
 	}
 	for _, m := range w.members {
-		if s.Spread == 0 {
+		if s.StartSpread == 0 {
 			w.startMember(m, true)
 		} else {
-			w.after(time.Duration(w.random.Int64N(int64(s.Spread))), func() { w.startMember(m, true) })
+			w.after(time.Duration(w.random.Int64N(int64(s.StartSpread))), func() { w.startMember(m, true) })
 		}
 	}
-	for i := range s.Foragers {
+	for i := range s.Gateways {
 		b := &gatewayNode{index: i, process: process{name: gatewayName(i)}}
 		w.gateways = append(w.gateways, b)
 		w.startGateway(b)
@@ -211,18 +211,18 @@
 	for i := range s.Replicas {
 		w.startReplica(i%w.zoneCount(), false)
 	}
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		w.after(t.At, func() { w.injectFault(t) })
 	}
-	for n, a := range s.Acts {
+	for n, a := range s.Actions {
 		w.after(a.At, func() { w.perform(n, a) })
 	}
-	end := s.Lasts
-	for _, t := range s.Troubles {
+	end := s.Duration
+	for _, t := range s.Faults {
 		end = max(end, t.At+t.For+restartTime)
 	}
 	if s.Tolerance > 0 {
-		w.core.initialize()
+		w.coreHistory.initialize()
 		w.watchCore()
 		end += 4 * time.Second
 	}
@@ -310,7 +310,7 @@
 	}
 	at := c.now + 500*time.Microsecond + time.Duration(c.random.ExpFloat64()*float64(time.Millisecond))
 	if c.random.Float64() < reorder { // on an older connection, handled late
-		at += time.Duration(c.random.Int64N(int64(max(c.schedule.Late, 1))))
+		at += time.Duration(c.random.Int64N(int64(max(c.schedule.MaxReorderDelay, 1))))
 	} else {
 		at = max(at, c.lastArrival[link])
 		c.lastArrival[link] = at
@@ -355,14 +355,14 @@
 	c.unsettledUntil = max(c.unsettledUntil, c.now+fault.For+restartTime)
 	switch fault.Kind {
 	case "all", "allpower", "wipepower":
-		lost := (c.schedule.Machines - 1) / 2
+		lost := (c.schedule.Members - 1) / 2
 		for i := range c.members {
-			m := c.members[(i+fault.On)%len(c.members)]
+			m := c.members[(i+fault.Target)%len(c.members)]
 			how := "kill"
 			if fault.Kind != "all" {
 				how = "power"
 			}
-			if fault.Kind == "wipepower" && i < lost && i < (c.schedule.Seeds-1)/2 {
+			if fault.Kind == "wipepower" && i < lost && i < (c.schedule.InitialMembers-1)/2 {
 				how = "wipe"
 			}
 			c.stopMember(m, how, fault.For+time.Duration(c.random.IntN(300))*time.Millisecond)
@@ -370,31 +370,31 @@
 		return
 	case "zone":
 		for _, m := range c.members {
-			if c.zoneName(m.index) == c.zoneName(fault.On) {
+			if c.zoneName(m.index) == c.zoneName(fault.Target) {
 				c.stopMember(m, "power", fault.For)
 			}
 		}
 		for _, b := range c.gateways {
-			if c.zoneName(b.index) == c.zoneName(fault.On) {
+			if c.zoneName(b.index) == c.zoneName(fault.Target) {
 				c.injectGatewayFault(b, Fault{For: fault.For, Kind: "bkill"})
 			}
 		}
 		return
 	case "bkill", "bfreeze", "bcut":
-		if fault.On < len(c.gateways) {
-			c.injectGatewayFault(c.gateways[fault.On], fault)
+		if fault.Target < len(c.gateways) {
+			c.injectGatewayFault(c.gateways[fault.Target], fault)
 		}
 		return
 	case "rcrash":
-		if fault.On < len(c.replicas) {
-			c.replicas[fault.On].alive = false
+		if fault.Target < len(c.replicas) {
+			c.replicas[fault.Target].alive = false
 		}
 		return
 	}
-	if fault.On >= len(c.members) {
+	if fault.Target >= len(c.members) {
 		return
 	}
-	m := c.members[fault.On]
+	m := c.members[fault.Target]
 	switch fault.Kind {
 	case "kill":
 		c.stopMember(m, "kill", restartTime)
--- a/internal/simulation/apiary_test.go
+++ b/internal/simulation/apiary_test.go
@@ -96,25 +96,25 @@
 			t.Parallel()
 			for seed := range uint64(400) {
 				s := Generate(seed, 3, 8, 25*time.Second)
-				s.Fault = f
+				s.PlantedBug = f
 				switch f {
 				case IgnoreViewNumber: // views must change often, and words of older ones come late
-					s.Reorder, s.Late, s.Foragers, s.Troubles = 0.3, 3*time.Second, 0, nil
+					s.ReorderRate, s.MaxReorderDelay, s.Gateways, s.Faults = 0.3, 3*time.Second, 0, nil
 					for at := 2 * time.Second; at < 22*time.Second; at += 2400 * time.Millisecond {
-						s.Troubles = append(s.Troubles, Fault{At: at + time.Duration(seed)*time.Millisecond, For: 1300 * time.Millisecond,
-							Kind: []string{"cut", "freeze", "power", "oneway"}[int(seed)%4], On: int(at/time.Millisecond+time.Duration(seed)) % 3})
+						s.Faults = append(s.Faults, Fault{At: at + time.Duration(seed)*time.Millisecond, For: 1300 * time.Millisecond,
+							Kind: []string{"cut", "freeze", "power", "oneway"}[int(seed)%4], Target: int(at/time.Millisecond+time.Duration(seed)) % 3})
 					}
-					s.Acts = append(s.Acts, risingPuts(80)...)
+					s.Actions = append(s.Actions, risingPuts(80)...)
 				case AcceptStaleState: // combs must lag, and foragers change sides; what the combs themselves now prevent is put in
-					s.Unasked = true
-					s.Loss, s.Foragers, s.Acts, s.Troubles = 0.2, 6, nil, nil
-					s.Acts = append(s.Acts, risingPuts(80)...)
+					s.UnconfirmedUpdates = true
+					s.LossRate, s.Gateways, s.Actions, s.Faults = 0.2, 6, nil, nil
+					s.Actions = append(s.Actions, risingPuts(80)...)
 					for at := 3 * time.Second; at < 22*time.Second; at += 1700 * time.Millisecond {
-						s.Troubles = append(s.Troubles, Fault{At: at + time.Duration(seed)*7*time.Millisecond, Kind: "kill", On: int(at/time.Millisecond) % 3})
+						s.Faults = append(s.Faults, Fault{At: at + time.Duration(seed)*7*time.Millisecond, Kind: "kill", Target: int(at/time.Millisecond) % 3})
 					}
 				}
 				if r := Run(s); len(r.Violations) > 0 {
-					s.Fault = ""
+					s.PlantedBug = ""
 					if sound := Run(s); len(sound.Violations) > 0 {
 						continue // more than what must be borne
 					}
@@ -179,7 +179,7 @@
 func TestSingleFaults(t *testing.T) {
 	const s = time.Second
 	at := func(kind string, on int, lasts time.Duration) Fault {
-		return Fault{At: 4 * s, For: lasts, Kind: kind, On: on}
+		return Fault{At: 4 * s, For: lasts, Kind: kind, Target: on}
 	}
 	cases := map[string][]Fault{
 		"head loses power":                         {at("power", 0, 3*s)},
@@ -197,14 +197,14 @@
 		"head's disk hangs":                        {at("stall", 0, 4*s)},
 		"tail freezes":                             {at("freeze", 2, 4*s)},
 		"head freezes":                             {at("freeze", 0, 4*s)},
-		"a joiner dies half filled":                {at("wipe", 1, s), {At: 5900 * time.Millisecond, For: s, Kind: "kill", On: 1}},
-		"one is wiped, and another one after that": {at("wipe", 0, s), {At: 11 * s, For: s, Kind: "wipe", On: 1}, {At: 18 * s, For: s, Kind: "wipe", On: 2}},
+		"a joiner dies half filled":                {at("wipe", 1, s), {At: 5900 * time.Millisecond, For: s, Kind: "kill", Target: 1}},
+		"one is wiped, and another one after that": {at("wipe", 0, s), {At: 11 * s, For: s, Kind: "wipe", Target: 1}, {At: 18 * s, For: s, Kind: "wipe", Target: 2}},
 	}
 	for name, troubles := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range seedCount(t, 12) {
-				r := Run(Schedule{Seed: seed, Machines: 3, Seeds: 3, Foragers: 3, Replicas: 4, Lasts: 20 * s, Troubles: troubles, Acts: GenerateActions(seed, 60, 4, 20*s), Loss: 0.002})
+				r := Run(Schedule{Seed: seed, Members: 3, InitialMembers: 3, Gateways: 3, Replicas: 4, Duration: 20 * s, Faults: troubles, Actions: GenerateActions(seed, 60, 4, 20*s), LossRate: 0.002})
 				if len(r.Violations) > 0 {
 					t.Fatalf("seed %d:\n%s", seed, strings.Join(r.Trace, "\n"))
 				}
@@ -219,8 +219,8 @@
 	var took []time.Duration
 	for _, kind := range []string{"power", "freeze", "cut"} {
 		for seed := range seedCount(t, 34) {
-			r := Run(Schedule{Seed: seed, Machines: 3, Seeds: 3, Lasts: 8 * time.Second, Acts: GenerateActions(seed, 10, 1, 8*time.Second),
-				Troubles: []Fault{{At: 3*time.Second + time.Duration(seed)*7*time.Millisecond, For: 3 * time.Second, Kind: kind, On: int(seed) % 3}}})
+			r := Run(Schedule{Seed: seed, Members: 3, InitialMembers: 3, Duration: 8 * time.Second, Actions: GenerateActions(seed, 10, 1, 8*time.Second),
+				Faults: []Fault{{At: 3*time.Second + time.Duration(seed)*7*time.Millisecond, For: 3 * time.Second, Kind: kind, Target: int(seed) % 3}}})
 			took = append(took, r.ViewRepairTimes...)
 		}
 	}
@@ -241,8 +241,8 @@
 		for _, kind := range []string{"power", "freeze", "cut"} {
 			var took, acked []time.Duration
 			for seed := range seedCount(t, 4) {
-				r := Run(Schedule{Seed: seed, Machines: machines, Seeds: 3, Lasts: 12 * time.Second, Acts: GenerateActions(seed, 20, 1, 12*time.Second),
-					Troubles: []Fault{{At: 6 * time.Second, For: 3 * time.Second, Kind: kind, On: int(seed) % machines}}})
+				r := Run(Schedule{Seed: seed, Members: machines, InitialMembers: 3, Duration: 12 * time.Second, Actions: GenerateActions(seed, 20, 1, 12*time.Second),
+					Faults: []Fault{{At: 6 * time.Second, For: 3 * time.Second, Kind: kind, Target: int(seed) % machines}}})
 				if len(r.Violations) > 0 {
 					t.Fatalf("%d machines, %s, seed %d:\n%s", machines, kind, seed, strings.Join(r.Trace, "\n"))
 				}
--- a/internal/simulation/cold_test.go
+++ b/internal/simulation/cold_test.go
@@ -13,7 +13,7 @@
 	colds := 0
 	for seed := range seedCount(t, 30) {
 		begins := 12 * time.Second
-		r := Run(Schedule{Seed: seed, Machines: 3, Seeds: 3, Foragers: 12, Zones: 2, Replicas: 2, Lasts: 20 * time.Second, Acts: []Action{
+		r := Run(Schedule{Seed: seed, Members: 3, InitialMembers: 3, Gateways: 12, Zones: 2, Replicas: 2, Duration: 20 * time.Second, Actions: []Action{
 			{At: 1200 * ms, Kind: "put", Version: 1}, {At: 4 * time.Second, Kind: "evacuate"}, {At: begins, Kind: "begin"},
 			{At: begins + 330*ms + time.Duration(seed%5)*10*ms, Kind: "restore"}}})
 		if colds += r.WarmupRequests; len(r.Violations) > 0 {
@@ -30,23 +30,23 @@
 func TestWarmupQuotasChangeHands(t *testing.T) {
 	colds := 0
 	for seed := range seedCount(t, 12) {
-		s := Schedule{Seed: seed, Machines: 3 + 2*int(seed%2), Seeds: 3, Foragers: 16, Zones: 2, Replicas: 1, Lasts: 30 * time.Second,
-			Acts: []Action{{At: 1200 * time.Millisecond, Kind: "put", Version: 1}}}
+		s := Schedule{Seed: seed, Members: 3 + 2*int(seed%2), InitialMembers: 3, Gateways: 16, Zones: 2, Replicas: 1, Duration: 30 * time.Second,
+			Actions: []Action{{At: 1200 * time.Millisecond, Kind: "put", Version: 1}}}
 		for i := range 8 {
-			s.Acts = append(s.Acts, Action{At: time.Duration(3+3*i) * time.Second, Kind: "begin", On: i})
+			s.Actions = append(s.Actions, Action{At: time.Duration(3+3*i) * time.Second, Kind: "begin", Target: i})
 		}
 		kinds := []string{"kill", "freeze", "cut", "power", "oneway", "wipe"}
 		for i := range 8 {
 			at := time.Duration(3000+3000*i)*time.Millisecond + time.Duration(seed*37%900)*time.Millisecond
 			if i%2 == 1 { // all foragers change sides while the replica is cold
-				for j := range s.Foragers {
-					s.Troubles = append(s.Troubles, Fault{At: at + 500*time.Millisecond, For: 1100 * time.Millisecond, Kind: "bcut", On: j})
+				for j := range s.Gateways {
+					s.Faults = append(s.Faults, Fault{At: at + 500*time.Millisecond, For: 1100 * time.Millisecond, Kind: "bcut", Target: j})
 				}
 			}
-			s.Troubles = append(s.Troubles, Fault{At: at, For: 1300 * time.Millisecond, Kind: kinds[(int(seed)+i)%len(kinds)], On: i % s.Machines})
+			s.Faults = append(s.Faults, Fault{At: at, For: 1300 * time.Millisecond, Kind: kinds[(int(seed)+i)%len(kinds)], Target: i % s.Members})
 			for j := range 3 {
-				s.Troubles = append(s.Troubles, Fault{At: at + time.Duration(j)*150*time.Millisecond, For: time.Duration(400+500*j) * time.Millisecond,
-					Kind: []string{"bkill", "bfreeze", "bcut"}[(j+i)%3], On: (int(seed) + 5*i + j) % s.Foragers})
+				s.Faults = append(s.Faults, Fault{At: at + time.Duration(j)*150*time.Millisecond, For: time.Duration(400+500*j) * time.Millisecond,
+					Kind: []string{"bkill", "bfreeze", "bcut"}[(j+i)%3], Target: (int(seed) + 5*i + j) % s.Gateways})
 			}
 		}
 		r := Run(s)
@@ -64,25 +64,25 @@
 func TestLongAbsence(t *testing.T) {
 	const away = 20 * time.Second
 	cases := map[string][]Fault{
-		"a forager is cut off from all":              {{Kind: "bcut", On: 0}, {Kind: "bcut", On: 1}},
-		"a forager freezes":                          {{Kind: "bfreeze", On: 0}, {Kind: "bfreeze", On: 1}},
-		"a comb is cut off":                          {{Kind: "cut", On: 0}},
-		"a comb is heard by nobody, or hears no one": {{Kind: "oneway", On: 1}},
-		"a comb freezes":                             {{Kind: "freeze", On: 2}},
-		"a comb is wiped":                            {{Kind: "wipe", On: 1}},
-		"a comb is cut off, a forager too":           {{Kind: "cut", On: 1}, {Kind: "bcut", On: 2}},
-		"a forager begins anew as a comb is back":    {{Kind: "cut", On: 1}, {At: 19900 * time.Millisecond, For: 200 * time.Millisecond, Kind: "bkill", On: 0}},
+		"a forager is cut off from all":              {{Kind: "bcut", Target: 0}, {Kind: "bcut", Target: 1}},
+		"a forager freezes":                          {{Kind: "bfreeze", Target: 0}, {Kind: "bfreeze", Target: 1}},
+		"a comb is cut off":                          {{Kind: "cut", Target: 0}},
+		"a comb is heard by nobody, or hears no one": {{Kind: "oneway", Target: 1}},
+		"a comb freezes":                             {{Kind: "freeze", Target: 2}},
+		"a comb is wiped":                            {{Kind: "wipe", Target: 1}},
+		"a comb is cut off, a forager too":           {{Kind: "cut", Target: 1}, {Kind: "bcut", Target: 2}},
+		"a forager begins anew as a comb is back":    {{Kind: "cut", Target: 1}, {At: 19900 * time.Millisecond, For: 200 * time.Millisecond, Kind: "bkill", Target: 0}},
 	}
 	for name, troubles := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range seedCount(t, 4) {
-				s := Schedule{Seed: seed, Machines: 3, Seeds: 3, Foragers: 6, Replicas: 4, Zones: generatedZones, Lasts: 34 * time.Second, Acts: GenerateActions(seed, 60, 4, 34*time.Second)}
+				s := Schedule{Seed: seed, Members: 3, InitialMembers: 3, Gateways: 6, Replicas: 4, Zones: generatedZones, Duration: 34 * time.Second, Actions: GenerateActions(seed, 60, 4, 34*time.Second)}
 				for _, x := range troubles {
 					if x.At += 4*time.Second + time.Duration(seed)*130*time.Millisecond; x.For == 0 {
 						x.For = away
 					}
-					s.Troubles = append(s.Troubles, x)
+					s.Faults = append(s.Faults, x)
 				}
 				if r := Run(s); len(r.Violations) > 0 {
 					t.Fatalf("seed %d: %s\n%s", seed, r.Violations[0], strings.Join(r.Trace, "\n"))
--- a/internal/simulation/days_test.go
+++ b/internal/simulation/days_test.go
@@ -251,8 +251,8 @@
 	}
 	for _, machines := range []int{3, 5, 7} {
 		play := func(seed uint64, s Schedule) Result {
-			s.Seed, s.Machines, s.Seeds, s.Tolerance, s.Zones, s.Loss = seed, machines, 3, toleranceByMembers[machines], generatedZones, 0.002
-			s.Acts = append([]Action{{At: 500 * time.Millisecond, Kind: "put", Version: 1, Body: 1}}, s.Acts...)
+			s.Seed, s.Members, s.InitialMembers, s.Tolerance, s.Zones, s.LossRate = seed, machines, 3, toleranceByMembers[machines], generatedZones, 0.002
+			s.Actions = append([]Action{{At: 500 * time.Millisecond, Kind: "put", Version: 1, Body: 1}}, s.Actions...)
 			r, wrong := runChecked(t, s)
 			if wrong != "" {
 				t.Fatalf("%d machines, seed %d: %s\n%s\n%s", machines, seed, wrong, s.Text(), strings.Join(r.Trace, "\n"))
@@ -263,16 +263,16 @@
 		for seed := range seedCount(t, 1) {
 			jitter := time.Duration(seed*37%1000) * time.Millisecond
 			for _, role := range []string{"head", "middle", "tail"} {
-				r := play(seed, Schedule{Lasts: 18 * time.Second, Troubles: []Fault{{At: 8*time.Second + jitter, Kind: "gone", Role: role}, {At: 9*time.Second + jitter, Kind: "spare"}}})
+				r := play(seed, Schedule{Duration: 18 * time.Second, Faults: []Fault{{At: 8*time.Second + jitter, Kind: "gone", Role: role}, {At: 9*time.Second + jitter, Kind: "spare"}}})
 				mended, taken = append(mended, r.ViewRepairTimes...), append(taken, r.JoinTimes...)
 			}
 			for i, kind := range []string{"cut", "island", "deaf", "mute", "freeze", "still", "stopped"} {
 				jitter := time.Duration((int(seed)*7+i)*230%1500) * time.Millisecond // beats of replicas are in step
-				s := Schedule{Lasts: 32 * time.Second, Foragers: 3, Replicas: 6, Troubles: []Fault{{At: 8*time.Second + jitter, For: 20 * time.Second, Kind: kind, On: int(seed) % 3, Meet: true}}}
+				s := Schedule{Duration: 32 * time.Second, Gateways: 3, Replicas: 6, Faults: []Fault{{At: 8*time.Second + jitter, For: 20 * time.Second, Kind: kind, Target: int(seed) % 3, Reconnect: true}}}
 				for _, from := range []time.Duration{8 * time.Second, 28 * time.Second} {
 					for i := range 18 { // fewer than may wait at a comb
 						at := from + jitter + time.Duration(i)*60*time.Millisecond
-						s.Acts = append(s.Acts, Action{At: at, Kind: "read", To: 1 + int(seed)%3}, Action{At: at, Kind: "evacuate", On: i % 3, To: 1 + int(seed)%3})
+						s.Actions = append(s.Actions, Action{At: at, Kind: "read", To: 1 + int(seed)%3}, Action{At: at, Kind: "evacuate", Target: i % 3, To: 1 + int(seed)%3})
 					}
 				}
 				r := play(seed, s)
@@ -292,9 +292,9 @@
 			var caught []time.Duration
 			for seed := range seedCount(t, 1) {
 				away := time.Second + time.Duration(n)*40*time.Millisecond
-				s := Schedule{Lasts: 9*time.Second + away + 6*time.Second, Troubles: []Fault{{At: 8*time.Second + time.Duration(seed*37%1000)*time.Millisecond, For: away, Kind: "power", Role: []string{"head", "middle", "tail"}[seed%3]}}}
+				s := Schedule{Duration: 9*time.Second + away + 6*time.Second, Faults: []Fault{{At: 8*time.Second + time.Duration(seed*37%1000)*time.Millisecond, For: away, Kind: "power", Role: []string{"head", "middle", "tail"}[seed%3]}}}
 				for i := range n {
-					s.Acts = append(s.Acts, Action{At: 9*time.Second + time.Duration(i)*40*time.Millisecond, Kind: "put", Version: uint64(10 + i), Body: 10 + i})
+					s.Actions = append(s.Actions, Action{At: 9*time.Second + time.Duration(i)*40*time.Millisecond, Kind: "put", Version: uint64(10 + i), Body: 10 + i})
 				}
 				caught = append(caught, play(seed, s).CatchUpTimes...)
 			}
@@ -319,33 +319,33 @@
 			t.Parallel()
 			for seed := range uint64(400) {
 				s := GenerateFamily(x.family, seed, 3)
-				s.Fault = f
+				s.PlantedBug = f
 				switch f {
 				case DropCommandID: // an order and its contrary are under way when the view changes
-					s.Foragers, s.Replicas, s.Acts, s.Troubles = 0, 0, nil, nil
+					s.Gateways, s.Replicas, s.Actions, s.Faults = 0, 0, nil, nil
 					for at := 8 * time.Second; at < 22*time.Second; at += 6 * time.Second {
 						after := time.Duration(seed%40) * 15 * time.Millisecond // the view changes about a second after the cut
-						s.Troubles = append(s.Troubles, Fault{At: at, For: 1500 * time.Millisecond, Kind: "cut", Role: "tail"})
-						s.Acts = append(s.Acts, Action{At: at - time.Second, Kind: "evacuate", To: 2}, Action{At: at + 400*time.Millisecond + after, Kind: "restore", To: 2},
+						s.Faults = append(s.Faults, Fault{At: at, For: 1500 * time.Millisecond, Kind: "cut", Role: "tail"})
+						s.Actions = append(s.Actions, Action{At: at - time.Second, Kind: "evacuate", To: 2}, Action{At: at + 400*time.Millisecond + after, Kind: "restore", To: 2},
 							Action{At: at + 450*time.Millisecond + after, Kind: "evacuate", To: 2})
 					}
 				case ConfirmSupersededView: // what tells of the later view must be lost, and much be asked and changed meanwhile
-					s.Loss, s.Foragers, s.Replicas, s.Acts, s.Troubles = 0.2, 0, 0, nil, nil
+					s.LossRate, s.Gateways, s.Replicas, s.Actions, s.Faults = 0.2, 0, 0, nil, nil
 					for at := 8 * time.Second; at < 22*time.Second; at += 4 * time.Second {
-						s.Troubles = append(s.Troubles, Fault{At: at, For: 1200 * time.Millisecond, Kind: "island", Role: "tail"})
+						s.Faults = append(s.Faults, Fault{At: at, For: 1200 * time.Millisecond, Kind: "island", Role: "tail"})
 					}
 					for at := 8 * time.Second; at < 24*time.Second; at += 20 * time.Millisecond {
-						s.Acts = append(s.Acts, Action{At: at, Kind: "read", To: 1 + len(s.Acts)%3})
-						if len(s.Acts)%4 == 0 {
-							s.Acts = append(s.Acts, Action{At: at, Kind: "put", Version: versionAt(at), Body: len(s.Acts)})
+						s.Actions = append(s.Actions, Action{At: at, Kind: "read", To: 1 + len(s.Actions)%3})
+						if len(s.Actions)%4 == 0 {
+							s.Actions = append(s.Actions, Action{At: at, Kind: "put", Version: versionAt(at), Body: len(s.Actions)})
 						}
 					}
 				case LeaveWithoutHandover: // the head leaves, its successor is there, and another is lost as it does
-					s.Troubles = []Fault{{At: 8 * time.Second, Kind: "spare"}, {At: 16 * time.Second, Kind: "leave", Role: "head"},
+					s.Faults = []Fault{{At: 8 * time.Second, Kind: "spare"}, {At: 16 * time.Second, Kind: "leave", Role: "head"},
 						{At: 16*time.Second + time.Duration(seed)*5*time.Millisecond, For: 12 * time.Second, Kind: "freeze", Role: "tail"}}
 				}
 				if _, wrong := runChecked(t, s); wrong != "" && strings.Contains(wrong, x.as) {
-					s.Fault = ""
+					s.PlantedBug = ""
 					if _, without := runChecked(t, s); without != "" {
 						continue // not the fault's doing
 					}
--- a/internal/simulation/edge.go
+++ b/internal/simulation/edge.go
@@ -112,7 +112,7 @@
 			return
 		}
 		m.streams[n] = g
-		if r, known := m.controller.Coordinator().Register(); (c.schedule.Unasked || c.schedule.Fault == UnconfirmedFirstState) && known {
+		if r, known := m.controller.Coordinator().Register(); (c.schedule.UnconfirmedUpdates || c.schedule.PlantedBug == UnconfirmedFirstState) && known {
 			c.sendState(m, g, n, &messages.StateUpdate{Full: true, Bootstrapping: true, Sequence: r.Sequence, ConfigVersion: r.Version, Config: r.Body, EvacuatedZones: sortedKeys(r.EvacuatedZones)})
 		}
 		c.step(m, controller.Event{GatewayJoined: &controller.GatewayJoined{Stream: n, Gateway: g.name, Zone: c.zoneName(g.index)}})
@@ -154,11 +154,11 @@
 		c.after(streamTimeout, func() { c.runOn(&m.process, incarnation, func() { c.step(m, controller.Event{GatewayLeft: n}) }) })
 		return
 	}
-	if c.schedule.Fault == UndividedWarmupQuota && len(state.WarmupRates) > 0 {
+	if c.schedule.PlantedBug == UndividedWarmupQuota && len(state.WarmupRates) > 0 {
 		all := *state
 		all.WarmupRates = nil
 		for _, l := range state.WarmupRates {
-			l.WarmupRate *= float32(c.schedule.Machines)
+			l.WarmupRate *= float32(c.schedule.Members)
 			all.WarmupRates = append(all.WarmupRates, l)
 		}
 		state = &all
@@ -199,7 +199,7 @@
 
 // applyState puts a word in force, and watches that the forager does not go back and holds nothing that is not committed.
 func (c *cluster) applyState(g *gatewayNode, state *messages.StateUpdate) {
-	if c.schedule.Fault == AcceptStaleState && state.Sequence > 0 && state.Sequence < g.sequence {
+	if c.schedule.PlantedBug == AcceptStaleState && state.Sequence > 0 && state.Sequence < g.sequence {
 		g.router = router.New(router.Settings{Zone: c.zoneName(g.index), Zones: c.zoneCount(), Seed: 1})
 	}
 	t := g.router.Apply(c.monotonicTime(&g.process), state)
--- a/internal/simulation/hard.go
+++ b/internal/simulation/hard.go
@@ -116,8 +116,8 @@
 // seedAddresses are the addresses in a settings file: at the first start the same for all, later any three, one of them at least of
 // a machine that is not gone.
 func (c *cluster) seedAddresses(first bool) (seeds []string) {
-	if first || c.core.spareCount == 0 {
-		for _, o := range c.members[:c.schedule.Seeds] {
+	if first || c.coreHistory.spareCount == 0 {
+		for _, o := range c.members[:c.schedule.InitialMembers] {
 			seeds = append(seeds, o.address)
 		}
 		return seeds
@@ -153,7 +153,7 @@
 	case m != nil:
 	case len(call.calledMembers) == 0 && call.action.To > 0:
 		m = all[(call.action.To-1)%len(all)]
-	case len(call.calledMembers) > 0 && call.action.Back && call.calledMembers[0].up && !call.calledMembers[0].frozen && call.attempts < 4:
+	case len(call.calledMembers) > 0 && call.action.RetrySame && call.calledMembers[0].up && !call.calledMembers[0].frozen && call.attempts < 4:
 		m = call.calledMembers[0]
 	default:
 		left := slices.DeleteFunc(slices.Clone(all), func(m *member) bool { return slices.Contains(call.calledMembers, m) })
@@ -174,11 +174,11 @@
 	t := Attempt{Kind: call.action.Kind, Version: call.version, Call: c.now}
 	switch call.action.Kind {
 	case "put":
-		t.BodyID = c.core.bodyID(call.body)
+		t.BodyID = c.coreHistory.bodyID(call.body)
 	case "evacuate":
-		t.Kind, t.Key = "out", c.zoneName(call.action.On)
+		t.Kind, t.Key = "out", c.zoneName(call.action.Target)
 	case "restore":
-		t.Kind, t.Key = "back", c.zoneName(call.action.On)
+		t.Kind, t.Key = "back", c.zoneName(call.action.Target)
 	}
 	c.result.Attempts = append(c.result.Attempts, t)
 	call.attemptIndex = len(c.result.Attempts)
@@ -208,7 +208,7 @@
 
 // losesAnswer has an answer lost on its way, once, where the schedule says so.
 func (c *cluster) losesAnswer(m *member, call *operatorCall, answer controller.Response) bool {
-	if !call.action.Lost || call.answerLost || answer.Status != http.StatusOK {
+	if !call.action.LoseAnswer || call.answerLost || answer.Status != http.StatusOK {
 		return false
 	}
 	call.answerLost = true
@@ -226,7 +226,7 @@
 		t := &c.result.Attempts[call.attemptIndex-1]
 		t.Return, t.Answered, t.Conflict = c.now, true, answer.Status == http.StatusConflict
 		if t.Kind == "read" && answer.Status == http.StatusOK {
-			t.Version, t.BodyID = c.versionByBody[string(answer.Body)], c.core.bodyID(string(answer.Body))
+			t.Version, t.BodyID = c.versionByBody[string(answer.Body)], c.coreHistory.bodyID(string(answer.Body))
 		}
 		call.attemptIndex = 0
 	}
@@ -237,26 +237,26 @@
 		if c.tracef("%s: call %d (%s) is refused", m.name, call.number, bodyLabel(call.body)); call.action.Kind != "put" {
 			c.violationf("call %d, %s, is answered 409", call.number, call.action.Kind)
 		}
-		if c.core.rejectedBodies[call.body] = true; c.core.sequenceByBody[call.body] > 0 {
+		if c.coreHistory.rejectedBodies[call.body] = true; c.coreHistory.sequenceByBody[call.body] > 0 {
 			c.violationf("%s refuses call %d, version %d %s, which was taken", m.name, call.number, call.version, bodyLabel(call.body))
 		}
 		return
 	}
-	c.tracef("%s: call %d (%s %d %s) is acknowledged", m.name, call.number, call.action.Kind, max(call.version, uint64(call.action.On)), bodyLabel(call.body))
+	c.tracef("%s: call %d (%s %d %s) is acknowledged", m.name, call.number, call.action.Kind, max(call.version, uint64(call.action.Target)), bodyLabel(call.body))
 	if call.action.Kind != "put" {
 		return
 	}
-	if had, ok := c.core.claims[call.version]; !ok {
-		top := valueAt(c.core.sequences, call.startedAt) // it may have been taken among others, and not been seen
-		if seq := c.core.sequenceByBody[call.body]; seq > 0 {
+	if had, ok := c.coreHistory.claims[call.version]; !ok {
+		top := valueAt(c.coreHistory.sequences, call.startedAt) // it may have been taken among others, and not been seen
+		if seq := c.coreHistory.sequenceByBody[call.body]; seq > 0 {
 			top = seq // it may have been taken long before it was acknowledged
 		}
-		c.core.claims[call.version] = claim{call.body, top}
-	} else if had.body != call.body && c.core.newestSequence-had.sequence < claimHorizon {
+		c.coreHistory.claims[call.version] = claim{call.body, top}
+	} else if had.body != call.body && c.coreHistory.newestSequence-had.sequence < claimHorizon {
 		c.violationf("version %d is acknowledged as %s and as %s", call.version, bodyLabel(had.body), bodyLabel(call.body))
 	}
-	if call.version > valueAt(c.core.acknowledgedVersions, c.now) {
-		c.core.acknowledgedVersions = append(c.core.acknowledgedVersions, observation{c.now, call.version})
+	if call.version > valueAt(c.coreHistory.acknowledgedVersions, c.now) {
+		c.coreHistory.acknowledgedVersions = append(c.coreHistory.acknowledgedVersions, observation{c.now, call.version})
 	}
 }
 
@@ -276,7 +276,7 @@
 		return
 	}
 	c.measureStaleAnswer(m)
-	if floor := valueAt(c.core.acknowledgedVersions, c.now-contactTimeout); state.ConfigVersion < floor {
+	if floor := valueAt(c.coreHistory.acknowledgedVersions, c.now-contactTimeout); state.ConfigVersion < floor {
 		c.violationf("%s tells %s, which is new to it, of version %d; %d was acknowledged over %v before", m.name, g.name, state.ConfigVersion, floor, contactTimeout)
 	}
 	for _, z := range sortedKeys(c.evacuatedAt) {
@@ -288,7 +288,7 @@
 
 // recordCommitted takes the newest committed register down as what could be read at this moment.
 func (c *cluster) recordCommitted(m *member, register chainreplication.Register) {
-	history := &c.core
+	history := &c.coreHistory
 	if c.schedule.Tolerance == 0 || history.hasCommit && register.Sequence <= history.newestSequence {
 		return
 	}
@@ -345,7 +345,7 @@
 		return
 	}
 	c.after(watchInterval, c.watchCore)
-	view, history := c.newestView(), &c.core
+	view, history := c.newestView(), &c.coreHistory
 	for _, m := range c.members {
 		if m.isHealthy() && !m.caughtUp && slices.Contains(view.Chain, m.controller.Coordinator().Self().ID) {
 			if seq, _ := m.durableSequence(); seq >= history.newestSequence {
@@ -396,7 +396,7 @@
 		return
 	}
 	// As many more may be lost as the tolerance leaves: with all there, that takes 2f+1 voters or more.
-	if more := max(c.schedule.Tolerance-max(c.schedule.Machines-well, out), 0); voting-more < view.Quorum() {
+	if more := max(c.schedule.Tolerance-max(c.schedule.Members-well, out), 0); voting-more < view.Quorum() {
 		c.violationf("%d of %d voters of view %d are there, and %d more may be lost", voting, len(view.Voters), view.Number, more)
 	}
 }
@@ -418,11 +418,11 @@
 			return of(view.Chain[n/2])
 		}
 	}
-	if fault.Role == "newest" && c.core.newestSpare != nil {
-		return c.core.newestSpare
+	if fault.Role == "newest" && c.coreHistory.newestSpare != nil {
+		return c.coreHistory.newestSpare
 	}
-	if fault.On < len(c.members) && !c.members[fault.On].gone {
-		return c.members[fault.On]
+	if fault.Target < len(c.members) && !c.members[fault.Target].gone {
+		return c.members[fault.Target]
 	}
 	var there []*member
 	for _, m := range c.members {
@@ -430,26 +430,26 @@
 			there = append(there, m)
 		}
 	}
-	return there[fault.On%len(there)]
+	return there[fault.Target%len(there)]
 }
 
 // injectPendingFaults strikes with what waited for a view.
 func (c *cluster) injectPendingFaults(view membership.View) {
-	if len(c.core.pendingFaults) == 0 {
+	if len(c.coreHistory.pendingFaults) == 0 {
 		return
 	}
 	in := func(ids []string) bool {
-		return c.core.newestSpare != nil && slices.ContainsFunc(ids, func(id string) bool { return strings.HasPrefix(id, c.core.newestSpare.address+"/") })
+		return c.coreHistory.newestSpare != nil && slices.ContainsFunc(ids, func(id string) bool { return strings.HasPrefix(id, c.coreHistory.newestSpare.address+"/") })
 	}
 	var voters []string
 	for _, m := range view.Voters {
 		voters = append(voters, m.ID)
 	}
-	waits := c.core.pendingFaults
-	c.core.pendingFaults = nil
+	waits := c.coreHistory.pendingFaults
+	c.coreHistory.pendingFaults = nil
 	for _, fault := range waits {
 		if fault.When == "joined" && !in(view.Chain) || fault.When == "voter" && !in(voters) {
-			c.core.pendingFaults = append(c.core.pendingFaults, fault)
+			c.coreHistory.pendingFaults = append(c.coreHistory.pendingFaults, fault)
 			continue
 		}
 		fault.When = ""
@@ -464,9 +464,9 @@
 // injectCoreFault does what only days with a Tolerance have, and tells whether it was that.
 func (c *cluster) injectCoreFault(fault Fault) bool {
 	if fault.When != "" {
-		c.core.pendingFaults = append(c.core.pendingFaults, fault)
+		c.coreHistory.pendingFaults = append(c.coreHistory.pendingFaults, fault)
 		c.after(maxFaultWait, func() {
-			c.core.pendingFaults = slices.DeleteFunc(c.core.pendingFaults, func(x Fault) bool { return x == fault })
+			c.coreHistory.pendingFaults = slices.DeleteFunc(c.coreHistory.pendingFaults, func(x Fault) bool { return x == fault })
 		})
 		return true
 	}
@@ -480,7 +480,7 @@
 		c.tracef("TROUBLE: %v", fault)
 		lost := 0
 		for i := range c.members {
-			m, how := c.members[(i+fault.On)%len(c.members)], "kill"
+			m, how := c.members[(i+fault.Target)%len(c.members)], "kill"
 			if fault.Kind != "all" {
 				how = "power"
 			}
@@ -491,11 +491,11 @@
 		}
 		return true
 	case "spare":
-		c.core.spareCount++
-		m := &member{index: len(c.members), process: process{name: "comb " + string(rune('A'+c.core.spareCount-1)), isMember: true}, address: spareAddress(c.core.spareCount), disk: newDisk(), isSpare: true}
+		c.coreHistory.spareCount++
+		m := &member{index: len(c.members), process: process{name: "comb " + string(rune('A'+c.coreHistory.spareCount-1)), isMember: true}, address: spareAddress(c.coreHistory.spareCount), disk: newDisk(), isSpare: true}
 		c.tracef("TROUBLE: %s is new", m.name)
 		c.members = append(c.members, m)
-		c.memberByAddress[m.address], c.core.newestSpare = m, m
+		c.memberByAddress[m.address], c.coreHistory.newestSpare = m, m
 		c.startMember(m, false)
 		return true
 	}
@@ -571,7 +571,7 @@
 	default:
 		c.violationf("no such trouble: %s", fault.Kind)
 	}
-	if fault.Meet && len(c.gateways) > 0 {
+	if fault.Reconnect && len(c.gateways) > 0 {
 		c.after(time.Duration(c.random.Int64N(int64(1500*time.Millisecond))), func() { c.restartGatewayAt(m) })
 		c.after(max(fault.For-300*time.Millisecond, 0)+time.Duration(c.random.Int64N(int64(600*time.Millisecond))), func() { c.restartGatewayAt(m) })
 	}
@@ -583,7 +583,7 @@
 // plantBug puts a bug in what the machines say to one another.
 func (c *cluster) plantBug(m *member, event controller.Event) controller.Event {
 	msg, inner := *event.Message, *event.Message.Coordinator
-	switch f := c.schedule.Fault; {
+	switch f := c.schedule.PlantedBug; {
 	case f == ConfirmSupersededView && inner.ConfirmViewResponse != nil:
 		x := *inner.ConfirmViewResponse
 		x.Confirmed, inner.ConfirmViewResponse = true, &x
@@ -607,7 +607,7 @@
 		return
 	}
 	incarnation := m.incarnation
-	if m.leaving = true; c.schedule.Fault == LeaveWithoutHandover {
+	if m.leaving = true; c.schedule.PlantedBug == LeaveWithoutHandover {
 		c.stopMember(m, "kill", -1)
 		return
 	}
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -36,7 +36,7 @@
 	entryAttempt                            // an attempt of a gateway has ended
 	entryResult                             // what was measured in all
 	entryFinalState                         // a node's state at the end
-	entryRush                               // a step of a rush
+	entryOverflow                           // a step of a rush
 )
 
 // Offsets of the indexes by which nodes that are not control-plane machines are named.
@@ -74,44 +74,44 @@
 func (h *historyChecksum) sum() string { return fmt.Sprintf("%016x.%d", h.digest.Sum64(), h.entries) }
 
 // start takes down that a control-plane process starts, and with what state.
-func (h *historyChecksum) start(w *cluster, m *member, raw []byte) {
+func (h *historyChecksum) start(c *cluster, m *member, raw []byte) {
 	if h == nil {
 		return
 	}
-	h.add(entryStart, w.now, m.index, m.incarnation, decodedState(raw))
+	h.add(entryStart, c.now, m.index, m.incarnation, decodedState(raw))
 }
 
 // event takes down an event that a controller has decided on, and how it stands since.
-func (h *historyChecksum) event(w *cluster, m *member, e controller.Event) {
+func (h *historyChecksum) event(c *cluster, m *member, event controller.Event) {
 	if h == nil {
 		return
 	}
-	if e.WriteResult != nil && e.WriteResult.Error != "" { // its text is no part of the history
-		e.WriteResult = &controller.WriteResult{Error: "failed"}
+	if event.WriteResult != nil && event.WriteResult.Error != "" { // its text is no part of the history
+		event.WriteResult = &controller.WriteResult{Error: "failed"}
 	}
-	local := w.monotonicTime(&m.process)
+	local := c.monotonicTime(&m.process)
 	core := m.controller.Coordinator()
 	register, known := core.Register()
-	h.add(entryEvent, w.now, m.index, local, e, core.View().Number, register.Sequence, known, core.HasQuorumContact(local))
+	h.add(entryEvent, c.now, m.index, local, event, core.View().Number, register.Sequence, known, core.HasQuorumContact(local))
 }
 
 // answer takes down an answer to a caller. The text of a refusal is no part of the history.
-func (h *historyChecksum) answer(w *cluster, m *member, a controller.Response) {
+func (h *historyChecksum) answer(c *cluster, m *member, answer controller.Response) {
 	if h == nil {
 		return
 	}
-	if a.Status != 200 {
-		a.Body = nil
+	if answer.Status != 200 {
+		answer.Body = nil
 	}
-	h.add(entryAnswer, w.now, m.index, a)
+	h.add(entryAnswer, c.now, m.index, answer)
 }
 
 // persist takes down the state that a controller hands to its store.
-func (h *historyChecksum) persist(w *cluster, m *member, raw []byte) {
+func (h *historyChecksum) persist(c *cluster, m *member, raw []byte) {
 	if h == nil {
 		return
 	}
-	h.add(entryPersist, w.now, m.index, decodedState(raw))
+	h.add(entryPersist, c.now, m.index, decodedState(raw))
 }
 
 // decodedState is a state that can be encoded with its maps in order; nil where there is none.
@@ -125,7 +125,7 @@
 
 // operation takes down a disk operation. The contents of the files are compared as states, since the order of what they
 // hold is not fixed.
-func (h *historyChecksum) operation(w *cluster, m *member, o diskOperation) {
+func (h *historyChecksum) operation(c *cluster, m *member, o diskOperation) {
 	if h == nil {
 		return
 	}
@@ -142,11 +142,11 @@
 	case "rename":
 		kind = 5
 	}
-	h.add(entryDisk, w.now, m.index, kind, o.name, o.offset, len(o.data))
+	h.add(entryDisk, c.now, m.index, kind, o.name, o.offset, len(o.data))
 }
 
 // disk takes down what a machine would find on its disk after a loss of power, and how long its files are.
-func (h *historyChecksum) disk(entry historyEntry, w *cluster, m *member) {
+func (h *historyChecksum) disk(entry historyEntry, c *cluster, m *member) {
 	if h == nil {
 		return
 	}
@@ -155,47 +155,47 @@
 		f := m.disk.files[name]
 		sizes = append(sizes, len(f.content), len(f.synced), len(f.unsynced))
 	}
-	h.add(entry, w.now, m.index, m.disk.durableState(), sizes, m.up, m.incarnation)
+	h.add(entry, c.now, m.index, m.disk.durableState(), sizes, m.up, m.incarnation)
 }
 
 // end takes down what was measured and each node's last state.
-func (h *historyChecksum) end(w *cluster) {
+func (h *historyChecksum) end(c *cluster) {
 	if h == nil {
 		return
 	}
-	r := &w.result
-	h.add(entryResult, w.now, 0, len(r.Violations), r.Acknowledged, r.AnsweredCalls, r.Requests, r.WarmupRequests, r.NewestView, r.RequestLatencies, r.DrainedWindows, r.CommandLatencies, r.ViewRepairTimes, r.ConfigPropagationTimes,
+	r := &c.result
+	h.add(entryResult, c.now, 0, len(r.Violations), r.Acknowledged, r.AnsweredCalls, r.Requests, r.WarmupRequests, r.NewestView, r.RequestLatencies, r.DrainedWindows, r.CommandLatencies, r.ViewRepairTimes, r.ConfigPropagationTimes,
 		r.CatchUpTimes, r.JoinTimes, r.AnswersWhileCut, r.HeartbeatsWhileCut, r.AnswersAfterThaw, r.MaxDiskBytes, r.NewestSequence)
 	for _, o := range r.Operations {
-		h.add(entryResult, w.now, 1, o.Read, o.Version, o.Call, o.Return)
+		h.add(entryResult, c.now, 1, o.Read, o.Version, o.Call, o.Return)
 	}
 	for _, t := range r.Attempts {
-		h.add(entryResult, w.now, 2, t.Version, t.BodyID, t.Sequence, t.Conflict, t.Answered, t.Call, t.Return)
+		h.add(entryResult, c.now, 2, t.Version, t.BodyID, t.Sequence, t.Conflict, t.Answered, t.Call, t.Return)
 	}
-	for _, m := range w.members {
-		h.disk(entryFinalState, w, m)
+	for _, m := range c.members {
+		h.disk(entryFinalState, c, m)
 		if m.up && m.controller != nil {
 			if raw, err := m.controller.PersistentState(); err == nil {
-				h.add(entryFinalState, w.now, m.index, decodedState(raw), m.controller.Coordinator().View())
+				h.add(entryFinalState, c.now, m.index, decodedState(raw), m.controller.Coordinator().View())
 			}
 		}
 	}
-	for _, b := range w.gateways {
-		h.add(entryFinalState, w.now, historyGateways+b.index, b.up, b.incarnation, b.version, b.sequence, b.router.Sequence(), b.router.IsServing())
+	for _, g := range c.gateways {
+		h.add(entryFinalState, c.now, historyGateways+g.index, g.up, g.incarnation, g.version, g.sequence, g.router.Sequence(), g.router.IsServing())
 	}
-	for i, r := range w.replicas {
-		h.add(entryFinalState, w.now, historyReplicas+i, r.heartbeatSequence, r.alive, r.draining, r.warmupUntil, r.drainAcknowledgedAt)
+	for i, r := range c.replicas {
+		h.add(entryFinalState, c.now, historyReplicas+i, r.heartbeatSequence, r.alive, r.draining, r.warmupUntil, r.drainAcknowledgedAt)
 	}
 }
 
-// endRush takes down what was measured in a rush.
-func (h *historyChecksum) endRush(w *overflowSimulation) {
+// endOverflow takes down what was measured in a rush.
+func (h *historyChecksum) endOverflow(o *overflowSimulation) {
 	if h == nil {
 		return
 	}
-	r := &w.result
-	h.add(entryResult, w.now, 0, len(r.Violations), r.Lookups, r.Unanswered, r.Orders, r.Charged, r.Uncertain, r.Forwarded, r.OwnLatencies, r.ForwardedLatencies, r.UsedSlotSeconds, r.IdleSlotSeconds)
-	for _, q := range w.requests {
-		h.add(entryRush, w.now, q.home, q.id, q.isOrder, q.arrivedAt, q.executions, q.answered, q.uncertain, q.attempts)
+	r := &o.result
+	h.add(entryResult, o.now, 0, len(r.Violations), r.Lookups, r.Unanswered, r.Orders, r.Charged, r.Uncertain, r.Forwarded, r.OwnLatencies, r.ForwardedLatencies, r.UsedSlotSeconds, r.IdleSlotSeconds)
+	for _, q := range o.requests {
+		h.add(entryOverflow, o.now, q.home, q.id, q.isOrder, q.arrivedAt, q.executions, q.answered, q.uncertain, q.attempts)
 	}
 }
--- a/internal/simulation/history_test.go
+++ b/internal/simulation/history_test.go
@@ -24,7 +24,7 @@
 // historyFamilies are kinds of simulations, each of which plays one by its seed and returns the checksum of its history.
 var historyFamilies = func() map[string]func(seed uint64) string {
 	families := map[string]func(uint64) string{
-		"drawn": func(seed uint64) string { return scheduleHistory(Generate(seed, machinesOf(seed), 8, 25*time.Second)) },
+		"drawn": func(seed uint64) string { return scheduleHistory(Generate(seed, memberCount(seed), 8, 25*time.Second)) },
 		"windows": func(seed uint64) string {
 			return scheduleHistory(GenerateWindows(seed, 3+2*int(seed%2), 6, 40*time.Second))
 		},
@@ -36,21 +36,21 @@
 		},
 		"gateways": func(seed uint64) string { // many that change sides, with a comb that tells them without asking
 			s := Generate(seed, 3, 8, 25*time.Second)
-			s.Foragers, s.Unasked, s.Loss, s.Reorder = 8, true, 0.02, 0.02
+			s.Gateways, s.UnconfirmedUpdates, s.LossRate, s.ReorderRate = 8, true, 0.02, 0.02
 			return scheduleHistory(s)
 		},
 		"rush": func(seed uint64) string {
-			return rushHistory(OverflowScenario{Seed: seed, Sites: 2 + int(seed%5), OverloadedSites: 1 + int(seed%3)/2, LoadFactor: 3, Duration: 40 * time.Second, WithFaults: seed%4 > 0, Strategy: LeaseOverflow})
+			return overflowHistory(OverflowScenario{Seed: seed, Sites: 2 + int(seed%5), OverloadedSites: 1 + int(seed%3)/2, LoadFactor: 3, Duration: 40 * time.Second, WithFaults: seed%4 > 0, Strategy: LeaseOverflow})
 		},
 	}
 	for _, family := range Families {
-		families["days-"+family] = func(seed uint64) string { return scheduleHistory(GenerateFamily(family, seed, machinesOf(seed))) }
+		families["days-"+family] = func(seed uint64) string { return scheduleHistory(GenerateFamily(family, seed, memberCount(seed))) }
 	}
 	return families
 }()
 
-// machinesOf has seeds take turns at the sizes of a control plane.
-func machinesOf(seed uint64) int { return 3 + 2*int(seed%3) }
+// memberCount has seeds take turns at the sizes of a control plane.
+func memberCount(seed uint64) int { return 3 + 2*int(seed%3) }
 
 func scheduleHistory(s Schedule) string {
 	h := newHistoryChecksum()
@@ -58,9 +58,9 @@
 	return h.sum()
 }
 
-func rushHistory(r OverflowScenario) string {
+func overflowHistory(r OverflowScenario) string {
 	h := newHistoryChecksum()
-	playRush(r, h)
+	runOverflow(r, h)
 	return h.sum()
 }
 
@@ -210,12 +210,12 @@
 		t.Errorf("two plays of one schedule have the histories %s and %s", sum, again)
 	}
 	for fault, change := range map[string]func(*Schedule){
-		"a version":     func(s *Schedule) { s.Acts[0].Version++; s.Acts[0].Kind = "put" },
-		"a fault's end": func(s *Schedule) { s.Troubles[0].For += time.Millisecond },
-		"no identity":   func(s *Schedule) { s.Fault = DropCommandID },
+		"a version":     func(s *Schedule) { s.Actions[0].Version++; s.Actions[0].Kind = "put" },
+		"a fault's end": func(s *Schedule) { s.Faults[0].For += time.Millisecond },
+		"no identity":   func(s *Schedule) { s.PlantedBug = DropCommandID },
 	} {
 		changed := s
-		changed.Acts, changed.Troubles = slices.Clone(s.Acts), slices.Clone(s.Troubles)
+		changed.Actions, changed.Faults = slices.Clone(s.Actions), slices.Clone(s.Faults)
 		if change(&changed); scheduleHistory(changed) == sum {
 			t.Errorf("%s: the history has not changed", fault)
 		}
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -32,7 +32,7 @@
 	wipeCount       int
 	newestSequence  uint64 // newest committed number in this life
 	pendingCalls    map[uint64]func(controller.Response)
-	operatorCalls   map[uint64]*operatorCall // operators' calls that wait here
+	waitingCalls    map[uint64]*operatorCall // operators' calls that wait here
 	streams         map[uint64]*gatewayNode
 	seeds           []string
 	wallClockOffset time.Duration // by which its time of day is off
@@ -51,7 +51,7 @@
 	c.startProcess(&m.process)
 	c.unsettle()
 	m.newestSequence, m.controller, m.caughtUp = 0, nil, first
-	m.pendingCalls, m.operatorCalls, m.streams = map[uint64]func(controller.Response){}, map[uint64]*operatorCall{}, map[uint64]*gatewayNode{}
+	m.pendingCalls, m.waitingCalls, m.streams = map[uint64]func(controller.Response){}, map[uint64]*operatorCall{}, map[uint64]*gatewayNode{}
 	store, err := statestore.Open(m.disk)
 	if err != nil {
 		c.violationf("%s cannot open its store: %v", m.name, err)
@@ -69,10 +69,10 @@
 	if state.DiskID == "" && !first {
 		m.wipeCount++
 	}
-	if c.schedule.Fault == ForgetClaims {
+	if c.schedule.PlantedBug == ForgetClaims {
 		state.Register.Claims = nil
 	}
-	state.Initialize(m.address, seeds, first || c.schedule.Fault == KeepVoteAfterWipe, fmt.Sprintf("w%d", m.wipeCount))
+	state.Initialize(m.address, seeds, first || c.schedule.PlantedBug == KeepVoteAfterWipe, fmt.Sprintf("w%d", m.wipeCount))
 	m.controller = controller.New(c.monotonicTime(&m.process), controller.Options{Zone: c.zoneName(m.index), ControlAddr: m.address, Zones: []string{"a", "b", "c"}, RegionByZone: map[string]string{"a": "r0", "b": "r1", "c": "r2"}, Seeds: seeds, LinkMbps: 1000,
 		DrainDeadline: drainDeadline, HeartbeatInterval: heartbeatInterval, RandomSeed: c.random.Uint64()}, membership.Member{ID: state.DiskID, Addr: m.address, Zone: c.zoneName(m.index), APIAddr: m.address}, state)
 	c.tracef("%s starts as %s, view %d, register %d (version %d)", m.name, state.DiskID, state.View.View.Number, state.Register.Sequence, state.Register.Version)
@@ -127,7 +127,7 @@
 	if err != nil {
 		problem = err.Error()
 	}
-	if c.schedule.Fault == AcknowledgeBeforeSync {
+	if c.schedule.PlantedBug == AcknowledgeBeforeSync {
 		incarnation := m.incarnation
 		c.after(100*time.Microsecond, func() { c.runOn(&m.process, incarnation, func() { done(problem) }) })
 		c.runDiskOperations(m, nil)
@@ -175,7 +175,7 @@
 	if m.controller == nil {
 		return
 	}
-	if c.schedule.Fault == IgnoreViewNumber && event.Message != nil && event.Message.Coordinator != nil && event.Message.Coordinator.Chain != nil {
+	if c.schedule.PlantedBug == IgnoreViewNumber && event.Message != nil && event.Message.Coordinator != nil && event.Message.Coordinator.Chain != nil {
 		event = acceptAnyView(m, event)
 	}
 	if event.Message != nil && event.Message.Coordinator != nil {
@@ -202,7 +202,7 @@
 			continue
 		}
 		from, msg := m.controller.Coordinator().Self(), outgoing.Message
-		c.send(&m.process, &to.process, c.schedule.Loss, c.schedule.Reorder, func() { c.step(to, controller.Event{From: &from, Message: &msg}) })
+		c.send(&m.process, &to.process, c.schedule.LossRate, c.schedule.ReorderRate, func() { c.step(to, controller.Event{From: &from, Message: &msg}) })
 	}
 	if actions.Write != nil {
 		c.persist(m, actions.Write, func(problem string) {
@@ -226,7 +226,7 @@
 		c.history.answer(c, m, answer)
 		if done := m.pendingCalls[answer.Token]; done != nil {
 			delete(m.pendingCalls, answer.Token)
-			delete(m.operatorCalls, answer.Token)
+			delete(m.waitingCalls, answer.Token)
 			done(answer)
 		}
 	}
@@ -318,12 +318,12 @@
 	if m.store != nil {
 		m.store.Close()
 	}
-	for _, token := range sortedKeysOfTokens(m.operatorCalls) {
-		call := m.operatorCalls[token]
+	for _, token := range sortedTokens(m.waitingCalls) {
+		call := m.waitingCalls[token]
 		c.after(0, func() { c.attempt(call) })
 	}
 	if cause == "kill" { // its connections end at once; without power nobody is told
-		for _, n := range sortedKeysOfTokens(m.streams) {
+		for _, n := range sortedTokens(m.streams) {
 			g := m.streams[n]
 			c.send(&m.process, &g.process, 0, 0, func() { c.streamLost(g, n) })
 		}
@@ -341,7 +341,7 @@
 	})
 }
 
-func sortedKeysOfTokens[V any](m map[uint64]V) []uint64 {
+func sortedTokens[V any](m map[uint64]V) []uint64 {
 	var all []uint64
 	for k := range m {
 		all = append(all, k)
@@ -374,12 +374,12 @@
 func (c *cluster) perform(position int, action Action) {
 	switch action.Kind {
 	case "drain":
-		if action.On < len(c.replicas) {
-			c.drainReplica(c.replicas[action.On])
+		if action.Target < len(c.replicas) {
+			c.drainReplica(c.replicas[action.Target])
 		}
 		return
 	case "begin":
-		c.startReplica(action.On, true)
+		c.startReplica(action.Target, true)
 		return
 	}
 	call := &operatorCall{number: position, action: action, startedAt: c.now, deadline: c.now + 5*time.Second, minimumVersion: c.acknowledgedVersion}
@@ -393,14 +393,14 @@
 		call.operationIndex = len(c.result.Operations)
 		c.result.Operations = append(c.result.Operations, Operation{false, call.version, call.startedAt, 0})
 	case "restore":
-		if at, out := c.evacuatedAt[c.zoneName(action.On)]; out && c.now > at+evacuationBound && c.calmFor(contactTimeout) {
+		if at, out := c.evacuatedAt[c.zoneName(action.Target)]; out && c.now > at+evacuationBound && c.calmFor(contactTimeout) {
 			for _, r := range c.replicas { // they may have turned cold shortly before
-				if r.zone == c.zoneName(action.On) && r.alive {
+				if r.zone == c.zoneName(action.Target) && r.alive {
 					r.warmupUntil = max(r.warmupUntil, c.now+warmupTime)
 				}
 			}
 		}
-		delete(c.evacuatedAt, c.zoneName(action.On))
+		delete(c.evacuatedAt, c.zoneName(action.Target))
 		c.restoreCalls = append(c.restoreCalls, call)
 	}
 	c.attempt(call)
@@ -434,9 +434,9 @@
 	case "put":
 		event.Command = &chainreplication.Command{Version: call.version, Body: []byte(call.body)}
 	default:
-		event.Command = &chainreplication.Command{Zone: c.zoneName(call.action.On), Evacuated: call.action.Kind == "evacuate"}
+		event.Command = &chainreplication.Command{Zone: c.zoneName(call.action.Target), Evacuated: call.action.Kind == "evacuate"}
 	}
-	m.operatorCalls[event.Token] = call
+	m.waitingCalls[event.Token] = call
 	attempt := call.attempts
 	m.pendingCalls[event.Token] = func(a controller.Response) {
 		if c.schedule.Tolerance == 0 || call.attempts == attempt && !c.losesAnswer(m, call, a) {
@@ -445,7 +445,7 @@
 	}
 	if c.schedule.Tolerance > 0 { // it may lie in the socket of one that is frozen
 		c.runOn(&m.process, m.incarnation, func() {
-			if c.schedule.Fault == AcceptDelayedCalls && c.now-m.thawedAt < time.Second {
+			if c.schedule.PlantedBug == AcceptDelayedCalls && c.now-m.thawedAt < time.Second {
 				incarnation := m.incarnation
 				c.after(time.Second, func() { c.runOn(&m.process, incarnation, func() { c.step(m, event) }) })
 				return
@@ -503,7 +503,7 @@
 	c.result.CommandLatencies = append(c.result.CommandLatencies, c.now-call.attemptedAt)
 	for _, fault := range c.onAcknowledgement {
 		c.onAcknowledgement, c.unsettledUntil = c.onAcknowledgement[1:], c.now+fault.For+restartTime
-		fault.On, fault.Kind = m.index, strings.TrimPrefix(fault.Kind, "ack")
+		fault.Target, fault.Kind = m.index, strings.TrimPrefix(fault.Kind, "ack")
 		c.after(time.Duration(c.random.Int64N(int64(4*time.Millisecond))), func() { c.injectFault(fault) })
 		break
 	}
@@ -518,10 +518,10 @@
 		}
 	case "evacuate":
 		overlaps := func(o *operatorCall) bool {
-			return c.zoneName(o.action.On) == c.zoneName(call.action.On) && (o.startedAt >= call.startedAt || !o.done || o.endedAt >= call.startedAt)
+			return c.zoneName(o.action.Target) == c.zoneName(call.action.Target) && (o.startedAt >= call.startedAt || !o.done || o.endedAt >= call.startedAt)
 		}
 		if !slices.ContainsFunc(c.restoreCalls, overlaps) { // else it cannot be said which of the two came last
-			c.evacuatedAt[c.zoneName(call.action.On)] = c.now
+			c.evacuatedAt[c.zoneName(call.action.Target)] = c.now
 		}
 	}
 	c.checkDurability(call)
@@ -555,8 +555,8 @@
 			copies++
 		}
 	}
-	tolerated := min((c.schedule.Machines-1)/2, (c.schedule.Seeds-1)/2)
-	if c.core.formed {
+	tolerated := min((c.schedule.Members-1)/2, (c.schedule.InitialMembers-1)/2)
+	if c.coreHistory.formed {
 		tolerated = c.schedule.Tolerance
 	}
 	if copies <= tolerated {
--- a/internal/simulation/schedule.go
+++ b/internal/simulation/schedule.go
@@ -23,16 +23,16 @@
 	// (and the time of day too), island (cut
 	// from the other combs alone, both ways), deaf, mute (one way); gone (for good, without a word), leave (SIGTERM),
 	// spare (a new machine at a new address).
-	Kind string
-	On   int `json:"On"`
+	Kind   string
+	Target int `json:"On"`
 
 	// On days with a Tolerance: Role, if any, says whom it strikes: head, tail, middle, seed, newest (the last spare).
 	// Meet has a forager begin a new life and call that machine first, soon after it was struck and when it is over. When
 	// says what is waited for, up to 6 s: joined (the first view with the newest spare in the chain), voter (in the
 	// roster), viewed (any view).
-	Role string `json:",omitempty"`
-	Meet bool   `json:"Meet,omitempty"`
-	When string `json:",omitempty"`
+	Role      string `json:",omitempty"`
+	Reconnect bool   `json:"Meet,omitempty"`
+	When      string `json:",omitempty"`
 }
 
 func (fault Fault) String() string {
@@ -46,44 +46,44 @@
 	if fault.Role != "" {
 		what += " (the " + fault.Role + ")"
 	}
-	return fmt.Sprintf("%.2fs %s %s %d for %.2fs", fault.At.Seconds(), fault.Kind, what, fault.On, fault.For.Seconds())
+	return fmt.Sprintf("%.2fs %s %s %d for %.2fs", fault.At.Seconds(), fault.Kind, what, fault.Target, fault.For.Seconds())
 }
 
 // Action is something that operators or replicas do.
 type Action struct {
-	At      time.Duration
-	Kind    string // put, evacuate, restore, read; drain, begin (cold); agree, ask, finish, cancel (a window)
-	Version uint64 // put
-	To      int    `json:",omitempty"`     // 1 + the comb of the list that is called first; 0: any
-	Back    bool   `json:"Back,omitempty"` // that one is called again, not another
-	Lost    bool   `json:"Lost,omitempty"` // the first answer is lost on its way
-	Body    int    `json:",omitempty"`     // put: names what is sent; 0: the act's place does
-	On      int    `json:"On"`             // evacuate, restore: the zone; drain: the replica; ask, finish, cancel: the forager
+	At         time.Duration
+	Kind       string // put, evacuate, restore, read; drain, begin (cold); agree, ask, finish, cancel (a window)
+	Version    uint64 // put
+	To         int    `json:",omitempty"`     // 1 + the comb of the list that is called first; 0: any
+	RetrySame  bool   `json:"Back,omitempty"` // that one is called again, not another
+	LoseAnswer bool   `json:"Lost,omitempty"` // the first answer is lost on its way
+	Body       int    `json:",omitempty"`     // put: names what is sent; 0: the act's place does
+	Target     int    `json:"On"`             // evacuate, restore: the zone; drain: the replica; ask, finish, cancel: the forager
 }
 
 // Schedule is a day of the apiary.
 type Schedule struct {
-	Seed     uint64
-	Machines int `json:"Machines"`
-	Seeds    int `json:"Seeds"` // of the machines, those that form the first view
-	Foragers int `json:"Foragers"`
-	Replicas int
-	Zones    int
-	Lasts    time.Duration `json:"Lasts"`
-	Troubles []Fault       `json:"Troubles"`
-	Acts     []Action      `json:"Acts"`
-	Loss     float64       `json:"Loss"`    // share of messages between combs that are lost
-	Reorder  float64       `json:"Reorder"` // share that come late, behind later ones
-	Late     time.Duration `json:"Late"`
-	Fault    PlantedBug    `json:"Fault,omitempty"`
+	Seed            uint64
+	Members         int `json:"Machines"`
+	InitialMembers  int `json:"Seeds"` // of the machines, those that form the first view
+	Gateways        int `json:"Foragers"`
+	Replicas        int
+	Zones           int
+	Duration        time.Duration `json:"Lasts"`
+	Faults          []Fault       `json:"Troubles"`
+	Actions         []Action      `json:"Acts"`
+	LossRate        float64       `json:"Loss"`    // share of messages between combs that are lost
+	ReorderRate     float64       `json:"Reorder"` // share that come late, behind later ones
+	MaxReorderDelay time.Duration `json:"Late"`
+	PlantedBug      PlantedBug    `json:"Fault,omitempty"`
 
 	// Tolerance, where set, is how many machines may be lost at once; what is promised beside that is watched too.
-	Tolerance int           `json:",omitempty"`
-	Spread    time.Duration `json:"Spread,omitempty"` // machines start within this
+	Tolerance   int           `json:",omitempty"`
+	StartSpread time.Duration `json:"Spread,omitempty"` // machines start within this
 
 	// Unasked has a comb tell each forager that joins what it holds to be committed, before it has asked the others: what the
 	// forager itself keeps up when a comb is wrong shows only then.
-	Unasked bool `json:"Unasked,omitempty"`
+	UnconfirmedUpdates bool `json:"Unasked,omitempty"`
 }
 
 // PlantedBug is a bug put in on purpose, to see that the invariants find it.
@@ -117,20 +117,20 @@
 // Generate makes a schedule with n troubles that never lose more machines at once than a core of this size must bear.
 func Generate(seed uint64, machines, n int, lasts time.Duration) Schedule {
 	r := rand.New(rand.NewPCG(seed, 1))
-	s := Schedule{Seed: seed, Machines: machines, Seeds: min(machines, 3), Lasts: lasts, Foragers: 3, Replicas: 5, Zones: generatedZones,
-		Loss: 0.002 * float64(r.IntN(3)), Reorder: 0.002 * float64(r.IntN(3)), Late: 80 * time.Millisecond}
+	s := Schedule{Seed: seed, Members: machines, InitialMembers: min(machines, 3), Duration: lasts, Gateways: 3, Replicas: 5, Zones: generatedZones,
+		LossRate: 0.002 * float64(r.IntN(3)), ReorderRate: 0.002 * float64(r.IntN(3)), MaxReorderDelay: 80 * time.Millisecond}
 	if r.IntN(4) == 0 {
-		s.Late = 3 * time.Second
+		s.MaxReorderDelay = 3 * time.Second
 	}
 	free := make([]time.Duration, (machines-1)/2) // each slot of tolerance, until when it is taken
 	at := 2500 * time.Millisecond
 	for range n {
 		at += time.Duration(r.Int64N(int64(3 * time.Second)))
-		t := Fault{At: at, For: time.Duration(200+r.IntN(4000)) * time.Millisecond, On: r.IntN(machines)}
+		t := Fault{At: at, For: time.Duration(200+r.IntN(4000)) * time.Millisecond, Target: r.IntN(machines)}
 		switch k := r.IntN(20); {
 		case k < 4:
-			t.Kind, t.On = edgeFaults[r.IntN(len(edgeFaults))], r.IntN(s.Foragers)
-			s.Troubles = append(s.Troubles, t)
+			t.Kind, t.Target = edgeFaults[r.IntN(len(edgeFaults))], r.IntN(s.Gateways)
+			s.Faults = append(s.Faults, t)
 			continue
 		case k < 7:
 			t.Kind, t.For = clusterFaults[r.IntN(len(clusterFaults))], time.Duration(r.IntN(900))*time.Millisecond
@@ -140,7 +140,7 @@
 			for i := range free {
 				free[i] = at + t.For + catchUpTime + 4*time.Second
 			}
-			s.Troubles = append(s.Troubles, t)
+			s.Faults = append(s.Faults, t)
 			continue
 		}
 		t.Kind = memberFaults[r.IntN(len(memberFaults))]
@@ -152,9 +152,9 @@
 		if strings.HasPrefix(t.Kind, "ack") {
 			free[slot] += 2 * time.Second // it strikes within this
 		}
-		s.Troubles = append(s.Troubles, t)
+		s.Faults = append(s.Faults, t)
 	}
-	s.Acts = GenerateActions(seed, 40, s.Replicas, lasts)
+	s.Actions = GenerateActions(seed, 40, s.Replicas, lasts)
 	return s
 }
 
@@ -167,13 +167,13 @@
 		case k < 5:
 			a.Kind, a.Version = "put", uint64(10*int(a.At/(500*time.Millisecond))+r.IntN(3))
 		case k < 7:
-			a.Kind, a.On = []string{"evacuate", "restore"}[r.IntN(2)], r.IntN(generatedZones)
+			a.Kind, a.Target = []string{"evacuate", "restore"}[r.IntN(2)], r.IntN(generatedZones)
 		case k < 10:
 			a.Kind = "read"
 		case k < 11:
-			a.Kind, a.On = "drain", r.IntN(replicas)
+			a.Kind, a.Target = "drain", r.IntN(replicas)
 		default:
-			a.Kind, a.On = "begin", r.IntN(generatedZones)
+			a.Kind, a.Target = "begin", r.IntN(generatedZones)
 		}
 		acts = append(acts, a)
 	}
@@ -185,15 +185,15 @@
 // cancelled at random, by several operators; combs are struck as they grant, zones are lost in mid-window.
 func GenerateWindows(seed uint64, machines, n int, lasts time.Duration) Schedule {
 	s := Generate(seed, machines, n, lasts)
-	s.Foragers, s.Replicas = 9, 4
+	s.Gateways, s.Replicas = 9, 4
 	r := rand.New(rand.NewPCG(seed, 4))
 	if r.IntN(2) == 0 { // instead of what was drawn: struck at a grant, and a zone after that
-		s.Troubles = []Fault{{At: 6 * time.Second, For: time.Duration(300+r.IntN(2500)) * time.Millisecond, Kind: []string{"grantpower", "grantall"}[r.IntN(2)]},
-			{At: 20 * time.Second, For: time.Duration(1000+r.IntN(3000)) * time.Millisecond, Kind: "zone", On: r.IntN(generatedZones)}}
+		s.Faults = []Fault{{At: 6 * time.Second, For: time.Duration(300+r.IntN(2500)) * time.Millisecond, Kind: []string{"grantpower", "grantall"}[r.IntN(2)]},
+			{At: 20 * time.Second, For: time.Duration(1000+r.IntN(3000)) * time.Millisecond, Kind: "zone", Target: r.IntN(generatedZones)}}
 	}
-	s.Acts = []Action{{At: 1200 * time.Millisecond, Kind: "put", Version: 1}, {At: 2 * time.Second, Kind: "agree"}}
+	s.Actions = []Action{{At: 1200 * time.Millisecond, Kind: "put", Version: 1}, {At: 2 * time.Second, Kind: "agree"}}
 	for range 40 {
-		a := Action{At: 5*time.Second + time.Duration(r.Int64N(int64(lasts-6*time.Second))), On: r.IntN(s.Foragers)}
+		a := Action{At: 5*time.Second + time.Duration(r.Int64N(int64(lasts-6*time.Second))), Target: r.IntN(s.Gateways)}
 		switch k := r.IntN(10); {
 		case k < 6:
 			a.Kind = "ask"
@@ -202,9 +202,9 @@
 		default:
 			a.Kind = "cancel"
 		}
-		s.Acts = append(s.Acts, a)
+		s.Actions = append(s.Actions, a)
 	}
-	slices.SortStableFunc(s.Acts, func(a, b Action) int { return int(a.At - b.At) })
+	slices.SortStableFunc(s.Actions, func(a, b Action) int { return int(a.At - b.At) })
 	return s
 }
 
@@ -225,21 +225,21 @@
 	}
 	for again := true; again; {
 		again = false
-		for i := 0; i < len(schedule.Troubles); i++ {
-			if schedule.Troubles[i].Kind == "spare" {
+		for i := 0; i < len(schedule.Faults); i++ {
+			if schedule.Faults[i].Kind == "spare" {
 				continue // without the successor more would be lost than may be
 			}
 			t := schedule
-			t.Troubles = slices.Delete(slices.Clone(schedule.Troubles), i, i+1)
+			t.Faults = slices.Delete(slices.Clone(schedule.Faults), i, i+1)
 			if try(t) {
 				again = true
 				i--
 			}
 		}
-		for part := len(schedule.Acts) / 2; part > 0; part /= 2 {
-			for i := 0; i+part <= len(schedule.Acts); {
+		for part := len(schedule.Actions) / 2; part > 0; part /= 2 {
+			for i := 0; i+part <= len(schedule.Actions); {
 				t := schedule
-				t.Acts = slices.Delete(slices.Clone(schedule.Acts), i, i+part)
+				t.Actions = slices.Delete(slices.Clone(schedule.Actions), i, i+part)
 				if try(t) {
 					again = true
 				} else {
@@ -247,11 +247,11 @@
 				}
 			}
 		}
-		for _, n := range []*int{&schedule.Foragers, &schedule.Replicas} {
+		for _, n := range []*int{&schedule.Gateways, &schedule.Replicas} {
 			for *n > 0 {
 				t := schedule
-				if n == &schedule.Foragers {
-					t.Foragers--
+				if n == &schedule.Gateways {
+					t.Gateways--
 				} else {
 					t.Replicas--
 				}
@@ -261,7 +261,7 @@
 				again = true
 			}
 		}
-		if len(schedule.Troubles)+len(schedule.Acts) > 60 {
+		if len(schedule.Faults)+len(schedule.Actions) > 60 {
 			break
 		}
 	}
--- a/internal/simulation/sites.go
+++ b/internal/simulation/sites.go
@@ -101,10 +101,10 @@
 func siteDistance(a, b int) time.Duration { return time.Duration(10+(a*7+b*7)%71) * time.Millisecond }
 
 // RunOverflow plays a rush.
-func RunOverflow(scenario OverflowScenario) OverflowResult { return playRush(scenario, nil) }
+func RunOverflow(scenario OverflowScenario) OverflowResult { return runOverflow(scenario, nil) }
 
-// playRush plays a rush and takes its history down, if one is given.
-func playRush(r OverflowScenario, h *historyChecksum) OverflowResult {
+// runOverflow plays a rush and takes its history down, if one is given.
+func runOverflow(r OverflowScenario, h *historyChecksum) OverflowResult {
 	w := &overflowSimulation{scenario: r, history: h, random: rand.New(rand.NewPCG(r.Seed, 1)), cutLinks: map[[2]int]bool{}, heldMessages: map[[2]int][]func(){}, holdingLinks: map[[2]int]bool{}}
 	for i := range r.Sites {
 		s := &site{index: i, slots: siteSlots, rate: siteBaseLoad * siteSlots / siteServiceTime.Seconds(), overloaded: i < r.OverloadedSites}
@@ -150,7 +150,7 @@
 			}
 		}
 	}
-	h.endRush(w)
+	h.endOverflow(w)
 	return w.result
 }
 
@@ -223,7 +223,7 @@
 func (o *overflowSimulation) attempt(site *site, request *siteRequest) {
 	request.attempts++
 	if o.history != nil {
-		o.history.add(entryRush, o.now, site.index, request.id, request.attempts, site.up, len(site.queue))
+		o.history.add(entryOverflow, o.now, site.index, request.id, request.attempts, site.up, len(site.queue))
 	}
 	again := func() {
 		if o.now-request.arrivedAt < clientDeadline-300*time.Millisecond {
@@ -344,7 +344,7 @@
 	site.served++
 	request.executions++
 	if o.history != nil {
-		o.history.add(entryRush, o.now, site.index, request.id, request.attempts, guest, site.running)
+		o.history.add(entryOverflow, o.now, site.index, request.id, request.attempts, guest, site.running)
 	}
 	incarnation := site.incarnation
 	if guest {
@@ -415,7 +415,7 @@
 				}
 				lease, ok := other.lender.Grant(o.now, fmt.Sprint(site.index), "svc", want.Rate, other.stats.SpareRate(), 0)
 				if o.history != nil {
-					o.history.add(entryRush, o.now, site.index, want, lease, ok)
+					o.history.add(entryOverflow, o.now, site.index, want, lease, ok)
 				}
 				other.door.SetLeases(o.now, other.lender.ActiveLeases(o.now))
 				o.send(to, site.index, func() {
--- a/internal/simulation/windows.go
+++ b/internal/simulation/windows.go
@@ -31,8 +31,8 @@
 		command.FaultTolerance.Machines = 1
 		return command
 	}
-	if action.On < len(c.gateways) {
-		command.Nodes = []string{c.gateways[action.On].name}
+	if action.Target < len(c.gateways) {
+		command.Nodes = []string{c.gateways[action.Target].name}
 	}
 	return command
 }
@@ -64,7 +64,7 @@
 			if window.Phase == maintenance.Draining {
 				for _, fault := range c.onWindowGrant {
 					c.onWindowGrant, c.unsettledUntil = c.onWindowGrant[1:], c.now+fault.For+restartTime
-					fault.On, fault.Kind = m.index, strings.TrimPrefix(fault.Kind, "grant")
+					fault.Target, fault.Kind = m.index, strings.TrimPrefix(fault.Kind, "grant")
 					c.after(time.Duration(c.random.Int64N(int64(4*time.Millisecond))), func() { c.injectFault(fault) })
 					break
 				}
@@ -111,14 +111,14 @@
 		return s, 0, 0, 0
 	}
 	s = Generate(seed, 3, 2, 30*time.Second)
-	s.Foragers, s.Replicas = 9, 4
-	s.Acts = []Action{{At: 1200 * time.Millisecond, Kind: "put", Version: 1}, {At: 2 * time.Second, Kind: "agree"}}
+	s.Gateways, s.Replicas = 9, 4
+	s.Actions = []Action{{At: 1200 * time.Millisecond, Kind: "put", Version: 1}, {At: 2 * time.Second, Kind: "agree"}}
 	for _, x := range tt.Assignments {
 		on := slices.IndexFunc(q.Nodes, func(n capacity.Node) bool { return n.Name == x.Node })
-		s.Acts = append(s.Acts, Action{At: time.Duration(6+x.Start) * time.Second, Kind: "ask", On: on}, Action{At: time.Duration(6+x.End) * time.Second, Kind: "finish", On: on})
-		s.Lasts = max(s.Lasts, time.Duration(8+x.End)*time.Second)
+		s.Actions = append(s.Actions, Action{At: time.Duration(6+x.Start) * time.Second, Kind: "ask", Target: on}, Action{At: time.Duration(6+x.End) * time.Second, Kind: "finish", Target: on})
+		s.Duration = max(s.Duration, time.Duration(8+x.End)*time.Second)
 	}
-	slices.SortStableFunc(s.Acts, func(a, b Action) int { return int(a.At - b.At) })
+	slices.SortStableFunc(s.Actions, func(a, b Action) int { return int(a.At - b.At) })
 	return s, greedy.Makespan, tt.Makespan, serial
 }
 
