--- a/cmd/zincloft/state.go
+++ b/cmd/zincloft/state.go
@@ -15,9 +15,9 @@
 
 var stateNames = [...]string{"gone", "ready", "draining"}
 
-// state are the commands on what a governor keeps on disk. None of them changes the file but compact, and none works on
+// stateCommand are the commands on what a governor keeps on disk. None of them changes the file but compact, and none works on
 // one that a governor has open.
-func state(operator *string) *cobra.Command {
+func stateCommand(operator *string) *cobra.Command {
 	var dir string
 	at := func(run func(*cobra.Command, string) error) func(*cobra.Command, []string) error {
 		return func(c *cobra.Command, _ []string) error {
@@ -57,7 +57,7 @@
 }
 
 func showState(c *cobra.Command, dir string) error {
-	k, err := store.View(dir)
+	k, err := store.Read(dir)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 }
 
 func exportState(c *cobra.Command, dir string) error {
-	k, err := store.View(dir)
+	k, err := store.Read(dir)
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	if err := e.Encode(struct {
 		Schema int `json:"schema"`
 		recovery.Kept
-	}{store.Schema, k}); err != nil {
+	}{store.SchemaVersion, k}); err != nil {
 		return fmt.Errorf("writing: %w", err)
 	}
 	return nil
--- a/intake/pairs_test.go
+++ b/intake/pairs_test.go
@@ -37,7 +37,7 @@
 			}
 		}
 	}
-	testkit.Compare(t, trace.String())
+	testkit.CompareTrace(t, trace.String())
 }
 
 // TestPairsBounded has far more pairs fail once than are remembered, and some that fail again and again: those stay,
--- a/internal/clients/codec.go
+++ b/internal/clients/codec.go
@@ -10,7 +10,7 @@
 
 	"zincloft.example/zincloft/intake"
 	"zincloft.example/zincloft/internal/config"
-	"zincloft.example/zincloft/internal/exchange"
+	"zincloft.example/zincloft/internal/eventqueue"
 	"zincloft.example/zincloft/internal/resp"
 	"zincloft.example/zincloft/rules"
 )
@@ -19,36 +19,36 @@
 
 // What a message may say besides an event of package rules.
 type (
-	beat   struct{}                    // asks for a sign of life
-	naming struct{ zone rules.ZoneID } // makes its connection a collector
-	// spoilt is framed well and of no use.
-	spoilt struct {
-		cause  string // one of few: the peer's words are not part of it
-		answer bool   // to a mark
+	heartbeat     struct{}                    // asks for a sign of life
+	collectorJoin struct{ zone rules.ZoneID } // makes its connection a collector
+	// invalidMessage is framed well and of no use.
+	invalidMessage struct {
+		cause             string // one of few: the peer's words are not part of it
+		isAcknowledgement bool   // to a mark
 	}
 )
 
 var (
-	beatAnswer = resp.Append(nil, "hb_ok")
-	misplaced  = spoilt{cause: "out of place"}
-	noRoom     = spoilt{cause: "no room for reports"}
+	heartbeatAnswer   = resp.Append(nil, "hb_ok")
+	unexpectedMessage = invalidMessage{cause: "out of place"}
+	queueFull         = invalidMessage{cause: "no room for reports"}
 )
 
 // codec knows the site's names.
 type codec struct {
-	zones, groups []string
-	proxies       int
-	longest       time.Duration // that a message may speak of
-	batches       bool          // of single proxies' reports are taken
-	shuns         bool          // governors of this fleet order proxies to shut replicas out, so one that comes may do
-	replica       func([]byte) (rules.ReplicaID, bool)
-	name          func(rules.ReplicaID) (string, bool)
+	zones, groups       []string
+	proxies             int
+	maxReportedTime     time.Duration // that a message may speak of
+	acceptsBatches      bool          // of single proxies' reports are taken
+	ordersPairEjections bool          // governors of this fleet order proxies to shut replicas out, so one that comes may do
+	replica             func([]byte) (rules.ReplicaID, bool)
+	name                func(rules.ReplicaID) (string, bool)
 }
 
-func newCodec(conf config.Config, n exchange.Names) codec {
+func newCodec(conf config.Config, n eventqueue.ReplicaNames) codec {
 	s := conf.Settings
-	c := codec{zones: s.Zones, proxies: s.Proxies, longest: conf.Bounds.Span, replica: n.ID, name: n.Name, batches: conf.Operator.Intake.Taken(),
-		shuns: conf.Operator.Intake.Reports == config.ReportsPairs}
+	c := codec{zones: s.Zones, proxies: s.Proxies, maxReportedTime: conf.Bounds.MaxReportedTime, replica: n.ID, name: n.Name, acceptsBatches: conf.Operator.Intake.Enabled(),
+		ordersPairEjections: conf.Operator.Intake.Reports == config.ReportsPairs}
 	for _, tg := range s.Groups {
 		c.groups = append(c.groups, tg.Name)
 	}
@@ -57,12 +57,12 @@
 
 // fields are the names and values of a message. The first that is of no use is remembered.
 type fields struct {
-	pairs   [][]byte // name, value, name, value
-	longest time.Duration
-	bad     string
+	pairs           [][]byte // name, value, name, value
+	maxReportedTime time.Duration
+	invalid         string
 }
 
-func (f *fields) fail(name string) { f.bad = cmp.Or(f.bad, name) }
+func (f *fields) fail(name string) { f.invalid = cmp.Or(f.invalid, name) }
 
 // value is that of a name; of one that is given twice, the later.
 func (f *fields) value(name string) (v []byte, given bool) {
@@ -74,7 +74,7 @@
 	return v, given
 }
 
-func (f *fields) needs(names ...string) {
+func (f *fields) require(names ...string) {
 	for _, name := range names {
 		if _, ok := f.value(name); !ok {
 			f.fail(name)
@@ -82,61 +82,61 @@
 	}
 }
 
-// whole reads a whole number from 0 to most; 0 if it is left out.
-func (f *fields) whole(name string, most int) int {
+// integer reads a whole number from 0 to most; 0 if it is left out.
+func (f *fields) integer(name string, most int) int {
 	text, ok := f.value(name)
 	if !ok {
 		return 0
 	}
-	n, ok := whole(text, most)
+	n, ok := parseInteger(text, most)
 	if !ok {
 		f.fail(name)
 	}
 	return n
 }
 
-func whole(text []byte, most int) (int, bool) {
+func parseInteger(text []byte, most int) (int, bool) {
 	n, err := strconv.Atoi(string(text))
 	return n, err == nil && n >= 0 && n <= most
 }
 
-// figure reads a figure from 0; 0 if it is left out.
-func (f *fields) figure(name string) float64 {
+// float reads a figure from 0; 0 if it is left out.
+func (f *fields) float(name string) float64 {
 	text, ok := f.value(name)
 	if !ok {
 		return 0
 	}
-	v, ok := figure(text)
+	v, ok := parseFloat(text)
 	if !ok {
 		f.fail(name)
 	}
 	return v
 }
 
-func figure(text []byte) (float64, bool) {
+func parseFloat(text []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(text), 64)
 	return v, err == nil && v >= 0 && v <= math.MaxInt32
 }
 
-// span reads milliseconds. A time that nothing here can have taken is spoilt: taken for good, it would be learnt from
+// duration reads milliseconds. A time that nothing here can have taken is spoilt: taken for good, it would be learnt from
 // for the rest of the day.
-func (f *fields) span(name string) time.Duration {
-	d, ok := f.millis(f.figure(name))
+func (f *fields) duration(name string) time.Duration {
+	d, ok := f.milliseconds(f.float(name))
 	if !ok {
 		f.fail(name)
 	}
 	return d
 }
 
-func (f *fields) millis(ms float64) (time.Duration, bool) {
+func (f *fields) milliseconds(ms float64) (time.Duration, bool) {
 	v := ms * float64(time.Millisecond)
-	if v > float64(f.longest) {
+	if v > float64(f.maxReportedTime) {
 		return 0, false
 	}
 	return time.Duration(math.Round(v)), true
 }
 
-func (f *fields) place(name string, in []string) int {
+func (f *fields) index(name string, in []string) int {
 	text, _ := f.value(name)
 	for i, known := range in {
 		if string(text) == known {
@@ -151,64 +151,64 @@
 // known.
 func (c *codec) decode(words [][]byte) any {
 	if len(words)%2 == 0 {
-		return spoilt{cause: "words without a pair"}
+		return invalidMessage{cause: "words without a pair"}
 	}
-	f := fields{pairs: words[1:], longest: c.longest}
+	f := fields{pairs: words[1:], maxReportedTime: c.maxReportedTime}
 	var out any
 	switch string(words[0]) {
 	case "hb":
-		out = beat{}
+		out = heartbeat{}
 	case "telemetry":
-		out = naming{rules.ZoneID(f.place("az", c.zones))}
+		out = collectorJoin{rules.ZoneID(f.index("az", c.zones))}
 	case "attach":
-		f.needs("sidecar")
-		fresh := f.whole("standing", 1) == 1
-		out = rules.Joined{Proxy: c.proxy(&f), Zone: rules.ZoneID(f.place("az", c.zones)),
-			Rate: f.figure("share"), Fresh: fresh, Unsure: !fresh && c.shuns}
+		f.require("sidecar")
+		fresh := f.integer("standing", 1) == 1
+		out = rules.Joined{Proxy: c.proxy(&f), Zone: rules.ZoneID(f.index("az", c.zones)),
+			Rate: f.float("share"), Fresh: fresh, Unsure: !fresh && c.ordersPairEjections}
 	case "done":
-		f.needs("sidecar", "version", "lag_ms")
-		out = rules.Applied{Proxy: c.proxy(&f), Version: uint16(f.whole("version", math.MaxUint16)), Took: f.span("lag_ms")}
+		f.require("sidecar", "version", "lag_ms")
+		out = rules.Applied{Proxy: c.proxy(&f), Version: uint16(f.integer("version", math.MaxUint16)), Took: f.duration("lag_ms")}
 	case "upstream_stats":
-		f.needs("host", "n", "bad", "window")
-		zone := f.place("az", c.zones)
+		f.require("host", "n", "bad", "window")
+		zone := f.index("az", c.zones)
 		host, _ := f.value("host")
 		replica, known := c.replica(host)
 		if !known {
 			f.fail("host")
 		}
-		s := rules.Sums{Replica: replica, Zone: rules.ZoneID(zone), Over: f.over("window"), Report: f.report("report"),
-			Took: f.span("avg")}
-		s.Tries, s.Dropped = f.whole("n", math.MaxInt32), f.whole("bad", math.MaxInt32)
+		s := rules.Sums{Replica: replica, Zone: rules.ZoneID(zone), Over: f.positiveDuration("window"), Report: f.report("report"),
+			Took: f.duration("avg")}
+		s.Tries, s.Dropped = f.integer("n", math.MaxInt32), f.integer("bad", math.MaxInt32)
 		if s.Dropped > s.Tries {
 			f.fail("bad")
 		} else if s.Dropped < s.Tries {
-			f.needs("avg")
+			f.require("avg")
 		}
 		out = s
 	case "client_stats":
-		f.needs("sidecar", "n", "bad", "window")
-		out = rules.Intake{Proxy: c.proxy(&f), Group: rules.GroupID(f.place("kind", c.groups)), Over: f.over("window"),
-			Flows: f.whole("n", math.MaxInt32), Dropped: f.whole("bad", math.MaxInt32)} // which may have come before
+		f.require("sidecar", "n", "bad", "window")
+		out = rules.Intake{Proxy: c.proxy(&f), Group: rules.GroupID(f.index("kind", c.groups)), Over: f.positiveDuration("window"),
+			Flows: f.integer("n", math.MaxInt32), Dropped: f.integer("bad", math.MaxInt32)} // which may have come before
 	case "met":
-		if !c.batches {
-			return spoilt{cause: "unknown kind"}
+		if !c.acceptsBatches {
+			return invalidMessage{cause: "unknown kind"}
 		}
 		out = c.batch(&f)
 	default:
-		return spoilt{cause: "unknown kind"}
+		return invalidMessage{cause: "unknown kind"}
 	}
-	if f.bad != "" {
+	if f.invalid != "" {
 		if b, is := out.(*intake.Batch); is {
 			b.Free()
 		}
-		return spoilt{cause: string(words[0]) + " " + f.bad, answer: string(words[0]) == "done"}
+		return invalidMessage{cause: string(words[0]) + " " + f.invalid, isAcknowledgement: string(words[0]) == "done"}
 	}
 	return out
 }
 
-// over reads the time that something was counted over.
-func (f *fields) over(name string) time.Duration {
-	d := f.span(name)
+// positiveDuration reads the time that something was counted over.
+func (f *fields) positiveDuration(name string) time.Duration {
+	d := f.duration(name)
 	if d <= 0 {
 		f.fail(name)
 	}
@@ -216,7 +216,7 @@
 }
 
 func (c *codec) proxy(f *fields) rules.ProxyID {
-	return rules.ProxyID(f.whole("sidecar", c.proxies-1))
+	return rules.ProxyID(f.integer("sidecar", c.proxies-1))
 }
 
 // report reads a load report. Figures that are not known are passed over.
@@ -230,11 +230,11 @@
 		if len(pair) == 0 {
 			continue
 		}
-		v, ok := figure(of)
+		v, ok := parseFloat(of)
 		if !paired || !ok {
 			f.fail(name)
 		}
-		config.SetLoad(&r, key, v)
+		config.SetLoadFigure(&r, key, v)
 	}
 	return r
 }
@@ -247,10 +247,10 @@
 // batch reads what a proxy met at each replica (docs/reports.md). A record of a replica that is not known is passed
 // over alone, as one that has just gone is no fault of the sender; any other fault spoils the whole.
 func (c *codec) batch(f *fields) *intake.Batch {
-	f.needs("sidecar", "window", "records")
+	f.require("sidecar", "window", "records")
 	b := intake.NewBatch()
-	b.Proxy, b.Over, b.Age = c.proxy(f), f.over("window"), f.span("age")
-	b.Seq, b.Sent = uint32(f.whole("seq", math.MaxUint32)), rules.Time(f.whole("sent", math.MaxInt64/int(time.Millisecond)))*rules.Time(time.Millisecond)
+	b.Proxy, b.Over, b.Age = c.proxy(f), f.positiveDuration("window"), f.duration("age")
+	b.Seq, b.Sent = uint32(f.integer("seq", math.MaxUint32)), rules.Time(f.integer("sent", math.MaxInt64/int(time.Millisecond)))*rules.Time(time.Millisecond)
 	text, _ := f.value("records")
 	for len(text) > 0 {
 		var record []byte
@@ -286,41 +286,41 @@
 	var good [6]bool
 	var ms [2]float64
 	r.Report = noReport
-	r.Tries, good[0] = whole(words[1], math.MaxInt32)
-	r.Dropped, good[1] = whole(words[2], r.Tries)
-	ms[0], good[2] = figure(words[3])
+	r.Tries, good[0] = parseInteger(words[1], math.MaxInt32)
+	r.Dropped, good[1] = parseInteger(words[2], r.Tries)
+	ms[0], good[2] = parseFloat(words[3])
 	good[3], good[4], good[5] = true, true, true
 	if n == 7 {
-		r.Report.Util, good[3] = figure(words[4])
-		r.Report.InFlight, good[4] = figure(words[5])
-		ms[1], good[5] = figure(words[6])
+		r.Report.Util, good[3] = parseFloat(words[4])
+		r.Report.InFlight, good[4] = parseFloat(words[5])
+		ms[1], good[5] = parseFloat(words[6])
 	}
-	took, inTime := f.millis(ms[0])
-	heard, lately := f.millis(ms[1])
+	took, inTime := f.milliseconds(ms[0])
+	heard, lately := f.milliseconds(ms[1])
 	r.Took, r.Heard = took, heard
 	r.Replica, known = c.replica(words[0])
 	return r, known, r.Tries > 0 && inTime && lately && good == [6]bool{true, true, true, true, true, true}
 }
 
-// part is one part of a message to a proxy. What is empty is left out.
-type part struct {
-	groups   rules.GroupSet // 0: all
-	full     bool
-	lines    []line
-	level    *rules.Admit
-	out, in  []rules.ReplicaID
-	mark     *rules.Mark
-	followed bool // by another part of the message
+// assignment is one part of a message to a proxy. What is empty is left out.
+type assignment struct {
+	groups         rules.GroupSet // 0: all
+	full           bool
+	weights        []weight
+	level          *rules.Admit
+	eject, restore []rules.ReplicaID
+	mark           *rules.Mark
+	continued      bool // by another part of the message
 }
 
-type line struct {
+type weight struct {
 	replica rules.ReplicaID
-	weight  float64
+	value   float64
 }
 
-// count is what the part comes to in lines of the channel.
-func (p *part) count() int {
-	n := len(p.lines) + len(p.out) + len(p.in)
+// lineCount is what the part comes to in lines of the channel.
+func (p *assignment) lineCount() int {
+	n := len(p.weights) + len(p.eject) + len(p.restore)
 	for _, one := range []bool{p.full, p.level != nil, p.mark != nil} {
 		if one {
 			n++
@@ -329,7 +329,7 @@
 	return n
 }
 
-func (c *codec) encode(b []byte, p *part) []byte {
+func (c *codec) encode(b []byte, p *assignment) []byte {
 	words := []string{"assign"}
 	add := func(name, value string) { words = append(words, name, value) }
 	if p.groups != 0 && p.groups != 1<<len(c.groups)-1 {
@@ -344,15 +344,15 @@
 	if p.full {
 		add("full", "1")
 	}
-	if len(p.lines) > 0 {
+	if len(p.weights) > 0 {
 		var text []byte
-		for i, l := range p.lines {
+		for i, l := range p.weights {
 			if i > 0 {
 				text = append(text, ',')
 			}
 			name, _ := c.name(l.replica)
 			text = append(append(text, name...), ':')
-			text = strconv.AppendFloat(text, l.weight, 'f', -1, 32)
+			text = strconv.AppendFloat(text, l.value, 'f', -1, 32)
 		}
 		add("endpoints", string(text))
 	}
@@ -360,16 +360,16 @@
 		add("admit", strconv.FormatFloat(p.level.Level, 'f', -1, 32))
 		add("policy", strconv.Itoa(int(p.level.Retry)))
 	}
-	if len(p.out) > 0 {
-		add("eject", c.join(p.out))
+	if len(p.eject) > 0 {
+		add("eject", c.join(p.eject))
 	}
-	if len(p.in) > 0 {
-		add("restore", c.join(p.in))
+	if len(p.restore) > 0 {
+		add("restore", c.join(p.restore))
 	}
 	if p.mark != nil {
 		add("nonce_out", strconv.Itoa(int(p.mark.Version)))
 	}
-	if p.followed {
+	if p.continued {
 		add("continued", "1")
 	}
 	return resp.Append(b, words...)
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -14,7 +14,7 @@
 	"golang.org/x/time/rate"
 
 	"zincloft.example/zincloft/intake"
-	"zincloft.example/zincloft/internal/exchange"
+	"zincloft.example/zincloft/internal/eventqueue"
 	"zincloft.example/zincloft/internal/resp"
 	"zincloft.example/zincloft/rules"
 )
@@ -23,100 +23,100 @@
 // stranger's until then.
 type conn struct {
 	net.Conn
-	side  *Side
-	since time.Time
+	server     *Server
+	acceptedAt time.Time
 
 	proxy rules.ProxyID // of a stream; the reader's own, like zone
 	zone  rules.ZoneID  // of a collector
 
-	mu      sync.Mutex
-	role    role        // written by the reader only, which need not lock to read it
-	worked  time.Time   // when a collector last passed something on that counts
-	owed    []uint16    // marks that the peer has been sent and not answered yet, oldest first
-	pending net.Buffers // messages may be shared with other connections: nobody changes their bytes
-	waiting int         // bytes pending or being written
-	writing bool        // a goroutine takes what is pending; there is none while nothing is
-	ended   bool
-	cause   ending
+	mu             sync.Mutex
+	role           role        // written by the reader only, which need not lock to read it
+	lastUsefulAt   time.Time   // when a collector last passed something on that counts
+	unacknowledged []uint16    // marks that the peer has been sent and not answered yet, oldest first
+	pending        net.Buffers // messages may be shared with other connections: nobody changes their bytes
+	unsentBytes    int         // bytes pending or being written
+	writing        bool        // a goroutine takes what is pending; there is none while nothing is
+	closed         bool
+	reason         closeReason
 
-	pace *rate.Limiter // of bytes read; nil: no bound
+	limiter *rate.Limiter // of bytes read; nil: no bound
 }
 
-// ending is why a connection has ended. Causes are few; the detail may quote the peer or an address.
-type ending struct{ cause, detail string }
+// closeReason is why a connection has ended. Causes are few; the detail may quote the peer or an address.
+type closeReason struct{ cause, detail string }
 
 // log writes the line of a leave, whose peer it begins with.
-func (e ending) log(line *zerolog.Event) {
+func (e closeReason) log(line *zerolog.Event) {
 	line.Str("cause", e.cause).Str("detail", e.detail).Msg("leave")
 }
 
 type role string
 
 const (
-	stranger  role = "stranger"
-	stream    role = "stream"
-	collector role = "collector"
+	roleUnidentified role = "stranger"
+	roleStream       role = "stream"
+	roleCollector    role = "collector"
 )
 
-// read takes in messages until the connection ends. It is the only one that posts this connection's events, so
+// readLoop takes in messages until the connection ends. It is the only one that posts this connection's events, so
 // they keep their order.
 //
 // Here it is decided what bad input costs. Framing that is broken ends the connection. A message that is framed well
 // but has a bad field, or no place on this connection, is passed over whole and counted, and it is a sign of life like
 // any other. A stranger may say nothing but hb and a joining that is good, and has FirstWord for it from its accept on,
 // whatever it says meanwhile: against strangers that stay for good, silent, beating, or byte by byte.
-func (c *conn) read() {
-	b := c.side.bounds
-	in := resp.NewReader(c, b.FirstBytes, b.Words)
-	err := c.SetReadDeadline(c.since.Add(b.FirstWord))
+func (c *conn) readLoop() {
+	b := c.server.bounds
+	in := resp.NewReader(c, b.MaxFirstMessageBytes, b.MaxMessageElements)
+	err := c.SetReadDeadline(c.acceptedAt.Add(b.JoinTimeout))
 	for err == nil {
 		var words [][]byte
 		if words, err = in.Next(); err != nil {
 			break
 		}
-		c.rest(in.Size())
-		m := c.hear(c.side.codec.decode(words))
-		if bad, is := m.(spoilt); is && c.role == stranger {
-			c.end("not a joining", bad.cause)
+		c.throttle(in.Size())
+		m := c.handle(c.server.codec.decode(words))
+		if bad, is := m.(invalidMessage); is && c.role == roleUnidentified {
+			c.closeWith("not a joining", bad.cause)
 			break
 		} else if is {
-			c.side.counts.Add(passedOver, bad.cause)
+			c.server.counts.Add(skippedMessages, bad.cause)
 		}
-		if _, beats := m.(beat); !beats || c.role != stranger {
-			err = c.await(m)
-			in.Limit = b.MessageBytes
+		if _, beats := m.(heartbeat); !beats || c.role != roleUnidentified {
+			err = c.updateDeadline(m)
+			in.MaxBytes = b.MaxMessageBytes
 		}
 	}
-	c.end(because(err))
+	c.closeWith(reasonOf(err))
 	switch c.role {
-	case stream:
-		c.side.exchange.Post(exchange.Event{From: c, Fact: rules.Left{Proxy: c.proxy}})
-	case collector:
-		c.ending().log(c.side.log.Info().Str("collector", c.side.codec.zones[c.zone]))
+	case roleStream:
+		c.server.inbox.Post(eventqueue.Event{Connection: c, Fact: rules.Left{Proxy: c.proxy}})
+	case roleCollector:
+		c.closeReason().log(c.server.log.Info().Str("collector", c.server.codec.zones[c.zone]))
 	default:
-		c.side.counts.Add(strangers, c.ending().cause)
+		c.server.counts.Add(unidentifiedConns, c.closeReason().cause)
 	}
-	c.side.remove(c)
+	c.server.removeConn(c)
 }
 
-// rest keeps a stream that brings more than its share waiting, and nobody else: against floods of reports. Its own
+// throttle keeps a stream that brings more than its share waiting, and nobody else: against floods of reports. Its own
 // marks wait too, so one that never ends falls silent in the end.
-func (c *conn) rest(bytes int) {
-	if c.pace == nil || c.role != stream {
+func (c *conn) throttle(bytes int) {
+	if c.limiter == nil || c.role != roleStream {
 		return
 	}
-	if wait := c.pace.ReserveN(time.Now(), min(bytes, c.pace.Burst())).Delay(); wait > 0 {
-		c.side.counts.Add(held, "over its share")
+	if wait := c.limiter.ReserveN(time.Now(), min(bytes, c.limiter.Burst())).Delay(); wait > 0 {
+		c.server.counts.Add(delayedMessages, "over its share")
 		select {
 		case <-time.After(wait):
-		case <-c.side.closing:
+		case <-c.server.closing:
 		}
 	}
 }
 
-// because puts an error into one of few causes.
-func because(err error) (cause, detail string) {
-	var broken resp.Broken
+// reasonOf puts an error into one of few causes.
+func reasonOf(err error) (cause, detail string) {
+	var broken resp.ProtocolError
 	switch {
 	case err == nil:
 		return "", ""
@@ -132,107 +132,107 @@
 	return "failed", err.Error()
 }
 
-// hear does as a message says and returns it; what has no place on this connection comes back spoilt.
-func (c *conn) hear(m any) any {
+// handle does as a message says and returns it; what has no place on this connection comes back spoilt.
+func (c *conn) handle(m any) any {
 	switch m := m.(type) {
-	case beat:
-		c.send(beatAnswer)
+	case heartbeat:
+		c.send(heartbeatAnswer)
 		return m
-	case spoilt:
+	case invalidMessage:
 		return m
-	case naming:
-		if c.role != stranger {
-			return misplaced
+	case collectorJoin:
+		if c.role != roleUnidentified {
+			return unexpectedMessage
 		}
 		c.zone = m.zone
-		c.become(collector)
-		c.side.collect(c)
+		c.setRole(roleCollector)
+		c.server.addCollector(c)
 		return m
 	case rules.Joined:
-		if c.role != stranger {
-			return misplaced
+		if c.role != roleUnidentified {
+			return unexpectedMessage
 		}
 		c.proxy = m.Proxy
-		c.become(stream)
+		c.setRole(roleStream)
 	case rules.Applied:
-		if c.role != stream || m.Proxy != c.proxy || !c.isOwed(m.Version) {
-			return spoilt{cause: misplaced.cause, answer: true}
+		if c.role != roleStream || m.Proxy != c.proxy || !c.awaits(m.Version) {
+			return invalidMessage{cause: unexpectedMessage.cause, isAcknowledgement: true}
 		}
 	case rules.Intake:
-		if c.role == stranger || c.role == stream && m.Proxy != c.proxy {
-			return misplaced
+		if c.role == roleUnidentified || c.role == roleStream && m.Proxy != c.proxy {
+			return unexpectedMessage
 		}
-		return c.report(exchange.Event{Fact: m}, m)
+		return c.postReport(eventqueue.Event{Fact: m}, m)
 	case rules.Sums:
-		if c.role != collector {
-			return misplaced
+		if c.role != roleCollector {
+			return unexpectedMessage
 		}
-		return c.report(exchange.Event{Fact: m}, m)
+		return c.postReport(eventqueue.Event{Fact: m}, m)
 	case *intake.Batch:
-		if c.role != stream || m.Proxy != c.proxy {
+		if c.role != roleStream || m.Proxy != c.proxy {
 			m.Free()
-			return misplaced
+			return unexpectedMessage
 		}
-		return c.report(exchange.Event{Batch: m}, m)
+		return c.postReport(eventqueue.Event{Batch: m}, m)
 	}
-	c.side.exchange.Post(exchange.Event{From: c, Fact: m.(rules.Event)})
+	c.server.inbox.Post(eventqueue.Event{Connection: c, Fact: m.(rules.Event)})
 	return m
 }
 
-// report passes on what may wait. A collector waits until there is room; a stream can't, as a proxy's marks come
+// postReport passes on what may wait. A collector waits until there is room; a stream can't, as a proxy's marks come
 // behind its reports, so what has no room is counted and gone.
-func (c *conn) report(e exchange.Event, m any) any {
-	e.From, e.Read = c, time.Now()
-	if c.role == collector {
-		c.side.exchange.Post(e)
-	} else if !c.side.exchange.Offer(e) {
-		return noRoom
+func (c *conn) postReport(e eventqueue.Event, m any) any {
+	e.Connection, e.ReceivedAt = c, time.Now()
+	if c.role == roleCollector {
+		c.server.inbox.Post(e)
+	} else if !c.server.inbox.TryPost(e) {
+		return queueFull
 	}
 	return m
 }
 
-func (c *conn) become(r role) {
+func (c *conn) setRole(r role) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.role = r
 }
 
-func (c *conn) isOwed(mark uint16) bool {
+func (c *conn) awaits(mark uint16) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Contains(c.owed, mark)
+	return slices.Contains(c.unacknowledged, mark)
 }
 
-// await sets the time until which a peer that has joined must say something: as a stream, while it owes the answer
+// updateDeadline sets the time until which a peer that has joined must say something: as a stream, while it owes the answer
 // to a mark. This one guard ends whatever has fallen silent: peers that vanished, that stopped inside a message, or
 // that send it byte by byte. A proxy that owes nothing may be quiet for long. An answer that can't be used is taken
 // for that to the oldest mark: else a proxy that lives would count as silent. Collectors owe nothing ever; those that
 // pass nothing on make room for others.
-func (c *conn) await(m any) error {
+func (c *conn) updateDeadline(m any) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch m := m.(type) {
 	case rules.Applied:
-		c.owed = c.owed[slices.Index(c.owed, m.Version)+1:]
-	case spoilt:
-		if m.answer {
-			c.owed = c.owed[min(1, len(c.owed)):]
+		c.unacknowledged = c.unacknowledged[slices.Index(c.unacknowledged, m.Version)+1:]
+	case invalidMessage:
+		if m.isAcknowledgement {
+			c.unacknowledged = c.unacknowledged[min(1, len(c.unacknowledged)):]
 		}
 	case rules.Sums, rules.Intake, *intake.Batch:
-		c.worked = time.Now()
+		c.lastUsefulAt = time.Now()
 	}
-	if len(c.owed) > 0 {
-		return c.SetReadDeadline(time.Now().Add(c.side.bounds.Silence))
+	if len(c.unacknowledged) > 0 {
+		return c.SetReadDeadline(time.Now().Add(c.server.bounds.AcknowledgeTimeout))
 	}
 	return c.SetReadDeadline(time.Time{})
 }
 
-// ask sends a message that is to be answered.
-func (c *conn) ask(b []byte, mark uint16) {
+// sendMarked sends a message that is to be answered.
+func (c *conn) sendMarked(b []byte, mark uint16) {
 	c.mu.Lock()
 	var err error
-	if c.owed = append(c.owed, mark); len(c.owed) == 1 {
-		err = c.SetReadDeadline(time.Now().Add(c.side.bounds.Silence))
+	if c.unacknowledged = append(c.unacknowledged, mark); len(c.unacknowledged) == 1 {
+		err = c.SetReadDeadline(time.Now().Add(c.server.bounds.AcknowledgeTimeout))
 	}
 	c.mu.Unlock()
 	if err == nil { // else it has ended
@@ -243,34 +243,34 @@
 // send puts bytes in line for the peer and never waits. A peer that does not read is cut off.
 func (c *conn) send(b []byte) {
 	c.mu.Lock()
-	if c.ended {
+	if c.closed {
 		c.mu.Unlock()
 		return
 	}
 	c.pending = append(c.pending, b)
-	c.waiting += len(b)
-	full := c.waiting > c.side.bounds.Unread
-	all := c.side.unread.Add(int64(len(b)))
+	c.unsentBytes += len(b)
+	full := c.unsentBytes > c.server.bounds.MaxUnsentBytes
+	all := c.server.unsentBytes.Add(int64(len(b)))
 	if !c.writing {
 		c.writing = true
-		c.side.running.Go(c.write)
+		c.server.handlers.Go(c.writeLoop)
 	}
 	c.mu.Unlock()
-	if all > c.side.bounds.UnreadAll {
-		c.side.relieve()
+	if all > c.server.bounds.MaxTotalUnsentBytes {
+		c.server.evictLargestBacklog()
 	}
 	if full {
-		c.end("does not read", "")
+		c.closeWith("does not read", "")
 	}
 }
 
-// write writes what is pending until nothing is.
-func (c *conn) write() {
+// writeLoop writes what is pending until nothing is.
+func (c *conn) writeLoop() {
 	for {
 		c.mu.Lock()
 		pending := c.pending
 		c.pending = nil
-		if c.ended || len(pending) == 0 {
+		if c.closed || len(pending) == 0 {
 			c.writing = false
 			c.mu.Unlock()
 			return
@@ -280,42 +280,42 @@
 		for _, b := range pending {
 			n += len(b)
 		}
-		err := c.SetWriteDeadline(time.Now().Add(c.side.bounds.WriteMost))
+		err := c.SetWriteDeadline(time.Now().Add(c.server.bounds.WriteTimeout))
 		if err == nil {
 			_, err = pending.WriteTo(c.Conn)
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.end("does not read", "")
+			c.closeWith("does not read", "")
 		} else if err != nil {
-			c.end(because(err))
+			c.closeWith(reasonOf(err))
 		}
-		c.written(n)
+		c.releaseUnsent(n)
 	}
 }
 
-// written takes bytes off what waits.
-func (c *conn) written(n int) {
+// releaseUnsent takes bytes off what waits.
+func (c *conn) releaseUnsent(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ended { // else end has done so
-		c.waiting -= n
-		c.side.unread.Add(int64(-n))
+	if !c.closed { // else end has done so
+		c.unsentBytes -= n
+		c.server.unsentBytes.Add(int64(-n))
 	}
 }
 
-// end closes the connection; the first cause given stays.
-func (c *conn) end(cause, detail string) {
+// closeWith closes the connection; the first cause given stays.
+func (c *conn) closeWith(cause, detail string) {
 	c.mu.Lock()
-	if !c.ended {
-		c.ended, c.cause = true, ending{cause, detail}
-		c.side.unread.Add(int64(-c.waiting))
+	if !c.closed {
+		c.closed, c.reason = true, closeReason{cause, detail}
+		c.server.unsentBytes.Add(int64(-c.unsentBytes))
 	}
 	c.mu.Unlock()
 	c.Close()
 }
 
-func (c *conn) ending() ending {
+func (c *conn) closeReason() closeReason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cause
+	return c.reason
 }
--- a/internal/clients/side.go
+++ b/internal/clients/side.go
@@ -16,76 +16,76 @@
 
 	"zincloft.example/zincloft/internal/config"
 	"zincloft.example/zincloft/internal/counts"
-	"zincloft.example/zincloft/internal/exchange"
+	"zincloft.example/zincloft/internal/eventqueue"
 	"zincloft.example/zincloft/rules"
 )
 
 // What is counted, by cause.
 const (
-	passedOver counts.What = "passed over" // messages on connections that have joined
-	strangers  counts.What = "strangers"   // connections that ended without a joining
-	held       counts.What = "held back"   // messages of streams that were read later
-	refused    counts.What = "refused"     // connections that were not taken
+	skippedMessages   counts.Category = "passed over" // messages on connections that have joined
+	unidentifiedConns counts.Category = "strangers"   // connections that ended without a joining
+	delayedMessages   counts.Category = "held back"   // messages of streams that were read later
+	refusedConns      counts.Category = "refused"     // connections that were not taken
 )
 
-const paceBurst = 4 // seconds' bytes that a stream may bring at once, as after it was held up
+const readBurstSeconds = 4 // seconds' bytes that a stream may bring at once, as after it was held up
 
-// Side is the client side.
-type Side struct {
-	book
-	codec  codec
-	bounds config.Bounds
-	bytes  int // a second, that are read of a stream; 0: no bound
-	log    zerolog.Logger
-	counts *counts.Counts
+// Server is the client side.
+type Server struct {
+	routingState
+	codec                codec
+	bounds               config.Bounds
+	streamBytesPerSecond int // a second, that are read of a stream; 0: no bound
+	log                  zerolog.Logger
+	counts               *counts.Counter
 
-	exchange Inbox
-	unread   atomic.Int64 // bytes that wait for all peers
+	inbox       Inbox
+	unsentBytes atomic.Int64 // bytes that wait for all peers
 
 	mu         sync.Mutex
 	conns      map[*conn]struct{}
-	freed      chan struct{} // a connection has gone
+	connClosed chan struct{} // a connection has gone
 	collectors map[rules.ZoneID][]*conn
 	closing    chan struct{}
-	running    sync.WaitGroup
+	handlers   sync.WaitGroup
 }
 
 // Inbox takes what the client side hears. Post waits for room; Offer does not, and tells whether there was any.
 type Inbox interface {
-	exchange.Names
-	Post(exchange.Event)
-	Offer(exchange.Event) bool
+	eventqueue.ReplicaNames
+	Post(eventqueue.Event)
+	TryPost(eventqueue.Event) bool
 }
 
 // New returns a client side that serves nobody yet.
-func New(c config.Config, log zerolog.Logger, x Inbox, n *counts.Counts) *Side {
-	return &Side{book: newBook(len(c.Settings.Groups)), codec: newCodec(c, x), bounds: c.Bounds, bytes: c.StreamBytes(), log: log,
-		exchange: x, counts: n, conns: map[*conn]struct{}{}, freed: make(chan struct{}, 1), collectors: map[rules.ZoneID][]*conn{},
+func New(c config.Config, log zerolog.Logger, x Inbox, n *counts.Counter) *Server {
+	return &Server{routingState: newRoutingState(len(c.Settings.Groups)), codec: newCodec(c, x), bounds: c.Bounds, streamBytesPerSecond: c.StreamBytesPerSecond(), log: log,
+		inbox: x, counts: n, conns: map[*conn]struct{}{}, connClosed: make(chan struct{}, 1), collectors: map[rules.ZoneID][]*conn{},
 		closing: make(chan struct{})}
 }
 
 // Serve takes connections until the listener is closed. When none can be taken, as when descriptors have run
 // out, it waits a little and goes on.
-func (s *Side) Serve(l net.Listener) {
-	go s.report()
+func (s *Server) Serve(l net.Listener) {
+	go s.logCounts()
 	for {
 		nc, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		} else if err != nil {
-			s.counts.Add(refused, err.Error())
-			<-time.After(s.bounds.AcceptPause)
+			s.counts.Add(refusedConns, err.Error())
+			<-time.After(s.bounds.AcceptRetryDelay)
 			continue
 		}
-		s.add(nc)
+		s.addConn(nc)
 	}
 }
 
-// report writes what was counted, a line at intervals.
-func (s *Side) report() {
+// logCounts writes what was counted, a line at intervals.
+func (s *Server) logCounts() {
 	for {
 		select {
-		case <-time.After(s.bounds.Counts):
+		case <-time.After(s.bounds.CountLogInterval):
 			s.counts.Log(s.log)
 		case <-s.closing:
 			return
@@ -93,41 +93,41 @@
 	}
 }
 
-// add starts a connection, as soon as there is room for it.
-func (s *Side) add(nc net.Conn) {
-	c := &conn{Conn: nc, side: s, role: stranger, since: time.Now()}
-	if s.bytes > 0 {
-		c.pace = rate.NewLimiter(rate.Limit(s.bytes), s.bytes*paceBurst)
+// addConn starts a connection, as soon as there is room for it.
+func (s *Server) addConn(nc net.Conn) {
+	c := &conn{Conn: nc, server: s, role: roleUnidentified, acceptedAt: time.Now()}
+	if s.streamBytesPerSecond > 0 {
+		c.limiter = rate.NewLimiter(rate.Limit(s.streamBytesPerSecond), s.streamBytesPerSecond*readBurstSeconds)
 	}
 	for {
 		s.mu.Lock()
-		if s.closed() {
+		if s.isClosing() {
 			s.mu.Unlock()
 			nc.Close()
 			return
 		}
-		if len(s.conns) < s.bounds.Connections {
+		if len(s.conns) < s.bounds.MaxConnections {
 			break
 		}
-		wait := s.makeRoom()
+		wait := s.evict()
 		s.mu.Unlock()
 		if wait == 0 {
-			s.counts.Add(refused, "no room")
+			s.counts.Add(refusedConns, "no room")
 			nc.Close()
 			return
 		}
 		select {
-		case <-s.freed:
+		case <-s.connClosed:
 		case <-time.After(wait):
 		}
 	}
 	defer s.mu.Unlock()
-	c.since = time.Now()
+	c.acceptedAt = time.Now()
 	s.conns[c] = struct{}{}
-	s.running.Go(c.read)
+	s.handlers.Go(c.readLoop)
 }
 
-func (s *Side) closed() bool {
+func (s *Server) isClosing() bool {
 	select {
 	case <-s.closing:
 		return true
@@ -136,24 +136,24 @@
 	}
 }
 
-// makeRoom lets the oldest stranger go, or where there are none the collector that has been of no use for longest,
+// evict lets the oldest stranger go, or where there are none the collector that has been of no use for longest,
 // and tells how long to wait before another look; 0 if all others are of use. A stranger has its turn first: a
 // proxy's joining comes with its connection, and many strangers at once must not keep it from being read.
-func (s *Side) makeRoom() time.Duration {
+func (s *Server) evict() time.Duration {
 	var out *conn
 	for c := range s.conns {
 		c.mu.Lock()
-		role, ended := c.role, c.ended
+		role, ended := c.role, c.closed
 		c.mu.Unlock()
 		if ended {
-			return s.bounds.AcceptPause
+			return s.bounds.AcceptRetryDelay
 		}
-		if role == stranger && (out == nil || c.since.Before(out.since)) {
+		if role == roleUnidentified && (out == nil || c.acceptedAt.Before(out.acceptedAt)) {
 			out = c
 		}
 	}
 	if out != nil {
-		if turn := s.bounds.Turn - time.Since(out.since); turn > 0 {
+		if turn := s.bounds.MinEvictionAge - time.Since(out.acceptedAt); turn > 0 {
 			return turn
 		}
 	} else {
@@ -162,135 +162,135 @@
 	if out == nil {
 		return 0
 	}
-	out.end("made room", "")
-	return s.bounds.AcceptPause
+	out.closeWith("made room", "")
+	return s.bounds.AcceptRetryDelay
 }
 
-func (s *Side) remove(c *conn) {
+func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
-	if c.role == collector {
+	if c.role == roleCollector {
 		s.collectors[c.zone] = slices.DeleteFunc(s.collectors[c.zone], func(o *conn) bool { return o == c })
 	}
 	select {
-	case s.freed <- struct{}{}:
+	case s.connClosed <- struct{}{}:
 	default:
 	}
 }
 
-// collect notes a collector of a zone. Of too many the idlest goes: it has most likely vanished without a word, as
+// addCollector notes a collector of a zone. Of too many the idlest goes: it has most likely vanished without a word, as
 // nothing is ever written that could tell. Where the others all work, it is the new one: whoever names a zone must
 // not end its good collector.
-func (s *Side) collect(c *conn) {
+func (s *Server) addCollector(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.log.Info().Str("collector", s.codec.zones[c.zone]).Msg("join")
 	others := s.collectors[c.zone]
 	s.collectors[c.zone] = append(slices.Clone(others), c)
-	if len(others) >= s.bounds.Collectors {
+	if len(others) >= s.bounds.MaxCollectorsPerZone {
 		out := s.idlest(others)
 		if out == nil {
 			out = c
 		}
-		out.end("too many collectors", "")
+		out.closeWith("too many collectors", "")
 	}
 }
 
 // idlest is the collector that has been of no use for longest, nil where all have lately passed something on.
-func (s *Side) idlest(collectors []*conn) (idlest *conn) {
+func (s *Server) idlest(collectors []*conn) (idlest *conn) {
 	for _, c := range collectors {
 		c.mu.Lock()
-		idle := time.Since(c.worked) > s.bounds.Idle
+		idle := time.Since(c.lastUsefulAt) > s.bounds.CollectorIdleTimeout
 		c.mu.Unlock()
-		if idle && (idlest == nil || c.use().Before(idlest.use())) {
+		if idle && (idlest == nil || c.lastUse().Before(idlest.lastUse())) {
 			idlest = c
 		}
 	}
 	return idlest
 }
 
-// use is when a collector was last of use, or came.
-func (c *conn) use() time.Time {
+// lastUse is when a collector was last of use, or came.
+func (c *conn) lastUse() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.worked.IsZero() {
-		return c.since
+	if c.lastUsefulAt.IsZero() {
+		return c.acceptedAt
 	}
-	return c.worked
+	return c.lastUsefulAt
 }
 
-// relieve ends the connection that leaves most unread: too much waits in all.
-func (s *Side) relieve() {
+// evictLargestBacklog ends the connection that leaves most unread: too much waits in all.
+func (s *Server) evictLargestBacklog() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var most *conn
 	bytes := 0
 	for c := range s.conns {
 		c.mu.Lock()
-		if !c.ended && c.waiting > bytes {
-			most, bytes = c, c.waiting
+		if !c.closed && c.unsentBytes > bytes {
+			most, bytes = c, c.unsentBytes
 		}
 		c.mu.Unlock()
 	}
 	if most != nil {
-		most.end("does not read", "too much waits for all peers")
+		most.closeWith("does not read", "too much waits for all peers")
 	}
 }
 
 // Close ends all connections and returns when nothing runs any more.
-func (s *Side) Close() {
+func (s *Server) Close() {
 	s.mu.Lock()
 	close(s.closing)
 	for c := range s.conns {
-		c.end("the governor stops", "")
+		c.closeWith("the governor stops", "")
 	}
 	s.mu.Unlock()
-	s.running.Wait()
+	s.handlers.Wait()
 	s.counts.Log(s.log)
 }
 
-// Heed takes note of what a connection told and tells whether it counts. A new stream of a proxy takes the
+// Accept takes note of what a connection told and tells whether it counts. A new stream of a proxy takes the
 // place of the old one at once; what the old one still says, its end too, is about nobody.
-func (s *Side) Heed(e exchange.Event) bool {
-	c := e.From.(*conn)
+func (s *Server) Accept(e eventqueue.Event) bool {
+	c := e.Connection.(*conn)
 	if e.Batch != nil {
-		m := s.members[e.Batch.Proxy]
+		m := s.proxies[e.Batch.Proxy]
 		return m != nil && m.conn == c
 	}
 	switch fact := e.Fact.(type) {
 	case rules.Joined:
-		if m := s.members[fact.Proxy]; m != nil {
+		if m := s.proxies[fact.Proxy]; m != nil {
 			const cause = "replaced by a new stream"
-			m.conn.end(cause, "")
-			s.leave(fact.Proxy, m.conn.ending())
+			m.conn.closeWith(cause, "")
+			s.removeProxy(fact.Proxy, m.conn.closeReason())
 		}
-		s.join(fact, c)
+		s.addProxy(fact, c)
 		s.log.Info().Uint16("proxy", uint16(fact.Proxy)).Bool("fresh", fact.Fresh).Msg("join")
 	case rules.Left:
-		m := s.members[fact.Proxy]
+		m := s.proxies[fact.Proxy]
 		if m == nil || m.conn != c {
 			return false
 		}
-		s.leave(fact.Proxy, c.ending())
+		s.removeProxy(fact.Proxy, c.closeReason())
 	case rules.Applied:
-		m := s.members[fact.Proxy]
+		m := s.proxies[fact.Proxy]
 		return m != nil && m.conn == c
 	case rules.Intake:
-		return s.members[fact.Proxy] != nil
+		return s.proxies[fact.Proxy] != nil
 	}
 	return true
 }
 
-func (s *Side) leave(id rules.ProxyID, e ending) {
+func (s *Server) removeProxy(id rules.ProxyID, e closeReason) {
 	e.log(s.log.Info().Uint16("proxy", uint16(id)))
-	s.drop(id)
+	s.dropProxy(id)
 }
 
-// Carry writes the orders of one Step, as one message to each proxy concerned. It never waits for a peer.
-func (s *Side) Carry(orders []rules.Order) {
+// Execute writes the orders of one Step, as one message to each proxy concerned. It never waits for a peer.
+func (s *Server) Execute(orders []rules.Order) {
 	for _, o := range orders {
-		s.take(o)
+		s.apply(o)
 	}
-	s.write(&s.codec)
+	s.sendChanges(&s.codec)
 }
--- a/internal/clients/trace_test.go
+++ b/internal/clients/trace_test.go
@@ -13,7 +13,7 @@
 
 	"zincloft.example/zincloft/internal/config"
 	"zincloft.example/zincloft/internal/counts"
-	"zincloft.example/zincloft/internal/exchange"
+	"zincloft.example/zincloft/internal/eventqueue"
 	"zincloft.example/zincloft/internal/resp"
 	"zincloft.example/zincloft/internal/testkit"
 	"zincloft.example/zincloft/rules"
@@ -31,11 +31,11 @@
 // inbox hands events to the test.
 type inbox struct {
 	names
-	events chan exchange.Event
+	events chan eventqueue.Event
 }
 
-func (x inbox) Post(e exchange.Event) { x.events <- e }
-func (x inbox) Offer(e exchange.Event) bool {
+func (x inbox) Post(e eventqueue.Event) { x.events <- e }
+func (x inbox) TryPost(e eventqueue.Event) bool {
 	select {
 	case x.events <- e:
 		return true
@@ -47,9 +47,9 @@
 // play runs a client side with peers of ours and keeps a trace of what each side hears.
 type play struct {
 	t      *testing.T
-	side   *Side
+	side   *Server
 	listen *testkit.Listener
-	events chan exchange.Event
+	events chan eventqueue.Event
 	peers  []*peer
 	trace  strings.Builder
 }
@@ -68,15 +68,15 @@
 	t.Helper()
 	var got string
 	synctest.Test(t, func(t *testing.T) {
-		p := &play{t: t, listen: testkit.Listen(), events: make(chan exchange.Event, 100)}
+		p := &play{t: t, listen: testkit.Listen(), events: make(chan eventqueue.Event, 100)}
 		conf := config.Config{Settings: config.Settings{Zones: []string{"a", "b"}, Settings: rules.Settings{Proxies: 5,
 			Groups: []rules.TrafficGroup{{Name: "look"}, {Name: "edit"}, {Name: "pay"}}}},
-			Bounds: config.Bounds{Connections: 4, FirstBytes: 1 << 10, MessageBytes: 1 << 20, Words: 64, Collectors: 2, Idle: 5 * time.Second,
-				Span: time.Minute, FirstWord: 1500 * time.Millisecond, Turn: 20 * time.Millisecond, Unread: 4 << 10, UnreadAll: 6 << 10, Silence: 30 * time.Second,
-				WriteMost: 10 * time.Second, AcceptPause: 50 * time.Millisecond, Counts: 24 * time.Hour}}
+			Bounds: config.Bounds{MaxConnections: 4, MaxFirstMessageBytes: 1 << 10, MaxMessageBytes: 1 << 20, MaxMessageElements: 64, MaxCollectorsPerZone: 2, CollectorIdleTimeout: 5 * time.Second,
+				MaxReportedTime: time.Minute, JoinTimeout: 1500 * time.Millisecond, MinEvictionAge: 20 * time.Millisecond, MaxUnsentBytes: 4 << 10, MaxTotalUnsentBytes: 6 << 10, AcknowledgeTimeout: 30 * time.Second,
+				WriteTimeout: 10 * time.Second, AcceptRetryDelay: 50 * time.Millisecond, CountLogInterval: 24 * time.Hour}}
 		conf.Operator.Intake.Reports = reports
 		var log strings.Builder
-		p.side = New(conf, zerolog.New(zerolog.SyncWriter(&log)), inbox{events: p.events}, &counts.Counts{})
+		p.side = New(conf, zerolog.New(zerolog.SyncWriter(&log)), inbox{events: p.events}, &counts.Counter{})
 		go p.side.Serve(p.listen)
 		script(p)
 		p.settle()
@@ -89,7 +89,7 @@
 			}
 		}
 	})
-	testkit.Compare(t, got)
+	testkit.CompareTrace(t, got)
 }
 
 // dial connects a peer; what it says first follows.
@@ -103,7 +103,7 @@
 	go func() {
 		in := resp.NewReader(c, 1<<20, 1<<10)
 		for {
-			words, err := in.Texts()
+			words, err := in.NextStrings()
 			if err != nil {
 				q.heard <- "(closed)"
 				return
@@ -132,15 +132,15 @@
 	for synctest.Wait(); len(p.events) > 0; synctest.Wait() {
 		e := <-p.events
 		if e.Batch != nil {
-			fmt.Fprintf(&p.trace, "%+v %v\n", *e.Batch, p.side.Heed(e))
+			fmt.Fprintf(&p.trace, "%+v %v\n", *e.Batch, p.side.Accept(e))
 			continue
 		}
 		note := "passed over"
-		if p.side.Heed(e) {
+		if p.side.Accept(e) {
 			note = "heeded"
 		}
 		if _, left := e.Fact.(rules.Left); left {
-			note += ": " + e.From.(*conn).ending().cause
+			note += ": " + e.Connection.(*conn).closeReason().cause
 		}
 		fmt.Fprintf(&p.trace, "%T%+v %s\n", e.Fact, e.Fact, note)
 	}
@@ -152,7 +152,7 @@
 }
 
 func (p *play) order(orders ...rules.Order) {
-	p.side.Carry(orders)
+	p.side.Execute(orders)
 	p.settle()
 }
 
--- a/internal/collectd/collectd_test.go
+++ b/internal/collectd/collectd_test.go
@@ -18,7 +18,7 @@
 
 	"zincloft.example/zincloft/intake"
 	"zincloft.example/zincloft/internal/counts"
-	"zincloft.example/zincloft/internal/exchange"
+	"zincloft.example/zincloft/internal/eventqueue"
 	"zincloft.example/zincloft/internal/standin"
 	"zincloft.example/zincloft/internal/testkit"
 	"zincloft.example/zincloft/rules"
@@ -29,9 +29,9 @@
 func password(user string) (string, bool) { p, ok := users[user]; return p, ok }
 
 // show plays a packet and writes down what is read.
-func show(level Level, b []byte) string {
+func show(level SecurityLevel, b []byte) string {
 	var out strings.Builder
-	p := Parser{Level: level, Password: password}
+	p := Parser{MinLevel: level, PasswordOf: password}
 	err := p.Parse(b, func(v *Values) {
 		fmt.Fprintf(&out, "  %s %s-%s/%s-%s at %d.%09d every %v:", v.Host, v.Plugin, v.PluginInstance, v.Type, v.TypeInstance,
 			v.Time.Unix(), v.Time.Nanosecond(), v.Interval)
@@ -59,30 +59,30 @@
 // TestPacket has all parts of the protocol in one packet, and parts that nobody knows.
 func TestPacket(t *testing.T) {
 	var trace strings.Builder
-	add := func(what string, level Level, p standin.CollectdPacket) {
+	add := func(what string, level SecurityLevel, p standin.CollectdPacket) {
 		fmt.Fprintf(&trace, "# %s\n%s", what, show(level, p))
 	}
-	add("whole", None, whole())
-	add("unsigned, where signatures are required", Sign, whole())
-	add("a value of kind 4", None, whole().AppendCounters(4, 1).AppendGauges(1))
-	add("more values than there are", None, whole().AppendPart(6, []byte{0, 9, 1, 1}))
-	add("a length of less than its head", None, append(whole(), 0, 0, 0, 3, 0, 0))
-	add("a length beyond the packet", None, append(whole(), 0, 0, 1, 0, 65))
-	add("a text without its end", None, whole().AppendPart(0, []byte("host")))
-	add("a text that is too long", None, whole().AppendString(0, strings.Repeat("x", 200)))
-	add("a time that can't be", None, whole().AppendNumber(1, math.MaxUint64))
-	add("a signature cut short", None, standin.CollectdPacket{}.AppendPart(0x0200, make([]byte, 10)))
-	add("something encrypted, cut short", None, standin.CollectdPacket{}.AppendPart(0x0210, []byte{0, 200, 1, 2}))
-	testkit.Compare(t, trace.String())
+	add("whole", SecurityNone, whole())
+	add("unsigned, where signatures are required", SecuritySign, whole())
+	add("a value of kind 4", SecurityNone, whole().AppendCounters(4, 1).AppendGauges(1))
+	add("more values than there are", SecurityNone, whole().AppendPart(6, []byte{0, 9, 1, 1}))
+	add("a length of less than its head", SecurityNone, append(whole(), 0, 0, 0, 3, 0, 0))
+	add("a length beyond the packet", SecurityNone, append(whole(), 0, 0, 1, 0, 65))
+	add("a text without its end", SecurityNone, whole().AppendPart(0, []byte("host")))
+	add("a text that is too long", SecurityNone, whole().AppendString(0, strings.Repeat("x", 200)))
+	add("a time that can't be", SecurityNone, whole().AppendNumber(1, math.MaxUint64))
+	add("a signature cut short", SecurityNone, standin.CollectdPacket{}.AppendPart(0x0200, make([]byte, 10)))
+	add("something encrypted, cut short", SecurityNone, standin.CollectdPacket{}.AppendPart(0x0210, []byte{0, 200, 1, 2}))
+	testkit.CompareTrace(t, trace.String())
 }
 
 // protected makes a packet by another implementation of the protocol than ours.
-func protected(t testing.TB, level Level, user, pass string) []byte {
+func protected(t testing.TB, level SecurityLevel, user, pass string) []byte {
 	b := network.NewBuffer(1452)
 	switch level {
-	case Sign:
+	case SecuritySign:
 		b.Sign(user, pass)
-	case Encrypt:
+	case SecurityEncrypt:
 		b.Encrypt(user, pass)
 	}
 	for i := range 3 {
@@ -102,27 +102,27 @@
 // TestProtection has packets of another implementation, plain, signed and encrypted, at each level that may be
 // required; with a wrong password, of a user that is not known, and with any one bit of them changed.
 func TestProtection(t *testing.T) {
-	count := func(level Level, b []byte) (n int, err error) {
-		p := Parser{Level: level, Password: password}
+	count := func(level SecurityLevel, b []byte) (n int, err error) {
+		p := Parser{MinLevel: level, PasswordOf: password}
 		err = p.Parse(b, func(*Values) { n++ })
 		return n, err
 	}
-	for have := None; have <= Encrypt; have++ {
+	for have := SecurityNone; have <= SecurityEncrypt; have++ {
 		good := protected(t, have, "web", "secret")
-		for want := None; want <= Encrypt; want++ {
+		for want := SecurityNone; want <= SecurityEncrypt; want++ {
 			n, err := count(want, good)
 			if passes := have >= want; passes != (n == 3 && err == nil) || !passes && (n != 0 || !errors.Is(err, ErrUnprotected)) {
 				t.Errorf("level %d where %d is required: %d sets of values, %v", have, want, n, err)
 			}
 		}
-		if have == None {
+		if have == SecurityNone {
 			continue
 		}
-		wrong := map[Level]error{Sign: ErrSignature, Encrypt: ErrDecryption}[have]
-		if n, err := count(None, protected(t, have, "web", "guessed")); n != 0 || !errors.Is(err, wrong) {
+		wrong := map[SecurityLevel]error{SecuritySign: ErrSignature, SecurityEncrypt: ErrDecryption}[have]
+		if n, err := count(SecurityNone, protected(t, have, "web", "guessed")); n != 0 || !errors.Is(err, wrong) {
 			t.Errorf("level %d with a wrong password: %d, %v", have, n, err)
 		}
-		if n, err := count(None, protected(t, have, "mallory", "secret")); n != 0 || !errors.Is(err, ErrUser) {
+		if n, err := count(SecurityNone, protected(t, have, "mallory", "secret")); n != 0 || !errors.Is(err, ErrUnknownUser) {
 			t.Errorf("level %d of an unknown user: %d, %v", have, n, err)
 		}
 		for bit := range len(good) * 8 {
@@ -134,8 +134,8 @@
 		}
 	}
 	if n, err := (func() (n int, err error) {
-		p := Parser{Level: Sign}
-		err = p.Parse(protected(t, Sign, "web", "secret"), func(*Values) { n++ })
+		p := Parser{MinLevel: SecuritySign}
+		err = p.Parse(protected(t, SecuritySign, "web", "secret"), func(*Values) { n++ })
 		return n, err
 	})(); n != 0 || err == nil {
 		t.Error("where no users are known a signature counts for something: ", n, err)
@@ -144,10 +144,10 @@
 
 // TestCutAnywhere cuts packets at each byte: what is read is a beginning of what the whole one says.
 func TestCutAnywhere(t *testing.T) {
-	for _, b := range [][]byte{whole(), protected(t, None, "", "")} {
-		all := strings.Split(show(None, b), "\n")
+	for _, b := range [][]byte{whole(), protected(t, SecurityNone, "", "")} {
+		all := strings.Split(show(SecurityNone, b), "\n")
 		for n := range b {
-			got := strings.Split(show(None, b[:n]), "\n")
+			got := strings.Split(show(SecurityNone, b[:n]), "\n")
 			for i, line := range got {
 				if !strings.Contains(line, "error") && line != "" && line != all[i] {
 					t.Fatalf("cut at %d: %q where the whole has %q", n, line, all[i])
@@ -161,7 +161,7 @@
 // stays unprotected is never taken where protection is required.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(whole()))
-	for level := None; level <= Encrypt; level++ {
+	for level := SecurityNone; level <= SecurityEncrypt; level++ {
 		f.Add(protected(f, level, "web", "secret"))
 	}
 	chance := rand.New(rand.NewPCG(1, 1))
@@ -169,12 +169,12 @@
 		f.Add([]byte(whole().Corrupt(chance)))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		for level := None; level <= Encrypt; level++ {
-			p := Parser{Level: level, Password: password}
+		for level := SecurityNone; level <= SecurityEncrypt; level++ {
+			p := Parser{MinLevel: level, PasswordOf: password}
 			values := 0
 			_ = p.Parse(b, func(v *Values) {
 				values += len(v.Raw)
-				if len(v.Raw) != len(v.Kinds) || v.Time.Unix() < 0 && !v.Time.IsZero() || v.Interval < 0 || len(v.Host) > textMost {
+				if len(v.Raw) != len(v.Kinds) || v.Time.Unix() < 0 && !v.Time.IsZero() || v.Interval < 0 || len(v.Host) > maxStringBytes {
 					t.Errorf("%+v", v)
 				}
 			})
@@ -190,11 +190,11 @@
 
 func (*inbox) ID(name []byte) (rules.ReplicaID, bool) { return 1, string(name) == "web-1" }
 func (*inbox) Name(id rules.ReplicaID) (string, bool) { return "web-1", id == 1 }
-func (x *inbox) Offer(e exchange.Event) bool          { x.loads = append(x.loads, e.Loads...); return true }
+func (x *inbox) TryPost(e eventqueue.Event) bool      { x.loads = append(x.loads, e.Loads...); return true }
 func from(address string) net.Addr                    { return net.UDPAddrFromAddrPort(netip.MustParseAddrPort(address)) }
 func options() Options {
-	return Options{Allow: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8"), netip.MustParsePrefix("::1/128")}, PacketsPS: 50,
-		Hosts: map[string]string{"w1.example": "web-1"}, Figures: []Figure{
+	return Options{AllowedSources: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8"), netip.MustParsePrefix("::1/128")}, PacketsPerSecond: 50,
+		ReplicaByHost: map[string]string{"w1.example": "web-1"}, Mappings: []Mapping{
 			{Figure: intake.Util, Plugin: "cpu", Type: "percent", TypeInstance: "idle", Scale: -0.01, Offset: 1},
 			{Figure: intake.InFlight, Plugin: "http", Type: "requests", Value: 1, Scale: 1}}}
 }
@@ -202,32 +202,32 @@
 // TestMapping has hosts and values that stand for a figure, and others that don't; sources that may speak, and others,
 // whose packets are not even parsed; and a flood, of which no more is parsed than the pace allows.
 func TestMapping(t *testing.T) {
-	x, n := &inbox{}, &counts.Counts{}
+	x, n := &inbox{}, &counts.Counter{}
 	s := New(options(), x, n)
 	now := time.Unix(1_700_000_000, 0)
 	one := func(host string) standin.CollectdPacket {
 		return standin.CollectdPacket{}.AppendString(0, host).AppendNumber(1, 1_700_000_000).AppendString(2, "cpu").AppendString(4, "percent").AppendString(5, "idle").AppendGauges(40).
 			AppendString(5, "user").AppendGauges(30).AppendString(2, "http").AppendString(4, "requests").AppendString(5, "").AppendGauges(9, 12).AppendGauges(9)
 	}
-	s.Packet(from("127.0.0.1:1"), one("web-1"), now)
-	s.Packet(from("[::ffff:127.0.0.1]:1"), one("w1.example"), now)
-	s.Packet(from("127.0.0.1:1"), one("elsewhere"), now)
-	s.Packet(from("10.0.0.1:1"), one("web-1"), now)
+	s.HandlePacket(from("127.0.0.1:1"), one("web-1"), now)
+	s.HandlePacket(from("[::ffff:127.0.0.1]:1"), one("w1.example"), now)
+	s.HandlePacket(from("127.0.0.1:1"), one("elsewhere"), now)
+	s.HandlePacket(from("10.0.0.1:1"), one("web-1"), now)
 	if len(x.loads) != 4 || x.loads[0].Replica != 1 || x.loads[0].Figure != intake.Util || x.loads[0].Value != 40 || x.loads[1].Value != 12 {
 		t.Fatalf("%+v", x.loads)
 	}
 	for range 1000 {
-		s.Packet(from("127.0.0.1:1"), one("web-1"), now)
+		s.HandlePacket(from("127.0.0.1:1"), one("web-1"), now)
 	}
 	if len(x.loads) > 2*(50+2) {
 		t.Errorf("%d figures of a flood", len(x.loads))
 	}
 	for range 10 {
-		s.Packet(from("127.0.0.1:1"), []byte{0, 0, 0}, now.Add(time.Second))
+		s.HandlePacket(from("127.0.0.1:1"), []byte{0, 0, 0}, now.Add(time.Second))
 	}
 	var log strings.Builder
 	n.Log(testkit.Logger(&log))
-	testkit.Compare(t, log.String())
+	testkit.CompareTrace(t, log.String())
 }
 
 // TestServe hears packets on a socket and ends with its context.
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	heard := make(chan intake.Load, 10)
-	s := New(options(), offered(heard), &counts.Counts{})
+	s := New(options(), offered(heard), &counts.Counter{})
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { s.Serve(ctx, c, testkit.Logger(&strings.Builder{})); close(done) }()
@@ -268,20 +268,20 @@
 
 func (offered) ID([]byte) (rules.ReplicaID, bool)   { return 1, true }
 func (offered) Name(rules.ReplicaID) (string, bool) { return "", false }
-func (o offered) Offer(e exchange.Event) bool       { o <- e.Loads[0]; return true }
+func (o offered) TryPost(e eventqueue.Event) bool   { o <- e.Loads[0]; return true }
 
 // BenchmarkPacket is what a packet of 30 values costs, of which two stand for figures, plain, signed and encrypted.
 func BenchmarkPacket(b *testing.B) {
 	for level, name := range []string{"plain", "signed", "encrypted"} {
 		b.Run(name, func(b *testing.B) {
 			o := options()
-			o.PacketsPS, o.Password = math.MaxInt32, password
-			s := New(o, &drain{}, &counts.Counts{})
+			o.PacketsPerSecond, o.PasswordOf = math.MaxInt32, password
+			s := New(o, &drain{}, &counts.Counter{})
 			buf := network.NewBuffer(1452)
-			switch Level(level) {
-			case Sign:
+			switch SecurityLevel(level) {
+			case SecuritySign:
 				buf.Sign("web", "secret")
-			case Encrypt:
+			case SecurityEncrypt:
 				buf.Encrypt("web", "secret")
 			}
 			for i := range 30 {
@@ -300,7 +300,7 @@
 			b.ReportAllocs()
 			source, now := from("127.0.0.1:1"), time.Now()
 			for b.Loop() {
-				s.Packet(source, packet, now)
+				s.HandlePacket(source, packet, now)
 			}
 		})
 	}
@@ -308,21 +308,21 @@
 
 type drain struct{ inbox }
 
-func (*drain) Offer(exchange.Event) bool { return true }
+func (*drain) TryPost(eventqueue.Event) bool { return true }
 
 // TestReplay has a signed packet come twice, and again an hour later: its figures count once.
 func TestReplay(t *testing.T) {
 	x := &inbox{}
 	o := options()
-	o.Level, o.Password = Sign, password
-	o.Figures = []Figure{{Figure: intake.InFlight, Plugin: "cpu", PluginInstance: "0", Type: "percent", Scale: 1}}
-	s := New(o, x, &counts.Counts{})
+	o.MinLevel, o.PasswordOf = SecuritySign, password
+	o.Mappings = []Mapping{{Figure: intake.InFlight, Plugin: "cpu", PluginInstance: "0", Type: "percent", Scale: 1}}
+	s := New(o, x, &counts.Counter{})
 	in := intake.New(intake.Settings{Period: time.Second, Budget: 10, HalfLife: time.Second, MostAge: 10 * time.Second, Pairs: 1})
-	packet := protected(t, Sign, "web", "secret")
+	packet := protected(t, SecuritySign, "web", "secret")
 	var got []intake.Cause
 	for _, at := range []int64{1_700_000_001, 1_700_000_002, 1_700_003_600} {
 		x.loads = nil
-		s.Packet(from("127.0.0.1:1"), packet, time.Unix(at, 0))
+		s.HandlePacket(from("127.0.0.1:1"), packet, time.Unix(at, 0))
 		for _, l := range x.loads {
 			got = append(got, in.Load(rules.Time(at)*rules.Time(time.Second), l))
 		}
--- a/internal/collectd/parse.go
+++ b/internal/collectd/parse.go
@@ -17,14 +17,14 @@
 	"zincloft.example/zincloft/intake"
 )
 
-// Level is how well a packet must be protected.
-type Level int
+// SecurityLevel is how well a packet must be protected.
+type SecurityLevel int
 
 // Levels, each of which takes what the next one does.
 const (
-	None    Level = iota // anything; a signature that is there must be right, if users are known
-	Sign                 // signed or encrypted
-	Encrypt              // encrypted
+	SecurityNone    SecurityLevel = iota // anything; a signature that is there must be right, if users are known
+	SecuritySign                         // signed or encrypted
+	SecurityEncrypt                      // encrypted
 )
 
 // Types of parts, as https://collectd.org/wiki/index.php/Binary_protocol numbers them.
@@ -44,22 +44,22 @@
 )
 
 const (
-	headBytes  = 4
-	textMost   = 128 // bytes of a name, its end included
-	valueBytes = 9   // of a value with its kind
-	ivBytes    = 16
+	partHeaderBytes = 4
+	maxStringBytes  = 128 // bytes of a name, its end included
+	valueBytes      = 9   // of a value with its kind
+	ivBytes         = 16
 )
 
 // Errors of packets. What was read before one stands, except in a packet that is not as well protected as it must be.
 var (
-	ErrCut         = errors.New("a part that is cut")
-	ErrLength      = errors.New("a length that can't be")
-	ErrText        = errors.New("a text without its end")
-	ErrSignature   = errors.New("a signature that is wrong")
-	ErrDecryption  = errors.New("a decryption that fails")
-	ErrUser        = errors.New("a user that is not known")
-	ErrUnprotected = errors.New("not protected as it must be")
-	ErrNested      = errors.New("protected twice")
+	ErrTruncated    = errors.New("a part that is cut")
+	ErrLength       = errors.New("a length that can't be")
+	ErrUnterminated = errors.New("a text without its end")
+	ErrSignature    = errors.New("a signature that is wrong")
+	ErrDecryption   = errors.New("a decryption that fails")
+	ErrUnknownUser  = errors.New("a user that is not known")
+	ErrUnprotected  = errors.New("not protected as it must be")
+	ErrNested       = errors.New("protected twice")
 )
 
 // Values are one set of values of a host.
@@ -76,70 +76,70 @@
 
 // Parser reads packets. It keeps no memory of one but buffers, and no word of a packet lives on in what it returns.
 type Parser struct {
-	Level    Level
-	Password func(user string) (string, bool) // nil: no users are known
-	values   Values
-	plain    []byte
+	MinLevel   SecurityLevel
+	PasswordOf func(user string) (string, bool) // nil: no users are known
+	values     Values
+	plaintext  []byte
 }
 
 // Parse calls take for each set of values of a packet; they hold until take returns. Parts that are not known are skipped
 // by their length.
-func (p *Parser) Parse(packet []byte, take func(*Values)) error {
+func (p *Parser) Parse(packet []byte, handle func(*Values)) error {
 	p.values = Values{Kinds: p.values.Kinds[:0], Raw: p.values.Raw[:0]}
-	return p.parts(packet, None, take)
+	return p.parseParts(packet, SecurityNone, handle)
 }
 
-func (p *Parser) parts(b []byte, have Level, take func(*Values)) error {
+func (p *Parser) parseParts(b []byte, level SecurityLevel, handle func(*Values)) error {
 	v := &p.values
 	for len(b) > 0 {
-		if len(b) < headBytes {
-			return ErrCut
+		if len(b) < partHeaderBytes {
+			return ErrTruncated
 		}
 		kind, n := binary.BigEndian.Uint16(b), int(binary.BigEndian.Uint16(b[2:]))
-		if n < headBytes {
+		if n < partHeaderBytes {
 			return ErrLength // the next part can't be found
 		}
 		if n > len(b) {
-			return ErrCut
+			return ErrTruncated
 		}
-		body := b[headBytes:n]
+		body := b[partHeaderBytes:n]
 		b = b[n:]
 		var err error
 		switch kind {
 		case partHost:
-			v.Host, err = text(body)
+			v.Host, err = parseString(body)
 		case partPlugin:
-			v.Plugin, err = text(body)
+			v.Plugin, err = parseString(body)
 		case partPluginInstance:
-			v.PluginInstance, err = text(body)
+			v.PluginInstance, err = parseString(body)
 		case partType:
-			v.Type, err = text(body)
+			v.Type, err = parseString(body)
 		case partTypeInstance:
-			v.TypeInstance, err = text(body)
+			v.TypeInstance, err = parseString(body)
 		case partTime, partTimeHR, partInterval, partIntervalHR:
-			err = v.time(kind, body)
+			err = v.parseTime(kind, body)
 		case partValues:
-			if err = v.read(body); err == nil && have >= p.Level {
-				take(v)
+			if err = v.parseValues(body); err == nil && level >= p.MinLevel {
+				handle(v)
 			} else if err == nil {
 				err = ErrUnprotected
 			}
 		case partSignature:
-			if have != None {
+			if level != SecurityNone {
 				return ErrNested
 			}
-			if have, err = p.signed(body, b); err != nil {
+			if level, err = p.verifySignature(body, b); err != nil {
 				return err
 			}
 		case partEncryption:
-			if have != None {
+			if level != SecurityNone {
 				return ErrNested
 			}
 			plain, err := p.decrypt(body)
 			if err != nil {
 				return err
 			}
-			return p.parts(plain, Encrypt, take) // it stands for the rest of the packet
+			return p.parseParts(plain, SecurityEncrypt, handle) // it stands for the rest of the packet
 		}
 		if err != nil {
 			return err
@@ -148,18 +148,18 @@
 	return nil
 }
 
-func text(b []byte) (string, error) {
+func parseString(b []byte) (string, error) {
 	if len(b) == 0 || b[len(b)-1] != 0 {
-		return "", ErrText
+		return "", ErrUnterminated
 	}
-	if len(b) > textMost {
+	if len(b) > maxStringBytes {
 		return "", ErrLength
 	}
 	return string(b[:len(b)-1]), nil
 }
 
-// time reads seconds, or 2^-30 seconds in the parts of high resolution.
-func (v *Values) time(kind uint16, body []byte) error {
+// parseTime reads seconds, or 2^-30 seconds in the parts of high resolution.
+func (v *Values) parseTime(kind uint16, body []byte) error {
 	if len(body) != 8 {
 		return ErrLength
 	}
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// read reads a part of values: how many, the kind of each, and each; gauges have their bytes the other way round.
-func (v *Values) read(body []byte) error {
+// parseValues reads a part of values: how many, the kind of each, and each; gauges have their bytes the other way round.
+func (v *Values) parseValues(body []byte) error {
 	if len(body) < 2 {
 		return ErrLength
 	}
@@ -206,26 +206,26 @@
 	return nil
 }
 
-// signed checks a signature over the user's name and the rest of the packet.
-func (p *Parser) signed(body, rest []byte) (Level, error) {
+// verifySignature checks a signature over the user's name and the rest of the packet.
+func (p *Parser) verifySignature(body, rest []byte) (SecurityLevel, error) {
 	if len(body) <= sha256.Size {
-		return None, ErrLength
+		return SecurityNone, ErrLength
 	}
-	if p.Password == nil {
-		return None, nil // it counts for nothing
+	if p.PasswordOf == nil {
+		return SecurityNone, nil // it counts for nothing
 	}
 	user := body[sha256.Size:]
-	password, known := p.Password(string(user))
+	password, known := p.PasswordOf(string(user))
 	if !known {
-		return None, ErrUser
+		return SecurityNone, ErrUnknownUser
 	}
 	sum := hmac.New(sha256.New, []byte(password))
 	sum.Write(user)
 	sum.Write(rest)
 	if !hmac.Equal(sum.Sum(nil), body[:sha256.Size]) {
-		return None, ErrSignature
+		return SecurityNone, ErrSignature
 	}
-	return Sign, nil
+	return SecuritySign, nil
 }
 
 // decrypt reads AES-256 in OFB mode under the hash of the user's password, with a checksum before the parts.
@@ -237,12 +237,12 @@
 	if body = body[2:]; len(body) < n+ivBytes+sha1.Size {
 		return nil, ErrLength
 	}
-	if p.Password == nil {
-		return nil, ErrUser
+	if p.PasswordOf == nil {
+		return nil, ErrUnknownUser
 	}
-	password, known := p.Password(string(body[:n]))
+	password, known := p.PasswordOf(string(body[:n]))
 	if !known {
-		return nil, ErrUser
+		return nil, ErrUnknownUser
 	}
 	key := sha256.Sum256([]byte(password))
 	block, err := aes.NewCipher(key[:])
@@ -250,11 +250,11 @@
 		return nil, fmt.Errorf("%w: %w", ErrDecryption, err)
 	}
 	iv, secret := body[n:n+ivBytes], body[n+ivBytes:]
-	p.plain = append(p.plain[:0], secret...)
-	cipher.NewOFB(block, iv).XORKeyStream(p.plain, p.plain) //nolint:staticcheck // the protocol's mode
-	sum := sha1.Sum(p.plain[sha1.Size:])                    //nolint:gosec // the protocol's checksum
-	if !hmac.Equal(sum[:], p.plain[:sha1.Size]) {
+	p.plaintext = append(p.plaintext[:0], secret...)
+	cipher.NewOFB(block, iv).XORKeyStream(p.plaintext, p.plaintext) //nolint:staticcheck // the protocol's mode
+	sum := sha1.Sum(p.plaintext[sha1.Size:])                        //nolint:gosec // the protocol's checksum
+	if !hmac.Equal(sum[:], p.plaintext[:sha1.Size]) {
 		return nil, ErrDecryption
 	}
-	return p.plain[sha1.Size:], nil
+	return p.plaintext[sha1.Size:], nil
 }
--- a/internal/collectd/server.go
+++ b/internal/collectd/server.go
@@ -14,12 +14,12 @@
 
 	"zincloft.example/zincloft/intake"
 	"zincloft.example/zincloft/internal/counts"
-	"zincloft.example/zincloft/internal/exchange"
+	"zincloft.example/zincloft/internal/eventqueue"
 	"zincloft.example/zincloft/rules"
 )
 
-// Figure maps one value of a list to a figure of a replica.
-type Figure struct {
+// Mapping maps one value of a list to a figure of a replica.
+type Mapping struct {
 	Figure         intake.Figure
 	Plugin         string
 	PluginInstance string // "": any
@@ -31,94 +31,94 @@
 
 // Options are what is listened to, and the bounds of it.
 type Options struct {
-	Allow      []netip.Prefix
-	Level      Level
-	Password   func(user string) (string, bool)
-	PacketsPS  int               // that are parsed
-	Hosts      map[string]string // a host's replica, where the names differ
-	Figures    []Figure
-	AcceptWait time.Duration // after a packet could not be read
+	AllowedSources   []netip.Prefix
+	MinLevel         SecurityLevel
+	PasswordOf       func(user string) (string, bool)
+	PacketsPerSecond int               // that are parsed
+	ReplicaByHost    map[string]string // a host's replica, where the names differ
+	Mappings         []Mapping
+	ReadRetryDelay   time.Duration // after a packet could not be read
 }
 
 // Inbox takes what is heard. It never waits.
 type Inbox interface {
-	exchange.Names
-	Offer(exchange.Event) bool
+	eventqueue.ReplicaNames
+	TryPost(eventqueue.Event) bool
 }
 
 // Server hears load reports.
 type Server struct {
-	opts   Options
-	allow  bart.Lite
-	pace   *rate.Limiter
-	inbox  Inbox
-	counts *counts.Counts
-	parser Parser
+	options Options
+	allowed bart.Lite
+	limiter *rate.Limiter
+	inbox   Inbox
+	counts  *counts.Counter
+	parser  Parser
 }
 
 // What is counted, by cause.
 const (
-	passed  counts.What = "collectd"          // packets passed over
-	figured counts.What = "collectd, figures" // values of a mapped figure
+	skippedPackets counts.Category = "collectd"          // packets passed over
+	mappedValues   counts.Category = "collectd, figures" // values of a mapped figure
 )
 
 // New returns a Server that hears nothing before Serve.
-func New(o Options, x Inbox, c *counts.Counts) *Server {
-	s := &Server{opts: o, pace: rate.NewLimiter(rate.Limit(o.PacketsPS), o.PacketsPS), inbox: x, counts: c,
-		parser: Parser{Level: o.Level, Password: o.Password}}
-	for _, p := range o.Allow {
-		s.allow.Insert(p.Masked())
+func New(o Options, x Inbox, c *counts.Counter) *Server {
+	s := &Server{options: o, limiter: rate.NewLimiter(rate.Limit(o.PacketsPerSecond), o.PacketsPerSecond), inbox: x, counts: c,
+		parser: Parser{MinLevel: o.MinLevel, PasswordOf: o.PasswordOf}}
+	for _, p := range o.AllowedSources {
+		s.allowed.Insert(p.Masked())
 	}
 	return s
 }
 
-const packetMost = 1 << 16 // no datagram is longer
+const maxDatagramBytes = 1 << 16 // no datagram is longer
 
 // Serve hears packets until ctx ends, and then closes the connection.
 func (s *Server) Serve(ctx context.Context, c net.PacketConn, log zerolog.Logger) {
 	defer context.AfterFunc(ctx, func() { c.Close() })()
 	log.Info().Str("collectd", c.LocalAddr().String()).Msg("listening")
-	b := make([]byte, packetMost)
+	b := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := c.ReadFrom(b)
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 			return
 		} else if err != nil {
-			s.counts.Add(passed, "can't be received")
+			s.counts.Add(skippedPackets, "can't be received")
 			select {
 			case <-ctx.Done():
-			case <-time.After(s.opts.AcceptWait):
+			case <-time.After(s.options.ReadRetryDelay):
 			}
 			continue
 		}
-		s.Packet(from, b[:n], time.Now())
+		s.HandlePacket(from, b[:n], time.Now())
 	}
 }
 
-// Packet takes in one packet. Who may not speak, and what is over the pace, is passed over before it is parsed.
-func (s *Server) Packet(from net.Addr, b []byte, read time.Time) {
+// HandlePacket takes in one packet. Who may not speak, and what is over the pace, is passed over before it is parsed.
+func (s *Server) HandlePacket(from net.Addr, b []byte, read time.Time) {
 	u, is := from.(*net.UDPAddr)
-	if !is || !s.allow.Contains(u.AddrPort().Addr().Unmap()) {
-		s.counts.Add(passed, "source not allowed")
+	if !is || !s.allowed.Contains(u.AddrPort().Addr().Unmap()) {
+		s.counts.Add(skippedPackets, "source not allowed")
 		return
 	}
-	if !s.pace.AllowN(read, 1) {
-		s.counts.Add(passed, "over the pace")
+	if !s.limiter.AllowN(read, 1) {
+		s.counts.Add(skippedPackets, "over the pace")
 		return
 	}
 	var loads []intake.Load
-	err := s.parser.Parse(b, func(v *Values) { loads = s.figures(loads, v) })
+	err := s.parser.Parse(b, func(v *Values) { loads = s.appendLoads(loads, v) })
 	if err != nil {
-		s.counts.Add(passed, cause(err))
+		s.counts.Add(skippedPackets, causeOf(err))
 	}
-	if len(loads) > 0 && !s.inbox.Offer(exchange.Event{Loads: loads, Read: read}) {
-		s.counts.Add(passed, "no room for reports")
+	if len(loads) > 0 && !s.inbox.TryPost(eventqueue.Event{Loads: loads, ReceivedAt: read}) {
+		s.counts.Add(skippedPackets, "no room for reports")
 	}
 }
 
-// cause puts an error into one of few causes, without a word of the peer.
-func cause(err error) string {
-	for _, known := range []error{ErrCut, ErrLength, ErrText, ErrSignature, ErrDecryption, ErrUser, ErrUnprotected, ErrNested} {
+// causeOf puts an error into one of few causes, without a word of the peer.
+func causeOf(err error) string {
+	for _, known := range []error{ErrTruncated, ErrLength, ErrUnterminated, ErrSignature, ErrDecryption, ErrUnknownUser, ErrUnprotected, ErrNested} {
 		if errors.Is(err, known) {
 			return known.Error()
 		}
@@ -126,25 +126,25 @@
 	return "can't be read"
 }
 
-// figures adds what a set of values tells of a replica. Hosts and values that stand for nothing here leave no trace but
+// appendLoads adds what a set of values tells of a replica. Hosts and values that stand for nothing here leave no trace but
 // a count.
-func (s *Server) figures(loads []intake.Load, v *Values) []intake.Load {
-	for i := range s.opts.Figures {
-		f := &s.opts.Figures[i]
+func (s *Server) appendLoads(loads []intake.Load, v *Values) []intake.Load {
+	for i := range s.options.Mappings {
+		f := &s.options.Mappings[i]
 		if f.Plugin != v.Plugin || f.Type != v.Type || f.PluginInstance != "" && f.PluginInstance != v.PluginInstance ||
 			f.TypeInstance != "" && f.TypeInstance != v.TypeInstance {
 			continue
 		}
 		if f.Value >= len(v.Kinds) {
-			s.counts.Add(figured, "no such value")
+			s.counts.Add(mappedValues, "no such value")
 			continue
 		}
 		replica, known := s.replica(v.Host)
 		if !known {
-			s.counts.Add(figured, "unknown host")
+			s.counts.Add(mappedValues, "unknown host")
 			continue
 		}
-		s.counts.Add(figured, "heard")
+		s.counts.Add(mappedValues, "heard")
 		l := intake.Load{Replica: replica, Figure: f.Figure, Kind: v.Kinds[f.Value], Over: v.Interval, Scale: f.Scale, Offset: f.Offset,
 			At: rules.Time(v.Time.UnixNano())}
 		if l.Kind == intake.Gauge {
@@ -158,7 +158,7 @@
 }
 
 func (s *Server) replica(host string) (rules.ReplicaID, bool) {
-	if name, mapped := s.opts.Hosts[host]; mapped {
+	if name, mapped := s.options.ReplicaByHost[host]; mapped {
 		host = name
 	}
 	return s.inbox.ID([]byte(host))
--- a/internal/compatibility/disk_test.go
+++ b/internal/compatibility/disk_test.go
@@ -160,7 +160,7 @@
 // TestGovernorStoreIsRead has the current code open the kept governor's store.
 func TestGovernorStoreIsRead(t *testing.T) {
 	want := governorState()
-	got, err := store.View(copyFolder(t, governorFolder))
+	got, err := store.Read(copyFolder(t, governorFolder))
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("viewed %+v, %v, want %+v", got, err, want)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -38,37 +38,37 @@
 
 // Bounds are the limits that the network code sets itself. None of them steers a decision.
 type Bounds struct {
-	Inbox        int           // reports that may wait for the next Step, and as many other events
-	Connections  int           // at the governor's address
-	FirstBytes   int           // of a message before its connection has joined
-	MessageBytes int           // of any later message
-	Words        int           // of a message
-	Span         time.Duration // the longest time that a message may speak of
-	FirstWord    time.Duration // a connection joins within this time of being accepted
-	Turn         time.Duration // one that has not joined makes room for another no sooner than this
-	Silence      time.Duration // a proxy that owes an answer says something within this time
-	Collectors   int           // connections of collectors for a zone
-	Idle         time.Duration // a collector that has passed nothing on for so long may make room for another
-	Unread       int           // bytes that may wait for a peer to read
-	UnreadAll    int64         // bytes that may wait for all peers together
-	WriteMost    time.Duration // a write makes its way within this time
-	AcceptPause  time.Duration // after a connection could not be accepted
-	Counts       time.Duration // lines of counts are so far apart
-	LateLoop     time.Duration // a timer later than this tells that the process was held up
-	ListWait     time.Duration // a watch waits so long for a change
-	ListMore     time.Duration // a call takes so much longer than its wait
-	ListBytes    int64         // of an answer of discovery
+	QueueLength          int           // reports that may wait for the next Step, and as many other events
+	MaxConnections       int           // at the governor's address
+	MaxFirstMessageBytes int           // of a message before its connection has joined
+	MaxMessageBytes      int           // of any later message
+	MaxMessageElements   int           // of a message
+	MaxReportedTime      time.Duration // the longest time that a message may speak of
+	JoinTimeout          time.Duration // a connection joins within this time of being accepted
+	MinEvictionAge       time.Duration // one that has not joined makes room for another no sooner than this
+	AcknowledgeTimeout   time.Duration // a proxy that owes an answer says something within this time
+	MaxCollectorsPerZone int           // connections of collectors for a zone
+	CollectorIdleTimeout time.Duration // a collector that has passed nothing on for so long may make room for another
+	MaxUnsentBytes       int           // bytes that may wait for a peer to read
+	MaxTotalUnsentBytes  int64         // bytes that may wait for all peers together
+	WriteTimeout         time.Duration // a write makes its way within this time
+	AcceptRetryDelay     time.Duration // after a connection could not be accepted
+	CountLogInterval     time.Duration // lines of counts are so far apart
+	LateTimerThreshold   time.Duration // a timer later than this tells that the process was held up
+	DiscoveryWait        time.Duration // a watch waits so long for a change
+	DiscoveryCallMargin  time.Duration // a call takes so much longer than its wait
+	MaxDiscoveryBytes    int64         // of an answer of discovery
 }
 
 const (
-	slowChannel = 12 // a channel may be so many times slower than usual and still bring answers
-	idlePeriods = 5  // a zone's sums come every period, up to two periods late
-	spanPeriods = 60 // sums of what is rarely tried cover some periods; after a cut of the path, more
-	toBeOpened  = 7  // the poller's two, the listener, two calls, a file, a connection that waits for room
+	channelSlowdown      = 12 // a channel may be so many times slower than usual and still bring answers
+	collectorIdlePeriods = 5  // a zone's sums come every period, up to two periods late
+	reportedPeriods      = 60 // sums of what is rarely tried cover some periods; after a cut of the path, more
+	reservedDescriptors  = 7  // the poller's two, the listener, two calls, a file, a connection that waits for room
 )
 
-// descriptors are those open at the start: the runtime and whoever started us have some of their own.
-func descriptors() int {
+// openDescriptors are those open at the start: the runtime and whoever started us have some of their own.
+func openDescriptors() int {
 	const usual = 5 // the standard streams and the runtime's two
 	open, err := os.ReadDir("/proc/self/fd")
 	if err != nil { // not every system tells
@@ -77,25 +77,25 @@
 	return len(open)
 }
 
-func bounds(l Limits, s rules.Settings, open int) Bounds {
-	slow := slowChannel * s.LineCap / s.LinePace * float64(time.Second)
-	memory := l.MemoryMB << 20
+func deriveBounds(limits Limits, settings rules.Settings, open int) Bounds {
+	slowestAnswer := channelSlowdown * settings.LineCap / settings.LinePace * float64(time.Second)
+	memory := limits.MemoryMB << 20
 	return Bounds{
-		Inbox: 4096, Connections: max(l.Sockets-open-toBeOpened, 1),
-		FirstBytes: 4 << 10, MessageBytes: int(min(1<<20, memory/256)), Words: 64,
-		Span: spanPeriods * s.Period, FirstWord: 1500 * time.Millisecond, Turn: 20 * time.Millisecond,
-		Silence: time.Duration(slow) + s.TravelMost, Collectors: 4, Idle: idlePeriods * s.Period,
-		Unread: int(min(1<<20, memory/64)), UnreadAll: memory / 8, WriteMost: 10 * time.Second,
-		AcceptPause: 50 * time.Millisecond, Counts: 10 * time.Second, LateLoop: 50 * time.Millisecond,
-		ListWait: min(max(s.AskWithin/2, time.Second), time.Minute), ListMore: 1500 * time.Millisecond,
-		ListBytes: min(16<<20, memory/8),
+		QueueLength: 4096, MaxConnections: max(limits.Sockets-open-reservedDescriptors, 1),
+		MaxFirstMessageBytes: 4 << 10, MaxMessageBytes: int(min(1<<20, memory/256)), MaxMessageElements: 64,
+		MaxReportedTime: reportedPeriods * settings.Period, JoinTimeout: 1500 * time.Millisecond, MinEvictionAge: 20 * time.Millisecond,
+		AcknowledgeTimeout: time.Duration(slowestAnswer) + settings.TravelMost, MaxCollectorsPerZone: 4, CollectorIdleTimeout: collectorIdlePeriods * settings.Period,
+		MaxUnsentBytes: int(min(1<<20, memory/64)), MaxTotalUnsentBytes: memory / 8, WriteTimeout: 10 * time.Second,
+		AcceptRetryDelay: 50 * time.Millisecond, CountLogInterval: 10 * time.Second, LateTimerThreshold: 50 * time.Millisecond,
+		DiscoveryWait: min(max(settings.AskWithin/2, time.Second), time.Minute), DiscoveryCallMargin: 1500 * time.Millisecond,
+		MaxDiscoveryBytes: min(16<<20, memory/8),
 	}
 }
 
-// usualLimits hold where the file names none.
-var usualLimits = Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}
+// defaultLimits hold where the file names none.
+var defaultLimits = Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}
 
-type file struct {
+type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
@@ -108,14 +108,14 @@
 // Load reads the environment, the file that LB_CONFIG names and the operator file, at the start. What the environment
 // says of name and addresses goes before the file. operator names the operator file, before ZINCLOFT_OPERATOR does.
 func Load(getenv func(string) string, operator string) (Config, error) {
-	return read(getenv, operator, false)
+	return readConfig(getenv, operator, false)
 }
 
 // Reload reads the file again while a governor runs on what now holds. The file goes before the environment, which
 // is as old as the process. Only discovery can change: a new name or listen address is a fault, and the rest is
 // left as it is until the next start, named in later where it differs.
 func Reload(getenv func(string) string, now Config) (c Config, later []string, err error) {
-	c, err = read(getenv, now.Operator.Path, true)
+	c, err = readConfig(getenv, now.Operator.Path, true)
 	switch {
 	case err != nil:
 		return now, nil, err
@@ -142,7 +142,7 @@
 	return cmp.Or(named, getenv("ZINCLOFT_OPERATOR"))
 }
 
-func read(getenv func(string) string, operator string, fileFirst bool) (Config, error) {
+func readConfig(getenv func(string) string, operator string, fileFirst bool) (Config, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
 		return Config{}, errors.New("LB_CONFIG is not set: it names the configuration file")
@@ -151,7 +151,7 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("LB_CONFIG: %w", err)
 	}
-	f := file{Limits: usualLimits}
+	f := configFile{Limits: defaultLimits}
 	if err := json.Unmarshal(text, &f); err != nil {
 		return Config{}, fmt.Errorf("LB_CONFIG: %s is not the expected JSON: %w", path, err)
 	}
@@ -195,6 +195,6 @@
 	if c.Operator, err = ReadOperator(OperatorPath(getenv, operator)); err != nil {
 		return Config{}, err
 	}
-	c.Bounds = bounds(c.Limits, c.Settings.Settings, descriptors())
+	c.Bounds = deriveBounds(c.Limits, c.Settings.Settings, openDescriptors())
 	return c, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -55,7 +55,7 @@
 				HeadLines: 6, MessageCap: 20, TravelMost: 400 * time.Millisecond, MessageSpan: 10 * time.Second,
 				BareMost: 5 * time.Second, DrainGrace: 3 * time.Second, AskWithin: 10 * time.Second, WarmAfter: 18 * time.Second,
 				ColdFrom: 0.2, FallMultiple: 4, FallAfter: 2 * time.Second, LinksLeast: 70, LinkIdle: 15 * time.Second}}}
-	want.Bounds = bounds(want.Limits, want.Settings.Settings, descriptors())
+	want.Bounds = deriveBounds(want.Limits, want.Settings.Settings, openDescriptors())
 	if want.Operator, err = ReadOperator(""); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -31,39 +31,39 @@
 
 // StateOptions are the section [state].
 type StateOptions struct {
-	Dir      string        // "": nothing is kept
-	Sync     time.Duration // from write to write; what is newer is lost at a kill
-	HalfLife time.Duration // a list of this age is trusted by half
-	MostAge  time.Duration // an older one is not used
+	Dir          string        // "": nothing is kept
+	SyncInterval time.Duration // from write to write; what is newer is lost at a kill
+	HalfLife     time.Duration // a list of this age is trusted by half
+	MaxAge       time.Duration // an older one is not used
 }
 
 // GraphiteOptions are the section [graphite].
 type GraphiteOptions struct {
-	Address  string // "": nothing is sent
-	Prefix   string // of each path
-	Interval time.Duration
-	Points   int // that may wait to be sent; 0: derived
+	Address         string // "": nothing is sent
+	Prefix          string // of each path
+	Interval        time.Duration
+	MaxQueuedPoints int // that may wait to be sent; 0: derived
 }
 
 // CollectdOptions are the section [collectd].
 type CollectdOptions struct {
-	Listen    string // "": nothing is listened on
-	Allow     []netip.Prefix
-	Security  collectd.Level
-	Users     string // file of users and passwords; "": none are known
-	PacketsPS int
-	Hosts     map[string]string // a host's replica, where the names differ
-	Figures   []collectd.Figure
+	Listen           string // "": nothing is listened on
+	AllowedSources   []netip.Prefix
+	Security         collectd.SecurityLevel
+	UsersFile        string // file of users and passwords; "": none are known
+	PacketsPerSecond int
+	ReplicaByHost    map[string]string // a host's replica, where the names differ
+	Mappings         []collectd.Mapping
 }
 
 // IntakeOptions are the section [intake].
 type IntakeOptions struct {
-	Reports       Reports
-	RecordsPerS   int           // 0: derived from the machine's limits
-	HalfLife      time.Duration // a record this old counts for half
-	MostAge       time.Duration // an older one counts for nothing
-	Pairs         int           // failing pairs remembered; 0: derived
-	StreamBytesPS int           // bytes a second that are read of one stream; 0: derived
+	Reports              Reports
+	RecordsPerSecond     int           // 0: derived from the machine's limits
+	HalfLife             time.Duration // a record this old counts for half
+	MaxAge               time.Duration // an older one counts for nothing
+	MaxPairs             int           // failing pairs remembered; 0: derived
+	StreamBytesPerSecond int           // bytes a second that are read of one stream; 0: derived
 }
 
 // Reports tells what batches of single proxies are taken for.
@@ -76,63 +76,63 @@
 	ReportsSums  Reports = "sums"  // for the fleet's sums too, in place of collectors'
 )
 
-// Taken tells whether batches of single proxies are taken at all.
-func (o IntakeOptions) Taken() bool { return o.Reports == ReportsPairs || o.Reports == ReportsSums }
+// Enabled tells whether batches of single proxies are taken at all.
+func (o IntakeOptions) Enabled() bool { return o.Reports == ReportsPairs || o.Reports == ReportsSums }
 
 const (
-	budgetShare = 0.2      // part of the cores that intake may take
-	recordCost  = 1e-6     // seconds of a core that a record takes; measured: 0.65e-6 with its decoding
-	recordBytes = 256      // memory of a kept record, in both samples, with its part of the books
-	pairBytes   = 256      // memory of a remembered pair
-	memoryPart  = 16       // of the memory that records, and pairs, may each take
-	streamBytes = 64 << 10 // a second of one stream: a thousand records of 64 bytes
+	intakeCoreShare     = 0.2      // part of the cores that intake may take
+	recordCoreSeconds   = 1e-6     // seconds of a core that a record takes; measured: 0.65e-6 with its decoding
+	keptRecordBytes     = 256      // memory of a kept record, in both samples, with its part of the books
+	keptPairBytes       = 256      // memory of a remembered pair
+	intakeMemoryDivisor = 16       // of the memory that records, and pairs, may each take
+	defaultStreamBytes  = 64 << 10 // a second of one stream: a thousand records of 64 bytes
 )
 
 const (
-	pointBytes    = 128 // memory of a point that waits
-	graphitePart  = 32  // of the memory that points may take
-	graphiteWrite = 5 * time.Second
-	graphiteDial  = 2 * time.Second
-	graphiteRetry = time.Minute
+	queuedPointBytes      = 128 // memory of a point that waits
+	graphiteMemoryDivisor = 32  // of the memory that points may take
+	graphiteWriteTimeout  = 5 * time.Second
+	graphiteDialTimeout   = 2 * time.Second
+	graphiteMaxRetryDelay = time.Minute
 )
 
-var prefixForm = regexp.MustCompile(`^[A-Za-z0-9_-]+(\.[A-Za-z0-9_-]+)*$`)
+var prefixPattern = regexp.MustCompile(`^[A-Za-z0-9_-]+(\.[A-Za-z0-9_-]+)*$`)
 
-// GraphiteSender are what package graphite is told: options, or what follows from the machine's limits.
-func (c Config) GraphiteSender() graphite.Options {
+// GraphiteOptions are what package graphite is told: options, or what follows from the machine's limits.
+func (c Config) GraphiteOptions() graphite.Options {
 	o := c.Operator.Graphite
-	return graphite.Options{Address: o.Address, Prefix: o.Prefix + "." + graphite.Safe(c.Name), Interval: o.Interval,
-		Points:    cmp.Or(o.Points, int(c.Limits.MemoryMB<<20/graphitePart/pointBytes)),
-		WriteMost: graphiteWrite, DialMost: graphiteDial, RetryMost: graphiteRetry}
+	return graphite.Options{Address: o.Address, Prefix: o.Prefix + "." + graphite.SanitizePathPart(c.Name), Interval: o.Interval,
+		MaxQueuedPoints: cmp.Or(o.MaxQueuedPoints, int(c.Limits.MemoryMB<<20/graphiteMemoryDivisor/queuedPointBytes)),
+		WriteTimeout:    graphiteWriteTimeout, DialTimeout: graphiteDialTimeout, MaxRetryDelay: graphiteMaxRetryDelay}
 }
 
-// seconds is a time with its unit, as in "250ms".
-type seconds time.Duration
+// duration is a time with its unit, as in "250ms".
+type duration time.Duration
 
 // UnmarshalText reads it.
-func (s *seconds) UnmarshalText(text []byte) error {
+func (s *duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("want a time with its unit, as in \"2s\", got %q", text)
 	}
-	*s = seconds(d)
+	*s = duration(d)
 	return nil
 }
 
 type operatorFile struct {
 	Intake struct {
-		Reports       string  `toml:"reports"`
-		RecordsPerS   int     `toml:"records_per_s"`
-		HalfLife      seconds `toml:"half_life"`
-		MostAge       seconds `toml:"most_age"`
-		Pairs         int     `toml:"pairs"`
-		StreamBytesPS int     `toml:"stream_bytes_per_s"`
+		Reports       string   `toml:"reports"`
+		RecordsPerS   int      `toml:"records_per_s"`
+		HalfLife      duration `toml:"half_life"`
+		MostAge       duration `toml:"most_age"`
+		Pairs         int      `toml:"pairs"`
+		StreamBytesPS int      `toml:"stream_bytes_per_s"`
 	} `toml:"intake"`
 	Graphite struct {
-		Address  string  `toml:"address"`
-		Prefix   string  `toml:"prefix"`
-		Interval seconds `toml:"interval"`
-		Points   int     `toml:"points"`
+		Address  string   `toml:"address"`
+		Prefix   string   `toml:"prefix"`
+		Interval duration `toml:"interval"`
+		Points   int      `toml:"points"`
 	} `toml:"graphite"`
 	Collectd struct {
 		Listen    string            `toml:"listen"`
@@ -147,10 +147,10 @@
 }
 
 type stateSection struct {
-	Dir      string  `toml:"dir"`
-	Sync     seconds `toml:"sync"`
-	HalfLife seconds `toml:"half_life"`
-	MostAge  seconds `toml:"most_age"`
+	Dir      string   `toml:"dir"`
+	Sync     duration `toml:"sync"`
+	HalfLife duration `toml:"half_life"`
+	MostAge  duration `toml:"most_age"`
 }
 
 type figureMapping struct {
@@ -166,16 +166,16 @@
 
 var (
 	figureNames = map[string]intake.Figure{"util": intake.Util, "inflight": intake.InFlight, "latency_ms": intake.LatencyMS}
-	levelNames  = map[string]collectd.Level{"none": collectd.None, "sign": collectd.Sign, "encrypt": collectd.Encrypt}
+	levelNames  = map[string]collectd.SecurityLevel{"none": collectd.SecurityNone, "sign": collectd.SecuritySign, "encrypt": collectd.SecurityEncrypt}
 )
 
-// defaults are what holds without an operator file.
-func defaults() (f operatorFile) {
+// defaultOperatorFile are what holds without an operator file.
+func defaultOperatorFile() (f operatorFile) {
 	f.Intake.Reports = string(ReportsOff)
-	f.Intake.HalfLife, f.Intake.MostAge = seconds(2*time.Second), seconds(10*time.Second)
-	f.Graphite.Prefix, f.Graphite.Interval = "zincloft", seconds(10*time.Second)
+	f.Intake.HalfLife, f.Intake.MostAge = duration(2*time.Second), duration(10*time.Second)
+	f.Graphite.Prefix, f.Graphite.Interval = "zincloft", duration(10*time.Second)
 	f.Collectd.Allow, f.Collectd.Security, f.Collectd.PacketsPS = []string{"127.0.0.0/8"}, "none", 2000
-	f.State.Sync, f.State.HalfLife, f.State.MostAge = seconds(5*time.Second), seconds(10*time.Minute), seconds(24*time.Hour)
+	f.State.Sync, f.State.HalfLife, f.State.MostAge = duration(5*time.Second), duration(10*time.Minute), duration(24*time.Hour)
 	return f
 }
 
@@ -183,17 +183,17 @@
 type OperatorError struct {
 	Path, Key string
 	Line      int // 0: not known
-	What      string
+	Problem   string
 }
 
 func (e OperatorError) Error() string {
-	return fmt.Sprintf("%s:%d: %s: %s", e.Path, e.Line, cmp.Or(e.Key, "the file"), e.What)
+	return fmt.Sprintf("%s:%d: %s: %s", e.Path, e.Line, cmp.Or(e.Key, "the file"), e.Problem)
 }
 
 // ReadOperator reads an operator file. Every key may be left out; one that is not known is a fault. No file is named
 // by "": then all is at its default.
 func ReadOperator(path string) (Operator, error) {
-	f := defaults()
+	f := defaultOperatorFile()
 	var text []byte
 	if path != "" {
 		var err error
@@ -205,32 +205,32 @@
 	if err := decoder.Decode(&f); err != nil {
 		return Operator{}, decodeError(path, err)
 	}
-	if err := f.check(path, lines(text)); err != nil {
+	if err := f.check(path, keyLines(text)); err != nil {
 		return Operator{}, err
 	}
 	i, g, d := &f.Intake, &f.Graphite, &f.Collectd
-	out := Operator{Path: path, Graphite: GraphiteOptions{Address: g.Address, Prefix: g.Prefix, Interval: time.Duration(g.Interval), Points: g.Points},
-		Collectd: CollectdOptions{Listen: d.Listen, Security: levelNames[d.Security], Users: d.Users, PacketsPS: d.PacketsPS, Hosts: d.Hosts}}
-	out.State = StateOptions{Dir: f.State.Dir, Sync: time.Duration(f.State.Sync), HalfLife: time.Duration(f.State.HalfLife), MostAge: time.Duration(f.State.MostAge)}
+	out := Operator{Path: path, Graphite: GraphiteOptions{Address: g.Address, Prefix: g.Prefix, Interval: time.Duration(g.Interval), MaxQueuedPoints: g.Points},
+		Collectd: CollectdOptions{Listen: d.Listen, Security: levelNames[d.Security], UsersFile: d.Users, PacketsPerSecond: d.PacketsPS, ReplicaByHost: d.Hosts}}
+	out.State = StateOptions{Dir: f.State.Dir, SyncInterval: time.Duration(f.State.Sync), HalfLife: time.Duration(f.State.HalfLife), MaxAge: time.Duration(f.State.MostAge)}
 	for _, a := range d.Allow {
-		prefix, _ := prefix(a) // checked
-		out.Collectd.Allow = append(out.Collectd.Allow, prefix)
+		prefix, _ := parsePrefix(a) // checked
+		out.Collectd.AllowedSources = append(out.Collectd.AllowedSources, prefix)
 	}
 	for _, m := range d.Figures {
-		x := collectd.Figure{Figure: figureNames[m.Figure], Plugin: m.Plugin, PluginInstance: m.PluginInstance, Type: m.Type,
+		x := collectd.Mapping{Figure: figureNames[m.Figure], Plugin: m.Plugin, PluginInstance: m.PluginInstance, Type: m.Type,
 			TypeInstance: m.TypeInstance, Value: m.Value, Scale: 1, Offset: m.Offset}
 		if m.Scale != nil {
 			x.Scale = *m.Scale
 		}
-		out.Collectd.Figures = append(out.Collectd.Figures, x)
+		out.Collectd.Mappings = append(out.Collectd.Mappings, x)
 	}
-	out.Intake = IntakeOptions{Reports: Reports(i.Reports), RecordsPerS: i.RecordsPerS, HalfLife: time.Duration(i.HalfLife),
-		MostAge: time.Duration(i.MostAge), Pairs: i.Pairs, StreamBytesPS: i.StreamBytesPS}
+	out.Intake = IntakeOptions{Reports: Reports(i.Reports), RecordsPerSecond: i.RecordsPerS, HalfLife: time.Duration(i.HalfLife),
+		MaxAge: time.Duration(i.MostAge), MaxPairs: i.Pairs, StreamBytesPerSecond: i.StreamBytesPS}
 	return out, nil
 }
 
-// prefix reads a range of addresses, or one address.
-func prefix(text string) (netip.Prefix, error) {
+// parsePrefix reads a range of addresses, or one address.
+func parsePrefix(text string) (netip.Prefix, error) {
 	if a, err := netip.ParseAddr(text); err == nil {
 		return a.Prefix(a.BitLen())
 	}
@@ -259,7 +259,7 @@
 		_, _, err := net.SplitHostPort(a)
 		return a == "" || err == nil
 	}
-	allowed := !slices.ContainsFunc(d.Allow, func(a string) bool { _, err := prefix(a); return err != nil })
+	allowed := !slices.ContainsFunc(d.Allow, func(a string) bool { _, err := parsePrefix(a); return err != nil })
 	_, level := levelNames[d.Security]
 	users := d.Users == "" && (d.Listen == "" || d.Security == "none")
 	if d.Users != "" {
@@ -276,15 +276,15 @@
 		good      bool
 	}{
 		{"graphite.address", "want a host and a port", address(g.Address)},
-		{"graphite.prefix", "want words of letters, digits, - and _, joined by dots", prefixForm.MatchString(g.Prefix)},
-		{"graphite.interval", "want a second or more", g.Interval >= seconds(time.Second)},
+		{"graphite.prefix", "want words of letters, digits, - and _, joined by dots", prefixPattern.MatchString(g.Prefix)},
+		{"graphite.interval", "want a second or more", g.Interval >= duration(time.Second)},
 		{"graphite.points", "want 0 or more", g.Points >= 0},
 		{"collectd.listen", "want a host and a port", address(d.Listen)},
 		{"collectd.allow", "want addresses or ranges, as in \"10.1.0.0/16\"", allowed},
 		{"collectd.security", `want "none", "sign" or "encrypt"`, level},
 		{"collectd.users", "want a file that can be read; it is needed where packets must be signed or encrypted", users},
 		{"collectd.packets_per_s", "want 1 or more", d.PacketsPS >= 1},
-		{"state.sync", "want 100ms or more", f.State.Sync >= seconds(100*time.Millisecond)},
+		{"state.sync", "want 100ms or more", f.State.Sync >= duration(100*time.Millisecond)},
 		{"state.half_life", "want a time above 0", f.State.HalfLife > 0},
 		{"state.most_age", "want no less than state.half_life", f.State.MostAge >= f.State.HalfLife},
 		{"collectd.figures", "want one or more, each with figure (util, inflight or latency_ms), plugin and type", mapped},
@@ -303,8 +303,8 @@
 	return nil
 }
 
-// lines tells in which line each key of a file stands that has been decoded without fault.
-func lines(text []byte) map[string]int {
+// keyLines tells in which line each key of a file stands that has been decoded without fault.
+func keyLines(text []byte) map[string]int {
 	at := map[string]int{}
 	var p unstable.Parser
 	p.Reset(text)
@@ -335,30 +335,30 @@
 // IntakeSettings are what package intake is told: options, or what follows from the machine's limits.
 func (c Config) IntakeSettings() intake.Settings {
 	o, s := c.Operator.Intake, c.Settings.Settings
-	perS := c.Limits.Cores * budgetShare / recordCost
-	perS = min(perS, float64(c.Limits.MemoryMB<<20/memoryPart/recordBytes)/s.Period.Seconds())
-	if o.RecordsPerS > 0 {
-		perS = float64(o.RecordsPerS)
+	perS := c.Limits.Cores * intakeCoreShare / recordCoreSeconds
+	perS = min(perS, float64(c.Limits.MemoryMB<<20/intakeMemoryDivisor/keptRecordBytes)/s.Period.Seconds())
+	if o.RecordsPerSecond > 0 {
+		perS = float64(o.RecordsPerSecond)
 	}
 	return intake.Settings{Seed: c.Seed, Period: s.Period, Budget: max(int(perS*s.Period.Seconds()), 4),
-		HalfLife: o.HalfLife, MostAge: o.MostAge, Pairs: cmp.Or(o.Pairs, int(c.Limits.MemoryMB<<20/memoryPart/pairBytes)), Zones: s.Zones,
+		HalfLife: o.HalfLife, MostAge: o.MaxAge, Pairs: cmp.Or(o.MaxPairs, int(c.Limits.MemoryMB<<20/intakeMemoryDivisor/keptPairBytes)), Zones: s.Zones,
 		MakeSums: o.Reports == ReportsSums}
 }
 
-// StreamBytes are the bytes a second that are read of one stream where batches are taken; 0: no bound.
-func (c Config) StreamBytes() int {
-	if !c.Operator.Intake.Taken() {
+// StreamBytesPerSecond are the bytes a second that are read of one stream where batches are taken; 0: no bound.
+func (c Config) StreamBytesPerSecond() int {
+	if !c.Operator.Intake.Enabled() {
 		return 0
 	}
-	return cmp.Or(c.Operator.Intake.StreamBytesPS, streamBytes)
+	return cmp.Or(c.Operator.Intake.StreamBytesPerSecond, defaultStreamBytes)
 }
 
-// Show is what holds, in the operator file's form, with what was derived.
-func (c Config) Show() string {
+// Effective is what holds, in the operator file's form, with what was derived.
+func (c Config) Effective() string {
 	if c.Settings.Period == 0 { // no configuration: the usual machine
-		c.Limits, c.Settings.Period = usualLimits, time.Second
+		c.Limits, c.Settings.Period = defaultLimits, time.Second
 	}
-	o, in, g, d := c.Operator.Intake, c.IntakeSettings(), c.GraphiteSender(), c.Operator.Collectd
+	o, in, g, d := c.Operator.Intake, c.IntakeSettings(), c.GraphiteOptions(), c.Operator.Collectd
 	st, security := c.Operator.State, ""
 	for name, level := range levelNames {
 		if level == d.Security {
@@ -392,6 +392,6 @@
 sync = %q
 half_life = %q
 most_age = %q
-`, o.Reports, int(float64(in.Budget)/in.Period.Seconds()), o.HalfLife, o.MostAge, in.Pairs, cmp.Or(o.StreamBytesPS, streamBytes),
-		g.Address, g.Prefix, g.Interval, g.Points, d.Listen, d.Allow, security, d.Users, d.PacketsPS, len(d.Hosts), len(d.Figures), st.Dir, st.Sync, st.HalfLife, st.MostAge)
+`, o.Reports, int(float64(in.Budget)/in.Period.Seconds()), o.HalfLife, o.MaxAge, in.Pairs, cmp.Or(o.StreamBytesPerSecond, defaultStreamBytes),
+		g.Address, g.Prefix, g.Interval, g.MaxQueuedPoints, d.Listen, d.AllowedSources, security, d.UsersFile, d.PacketsPerSecond, len(d.ReplicaByHost), len(d.Mappings), st.Dir, st.SyncInterval, st.HalfLife, st.MaxAge)
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -47,7 +47,7 @@
 			keys++
 		}
 	}
-	if at := lines(text); at["collectd.packets_per_s"] == 0 || len(at) != keys+strings.Count(string(text), "\n[") {
+	if at := keyLines(text); at["collectd.packets_per_s"] == 0 || len(at) != keys+strings.Count(string(text), "\n[") {
 		t.Errorf("%d keys in the file, found %v", keys, at)
 	}
 }
@@ -105,14 +105,14 @@
 	if got := c.IntakeSettings(); got.Budget != 40_000 {
 		t.Errorf("a tenth of a core: %+v", got)
 	}
-	c.Operator.Intake.RecordsPerS, c.Operator.Intake.Pairs = 100, 7
+	c.Operator.Intake.RecordsPerSecond, c.Operator.Intake.MaxPairs = 100, 7
 	if got := c.IntakeSettings(); got.Budget != 200 || got.Pairs != 7 {
 		t.Errorf("set: %+v", got)
 	}
-	if got := c.StreamBytes(); got != 64<<10 {
+	if got := c.StreamBytesPerSecond(); got != 64<<10 {
 		t.Errorf("%d bytes a second of a stream", got)
 	}
-	if c.Operator.Intake.Reports = ReportsOff; c.StreamBytes() != 0 {
+	if c.Operator.Intake.Reports = ReportsOff; c.StreamBytesPerSecond() != 0 {
 		t.Error("streams are bounded where no reports are taken")
 	}
 }
@@ -140,8 +140,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := CollectdOptions{Listen: "127.0.0.1:25826", Allow: []netip.Prefix{netip.MustParsePrefix("10.1.2.3/32"), netip.MustParsePrefix("10.2.0.0/16")},
-		PacketsPS: 2000, Hosts: map[string]string{"web-1.example": "s-1"}, Figures: []collectd.Figure{
+	want := CollectdOptions{Listen: "127.0.0.1:25826", AllowedSources: []netip.Prefix{netip.MustParsePrefix("10.1.2.3/32"), netip.MustParsePrefix("10.2.0.0/16")},
+		PacketsPerSecond: 2000, ReplicaByHost: map[string]string{"web-1.example": "s-1"}, Mappings: []collectd.Mapping{
 			{Figure: intake.Util, Plugin: "cpu", Type: "percent", TypeInstance: "idle", Scale: -0.01, Offset: 1},
 			{Figure: intake.LatencyMS, Plugin: "http", Type: "response_time", Value: 2, Scale: 1}}}
 	if d := cmp.Diff(want, o.Collectd, cmp.Comparer(func(a, b netip.Prefix) bool { return a == b })); d != "" {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -22,7 +22,7 @@
 	Tick       time.Duration // what comes within it counts as arriving together
 }
 
-type lane struct {
+type laneSettings struct {
 	Name       string        `json:"name"`
 	Aim        time.Duration `json:"aim"`
 	Deadline   time.Duration `json:"deadline"`
@@ -33,14 +33,14 @@
 	Window     time.Duration `json:"window"`
 }
 
-type info struct {
-	Balancers  int           `json:"balancers"`
-	Discovery  string        `json:"discovery"`
-	HostTypes  []string      `json:"hostTypes"`
-	Lanes      []lane        `json:"lanes"`
-	MyZone     int           `json:"myZone"`
-	Tick       time.Duration `json:"tick"`
-	Zones      []string      `json:"zones"`
+type settingsFile struct {
+	Balancers  int            `json:"balancers"`
+	Discovery  string         `json:"discovery"`
+	HostTypes  []string       `json:"hostTypes"`
+	Lanes      []laneSettings `json:"lanes"`
+	MyZone     int            `json:"myZone"`
+	Tick       time.Duration  `json:"tick"`
+	Zones      []string       `json:"zones"`
 	FamilyInfo struct {
 		Bare         *time.Duration `json:"bare"`
 		ClassWrites  []bool         `json:"classWrites"`
@@ -78,7 +78,7 @@
 
 // ReadSettings reads the settings object. Keys that it does not know are passed over.
 func ReadSettings(text []byte) (Settings, error) {
-	var in info
+	var in settingsFile
 	if err := json.Unmarshal(text, &in); err != nil {
 		return Settings{}, fmt.Errorf("the settings are not the expected JSON: %w", err)
 	}
@@ -140,9 +140,9 @@
 	return Settings{Settings: s, Zones: in.Zones, Kinds: in.HostTypes, LoadFields: in.Report.Fields, Tick: in.Tick}, nil
 }
 
-// SetLoad puts a figure of a load report where its name belongs. Both names in use are read: the settings' own
+// SetLoadFigure puts a figure of a load report where its name belongs. Both names in use are read: the settings' own
 // and the protocol page's. Figures that are not known are passed over.
-func SetLoad(r *rules.Report, name []byte, v float64) {
+func SetLoadFigure(r *rules.Report, name []byte, v float64) {
 	switch string(name) {
 	case "cpu_share", "util":
 		r.Util = v
--- a/internal/counts/counts.go
+++ b/internal/counts/counts.go
@@ -9,40 +9,40 @@
 	"github.com/rs/zerolog"
 )
 
-// What is counted.
-type What string
+// Category is counted.
+type Category string
 
-// Counts are by what and cause. Causes are few: none holds a peer's words. The zero value is ready.
-type Counts struct {
-	mu sync.Mutex
-	of map[What]map[string]int
+// Counter are by what and cause. Causes are few: none holds a peer's words. The zero value is ready.
+type Counter struct {
+	mu         sync.Mutex
+	byCategory map[Category]map[string]int
 }
 
 // Add counts one.
-func (n *Counts) Add(w What, cause string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.of == nil {
-		n.of = map[What]map[string]int{}
+func (c *Counter) Add(category Category, cause string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.byCategory == nil {
+		c.byCategory = map[Category]map[string]int{}
 	}
-	if n.of[w] == nil {
-		n.of[w] = map[string]int{}
+	if c.byCategory[category] == nil {
+		c.byCategory[category] = map[string]int{}
 	}
-	n.of[w][cause]++
+	c.byCategory[category][cause]++
 }
 
 // Log writes what was counted since the last time, if anything was.
-func (n *Counts) Log(log zerolog.Logger) {
-	n.mu.Lock()
-	of := n.of
-	n.of = nil
-	n.mu.Unlock()
-	if len(of) == 0 {
+func (c *Counter) Log(log zerolog.Logger) {
+	c.mu.Lock()
+	counted := c.byCategory
+	c.byCategory = nil
+	c.mu.Unlock()
+	if len(counted) == 0 {
 		return
 	}
 	line := log.Info()
-	for _, w := range slices.Sorted(maps.Keys(of)) {
-		line.Interface(string(w), of[w])
+	for _, category := range slices.Sorted(maps.Keys(counted)) {
+		line.Interface(string(category), counted[category])
 	}
 	line.Msg("counts")
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -22,9 +22,9 @@
 	"zincloft.example/zincloft/internal/collectd"
 	"zincloft.example/zincloft/internal/config"
 	"zincloft.example/zincloft/internal/counts"
-	"zincloft.example/zincloft/internal/exchange"
+	"zincloft.example/zincloft/internal/discoveryclient"
+	"zincloft.example/zincloft/internal/eventqueue"
 	"zincloft.example/zincloft/internal/graphite"
-	"zincloft.example/zincloft/internal/list"
 	"zincloft.example/zincloft/internal/store"
 	"zincloft.example/zincloft/recovery"
 	"zincloft.example/zincloft/rules"
@@ -48,36 +48,36 @@
 	conf  config.Config
 	log   zerolog.Logger
 
-	begun time.Time
-	wakes []wake // soonest first
-	gov   rules.Governor
+	startedAt time.Time
+	timers    []timer // soonest first
+	governor  rules.Governor
 	// intake weighs and gathers reports; nil where the operator file leaves them as they come.
-	intake  *intake.Intake
-	told    time.Time     // when intake's counts were logged last
-	counted intake.Counts // since then
-	since   intake.Counts // since the start
+	intake           *intake.Intake
+	intakeLoggedAt   time.Time     // when intake's counts were logged last
+	countsSinceLog   intake.Counts // since then
+	countsSinceStart intake.Counts // since the start
 
-	recovery *recovery.Recovery              // until discovery has spoken, after a start from disk
-	entries  map[rules.ReplicaID]rules.Entry // of the list as it stands; nil where nothing is kept
-	writer   *store.Writer
-	keepAt   time.Time // of the next write
+	recovery   *recovery.Recovery              // until discovery has spoken, after a start from disk
+	entries    map[rules.ReplicaID]rules.Entry // of the list as it stands; nil where nothing is kept
+	writer     *store.Writer
+	nextSaveAt time.Time // of the next write
 
-	graphite *graphite.Sender // nil: nothing is sent
-	viewAt   time.Time        // of the next snapshot
-	counts   counts.Counts
-	fronts   sync.WaitGroup // what runs beside the two sides
+	graphite       *graphite.Sender // nil: nothing is sent
+	nextSnapshotAt time.Time        // of the next snapshot
+	counts         counts.Counter
+	background     sync.WaitGroup // what runs beside the two sides
 
-	hups <-chan os.Signal
-	read Reload
+	reloadSignals <-chan os.Signal
+	reloadConfig  Reload
 
-	exchange *exchange.Exchange
-	clients  *clients.Side
-	list     *list.List
+	queue     *eventqueue.Queue
+	clients   *clients.Server
+	discovery *discoveryclient.Client
 }
 
-type wake struct {
-	at   rules.Time
-	mark uint64
+type timer struct {
+	at rules.Time
+	id uint64
 }
 
 // New returns a Daemon that has not started.
@@ -85,7 +85,7 @@
 	return &Daemon{conf: c, log: log}
 }
 
-func (d *Daemon) enter(p Phase) {
+func (d *Daemon) setPhase(p Phase) {
 	d.log.Info().Str("phase", string(p)).Str("from", string(d.phase)).Msg("phase")
 	d.phase = p
 }
@@ -96,73 +96,73 @@
 
 // Run goes through all phases. Each signal from hups is one to reload. It returns when ctx ends and all is closed,
 // or with what failed.
-func (d *Daemon) Run(ctx context.Context, listen func() (net.Listener, error), hups <-chan os.Signal, reload Reload) error {
+func (d *Daemon) Run(ctx context.Context, listen func() (net.Listener, error), reloadSignals <-chan os.Signal, reload Reload) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d.begun, d.hups, d.read = time.Now(), hups, reload
-	d.enter(Starting)
-	d.exchange = exchange.New(d.conf.Bounds.Inbox)
-	d.list = list.New(ctx, d.conf, d.log, func(l rules.List) { d.exchange.Post(exchange.Event{Fact: l}) })
-	d.clients = clients.New(d.conf, d.log, d.exchange, &d.counts)
-	if d.conf.Operator.Intake.Taken() || d.conf.Operator.Collectd.Listen != "" {
-		d.intake, d.told = intake.New(d.conf.IntakeSettings()), time.Now()
+	d.startedAt, d.reloadSignals, d.reloadConfig = time.Now(), reloadSignals, reload
+	d.setPhase(Starting)
+	d.queue = eventqueue.New(d.conf.Bounds.QueueLength)
+	d.discovery = discoveryclient.New(ctx, d.conf, d.log, func(listener rules.List) { d.queue.Post(eventqueue.Event{Fact: listener}) })
+	d.clients = clients.New(d.conf, d.log, d.queue, &d.counts)
+	if d.conf.Operator.Intake.Enabled() || d.conf.Operator.Collectd.Listen != "" {
+		d.intake, d.intakeLoggedAt = intake.New(d.conf.IntakeSettings()), time.Now()
 	}
-	d.exchange.Connect(d.clients, d.list)
+	d.queue.Connect(d.clients, d.discovery)
 	runtime.GOMAXPROCS(max(int(d.conf.Limits.Cores), 1))
 	debug.SetMemoryLimit(d.conf.Limits.MemoryMB << 20 / 4 * 3)
 	first := []rules.Event{rules.Start{Seed: d.conf.Seed, Settings: d.conf.Settings.Settings}}
-	events, writer := d.recall()
+	events, writer := d.restoreState()
 	first, d.writer = append(first, events...), writer
 	if d.writer != nil { // it closes the file whatever comes
-		d.fronts.Go(func() { d.writer.Run(ctx) })
+		d.background.Go(func() { d.writer.Run(ctx) })
 	}
 	if len(d.conf.Known) > 0 && len(events) == 0 {
-		known, err := d.list.Known(d.conf.Known)
+		known, err := d.discovery.LoadKnown(d.conf.Known)
 		if err == nil {
 			first = append(first, known)
 		} else { // no reason not to serve: discovery has the whole list
 			d.log.Warn().Err(err).Msg("list failure")
 		}
 	}
-	l, err := listen()
+	listener, err := listen()
 	if err != nil {
 		cancel()
-		d.fronts.Wait()
+		d.background.Wait()
 		return fmt.Errorf("LB_LISTEN: %w", err)
 	}
-	machines, err := d.machines()
+	collectdConn, err := d.listenCollectd()
 	if err != nil {
-		l.Close()
+		listener.Close()
 		cancel()
-		d.fronts.Wait()
+		d.background.Wait()
 		return err
 	}
 	defer func() {
-		d.enter(Stopping)
-		l.Close()
+		d.setPhase(Stopping)
+		listener.Close()
 		cancel()
-		d.fronts.Wait()
-		d.exchange.Close()
+		d.background.Wait()
+		d.queue.Close()
 		d.clients.Close()
-		d.list.Wait()
-		d.enter(Stopped)
+		d.discovery.Wait()
+		d.setPhase(Stopped)
 	}()
 	if err := d.step(first); err != nil {
 		return err
 	}
-	d.enter(Serving)
-	go d.clients.Serve(l)
-	if machines != nil {
-		s := collectd.New(d.collectd(), d.exchange, &d.counts)
-		d.fronts.Go(func() { s.Serve(ctx, machines, d.log) })
+	d.setPhase(Serving)
+	go d.clients.Serve(listener)
+	if collectdConn != nil {
+		s := collectd.New(d.collectdOptions(), d.queue, &d.counts)
+		d.background.Go(func() { s.Serve(ctx, collectdConn, d.log) })
 	}
-	d.beginGraphite(ctx)
+	d.startGraphite(ctx)
 	return d.loop(ctx)
 }
 
-// beginGraphite sends views until ctx ends, where the operator file names a receiver.
-func (d *Daemon) beginGraphite(ctx context.Context) {
-	o := d.conf.GraphiteSender()
+// startGraphite sends views until ctx ends, where the operator file names a receiver.
+func (d *Daemon) startGraphite(ctx context.Context) {
+	o := d.conf.GraphiteOptions()
 	if o.Address == "" {
 		return
 	}
@@ -170,25 +170,25 @@
 	for _, tg := range d.conf.Settings.Groups {
 		groups = append(groups, tg.Name)
 	}
-	d.graphite = graphite.New(o, graphite.Names{Replica: d.exchange.Name, Groups: groups}, d.log)
-	d.fronts.Go(func() { d.graphite.Run(ctx) })
+	d.graphite = graphite.New(o, graphite.Labels{ReplicaName: d.queue.Name, GroupNames: groups}, d.log)
+	d.background.Go(func() { d.graphite.Run(ctx) })
 }
 
-// machines opens the address for load reports of machines, where the operator file names one.
-func (d *Daemon) machines() (net.PacketConn, error) {
+// listenCollectd opens the address for load reports of machines, where the operator file names one.
+func (d *Daemon) listenCollectd() (net.PacketConn, error) {
 	if d.conf.Operator.Collectd.Listen == "" {
 		return nil, nil
 	}
 	return collectd.Listen(d.conf.Operator.Collectd.Listen)
 }
 
-func (d *Daemon) collectd() collectd.Options {
+func (d *Daemon) collectdOptions() collectd.Options {
 	o := d.conf.Operator.Collectd
-	out := collectd.Options{Allow: o.Allow, Level: o.Security, PacketsPS: o.PacketsPS, Hosts: o.Hosts, Figures: o.Figures,
-		AcceptWait: d.conf.Bounds.AcceptPause}
-	if o.Users != "" {
-		users := network.NewAuthFile(o.Users)
-		out.Password = func(user string) (string, bool) {
+	out := collectd.Options{AllowedSources: o.AllowedSources, MinLevel: o.Security, PacketsPerSecond: o.PacketsPerSecond, ReplicaByHost: o.ReplicaByHost, Mappings: o.Mappings,
+		ReadRetryDelay: d.conf.Bounds.AcceptRetryDelay}
+	if o.UsersFile != "" {
+		users := network.NewAuthFile(o.UsersFile)
+		out.PasswordOf = func(user string) (string, bool) {
 			password, err := users.Password(user)
 			return password, err == nil
 		}
@@ -196,39 +196,39 @@
 	return out
 }
 
-// view takes a snapshot for Graphite when one is due. It waits for nobody.
-func (d *Daemon) view() {
+// sendSnapshot takes a snapshot for Graphite when one is due. It waits for nobody.
+func (d *Daemon) sendSnapshot() {
 	now := time.Now()
-	if d.graphite == nil || now.Before(d.viewAt) {
+	if d.graphite == nil || now.Before(d.nextSnapshotAt) {
 		return
 	}
-	d.viewAt = now.Add(d.conf.Operator.Graphite.Interval)
-	s := d.graphite.Take()
+	d.nextSnapshotAt = now.Add(d.conf.Operator.Graphite.Interval)
+	s := d.graphite.AcquireSnapshot()
 	if s == nil {
 		return
 	}
 	s.At = now
-	d.gov.View(d.now(), &s.View)
-	if s.Intake = d.intake != nil; s.Intake {
-		s.Counts = d.since
+	d.governor.View(d.now(), &s.View)
+	if s.HasIntake = d.intake != nil; s.HasIntake {
+		s.IntakeCounts = d.countsSinceStart
 		s.Held[0], s.Held[1], s.Held[2] = d.intake.Held()
 	}
-	s.Taken = time.Since(now)
-	d.graphite.Give(s)
+	s.Duration = time.Since(now)
+	d.graphite.SubmitSnapshot(s)
 }
 
 // reload takes on what the configuration says now. One that faults leaves the old one serving.
 func (d *Daemon) reload() {
-	d.enter(Reloading)
-	defer d.enter(Serving)
-	c, later, err := d.read(d.conf)
+	d.setPhase(Reloading)
+	defer d.setPhase(Serving)
+	c, later, err := d.reloadConfig(d.conf)
 	if err != nil {
 		d.log.Error().Err(err).Msg("reload failed")
 		return
 	}
 	d.log.Info().Str("discovery", c.Discovery).Str("from", d.conf.Discovery).Strs("at the next start", later).Msg("reload")
 	if c.Discovery != d.conf.Discovery {
-		d.list.Move(c.Discovery)
+		d.discovery.SetAddress(c.Discovery)
 	}
 	d.conf = c
 }
@@ -236,69 +236,69 @@
 // now is the wall clock at the start and a steady clock from then on, so that steps of the wall clock do not
 // reach decisions.
 func (d *Daemon) now() rules.Time {
-	return rules.Time(d.begun.UnixNano()) + rules.Time(time.Since(d.begun))
+	return rules.Time(d.startedAt.UnixNano()) + rules.Time(time.Since(d.startedAt))
 }
 
-// at is a moment on the clock of now.
-func (d *Daemon) at(t time.Time) rules.Time {
-	return rules.Time(d.begun.UnixNano()) + rules.Time(t.Sub(d.begun))
+// rulesTime is a moment on the clock of now.
+func (d *Daemon) rulesTime(t time.Time) rules.Time {
+	return rules.Time(d.startedAt.UnixNano()) + rules.Time(t.Sub(d.startedAt))
 }
 
 func (d *Daemon) loop(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for ctx.Err() == nil {
-		if facts := d.next(ctx, timer); len(facts) > 0 {
+		if facts := d.nextFacts(ctx, timer); len(facts) > 0 {
 			if err := d.step(facts); err != nil {
 				return err
 			}
-			d.view()
-			d.keep()
+			d.sendSnapshot()
+			d.saveState()
 		}
 	}
 	return nil
 }
 
-// next waits until something has happened or a timer is due, and gathers what comes within a tick, as a proxy's
+// nextFacts waits until something has happened or a timer is due, and gathers what comes within a tick, as a proxy's
 // messages are counted. After the process was held up, all that has come in is heard before the timers: else
 // replicas and proxies would be judged silent whose words are waiting to be read.
-func (d *Daemon) next(ctx context.Context, timer *time.Timer) []rules.Event {
+func (d *Daemon) nextFacts(ctx context.Context, timer *time.Timer) []rules.Event {
 	due := time.Duration(math.MaxInt64)
-	if len(d.wakes) > 0 {
-		due = time.Duration(d.wakes[0].at - d.now())
+	if len(d.timers) > 0 {
+		due = time.Duration(d.timers[0].at - d.now())
 	}
 	timer.Reset(due)
-	var events []exchange.Event
+	var events []eventqueue.Event
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-d.hups:
+	case <-d.reloadSignals:
 		d.reload()
 		return nil
-	case e := <-d.exchange.First():
+	case e := <-d.queue.Urgent():
 		events = append(events, e)
-	case e := <-d.exchange.Reports():
+	case e := <-d.queue.Reports():
 		events = append(events, e)
 	case <-timer.C:
 	}
-	events = d.gather(ctx, timer, events)
-	late := len(d.wakes) > 0 && time.Duration(d.now()-d.wakes[0].at) > d.conf.Bounds.LateLoop
-	for before := -1; late && before < len(events) && len(events) < lateSteps*d.conf.Bounds.Inbox; {
+	events = d.gatherTick(ctx, timer, events)
+	late := len(d.timers) > 0 && time.Duration(d.now()-d.timers[0].at) > d.conf.Bounds.LateTimerThreshold
+	for before := -1; late && before < len(events) && len(events) < maxLateBatches*d.conf.Bounds.QueueLength; {
 		before = len(events)
-		events = d.gather(ctx, timer, events)
+		events = d.gatherTick(ctx, timer, events)
 	}
-	facts := d.facts(d.exchange.Heed(events))
-	for now := d.now(); len(d.wakes) > 0 && d.wakes[0].at <= now; d.wakes = d.wakes[1:] {
-		facts = append(facts, rules.Wake{Mark: d.wakes[0].mark})
+	facts := d.toFacts(d.queue.DropStale(events))
+	for now := d.now(); len(d.timers) > 0 && d.timers[0].at <= now; d.timers = d.timers[1:] {
+		facts = append(facts, rules.Wake{Mark: d.timers[0].id})
 	}
-	return d.recover(facts)
+	return d.trackRecovery(facts)
 }
 
-// lateSteps bounds what is heard before a late timer, in times of the inbox: against senders that never stop.
-const lateSteps = 4
+// maxLateBatches bounds what is heard before a late timer, in times of the inbox: against senders that never stop.
+const maxLateBatches = 4
 
-// facts are what events come to: reports go through intake where there is one.
-func (d *Daemon) facts(events []exchange.Event) (facts []rules.Event) {
+// toFacts are what events come to: reports go through intake where there is one.
+func (d *Daemon) toFacts(events []eventqueue.Event) (facts []rules.Event) {
 	if d.intake == nil {
 		for _, e := range events {
 			facts = append(facts, e.Fact)
@@ -315,12 +315,12 @@
 			if e.Batch == nil {
 				continue
 			}
-			e.Batch.Read = d.at(e.Read)
+			e.Batch.Read = d.rulesTime(e.ReceivedAt)
 			d.intake.Take(now, e.Batch)
 			e.Batch.Free()
 			continue
 		case rules.Sums:
-			if s, counts := d.intake.Sums(now, d.at(e.Read), fact); counts {
+			if s, counts := d.intake.Sums(now, d.rulesTime(e.ReceivedAt), fact); counts {
 				facts = append(facts, s)
 			}
 			continue
@@ -333,37 +333,37 @@
 	}
 	if d.intake.Due(now) {
 		facts = append(facts, d.intake.Cut(now)...)
-		d.count()
+		d.logIntakeCounts()
 	}
 	return facts
 }
 
-// count logs intake's counts at intervals.
-func (d *Daemon) count() {
+// logIntakeCounts logs intake's counts at intervals.
+func (d *Daemon) logIntakeCounts() {
 	for i, n := range d.intake.Counts() {
-		d.counted[i] += n
-		d.since[i] += n
+		d.countsSinceLog[i] += n
+		d.countsSinceStart[i] += n
 	}
-	if time.Since(d.told) < d.conf.Bounds.Counts {
+	if time.Since(d.intakeLoggedAt) < d.conf.Bounds.CountLogInterval {
 		return
 	}
 	line := d.log.Info()
-	for i, n := range d.counted {
+	for i, n := range d.countsSinceLog {
 		if n != 0 {
 			line = line.Int(intake.Cause(i).String(), n)
 		}
 	}
 	records, senders, pairs := d.intake.Held()
 	line.Int("records held", records).Int("senders", senders).Int("pairs", pairs).Msg("intake")
-	d.told, d.counted = time.Now(), intake.Counts{}
+	d.intakeLoggedAt, d.countsSinceLog = time.Now(), intake.Counts{}
 }
 
-// gather adds what comes within a tick, as far as one Step takes: first what must not wait for reports.
-func (d *Daemon) gather(ctx context.Context, timer *time.Timer, events []exchange.Event) []exchange.Event {
+// gatherTick adds what comes within a tick, as far as one Step takes: first what must not wait for reports.
+func (d *Daemon) gatherTick(ctx context.Context, timer *time.Timer, events []eventqueue.Event) []eventqueue.Event {
 	timer.Reset(max(d.conf.Settings.Tick, time.Millisecond))
-	for n := 0; n < d.conf.Bounds.Inbox; n++ {
+	for n := 0; n < d.conf.Bounds.QueueLength; n++ {
 		select {
-		case e := <-d.exchange.First():
+		case e := <-d.queue.Urgent():
 			events = append(events, e)
 			continue
 		default:
@@ -371,9 +371,9 @@
 		select {
 		case <-ctx.Done():
 			return events
-		case e := <-d.exchange.First():
+		case e := <-d.queue.Urgent():
 			events = append(events, e)
-		case e := <-d.exchange.Reports():
+		case e := <-d.queue.Reports():
 			events = append(events, e)
 		case <-timer.C:
 			return events
@@ -392,11 +392,11 @@
 		}
 	}()
 	now := d.now()
-	for _, o := range d.exchange.Deliver(d.gov.Step(now, facts)) {
+	for _, o := range d.queue.Dispatch(d.governor.Step(now, facts)) {
 		switch o := o.(type) {
 		case rules.WakeAfter:
-			d.wakes = append(d.wakes, wake{now + rules.Time(o.After), o.Mark})
-			slices.SortStableFunc(d.wakes, func(a, b wake) int { return cmp.Compare(a.at, b.at) })
+			d.timers = append(d.timers, timer{now + rules.Time(o.After), o.Mark})
+			slices.SortStableFunc(d.timers, func(a, b timer) int { return cmp.Compare(a.at, b.at) })
 		case rules.Forget:
 			delete(d.entries, o.Replica)
 			if d.intake != nil {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -18,7 +18,7 @@
 
 	"zincloft.example/zincloft/intake"
 	"zincloft.example/zincloft/internal/config"
-	"zincloft.example/zincloft/internal/exchange"
+	"zincloft.example/zincloft/internal/eventqueue"
 	"zincloft.example/zincloft/internal/resp"
 	"zincloft.example/zincloft/internal/testkit"
 	"zincloft.example/zincloft/rules"
@@ -31,8 +31,8 @@
 			Groups:    []rules.TrafficGroup{{Name: "look", LatencyBudget: time.Second}, {Name: "edit", LatencyBudget: 2 * time.Second}},
 			Governors: 1, Proxies: 3, Zones: 1, Period: time.Second, LinePace: 1000, LineCap: 2000, HeadLines: 6,
 			MessageSpan: 10 * time.Second, MessageCap: 20, DrainGrace: 3 * time.Second, WarmAfter: 18 * time.Second, ColdFrom: 0.2}},
-		Bounds: config.Bounds{Inbox: 100, Connections: 10, FirstBytes: 1 << 10, MessageBytes: 1 << 20, Words: 64, Collectors: 2,
-			Span: time.Minute, FirstWord: 10 * time.Second, Silence: time.Minute, Unread: 1 << 20, UnreadAll: 1 << 20, Counts: time.Hour, WriteMost: time.Second, LateLoop: 50 * time.Millisecond}}
+		Bounds: config.Bounds{QueueLength: 100, MaxConnections: 10, MaxFirstMessageBytes: 1 << 10, MaxMessageBytes: 1 << 20, MaxMessageElements: 64, MaxCollectorsPerZone: 2,
+			MaxReportedTime: time.Minute, JoinTimeout: 10 * time.Second, AcknowledgeTimeout: time.Minute, MaxUnsentBytes: 1 << 20, MaxTotalUnsentBytes: 1 << 20, CountLogInterval: time.Hour, WriteTimeout: time.Second, LateTimerThreshold: 50 * time.Millisecond}}
 }
 
 // TestLife goes from start to exit: a sign of life, two joinings that arrive together, their tables in one
@@ -65,7 +65,7 @@
 				_, _ = c.Write(resp.Append(nil, strings.Fields(first)...))
 				in := resp.NewReader(c, 1<<20, 64)
 				for {
-					words, err := in.Texts()
+					words, err := in.NextStrings()
 					if err != nil {
 						heard[i] <- "ended"
 						return
@@ -93,7 +93,7 @@
 			}
 		}
 	})
-	testkit.Compare(t, trace.String()+regexp.MustCompile(`"time":"[^"]*",`).ReplaceAllString(log.String(), ""))
+	testkit.CompareTrace(t, trace.String()+regexp.MustCompile(`"time":"[^"]*",`).ReplaceAllString(log.String(), ""))
 }
 
 // TestHeldUp has a timer that is long due while words still trickle in, as after the process was stopped: they
@@ -103,25 +103,25 @@
 	for _, late := range []time.Duration{0, time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			d := New(conf(), zerolog.Nop())
-			d.begun = time.Now()
-			d.exchange = exchange.New(100)
-			d.wakes = []wake{{d.now(), 7}, {d.now() + rules.Time(time.Hour), 8}}
+			d.startedAt = time.Now()
+			d.queue = eventqueue.New(100)
+			d.timers = []timer{{d.now(), 7}, {d.now() + rules.Time(time.Hour), 8}}
 			time.Sleep(late) // on the bubble's clock
 			go func() {
 				for i := range 4 {
-					d.exchange.Post(exchange.Event{Fact: rules.Sums{Tries: i}})
+					d.queue.Post(eventqueue.Event{Fact: rules.Sums{Tries: i}})
 					time.Sleep(3 * time.Millisecond)
 				}
 			}()
 			fmt.Fprintf(&trace, "%v late:", late)
-			for _, f := range d.next(t.Context(), time.NewTimer(0)) {
+			for _, f := range d.nextFacts(t.Context(), time.NewTimer(0)) {
 				fmt.Fprintf(&trace, " %T", f)
 			}
 			fmt.Fprintln(&trace)
 			time.Sleep(time.Second)
 		})
 	}
-	testkit.Compare(t, trace.String())
+	testkit.CompareTrace(t, trace.String())
 }
 
 func TestStartFails(t *testing.T) {
@@ -156,10 +156,10 @@
 func TestDrainDuringFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := conf()
-		c.Operator.Intake = config.IntakeOptions{Reports: config.ReportsPairs, HalfLife: time.Second, MostAge: 10 * time.Second}
+		c.Operator.Intake = config.IntakeOptions{Reports: config.ReportsPairs, HalfLife: time.Second, MaxAge: 10 * time.Second}
 		d := New(c, zerolog.Nop())
-		d.begun, d.exchange, d.intake = time.Now(), exchange.New(c.Bounds.Inbox), intake.New(c.IntakeSettings())
-		d.exchange.Connect(anySide{}, anySide{})
+		d.startedAt, d.queue, d.intake = time.Now(), eventqueue.New(c.Bounds.QueueLength), intake.New(c.IntakeSettings())
+		d.queue.Connect(anySide{}, anySide{})
 		r := func(s ...rules.State) (l rules.List) {
 			for i, state := range s {
 				l.Entries = append(l.Entries, rules.Entry{Replica: rules.ReplicaID(i), State: state, Listed: 1})
@@ -171,18 +171,18 @@
 		}
 		d.intake.Join(1, 0)
 		var ended atomic.Bool
-		defer func() { ended.Store(true); d.exchange.Close(); synctest.Wait() }()
+		defer func() { ended.Store(true); d.queue.Close(); synctest.Wait() }()
 		go func() {
 			for !ended.Load() {
 				b := intake.NewBatch()
 				b.Proxy, b.Over, b.Records = 1, time.Second, append(b.Records, intake.Record{Replica: 0, Tries: 1})
-				d.exchange.Post(exchange.Event{From: 1, Batch: b, Read: time.Now()})
+				d.queue.Post(eventqueue.Event{Connection: 1, Batch: b, ReceivedAt: time.Now()})
 			}
 		}()
 		synctest.Wait()
-		d.exchange.Post(exchange.Event{Fact: r(rules.Ready, rules.Draining)})
+		d.queue.Post(eventqueue.Event{Fact: r(rules.Ready, rules.Draining)})
 		timer := time.NewTimer(time.Hour)
-		for _, o := range d.gov.Step(d.now(), d.next(t.Context(), timer)) {
+		for _, o := range d.governor.Step(d.now(), d.nextFacts(t.Context(), timer)) {
 			if l, is := o.(rules.Line); is && l.Replica == 1 && l.Weight == 0 {
 				return
 			}
@@ -192,8 +192,8 @@
 }
 
 // anySide stands for both sides of the exchange.
-type anySide struct{ exchange.List }
+type anySide struct{ eventqueue.Discovery }
 
-func (anySide) Heed(exchange.Event) bool { return true }
-func (anySide) Carry([]rules.Order)      {}
-func (anySide) Forget(rules.ReplicaID)   {}
+func (anySide) Accept(eventqueue.Event) bool { return true }
+func (anySide) Execute([]rules.Order)        {}
+func (anySide) Forget(rules.ReplicaID)       {}
--- a/internal/daemon/fronts_test.go
+++ b/internal/daemon/fronts_test.go
@@ -13,7 +13,7 @@
 	"zincloft.example/zincloft/intake"
 	"zincloft.example/zincloft/internal/collectd"
 	"zincloft.example/zincloft/internal/config"
-	"zincloft.example/zincloft/internal/exchange"
+	"zincloft.example/zincloft/internal/eventqueue"
 	"zincloft.example/zincloft/internal/standin"
 	"zincloft.example/zincloft/internal/testkit"
 	"zincloft.example/zincloft/rules"
@@ -37,7 +37,7 @@
 		listened := 0
 		stop()
 		err = d.Run(ctx, func() (net.Listener, error) { listened++; return testkit.Listen(), nil }, nil, nil)
-		if machines, _ := d.machines(); err != nil || listened != 1 || d.intake != nil || d.graphite != nil || machines != nil {
+		if machines, _ := d.listenCollectd(); err != nil || listened != 1 || d.intake != nil || d.graphite != nil || machines != nil {
 			t.Errorf("%q: %v, %d listeners, intake %v, graphite %v, machines %v", path, err, listened, d.intake, d.graphite, machines)
 		}
 	}
@@ -61,8 +61,8 @@
 		t.Fatal(err)
 	}
 	c.Operator.Graphite.Address, c.Operator.Graphite.Interval = g.Address(), 50*time.Millisecond
-	c.Operator.Collectd.Listen, c.Operator.Collectd.Allow = address, []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}
-	c.Operator.Collectd.Figures = []collectd.Figure{{Figure: intake.Util, Plugin: "cpu", Type: "percent", Scale: 0.01}}
+	c.Operator.Collectd.Listen, c.Operator.Collectd.AllowedSources = address, []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}
+	c.Operator.Collectd.Mappings = []collectd.Mapping{{Figure: intake.Util, Plugin: "cpu", Type: "percent", Scale: 0.01}}
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
 	d := New(c, zerolog.Nop())
@@ -110,11 +110,11 @@
 				c.Operator.Graphite.Address, c.Operator.Graphite.Interval = g.Address(), time.Second
 			}
 			d := New(c, zerolog.Nop())
-			d.begun, d.exchange = time.Now(), exchange.New(c.Bounds.Inbox)
-			d.exchange.Connect(anySide{}, named{})
+			d.startedAt, d.queue = time.Now(), eventqueue.New(c.Bounds.QueueLength)
+			d.queue.Connect(anySide{}, named{})
 			ctx, stop := context.WithCancel(b.Context())
-			d.beginGraphite(ctx)
-			defer func() { stop(); d.fronts.Wait() }()
+			d.startGraphite(ctx)
+			defer func() { stop(); d.background.Wait() }()
 			var list rules.List
 			for r := range 1000 {
 				list.Entries = append(list.Entries, rules.Entry{Replica: rules.ReplicaID(r), State: rules.Ready, Listed: 1})
@@ -135,7 +135,7 @@
 				if err := d.step(facts); err != nil {
 					b.Fatal(err)
 				}
-				d.view()
+				d.sendSnapshot()
 				_ = took.RecordValue(time.Since(from).Nanoseconds()) // under a second
 				views++
 			}
@@ -172,9 +172,9 @@
 }
 
 // named has a name for each replica.
-type named struct{ exchange.List }
+type named struct{ eventqueue.Discovery }
 
 func (named) ID([]byte) (rules.ReplicaID, bool)      { return 0, false }
 func (named) Name(id rules.ReplicaID) (string, bool) { return fmt.Sprint("s-", uint32(id)), true }
-func (named) Observe(bool)                           {}
+func (named) Watch(bool)                             {}
 func (named) Forget(rules.ReplicaID)                 {}
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -5,15 +5,15 @@
 	"slices"
 	"time"
 
-	"zincloft.example/zincloft/internal/list"
+	"zincloft.example/zincloft/internal/discoveryclient"
 	"zincloft.example/zincloft/internal/store"
 	"zincloft.example/zincloft/recovery"
 	"zincloft.example/zincloft/rules"
 )
 
-// recall opens what a former life kept, where the operator file names a folder, and returns what the governor is to begin
+// restoreState opens what a former life kept, where the operator file names a folder, and returns what the governor is to begin
 // with. Whatever is wrong with the disk is told once, and the governor serves.
-func (d *Daemon) recall() ([]rules.Event, *store.Writer) {
+func (d *Daemon) restoreState() ([]rules.Event, *store.Writer) {
 	o := d.conf.Operator.State
 	if o.Dir == "" {
 		return nil, nil
@@ -27,12 +27,12 @@
 		return nil, nil
 	}
 	d.entries = map[rules.ReplicaID]rules.Entry{}
-	set := recovery.Settings{HalfLife: o.HalfLife, MostAge: o.MostAge}
+	set := recovery.Settings{HalfLife: o.HalfLife, MostAge: o.MaxAge}
 	now := d.now()
 	plan := recovery.Weigh(now, kept, d.conf.Name, d.conf.Discovery, set)
 	d.log.Info().Str("verdict", string(plan.Verdict)).Dur("age", plan.Age).Float64("trust", plan.Trust).Int("replicas", len(kept.Replicas)).Msg("state")
 	if len(plan.Events) > 0 {
-		d.list.Restore(kept)
+		d.discovery.Restore(kept)
 		d.recovery = recovery.Begin(now, kept, plan, set)
 		for _, r := range kept.Replicas {
 			d.entries[r.Entry.Replica] = r.Entry
@@ -41,8 +41,8 @@
 	return plan.Events, store.NewWriter(s, d.log)
 }
 
-// recover passes facts through the recovery while there is one, and follows the list.
-func (d *Daemon) recover(facts []rules.Event) []rules.Event {
+// trackRecovery passes facts through the recovery while there is one, and follows the list.
+func (d *Daemon) trackRecovery(facts []rules.Event) []rules.Event {
 	if d.entries == nil {
 		return facts
 	}
@@ -72,30 +72,30 @@
 	return out
 }
 
-// keep hands what the next start can use to the writer, when that is due. Nothing is kept before discovery has spoken:
+// saveState hands what the next start can use to the writer, when that is due. Nothing is kept before discovery has spoken:
 // what stands on disk is as good until then.
-func (d *Daemon) keep() {
+func (d *Daemon) saveState() {
 	now := time.Now()
-	if d.writer == nil || d.recovery != nil || now.Before(d.keepAt) || !d.writer.Ready() {
+	if d.writer == nil || d.recovery != nil || now.Before(d.nextSaveAt) || !d.writer.Ready() {
 		return
 	}
-	d.keepAt = now.Add(d.conf.Operator.State.Sync)
-	version, heard := d.list.Held()
+	d.nextSaveAt = now.Add(d.conf.Operator.State.SyncInterval)
+	version, heard := d.discovery.Position()
 	if heard.IsZero() {
 		return
 	}
-	d.writer.Offer(d.gatherKept(version, heard))
+	d.writer.Offer(d.stateToSave(version, heard))
 }
 
-// gatherKept is what the next start can use.
-func (d *Daemon) gatherKept(version list.Version, heard time.Time) recovery.Kept {
-	k := recovery.Kept{Governor: d.conf.Name, Discovery: d.conf.Discovery, Version: uint64(version), Heard: d.at(heard), Written: d.now(), Next: d.list.Next()}
+// stateToSave is what the next start can use.
+func (d *Daemon) stateToSave(version discoveryclient.Version, heard time.Time) recovery.Kept {
+	k := recovery.Kept{Governor: d.conf.Name, Discovery: d.conf.Discovery, Version: uint64(version), Heard: d.rulesTime(heard), Written: d.now(), Next: d.discovery.Next()}
 	learnt := map[rules.ReplicaID]rules.Recalled{}
-	for _, m := range d.gov.Memory(nil) {
+	for _, m := range d.governor.Memory(nil) {
 		learnt[m.Replica] = m
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
-		if name, known := d.list.Name(id); known {
+		if name, known := d.discovery.Name(id); known {
 			k.Replicas = append(k.Replicas, recovery.Replica{Name: name, Entry: d.entries[id], Learnt: learnt[id]})
 		}
 	}
--- a/internal/daemon/state_test.go
+++ b/internal/daemon/state_test.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 
 	"zincloft.example/zincloft/internal/config"
-	"zincloft.example/zincloft/internal/list"
+	"zincloft.example/zincloft/internal/discoveryclient"
 	"zincloft.example/zincloft/internal/store"
 	"zincloft.example/zincloft/internal/testkit"
 	"zincloft.example/zincloft/recovery"
@@ -26,7 +26,7 @@
 func stateConf(dir string) config.Config {
 	c := conf()
 	c.Known = nil
-	c.Operator.State = config.StateOptions{Dir: dir, Sync: time.Second, HalfLife: 10 * time.Minute, MostAge: 24 * time.Hour}
+	c.Operator.State = config.StateOptions{Dir: dir, SyncInterval: time.Second, HalfLife: 10 * time.Minute, MaxAge: 24 * time.Hour}
 	return c
 }
 
@@ -120,9 +120,9 @@
 	defer discovery.Close()
 	dir, copied := t.TempDir(), t.TempDir()
 	c := stateConf(dir)
-	c.Discovery, c.Operator.State.Sync = strings.TrimPrefix(discovery.URL, "http://"), 100*time.Millisecond
+	c.Discovery, c.Operator.State.SyncInterval = strings.TrimPrefix(discovery.URL, "http://"), 100*time.Millisecond
 	c.Settings.ListOnRequest, c.Settings.AskWithin = true, 10*time.Second
-	c.Bounds.ListWait, c.Bounds.ListMore, c.Bounds.ListBytes = time.Second, time.Second, 1<<20
+	c.Bounds.DiscoveryWait, c.Bounds.DiscoveryCallMargin, c.Bounds.MaxDiscoveryBytes = time.Second, time.Second, 1<<20
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
 	done := make(chan error)
@@ -132,14 +132,14 @@
 	var kept recovery.Kept
 	for ; ctx.Err() == nil && kept.Version != 4; time.Sleep(20 * time.Millisecond) { // a file that is open can only be looked at as a copy
 		if b, err := os.ReadFile(store.Path(dir)); err == nil && os.WriteFile(store.Path(copied), b, 0o600) == nil {
-			kept, _ = store.View(copied) // torn while it is written
+			kept, _ = store.Read(copied) // torn while it is written
 		}
 	}
 	stop()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	kept, err := store.View(dir)
+	kept, err := store.Read(dir)
 	if err != nil || len(kept.Replicas) != 1 || kept.Replicas[0].Name != "r5" || kept.Replicas[0].Entry.Listed != 2.5 || kept.Discovery != c.Discovery || kept.Heard == 0 {
 		t.Errorf("%+v, %v", kept, err)
 	}
@@ -149,8 +149,8 @@
 func BenchmarkKeep(b *testing.B) {
 	c := stateConf(b.TempDir())
 	d := New(c, zerolog.Nop())
-	d.begun = time.Now()
-	d.list = list.New(b.Context(), c, zerolog.Nop(), func(rules.List) {})
+	d.startedAt = time.Now()
+	d.discovery = discoveryclient.New(b.Context(), c, zerolog.Nop(), func(rules.List) {})
 	d.entries = map[rules.ReplicaID]rules.Entry{}
 	kept := recovery.Kept{Next: 10_000}
 	var l rules.List
@@ -160,14 +160,14 @@
 		d.entries[e.Replica] = e
 		kept.Replicas = append(kept.Replicas, recovery.Replica{Name: fmt.Sprint("s", i), Entry: e})
 	}
-	d.list.Restore(kept)
-	d.gov.Step(0, []rules.Event{rules.Start{Settings: c.Settings.Settings}, l})
+	d.discovery.Restore(kept)
+	d.governor.Step(0, []rules.Event{rules.Start{Settings: c.Settings.Settings}, l})
 	for r := range 10_000 {
-		d.gov.Step(1, []rules.Event{rules.Recalled{Replica: rules.ReplicaID(r), Speed: 1.5, Answers: 3, Trust: 1}})
+		d.governor.Step(1, []rules.Event{rules.Recalled{Replica: rules.ReplicaID(r), Speed: 1.5, Answers: 3, Trust: 1}})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if k := d.gatherKept(1, time.Now()); len(k.Replicas) != 10_000 || k.Replicas[7].Learnt.Speed == 0 {
+		if k := d.stateToSave(1, time.Now()); len(k.Replicas) != 10_000 || k.Replicas[7].Learnt.Speed == 0 {
 			b.Fatal(len(k.Replicas))
 		}
 	}
--- a/internal/list/codec.go
+++ b/internal/discoveryclient/answer.go
@@ -1,4 +1,4 @@
-package list
+package discoveryclient
 
 import (
 	"encoding/json"
@@ -16,12 +16,12 @@
 
 // answer is a list as discovery writes it.
 type answer struct {
-	Version *Version `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []entry  `json:"servers"`
+	Version *Version      `json:"version"`
+	Full    bool          `json:"full"`
+	Servers []serverEntry `json:"servers"`
 }
 
-type entry struct {
+type serverEntry struct {
 	ID      string   `json:"id"`
 	Zone    string   `json:"zone"`
 	Kind    string   `json:"kind"`
@@ -31,10 +31,10 @@
 	Started int64    `json:"started_ms"`
 }
 
-var states = map[string]rules.State{"ready": rules.Ready, "draining": rules.Draining, "gone": rules.Gone}
+var stateByName = map[string]rules.State{"ready": rules.Ready, "draining": rules.Draining, "gone": rules.Gone}
 
-// read decodes an answer and checks it whole, so that a bad one leaves nothing behind.
-func read(text []byte) (answer, error) {
+// decodeAnswer decodes an answer and checks it whole, so that a bad one leaves nothing behind.
+func decodeAnswer(text []byte) (answer, error) {
 	var a answer
 	if err := json.Unmarshal(text, &a); err != nil {
 		return answer{}, fmt.Errorf("the list is not the expected JSON: %w", err)
@@ -43,7 +43,7 @@
 		return answer{}, errors.New("the list lacks version")
 	}
 	for _, s := range a.Servers {
-		switch _, ok := states[s.State]; {
+		switch _, ok := stateByName[s.State]; {
 		case s.ID == "":
 			return answer{}, errors.New("an entry of the list lacks id")
 		case !ok:
@@ -57,18 +57,18 @@
 	return a, nil
 }
 
-// number puts an answer that counts into the words of package rules. Zones and kinds that the settings lack stand
+// toRules puts an answer that counts into the words of package rules. Zones and kinds that the settings lack stand
 // past those that they have.
-func (l *List) number(a answer) rules.List {
+func (l *Client) toRules(a answer) rules.List {
 	out := rules.List{Scope: rules.Changes}
 	if a.Full {
 		out.Scope = rules.Whole
-		l.unlist()
+		l.unlistAll()
 	}
 	for _, s := range a.Servers {
 		e := rules.Entry{
-			Replica: l.add(s.ID, states[s.State] != rules.Gone), Zone: rules.ZoneID(place(l.zones, s.Zone)),
-			Kind: rules.KindID(place(l.kinds, s.Kind)), Cell: rules.CellID(s.Cell), State: states[s.State], Listed: 1,
+			Replica: l.add(s.ID, stateByName[s.State] != rules.Gone), Zone: rules.ZoneID(indexOf(l.zones, s.Zone)),
+			Kind: rules.KindID(indexOf(l.kinds, s.Kind)), Cell: rules.CellID(s.Cell), State: stateByName[s.State], Listed: 1,
 			StartedAt: rules.Time(s.Started) * rules.Time(time.Millisecond),
 		}
 		if s.Weight != nil {
@@ -79,7 +79,7 @@
 	return out
 }
 
-func place(in []string, name string) int {
+func indexOf(in []string, name string) int {
 	if i := slices.Index(in, name); i >= 0 {
 		return i
 	}
--- a/internal/list/list_test.go
+++ b/internal/discoveryclient/client_test.go
@@ -1,4 +1,4 @@
-package list
+package discoveryclient
 
 import (
 	"context"
@@ -19,17 +19,17 @@
 )
 
 // An act is what the stand-in of discovery does with one call.
-type act func(l *List, w http.ResponseWriter, r *http.Request)
+type act func(l *Client, w http.ResponseWriter, r *http.Request)
 
 func tells(version int, full bool, servers ...string) act {
-	return func(_ *List, w http.ResponseWriter, _ *http.Request) {
+	return func(_ *Client, w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(servers, ","))
 	}
 }
 
 // after lets a call wait for so long, or until the caller gives up.
 func after(d time.Duration, a act) act {
-	return func(l *List, w http.ResponseWriter, r *http.Request) {
+	return func(l *Client, w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(d):
 			a(l, w, r)
@@ -40,8 +40,8 @@
 
 // moves tells the list of another address while a call to the old one waits.
 func moves(address string) act {
-	return func(l *List, _ http.ResponseWriter, r *http.Request) {
-		l.Move(address)
+	return func(l *Client, _ http.ResponseWriter, r *http.Request) {
+		l.SetAddress(address)
 		<-r.Context().Done()
 	}
 }
@@ -60,7 +60,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		lines, failed := make(chan string, 100), make(chan struct{}, 100)
 		l := New(ctx, config.Config{Discovery: "10.2.0.1:8500", Settings: config.Settings{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}},
-			Bounds: config.Bounds{ListWait: 20 * time.Second, ListMore: 2 * time.Second, ListBytes: 2000}}, zerolog.Nop(),
+			Bounds: config.Bounds{DiscoveryWait: 20 * time.Second, DiscoveryCallMargin: 2 * time.Second, MaxDiscoveryBytes: 2000}}, zerolog.Nop(),
 			func(e rules.List) {
 				lines <- fmt.Sprintf("  heard %+v", e)
 				if e.Scope == rules.Failed {
@@ -69,7 +69,7 @@
 			})
 		socket := testkit.Listen()
 		l.dial = socket.Dial
-		l.Move("10.2.0.1:8500")
+		l.SetAddress("10.2.0.1:8500")
 		begun, connections, over := time.Now(), atomic.Int32{}, atomic.Bool{}
 		s := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			lines <- fmt.Sprintf("%v call %s of %s", time.Since(begun), r.URL, r.Host)
@@ -88,19 +88,19 @@
 		}}
 		time.AfterFunc(down, func() { _ = s.Serve(socket) })
 		if known != "" {
-			first, err := l.Known([]byte(known))
+			first, err := l.LoadKnown([]byte(known))
 			if err != nil {
 				t.Fatal(err)
 			}
 			fmt.Fprintf(&trace, "known %+v\n", first)
 		}
-		l.Observe(true)
+		l.Watch(true)
 		for !over.Load() {
 			time.Sleep(100 * time.Millisecond) // on the bubble's clock
 			synctest.Wait()
 			if len(failed) > 0 {
 				<-failed
-				time.AfterFunc(time.Second, func() { l.Observe(true) })
+				time.AfterFunc(time.Second, func() { l.Watch(true) })
 			}
 		}
 		for len(lines) > 0 {
@@ -114,7 +114,7 @@
 		l.Wait()
 		s.Close()
 	})
-	testkit.Compare(t, trace.String())
+	testkit.CompareTrace(t, trace.String())
 }
 
 const known = `{"version":41,"full":true,"servers":[{"id":"s-1","zone":"a","kind":"m1","cell":1,"state":"ready","started_ms":0}]}`
@@ -129,14 +129,14 @@
 }
 
 func TestFailures(t *testing.T) {
-	status := func(_ *List, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
-	reset := func(*List, http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
-	cut := func(_ *List, w http.ResponseWriter, _ *http.Request) {
+	status := func(_ *Client, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
+	reset := func(*Client, http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+	cut := func(_ *Client, w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "500")
 		_, _ = w.Write([]byte(`{"version":42,"full":true,"servers":[`))
 		panic(http.ErrAbortHandler)
 	}
-	words := func(_ *List, w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "no list") }
+	words := func(_ *Client, w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "no list") }
 	long := tells(42, true, strings.Repeat(" ", 3000))
 	follows(t, known, 0, status, reset, cut, words, long, after(30*time.Second, status), tells(42, false, `{"id":"s-9","state":"lost"}`),
 		tells(42, false, server("s-3", "ready")))
@@ -154,12 +154,12 @@
 // TestMove has the address change before the first answer, while a call waits, twice in a row, and while a call for the
 // whole list is out: nothing that changed in between is missed, and what the old address still says counts for nothing.
 func TestMove(t *testing.T) {
-	twice := func(l *List, w http.ResponseWriter, r *http.Request) {
-		l.Move("10.2.0.8:8500")
-		l.Move("10.2.0.9:8500")
+	twice := func(l *Client, w http.ResponseWriter, r *http.Request) {
+		l.SetAddress("10.2.0.8:8500")
+		l.SetAddress("10.2.0.9:8500")
 		tells(70, true)(l, w, r)
 	}
-	failed := func(l *List, w http.ResponseWriter, _ *http.Request) {
+	failed := func(l *Client, w http.ResponseWriter, _ *http.Request) {
 		time.AfterFunc(500*time.Millisecond, l.Fetch)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
@@ -171,9 +171,9 @@
 // TestForget has replicas come under ever new names: only those that are listed are held, and one that is listed
 // again before the module's Forget has come keeps its number.
 func TestForget(t *testing.T) {
-	l := List{names: newNames()}
+	l := Client{nameTable: newNameTable()}
 	hear := func(full bool, id string, state string) rules.ReplicaID {
-		return l.number(answer{Full: full, Servers: []entry{{ID: id, State: state}}}).Entries[0].Replica
+		return l.toRules(answer{Full: full, Servers: []serverEntry{{ID: id, State: state}}}).Entries[0].Replica
 	}
 	back := hear(false, "s-back", "ready")
 	for i := range 1000 {
--- /dev/null
+++ b/internal/discoveryclient/endpoint.go
@@ -0,0 +1,98 @@
+package discoveryclient
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httputil"
+	"time"
+)
+
+type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
+
+// endpoint makes calls to discovery at one address through a reverse proxy that is run in-process: the transport
+// below is all that touches the network, and a caller never sees half an answer.
+type endpoint struct {
+	proxy     *httputil.ReverseProxy
+	transport *completeTransport
+	ctx       context.Context // ends when another address has taken this one's place
+	close     context.CancelFunc
+}
+
+func newEndpoint(ctx context.Context, address string, maxBytes int64, dial dialFunc) *endpoint {
+	ctx, cancel := context.WithCancel(ctx)
+	t := &completeTransport{maxBytes: maxBytes, base: &http.Transport{
+		DialContext:            dial,
+		MaxIdleConnsPerHost:    1,
+		MaxResponseHeaderBytes: 64 << 10,
+		DisableCompression:     true,
+	}}
+	context.AfterFunc(ctx, t.base.CloseIdleConnections)
+	return &endpoint{transport: t, ctx: ctx, close: cancel, proxy: &httputil.ReverseProxy{
+		Rewrite: func(r *httputil.ProxyRequest) {
+			r.Out.URL.Scheme, r.Out.URL.Host, r.Out.Host = "http", address, address
+		},
+		Transport:    t,
+		ErrorHandler: func(w http.ResponseWriter, _ *http.Request, err error) { w.(*bufferedReply).err = err },
+	}}
+}
+
+// get returns the body of an answer that came whole and well within the time.
+func (e *endpoint) get(ctx context.Context, target string, timeout time.Duration) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
+	if err != nil {
+		return nil, err
+	}
+	w := &bufferedReply{header: http.Header{}}
+	e.proxy.ServeHTTP(w, req)
+	if w.err == nil && w.status != http.StatusOK {
+		w.err = fmt.Errorf("discovery answered %d", w.status)
+	}
+	if w.err != nil {
+		e.transport.base.CloseIdleConnections() // the next call goes by a fresh connection
+		return nil, w.err
+	}
+	return w.body.Bytes(), nil
+}
+
+// completeTransport is a round tripper that returns answers whole or not at all. It guards against bodies that are cut,
+// too long or that never end.
+type completeTransport struct {
+	base     *http.Transport
+	maxBytes int64
+}
+
+func (t *completeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	res, err := t.base.RoundTrip(r)
+	if err != nil {
+		return nil, err
+	}
+	defer res.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(res.Body, t.maxBytes+1))
+	if err != nil {
+		return nil, fmt.Errorf("the answer is cut: %w", err)
+	}
+	if int64(len(body)) > t.maxBytes {
+		return nil, errors.New("the answer is too long")
+	}
+	res.Body = io.NopCloser(bytes.NewReader(body))
+	return res, nil
+}
+
+// bufferedReply takes what the reverse proxy answers.
+type bufferedReply struct {
+	header http.Header
+	status int
+	body   bytes.Buffer
+	err    error
+}
+
+func (w *bufferedReply) Header() http.Header         { return w.header }
+func (w *bufferedReply) WriteHeader(status int)      { w.status = status }
+func (w *bufferedReply) Write(b []byte) (int, error) { return w.body.Write(b) }
--- a/internal/exchange/exchange_test.go
+++ b/internal/eventqueue/queue_test.go
@@ -1,4 +1,4 @@
-package exchange
+package eventqueue
 
 import (
 	"fmt"
@@ -14,10 +14,10 @@
 type sides struct{ asked []string }
 
 func (s *sides) note(format string, a ...any)        { s.asked = append(s.asked, fmt.Sprintf(format, a...)) }
-func (s *sides) Heed(Event) bool                     { return false }
-func (s *sides) Carry(o []rules.Order)               { s.note("carry %+v", o) }
+func (s *sides) Accept(Event) bool                   { return false }
+func (s *sides) Execute(o []rules.Order)             { s.note("carry %+v", o) }
 func (s *sides) Forget(r rules.ReplicaID)            { s.note("forget %d", r) }
-func (s *sides) Observe(on bool)                     { s.note("observe %v", on) }
+func (s *sides) Watch(on bool)                       { s.note("observe %v", on) }
 func (s *sides) Fetch()                              { s.note("fetch") }
 func (s *sides) ID([]byte) (rules.ReplicaID, bool)   { return 0, false }
 func (s *sides) Name(rules.ReplicaID) (string, bool) { return "", false }
@@ -26,7 +26,7 @@
 func TestDeliver(t *testing.T) {
 	x, s := New(1), &sides{}
 	x.Connect(s, s)
-	own := x.Deliver([]rules.Order{rules.Observe{On: true}, rules.Line{Replica: 4}, rules.Forget{Replica: 4}, rules.WakeAfter{Mark: 1}, rules.FetchList{}})
+	own := x.Dispatch([]rules.Order{rules.Observe{On: true}, rules.Line{Replica: 4}, rules.Forget{Replica: 4}, rules.WakeAfter{Mark: 1}, rules.FetchList{}})
 	want := []string{"observe true", "fetch", "carry [{Table:0 Replica:4 Weight:0}]", "forget 4", "forget 4"}
 	if d := cmp.Diff(want, s.asked); d != "" || len(own) != 2 {
 		t.Error(d, own)
@@ -37,15 +37,15 @@
 // out first; a report that is offered does not.
 func TestNothingWaitsBehindReports(t *testing.T) {
 	x := New(4)
-	for x.Offer(Event{Batch: &intake.Batch{}}) {
+	for x.TryPost(Event{Batch: &intake.Batch{}}) {
 	}
-	if x.Offer(Event{Fact: rules.Sums{}}) || x.Offer(Event{Fact: rules.Intake{}}) {
+	if x.TryPost(Event{Fact: rules.Sums{}}) || x.TryPost(Event{Fact: rules.Intake{}}) {
 		t.Error("there is room for reports in a lane that is full")
 	}
 	for _, fact := range []rules.Event{rules.Joined{}, rules.Left{}, rules.Applied{}, rules.List{}} {
 		x.Post(Event{Fact: fact}) // would wait for ever
 	}
-	if len(x.First()) != 4 || len(x.Reports()) != 4 {
-		t.Error(len(x.First()), len(x.Reports()))
+	if len(x.Urgent()) != 4 || len(x.Reports()) != 4 {
+		t.Error(len(x.Urgent()), len(x.Reports()))
 	}
 }
--- a/internal/graphite/graphite_test.go
+++ b/internal/graphite/graphite_test.go
@@ -21,8 +21,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func names() Names {
-	return Names{Groups: []string{"look", "pay order"}, Replica: func(id rules.ReplicaID) (string, bool) {
+func names() Labels {
+	return Labels{GroupNames: []string{"look", "pay order"}, ReplicaName: func(id rules.ReplicaID) (string, bool) {
 		return map[rules.ReplicaID]string{1: "web-1", 2: "web.2", 3: "web_2"}[id], id < 4
 	}}
 }
@@ -43,57 +43,57 @@
 	var trace strings.Builder
 	var s Snapshot
 	fill(&s, 1_700_000_000, 4)
-	s.Intake = true
-	w := writer{prefix: "zincloft.n1."}
+	s.HasIntake = true
+	w := pointWriter{prefix: "zincloft.n1."}
 	points := 0
-	w.write(&s, names(), Counts{Sent: 7, Dropped: 1}, func(b []byte, n int) { trace.Write(b); points += n })
+	w.writeSnapshot(&s, names(), Stats{Sent: 7, Dropped: 1}, func(b []byte, n int) { trace.Write(b); points += n })
 	if lines := strings.Count(trace.String(), "\n"); lines != points {
 		t.Errorf("%d lines are counted as %d points", lines, points)
 	}
-	testkit.Compare(t, trace.String())
+	testkit.CompareTrace(t, trace.String())
 }
 
 // TestSafe has any two names become two parts of a path, each of which can be one.
 func TestSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.String().Draw(t, "a"), rapid.String().Draw(t, "b")
-		for _, part := range []string{Safe(a), Safe(b)} {
-			if part == "" || len(part) > longestName+9 || strings.ContainsFunc(part, func(r rune) bool {
+		for _, part := range []string{SanitizePathPart(a), SanitizePathPart(b)} {
+			if part == "" || len(part) > maxPathPartBytes+9 || strings.ContainsFunc(part, func(r rune) bool {
 				return r > 127 || strings.ContainsRune(" .\n\t/;*{}[]~", r)
 			}) {
 				t.Fatalf("%q", part)
 			}
 		}
-		if a != b && Safe(a) == Safe(b) {
-			t.Fatalf("%q and %q both become %q", a, b, Safe(a))
+		if a != b && SanitizePathPart(a) == SanitizePathPart(b) {
+			t.Fatalf("%q and %q both become %q", a, b, SanitizePathPart(a))
 		}
 	})
 	for _, same := range []string{"s-5be2a07c", "A_b-9"} {
-		if Safe(same) != same {
-			t.Errorf("%q becomes %q", same, Safe(same))
+		if SanitizePathPart(same) != same {
+			t.Errorf("%q becomes %q", same, SanitizePathPart(same))
 		}
 	}
 }
 
 func senderOptions(address string) Options {
-	return Options{Address: address, Prefix: "z", Points: 5000, WriteMost: 200 * time.Millisecond, DialMost: time.Second, RetryMost: 100 * time.Millisecond}
+	return Options{Address: address, Prefix: "z", MaxQueuedPoints: 5000, WriteTimeout: 200 * time.Millisecond, DialTimeout: time.Second, MaxRetryDelay: 100 * time.Millisecond}
 }
 
 // played runs a sender against a receiver and feeds it snapshots until enough says so.
-func played(t *testing.T, s *Sender, replicas int, enough func(Counts) bool) {
+func played(t *testing.T, s *Sender, replicas int, enough func(Stats) bool) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	done := make(chan struct{})
 	go func() { s.Run(ctx); close(done) }()
-	for at := int64(1_700_000_000); !enough(s.Counts()) && ctx.Err() == nil; at++ {
-		if x := s.Take(); x != nil {
+	for at := int64(1_700_000_000); !enough(s.Stats()) && ctx.Err() == nil; at++ {
+		if x := s.AcquireSnapshot(); x != nil {
 			fill(x, at, replicas)
-			s.Give(x)
+			s.SubmitSnapshot(x)
 		}
 		time.Sleep(10 * time.Millisecond) // the receiver is a socket: there is no clock to hold
 	}
 	if ctx.Err() != nil {
-		t.Errorf("after 20 s: %+v", s.Counts())
+		t.Errorf("after 20 s: %+v", s.Stats())
 	}
 	stop()
 	<-done
@@ -128,7 +128,7 @@
 			}
 			defer g.Close()
 			g.SetBehaviour(m)
-			played(t, New(senderOptions(g.Address()), names(), testkit.Logger(&strings.Builder{})), 3, func(c Counts) bool { return c.Sent > 300 && len(g.Lines()) > 50 })
+			played(t, New(senderOptions(g.Address()), names(), testkit.Logger(&strings.Builder{})), 3, func(c Stats) bool { return c.Sent > 300 && len(g.Lines()) > 50 })
 			if !slices.ContainsFunc(g.Lines(), func(l string) bool { return strings.HasPrefix(l, "z.replica.web-1.load 0.4 17") }) {
 				t.Error(g.Lines()[:10])
 			}
@@ -141,7 +141,7 @@
 		}
 		defer g.Close()
 		g.SetBehaviour(standin.ResetsConnection)
-		played(t, New(senderOptions(g.Address()), names(), testkit.Logger(&strings.Builder{})), 3, func(c Counts) bool { return c.Failures > 3 })
+		played(t, New(senderOptions(g.Address()), names(), testkit.Logger(&strings.Builder{})), 3, func(c Stats) bool { return c.Failures > 3 })
 	})
 	t.Run("stalls, then reads", func(t *testing.T) {
 		g, err := standin.ListenGraphite("127.0.0.1:0")
@@ -151,13 +151,13 @@
 		defer g.Close()
 		g.SetBehaviour(standin.StallsReading)
 		var log logged
-		s := New(senderOptions(g.Address()), Names{Replica: func(id rules.ReplicaID) (string, bool) { return fmt.Sprint("r", id), true }}, testkit.Logger(&log))
+		s := New(senderOptions(g.Address()), Labels{ReplicaName: func(id rules.ReplicaID) (string, bool) { return fmt.Sprint("r", id), true }}, testkit.Logger(&log))
 		var read time.Time
-		played(t, s, 100, func(c Counts) bool {
+		played(t, s, 100, func(c Stats) bool {
 			s.mu.Lock()
-			waiting := s.points
+			waiting := s.queuedPoints
 			s.mu.Unlock()
-			if waiting > s.opts.Points {
+			if waiting > s.options.MaxQueuedPoints {
 				t.Fatalf("%d points wait", waiting)
 			}
 			if c.Failures > 1 && c.Dropped > 3000 && read.IsZero() {
@@ -165,10 +165,10 @@
 				g.SetBehaviour(standin.ReadsLines)
 			}
 			said := strings.Split(strings.TrimSpace(log.String()), "\n") // its line comes after one period, on a busy machine later
-			return !read.IsZero() && len(g.Lines()) > 100 && time.Since(read) > 4*s.opts.WriteMost && strings.Contains(said[len(said)-1], "graphite is back")
+			return !read.IsZero() && len(g.Lines()) > 100 && time.Since(read) > 4*s.options.WriteTimeout && strings.Contains(said[len(said)-1], "graphite is back")
 		})
 		lines := strings.Split(strings.TrimSpace(log.String()), "\n")
-		if !strings.Contains(lines[0], "graphite failure") || !strings.Contains(lines[len(lines)-1], "graphite is back") || len(lines) > 2*s.Counts().Failures {
+		if !strings.Contains(lines[0], "graphite failure") || !strings.Contains(lines[len(lines)-1], "graphite is back") || len(lines) > 2*s.Stats().Failures {
 			t.Error("lines of the log: ", log.String())
 		}
 	})
@@ -180,7 +180,7 @@
 		address := g.Address()
 		g.Close()
 		var later *standin.Graphite
-		played(t, New(senderOptions(address), names(), testkit.Logger(&strings.Builder{})), 3, func(c Counts) bool {
+		played(t, New(senderOptions(address), names(), testkit.Logger(&strings.Builder{})), 3, func(c Stats) bool {
 			if c.Failures > 2 && later == nil {
 				if later, err = standin.ListenGraphite(address); err != nil {
 					t.Fatal(err)
@@ -197,18 +197,18 @@
 func TestOldestGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(senderOptions("nobody"), names(), testkit.Logger(&strings.Builder{}))
-		s.opts.Points = 100
+		s.options.MaxQueuedPoints = 100
 		for i := range 50 {
-			s.add([]byte(fmt.Sprint(i)), 7)
+			s.enqueue([]byte(fmt.Sprint(i)), 7)
 		}
-		if s.points != 98 || s.counts.Dropped != 50*7-98 || string(s.waiting[0].lines) != "36" {
-			t.Errorf("%d wait from %s on, %d dropped", s.points, s.waiting[0].lines, s.counts.Dropped)
+		if s.queuedPoints != 98 || s.stats.Dropped != 50*7-98 || string(s.queue[0].lines) != "36" {
+			t.Errorf("%d wait from %s on, %d dropped", s.queuedPoints, s.queue[0].lines, s.stats.Dropped)
 		}
-		c, _ := s.next()
-		s.add([]byte("50"), 7)
-		s.back(c) // newer ones have taken its room
-		if s.points != 98 || string(s.waiting[0].lines) != "37" || s.counts.Dropped != 51*7-98 {
-			t.Errorf("%d wait from %s on, %d dropped", s.points, s.waiting[0].lines, s.counts.Dropped)
+		c, _ := s.dequeue()
+		s.enqueue([]byte("50"), 7)
+		s.requeue(c) // newer ones have taken its room
+		if s.queuedPoints != 98 || string(s.queue[0].lines) != "37" || s.stats.Dropped != 51*7-98 {
+			t.Errorf("%d wait from %s on, %d dropped", s.queuedPoints, s.queue[0].lines, s.stats.Dropped)
 		}
 	})
 }
@@ -217,13 +217,13 @@
 func TestTakeNeverWaits(t *testing.T) {
 	s := New(senderOptions("nobody"), names(), testkit.Logger(&strings.Builder{}))
 	for i := range 5 {
-		if x := s.Take(); (x != nil) != (i < snapshots) {
+		if x := s.AcquireSnapshot(); (x != nil) != (i < snapshotPoolSize) {
 			t.Errorf("snapshot %d: %v", i, x)
 		} else if x != nil {
-			s.Give(x)
+			s.SubmitSnapshot(x)
 		}
 	}
-	if c := s.Counts(); c.Missed != 5-snapshots {
+	if c := s.Stats(); c.SkippedSnapshots != 5-snapshotPoolSize {
 		t.Errorf("%+v", c)
 	}
 }
@@ -232,11 +232,11 @@
 func BenchmarkPoints(b *testing.B) {
 	var s Snapshot
 	fill(&s, 1_700_000_000, 1000)
-	n := Names{Replica: func(id rules.ReplicaID) (string, bool) { return "s-5be2a07c", true }}
-	w, points := writer{prefix: "zincloft.n1."}, 0
+	n := Labels{ReplicaName: func(id rules.ReplicaID) (string, bool) { return "s-5be2a07c", true }}
+	w, points := pointWriter{prefix: "zincloft.n1."}, 0
 	b.ReportAllocs()
 	for b.Loop() {
-		w.write(&s, n, Counts{}, func(_ []byte, n int) { points += n })
+		w.writeSnapshot(&s, n, Stats{}, func(_ []byte, n int) { points += n })
 	}
 	b.ReportMetric(float64(points)/b.Elapsed().Seconds(), "points/s")
 }
--- a/internal/graphite/sender.go
+++ b/internal/graphite/sender.go
@@ -15,42 +15,42 @@
 
 // Options are where points go, and the bounds of it.
 type Options struct {
-	Address   string
-	Prefix    string        // of each path
-	Interval  time.Duration // from snapshot to snapshot
-	Points    int           // that may wait to be sent; past it the oldest are dropped
-	WriteMost time.Duration // a write makes its way within this time
-	DialMost  time.Duration // a connection comes up within this time
-	RetryMost time.Duration // the longest wait between two attempts
+	Address         string
+	Prefix          string        // of each path
+	Interval        time.Duration // from snapshot to snapshot
+	MaxQueuedPoints int           // that may wait to be sent; past it the oldest are dropped
+	WriteTimeout    time.Duration // a write makes its way within this time
+	DialTimeout     time.Duration // a connection comes up within this time
+	MaxRetryDelay   time.Duration // the longest wait between two attempts
 }
 
 const (
-	chunkBytes = 8 << 10 // points are sent, and dropped, by about so many bytes
-	snapshots  = 2       // one may be filled while another is made into points
+	chunkBytes       = 8 << 10 // points are sent, and dropped, by about so many bytes
+	snapshotPoolSize = 2       // one may be filled while another is made into points
 )
 
-// Counts are points and what became of them, since the start.
-type Counts struct {
-	Sent     int // points that were written
-	Dropped  int // points that were dropped unsent, the oldest first
-	Missed   int // snapshots that were not taken, as the ones before were still being made into points
-	Failures int // connections that failed or did not come up
+// Stats are points and what became of them, since the start.
+type Stats struct {
+	Sent             int // points that were written
+	Dropped          int // points that were dropped unsent, the oldest first
+	SkippedSnapshots int // snapshots that were not taken, as the ones before were still being made into points
+	Failures         int // connections that failed or did not come up
 }
 
 // Sender makes points of snapshots and sends them. Take and Give never wait.
 type Sender struct {
-	opts  Options
-	names Names
-	log   zerolog.Logger
-	dial  func(ctx context.Context) (net.Conn, error)
-
-	free, full chan *Snapshot
-	more       chan struct{} // something waits to be sent
-
-	mu      sync.Mutex
-	waiting []chunk // oldest first
-	points  int     // in waiting
-	counts  Counts
+	options Options
+	labels  Labels
+	log     zerolog.Logger
+	dial    func(ctx context.Context) (net.Conn, error)
+
+	freeSnapshots, filledSnapshots chan *Snapshot
+	wake                           chan struct{} // something waits to be sent
+
+	mu           sync.Mutex
+	queue        []chunk // oldest first
+	queuedPoints int     // in waiting
+	stats        Stats
 }
 
 type chunk struct {
@@ -59,111 +59,111 @@
 }
 
 // New returns a Sender that sends nothing before Run.
-func New(o Options, n Names, log zerolog.Logger) *Sender {
-	s := &Sender{opts: o, names: n, log: log, free: make(chan *Snapshot, snapshots), full: make(chan *Snapshot, snapshots),
-		more: make(chan struct{}, 1)}
-	for range snapshots {
-		s.free <- &Snapshot{}
+func New(o Options, n Labels, log zerolog.Logger) *Sender {
+	s := &Sender{options: o, labels: n, log: log, freeSnapshots: make(chan *Snapshot, snapshotPoolSize), filledSnapshots: make(chan *Snapshot, snapshotPoolSize),
+		wake: make(chan struct{}, 1)}
+	for range snapshotPoolSize {
+		s.freeSnapshots <- &Snapshot{}
 	}
-	dialer := net.Dialer{Timeout: o.DialMost}
+	dialer := net.Dialer{Timeout: o.DialTimeout}
 	s.dial = func(ctx context.Context) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", o.Address) }
 	return s
 }
 
-// Take returns a snapshot to fill, nil if none is free: then this one is missed, and counted.
-func (s *Sender) Take() *Snapshot {
+// AcquireSnapshot returns a snapshot to fill, nil if none is free: then this one is missed, and counted.
+func (s *Sender) AcquireSnapshot() *Snapshot {
 	select {
-	case x := <-s.free:
+	case x := <-s.freeSnapshots:
 		return x
 	default:
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.counts.Missed++
+		s.stats.SkippedSnapshots++
 		return nil
 	}
 }
 
-// Give hands a filled snapshot over.
-func (s *Sender) Give(x *Snapshot) { s.full <- x } // there is room for all there are
+// SubmitSnapshot hands a filled snapshot over.
+func (s *Sender) SubmitSnapshot(x *Snapshot) { s.filledSnapshots <- x } // there is room for all there are
 
-// Counts tells what has become of points so far.
-func (s *Sender) Counts() Counts {
+// Stats tells what has become of points so far.
+func (s *Sender) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.counts
+	return s.stats
 }
 
 // Run makes points of snapshots and sends them, each in a goroutine of its own, until ctx ends.
 func (s *Sender) Run(ctx context.Context) {
 	var running sync.WaitGroup
-	running.Go(func() { s.send(ctx) })
-	w := writer{prefix: s.opts.Prefix + "."}
+	running.Go(func() { s.sendLoop(ctx) })
+	w := pointWriter{prefix: s.options.Prefix + "."}
 	for {
 		select {
 		case <-ctx.Done():
 			running.Wait()
 			return
-		case x := <-s.full:
-			w.write(x, s.names, s.Counts(), s.add)
-			s.free <- x
+		case x := <-s.filledSnapshots:
+			w.writeSnapshot(x, s.labels, s.Stats(), s.enqueue)
+			s.freeSnapshots <- x
 		}
 	}
 }
 
-// add puts points in line. Where there is no room the oldest go: the newest tell most.
-func (s *Sender) add(lines []byte, points int) {
+// enqueue puts points in line. Where there is no room the oldest go: the newest tell most.
+func (s *Sender) enqueue(lines []byte, points int) {
 	s.mu.Lock()
-	s.waiting = append(s.waiting, chunk{lines, points})
-	s.points += points
-	for s.points > s.opts.Points && len(s.waiting) > 0 {
-		s.drop(s.waiting[0].points)
-		s.waiting[0] = chunk{}
-		s.waiting = s.waiting[1:]
+	s.queue = append(s.queue, chunk{lines, points})
+	s.queuedPoints += points
+	for s.queuedPoints > s.options.MaxQueuedPoints && len(s.queue) > 0 {
+		s.countDropped(s.queue[0].points)
+		s.queue[0] = chunk{}
+		s.queue = s.queue[1:]
 	}
 	s.mu.Unlock()
 	select {
-	case s.more <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (s *Sender) drop(points int) {
-	s.points, s.counts.Dropped = s.points-points, s.counts.Dropped+points
+func (s *Sender) countDropped(points int) {
+	s.queuedPoints, s.stats.Dropped = s.queuedPoints-points, s.stats.Dropped+points
 }
 
-func (s *Sender) next() (c chunk, ok bool) {
+func (s *Sender) dequeue() (c chunk, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.waiting) == 0 {
+	if len(s.queue) == 0 {
 		return chunk{}, false
 	}
-	c = s.waiting[0]
-	s.waiting = s.waiting[1:]
-	s.points -= c.points
+	c = s.queue[0]
+	s.queue = s.queue[1:]
+	s.queuedPoints -= c.points
 	return c, true
 }
 
-// back puts a chunk that was not sent in line again, first. Where newer points have filled the room it is dropped.
-func (s *Sender) back(c chunk) {
+// requeue puts a chunk that was not sent in line again, first. Where newer points have filled the room it is dropped.
+func (s *Sender) requeue(c chunk) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.points += c.points; s.points > s.opts.Points {
-		s.drop(c.points)
+	if s.queuedPoints += c.points; s.queuedPoints > s.options.MaxQueuedPoints {
+		s.countDropped(c.points)
 		return
 	}
-	s.waiting = append([]chunk{c}, s.waiting...)
+	s.queue = append([]chunk{c}, s.queue...)
 }
 
-// send connects, writes what waits, and begins again after a while when that fails. A chunk that failed is sent again
+// sendLoop connects, writes what waits, and begins again after a while when that fails. A chunk that failed is sent again
 // whole: Graphite keeps one value for a path and second, so lines that come twice do no harm.
-func (s *Sender) send(ctx context.Context) {
+func (s *Sender) sendLoop(ctx context.Context) {
 	wait := backoff.NewExponentialBackOff()
-	wait.MaxInterval = s.opts.RetryMost
+	wait.MaxInterval = s.options.MaxRetryDelay
 	failed := false
 	for {
-		err := s.connection(ctx, func() {
+		err := s.sendOnConnection(ctx, func() {
 			if wait.Reset(); failed {
-				s.log.Info().Str("graphite", s.opts.Address).Msg("graphite is back")
+				s.log.Info().Str("graphite", s.options.Address).Msg("graphite is back")
 			}
 			failed = false
 		})
@@ -171,10 +171,10 @@
 			return
 		}
 		s.mu.Lock()
-		s.counts.Failures++
+		s.stats.Failures++
 		s.mu.Unlock()
 		if !failed {
-			s.log.Warn().Str("graphite", s.opts.Address).Err(err).Msg("graphite failure")
+			s.log.Warn().Str("graphite", s.options.Address).Err(err).Msg("graphite failure")
 		}
 		failed = true
 		select {
@@ -185,8 +185,8 @@
 	}
 }
 
-// connection sends until something fails; good is called once writes have made their way for as long as one may take.
-func (s *Sender) connection(ctx context.Context, good func()) error {
+// sendOnConnection sends until something fails; good is called once writes have made their way for as long as one may take.
+func (s *Sender) sendOnConnection(ctx context.Context, good func()) error {
 	c, err := s.dial(ctx)
 	if err != nil {
 		return fmt.Errorf("dialing: %w", err)
@@ -201,26 +201,26 @@
 		cancel(fmt.Errorf("closed by the receiver: %w", cmp.Or(err, io.EOF)))
 	}()
 	for {
-		b, ok := s.next()
+		b, ok := s.dequeue()
 		if !ok {
 			select {
 			case <-ctx.Done():
 				return context.Cause(ctx)
-			case <-s.more:
+			case <-s.wake:
 			}
 			continue
 		}
-		if err = c.SetWriteDeadline(time.Now().Add(s.opts.WriteMost)); err == nil {
+		if err = c.SetWriteDeadline(time.Now().Add(s.options.WriteTimeout)); err == nil {
 			_, err = c.Write(b.lines)
 		}
 		if err != nil {
-			s.back(b)
+			s.requeue(b)
 			return fmt.Errorf("writing: %w", err)
 		}
 		s.mu.Lock()
-		s.counts.Sent += b.points
+		s.stats.Sent += b.points
 		s.mu.Unlock()
-		if time.Since(up) > s.opts.WriteMost { // the first writes fit into buffers, whether anybody reads or not
+		if time.Since(up) > s.options.WriteTimeout { // the first writes fit into buffers, whether anybody reads or not
 			good()
 		}
 	}
--- a/internal/load/proxy.go
+++ b/internal/load/proxy.go
@@ -46,7 +46,7 @@
 func (x *proxy) read() {
 	in := resp.NewReader(x.conn, 64<<20, 64)
 	for {
-		words, err := in.Texts()
+		words, err := in.NextStrings()
 		if err != nil {
 			return
 		}
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -12,125 +12,125 @@
 
 // Reader reads messages. Memory grows with the bytes that came, not with those that were announced.
 type Reader struct {
-	Limit int // bytes of a message
-	Words int // words of a message
-	r     *bufio.Reader
-	left  int
-	text  []byte // of the message read last
-	words [][]byte
+	MaxBytes    int // bytes of a message
+	MaxElements int // words of a message
+	source      *bufio.Reader
+	remaining   int
+	payload     []byte // of the message read last
+	elements    [][]byte
 }
 
 // NewReader returns a Reader on r.
-func NewReader(r io.Reader, limit, words int) *Reader {
-	return &Reader{Limit: limit, Words: words, r: bufio.NewReaderSize(r, buffer)}
+func NewReader(source io.Reader, maxBytes, maxElements int) *Reader {
+	return &Reader{MaxBytes: maxBytes, MaxElements: maxElements, source: bufio.NewReaderSize(source, bufferBytes)}
 }
 
-// Broken tells that what came is no message: it can't be said where the next one begins.
-type Broken string
+// ProtocolError tells that what came is no message: it can't be said where the next one begins.
+type ProtocolError string
 
-func (e Broken) Error() string { return string(e) }
+func (e ProtocolError) Error() string { return string(e) }
 
-func broken(format string, a ...any) error { return Broken(fmt.Sprintf(format, a...)) }
+func protocolErrorf(format string, a ...any) error { return ProtocolError(fmt.Sprintf(format, a...)) }
 
 const (
-	chunk  = 4 << 10
-	buffer = 1 << 10 // thousands of streams are open at once, and most of their messages are short
-	keep   = 8 << 10 // of a message's memory, for the next one
+	readChunkBytes   = 4 << 10
+	bufferBytes      = 1 << 10 // thousands of streams are open at once, and most of their messages are short
+	maxRetainedBytes = 8 << 10 // of a message's memory, for the next one
 )
 
 // Next reads one message, whose words hold until the next call. It returns io.EOF only where the input ends between
 // messages.
 func (r *Reader) Next() ([][]byte, error) {
-	if cap(r.text) > keep {
-		r.text = nil
+	if cap(r.payload) > maxRetainedBytes {
+		r.payload = nil
 	}
-	r.left, r.text, r.words = r.Limit, r.text[:0], r.words[:0]
-	n, err := r.head('*', r.Words)
+	r.remaining, r.payload, r.elements = r.MaxBytes, r.payload[:0], r.elements[:0]
+	count, err := r.readHeader('*', r.MaxElements)
 	if err != nil {
 		return nil, err
 	}
-	var ends [64]int
-	at := ends[:0]
-	for range n {
-		if err = r.word(); err != nil {
-			return nil, inside(err)
+	var room [64]int
+	ends := room[:0]
+	for range count {
+		if err = r.readElement(); err != nil {
+			return nil, truncated(err)
 		}
-		at = append(at, len(r.text))
+		ends = append(ends, len(r.payload))
 	}
-	from := 0
-	for _, to := range at { // the text has its place for good only now
-		r.words = append(r.words, r.text[from:to:to])
-		from = to
+	start := 0
+	for _, end := range ends { // the text has its place for good only now
+		r.elements = append(r.elements, r.payload[start:end:end])
+		start = end
 	}
-	return r.words, nil
+	return r.elements, nil
 }
 
-// Texts is Next for those who keep the words.
-func (r *Reader) Texts() ([]string, error) {
-	words, err := r.Next()
+// NextStrings is Next for those who keep the words.
+func (r *Reader) NextStrings() ([]string, error) {
+	elements, err := r.Next()
 	if err != nil {
 		return nil, err
 	}
-	texts := make([]string, len(words))
-	for i, w := range words {
-		texts[i] = string(w)
+	strings := make([]string, len(elements))
+	for i, element := range elements {
+		strings[i] = string(element)
 	}
-	return texts, nil
+	return strings, nil
 }
 
 // Size is how many bytes the message read last had.
-func (r *Reader) Size() int { return r.Limit - r.left }
+func (r *Reader) Size() int { return r.MaxBytes - r.remaining }
 
-// inside is what an error means within a message: an end there is a cut.
-func inside(err error) error {
+// truncated is what an error means within a message: an end there is a cut.
+func truncated(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// word adds a word to the message's text.
-func (r *Reader) word() error {
-	n, err := r.head('$', r.left)
+// readElement adds a word to the message's text.
+func (r *Reader) readElement() error {
+	left, err := r.readHeader('$', r.remaining)
 	if err != nil {
 		return err
 	}
-	if r.left -= n + 2; r.left < 0 {
-		return broken("a message of more than %d bytes", r.Limit)
+	if r.remaining -= left + 2; r.remaining < 0 {
+		return protocolErrorf("a message of more than %d bytes", r.MaxBytes)
 	}
-	for n > 0 {
-		at, most := len(r.text), min(n, chunk)
-		r.text = slices.Grow(r.text, most)[:at+most]
-		if _, err := io.ReadFull(r.r, r.text[at:]); err != nil {
+	for left > 0 {
+		start, size := len(r.payload), min(left, readChunkBytes)
+		r.payload = slices.Grow(r.payload, size)[:start+size]
+		if _, err := io.ReadFull(r.source, r.payload[start:]); err != nil {
 			return err
 		}
-		n -= most
+		left -= size
 	}
 	for _, want := range "\r\n" {
-		got, err := r.r.ReadByte()
+		got, err := r.source.ReadByte()
 		if err != nil {
 			return err
 		}
 		if got != byte(want) {
-			return broken("a word without its end")
+			return protocolErrorf("a word without its end")
 		}
 	}
 	return nil
 }
 
-// head reads a line of a mark and a number from 0 to most.
-func (r *Reader) head(mark byte, most int) (int, error) {
+// readHeader reads a line of a mark and a number from 0 to most.
+func (r *Reader) readHeader(prefix byte, maxValue int) (int, error) {
 	var digits [20]byte
-	got, err := r.r.ReadByte()
+	got, err := r.source.ReadByte()
 	if err != nil {
 		return 0, err
 	}
-	if got != mark {
-		return 0, broken("%q where %q is due", got, mark)
+	if got != prefix {
+		return 0, protocolErrorf("%q where %q is due", got, prefix)
 	}
 	for i := range digits {
-		if digits[i], err = r.r.ReadByte(); err != nil {
-			return 0, inside(err)
+		if digits[i], err = r.source.ReadByte(); err != nil {
+			return 0, truncated(err)
 		}
 		if digits[i] != '\n' {
 			continue
@@ -142,24 +142,24 @@
 		if err != nil {
 			break
 		}
-		if r.left -= i + 2; n > most || r.left < 0 {
-			return 0, broken("%q is followed by %d, more than %d", mark, n, most)
+		if r.remaining -= i + 2; n > maxValue || r.remaining < 0 {
+			return 0, protocolErrorf("%q is followed by %d, more than %d", prefix, n, maxValue)
 		}
 		return n, nil
 	}
-	return 0, broken("%q is not followed by a number", mark)
+	return 0, protocolErrorf("%q is not followed by a number", prefix)
 }
 
 // Append adds a message of these words to b.
-func Append(b []byte, words ...string) []byte {
-	b = head(b, '*', len(words))
-	for _, w := range words {
-		b = append(head(b, '$', len(w)), w...)
+func Append(b []byte, elements ...string) []byte {
+	b = appendHeader(b, '*', len(elements))
+	for _, element := range elements {
+		b = append(appendHeader(b, '$', len(element)), element...)
 		b = append(b, "\r\n"...)
 	}
 	return b
 }
 
-func head(b []byte, mark byte, n int) []byte {
-	return append(strconv.AppendInt(append(b, mark), int64(n), 10), "\r\n"...)
+func appendHeader(b []byte, prefix byte, n int) []byte {
+	return append(strconv.AppendInt(append(b, prefix), int64(n), 10), "\r\n"...)
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestReadsWhatItWrites(t *testing.T) {
-	want := [][]string{{"hb"}, {}, {"a", "", "two\r\nlines", strings.Repeat("x", 3*chunk)}}
+	want := [][]string{{"hb"}, {}, {"a", "", "two\r\nlines", strings.Repeat("x", 3*readChunkBytes)}}
 	var b []byte
 	for _, words := range want {
 		b = Append(b, words...)
@@ -19,10 +19,10 @@
 	for name, in := range map[string]io.Reader{
 		"at once": strings.NewReader(string(b)), "byte by byte": iotest.OneByteReader(strings.NewReader(string(b))),
 	} {
-		r := NewReader(in, 4*chunk, 4)
+		r := NewReader(in, 4*readChunkBytes, 4)
 		var got [][]string
 		for {
-			words, err := r.Texts()
+			words, err := r.NextStrings()
 			if errors.Is(err, io.EOF) {
 				break
 			} else if err != nil {
@@ -62,11 +62,11 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		r := NewReader(strings.NewReader(in), 1<<10, 8)
 		for {
-			words, err := r.Texts()
+			words, err := r.NextStrings()
 			if err != nil {
 				return
 			}
-			again, err := NewReader(strings.NewReader(string(Append(nil, words...))), 1<<10, 8).Texts()
+			again, err := NewReader(strings.NewReader(string(Append(nil, words...))), 1<<10, 8).NextStrings()
 			if d := cmp.Diff(words, again); d != "" || err != nil {
 				t.Fatal(d, err)
 			}
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -187,7 +187,7 @@
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			continue
 		}
-		config.SetLoad(&rep, []byte(name), v)
+		config.SetLoadFigure(&rep, []byte(name), v)
 	}
 	return rep
 }
