--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -24,41 +24,41 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Schema is the version of the file's form. Version 1 had the whole in one value; 2 has a value a replica, so that only
+// SchemaVersion is the version of the file's form. Version 1 had the whole in one value; 2 has a value a replica, so that only
 // what changed is written.
-const Schema = 2
+const SchemaVersion = 2
 
 const (
-	fileName = "state.db"
-	lockWait = 3 * time.Second // a killed process's lock outlives it while its memory is torn down, on a busy machine
-	sumBytes = 8
+	fileName      = "state.db"
+	lockTimeout   = 3 * time.Second // a killed process's lock outlives it while its memory is torn down, on a busy machine
+	checksumBytes = 8
 )
 
 var (
 	metaBucket    = []byte("meta")
 	replicaBucket = []byte("replicas")
 	schemaKey     = []byte("schema")
-	headKey       = []byte("head")
-	wholeKey      = []byte("whole") // version 1
+	headerKey     = []byte("head")
+	schema1Key    = []byte("whole") // version 1
 )
 
 // Errors that callers tell apart.
 var (
-	ErrLocked  = errors.New("another process has it open")
-	ErrDamaged = errors.New("damaged")
-	ErrNewer   = errors.New("written by a newer version")
-	ErrNone    = errors.New("there is none")
+	ErrLocked      = errors.New("another process has it open")
+	ErrDamaged     = errors.New("damaged")
+	ErrNewerSchema = errors.New("written by a newer version")
+	ErrNotExist    = errors.New("there is none")
 )
 
 // Store is an open file.
 type Store struct {
-	db   *bbolt.DB
-	path string
-	last map[string][]byte // replicas as written last, framed
+	db      *bbolt.DB
+	path    string
+	written map[string][]byte // replicas as written last, framed
 }
 
-// head is what is kept beside the replicas.
-type head struct {
+// header is what is kept beside the replicas.
+type header struct {
 	Governor  string          `json:"governor"`
 	Discovery string          `json:"discovery"`
 	Version   uint64          `json:"version"`
@@ -68,8 +68,8 @@
 	Replicas  int             `json:"replicas"`
 }
 
-// replica is one replica's value.
-type replica struct {
+// replicaRecord is one replica's value.
+type replicaRecord struct {
 	Number  rules.ReplicaID `json:"number"`
 	Zone    rules.ZoneID    `json:"zone"`
 	Kind    rules.KindID    `json:"kind"`
@@ -82,17 +82,17 @@
 	Out     bool            `json:"held_out,omitempty"`
 }
 
-// whole is the value of version 1.
-type whole struct {
-	head
-	All map[string]replica `json:"all"`
+// schema1State is the value of version 1.
+type schema1State struct {
+	header
+	All map[string]replicaRecord `json:"all"`
 }
 
 // Path is a store's file in a folder.
 func Path(dir string) string { return filepath.Join(dir, fileName) }
 
-// frame puts a checksum before a value.
-func frame(v any) ([]byte, error) {
+// encodeValue puts a checksum before a value.
+func encodeValue(v any) ([]byte, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return nil, fmt.Errorf("encoding: %w", err)
@@ -100,20 +100,20 @@
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(text)), text...), nil
 }
 
-// unframe reads a value whose checksum holds.
-func unframe(b []byte, v any) error {
-	if len(b) < sumBytes || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[sumBytes:]) {
+// decodeValue reads a value whose checksum holds.
+func decodeValue(b []byte, v any) error {
+	if len(b) < checksumBytes || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[checksumBytes:]) {
 		return fmt.Errorf("%w: a value without its checksum", ErrDamaged)
 	}
-	if err := json.Unmarshal(b[sumBytes:], v); err != nil {
+	if err := json.Unmarshal(b[checksumBytes:], v); err != nil {
 		return fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	return nil
 }
 
-// guarded turns what bbolt does on a file whose pages are not what they should be, a panic or a fault in mapped memory, into
+// recoverFaults turns what bbolt does on a file whose pages are not what they should be, a panic or a fault in mapped memory, into
 // an error.
-func guarded(f func() error) (err error) {
+func recoverFaults(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -123,10 +123,10 @@
 	return f()
 }
 
-// open opens a file, readonly or for writing.
-func open(path string, readOnly bool) (db *bbolt.DB, err error) {
-	err = guarded(func() error {
-		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait, ReadOnly: readOnly})
+// openDatabase opens a file, readonly or for writing.
+func openDatabase(path string, readOnly bool) (db *bbolt.DB, err error) {
+	err = recoverFaults(func() error {
+		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly})
 		return err
 	})
 	switch {
@@ -135,7 +135,7 @@
 	case errors.Is(err, bolterrors.ErrTimeout):
 		return nil, fmt.Errorf("%s: %w", path, ErrLocked)
 	case errors.Is(err, fs.ErrNotExist):
-		return nil, fmt.Errorf("%s: %w", path, ErrNone)
+		return nil, fmt.Errorf("%s: %w", path, ErrNotExist)
 	case errors.Is(err, bolterrors.ErrInvalid), errors.Is(err, bolterrors.ErrChecksum), errors.Is(err, bolterrors.ErrVersionMismatch), errors.Is(err, ErrDamaged),
 		strings.Contains(err.Error(), "file size too small"):
 		return nil, fmt.Errorf("%s: %w: %w", path, ErrDamaged, err)
@@ -152,7 +152,7 @@
 		return nil, kept, nil, fmt.Errorf("state.dir: %w", err)
 	}
 	for try := 0; ; try++ {
-		s, kept, err = attempt(path)
+		s, kept, err = openStore(path)
 		if !errors.Is(err, ErrDamaged) || try > 0 {
 			return s, kept, damaged, err
 		}
@@ -164,18 +164,18 @@
 	}
 }
 
-func attempt(path string) (s *Store, kept recovery.Kept, err error) {
-	db, err := open(path, false)
+func openStore(path string) (s *Store, kept recovery.Kept, err error) {
+	db, err := openDatabase(path, false)
 	if err != nil {
 		return nil, kept, err
 	}
-	s = &Store{db: db, path: path, last: map[string][]byte{}}
-	err = guarded(func() error { return db.Update(s.migrate) })
+	s = &Store{db: db, path: path, written: map[string][]byte{}}
+	err = recoverFaults(func() error { return db.Update(s.migrate) })
 	if err == nil {
-		kept, err = s.read()
+		kept, err = s.readAll()
 	}
 	if err != nil {
-		_ = guarded(db.Close) // the first error tells
+		_ = recoverFaults(db.Close) // the first error tells
 		return nil, recovery.Kept{}, err
 	}
 	return s, kept, nil
@@ -193,39 +193,39 @@
 	}
 	schema := 0
 	if b := meta.Get(schemaKey); b != nil {
-		if err := unframe(b, &schema); err != nil {
+		if err := decodeValue(b, &schema); err != nil {
 			return err
 		}
 	}
 	switch schema {
-	case Schema:
+	case SchemaVersion:
 		return nil
 	case 0:
 	case 1:
-		var w whole
-		if err := unframe(meta.Get(wholeKey), &w); err != nil {
+		var w schema1State
+		if err := decodeValue(meta.Get(schema1Key), &w); err != nil {
 			return err
 		}
 		for name, r := range w.All {
-			if err := put(replicas, []byte(name), r); err != nil {
+			if err := putValue(replicas, []byte(name), r); err != nil {
 				return err
 			}
 		}
 		w.Replicas = len(w.All)
-		if err := put(meta, headKey, w.head); err != nil {
+		if err := putValue(meta, headerKey, w.header); err != nil {
 			return err
 		}
-		if err := meta.Delete(wholeKey); err != nil {
+		if err := meta.Delete(schema1Key); err != nil {
 			return fmt.Errorf("deleting: %w", err)
 		}
 	default:
-		return fmt.Errorf("%s: %w: schema %d, ours is %d", s.path, ErrNewer, schema, Schema)
+		return fmt.Errorf("%s: %w: schema %d, ours is %d", s.path, ErrNewerSchema, schema, SchemaVersion)
 	}
-	return put(meta, schemaKey, Schema)
+	return putValue(meta, schemaKey, SchemaVersion)
 }
 
-func put(b *bbolt.Bucket, key []byte, v any) error {
-	framed, err := frame(v)
+func putValue(b *bbolt.Bucket, key []byte, v any) error {
+	framed, err := encodeValue(v)
 	if err != nil {
 		return err
 	}
@@ -235,29 +235,29 @@
 	return nil
 }
 
-// read reads all that is kept. One value that is damaged makes the whole so: what is left would be a list with holes.
-func (s *Store) read() (kept recovery.Kept, err error) {
-	err = guarded(func() error {
+// readAll reads all that is kept. One value that is damaged makes the whole so: what is left would be a list with holes.
+func (s *Store) readAll() (kept recovery.Kept, err error) {
+	err = recoverFaults(func() error {
 		return s.db.View(func(tx *bbolt.Tx) error {
 			meta, replicas := tx.Bucket(metaBucket), tx.Bucket(replicaBucket)
 			if meta == nil || replicas == nil {
 				return fmt.Errorf("%w: it lacks its buckets", ErrDamaged)
 			}
-			b := meta.Get(headKey)
+			b := meta.Get(headerKey)
 			if b == nil {
 				return nil // new
 			}
-			var h head
-			if err := unframe(b, &h); err != nil {
+			var h header
+			if err := decodeValue(b, &h); err != nil {
 				return err
 			}
 			kept = recovery.Kept{Governor: h.Governor, Discovery: h.Discovery, Version: h.Version, Heard: h.Heard, Written: h.Written, Next: h.Next}
 			err := replicas.ForEach(func(name, v []byte) error {
-				var r replica
-				if err := unframe(v, &r); err != nil {
+				var r replicaRecord
+				if err := decodeValue(v, &r); err != nil {
 					return fmt.Errorf("%s: %w", name, err)
 				}
-				s.last[string(name)] = slices.Clone(v)
+				s.written[string(name)] = slices.Clone(v)
 				kept.Replicas = append(kept.Replicas, recovery.Replica{Name: string(name), Entry: rules.Entry{Replica: r.Number, Zone: r.Zone, Kind: r.Kind,
 					Cell: r.Cell, State: r.State, Listed: r.Listed, StartedAt: r.Started},
 					Learnt: rules.Recalled{Replica: r.Number, Speed: r.Speed, Answers: r.Answers, Out: r.Out}})
@@ -277,21 +277,21 @@
 	now := make(map[string][]byte, len(k.Replicas))
 	for _, r := range k.Replicas {
 		e := r.Entry
-		now[r.Name], err = frame(replica{Number: e.Replica, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: e.State, Listed: e.Listed, Started: e.StartedAt,
+		now[r.Name], err = encodeValue(replicaRecord{Number: e.Replica, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: e.State, Listed: e.Listed, Started: e.StartedAt,
 			Speed: r.Learnt.Speed, Answers: r.Learnt.Answers, Out: r.Learnt.Out})
 		if err != nil {
 			return 0, err
 		}
 	}
-	top, err := frame(head{Governor: k.Governor, Discovery: k.Discovery, Version: k.Version, Heard: k.Heard, Written: k.Written, Next: k.Next, Replicas: len(k.Replicas)})
+	top, err := encodeValue(header{Governor: k.Governor, Discovery: k.Discovery, Version: k.Version, Heard: k.Heard, Written: k.Written, Next: k.Next, Replicas: len(k.Replicas)})
 	if err != nil {
 		return 0, err
 	}
-	err = guarded(func() error {
+	err = recoverFaults(func() error {
 		return s.db.Update(func(tx *bbolt.Tx) error {
 			replicas := tx.Bucket(replicaBucket)
 			for name, b := range now {
-				if string(s.last[name]) == string(b) {
+				if string(s.written[name]) == string(b) {
 					continue
 				}
 				if err := replicas.Put([]byte(name), b); err != nil {
@@ -299,7 +299,7 @@
 				}
 				bytes += len(b)
 			}
-			for name := range s.last {
+			for name := range s.written {
 				if now[name] == nil {
 					if err := replicas.Delete([]byte(name)); err != nil {
 						return fmt.Errorf("deleting %s: %w", name, err)
@@ -307,40 +307,40 @@
 				}
 			}
 			bytes += len(top)
-			return tx.Bucket(metaBucket).Put(headKey, top)
+			return tx.Bucket(metaBucket).Put(headerKey, top)
 		})
 	})
 	if err != nil {
 		return 0, fmt.Errorf("%s: %w", s.path, err)
 	}
-	s.last = now
+	s.written = now
 	return bytes, nil
 }
 
 // Close ends it.
-func (s *Store) Close() error { return guarded(s.db.Close) }
+func (s *Store) Close() error { return recoverFaults(s.db.Close) }
 
-// View reads a folder's store without changing it. It fails with ErrLocked while a governor runs on it.
-func View(dir string) (kept recovery.Kept, err error) {
-	db, err := open(Path(dir), true)
+// Read reads a folder's store without changing it. It fails with ErrLocked while a governor runs on it.
+func Read(dir string) (kept recovery.Kept, err error) {
+	db, err := openDatabase(Path(dir), true)
 	if err != nil {
 		return kept, err
 	}
-	s := &Store{db: db, path: Path(dir), last: map[string][]byte{}}
+	s := &Store{db: db, path: Path(dir), written: map[string][]byte{}}
 	defer s.Close()
-	err = guarded(func() error {
+	err = recoverFaults(func() error {
 		return db.View(func(tx *bbolt.Tx) error {
 			schema := 0
 			if meta := tx.Bucket(metaBucket); meta != nil {
-				if err := unframe(meta.Get(schemaKey), &schema); err != nil {
+				if err := decodeValue(meta.Get(schemaKey), &schema); err != nil {
 					return err
 				}
 			}
-			if schema > Schema {
-				return fmt.Errorf("%w: schema %d, ours is %d", ErrNewer, schema, Schema)
+			if schema > SchemaVersion {
+				return fmt.Errorf("%w: schema %d, ours is %d", ErrNewerSchema, schema, SchemaVersion)
 			}
-			if schema < Schema {
-				return fmt.Errorf("schema %d: a governor brings it to %d at its next start", schema, Schema)
+			if schema < SchemaVersion {
+				return fmt.Errorf("schema %d: a governor brings it to %d at its next start", schema, SchemaVersion)
 			}
 			return nil
 		})
@@ -348,21 +348,21 @@
 	if err != nil {
 		return kept, err
 	}
-	return s.read()
+	return s.readAll()
 }
 
 // Verify reads a folder's store whole, its pages too.
 func Verify(dir string) (replicas int, err error) {
-	kept, err := View(dir)
+	kept, err := Read(dir)
 	if err != nil {
 		return 0, err
 	}
-	db, err := open(Path(dir), true)
+	db, err := openDatabase(Path(dir), true)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = guarded(db.Close) }()
-	err = guarded(func() error {
+	defer func() { _ = recoverFaults(db.Close) }()
+	err = recoverFaults(func() error {
 		return db.View(func(tx *bbolt.Tx) error {
 			var first error
 			for err := range tx.Check() { // to its end, as what it reads from is ours
@@ -380,21 +380,21 @@
 // tells the sizes before and after.
 func Compact(dir string) (before, after int64, err error) {
 	path := Path(dir)
-	db, err := open(path, false)
+	db, err := openDatabase(path, false)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer func() { _ = guarded(db.Close) }()
+	defer func() { _ = recoverFaults(db.Close) }()
 	to := path + ".compact"
 	if err := os.Remove(to); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return 0, 0, fmt.Errorf("an earlier try: %w", err)
 	}
-	fresh, err := open(to, false)
+	fresh, err := openDatabase(to, false)
 	if err != nil {
 		return 0, 0, err
 	}
 	const txBytes = 1 << 20
-	err = guarded(func() error { return bbolt.Compact(fresh, db, txBytes) })
+	err = recoverFaults(func() error { return bbolt.Compact(fresh, db, txBytes) })
 	if closed := fresh.Close(); err == nil {
 		err = closed
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -226,7 +226,7 @@
 	}
 	for what, err := range map[string]error{
 		"open":    func() error { _, _, _, err := Open(dir, time.Now()); return err }(),
-		"view":    func() error { _, err := View(dir); return err }(),
+		"view":    func() error { _, err := Read(dir); return err }(),
 		"verify":  func() error { _, err := Verify(dir); return err }(),
 		"compact": func() error { _, _, err := Compact(dir); return err }(),
 	} {
@@ -234,7 +234,7 @@
 			t.Errorf("%s of a file that is open: %v", what, err)
 		}
 	}
-	if err := s.db.Update(func(tx *bbolt.Tx) error { return put(tx.Bucket(metaBucket), schemaKey, Schema+1) }); err != nil {
+	if err := s.db.Update(func(tx *bbolt.Tx) error { return putValue(tx.Bucket(metaBucket), schemaKey, SchemaVersion+1) }); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -242,10 +242,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, damaged, err := Open(dir, time.Now()); !errors.Is(err, ErrNewer) || damaged != nil {
+	if _, _, damaged, err := Open(dir, time.Now()); !errors.Is(err, ErrNewerSchema) || damaged != nil {
 		t.Errorf("a newer file: %v, %v", err, damaged)
 	}
-	if _, err := View(dir); !errors.Is(err, ErrNewer) {
+	if _, err := Read(dir); !errors.Is(err, ErrNewerSchema) {
 		t.Errorf("a newer file: %v", err)
 	}
 	if after, err := os.ReadFile(Path(dir)); err != nil || len(after) != len(before) {
@@ -258,7 +258,7 @@
 	if _, _, _, err := Open(filepath.Join(file, "dir"), time.Now()); err == nil || !strings.Contains(err.Error(), "state.dir") {
 		t.Errorf("a folder that can't be: %v", err)
 	}
-	if _, err := View(t.TempDir()); !errors.Is(err, ErrNone) {
+	if _, err := Read(t.TempDir()); !errors.Is(err, ErrNotExist) {
 		t.Errorf("a folder without a file: %v", err)
 	}
 }
@@ -266,10 +266,10 @@
 // TestMigrates has a file of version 1: all that it keeps is found, and found again as of the present version.
 func TestMigrates(t *testing.T) {
 	dir, want := t.TempDir(), state(4)
-	w := whole{head: head{Governor: want.Governor, Discovery: want.Discovery, Version: want.Version, Heard: want.Heard, Written: want.Written, Next: want.Next},
-		All: map[string]replica{}}
+	w := schema1State{header: header{Governor: want.Governor, Discovery: want.Discovery, Version: want.Version, Heard: want.Heard, Written: want.Written, Next: want.Next},
+		All: map[string]replicaRecord{}}
 	for _, r := range want.Replicas {
-		w.All[r.Name] = replica{Number: r.Entry.Replica, State: r.Entry.State, Listed: r.Entry.Listed, Started: r.Entry.StartedAt,
+		w.All[r.Name] = replicaRecord{Number: r.Entry.Replica, State: r.Entry.State, Listed: r.Entry.Listed, Started: r.Entry.StartedAt,
 			Speed: r.Learnt.Speed, Answers: r.Learnt.Answers, Out: r.Learnt.Out}
 	}
 	db, err := bbolt.Open(Path(dir), 0o600, nil)
@@ -278,12 +278,12 @@
 	}
 	if err := db.Update(func(tx *bbolt.Tx) error {
 		b, err := tx.CreateBucket(metaBucket)
-		return errors.Join(err, put(b, schemaKey, 1), put(b, wholeKey, w))
+		return errors.Join(err, putValue(b, schemaKey, 1), putValue(b, schema1Key, w))
 	}); err != nil {
 		t.Fatal(err)
 	}
 	db.Close()
-	if _, err := View(dir); err == nil || !strings.Contains(err.Error(), "schema 1") {
+	if _, err := Read(dir); err == nil || !strings.Contains(err.Error(), "schema 1") {
 		t.Error("viewed before it was brought to the present version: ", err)
 	}
 	for range 2 {
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -11,24 +11,24 @@
 // Writer writes beside the deciding goroutine. What is offered while it still writes is passed over: the next one holds all
 // of it.
 type Writer struct {
-	store *Store
-	log   zerolog.Logger
-	in    chan recovery.Kept
-	wrong bool // and told
+	store   *Store
+	log     zerolog.Logger
+	pending chan recovery.Kept
+	failing bool // and told
 }
 
 // NewWriter returns a Writer that writes nothing before Run.
 func NewWriter(s *Store, log zerolog.Logger) *Writer {
-	return &Writer{store: s, log: log, in: make(chan recovery.Kept, 1)}
+	return &Writer{store: s, log: log, pending: make(chan recovery.Kept, 1)}
 }
 
 // Ready tells whether there is room for an offer.
-func (w *Writer) Ready() bool { return len(w.in) == 0 }
+func (w *Writer) Ready() bool { return len(w.pending) == 0 }
 
 // Offer hands over what is to be kept. It never waits.
 func (w *Writer) Offer(k recovery.Kept) {
 	select {
-	case w.in <- k:
+	case w.pending <- k:
 	default:
 	}
 }
@@ -37,11 +37,11 @@
 func (w *Writer) Run(ctx context.Context) {
 	for {
 		select {
-		case k := <-w.in:
+		case k := <-w.pending:
 			w.write(k)
 		case <-ctx.Done():
 			select {
-			case k := <-w.in:
+			case k := <-w.pending:
 				w.write(k)
 			default:
 			}
@@ -55,10 +55,10 @@
 
 func (w *Writer) write(k recovery.Kept) {
 	_, err := w.store.Write(k)
-	if err != nil && !w.wrong {
+	if err != nil && !w.failing {
 		w.log.Warn().Err(err).Msg("state can't be written")
-	} else if err == nil && w.wrong {
+	} else if err == nil && w.failing {
 		w.log.Info().Msg("state is written again")
 	}
-	w.wrong = err != nil
+	w.failing = err != nil
 }
--- a/internal/testkit/trace.go
+++ b/internal/testkit/trace.go
@@ -14,8 +14,8 @@
 
 var update = flag.Bool("update", false, "write the traces anew")
 
-// Compare compares a trace with the one that testdata keeps under the test's name.
-func Compare(t *testing.T, got string) {
+// CompareTrace compares a trace with the one that testdata keeps under the test's name.
+func CompareTrace(t *testing.T, got string) {
 	t.Helper()
 	file := filepath.Join("testdata", strings.ToLower(strings.TrimPrefix(t.Name(), "Test"))+".trace")
 	if *update {
--- a/rules/trace_test.go
+++ b/rules/trace_test.go
@@ -164,5 +164,5 @@
 // check compares the trace with the one that is kept.
 func (p *play) check(t *testing.T) {
 	t.Helper()
-	testkit.Compare(t, p.trace.String())
+	testkit.CompareTrace(t, p.trace.String())
 }
