--- a/controlplane/controller/comb.go
+++ b/controlplane/controller/comb.go
@@ -392,13 +392,13 @@
 	}
 	for _, answer := range a.Responses {
 		if answer.RequestID == c.confirmToken {
-			c.completeJoins(now, answer.Status)
+			c.completeJoins(now, answer.Status())
 		} else if token, ok := c.callTokens[answer.RequestID]; ok {
 			delete(c.callTokens, answer.RequestID)
-			c.respond(Response{token, answer.Status, answer.Body, answer.RedirectTo})
+			c.respond(Response{token, answer.Status(), answer.Body, answer.RedirectTo()})
 		} else if proposal, ok := c.maintenance.proposals[answer.RequestID]; ok {
 			delete(c.maintenance.proposals, answer.RequestID)
-			c.handleProposalResult(now, proposal, answer.Status)
+			c.handleProposalResult(now, proposal, answer.Status())
 		}
 	}
 }
@@ -440,14 +440,14 @@
 		c.respond(Response{Token: token, Status: http.StatusServiceUnavailable})
 		return
 	}
-	if changed, urgent := c.registry.Heartbeat(now, heartbeat); changed {
-		if urgent {
+	if change := c.registry.Heartbeat(now, heartbeat); change.Changed {
+		if change.Urgent {
 			c.logInfo("draining", "id", heartbeat.ID)
 		}
-		if urgent || heartbeat.WarmupMillis > 0 { // it may have been warm, or cold until sooner, for the others
+		if change.Urgent || heartbeat.WarmupMillis > 0 { // it may have been warm, or cold until sooner, for the others
 			c.broadcastInstances(now, []registry.Instance{heartbeat})
 		}
-		c.publish(now, urgent)
+		c.publish(now, change.Urgent)
 	}
 	c.respond(Response{Token: token, Status: http.StatusOK, Address: c.heartbeatTarget(now, heartbeat.Zone)})
 }
@@ -490,8 +490,8 @@
 		c.publishEjection(ejection)
 	}
 	if len(message.Instances) > 0 {
-		if changed, urgent := c.registry.Merge(now, message.Instances); changed {
-			c.publish(now, urgent)
+		if change := c.registry.Merge(now, message.Instances); change.Changed {
+			c.publish(now, change.Urgent)
 		}
 	}
 }
