--- a/gatewayconfig/capacity_test.go
+++ b/gatewayconfig/capacity_test.go
@@ -17,11 +17,15 @@
 	return f
 }
 
-// layouts are the ends between which platforms lie: eight routes a host, or all under one.
+// layouts are the extremes of real platforms: eight routes a host, or all routes under one host.
 var layouts = []struct {
 	name string
-	of   func(routes int) int
-}{{"hosts", func(int) int { return 8 }}, {"onehost", func(n int) int { return n }}}
+	// routesPerHost of a configuration with so many routes
+	routesPerHost func(routes int) int
+}{
+	{"hosts", func(int) int { return 8 }},
+	{"onehost", func(routes int) int { return routes }},
+}
 
 func heapBytes() uint64 {
 	var m runtime.MemStats
@@ -32,10 +36,10 @@
 
 // BenchmarkCapacityParse reads a configuration; heap-B is what the parsed one holds.
 func BenchmarkCapacityParse(b *testing.B) {
-	for _, l := range layouts {
+	for _, layout := range layouts {
 		for _, n := range capacityRoutes {
-			b.Run(fmt.Sprintf("%s/n=%d", l.name, n), func(b *testing.B) {
-				raw := fleetWithRoutes(n).Configuration(1, l.of(n))
+			b.Run(fmt.Sprintf("%s/n=%d", layout.name, n), func(b *testing.B) {
+				raw := fleetWithRoutes(n).Configuration(1, layout.routesPerHost(n))
 				before := heapBytes()
 				c, err := gatewayconfig.Parse(raw)
 				if err != nil {
@@ -58,17 +62,17 @@
 
 // BenchmarkCapacityFind looks a request's route up.
 func BenchmarkCapacityFind(b *testing.B) {
-	for _, l := range layouts {
+	for _, layout := range layouts {
 		for _, n := range capacityRoutes {
-			b.Run(fmt.Sprintf("%s/n=%d", l.name, n), func(b *testing.B) {
-				c, err := gatewayconfig.Parse(fleetWithRoutes(n).Configuration(1, l.of(n)))
+			b.Run(fmt.Sprintf("%s/n=%d", layout.name, n), func(b *testing.B) {
+				c, err := gatewayconfig.Parse(fleetWithRoutes(n).Configuration(1, layout.routesPerHost(n)))
 				if err != nil {
 					b.Fatal(err)
 				}
 				hosts, paths := make([]string, 997), make([]string, 997)
 				for i := range hosts {
 					r := i * 7919 % n
-					hosts[i], paths[i] = sizes.Hostname(r/l.of(n)), sizes.PathPrefix(r)+"item"
+					hosts[i], paths[i] = sizes.Hostname(r/layout.routesPerHost(n)), sizes.PathPrefix(r)+"item"
 				}
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
@@ -81,7 +85,7 @@
 	}
 }
 
-// BenchmarkCapacityRoutesTo is asked for each service when a comb first takes a configuration.
+// BenchmarkCapacityRoutesTo is called for each service when a control-plane member takes a configuration into force.
 func BenchmarkCapacityRoutesTo(b *testing.B) {
 	for _, n := range capacityRoutes {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
--- a/gatewayconfig/config_test.go
+++ b/gatewayconfig/config_test.go
@@ -1,6 +1,7 @@
 package gatewayconfig
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
@@ -14,34 +15,38 @@
  {"name":"r2","path_prefix":"/x/y/","kind":"unsafe","timeout":"6s","target_latency":"1s","service":"b"}]}]}`
 
 func TestConfiguration(t *testing.T) {
-	Convey("A configuration is read whole", t, func() {
-		c, err := Parse([]byte(validConfiguration))
+	Convey("A complete configuration is parsed", t, func() {
+		config, err := Parse([]byte(validConfiguration))
 		So(err, ShouldBeNil)
-		So(c.Version, ShouldEqual, 12)
-		So(c.Services["a"].WarmupRate, ShouldEqual, 4.1)
-		Convey("a request goes to the longest prefix of its host", func() {
-			for _, x := range []struct{ host, path, name string }{
-				{"one.example", "/x/1", "r1"}, {"ONE.example:80", "/x/y/1", "r2"}, {"one.example", "/x/y", "r1"},
-				{"one.example", "/x", ""}, {"two.example", "/x/1", ""}} {
-				r, ok := c.FindRoute(x.host, x.path)
-				So(ok, ShouldEqual, x.name != "")
-				So(r.Name, ShouldEqual, x.name)
+		So(config.Version, ShouldEqual, 12)
+		So(config.Services["a"].WarmupRate, ShouldEqual, 4.1)
+		Convey("a request matches the longest prefix of its host", func() {
+			for _, request := range []struct{ host, path, route string }{
+				{"one.example", "/x/1", "r1"},
+				{"ONE.example:80", "/x/y/1", "r2"},
+				{"one.example", "/x/y", "r1"},
+				{"one.example", "/x", ""},
+				{"two.example", "/x/1", ""},
+			} {
+				route, ok := config.FindRoute(request.host, request.path)
+				So(ok, ShouldEqual, request.route != "")
+				So(route.Name, ShouldEqual, request.route)
 			}
 		})
-		Convey("shares are kept, also at their ends", func() {
-			r, _ := c.FindRoute("one.example", "/x/1")
-			n := map[string]int{}
+		Convey("the traffic split is kept, also at its ends", func() {
+			route, _ := config.FindRoute("one.example", "/x/1")
+			picked := map[string]int{}
 			for i := range 1000 {
-				n[r.PickService(float64(i)/1000)]++
+				picked[route.PickService(float64(i)/1000)]++
 			}
-			So(n["a"], ShouldEqual, 900)
-			So(r.PickService(0.9999999999), ShouldEqual, "b")
-			r.TrafficSplit[1].Weight = 0
-			So(r.PickService(1), ShouldEqual, "a")
+			So(picked["a"], ShouldEqual, 900)
+			So(route.PickService(0.9999999999), ShouldEqual, "b")
+			route.TrafficSplit[1].Weight = 0
+			So(route.PickService(1), ShouldEqual, "a")
 		})
 	})
-	Convey("What is invalid is refused, with the path at fault", t, func() {
-		for _, x := range []struct{ old, new, path string }{
+	Convey("An invalid configuration is rejected with the path at fault", t, func() {
+		for _, change := range []struct{ old, new, message string }{
 			{`"hostname":"One.example"`, `"hostname":""`, "virtual_hosts.0.hostname"},
 			{`"path_prefix":"/x/y/"`, `"path_prefix":"x/y/"`, "virtual_hosts.0.path_routes.1.path_prefix"},
 			{`"target_latency":"800ms"`, `"target_latency":"65s"`, "virtual_hosts.0.path_routes.0.target_latency"},
@@ -55,17 +60,20 @@
 			{`"path_prefix":"/x/y/"`, `"path_prefix":"/x/"`, "stands twice"},
 			{`"virtual_hosts":[`, `"virtual_host":[`, "virtual_hosts"},
 		} {
-			So(strings.Contains(validConfiguration, x.old), ShouldBeTrue)
-			_, err := Parse([]byte(strings.Replace(validConfiguration, x.old, x.new, 1)))
+			So(strings.Contains(validConfiguration, change.old), ShouldBeTrue)
+			_, err := Parse([]byte(strings.Replace(validConfiguration, change.old, change.new, 1)))
 			So(err, ShouldNotBeNil)
-			So(err.Error(), ShouldContainSubstring, x.path)
+			So(err.Error(), ShouldContainSubstring, change.message)
+			var fieldError *FieldError
+			So(errors.As(err, &fieldError), ShouldBeTrue)
 		}
-		for n := range len(validConfiguration) { // cut short anywhere
-			_, err := Parse([]byte(validConfiguration[:n]))
+		for length := range len(validConfiguration) { // cut short anywhere
+			_, err := Parse([]byte(validConfiguration[:length]))
 			So(err, ShouldNotBeNil)
+			So(errors.Is(err, ErrMalformed), ShouldBeTrue)
 		}
 	})
-	Convey("A target a little above its timeout is allowed", t, func() {
+	Convey("A latency target a little above the timeout is allowed", t, func() {
 		_, err := Parse([]byte(strings.Replace(validConfiguration, `"target_latency":"800ms"`, `"target_latency":"64s"`, 1)))
 		So(err, ShouldBeNil)
 	})
