--- a/controlplane/weighting/capacity_test.go
+++ b/controlplane/weighting/capacity_test.go
@@ -20,7 +20,7 @@
 	return m.HeapAlloc
 }
 
-// fleetPart is so much of the users' fleet as one of ten combs steers: all replicas and services, a tenth of the foragers.
+// fleetPart is the part of the users' fleet that one of ten members serves: all replicas and services, a tenth of the gateways.
 func fleetPart(x float64) sizes.Fleet {
 	f := sizes.ProductionFleet().Scale(x)
 	f.Gateways = max(f.Gateways/10, 1)
@@ -29,7 +29,7 @@
 
 type filledTable struct {
 	*weighting.Manager
-	lives []registry.Instance
+	instances []registry.Instance
 	f     sizes.Fleet
 }
 
@@ -41,28 +41,28 @@
 	zones := []string{sizes.ZoneName(0), sizes.ZoneName(1), sizes.ZoneName(2)}
 	t := &filledTable{weighting.New(weighting.Options{RandomSeed: 1, Zone: zones[0], Zones: zones, Members: 10, LinkMbps: 1000, DrainGrace: 2 * time.Second}), f.Instances(), f}
 	t.Configure(time.Second, c, f.Gateways*10)
-	t.UpdateInstances(time.Second, t.lives)
+	t.UpdateInstances(time.Second, t.instances)
 	for i := range f.Gateways {
 		t.AddGateway(time.Second, fmt.Sprintf("f%04d", i), zones[i%3])
 	}
 	return t
 }
 
-// report is what a forager met in a second: 70 requests, each to another replica.
+// report is a gateway's load report of a second: 70 requests, each to another replica.
 func (t *filledTable) report(i int) *messages.LoadReport {
 	r := &messages.LoadReport{PeriodMillis: 1000, Requests: map[string]int{}}
-	for j := range min(70, len(t.lives)) {
-		l := t.lives[(i*70+j*7919)%len(t.lives)]
-		r.Requests[l.Service]++
-		r.Endpoints = append(r.Endpoints, messages.EndpointStats{Replica: l.ID, Attempts: 1, MeanLatencyMicros: 200000, Running: 2, Slots: 6})
+	for j := range min(70, len(t.instances)) {
+		instance := t.instances[(i*70+j*7919)%len(t.instances)]
+		r.Requests[instance.Service]++
+		r.Endpoints = append(r.Endpoints, messages.EndpointStats{Replica: instance.ID, Attempts: 1, MeanLatencyMicros: 200000, Running: 2, Slots: 6})
 	}
 	return r
 }
 
-// capacityParts go up to where a comb's memory allows it here; n is the number of replicas.
+// capacityParts go up to what the memory of the machine they were measured on allows; n is the number of replicas.
 var capacityParts = []float64{1.0 / 81, 1.0 / 27, 1.0 / 9, 1.0 / 3}
 
-// BenchmarkCapacitySecond is a second of a comb's module: ten ticks, a report of each forager, and the lines taken for each.
+// BenchmarkCapacitySecond is a second of a member's manager: ten ticks, a report of each gateway, and the weights taken for each.
 func BenchmarkCapacitySecond(b *testing.B) {
 	for _, x := range capacityParts {
 		f := fleetPart(x)
@@ -94,13 +94,13 @@
 			}
 			b.ReportMetric(held, "heap-B")
 			b.ReportMetric(float64(lines)/float64(seconds), "lines/s")
-			b.ReportMetric(float64(f.Gateways), "foragers")
+			b.ReportMetric(float64(f.Gateways), "gateways")
 			runtime.KeepAlive(t)
 		})
 	}
 }
 
-// BenchmarkCapacityReport takes one forager's report.
+// BenchmarkCapacityReport takes one gateway's report.
 func BenchmarkCapacityReport(b *testing.B) {
 	for _, x := range capacityParts {
 		f := fleetPart(x)
--- /dev/null
+++ b/controlplane/weighting/loadreport.go
@@ -0,0 +1,67 @@
+package weighting
+
+import (
+	"time"
+
+	"zincloft.example/zincloft/intake"
+	"zincloft.example/zincloft/messages"
+	"zincloft.example/zincloft/rules"
+)
+
+// RecordReport takes a gateway's load report, which the governors learn of at the next tick. The report also acknowledges that the gateway
+// has applied what was published to it before.
+func (m *Manager) RecordReport(now time.Duration, gateway string, report *messages.LoadReport) {
+	proxy, ok := m.proxyIDs[gateway]
+	if !ok || report.PeriodMillis <= 0 {
+		return
+	}
+	for name, service := range m.services {
+		service.recordReport(now, m.joined[gateway].Zone, proxy, name, report)
+	}
+}
+
+// recordReport takes the part of a load report that is about one service.
+func (s *service) recordReport(now time.Duration, zone rules.ZoneID, proxy rules.ProxyID, name string, report *messages.LoadReport) {
+	period := time.Duration(report.PeriodMillis) * time.Millisecond
+	s.pending = append(s.pending, rules.Applied{Proxy: proxy, Version: s.version})
+	if requests := report.Requests[name]; requests > 0 {
+		s.pending = append(s.pending, rules.Intake{Proxy: proxy, Flows: requests, Over: period})
+	}
+	batch := &intake.Batch{Proxy: proxy, Over: period, Read: governorTime(now)}
+	for _, stats := range report.Endpoints {
+		id, ok := s.replicaIDs[stats.Replica]
+		if !ok || stats.Attempts <= 0 {
+			continue
+		}
+		record := endpointRecord(id, stats)
+		s.pending = append(s.pending, rules.Sums{
+			Replica: id,
+			Zone:    zone,
+			Tries:   record.Tries,
+			Dropped: record.Dropped,
+			Took:    record.Took,
+			Over:    period,
+			Report:  record.Report,
+		})
+		batch.Records = append(batch.Records, record)
+	}
+	if len(batch.Records) > 0 {
+		s.intake.Take(governorTime(now), batch)
+	}
+}
+
+// endpointRecord translates a gateway's statistics of one replica. What a replica doesn't tell of its load is absent.
+func endpointRecord(id rules.ReplicaID, stats messages.EndpointStats) intake.Record {
+	load := rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
+	if stats.Slots > 0 {
+		load.Util = min(float64(stats.Running)/float64(stats.Slots), 1)
+		load.InFlight = float64(stats.Running + stats.Waiting)
+	}
+	return intake.Record{
+		Replica: id,
+		Tries:   stats.Attempts,
+		Dropped: min(stats.Dropped, stats.Attempts),
+		Took:    time.Duration(stats.MeanLatencyMicros) * time.Microsecond,
+		Report:  load,
+	}
+}
