--- /dev/null
+++ b/controlplane/controller/fleet.go
@@ -0,0 +1,135 @@
+package controller
+
+import (
+	"encoding/json"
+	"time"
+
+	"zincloft.example/zincloft/controlplane/maintenance"
+	"zincloft.example/zincloft/messages"
+)
+
+const (
+	// fleetReportTTL: what a gateway or another member told of nodes counts for so long.
+	fleetReportTTL = 2500 * time.Millisecond
+
+	// fleetDiscoveryPeriod: a member that has just started doesn't know all nodes for so long.
+	fleetDiscoveryPeriod = 3 * time.Second
+)
+
+// peerFleet is what another member told of its gateways.
+type peerFleet struct {
+	receivedAt time.Duration
+	fleet      messages.GatewaySummary
+}
+
+// localFleet lists the nodes whose gateways are connected to this member, and their load by region and group.
+func (c *Controller) localFleet(now time.Duration) messages.GatewaySummary {
+	type regionGroup struct{ region, group string }
+	summary := messages.GatewaySummary{GatewayCount: len(c.streams)}
+	load := map[regionGroup]float64{}
+	for _, stream := range c.streams {
+		if stream.status == nil || now-stream.statusAt > fleetReportTTL {
+			continue
+		}
+		node := c.nodeOf(stream)
+		summary.Nodes = append(summary.Nodes, node)
+		for group, rate := range stream.status.LoadByGroup {
+			load[regionGroup{node.Region, group}] += rate
+		}
+	}
+	for _, floor := range c.maintenanceState().AgreedFloors {
+		if rate := load[regionGroup{floor.Region, floor.Group}]; rate > 0 {
+			summary.Load = append(summary.Load, messages.GroupLoad{Region: floor.Region, Group: floor.Group, RequestsPerSecond: rate})
+		}
+	}
+	return summary
+}
+
+// nodeOf is the node of a gateway that has reported its status.
+func (c *Controller) nodeOf(stream *gatewayStream) maintenance.Node {
+	status := stream.status
+	node := maintenance.Node{
+		Serving:      status.Ready && status.Phase == maintenance.Serving,
+		Phase:        status.Phase,
+		FencingToken: status.FencingToken,
+	}
+	node.Name = stream.gateway
+	node.Zone = stream.zone
+	node.Region = c.options.RegionByZone[stream.zone]
+	node.Capacity = status.CapacityByGroup
+	return node
+}
+
+// knownFleet is what is known of all nodes. It is complete once this member has run for a while and every member that can be reached has told
+// of its gateways lately; the gateways of the others go elsewhere within a second.
+func (c *Controller) knownFleet(now time.Duration) maintenance.Fleet {
+	fleet := maintenance.Fleet{Load: map[string]map[string]float64{}, Complete: now > fleetDiscoveryPeriod}
+	listed := map[string]bool{}
+	addSummary(&fleet, listed, c.localFleet(now))
+	for _, peer := range c.coordinator.Peers(now) {
+		if peer.ID == "" || !c.coordinator.IsReachable(now, peer.ID) {
+			continue
+		}
+		reported, ok := c.maintenance.peerFleets[peer.ID]
+		if !ok || now-reported.receivedAt > fleetReportTTL {
+			fleet.Complete = false
+			continue
+		}
+		addSummary(&fleet, listed, reported.fleet)
+	}
+	return fleet
+}
+
+// addSummary adds the nodes and the load of one member's gateways. A node that has just changed sides may stand in two summaries.
+func addSummary(fleet *maintenance.Fleet, listed map[string]bool, summary messages.GatewaySummary) {
+	for _, node := range summary.Nodes {
+		if !listed[node.Name] {
+			listed[node.Name] = true
+			fleet.Nodes = append(fleet.Nodes, node)
+		}
+	}
+	for _, load := range summary.Load {
+		if fleet.Load[load.Region] == nil {
+			fleet.Load[load.Region] = map[string]float64{}
+		}
+		fleet.Load[load.Region][load.Group] += load.RequestsPerSecond
+	}
+}
+
+// MaintenanceStatus is what operators see of maintenance windows.
+type MaintenanceStatus struct {
+	maintenance.State
+	Nodes         []NodeStatus                  `json:"fleet"`
+	Load          map[string]map[string]float64 `json:"load"`    // requests a second, by region and group
+	UnmetFloors   []string                      `json:"missing"` // floors of capacity that aren't kept now
+	FleetComplete bool                          `json:"sure"`    // all nodes are known
+}
+
+// NodeStatus is one node of the fleet.
+type NodeStatus struct {
+	Node     string             `json:"node"`
+	Zone     string             `json:"zone"`
+	Region   string             `json:"region"`
+	Serving  bool               `json:"serving"`
+	Phase    maintenance.Phase  `json:"phase"`
+	Capacity map[string]float64 `json:"carries"` // requests a second, by group
+}
+
+// DescribeMaintenance tells operators how maintenance windows stand, as this member knows: a MaintenanceStatus in JSON.
+func (c *Controller) DescribeMaintenance(now time.Duration) ([]byte, error) {
+	fleet := c.knownFleet(now)
+	status := MaintenanceStatus{
+		State:         c.maintenanceState(),
+		Nodes:         []NodeStatus{},
+		Load:          fleet.Load,
+		UnmetFloors:   []string{},
+		FleetComplete: fleet.Complete,
+	}
+	for _, node := range fleet.Nodes {
+		status.Nodes = append(status.Nodes, NodeStatus{node.Name, node.Zone, node.Region, node.Serving, node.Phase, node.Capacity})
+	}
+	for _, floor := range status.Shortfalls(fleet, status.IsOut) {
+		status.UnmetFloors = append(status.UnmetFloors, floor.String())
+	}
+	return json.MarshalIndent(status, "", "  ")
+}
--- /dev/null
+++ b/controlplane/controller/gossip.go
@@ -0,0 +1,112 @@
+package controller
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/messages"
+)
+
+const (
+	gossipInterval = time.Second
+
+	// gossipRepeatPeriod: changes are repeated to the other members for so long, as links lose messages.
+	gossipRepeatPeriod = 3 * time.Second
+)
+
+// revisionAt is the registry's revision at a moment.
+type revisionAt struct {
+	at       time.Duration
+	revision uint64
+}
+
+// handlePeerMessage takes a message of another member.
+func (c *Controller) handlePeerMessage(now time.Duration, from membership.Member, message *Message) {
+	if message.Coordinator != nil {
+		c.applyCoordinatorActions(now, c.coordinator.Step(now, from, *message.Coordinator))
+	}
+	if message.Fleet != nil {
+		c.peerGatewayCounts[from.ID] = message.Fleet.GatewayCount
+		if len(message.Fleet.Nodes) > 0 || c.maintenanceState().Enabled() {
+			c.maintenance.peerFleets[from.ID] = peerFleet{now, *message.Fleet}
+		}
+	}
+	for _, ejection := range message.Ejections {
+		c.outliers.RecordRemote(now, ejection)
+		c.publishEjection(ejection)
+	}
+	c.mergeInstances(now, message.Instances)
+}
+
+// broadcastInstances tells the other members of instances at once.
+func (c *Controller) broadcastInstances(now time.Duration, instances []registry.Instance) {
+	for _, peer := range c.coordinator.Peers(now) {
+		c.send(peer.Addr, Message{Instances: instances})
+	}
+}
+
+// gossip tells each other member which replicas have sent heartbeats here and what has changed lately; a member that can be reached again is
+// told all that is known.
+func (c *Controller) gossip(now time.Duration) {
+	if now < c.nextGossipAt {
+		return
+	}
+	heartbeats := c.registry.DirectHeartbeats(now, c.nextGossipAt-gossipInterval)
+	c.nextGossipAt = now + gossipInterval
+	changes := c.recentChanges(now)
+	fleet := messages.GatewaySummary{GatewayCount: len(c.streams)}
+	if c.maintenanceState().Enabled() {
+		fleet = c.localFleet(now)
+	}
+	for _, peer := range c.coordinator.Peers(now) {
+		if peer.ID == "" {
+			continue
+		}
+		instances := changes
+		reachable := c.coordinator.IsReachable(now, peer.ID)
+		if reachable && !c.connectedPeers[peer.ID] {
+			instances = c.registry.ChangesSince(now, registry.AllRevisions)
+		}
+		c.connectedPeers[peer.ID] = reachable
+		c.send(peer.Addr, Message{Instances: withHeartbeats(instances, heartbeats), Fleet: &fleet})
+	}
+	c.forgetUnreachablePeers(now)
+}
+
+// recentChanges lists the instances that changed within the last gossipRepeatPeriod.
+func (c *Controller) recentChanges(now time.Duration) []registry.Instance {
+	c.gossipRevisions = append(c.gossipRevisions, revisionAt{now, c.registry.Revision()})
+	for len(c.gossipRevisions) > 1 && now-c.gossipRevisions[0].at > gossipRepeatPeriod {
+		c.gossipRevisions = c.gossipRevisions[1:]
+	}
+	return c.registry.ChangesSince(now, c.gossipRevisions[0].revision)
+}
+
+// forgetUnreachablePeers drops what members that can't be reached told of their gateways, which go elsewhere.
+func (c *Controller) forgetUnreachablePeers(now time.Duration) {
+	for _, id := range sortedKeys(c.peerGatewayCounts) {
+		if !c.coordinator.IsReachable(now, id) {
+			delete(c.peerGatewayCounts, id)
+			delete(c.maintenance.peerFleets, id)
+		}
+	}
+}
+
+// withHeartbeats adds the bare heartbeats of instances that aren't listed anyway.
+func withHeartbeats(instances, heartbeats []registry.Instance) []registry.Instance {
+	listed := map[string]bool{}
+	for _, instance := range instances {
+		listed[instance.ID] = true
+	}
+	merged := slices.Clone(instances)
+	for _, heartbeat := range heartbeats {
+		if !listed[heartbeat.ID] {
+			merged = append(merged, heartbeat)
+		}
+	}
+	slices.SortStableFunc(merged, func(a, b registry.Instance) int { return cmp.Compare(a.ID, b.ID) })
+	return merged
+}
--- /dev/null
+++ b/controlplane/controller/instances.go
@@ -0,0 +1,84 @@
+package controller
+
+import (
+	"net/http"
+	"time"
+
+	"zincloft.example/zincloft/controlplane/registry"
+)
+
+// handleHeartbeat takes a heartbeat that a replica sent to this member.
+func (c *Controller) handleHeartbeat(now time.Duration, token uint64, heartbeat registry.Instance) {
+	if !c.coordinator.HasQuorumContact(now) {
+		c.respond(Response{Token: token, Status: http.StatusServiceUnavailable})
+		return
+	}
+	if change := c.registry.Heartbeat(now, heartbeat); change.Changed {
+		if change.Urgent {
+			c.logInfo("draining", "instance", heartbeat.ID)
+		}
+		if change.Urgent || heartbeat.WarmupMillis > 0 { // the others may hold it as warm, or as warming up for a shorter time
+			c.broadcastInstances(now, []registry.Instance{heartbeat})
+		}
+		c.publish(now, change.Urgent)
+	}
+	c.respond(Response{Token: token, Status: http.StatusOK, Address: c.heartbeatTarget(now, heartbeat.Zone)})
+}
+
+// heartbeatTarget is where a replica is to send its further heartbeats: a member in its own zone, as traffic between zones costs. It is empty
+// where no such member can be reached.
+func (c *Controller) heartbeatTarget(now time.Duration, zone string) string {
+	if zone == c.options.Zone {
+		return c.options.ControlAddr
+	}
+	for _, peer := range c.coordinator.Peers(now) {
+		if peer.Zone == zone && peer.APIAddr != "" && c.coordinator.IsReachable(now, peer.ID) {
+			return peer.APIAddr
+		}
+	}
+	return ""
+}
+
+// handleDeregister ends an instance at its own request.
+func (c *Controller) handleDeregister(now time.Duration, token uint64, id string) {
+	if !c.coordinator.HasQuorumContact(now) {
+		c.respond(Response{Token: token, Status: http.StatusServiceUnavailable})
+		return
+	}
+	c.deregister(now, id, "itself")
+	c.respond(Response{Token: token, Status: http.StatusOK})
+}
+
+// deregister ends an instance, at its own request or on a gateway's proof, and tells everybody at once.
+func (c *Controller) deregister(now time.Duration, id, by string) {
+	if !c.registry.Deregister(now, id) {
+		return
+	}
+	c.logInfo("instance_deregistered", "instance", id, "by", by)
+	c.broadcastInstances(now, []registry.Instance{{ID: id, Deregistered: true}})
+	c.publish(now, true)
+}
+
+// mergeInstances takes in instances that another member or a gateway has told of.
+func (c *Controller) mergeInstances(now time.Duration, instances []registry.Instance) {
+	if len(instances) == 0 {
+		return
+	}
+	if change := c.registry.Merge(now, instances); change.Changed {
+		c.publish(now, change.Urgent)
+	}
+}
+
+// activeReplicas lists the instances in use of the service that one belongs to.
+func (c *Controller) activeReplicas(now time.Duration, id string) (active []string) {
+	instance, ok := c.registry.Get(now, id)
+	if !ok {
+		return nil
+	}
+	c.registry.Each(now, func(other registry.Instance) {
+		if other.Service == instance.Service && !other.Draining && !other.HeartbeatTimedOut {
+			active = append(active, other.ID)
+		}
+	})
+	return active
+}
--- /dev/null
+++ b/controlplane/controller/publication.go
@@ -0,0 +1,201 @@
+package controller
+
+import (
+	"maps"
+	"time"
+
+	"zincloft.example/zincloft/controlplane/chainreplication"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/dataplane/outlier"
+	"zincloft.example/zincloft/messages"
+)
+
+const (
+	// publishInterval: changes that are not urgent are published this often.
+	publishInterval = 200 * time.Millisecond
+
+	// keepaliveInterval: every gateway hears at least this often.
+	keepaliveInterval = 400 * time.Millisecond
+
+	// bootstrapIntervals is the number of heartbeat intervals after which a member that has started, or was isolated, knows all instances.
+	bootstrapIntervals = 2.2
+)
+
+// publicationRound is what one round publishes to all gateways alike.
+type publicationRound struct {
+	now          time.Duration
+	register     chainreplication.Register
+	complete     bool // everything that has changed; else only the register
+	gatewayCount int
+	warmupRates  map[*gatewayStream]map[string]float32 // where the round is complete
+}
+
+// publish brings the gateways up to date: a snapshot first, then deltas. The register goes out at once, and so does everything if it is
+// urgent or if a gateway waits for its snapshot; other changes wait for the publish interval. An isolated member publishes nothing.
+func (c *Controller) publish(now time.Duration, urgent bool) {
+	register, known := c.coordinator.Register()
+	if !known || c.isolated || !c.coordinator.HasQuorumContact(now) || c.config == nil {
+		return
+	}
+	round := publicationRound{
+		now:          now,
+		register:     register,
+		complete:     urgent || now-c.lastPublishAt >= publishInterval || c.snapshotsDue(),
+		gatewayCount: c.gatewayCount(),
+	}
+	c.updateWeights(now)
+	if round.complete {
+		c.lastPublishAt = now
+		round.warmupRates = c.allocateWarmupRates(now)
+	}
+	for _, stream := range c.streams {
+		if update, needed := c.nextUpdate(round, stream); needed {
+			stream.lastSentAt = now
+			c.actions.Publish = append(c.actions.Publish, Publication{[]uint64{stream.id}, update})
+		}
+	}
+}
+
+// snapshotsDue tells whether a gateway waits for its snapshot. A snapshot without the instances would say that there are none, so the round
+// that sends it must be complete.
+func (c *Controller) snapshotsDue() bool {
+	for _, stream := range c.streams {
+		if !stream.snapshotSent {
+			return true
+		}
+	}
+	return false
+}
+
+// updateWeights hands changed instances to the weights.
+func (c *Controller) updateWeights(now time.Duration) {
+	revision := c.registry.Revision()
+	if revision <= c.weightsRevision {
+		return
+	}
+	c.weights.UpdateInstances(now, c.registry.ChangesSince(now, c.weightsRevision))
+	c.weightsRevision = revision
+}
+
+// nextUpdate is what a round has for one gateway, and whether it must be sent.
+func (c *Controller) nextUpdate(round publicationRound, stream *gatewayStream) (update messages.StateUpdate, needed bool) {
+	needed = round.now-stream.lastSentAt >= keepaliveInterval
+	if !stream.snapshotSent {
+		update.Full = true
+		update.Bootstrapping = c.bootstrapping(round.now)
+		update.WarmupRatesComplete = true
+		stream.snapshotSent = true
+		needed = true
+	}
+	needed = c.addRegister(&update, round, stream) || needed
+	if !round.complete {
+		return update, needed
+	}
+	needed = c.addInstances(&update, round, stream) || needed
+	needed = c.addWeights(&update, stream) || needed
+	needed = c.addMembers(&update, round, stream) || needed
+	needed = addGatewayCount(&update, round, stream) || needed
+	needed = addWarmupRates(&update, round, stream) || needed
+	return update, needed
+}
+
+// addRegister adds what is committed, and with it the gateway's maintenance window.
+func (c *Controller) addRegister(update *messages.StateUpdate, round publicationRound, stream *gatewayStream) bool {
+	register := round.register
+	if stream.registerSent && register.Sequence <= stream.registerSequence {
+		return false
+	}
+	update.Sequence = register.Sequence
+	update.ConfigVersion = register.Version
+	update.EvacuatedZones = sortedKeys(register.EvacuatedZones)
+	if register.Version != stream.configVersion {
+		update.Config = register.Body
+	}
+	stream.registerSent = true
+	stream.registerSequence = register.Sequence
+	stream.configVersion = register.Version
+	if state := c.maintenanceState(); state.Enabled() {
+		window := state.Instructions()[stream.gateway]
+		update.MaintenanceEnabled = true
+		update.Maintenance = messages.MaintenanceWindow{Phase: window.Phase, FencingToken: window.FencingToken}
+	}
+	return true
+}
+
+func (c *Controller) addInstances(update *messages.StateUpdate, round publicationRound, stream *gatewayStream) bool {
+	revision := c.registry.Revision()
+	if revision <= stream.instancesRevision && !update.Full {
+		return false
+	}
+	update.Instances = c.registry.ChangesSince(round.now, stream.instancesRevision)
+	stream.instancesRevision = revision
+	return true
+}
+
+func (c *Controller) addWeights(update *messages.StateUpdate, stream *gatewayStream) bool {
+	update.Weights = c.weights.TakeWeightChanges(stream.gateway)
+	update.PairEjections = c.weights.TakePairEjections(stream.gateway)
+	return len(update.Weights) > 0 || len(update.PairEjections) > 0
+}
+
+func (c *Controller) addMembers(update *messages.StateUpdate, round publicationRound, stream *gatewayStream) bool {
+	if stream.membersSent {
+		return false
+	}
+	update.Members = c.controlPlaneMembers(round.now)
+	stream.membersSent = true
+	return true
+}
+
+func addGatewayCount(update *messages.StateUpdate, round publicationRound, stream *gatewayStream) bool {
+	if round.gatewayCount == stream.gatewayCount {
+		return false
+	}
+	update.GatewayCount = round.gatewayCount
+	stream.gatewayCount = round.gatewayCount
+	return true
+}
+
+// addWarmupRates adds all warm-up rates of a gateway where one has changed. A snapshot carries them even if there are none, as the gateway
+// may hold rates from another member.
+func addWarmupRates(update *messages.StateUpdate, round publicationRound, stream *gatewayStream) bool {
+	rates := round.warmupRates[stream]
+	if !update.Full && maps.Equal(rates, stream.warmupRates) {
+		return false
+	}
+	update.WarmupRatesComplete = true
+	stream.warmupRates = rates
+	for _, id := range sortedKeys(rates) {
+		update.WarmupRates = append(update.WarmupRates, messages.EndpointWeight{Replica: id, WarmupRate: rates[id]})
+	}
+	return true
+}
+
+// publishEjection tells the gateways at once that a replica is ejected. Gateways that wait for their snapshot don't know it yet.
+func (c *Controller) publishEjection(ejection outlier.Ejection) {
+	publication := Publication{Update: messages.StateUpdate{Ejections: []outlier.Ejection{ejection}}}
+	for _, stream := range c.streams {
+		if stream.snapshotSent {
+			publication.Streams = append(publication.Streams, stream.id)
+		}
+	}
+	if len(publication.Streams) > 0 {
+		c.actions.Publish = append(c.actions.Publish, publication)
+	}
+}
+
+// bootstrapping tells whether this member may not know all instances, as it has just started or was isolated.
+func (c *Controller) bootstrapping(now time.Duration) bool {
+	return c.isolated || now-c.reconnectedAt < time.Duration(bootstrapIntervals*float64(c.options.HeartbeatInterval))
+}
+
+// controlPlaneMembers lists the members that a gateway may turn to, this one first.
+func (c *Controller) controlPlaneMembers(now time.Duration) []membership.Member {
+	members := []membership.Member{c.coordinator.Self()}
+	for _, peer := range c.coordinator.Peers(now) {
+		if peer.ID != "" && peer.Zone != "" {
+			members = append(members, peer)
+		}
+	}
+	return members
+}
--- /dev/null
+++ b/controlplane/controller/replication.go
@@ -0,0 +1,119 @@
+package controller
+
+import (
+	"slices"
+	"time"
+
+	"zincloft.example/zincloft/controlplane/chainreplication"
+	"zincloft.example/zincloft/controlplane/coordinator"
+	"zincloft.example/zincloft/controlplane/registry"
+	"zincloft.example/zincloft/gatewayconfig"
+)
+
+// instanceHints are the instances that the coordinator keeps on disk beside the replicated state.
+type instanceHints struct{ controller *Controller }
+
+// Revision is the registry's.
+func (h instanceHints) Revision() uint64 { return h.controller.registry.Revision() }
+
+// Instances lists all instances. Those that turn cold, or may have, as the evacuation of their zone finishes are marked as stale: the very
+// write that these go with may be the one that finishes it.
+func (h instanceHints) Instances() []registry.Instance {
+	instances := h.controller.registry.ChangesSince(h.controller.lastTickAt, registry.AllRevisions)
+	for i, instance := range instances {
+		if instance.WarmthUnknown || slices.Contains(h.controller.evacuatedZones, instance.Zone) {
+			instances[i].WarmthUnknown = false
+			instances[i].Stale = true
+		}
+	}
+	return instances
+}
+
+// applyCoordinatorActions carries out what the coordinator has decided.
+func (c *Controller) applyCoordinatorActions(now time.Duration, actions coordinator.Actions) {
+	if actions.StandstillDetected {
+		c.logWarning("clock_stopped")
+		c.resumedAt = now
+	}
+	if actions.DiskHealth != "" {
+		c.logWarning("disk_health", "state", actions.DiskHealth)
+	}
+	for _, outbound := range actions.Messages {
+		c.send(outbound.To, Message{Coordinator: &outbound.Message})
+	}
+	if actions.StateToPersist != nil {
+		c.actions.Write = actions.StateToPersist
+	}
+	if actions.ViewInstalled {
+		c.noteView()
+	}
+	if actions.RegisterCommitted {
+		c.applyCommitted(now)
+	}
+	for _, response := range actions.Responses {
+		c.dispatchResponse(now, response)
+	}
+}
+
+// noteView has the members of a new view published to the gateways.
+func (c *Controller) noteView() {
+	view := c.coordinator.View()
+	c.logInfo("view_installed", "view", view.Number, "chain", view.Chain, "voters", len(view.Voters))
+	for _, stream := range c.streams {
+		stream.membersSent = false
+	}
+}
+
+// dispatchResponse hands the coordinator's response to whoever has asked for it: joining gateways, a caller or a proposal of this member.
+func (c *Controller) dispatchResponse(now time.Duration, response coordinator.Response) {
+	if response.RequestID == c.confirmRequest {
+		c.completeJoins(now, response.Err)
+		return
+	}
+	if token, ok := c.callTokens[response.RequestID]; ok {
+		delete(c.callTokens, response.RequestID)
+		c.respond(Response{Token: token, Status: response.Status(), Body: response.Body, Address: response.RedirectTo()})
+		return
+	}
+	if proposal, ok := c.maintenance.proposals[response.RequestID]; ok {
+		delete(c.maintenance.proposals, response.RequestID)
+		c.handleProposalResult(now, proposal, response)
+	}
+}
+
+// applyCommitted puts the committed register into force.
+func (c *Controller) applyCommitted(now time.Duration) {
+	register, _ := c.coordinator.Register()
+	if (c.config == nil || c.config.Version != register.Version) && len(register.Body) > 0 {
+		c.applyConfiguration(now, register)
+	}
+	c.updateEvacuations(now, register)
+	c.publish(now, true)
+}
+
+// applyConfiguration puts a committed configuration into force. Where it can't be read, the last one stays in force.
+func (c *Controller) applyConfiguration(now time.Duration, register chainreplication.Register) {
+	config, err := gatewayconfig.Parse(register.Body)
+	if err != nil {
+		c.logWarning("config_unreadable", "version", register.Version, "error", err.Error())
+		return
+	}
+	c.config = config
+	c.weights.Configure(now, config, c.gatewayCount())
+	c.weightsRevision = registry.AllRevisions
+	c.logInfo("config_committed", "version", register.Version, "sequence", register.Sequence, "routes", config.RouteCount)
+}
+
+// updateEvacuations notes which zones are evacuated. Where an evacuation has finished, the zone's instances count as warming up until they
+// have told how they are.
+func (c *Controller) updateEvacuations(now time.Duration, register chainreplication.Register) {
+	for _, zone := range c.evacuatedZones {
+		if !register.EvacuatedZones[zone] {
+			c.registry.MarkWarmthUnknown(now, zone)
+		}
+	}
+	if evacuated := sortedKeys(register.EvacuatedZones); !slices.Equal(evacuated, c.evacuatedZones) {
+		c.logInfo("evacuations_changed", "zones", evacuated, "sequence", register.Sequence)
+		c.evacuatedZones = evacuated
+	}
+}
--- a/internal/demo/windows_test.go
+++ b/internal/demo/windows_test.go
@@ -100,7 +100,7 @@
 		So(g.command(maintenance.Command{Verb: "agree", AgreedFloors: []capacity.Floor{{Region: "here", Group: capacity.Orders, Minimum: 1}}}), ShouldEqual, http.StatusOK)
 		So(until("both measured", func() bool {
 			s := g.shown()
-			return len(s.Nodes) == 2 && s.Nodes[0].RequestRates[capacity.Orders] > 1 && s.Nodes[1].RequestRates[capacity.Orders] > 1
+			return len(s.Nodes) == 2 && s.Nodes[0].Capacity[capacity.Orders] > 1 && s.Nodes[1].Capacity[capacity.Orders] > 1
 		}), ShouldBeNil)
 		So(g.command(maintenance.Command{Verb: "ask", WindowName: "kernel", Nodes: []string{"forager-1", "forager-2"}}), ShouldEqual, http.StatusOK)
 		phase := func(node string) maintenance.Phase {
