--- a/internal/controlserver/calls_test.go
+++ b/internal/controlserver/calls_test.go
@@ -30,45 +30,58 @@
 rule_terms: {bounds: {grace_period: 1s}}
 `
 
-// newIdleServer makes a comb that runs nothing yet.
-func newIdleServer(t testing.TB) *Server {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	inner := min(l.Addr().(*net.TCPAddr).Port, 65530)
-	l2, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+// unusedAddrs are different addresses on which nobody listens at the moment.
+func unusedAddrs(t testing.TB, count int) (addrs []*net.TCPAddr) {
+	t.Helper()
+	var config net.ListenConfig
+	for range count {
+		listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer func() {
+			if err := listener.Close(); err != nil {
+				t.Fatal(err)
+			}
+		}()
+		addrs = append(addrs, listener.Addr().(*net.TCPAddr))
 	}
-	control := l2.Addr().String()
-	l.Close()
-	l2.Close()
-	dir := filepath.Join(t.TempDir(), "comb")
+	return addrs
+}
+
+// newIdleServer makes a server that runs nothing yet.
+func newIdleServer(t testing.TB) *Server {
+	t.Helper()
+	addrs := unusedAddrs(t, 2)
+	firstInternalPort := min(addrs[0].Port, 65530)
+	controlAddr := addrs[1].String()
+	dir := filepath.Join(t.TempDir(), "member")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	set, err := nodesettings.Parse([]byte(fmt.Sprintf(testSettings, dir, control, inner, inner+4, control)))
+	settings, err := nodesettings.Parse(fmt.Appendf(nil, testSettings, dir, controlAddr, firstInternalPort, firstInternalPort+4, controlAddr))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := New(set, program.NewLogger(io.Discard, "comb"))
+	server, err := New(settings, program.NewLogger(io.Discard, "controlplane"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return server
 }
 
-func serveCall(server *Server, ctx context.Context, query string, body string) *httptest.ResponseRecorder {
+// serveCall has a server answer a call.
+func serveCall(ctx context.Context, server *Server, query string, body string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
-	server.routes().ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/api/rpc?"+query, strings.NewReader(body)).WithContext(ctx))
+	server.routes().ServeHTTP(w, httptest.NewRequestWithContext(ctx, http.MethodPost, "/api/rpc?"+query, strings.NewReader(body)))
 	return w
 }
 
 const emptyConfiguration = `{"version":"%08x","services":[],"limits":{},"virtual_hosts":[]}`
 
-// Guards orders against those of earlier callers: one that has given up and called elsewhere finds nothing of its call
-// carried out here later, when a comb that was frozen or full of work comes to it. The brain is not there to be asked.
+// TestAbandonedCallIsNotExecuted guards against late execution: a caller that has given up and called another member finds nothing of its
+// call executed here later, when a member that was frozen or overloaded comes to it. There is no controller, so a call that reached it would
+// panic.
 func TestAbandonedCallIsNotExecuted(t *testing.T) {
 	for query, body := range map[string]string{
 		"call=configuration.replace":                 fmt.Sprintf(emptyConfiguration, 7),
@@ -79,59 +92,64 @@
 		"call=configuration.describe":                "",
 		"call=evacuations.finish&of=a&something=too": "",
 	} {
-		c := newIdleServer(t)
-		ctx, cancel := context.WithCancel(context.Background())
+		server := newIdleServer(t)
+		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan *httptest.ResponseRecorder)
-		go func() { done <- serveCall(c, ctx, query, body) }()
-		f := <-c.tasks // it waits to be carried out
+		go func() { done <- serveCall(ctx, server, query, body) }()
+		task := <-server.tasks
 		cancel()
-		f()
+		task()
 		<-done
-		if len(c.pendingCalls) > 0 {
-			t.Errorf("%s: somebody still waits", query)
+		if len(server.pendingCalls) > 0 {
+			t.Errorf("%s: a caller still waits", query)
 		}
 	}
 }
 
-// Guards a replica's beats against one with a number above all later ones.
+// TestHeartbeatRejectsInvalidNumbers guards a replica's heartbeats against one whose sequence would stand above all later ones.
 func TestHeartbeatRejectsInvalidNumbers(t *testing.T) {
-	c := newIdleServer(t)
-	for _, x := range []string{`"sequence":-5`, `"sequence":"7"`, `"sequence":1e300`, `"slots":-1`, `"slots":9e9`, `"cold_remaining":"-4s"`} {
-		w := serveCall(c, context.Background(), "call=instances.heartbeat&of=i1", `{"service":"s","address":"h:1",`+x+`}`)
+	server := newIdleServer(t)
+	for _, field := range []string{`"sequence":-5`, `"sequence":"7"`, `"sequence":1e300`, `"slots":-1`, `"slots":9e9`, `"cold_remaining":"-4s"`} {
+		w := serveCall(t.Context(), server, "call=instances.heartbeat&of=i1", `{"service":"s","address":"h:1",`+field+`}`)
 		if w.Code != http.StatusUnprocessableEntity {
-			t.Errorf("%s: %d", x, w.Code)
+			t.Errorf("%s: status %d", field, w.Code)
 		}
 	}
-	if w := serveCall(c, context.Background(), "call=instances.heartbeat&of=i1", strings.Repeat(" ", maxHeartbeatBytes+1)); w.Code != http.StatusRequestEntityTooLarge {
-		t.Error(w.Code)
+	if w := serveCall(t.Context(), server, "call=instances.heartbeat&of=i1", strings.Repeat(" ", maxHeartbeatBytes+1)); w.Code != http.StatusRequestEntityTooLarge {
+		t.Errorf("too large a body: status %d", w.Code)
 	}
 }
 
-// FuzzCalls has a whole comb take calls: it answers each with a status of the protocol, in JSON, and acknowledges no
-// configuration that it does not give back.
+// FuzzCalls has a running server take calls: it answers each with a status of the protocol, in JSON, and acknowledges no configuration that
+// it doesn't give back.
 func FuzzCalls(f *testing.F) {
-	c := newIdleServer(f)
-	ctx, cancel := context.WithCancel(context.Background())
+	server := newIdleServer(f)
+	ctx, cancel := context.WithCancel(f.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- c.Run(ctx, make(chan os.Signal)) }()
-	f.Cleanup(func() { cancel(); <-ended })
-	for end := time.Now().Add(10 * time.Second); serveCall(c, ctx, "call=configuration.replace", fmt.Sprintf(emptyConfiguration, 1)).Code != http.StatusOK; {
-		if time.Now().After(end) {
-			f.Fatal("the comb does not serve")
+	go func() { ended <- server.Run(ctx, make(chan os.Signal)) }()
+	f.Cleanup(func() {
+		cancel()
+		if err := <-ended; err != nil {
+			f.Error(err)
+		}
+	})
+	for deadline := time.Now().Add(10 * time.Second); serveCall(ctx, server, "call=configuration.replace", fmt.Sprintf(emptyConfiguration, 1)).Code != http.StatusOK; {
+		if time.Now().After(deadline) {
+			f.Fatal("the server does not answer")
 		}
 	}
-	for _, x := range [][2]string{
+	for _, call := range []struct{ query, body string }{
 		{"call=instances.heartbeat&of=i1", `{"service":"s","address":"127.0.0.1:9","zone":"a","slots":4,"state":"ready","cold_remaining":"0ms","sequence":4}`},
 		{"call=instances.deregister&of=i1", ""}, {"call=configuration.replace", fmt.Sprintf(emptyConfiguration, 9)}, {"call=configuration.describe", ""},
 		{"call=evacuations.start&of=a", ""}, {"call=evacuations.finish&of=a", ""}, {"call=windows.command", `{}`}, {"call=windows.describe", ""}, {"call=core.describe", ""}, {"call=x", ""},
 	} {
-		f.Add(x[0], []byte(x[1]))
+		f.Add(call.query, []byte(call.body))
 	}
 	f.Fuzz(func(t *testing.T, query string, body []byte) {
-		q := httptest.NewRequest(http.MethodPost, "/api/rpc", bytes.NewReader(body))
-		q.URL.RawQuery = query
+		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/api/rpc", bytes.NewReader(body))
+		request.URL.RawQuery = query
 		w := httptest.NewRecorder()
-		c.routes().ServeHTTP(w, q)
+		server.routes().ServeHTTP(w, request)
 		switch w.Code {
 		case 200, 400, 404, 409, 412, 413, 422, 503:
 		default:
@@ -140,7 +158,7 @@
 		if !strings.HasPrefix(w.Header().Get("Content-Type"), "application/json") {
 			t.Fatalf("%d without JSON for %q %q", w.Code, query, body)
 		}
-		if w.Code == 200 && q.URL.Query().Get("call") == "configuration.replace" && serveCall(c, ctx, "call=configuration.describe", "").Code != 200 {
+		if w.Code == 200 && request.URL.Query().Get("call") == "configuration.replace" && serveCall(ctx, server, "call=configuration.describe", "").Code != 200 {
 			t.Fatalf("acknowledged and not there: %q", body)
 		}
 	})
--- /dev/null
+++ b/internal/controlserver/instancecalls.go
@@ -0,0 +1,95 @@
+package controlserver
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"github.com/tidwall/gjson"
+
+	"zincloft.example/zincloft/controlplane/controller"
+	"zincloft.example/zincloft/controlplane/registry"
+)
+
+const (
+	maxHeartbeatBytes = 64 << 10
+	maxSlots          = 1 << 20
+
+	// maxJSONInteger is where JSON's numbers stop being exact integers.
+	maxJSONInteger = 1 << 53
+)
+
+// Errors of a heartbeat that can be read but isn't valid. The texts go to the caller.
+var (
+	errHeartbeatIncomplete = errors.New("heartbeat: address or service is missing")
+	errHeartbeatNumber     = errors.New("heartbeat: sequence, slots or cold_remaining is no such number")
+)
+
+// heartbeatBody is the response to a heartbeat: where to send the further ones, if that is elsewhere.
+type heartbeatBody struct {
+	HeartbeatTarget string `json:"heartbeat_target,omitempty"`
+}
+
+func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
+	body, ok := s.readBody(w, r, maxHeartbeatBytes)
+	if !ok {
+		return
+	}
+	id := target(r)
+	if !gjson.ValidBytes(body) || id == "" {
+		s.writeResult(w, http.StatusBadRequest, "heartbeat: cannot be read")
+		return
+	}
+	heartbeat, err := parseHeartbeat(id, gjson.ParseBytes(body))
+	if err != nil {
+		s.writeResult(w, http.StatusUnprocessableEntity, err.Error())
+		return
+	}
+	response := s.call(r, controller.Event{Heartbeat: &heartbeat})
+	if response.Status != http.StatusOK {
+		s.writeResult(w, response.Status, noQuorumText)
+		return
+	}
+	s.writeJSON(w, http.StatusOK, heartbeatBody{HeartbeatTarget: response.Address})
+}
+
+// parseHeartbeat reads a heartbeat. Its numbers are checked strictly: a sequence that is none would stand above all later ones.
+func parseHeartbeat(id string, document gjson.Result) (registry.Instance, error) {
+	warmup, err := time.ParseDuration(document.Get("cold_remaining").String())
+	if err != nil {
+		warmup = 0 // absent, or not a time: the replica is warm
+	}
+	sequence := document.Get("sequence")
+	heartbeat := registry.Instance{
+		ID:           id,
+		Service:      document.Get("service").String(),
+		Addr:         document.Get("address").String(),
+		Zone:         document.Get("zone").String(),
+		Slots:        int(document.Get("slots").Int()),
+		Draining:     document.Get("state").String() == "draining",
+		WarmupMillis: warmup.Milliseconds(),
+		Sequence:     sequence.Uint(),
+	}
+	if heartbeat.Addr == "" || heartbeat.Service == "" {
+		return registry.Instance{}, errHeartbeatIncomplete
+	}
+	validSequence := !sequence.Exists() || sequence.Type == gjson.Number && sequence.Num >= 0 && sequence.Num <= maxJSONInteger
+	validSlots := heartbeat.Slots >= 0 && heartbeat.Slots <= maxSlots
+	if !validSequence || !validSlots || warmup < 0 {
+		return registry.Instance{}, errHeartbeatNumber
+	}
+	return heartbeat, nil
+}
+
+func (s *Server) handleDeregister(w http.ResponseWriter, r *http.Request) {
+	id := target(r)
+	if id == "" {
+		s.writeResult(w, http.StatusBadRequest, "of: names no replica")
+		return
+	}
+	if response := s.call(r, controller.Event{Deregister: id}); response.Status != http.StatusOK {
+		s.writeResult(w, response.Status, noQuorumText)
+		return
+	}
+	s.writeResult(w, http.StatusOK, "")
+}
--- /dev/null
+++ b/internal/controlserver/operatorcalls.go
@@ -0,0 +1,103 @@
+package controlserver
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"zincloft.example/zincloft/controlplane/chainreplication"
+	"zincloft.example/zincloft/controlplane/controller"
+	"zincloft.example/zincloft/controlplane/maintenance"
+	"zincloft.example/zincloft/gatewayconfig"
+)
+
+// handleReplaceConfiguration has a new configuration committed.
+func (s *Server) handleReplaceConfiguration(w http.ResponseWriter, r *http.Request) {
+	body, ok := s.readBody(w, r, maxBodyBytes)
+	if !ok {
+		return
+	}
+	config, err := gatewayconfig.Parse(body)
+	if err != nil {
+		s.logger.Info().Str("event", "config_rejected").Err(err).Msg("")
+		s.writeResult(w, http.StatusBadRequest, err.Error())
+		return
+	}
+	s.propose(w, r, chainreplication.Command{Version: config.Version, Body: body})
+}
+
+// handleEvacuation has the evacuation of a zone started or finished.
+func (s *Server) handleEvacuation(w http.ResponseWriter, r *http.Request, evacuated bool) {
+	zone := target(r)
+	if _, ok := s.settings.ZoneRegions[zone]; !ok {
+		s.writeResult(w, http.StatusUnprocessableEntity, "of: names no zone")
+		return
+	}
+	s.propose(w, r, chainreplication.Command{Zone: zone, Evacuated: evacuated})
+}
+
+// propose answers a call with the outcome of a command for the replicated register.
+func (s *Server) propose(w http.ResponseWriter, r *http.Request, command chainreplication.Command) {
+	s.writeResult(w, s.call(r, controller.Event{Command: &command}).Status, "")
+}
+
+// handleDescribeConfiguration answers with the committed configuration, or tells where to ask.
+func (s *Server) handleDescribeConfiguration(w http.ResponseWriter, r *http.Request) {
+	response := s.call(r, controller.Event{ReadConfiguration: true})
+	switch response.Status {
+	case http.StatusTemporaryRedirect:
+		w.Header().Set("Location", "http://"+response.Address+"/api/rpc?call=configuration.describe")
+		w.WriteHeader(response.Status)
+	case http.StatusOK:
+		s.writeBody(w, http.StatusOK, response.Body)
+	case http.StatusNotFound:
+		s.writeResult(w, response.Status, "no configuration has been given yet")
+	default:
+		s.writeResult(w, response.Status, noQuorumText)
+	}
+}
+
+// handleMaintenanceCommand applies an operator's command about maintenance windows.
+func (s *Server) handleMaintenanceCommand(w http.ResponseWriter, r *http.Request) {
+	body, ok := s.readBody(w, r, maxBodyBytes)
+	if !ok {
+		return
+	}
+	var command maintenance.Command
+	if json.Unmarshal(body, &command) != nil {
+		s.writeResult(w, http.StatusBadRequest, "windows: the command cannot be read")
+		return
+	}
+	response := s.call(r, controller.Event{MaintenanceCommand: &command})
+	s.writeResult(w, response.Status, string(response.Body))
+}
+
+// handleDescribeCore tells how the control plane stands, as this member knows; also while it has no contact with a quorum.
+func (s *Server) handleDescribeCore(w http.ResponseWriter, _ *http.Request) {
+	s.writeEvaluated(w, func() ([]byte, error) {
+		return json.MarshalIndent(s.controller.Describe(s.now()), "", "  ")
+	})
+}
+
+// handleDescribeMaintenance tells how maintenance windows stand, as this member knows.
+func (s *Server) handleDescribeMaintenance(w http.ResponseWriter, _ *http.Request) {
+	s.writeEvaluated(w, func() ([]byte, error) { return s.controller.DescribeMaintenance(s.now()) })
+}
+
+// writeEvaluated answers a call with JSON that the goroutine of Run makes.
+func (s *Server) writeEvaluated(w http.ResponseWriter, evaluate func() ([]byte, error)) {
+	type result struct {
+		body []byte
+		err  error
+	}
+	done := make(chan result, 1)
+	s.enqueue(func() {
+		body, err := evaluate()
+		done <- result{body, err}
+	})
+	evaluated := <-done
+	if evaluated.err != nil {
+		s.writeResult(w, http.StatusInternalServerError, evaluated.err.Error())
+		return
+	}
+	s.writeBody(w, http.StatusOK, evaluated.body)
+}
--- /dev/null
+++ b/internal/controlserver/peers.go
@@ -0,0 +1,193 @@
+package controlserver
+
+import (
+	"errors"
+	"net"
+	"time"
+
+	"zincloft.example/zincloft/controlplane/controller"
+	"zincloft.example/zincloft/internal/nodesettings"
+	"zincloft.example/zincloft/internal/peertransport"
+	"zincloft.example/zincloft/messages"
+	"zincloft.example/zincloft/peersampling"
+)
+
+const (
+	discoveryInterval = 2 * time.Second
+
+	// peerIdleTimeout: the connection to a peer to which nothing was sent for so long is dropped.
+	peerIdleTimeout = 30 * time.Second
+
+	// Connections on which nothing comes for so long are closed.
+	helloTimeout       = 2 * time.Second
+	peerReadTimeout    = 5 * time.Second
+	gatewayReadTimeout = 4 * time.Second
+
+	// unackedTimeout bounds how long what was sent on a connection may stay unacknowledged.
+	unackedTimeout = time.Second
+)
+
+// tick lets time pass for the controller and, now and then, looks for other members.
+func (s *Server) tick() {
+	if now := s.now(); now-s.lastDiscoveryAt > discoveryInterval {
+		s.lastDiscoveryAt = now
+		s.discoverPeers()
+		s.dropIdlePeers(now)
+	}
+	s.step(controller.Event{})
+}
+
+// discoverPeers tells the controller where other members may be: the seeds, and whom gossip knows.
+func (s *Server) discoverPeers() {
+	if nodesettings.FileChanged() { // without a signal
+		s.reloadSettings()
+	}
+	addrs := s.settings.SeedPeerAddresses()
+	for _, peer := range s.gossip.Peers(peersampling.RoleControlPlane) {
+		addrs = append(addrs, peer.Addr)
+	}
+	s.step(controller.Event{DiscoveredAddrs: addrs})
+}
+
+// dropIdlePeers gives up connections to peers that the controller no longer sends to: machines come and go.
+func (s *Server) dropIdlePeers(now time.Duration) {
+	for addr, sentAt := range s.lastSentAt {
+		if now-sentAt > peerIdleTimeout {
+			s.peers[addr].Stop()
+			delete(s.peers, addr)
+			delete(s.lastSentAt, addr)
+		}
+	}
+}
+
+// peerFrame is a message between members as a frame carries it; peerMessage is the reverse.
+func peerFrame(message controller.Message) *peertransport.Frame {
+	return &peertransport.Frame{
+		Coordinator:    message.Coordinator,
+		Instances:      message.Instances,
+		GatewaySummary: message.Fleet,
+		Ejections:      message.Ejections,
+	}
+}
+
+func peerMessage(frame *peertransport.Frame) *controller.Message {
+	return &controller.Message{
+		Coordinator: frame.Coordinator,
+		Instances:   frame.Instances,
+		Fleet:       frame.GatewaySummary,
+		Ejections:   frame.Ejections,
+	}
+}
+
+// sendToPeer sends a frame to a member, over a connection that is kept.
+func (s *Server) sendToPeer(addr string, frame *peertransport.Frame) {
+	encoded, err := peertransport.EncodeFrame(frame)
+	if err != nil {
+		s.logger.Error().Str("event", "encoding_failed").Err(err).Msg("")
+		return
+	}
+	peer := s.peers[addr]
+	if peer == nil {
+		peer = peertransport.NewPeer(addr, s.hello)
+		s.peers[addr] = peer
+	}
+	s.lastSentAt[addr] = s.now()
+	peer.Send(encoded)
+}
+
+// acceptConnections takes the connections of other members and of gateways until the listener is closed.
+func (s *Server) acceptConnections(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			s.serveErrors <- err
+			return
+		}
+		s.limitUnacked(conn)
+		go s.serveConnection(conn)
+	}
+}
+
+// limitUnacked sets unackedTimeout. Where the system refuses, the connection is served without.
+func (s *Server) limitUnacked(conn net.Conn) {
+	raw, err := conn.(*net.TCPConn).SyscallConn()
+	if err == nil {
+		err = peertransport.SetUnackedTimeout(raw, unackedTimeout)
+	}
+	if err != nil {
+		s.logger.Debug().Str("event", "unacked_timeout_refused").Err(err).Msg("")
+	}
+}
+
+// readFrame reads the next frame of a connection within a time.
+func readFrame(conn net.Conn, timeout time.Duration) (*peertransport.Frame, error) {
+	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		return nil, err
+	}
+	return peertransport.ReadFrame(conn)
+}
+
+// serveConnection serves a connection by who says hello on it: a gateway or another member.
+func (s *Server) serveConnection(conn net.Conn) {
+	defer s.close(conn)
+	first, err := readFrame(conn, helloTimeout)
+	if err != nil || first.Hello == nil {
+		return
+	}
+	if first.Hello.Gateway != "" {
+		s.serveGateway(conn, first.Hello)
+		return
+	}
+	s.servePeer(conn, first.Hello)
+}
+
+// servePeer takes the messages of another member until the connection ends. Only its newest connection counts.
+func (s *Server) servePeer(conn net.Conn, hello *messages.Hello) {
+	from := hello.Member
+	s.enqueue(func() {
+		if !s.inboundPeers.Admit(hello, conn) {
+			s.close(conn)
+		}
+	})
+	defer s.enqueue(func() { s.inboundPeers.Remove(from.Addr, conn) })
+	for {
+		frame, err := readFrame(conn, peerReadTimeout)
+		if err != nil {
+			return
+		}
+		s.enqueue(func() {
+			if s.inboundPeers.IsCurrent(from.Addr, conn) {
+				s.step(controller.Event{From: &from, Message: peerMessage(frame)})
+			}
+		})
+	}
+}
+
+// serveGateway takes the load reports of a gateway until its stream ends.
+func (s *Server) serveGateway(conn net.Conn, hello *messages.Hello) {
+	stream := peertransport.NewConn(conn)
+	defer stream.Shutdown()
+	var id uint64 // set and read by the goroutine of Run only
+	s.enqueue(func() {
+		s.lastToken++
+		id = s.lastToken
+		s.streams[id] = stream
+		s.step(controller.Event{GatewayJoined: &controller.GatewayJoined{Stream: id, Gateway: hello.Gateway, Zone: hello.Member.Zone}})
+	})
+	for {
+		frame, err := readFrame(conn, gatewayReadTimeout)
+		if err != nil {
+			break
+		}
+		if frame.LoadReport != nil {
+			s.enqueue(func() { s.step(controller.Event{Stream: id, Report: frame.LoadReport}) })
+		}
+	}
+	s.enqueue(func() {
+		delete(s.streams, id)
+		s.step(controller.Event{GatewayLeft: id})
+	})
+}
--- /dev/null
+++ b/internal/controlserver/storage.go
@@ -0,0 +1,120 @@
+package controlserver
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/hex"
+	"maps"
+	mrand "math/rand/v2"
+	"slices"
+	"time"
+
+	"github.com/ansel1/merry/v2"
+
+	"zincloft.example/zincloft/controlplane/controller"
+	"zincloft.example/zincloft/controlplane/coordinator"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/internal/statestore"
+	"zincloft.example/zincloft/messages"
+)
+
+const (
+	// stateKey is the store's only key.
+	stateKey = "state"
+
+	storeRetryInterval = 300 * time.Millisecond
+
+	diskNonceBytes = 6
+)
+
+// restoreUntilDone restores the state from the disk, again and again while the disk refuses. It tells whether that was done before the
+// context ended.
+func (s *Server) restoreUntilDone(ctx context.Context) bool {
+	for {
+		err := s.restore()
+		if err == nil {
+			return true
+		}
+		s.logger.Error().Str("event", "store_unavailable").Err(err).Msg("")
+		select {
+		case <-time.After(storeRetryInterval):
+		case <-ctx.Done():
+			return false
+		}
+	}
+}
+
+// restore makes the controller from what is on disk, or from nothing at the first start, and writes the state back: it must be there before
+// anybody is listened to.
+func (s *Server) restore() error {
+	store, err := statestore.Open(statestore.Directory(s.settings.DataDir))
+	if err != nil {
+		return err
+	}
+	s.store = store
+	for _, name := range store.Quarantined {
+		s.logger.Error().Str("event", "file_quarantined").Str("file", name).Msg("")
+	}
+	persisted, err := readState(store)
+	if err != nil {
+		return err
+	}
+	nonce := make([]byte, diskNonceBytes)
+	if _, err := rand.Read(nonce); err != nil {
+		return merry.Prepend(err, "drawing the disk's identity")
+	}
+	seeds := s.settings.SeedPeerAddresses()
+	persisted.Initialize(s.peerAddr(), seeds, s.settings.FirstStart, hex.EncodeToString(nonce))
+	self := membership.Member{ID: persisted.DiskID, Addr: s.peerAddr(), Zone: s.settings.Zone, APIAddr: s.settings.ControlAddress}
+	s.controller = controller.New(s.now(), s.controllerOptions(seeds), self, persisted)
+	s.hello = messages.Hello{Member: self, Incarnation: mrand.Uint64()}
+	state, err := s.controller.PersistentState()
+	if err != nil {
+		return err
+	}
+	if err := store.Put(map[string][]byte{stateKey: state}); err != nil {
+		return merry.Prepend(err, "first write")
+	}
+	s.logger.Info().Str("event", "started").Str("node", s.settings.Name).Str("disk", persisted.DiskID).
+		Uint64("view", persisted.View.View.Number).Uint64("sequence", persisted.Register.Sequence).
+		Uint64("version", persisted.Register.Version).Bool("first_start", s.settings.FirstStart).Msg("")
+	return nil
+}
+
+// readState reads the state that the store holds; a new store holds none.
+func readState(store *statestore.Store) (coordinator.PersistentState, error) {
+	encoded, ok := store.Get(stateKey)
+	if !ok {
+		return coordinator.PersistentState{}, nil
+	}
+	persisted, err := coordinator.DecodePersistentState(encoded)
+	if err != nil {
+		return coordinator.PersistentState{}, merry.Prepend(err, "reading the persistent state")
+	}
+	return persisted, nil
+}
+
+func (s *Server) controllerOptions(seeds []string) controller.Options {
+	return controller.Options{
+		Zone:              s.settings.Zone,
+		ControlAddr:       s.settings.ControlAddress,
+		Zones:             slices.Sorted(maps.Keys(s.settings.ZoneRegions)),
+		Seeds:             seeds,
+		LinkMbps:          s.settings.LinkMbps,
+		DrainDeadline:     s.settings.Bounds.DrainDeadline,
+		HeartbeatInterval: s.settings.HeartbeatInterval,
+		RandomSeed:        mrand.Uint64(),
+		RegionByZone:      s.settings.ZoneRegions,
+	}
+}
+
+// persist writes the state in the background and reports the result to the controller, which asks for one write at a time.
+func (s *Server) persist(state []byte) {
+	go func() {
+		result := &controller.WriteResult{}
+		if err := s.store.Put(map[string][]byte{stateKey: state}); err != nil {
+			result.Error = err.Error()
+		}
+		s.enqueue(func() { s.step(controller.Event{WriteResult: result}) })
+	}()
+}
