--- a/controlplane/weighting/capacity_test.go
+++ b/controlplane/weighting/capacity_test.go
@@ -30,7 +30,7 @@
 type filledTable struct {
 	*weighting.Manager
 	instances []registry.Instance
-	f     sizes.Fleet
+	f         sizes.Fleet
 }
 
 func newFilledTable(b *testing.B, f sizes.Fleet) *filledTable {
