--- a/internal/modelcheck/membershipmodel/reconfiguration_environment.go
+++ b/internal/modelcheck/membershipmodel/reconfiguration_environment.go
@@ -112,7 +112,7 @@
 }
 
 // fail stops a machine by a fault and returns the machine.
-func (w *world) fail(i int, status uint8) *machine {
+func (w *world) fail(i int, status machineStatus) *machine {
 	m := w.stop(i, status)
 	m.caughtUp, m.hadFault = false, true
 	return m
@@ -122,3 +122,11 @@
 func (model *reconfigurationModel) isSeed(m *machine) bool {
 	return int(m.address) < model.scope.Members
 }
+
+// stop ends a machine's process and returns the machine.
+func (w *world) stop(i int, status machineStatus) *machine {
+	m := &w.machines[i]
+	m.status, m.commitsSeen, m.confirmedBy, m.suspected = status, 0, 0, false
+	w.cancelRead(i)
+	return m
+}
--- a/internal/modelcheck/membershipmodel/reconfiguration_state.go
+++ b/internal/modelcheck/membershipmodel/reconfiguration_state.go
@@ -15,16 +15,20 @@
 	maxPendingCommands = 4
 )
 
-// What a machine has accepted in the agreement on the view after its own.
+// acceptance says what a machine has accepted in the agreement on the view after its own.
+type acceptance uint8
+
 const (
-	acceptedNothing uint8 = iota
-	acceptedSuperseded
-	acceptedLive
+	acceptedNothing    acceptance = iota
+	acceptedSuperseded            // A value that was replaced by another.
+	acceptedLive                  // The value in force.
 )
 
-// The status of a machine.
+// machineStatus says whether a machine runs.
+type machineStatus uint8
+
 const (
-	notStarted uint8 = iota
+	notStarted machineStatus = iota
 	running
 	stopped // Its disk is kept.
 	lost    // Its disk is lost.
@@ -46,7 +50,7 @@
 
 	// machine is one identity: a machine with the disk that it started with.
 	machine struct {
-		status      uint8
+		status      machineStatus
 		address     uint8
 		leaving     bool
 		suspected   bool
@@ -54,7 +58,7 @@
 		syncedView  uint8
 		held        register
 		commitsSeen uint8 // 1 + how many commands it knows to be committed in its view; 0: it has seen no commit.
-		accepted    uint8 // In the agreement on view+1.
+		accepted    acceptance
 		confirmedBy idSet // Which members notified this one, which is leaving, that they saw a commit in its view.
 
 		// For counting losses (countLost).
