--- a/dataplane/retry/tries.go
+++ b/dataplane/retry/tries.go
@@ -20,7 +20,7 @@
 
 // State is what bears on the decision.
 type State struct {
-	Safe            bool
+	Idempotent      bool
 	MaxAttempts     int
 	Attempts        int // replicas that it was sent to
 	ConnectFailures int // replicas that could not even be called
@@ -64,9 +64,9 @@
 	case NotExecuted:
 		return true
 	case MayHaveExecuted:
-		return state.Safe // against double charges: a doubt is never tried again
+		return state.Idempotent // against double charges: a doubt is never tried again
 	}
-	return state.ServerError && state.Safe
+	return state.ServerError && state.Idempotent
 }
 
 // FinalStatus is the status that a client is told when no answer of a replica can be passed on. 503 promises that the
--- a/dataplane/retry/tries_test.go
+++ b/dataplane/retry/tries_test.go
@@ -17,14 +17,14 @@
 			So(ShouldRetry(Answered, r), ShouldBeFalse)
 		})
 		Convey("a safe one goes on after any failure, not after an answer", func() {
-			r.Safe = true
+			r.Idempotent = true
 			So(ShouldRetry(MayHaveExecuted, r), ShouldBeTrue)
 			So(ShouldRetry(Answered, r), ShouldBeFalse)
 			r.ServerError = true
 			So(ShouldRetry(Answered, r), ShouldBeTrue)
 		})
 		Convey("nothing goes on without attempts or time", func() {
-			r.Safe = true
+			r.Idempotent = true
 			r.Attempts = 2
 			So(ShouldRetry(NotExecuted, r), ShouldBeFalse)
 			r.Attempts, r.TimeLeft = 1, time.Millisecond
--- /dev/null
+++ b/internal/gateway/attempt.go
@@ -0,0 +1,124 @@
+package gateway
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"zincloft.example/zincloft/dataplane/loadbalancer"
+	"zincloft.example/zincloft/dataplane/retry"
+	"zincloft.example/zincloft/dataplane/router"
+	"zincloft.example/zincloft/internal/replica"
+)
+
+const (
+	maxLoggedIDBytes = 64      // of an attempt's identity, which the client chose
+	maxReportedLoad  = 1 << 20 // requests or slots; more is not believed
+)
+
+// attemptEnd is the end of one attempt.
+type attemptEnd struct {
+	replica.Outcome
+	latency time.Duration
+}
+
+// runAttempt sends a request to the chosen endpoint, has the router know the outcome and sends it to ends.
+func (g *Gateway) runAttempt(choice router.PickResult, request *replica.Request, ends chan<- attemptEnd) {
+	sentAt := time.Now()
+	outcome := g.pool.Do(choice.EndpointID, choice.Addr, request)
+	canceled := request.Cancel != nil && request.Cancel.Err() != nil
+	g.recordAttempt(choice, request.AttemptID, outcome, time.Since(sentAt), canceled)
+	ends <- attemptEnd{outcome, time.Since(sentAt)}
+}
+
+// recordAttempt has the router and the log know an attempt's outcome, and queues what the control plane must hear at once.
+func (g *Gateway) recordAttempt(choice router.PickResult, attemptID string, outcome replica.Outcome, latency time.Duration, canceled bool) {
+	result := router.AttemptResult{
+		AttemptID:         choice.AttemptID,
+		Result:            endpointResult(outcome, canceled),
+		Latency:           latency,
+		ConnectionRefused: outcome.ConnectionRefused,
+	}
+	if outcome.Response != nil {
+		result.Misdirected = outcome.Response.Status == http.StatusMisdirectedRequest
+		result.Load = parseLoad(outcome.Response.Header)
+	}
+	if outcome.Cause != "" {
+		g.count(countAttemptPrefix + counter(outcome.Cause))
+	}
+	unknown := outcome.Execution == retry.MayHaveExecuted && !canceled
+	if (unknown || outcome.SkippedResponses > 0) && g.logLimiter.Allow() {
+		g.logAttempt(choice.EndpointID, attemptID, outcome)
+	}
+	g.mu.Lock()
+	effects := g.router.EndAttempt(g.now(), result)
+	g.mu.Unlock()
+	g.queueEffects(effects)
+}
+
+// endpointResult is what an attempt's outcome says about its endpoint. Canceled attempts were ended by the client or by
+// the deadline before anything could be learned.
+func endpointResult(outcome replica.Outcome, canceled bool) loadbalancer.Result {
+	switch {
+	case outcome.NotSent && (outcome.DeadlineExceeded || canceled):
+		return loadbalancer.Canceled
+	case outcome.NotSent:
+		return loadbalancer.ConnectFailed
+	case outcome.Rejected:
+		return loadbalancer.Rejected
+	case canceled && outcome.Execution != retry.Answered:
+		return loadbalancer.Canceled
+	case outcome.Execution == retry.MayHaveExecuted && outcome.Cause.IsBadResponse():
+		return loadbalancer.BadResponse
+	case outcome.Execution == retry.MayHaveExecuted:
+		return loadbalancer.NoResponse
+	case outcome.Response.Status >= http.StatusInternalServerError:
+		return loadbalancer.BadResponse
+	}
+	return loadbalancer.Success
+}
+
+func (g *Gateway) logAttempt(endpoint, attemptID string, outcome replica.Outcome) {
+	g.logger.Info().Str("event", "attempt").Str("attempt", attemptID[:min(len(attemptID), maxLoggedIDBytes)]).Str("replica", endpoint).
+		Uint64("conn", outcome.ConnID).Int("use", outcome.ConnUse).Str("execution", outcome.Execution.String()).
+		Str("cause", string(outcome.Cause)).Int("skipped", outcome.SkippedResponses).Msg("")
+}
+
+// queueEffects hands what the control plane must hear at once to the report loop. Where the queue is full it is dropped:
+// the same failure is soon met again.
+func (g *Gateway) queueEffects(effects router.AttemptEffects) {
+	if effects.Observation != nil {
+		select {
+		case g.observations <- *effects.Observation:
+		default:
+		}
+	}
+	if effects.MisdirectedEndpoint != "" {
+		select {
+		case g.misdirected <- effects.MisdirectedEndpoint:
+		default:
+		}
+	}
+}
+
+// parseLoad reads the load that a replica reports: running, waiting, slots. All are zero where it reports none that is
+// well-formed.
+func parseLoad(header http.Header) (load [3]int) {
+	value := header.Get("X-Instance-Load")
+	if value == "" {
+		return load
+	}
+	parts := strings.Split(value, ",")
+	if len(parts) != len(load) {
+		return load
+	}
+	for i, part := range parts {
+		n, err := strconv.Atoi(strings.TrimSpace(part))
+		if err != nil || n < 0 || n > maxReportedLoad {
+			return [3]int{}
+		}
+		load[i] = n
+	}
+	return load
+}
--- /dev/null
+++ b/internal/gateway/controlstream.go
@@ -0,0 +1,174 @@
+package gateway
+
+import (
+	"context"
+	"math/rand/v2"
+	"net"
+	"time"
+
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/internal/peertransport"
+	"zincloft.example/zincloft/messages"
+	"zincloft.example/zincloft/peersampling"
+)
+
+const (
+	streamTimeout       = time.Second // a member that sends nothing for so long is left
+	controlDialTimeout  = 300 * time.Millisecond
+	localMemberInterval = 4 * time.Second // after so long with a member of another zone, one of the own zone is tried again
+	reconnectDelay      = 100 * time.Millisecond
+)
+
+// followControlPlane holds a stream from one control-plane member after the other until ctx ends.
+func (g *Gateway) followControlPlane(ctx context.Context) {
+	for ctx.Err() == nil {
+		for _, member := range g.candidates() {
+			if g.followMember(ctx, member) {
+				break // it was established: begin again with the best candidate
+			}
+		}
+		time.Sleep(reconnectDelay/2 + rand.N(reconnectDelay))
+	}
+}
+
+// candidates returns the addresses of members to call, best first: those of the own zone, then the others at random.
+func (g *Gateway) candidates() []string {
+	peers := g.gossip.Peers(peersampling.RoleControlPlane)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	also := g.settings.SeedPeerAddresses()
+	for _, peer := range peers {
+		also = append(also, peer.Addr)
+	}
+	return g.router.Candidates(also)
+}
+
+// controlStream is one connection to a control-plane member.
+type controlStream struct {
+	gateway     *Gateway
+	member      string // its address
+	conn        *peertransport.Conn
+	established bool // the member sent a full state
+	checkedAt   time.Time
+}
+
+// followMember holds a stream from a member until it breaks or a better member is there. It tells whether the stream was
+// established: whether the member sent a full state.
+func (g *Gateway) followMember(ctx context.Context, member string) (established bool) {
+	netConn, err := peertransport.NewDialer(controlDialTimeout, streamTimeout).DialContext(ctx, "tcp", member)
+	if err != nil {
+		return false
+	}
+	stream := &controlStream{gateway: g, member: member, conn: peertransport.NewConn(netConn), checkedAt: time.Now()}
+	defer stream.conn.Shutdown()
+	self := membership.Member{Addr: g.settings.IP.String(), Zone: g.settings.Zone}
+	stream.send(&peertransport.Frame{Hello: &messages.Hello{Gateway: g.settings.Name, Member: self}})
+	done := make(chan struct{})
+	defer close(done)
+	defer g.streamEnded()
+	for {
+		_ = netConn.SetReadDeadline(time.Now().Add(streamTimeout)) // fails on a closed connection only, as the read does then
+		frame, err := peertransport.ReadFrame(netConn)
+		if err != nil {
+			if stream.established {
+				g.logger.Info().Str("event", "stream_lost").Str("member", member).Err(err).Msg("")
+			}
+			return stream.established
+		}
+		if frame.StateUpdate == nil {
+			continue
+		}
+		if g.applyUpdate(frame.StateUpdate) {
+			g.logger.Info().Str("event", "stream_stale").Str("member", member).Msg("")
+			return stream.established
+		}
+		if !stream.established && frame.StateUpdate.Full {
+			stream.establish(frame.StateUpdate.Sequence, done)
+		}
+		if stream.shouldMoveHome(ctx) {
+			return true
+		}
+	}
+}
+
+// establish begins the reports to a member that sent its full state.
+func (s *controlStream) establish(sequence uint64, done <-chan struct{}) {
+	s.established = true
+	s.gateway.logger.Info().Str("event", "stream_established").Str("member", s.member).Uint64("sequence", sequence).Msg("")
+	s.send(&peertransport.Frame{LoadReport: s.gateway.initialReport()})
+	go s.sendReports(done)
+}
+
+// send queues a frame. One that cannot be encoded is not sent.
+func (s *controlStream) send(frame *peertransport.Frame) {
+	if encoded, err := peertransport.EncodeFrame(frame); err == nil {
+		s.conn.Send(encoded)
+	}
+}
+
+// shouldMoveHome tells whether the stream comes from a member of another zone though one of the own zone can be called.
+// The call is tried every localMemberInterval.
+func (s *controlStream) shouldMoveHome(ctx context.Context) bool {
+	if !s.gateway.hasBetterZoneThan(s.member) || time.Since(s.checkedAt) <= localMemberInterval {
+		return false
+	}
+	dialer := net.Dialer{Timeout: controlDialTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", s.gateway.candidates()[0])
+	if err != nil {
+		s.checkedAt = time.Now()
+		return false
+	}
+	closeQuietly(conn)
+	return true
+}
+
+// hasBetterZoneThan tells whether members of the gateway's own zone are known and member is none of them.
+func (g *Gateway) hasBetterZoneThan(member string) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	known := false
+	for _, m := range g.router.Members() {
+		if m.Zone != g.settings.Zone {
+			continue
+		}
+		if m.Addr == member {
+			return false
+		}
+		known = true
+	}
+	return known
+}
+
+// streamEnded drops what holds only while the stream does.
+func (g *Gateway) streamEnded() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.router.StreamEnded(g.now())
+}
+
+// applyUpdate puts in force what a member sent. It tells whether that is stale: nothing of it was taken, and the stream
+// must be left.
+func (g *Gateway) applyUpdate(update *messages.StateUpdate) (stale bool) {
+	g.mu.Lock()
+	result := g.router.Apply(g.now(), update)
+	draining := !g.router.IsServing()
+	g.mu.Unlock()
+	if g.draining.Swap(draining) != draining {
+		g.logger.Info().Str("event", "maintenance").Bool("draining", draining).Uint64("fencing_token", update.Maintenance.FencingToken).Msg("")
+	}
+	if result.ConfigError != "" {
+		g.logger.Error().Str("event", "config_rejected").Uint64("version", update.ConfigVersion).Str("error", result.ConfigError).Msg("")
+	}
+	for _, endpoint := range result.RemovedEndpoints {
+		g.pool.CloseIdle(endpoint)
+	}
+	if config := result.Config; config != nil {
+		g.config.Store(config)
+		g.logger.Info().Str("event", "config_applied").Uint64("version", config.Version).Int("routes", config.RouteCount).Msg("")
+		g.openFront(config)
+	}
+	if result.FullTable {
+		g.hasTable.Store(true)
+	}
+	return result.Late
+}
--- /dev/null
+++ b/internal/gateway/handler.go
@@ -0,0 +1,131 @@
+package gateway
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"zincloft.example/zincloft/gatewayconfig"
+)
+
+const (
+	defaultTimeout     = 30 * time.Second       // of a request where neither its client nor its route sets one
+	responseTravelTime = 10 * time.Millisecond  // kept from the deadline, for the response's way to the client
+	responseTravelPart = 10                     // of the timeout: no more than this part of it is kept
+	defaultRetryAfter  = 300 * time.Millisecond // where nothing better is known
+	notReadyRetryAfter = time.Second
+	drainingRetryAfter = 20 * time.Millisecond // another gateway has room at once
+	headerSlack        = 4096                  // bytes of a head beyond the limit that are let pass, as net/http does
+	headLineOverhead   = 32                    // bytes of a request line beside its method, target and host
+	fieldOverhead      = 4                     // bytes of a header field beside its name and value
+)
+
+// clientRequest is a request that was routed and whose body is complete.
+type clientRequest struct {
+	target   string // path and query
+	route    gatewayconfig.Route
+	body     []byte
+	deadline time.Time // by which the client's response must leave
+}
+
+// handleRequest takes one request of a client through its steps: admit it to this gateway, route it, read its body,
+// forward it. Each step before the last may reject the request; then it has reached no replica.
+func (g *Gateway) handleRequest(w http.ResponseWriter, r *http.Request) {
+	defer markBusy(r)()
+	arrivedAt := time.Now()
+	if rejected := g.admitWhileEnding(w); rejected.isRejection() {
+		g.reject(w, r, rejected)
+		return
+	}
+	config := g.config.Load()
+	if config == nil {
+		g.reject(w, r, rejection{status: http.StatusServiceUnavailable, retryAfter: notReadyRetryAfter})
+		return
+	}
+	request, rejected := routeRequest(config, r)
+	if rejected.isRejection() {
+		g.reject(w, r, rejected)
+		return
+	}
+	timeout := requestTimeout(request.route, r.Header)
+	body, err := g.receiveBody(w, r, config.Limits.MaxBodyBytes, arrivedAt.Add(timeout))
+	defer g.bodyMemory.release(body)
+	if err != nil {
+		g.reject(w, r, bodyRejection(err))
+		return
+	}
+	request.body = body
+	request.deadline = arrivedAt.Add(timeout - min(responseTravelTime, timeout/responseTravelPart))
+	g.forward(w, r, request)
+}
+
+// admitWhileEnding has connections closed with their response while the gateway shuts down or drains, and rejects
+// requests once a draining gateway's readiness was seen to have fallen.
+func (g *Gateway) admitWhileEnding(w http.ResponseWriter) rejection {
+	if !g.stopping.Load() && !g.draining.Load() {
+		return rejection{}
+	}
+	w.Header().Set("Connection", "close")
+	if g.draining.Load() && g.rejectsRequests() {
+		return rejection{status: http.StatusServiceUnavailable, counter: countDraining, retryAfter: drainingRetryAfter}
+	}
+	return rejection{}
+}
+
+// routeRequest checks a request's head and finds its route. The rejection is set where there is none.
+func routeRequest(config *gatewayconfig.Config, r *http.Request) (request clientRequest, rejected rejection) {
+	target, ok := requestTarget(r)
+	if !ok || len(r.Header["X-Attempt-Id"]) > 1 {
+		return request, rejection{status: http.StatusBadRequest, badRequest: causeTargetOrIdentity, closesConn: true}
+	}
+	if headerSize(r) > config.Limits.MaxHeaderBytes+headerSlack {
+		return request, rejection{status: http.StatusRequestHeaderFieldsTooLarge, badRequest: causeHeadTooLarge, closesConn: true}
+	}
+	path, _, _ := strings.Cut(target, "?")
+	route, ok := config.FindRoute(r.Host, path)
+	if !ok {
+		return request, rejection{status: http.StatusNotFound, counter: countNoRoute}
+	}
+	return clientRequest{target: target, route: route}, rejection{}
+}
+
+// requestTarget returns the path and query that a request asks for, also of one in absolute form (RFC 9112, 3.2.2), and
+// whether they are valid.
+func requestTarget(r *http.Request) (target string, ok bool) {
+	target = r.RequestURI
+	if r.URL.IsAbs() {
+		_, target, _ = strings.Cut(target, "://")
+		if i := strings.IndexAny(target, "/?"); i < 0 {
+			target = "/"
+		} else if target = target[i:]; target[0] == '?' {
+			target = "/" + target
+		}
+	}
+	return target, strings.HasPrefix(target, "/")
+}
+
+// headerSize estimates how many bytes a request's head had.
+func headerSize(r *http.Request) int64 {
+	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + headLineOverhead
+	for name, values := range r.Header {
+		for _, value := range values {
+			n += len(name) + len(value) + fieldOverhead
+		}
+	}
+	return int64(n)
+}
+
+// requestTimeout is how long a request may take from its arrival: as long as its route allows, or less where its client
+// says so.
+func requestTimeout(route gatewayconfig.Route, header http.Header) time.Duration {
+	timeout := defaultTimeout
+	if route.Timeout > 0 {
+		timeout = route.Timeout
+	}
+	ms, err := strconv.ParseFloat(header.Get("X-Deadline-Ms"), 64)
+	if err == nil && ms > 0 && ms < float64(timeout)/float64(time.Millisecond) {
+		timeout = time.Duration(ms * float64(time.Millisecond))
+	}
+	return timeout
+}
--- /dev/null
+++ b/internal/gateway/lifecycle.go
@@ -0,0 +1,192 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"net/netip"
+	"os"
+	"runtime/debug"
+	"time"
+
+	"github.com/ansel1/merry/v2"
+	"github.com/go-chi/chi/v5"
+	"golang.org/x/net/netutil"
+
+	"zincloft.example/zincloft/dataplane/router"
+	"zincloft.example/zincloft/gatewayconfig"
+	"zincloft.example/zincloft/internal/gossip"
+	"zincloft.example/zincloft/internal/nodesettings"
+	"zincloft.example/zincloft/peersampling"
+)
+
+const (
+	sweepInterval              = time.Second            // between two looks for idle connections past their time, and for changed settings
+	readinessReadHeaderTimeout = 3 * time.Second        // of the readiness server
+	exitReserve                = 300 * time.Millisecond // of the grace period, kept for the end of the process itself
+	closeUnusedInterval        = 20 * time.Millisecond
+	minServerHeaderBytes       = 64 << 10 // that the server reads of a head; the configuration in force allows less
+	clientDescriptorShare      = 0.7      // of the file descriptors, for clients' connections
+	gcMemoryShare              = 0.6      // of the memory limit, the garbage collector's goal
+)
+
+// Run serves until ctx ends, then shuts down gracefully within the grace period. Each value on reload has the settings
+// read again. It returns an error where a listener cannot be opened or fails.
+func (g *Gateway) Run(ctx context.Context, reload <-chan os.Signal) error {
+	debug.SetMemoryLimit(int64(float64(g.settings.MemoryMB<<20) * gcMemoryShare))
+	readinessServer, err := g.listen(ctx)
+	if err != nil {
+		return err
+	}
+	defer closeQuietly(readinessServer)
+	// The control stream outlives ctx: while the process shuts down, drains still count.
+	streamContext, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	if err := g.startGossip(streamContext); err != nil {
+		return err
+	}
+	go g.followControlPlane(streamContext)
+	g.logger.Info().Str("event", "start").Str("name", g.settings.Name).Str("zone", g.settings.Zone).Str("front", g.settings.FrontAddress).Msg("")
+	return g.loop(ctx, reload)
+}
+
+// listen opens the listeners for readiness checks and for clients, and serves the former.
+func (g *Gateway) listen(ctx context.Context) (*http.Server, error) {
+	var config net.ListenConfig
+	readinessListener, err := config.Listen(ctx, "tcp", g.settings.ReadinessAddress)
+	if err != nil {
+		return nil, merry.Prepend(err, "listening for readiness")
+	}
+	if g.frontListener, err = config.Listen(ctx, "tcp", g.settings.FrontAddress); err != nil {
+		return nil, merry.Prepend(err, "listening for clients")
+	}
+	mux := chi.NewRouter()
+	mux.Get("/api/readiness", g.handleReadiness)
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: readinessReadHeaderTimeout}
+	go func() { g.serveErrors <- server.Serve(readinessListener) }()
+	return server, nil
+}
+
+// startGossip joins the gossip on the highest free internal port: other processes of the machine may have some of them.
+func (g *Gateway) startGossip(ctx context.Context) (err error) {
+	for port := g.settings.LastInternalPort; g.gossip == nil; port-- {
+		self := peersampling.Descriptor{
+			Addr: netip.AddrPortFrom(g.settings.IP, uint16(port)).String(),
+			Role: peersampling.RoleGateway,
+			Zone: g.settings.Zone,
+		}
+		if g.gossip, err = gossip.Start(ctx, self, g.settings.SeedPeerAddresses()); err != nil && port <= g.settings.FirstInternalPort {
+			return err
+		}
+	}
+	return nil
+}
+
+// loop does the periodic work until ctx ends or a listener fails.
+func (g *Gateway) loop(ctx context.Context, reload <-chan os.Signal) error {
+	sweep, counters := time.NewTicker(sweepInterval), time.NewTicker(countersInterval)
+	defer sweep.Stop()
+	defer counters.Stop()
+	for {
+		select {
+		case err := <-g.serveErrors:
+			return merry.Prepend(err, "serving")
+		case <-sweep.C:
+			g.pool.Sweep(time.Now())
+			if nodesettings.FileChanged() { // also without a signal
+				g.reloadSettings()
+			}
+		case <-counters.C:
+			g.logCounters()
+		case <-reload:
+			g.reloadSettings()
+		case <-ctx.Done():
+			g.logger.Info().Str("event", "stopping").Msg("")
+			g.shutdown()
+			g.logCounters()
+			g.logger.Info().Str("event", "stopped").Msg("")
+			return nil
+		}
+	}
+}
+
+// openFront starts to serve clients when the first configuration arrives. The server's own limits are those of that
+// configuration; later ones are applied by clientConn and handleRequest.
+func (g *Gateway) openFront(config *gatewayconfig.Config) {
+	g.frontOnce.Do(func() {
+		mux := chi.NewRouter()
+		mux.Handle("/*", http.HandlerFunc(g.handleRequest))
+		mux.NotFound(g.handleRequest)
+		mux.MethodNotAllowed(g.handleRequest)
+		g.server = &http.Server{
+			Handler:           mux,
+			ReadHeaderTimeout: config.Limits.HeaderTimeout,
+			IdleTimeout:       config.Limits.IdleTimeout,
+			MaxHeaderBytes:    max(int(config.Limits.MaxHeaderBytes), minServerHeaderBytes),
+			ErrorLog:          g.logger.Std("", 0),
+			ConnContext:       withClientConn,
+			ConnState:         g.unusedConns.connState,
+		}
+		maxConns := int(float64(g.settings.FileDescriptors) * clientDescriptorShare)
+		listener := clientListener{netutil.LimitListener(g.frontListener, maxConns), g}
+		go func() {
+			if err := g.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+				g.serveErrors <- err
+			}
+		}()
+	})
+}
+
+// handleReadiness answers 200 where the gateway can serve any request, else 503.
+func (g *Gateway) handleReadiness(w http.ResponseWriter, _ *http.Request) {
+	if g.stopping.Load() || g.draining.Load() || g.config.Load() == nil || !g.hasTable.Load() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+}
+
+// shutdown ends in order: readiness falls first, connections are closed with their next answer, and requests in flight
+// end last, all within the grace period.
+func (g *Gateway) shutdown() {
+	g.stopping.Store(true)
+	end := time.Now().Add(g.settings.Bounds.GracePeriod - exitReserve)
+	time.Sleep(min(router.ReadinessPropagation, g.settings.Bounds.GracePeriod/2))
+	if g.server == nil {
+		return
+	}
+	ctx, cancel := context.WithDeadline(context.Background(), end)
+	defer cancel()
+	if err := g.shutdownServer(ctx); err != nil {
+		g.logger.Info().Str("event", "shutdown_incomplete").Err(err).Msg("")
+	}
+}
+
+// shutdownServer ends the server once the requests in flight are answered. http.Server.Shutdown would wait five seconds
+// for connections that clients opened in advance and have not used yet, so those are closed here.
+func (g *Gateway) shutdownServer(ctx context.Context) error {
+	done := make(chan error, 1)
+	go func() { done <- g.server.Shutdown(ctx) }()
+	ticker := time.NewTicker(closeUnusedInterval)
+	defer ticker.Stop()
+	for {
+		g.unusedConns.closeAll()
+		select {
+		case err := <-done:
+			return err
+		case <-ticker.C:
+		}
+	}
+}
+
+// reloadSettings reads the settings file again. Only its seeds take effect while the process runs.
+func (g *Gateway) reloadSettings() {
+	settings, err := nodesettings.Load()
+	if err != nil {
+		g.logger.Error().Str("event", "settings_rejected").Err(err).Msg("")
+		return
+	}
+	g.mu.Lock()
+	g.settings.Seeds = settings.Seeds
+	g.mu.Unlock()
+	g.logger.Info().Str("event", "settings_loaded").Int("seeds", len(settings.Seeds)).Msg("")
+}
--- /dev/null
+++ b/internal/gateway/response.go
@@ -0,0 +1,77 @@
+package gateway
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	"zincloft.example/zincloft/internal/replica"
+)
+
+// writeGrace is how long beyond its deadline a client may take to read its response.
+const writeGrace = 5 * time.Second
+
+// rejection is a response that the gateway gives by itself, before a request reached any replica. The zero value is none:
+// the request goes on.
+type rejection struct {
+	status     int
+	counter    counter         // empty: not counted
+	badRequest badRequestCause // empty: the client did nothing wrong
+	retryAfter time.Duration   // 0: the client is not told when to come back
+	closesConn bool            // the connection ends with the response
+	aborts     bool            // the connection ends without a response
+}
+
+func (r rejection) isRejection() bool { return r.status != 0 || r.aborts }
+
+// reject carries out a rejection. It panics with http.ErrAbortHandler where there is no response to give.
+func (g *Gateway) reject(w http.ResponseWriter, r *http.Request, rejected rejection) {
+	if rejected.counter != "" {
+		g.count(rejected.counter)
+	}
+	if rejected.badRequest != "" {
+		g.recordBadRequest(r.RemoteAddr, rejected.badRequest)
+	}
+	if rejected.aborts {
+		panic(http.ErrAbortHandler)
+	}
+	if rejected.closesConn {
+		w.Header().Set("Connection", "close")
+	}
+	if rejected.retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(rejected.retryAfter.Seconds(), 'f', 3, 64))
+	}
+	writeEmptyResponse(w, rejected.status)
+}
+
+// writeEmptyResponse answers with a status alone.
+func writeEmptyResponse(w http.ResponseWriter, status int) {
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeGrace)) // fails on a closed connection only, as the write does then
+	w.Header().Set("Content-Length", "0")
+	w.WriteHeader(status)
+}
+
+// writeResponse passes a replica's response on to the client. It panics with http.ErrAbortHandler where the rest of a long
+// response fails to come: a truncated response must not appear complete.
+func writeResponse(w http.ResponseWriter, r *http.Request, response *replica.Response) {
+	header := w.Header()
+	for name, values := range replica.EndToEndHeaders(response.Header) {
+		header[name] = values
+	}
+	if header["Content-Type"] == nil {
+		header["Content-Type"] = nil // net/http is not to guess one
+	}
+	if response.Status == http.StatusNoContent {
+		header.Del("Content-Length")
+	}
+	if response.ContentLength >= 0 && r.Method != http.MethodHead && response.Status != http.StatusNoContent && response.Status != http.StatusNotModified {
+		header.Set("Content-Length", strconv.FormatInt(response.ContentLength, 10))
+	}
+	w.WriteHeader(response.Status)
+	_, _ = w.Write(response.Body) // a client that is gone gets nothing, and the request's end is the same
+	if response.CopyRest != nil {
+		if err := response.CopyRest(w); err != nil {
+			panic(http.ErrAbortHandler)
+		}
+	}
+}
--- a/internal/modelcheck/requestmodel/trymodel.go
+++ b/internal/modelcheck/requestmodel/trymodel.go
@@ -328,7 +328,7 @@
 		return
 	}
 	safe := m.bounds.Safe[i] || m.fault == RetriesUnsafeAfterSilence
-	again := retry.ShouldRetry(v, retry.State{Safe: safe, MaxAttempts: 2, Attempts: int(cl.sent), TimeLeft: time.Second})
+	again := retry.ShouldRetry(v, retry.State{Idempotent: safe, MaxAttempts: 2, Attempts: int(cl.sent), TimeLeft: time.Second})
 	if cl.gone && m.fault != RetriesForGoneClient {
 		again = false
 	}
--- /dev/null
+++ b/internal/replica/pool.go
@@ -0,0 +1,200 @@
+package replica
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"zincloft.example/zincloft/dataplane/retry"
+	"zincloft.example/zincloft/internal/peertransport"
+)
+
+const (
+	dialTimeout    = 300 * time.Millisecond
+	unackedTimeout = 500 * time.Millisecond // sent bytes that a live replica would have acknowledged long ago
+	probeInterval  = time.Second            // between keep-alive probes of the kernel, and until the first one
+)
+
+// Pool keeps idle connections to replicas by the replica's instance ID, as an address may pass to another instance. It
+// is safe for concurrent use.
+type Pool struct {
+	mu         sync.Mutex
+	idle       map[string][]*conn   // by instance, the newest last
+	idleLimits map[string]idleLimit // by service
+	Opened     int64                // connections opened so far
+}
+
+// NewPool makes an empty pool.
+func NewPool() *Pool { return &Pool{idle: map[string][]*conn{}, idleLimits: map[string]idleLimit{}} }
+
+// Do sends a request to the replica at addr and waits for its response, until the request's deadline or cancellation.
+func (p *Pool) Do(instanceID, addr string, request *Request) Outcome {
+	if cause := notSendable(request); cause != "" {
+		return Outcome{Execution: retry.NotExecuted, Cause: cause, NotSent: true, DeadlineExceeded: cause == CauseExpired}
+	}
+	c := p.takeIdle(instanceID, request)
+	if c == nil {
+		var err error
+		if c, err = p.dial(addr, request.Deadline); err != nil {
+			return dialFailed(err, request.Deadline)
+		}
+	}
+	_ = c.SetDeadline(request.Deadline) // fails on a closed connection only, as the write does then
+	if request.WaitForDeadline {
+		c.setKeepAliveProbes(false)
+	}
+	stop := func() bool { return true }
+	if request.Cancel != nil {
+		stop = context.AfterFunc(request.Cancel, c.interrupt)
+	}
+	sentAt := time.Now()
+	outcome := c.roundTrip(request)
+	outcome.ConnID, outcome.ConnUse = c.id, c.requests
+	// A connection that the replica had forgotten answers with a reset at once; what ends later was broken off at work.
+	if c.idleBefore > 0 && time.Since(sentAt) < immediateResetWindow && outcome.Cause.isConnectionLoss() && request.Service != "" {
+		p.learnIdleLimit(request.Service, c.idleBefore)
+	}
+	if !stop() {
+		c.unusable = true
+	}
+	p.release(instanceID, c, request, outcome.Response)
+	return outcome
+}
+
+// notSendable tells why a request is not even sent; empty: it is.
+func notSendable(request *Request) Cause {
+	if request.Cancel != nil && request.Cancel.Err() != nil {
+		return CauseClientGone
+	}
+	if !time.Now().Before(request.Deadline) {
+		return CauseExpired
+	}
+	return ""
+}
+
+func dialFailed(err error, deadline time.Time) Outcome {
+	return Outcome{
+		Execution:         retry.NotExecuted,
+		Cause:             CauseDial,
+		NotSent:           true,
+		ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED),
+		DeadlineExceeded:  !time.Now().Before(deadline),
+	}
+}
+
+// takeIdle takes an idle connection that may carry the request out of the pool; nil: there is none.
+func (p *Pool) takeIdle(instanceID string, request *Request) *conn {
+	if request.needsOwnConn() {
+		return nil
+	}
+	now := time.Now()
+	for {
+		p.mu.Lock()
+		limit := p.maxIdle(request.Service, now)
+		conns := p.idle[instanceID]
+		if len(conns) == 0 {
+			p.mu.Unlock()
+			return nil
+		}
+		c := conns[len(conns)-1]
+		p.idle[instanceID] = conns[:len(conns)-1]
+		p.mu.Unlock()
+		c.idleBefore = now.Sub(c.idleSince)
+		if c.idleBefore <= min(c.maxIdle, limit) && !c.carried(request.AttemptID) && c.isQuiet() {
+			return c
+		}
+		closeQuietly(c)
+	}
+}
+
+func (p *Pool) dial(addr string, deadline time.Time) (*conn, error) {
+	dialer := peertransport.NewDialer(min(dialTimeout, time.Until(deadline)), unackedTimeout)
+	netConn, err := dialer.DialContext(context.Background(), "tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	tcp := netConn.(*net.TCPConn)
+	// Without probes a machine that is gone without a word is noticed at the deadline only; that much is lost by an error.
+	_ = tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: 1})
+	raw, err := tcp.SyscallConn()
+	if err != nil {
+		closeQuietly(netConn)
+		return nil, err
+	}
+	p.mu.Lock()
+	p.Opened++
+	id := uint64(p.Opened)
+	p.mu.Unlock()
+	return &conn{Conn: netConn, tcp: tcp, raw: raw, id: id, reader: bufio.NewReaderSize(netConn, readBufferBytes), maxIdle: defaultMaxIdle}, nil
+}
+
+// release puts a connection back after a request, hands it to the rest of a long response, or closes it.
+func (p *Pool) release(instanceID string, c *conn, request *Request, response *Response) {
+	switch {
+	case response != nil && response.CopyRest != nil:
+		copyRest := response.CopyRest
+		response.CopyRest = func(w io.Writer) error {
+			defer closeQuietly(c)
+			return copyRest(w)
+		}
+		response.Close = func() { closeQuietly(c) }
+	case c.reusable():
+		if request.WaitForDeadline {
+			c.setKeepAliveProbes(true)
+		}
+		p.putIdle(instanceID, c)
+	default:
+		closeQuietly(c)
+	}
+}
+
+func (p *Pool) putIdle(instanceID string, c *conn) {
+	c.idleSince = time.Now()
+	p.mu.Lock()
+	p.idle[instanceID] = append(p.idle[instanceID], c)
+	p.mu.Unlock()
+}
+
+// CloseIdle closes the idle connections to an instance.
+func (p *Pool) CloseIdle(instanceID string) {
+	p.mu.Lock()
+	conns := p.idle[instanceID]
+	delete(p.idle, instanceID)
+	p.mu.Unlock()
+	for _, c := range conns {
+		closeQuietly(c)
+	}
+}
+
+// Sweep closes connections that have been idle for so long that their replicas are about to close them.
+func (p *Pool) Sweep(now time.Time) {
+	var expired []*conn
+	p.mu.Lock()
+	for instanceID, conns := range p.idle {
+		kept := conns[:0]
+		for _, c := range conns {
+			if now.Sub(c.idleSince) > c.maxIdle {
+				expired = append(expired, c)
+			} else {
+				kept = append(kept, c)
+			}
+		}
+		if len(kept) == 0 {
+			delete(p.idle, instanceID)
+		} else {
+			p.idle[instanceID] = kept
+		}
+	}
+	p.mu.Unlock()
+	for _, c := range expired {
+		closeQuietly(c)
+	}
+}
+
+// closeQuietly closes what is of no use any more: an error of it changes nothing.
+func closeQuietly(c io.Closer) { _ = c.Close() }
