--- /dev/null
+++ b/internal/demo/maintenance_test.go
@@ -0,0 +1,190 @@
+package demo
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"zincloft.example/zincloft/controlplane/controller"
+	"zincloft.example/zincloft/controlplane/maintenance"
+	"zincloft.example/zincloft/dataplane/capacity"
+)
+
+// operator makes an operator's calls to a cluster.
+type operator struct {
+	t       *testing.T
+	cluster *Cluster
+}
+
+// command gives a command and returns the status of the answer.
+func (o operator) command(command maintenance.Command) int {
+	o.t.Helper()
+	body, err := json.Marshal(command)
+	if err != nil {
+		o.t.Fatal(err)
+	}
+	status, err := o.cluster.call(o.t.Context(), "windows.command", "", body)
+	if err != nil {
+		o.t.Fatal(err)
+	}
+	return status
+}
+
+// status is empty where it can't be had now.
+func (o operator) status() (status controller.MaintenanceStatus) {
+	o.t.Helper()
+	request, err := http.NewRequestWithContext(o.t.Context(), http.MethodPost, "http://"+o.cluster.ControlAddress+"/api/rpc?call=windows.describe", nil)
+	if err != nil {
+		o.t.Fatal(err)
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return status
+	}
+	defer func() { _ = response.Body.Close() }()
+	if err := json.NewDecoder(response.Body).Decode(&status); err != nil {
+		return controller.MaintenanceStatus{}
+	}
+	return status
+}
+
+// phase is the phase of a node's window; empty where it has none.
+func (o operator) phase(node string) maintenance.Phase {
+	for _, window := range o.status().Windows {
+		if window.Node == node {
+			return window.Phase
+		}
+	}
+	return ""
+}
+
+// ready tells whether a gateway wants more requests.
+func (o operator) ready(gateway int) bool {
+	o.t.Helper()
+	request, err := http.NewRequestWithContext(o.t.Context(), http.MethodGet, "http://"+o.cluster.ReadinessAddresses[gateway]+"/api/readiness", nil)
+	if err != nil {
+		o.t.Fatal(err)
+	}
+	status, err := send(request)
+	return err == nil && status == http.StatusOK
+}
+
+const (
+	orderWorkers     = 4
+	attemptsPerOrder = 40
+)
+
+// orderLoad places orders until it is stopped, as the platform and its clients do: at one gateway, and again at the other one only
+// after proof that the order was not executed.
+type orderLoad struct {
+	t       *testing.T
+	cluster *Cluster
+	stopped atomic.Bool
+	running sync.WaitGroup
+
+	sent, answered, unknown, lost atomic.Int64 // orders
+	rejected                      atomic.Int64 // attempts, of which each is repeated
+}
+
+func (l *orderLoad) start() {
+	for worker := range orderWorkers {
+		l.running.Go(func() {
+			for n := 0; !l.stopped.Load(); n++ {
+				l.sent.Add(1)
+				l.place(worker+n, fmt.Sprintf("w%d.%d", worker, n))
+			}
+		})
+	}
+}
+
+func (l *orderLoad) stop() {
+	l.stopped.Store(true)
+	l.running.Wait()
+}
+
+// place places an order, beginning at a gateway.
+func (l *orderLoad) place(firstGateway int, order string) {
+	for attempt := range attemptsPerOrder {
+		front := l.cluster.FrontAddresses[(firstGateway+attempt)%len(l.cluster.FrontAddresses)]
+		request := newRequest(l.t, http.MethodPost, front, "/orders/"+order, fmt.Sprintf("%s/%d", order, attempt), strings.NewReader("charge"))
+		status, err := send(request)
+		if status == 0 && err != nil {
+			l.lost.Add(1)
+			return
+		}
+		switch status {
+		case http.StatusOK:
+			l.answered.Add(1)
+			return
+		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
+			l.rejected.Add(1)
+		default:
+			l.unknown.Add(1)
+			return
+		}
+	}
+}
+
+// executedTwice counts the orders that replicas executed more than once.
+func (l *orderLoad) executedTwice() int {
+	executions := map[string]int{}
+	for _, replica := range l.cluster.Replicas {
+		for attempt, count := range replica.Executions() {
+			order, _, _ := strings.Cut(attempt, "/")
+			executions[order] += count
+		}
+	}
+	twice := 0
+	for order, count := range executions {
+		if count > 1 && strings.HasPrefix(order, "w") {
+			twice++
+		}
+	}
+	return twice
+}
+
+// Drains each of two gateways in turn while orders come, with stand-in replicas that count every execution.
+func TestMaintenanceUnderOrders(t *testing.T) {
+	Convey("Given a gateway under orders, with an agreed floor that one gateway can serve", t, func() {
+		cluster, err := Start(t.TempDir(), io.Discard, 3)
+		So(err, ShouldBeNil)
+		for _, replica := range cluster.Replicas {
+			replica.ServiceTime = 5 * time.Millisecond
+		}
+		load := &orderLoad{t: t, cluster: cluster}
+		load.start()
+		op := operator{t: t, cluster: cluster}
+		So(op.command(maintenance.Command{Verb: maintenance.VerbAsk, Nodes: []string{"gateway-1"}}), ShouldEqual, http.StatusConflict)
+		So(op.command(maintenance.Command{Verb: maintenance.VerbAgree, AgreedFloors: []capacity.Floor{{Region: "here", Group: capacity.Orders, Minimum: 1}}}), ShouldEqual, http.StatusOK)
+		So(poll("both measured", func() bool {
+			nodes := op.status().Nodes
+			return len(nodes) == 2 && nodes[0].RequestRates[capacity.Orders] > 1 && nodes[1].RequestRates[capacity.Orders] > 1
+		}), ShouldBeNil)
+		So(op.command(maintenance.Command{Verb: maintenance.VerbAsk, WindowName: "kernel", Nodes: []string{"gateway-1", "gateway-2"}}), ShouldEqual, http.StatusOK)
+		So(poll("the first drained", func() bool { return op.phase("gateway-1") == maintenance.Drained }), ShouldBeNil)
+		So(op.phase("gateway-2"), ShouldEqual, maintenance.Requested)
+		So(op.ready(0), ShouldBeFalse)
+		So(op.ready(1), ShouldBeTrue)
+		So(op.command(maintenance.Command{Verb: maintenance.VerbFinish, Nodes: []string{"gateway-1"}}), ShouldEqual, http.StatusOK)
+		So(poll("the second drained", func() bool { return op.phase("gateway-2") == maintenance.Drained }), ShouldBeNil)
+		So(op.ready(0), ShouldBeTrue)
+		So(op.command(maintenance.Command{Verb: maintenance.VerbFinish, Nodes: []string{"gateway-2"}}), ShouldEqual, http.StatusOK)
+		So(poll("all serving", func() bool { return len(op.status().Windows) == 0 && op.ready(0) && op.ready(1) }), ShouldBeNil)
+		load.stop()
+		twice := load.executedTwice()
+		t.Logf("%d orders, %d answered, %d attempts rejected, %d unknown, %d lost, %d executed twice", load.sent.Load(), load.answered.Load(),
+			load.rejected.Load(), load.unknown.Load(), load.lost.Load(), twice)
+		So(twice, ShouldEqual, 0)
+		So(load.answered.Load(), ShouldEqual, load.sent.Load())
+		So(load.rejected.Load(), ShouldBeGreaterThan, 0)
+		So(cluster.Stop(), ShouldBeNil)
+	})
+}
