--- a/cmd/zincloftctl/main_test.go
+++ b/cmd/zincloftctl/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"net"
 	"os"
@@ -13,66 +14,74 @@
 	"zincloft.example/zincloft/internal/demo"
 )
 
-func TestBeekeeper(t *testing.T) {
+func TestCommands(t *testing.T) {
 	Convey("Given a small gateway", t, func() {
 		dir := t.TempDir()
-		g, err := demo.Start(dir, io.Discard, 1)
+		cluster, err := demo.Start(dir, io.Discard, 1)
 		So(err, ShouldBeNil)
-		Reset(func() { g.Stop() })
-		do := func(args ...string) (string, error) {
+		Reset(func() { So(cluster.Stop(), ShouldBeNil) })
+		execute := func(args ...string) (string, error) {
 			var out bytes.Buffer
 			err := run(args, &out)
 			return out.String(), err
 		}
-		Convey("its core is shown, and what lies on its disk", func() {
-			out, err := do("core", g.ControlAddress)
+		Convey("its control plane is shown, and what lies on its disk", func() {
+			out, err := execute("core", cluster.ControlAddress)
 			So(err, ShouldBeNil)
 			So(out, ShouldContainSubstring, `"in_touch": true`)
 			So(out, ShouldContainSubstring, `"version": "00000001"`)
-			out, err = do("store", "verify", filepath.Join(dir, "comb"))
+			out, err = execute("store", "verify", filepath.Join(dir, "controlplane"))
 			So(err, ShouldBeNil)
 			So(out, ShouldContainSubstring, "version 00000001")
-			out, err = do("store", "export", filepath.Join(dir, "comb"))
+			out, err = execute("store", "export", filepath.Join(dir, "controlplane"))
 			So(err, ShouldBeNil)
 			So(out, ShouldContainSubstring, `"hostname": "localhost"`)
-			_, err = do("store", "verify", dir)
+			_, err = execute("store", "verify", dir)
 			So(err, ShouldNotBeNil)
 		})
-		Convey("a configuration is shown, checked and given", func() {
-			out, err := do("show", g.ControlAddress)
+		Convey("a configuration is shown, checked and replaced", func() {
+			out, err := execute("show", cluster.ControlAddress)
 			So(err, ShouldBeNil)
 			file := filepath.Join(dir, "c.json")
 			So(os.WriteFile(file, bytes.Replace([]byte(out), []byte("00000001"), []byte("00000002"), 1), 0o600), ShouldBeNil)
-			out, err = do("check", file)
+			out, err = execute("check", file)
 			So(err, ShouldBeNil)
 			So(out, ShouldContainSubstring, "version 00000002: 3 routes, 1 services")
-			_, err = do("put", g.ControlAddress, file)
+			_, err = execute("put", cluster.ControlAddress, file)
 			So(err, ShouldBeNil)
-			out, _ = do("show", g.ControlAddress)
+			out, _ = execute("show", cluster.ControlAddress)
 			So(out, ShouldContainSubstring, "00000002")
 			So(os.WriteFile(file, []byte(`{"version":"00000003","services":[],"virtual_hosts":[{"hostname":""}]}`), 0o600), ShouldBeNil)
-			_, err = do("put", g.ControlAddress, file)
+			_, err = execute("put", cluster.ControlAddress, file)
 			So(err.Error(), ShouldContainSubstring, "virtual_hosts.0.hostname")
 		})
-		Convey("a comb that does not answer is passed over", func() {
-			nobody, err := net.Listen("tcp", "127.0.0.1:0")
+		Convey("a member that does not answer is skipped", func() {
+			nobody, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
-			nobody.Close()
-			out, err := do("show", nobody.Addr().String()+","+g.ControlAddress)
+			So(nobody.Close(), ShouldBeNil)
+			out, err := execute("show", nobody.Addr().String()+","+cluster.ControlAddress)
 			So(err, ShouldBeNil)
 			So(out, ShouldContainSubstring, "00000001")
-			_, err = do("show", "nobody")
+			_, err = execute("show", "nobody")
 			So(err.Error(), ShouldContainSubstring, "address")
 		})
-		Convey("a zone is emptied and given back", func() {
-			_, err := do("evacuate", g.ControlAddress, "here")
+		Convey("a zone is evacuated and restored", func() {
+			_, err := execute("evacuate", cluster.ControlAddress, "here")
 			So(err, ShouldBeNil)
-			out, _ := do("core", g.ControlAddress)
+			out, _ := execute("core", cluster.ControlAddress)
 			So(out, ShouldContainSubstring, `"here"`)
-			_, err = do("restore", g.ControlAddress, "here")
+			_, err = execute("restore", cluster.ControlAddress, "here")
 			So(err, ShouldBeNil)
-			_, err = do("evacuate", g.ControlAddress, "nowhere")
+			_, err = execute("evacuate", cluster.ControlAddress, "nowhere")
 			So(err, ShouldNotBeNil)
 		})
 	})
 }
+
+func TestGroupWithoutVerb(t *testing.T) {
+	for _, args := range [][]string{nil, {"store"}, {"windows"}} {
+		if err := run(args, io.Discard); !errors.Is(err, errNoVerb) {
+			t.Errorf("%q: %v, want errNoVerb", args, err)
+		}
+	}
+}
