--- a/internal/demo/maintenance_test.go
+++ b/internal/demo/maintenance_test.go
@@ -166,7 +166,7 @@
 		So(op.command(maintenance.Command{Verb: maintenance.VerbAgree, AgreedFloors: []capacity.Floor{{Region: "here", Group: capacity.Orders, Minimum: 1}}}), ShouldEqual, http.StatusOK)
 		So(poll("both measured", func() bool {
 			nodes := op.status().Nodes
-			return len(nodes) == 2 && nodes[0].RequestRates[capacity.Orders] > 1 && nodes[1].RequestRates[capacity.Orders] > 1
+			return len(nodes) == 2 && nodes[0].Capacity[capacity.Orders] > 1 && nodes[1].Capacity[capacity.Orders] > 1
 		}), ShouldBeNil)
 		So(op.command(maintenance.Command{Verb: maintenance.VerbAsk, WindowName: "kernel", Nodes: []string{"gateway-1", "gateway-2"}}), ShouldEqual, http.StatusOK)
 		So(poll("the first drained", func() bool { return op.phase("gateway-1") == maintenance.Drained }), ShouldBeNil)
