--- a/internal/simulation/member.go
+++ b/internal/simulation/member.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 	"strings"
 	"time"
 
@@ -252,7 +254,8 @@
 	c.injectOnView()
 	c.result.NewestView = max(c.result.NewestView, view.Number)
 	c.tracef("%s is in view %d: chain %s", m.name, view.Number, strings.Join(view.Chain, " > "))
-	for i, at := range c.downSince {
+	for _, i := range slices.Sorted(maps.Keys(c.downSince)) { // in order, so that the same schedule always comes to the same
+		at := c.downSince[i]
 		if i != m.index && !c.members[i].isAmong(view.Chain) {
 			c.result.ViewRepairTimes = append(c.result.ViewRepairTimes, c.now-at)
 			delete(c.downSince, i)
