--- a/controlplane/weighting/loadreport.go
+++ b/controlplane/weighting/loadreport.go
@@ -25,7 +25,7 @@
 	period := time.Duration(report.PeriodMillis) * time.Millisecond
 	s.pending = append(s.pending, rules.Applied{Proxy: proxy, Version: s.version})
 	if requests := report.Requests[name]; requests > 0 {
-		s.pending = append(s.pending, rules.Intake{Proxy: proxy, Flows: requests, Over: period})
+		s.pending = append(s.pending, rules.GroupTraffic{Proxy: proxy, Flows: requests, Window: period})
 	}
 	batch := &intake.Batch{Proxy: proxy, Over: period, Read: governorTime(now)}
 	for _, stats := range report.Endpoints {
@@ -34,14 +34,14 @@
 			continue
 		}
 		record := endpointRecord(id, stats)
-		s.pending = append(s.pending, rules.Sums{
-			Replica: id,
-			Zone:    zone,
-			Tries:   record.Tries,
-			Dropped: record.Dropped,
-			Took:    record.Took,
-			Over:    period,
-			Report:  record.Report,
+		s.pending = append(s.pending, rules.EndpointStats{
+			Replica:     id,
+			Zone:        zone,
+			Attempts:    record.Tries,
+			Dropped:     record.Dropped,
+			MeanLatency: record.Took,
+			Window:      period,
+			Report:      record.Report,
 		})
 		batch.Records = append(batch.Records, record)
 	}
@@ -52,9 +52,9 @@
 
 // endpointRecord translates a gateway's statistics of one replica. What a replica doesn't tell of its load is absent.
 func endpointRecord(id rules.ReplicaID, stats messages.EndpointStats) intake.Record {
-	load := rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
+	load := rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
 	if stats.Slots > 0 {
-		load.Util = min(float64(stats.Running)/float64(stats.Slots), 1)
+		load.Utilization = min(float64(stats.Running)/float64(stats.Slots), 1)
 		load.InFlight = float64(stats.Running + stats.Waiting)
 	}
 	return intake.Record{
--- a/controlplane/weighting/service.go
+++ b/controlplane/weighting/service.go
@@ -86,7 +86,7 @@
 	s.pending = nil
 	if s.wakePending && now >= s.wakeAt {
 		s.wakePending = false
-		events = append(events, rules.Wake{Mark: s.wakeMark})
+		events = append(events, rules.Wake{TimerID: s.wakeMark})
 	}
 	if s.intake.Due(governorTime(now)) {
 		events = append(events, s.intake.Cut(governorTime(now))...)
@@ -101,10 +101,10 @@
 		case rules.WakeAfter:
 			service.wakePending = true
 			service.wakeAt = now + output.After
-			service.wakeMark = output.Mark
-		case rules.Mark:
+			service.wakeMark = output.TimerID
+		case rules.AckRequest:
 			service.version = output.Version
-		case rules.Line:
+		case rules.EndpointWeight:
 			service.setWeight(output.Table, output.Replica, output.Weight)
 			m.queueWeight(service, output.Table, output.Replica, output.Weight)
 		case rules.ClearTable:
@@ -115,7 +115,7 @@
 		case rules.Bind:
 			service.tableByProxy[output.Proxy] = output.Table
 			m.queueTable(service, output.Proxy)
-		case rules.Shun:
+		case rules.PairEjection:
 			m.queueEjection(service, output)
 		case rules.Forget:
 			service.forgetReplica(output.Replica)
--- a/intake/age.go
+++ b/intake/age.go
@@ -86,7 +86,7 @@
 
 // load is a replica's word on its load, and since when it holds.
 type load struct {
-	report rules.Report
+	report rules.LoadReport
 	at     rules.Time
 	known  float64 // the share busy as told last; 1 before the first
 	told   bool
@@ -94,7 +94,7 @@
 
 // hear keeps the freshest word on a replica's load.
 func (in *Intake) hear(now rules.Time, age time.Duration, r *Record) {
-	if r.Report.Util < 0 {
+	if r.Report.Utilization < 0 {
 		return
 	}
 	at := now - rules.Time(age+max(r.Heard, 0))
@@ -108,18 +108,18 @@
 
 // report is what a replica's last word comes to now. An old one may show it busier, and idler only in part: against
 // replicas that look idle because nothing has been heard since. Past the bound of age it says nothing.
-func (in *Intake) report(now rules.Time, id rules.ReplicaID) rules.Report {
+func (in *Intake) report(now rules.Time, id rules.ReplicaID) rules.LoadReport {
 	l, ok := in.loads[id]
 	trust := in.weight(time.Duration(now - l.at))
 	if !ok || trust == 0 {
-		return rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
+		return rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
 	}
 	out := l.report
-	if out.Util < l.known {
-		out.Util = l.known + trust*(out.Util-l.known)
+	if out.Utilization < l.known {
+		out.Utilization = l.known + trust*(out.Utilization-l.known)
 	}
 	if !l.told {
-		l.known, l.told = out.Util, true
+		l.known, l.told = out.Utilization, true
 		in.loads[id] = l
 	}
 	return out
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -34,10 +34,10 @@
 type Record struct {
 	Replica rules.ReplicaID
 	Tries   int
-	Dropped int           // tries without a good answer
-	Took    time.Duration // mean time of the good ones; 0: none
-	Report  rules.Report  // the replica's last word on its load; Absent figures where there is none
-	Heard   time.Duration // how long before the end of the window that word was heard
+	Dropped int              // tries without a good answer
+	Took    time.Duration    // mean time of the good ones; 0: none
+	Report  rules.LoadReport // the replica's last word on its load; Absent figures where there is none
+	Heard   time.Duration    // how long before the end of the window that word was heard
 }
 
 // Batch is what one message of a proxy tells.
@@ -133,7 +133,7 @@
 }
 
 // Sums tells what a collector's sums count for that waited here since they were read, and whether for anything.
-func (in *Intake) Sums(now, read rules.Time, s rules.Sums) (rules.Sums, bool) {
+func (in *Intake) Sums(now, read rules.Time, s rules.EndpointStats) (rules.EndpointStats, bool) {
 	if in.set.MakeSums {
 		in.counts[Superseded]++
 		return s, false
@@ -143,9 +143,9 @@
 		in.counts[TooOld]++
 		return s, false
 	}
-	in.machine(now, &s, time.Duration(now-read)+s.Over/2)
-	s.Tries, s.Dropped = int(math.Round(float64(s.Tries)*w)), int(math.Round(float64(s.Dropped)*w))
-	return s, s.Tries > 0
+	in.machine(now, &s, time.Duration(now-read)+s.Window/2)
+	s.Attempts, s.Dropped = int(math.Round(float64(s.Attempts)*w)), int(math.Round(float64(s.Dropped)*w))
+	return s, s.Attempts > 0
 }
 
 // Take takes in a batch.
@@ -246,19 +246,19 @@
 	})
 	var out []rules.Event
 	for k, s := range sums {
-		e := rules.Sums{Replica: k.replica, Zone: k.zone, Tries: int(math.Round(s.tries)), Report: in.report(now, k.replica),
-			Over: time.Duration(s.over / s.tries * float64(time.Second))}
-		e.Dropped = min(int(math.Round(s.dropped)), e.Tries)
+		e := rules.EndpointStats{Replica: k.replica, Zone: k.zone, Attempts: int(math.Round(s.tries)), Report: in.report(now, k.replica),
+			Window: time.Duration(s.over / s.tries * float64(time.Second))}
+		e.Dropped = min(int(math.Round(s.dropped)), e.Attempts)
 		if s.good > 0 {
-			e.Took = time.Duration(s.took / s.good * float64(time.Second))
+			e.MeanLatency = time.Duration(s.took / s.good * float64(time.Second))
 		}
-		if e.Tries > 0 {
+		if e.Attempts > 0 {
 			in.machine(now, &e, time.Duration(now-in.loads[k.replica].at))
 			out = append(out, e)
 		}
 	}
 	slices.SortFunc(out, func(a, b rules.Event) int {
-		x, y := a.(rules.Sums), b.(rules.Sums)
+		x, y := a.(rules.EndpointStats), b.(rules.EndpointStats)
 		return cmp.Or(cmp.Compare(x.Replica, y.Replica), cmp.Compare(x.Zone, y.Zone))
 	})
 	return out
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -18,7 +18,7 @@
 	return Settings{Seed: 7, Period: time.Second, Budget: 400, HalfLife: 2 * time.Second, MostAge: 10 * time.Second, Pairs: 100, Zones: 2}
 }
 
-var unreported = rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
+var unreported = rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
 
 func record(r, tries, dropped int) Record {
 	return Record{Replica: rules.ReplicaID(r), Tries: tries, Dropped: dropped, Took: 50 * time.Millisecond, Report: unreported}
@@ -298,15 +298,15 @@
 	util := func(at rules.Time, records ...Record) float64 {
 		in.Take(at, batch(1, 0, at, records...))
 		for _, e := range in.Cut(at) {
-			if s, is := e.(rules.Sums); is && s.Replica == 1 {
-				return s.Report.Util
+			if s, is := e.(rules.EndpointStats); is && s.Replica == 1 {
+				return s.Report.Utilization
 			}
 		}
 		return math.NaN()
 	}
 	with := func(load float64, heard time.Duration) Record {
 		r := record(1, 5, 0)
-		r.Report.Util, r.Report.InFlight, r.Heard = load, 2, heard
+		r.Report.Utilization, r.Report.InFlight, r.Heard = load, 2, heard
 		return r
 	}
 	if got := util(10*second, with(0.6, 0)); math.Abs(got-0.6) > 1e-9 {
--- a/intake/loads.go
+++ b/intake/loads.go
@@ -129,7 +129,7 @@
 // with reports of proxies. Where tries are dropped, the lower of both words counts: a high load excuses drops, and a
 // machine that is busy with something else must not keep a replica that fails in its tables. It can't bring one back
 // either, as only good answers do that; and a replica of which there are no sums has no report to put a word into.
-func (in *Intake) machine(now rules.Time, s *rules.Sums, age time.Duration) {
+func (in *Intake) machine(now rules.Time, s *rules.EndpointStats, age time.Duration) {
 	words := in.words[s.Replica]
 	if words == nil {
 		return
@@ -145,7 +145,7 @@
 	if w, is := fresher(LatencyMS, s.Report.ServiceTime); is {
 		s.Report.ServiceTime = w.value
 	}
-	if w, is := fresher(Util, s.Report.Util); is {
+	if w, is := fresher(Util, s.Report.Utilization); is {
 		before, told := in.known[s.Replica]
 		if !told {
 			before = 1
@@ -154,12 +154,12 @@
 		if util < before {
 			util = before + in.weight(time.Duration(now-w.at))*(util-before)
 		}
-		if s.Report.Util >= 0 && float64(s.Dropped) >= dropsCount*float64(s.Tries) {
-			util = min(util, s.Report.Util)
+		if s.Report.Utilization >= 0 && float64(s.Dropped) >= dropsCount*float64(s.Attempts) {
+			util = min(util, s.Report.Utilization)
 		}
-		s.Report.Util = util
+		s.Report.Utilization = util
 	}
-	if s.Report.Util >= 0 {
-		in.known[s.Replica] = s.Report.Util
+	if s.Report.Utilization >= 0 {
+		in.known[s.Replica] = s.Report.Utilization
 	}
 }
--- a/intake/loads_test.go
+++ b/intake/loads_test.go
@@ -14,9 +14,9 @@
 	return Load{Replica: rules.ReplicaID(r), Figure: f, Kind: Gauge, Value: v, Scale: 1, At: at}
 }
 
-func told(util float64, tries, dropped int) rules.Sums {
-	s := rules.Sums{Replica: 1, Tries: tries, Dropped: dropped, Over: time.Second, Report: unreported}
-	s.Report.Util = util
+func told(util float64, tries, dropped int) rules.EndpointStats {
+	s := rules.EndpointStats{Replica: 1, Attempts: tries, Dropped: dropped, Window: time.Second, Report: unreported}
+	s.Report.Utilization = util
 	return s
 }
 
@@ -40,7 +40,7 @@
 		}
 	}
 	s, _ := in.Sums(now, now, told(rules.Absent, 10, 0))
-	if s.Report.Util != 1 || s.Report.InFlight != 7 || s.Report.ServiceTime != 40 {
+	if s.Report.Utilization != 1 || s.Report.InFlight != 7 || s.Report.ServiceTime != 40 {
 		t.Errorf("%+v", s.Report)
 	}
 }
@@ -102,7 +102,7 @@
 			t.Fatal(c.what, fate)
 		}
 		s, _ := in.Sums(now, now, told(c.proxies, 10, c.dropped))
-		if got := s.Report.Util; got < c.least-1e-9 || got > c.most+1e-9 {
+		if got := s.Report.Utilization; got < c.least-1e-9 || got > c.most+1e-9 {
 			t.Errorf("%s: %v, want %v to %v", c.what, got, c.least, c.most)
 		}
 	}
@@ -125,8 +125,8 @@
 			}
 		}
 		s, _ := in.Sums(1000*second, 1000*second, told(rules.Absent, 10, 0))
-		if s.Report.Util < value-1e-9 || s.Report.Util > 1 {
-			t.Fatalf("the newest word is %v, and %v is told", value, s.Report.Util)
+		if s.Report.Utilization < value-1e-9 || s.Report.Utilization > 1 {
+			t.Fatalf("the newest word is %v, and %v is told", value, s.Report.Utilization)
 		}
 	})
 }
@@ -143,8 +143,8 @@
 			for _, o := range gov.Step(now, events) {
 				switch o := o.(type) {
 				case rules.WakeAfter:
-					mark = o.Mark
-				case rules.Line:
+					mark = o.TimerID
+				case rules.EndpointWeight:
 					weights[o.Replica] = o.Weight
 				}
 			}
@@ -154,8 +154,8 @@
 			list = append(list, rules.Entry{Replica: rules.ReplicaID(r), State: rules.Ready, Listed: 1})
 		}
 		step(rules.Start{Settings: rules.Settings{Groups: []rules.TrafficGroup{{Name: "look", LatencyBudget: time.Second}}, Governors: 1, Proxies: 2,
-			Zones: 1, Period: time.Second, LinePace: 3000, LineCap: 6000, HeadLines: 4, MessageSpan: 10 * time.Second, WarmAfter: 18 * time.Second,
-			ColdFrom: 0.2, DrainGrace: 2 * time.Second}}, rules.List{Scope: rules.Whole, Entries: list}, rules.Joined{Proxy: 1, Rate: 50, Fresh: true})
+			Zones: 1, Period: time.Second, EntryRate: 3000, EntryCapacity: 6000, MessageEntries: 4, MessageSpan: 10 * time.Second, WarmupTime: 18 * time.Second,
+			ColdCapacity: 0.2, DrainGrace: 2 * time.Second}}, rules.List{Scope: rules.Full, Entries: list}, rules.Joined{Proxy: 1, FlowRate: 50, Fresh: true})
 		for q := range 80 {
 			now += second / 4
 			if machines {
@@ -170,13 +170,13 @@
 			var events []rules.Event
 			for r, w := range weights {
 				if hung := r == 2 && q >= 20; q%4 == 0 && !hung {
-					if s, counts := in.Sums(now, now, rules.Sums{Replica: rules.ReplicaID(r), Tries: int(w) * 3, Over: time.Second, Took: 50 * time.Millisecond,
-						Report: rules.Report{Util: 0.5}}); counts {
+					if s, counts := in.Sums(now, now, rules.EndpointStats{Replica: rules.ReplicaID(r), Attempts: int(w) * 3, Window: time.Second, MeanLatency: 50 * time.Millisecond,
+						Report: rules.LoadReport{Utilization: 0.5}}); counts {
 						events = append(events, s)
 					}
 				}
 			}
-			step(append(events, rules.Wake{Mark: mark}, rules.Applied{Proxy: 1})...)
+			step(append(events, rules.Wake{TimerID: mark}, rules.Applied{Proxy: 1})...)
 			if at == 0 && q >= 20 && weights[2] < 100.0/6/4 {
 				at = q - 20
 			}
--- a/intake/pairs.go
+++ b/intake/pairs.go
@@ -191,7 +191,7 @@
 // beyond what its replica, or its proxy, drops elsewhere, and of two alike the lower numbers; and how many more there
 // were than it may tell of. So pairs of a replica that fails for all don't stand before those that fail alone. They wait
 // for a period, since a replica that begins to fail for all drops only a part of that period's tries.
-func (t *pairTable) evidence(most int, joined func(rules.ProxyID) bool) (out []rules.Pair, more int) {
+func (t *pairTable) evidence(most int, joined func(rules.ProxyID) bool) (out []rules.PairStats, more int) {
 	due := slices.DeleteFunc(t.due, func(p *pair) bool { return !p.fresh || !joined(p.proxy) })
 	for _, p := range due {
 		p.fresh = false
@@ -199,11 +199,13 @@
 	for _, p := range due {
 		r, x, a := t.byReplica[p.replica], t.byProxy[p.proxy], t.again[p.replica]
 		less := count{p.tries, p.dropped * (1 - t.usual(p.replica))}
-		out = append(out, rules.Pair{Proxy: p.proxy, Replica: p.replica, Tries: p.tries / t.scale, Dropped: p.dropped / t.scale,
-			Elsewhere: t.rate(r, p.count), Others: t.rate(x, less), Again: a.tries / t.scale, AgainDropped: a.dropped / t.scale})
+		out = append(out, rules.PairStats{Proxy: p.proxy, Replica: p.replica, Attempts: p.tries / t.scale, Dropped: p.dropped / t.scale,
+			ReplicaDropShare: t.rate(r, p.count), ProxyDropShare: t.rate(x, less), RetriedAttempts: a.tries / t.scale, RetriedDropped: a.dropped / t.scale})
 	}
-	beyond := func(e rules.Pair) float64 { return e.Dropped - e.Tries*max(e.Elsewhere, e.Others) }
-	slices.SortFunc(out, func(a, b rules.Pair) int {
+	beyond := func(e rules.PairStats) float64 {
+		return e.Dropped - e.Attempts*max(e.ReplicaDropShare, e.ProxyDropShare)
+	}
+	slices.SortFunc(out, func(a, b rules.PairStats) int {
 		return cmp.Or(cmp.Compare(beyond(b), beyond(a)), cmp.Compare(a.Proxy, b.Proxy), cmp.Compare(a.Replica, b.Replica))
 	})
 	if len(out) > most {
--- a/intake/pairs_test.go
+++ b/intake/pairs_test.go
@@ -31,9 +31,9 @@
 			in.Take(at, batch(p, 0, at, records...))
 		}
 		for _, e := range in.Cut(at) {
-			if p := e.(rules.Pair); at == 2*second || at == 6*second {
+			if p := e.(rules.PairStats); at == 2*second || at == 6*second {
 				fmt.Fprintf(&trace, "%ds p%d r%d %.1f of %.1f dropped; the replica elsewhere %.2f, the proxy elsewhere %.2f; again %.1f of %.1f\n",
-					at/second, p.Proxy, p.Replica, p.Dropped, p.Tries, p.Elsewhere, p.Others, p.AgainDropped, p.Again)
+					at/second, p.Proxy, p.Replica, p.Dropped, p.Attempts, p.ReplicaDropShare, p.ProxyDropShare, p.RetriedDropped, p.RetriedAttempts)
 			}
 		}
 	}
--- a/internal/clients/book.go
+++ b/internal/clients/book.go
@@ -18,7 +18,7 @@
 	tables    map[rules.TableID]*table
 	withdrawn map[rules.ReplicaID]bool // withdrawn
 
-	mark               *rules.Mark                // in this Step, like what follows
+	mark               *rules.AckRequest          // in this Step, like what follows
 	withdrawalsChanged bool                       // withdrawals have changed
 	renderedViews      map[tableView][]assignment // what tell has made
 	encodedMessages    map[string][]byte          // messages, by what they show
@@ -64,7 +64,7 @@
 
 func (b *routingState) addProxy(j rules.Joined, c *conn) {
 	m := &proxyState{conn: c, table: map[rules.GroupID]rules.TableID{}}
-	if j.Unsure {
+	if j.MayHoldEjections {
 		m.seen = map[rules.ReplicaID]bool{}
 	}
 	b.proxies[j.Proxy] = m
@@ -102,7 +102,7 @@
 // apply notes one order.
 func (b *routingState) apply(o rules.Order) {
 	switch o := o.(type) {
-	case rules.Line:
+	case rules.EndpointWeight:
 		t := b.table(o.Table)
 		t.changedWeights[o.Replica] = true
 		if t.weights[o.Replica] = o.Weight; o.Weight == 0 {
@@ -131,17 +131,17 @@
 		if b.withdrawn[o.Replica] = o.Out; !o.Out {
 			delete(b.withdrawn, o.Replica)
 		}
-	case rules.Shun:
+	case rules.PairEjection:
 		if m := b.proxies[o.Proxy]; m != nil {
 			if m.ejections == nil {
 				m.ejections = map[rules.ReplicaID]bool{}
 			}
 			m.ejectionsChanged = true
-			if m.ejections[o.Replica] = o.Out; !o.Out {
+			if m.ejections[o.Replica] = o.Ejected; !o.Ejected {
 				delete(m.ejections, o.Replica)
 			}
 		}
-	case rules.Mark:
+	case rules.AckRequest:
 		b.mark = &o
 	}
 }
@@ -158,7 +158,7 @@
 
 // sendChanges sends each proxy what this Step changed for it. Proxies that are told the same share the bytes.
 func (b *routingState) sendChanges(c *codec) {
-	toAll := b.mark != nil && b.mark.ToAll
+	toAll := b.mark != nil && b.mark.AllProxies
 	for _, id := range b.order {
 		m := b.proxies[id]
 		if !toAll && b.isUnchanged(m) {
@@ -207,7 +207,7 @@
 	if p := b.withdrawals(m, parts); p.lineCount() > 0 {
 		parts = append(parts, p)
 	}
-	if b.mark != nil && (len(parts) > 0 || b.mark.ToAll) {
+	if b.mark != nil && (len(parts) > 0 || b.mark.AllProxies) {
 		if len(parts) == 0 {
 			parts = append(parts, assignment{})
 		}
--- a/internal/clients/codec.go
+++ b/internal/clients/codec.go
@@ -164,10 +164,10 @@
 		f.require("sidecar")
 		fresh := f.integer("standing", 1) == 1
 		out = rules.Joined{Proxy: c.proxy(&f), Zone: rules.ZoneID(f.index("az", c.zones)),
-			Rate: f.float("share"), Fresh: fresh, Unsure: !fresh && c.ordersPairEjections}
+			FlowRate: f.float("share"), Fresh: fresh, MayHoldEjections: !fresh && c.ordersPairEjections}
 	case "done":
 		f.require("sidecar", "version", "lag_ms")
-		out = rules.Applied{Proxy: c.proxy(&f), Version: uint16(f.integer("version", math.MaxUint16)), Took: f.duration("lag_ms")}
+		out = rules.Applied{Proxy: c.proxy(&f), Version: uint16(f.integer("version", math.MaxUint16)), Delay: f.duration("lag_ms")}
 	case "upstream_stats":
 		f.require("host", "n", "bad", "window")
 		zone := f.index("az", c.zones)
@@ -176,18 +176,18 @@
 		if !known {
 			f.fail("host")
 		}
-		s := rules.Sums{Replica: replica, Zone: rules.ZoneID(zone), Over: f.positiveDuration("window"), Report: f.report("report"),
-			Took: f.duration("avg")}
-		s.Tries, s.Dropped = f.integer("n", math.MaxInt32), f.integer("bad", math.MaxInt32)
-		if s.Dropped > s.Tries {
+		s := rules.EndpointStats{Replica: replica, Zone: rules.ZoneID(zone), Window: f.positiveDuration("window"), Report: f.report("report"),
+			MeanLatency: f.duration("avg")}
+		s.Attempts, s.Dropped = f.integer("n", math.MaxInt32), f.integer("bad", math.MaxInt32)
+		if s.Dropped > s.Attempts {
 			f.fail("bad")
-		} else if s.Dropped < s.Tries {
+		} else if s.Dropped < s.Attempts {
 			f.require("avg")
 		}
 		out = s
 	case "client_stats":
 		f.require("sidecar", "n", "bad", "window")
-		out = rules.Intake{Proxy: c.proxy(&f), Group: rules.GroupID(f.index("kind", c.groups)), Over: f.positiveDuration("window"),
+		out = rules.GroupTraffic{Proxy: c.proxy(&f), Group: rules.GroupID(f.index("kind", c.groups)), Window: f.positiveDuration("window"),
 			Flows: f.integer("n", math.MaxInt32), Dropped: f.integer("bad", math.MaxInt32)} // which may have come before
 	case "met":
 		if !c.acceptsBatches {
@@ -220,7 +220,7 @@
 }
 
 // report reads a load report. Figures that are not known are passed over.
-func (f *fields) report(name string) rules.Report {
+func (f *fields) report(name string) rules.LoadReport {
 	r := noReport
 	text, _ := f.value(name)
 	for len(text) > 0 {
@@ -241,7 +241,7 @@
 
 var (
 	comma, colon = []byte(","), []byte(":")
-	noReport     = rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
+	noReport     = rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
 )
 
 // batch reads what a proxy met at each replica (docs/reports.md). A record of a replica that is not known is passed
@@ -291,7 +291,7 @@
 	ms[0], good[2] = parseFloat(words[3])
 	good[3], good[4], good[5] = true, true, true
 	if n == 7 {
-		r.Report.Util, good[3] = parseFloat(words[4])
+		r.Report.Utilization, good[3] = parseFloat(words[4])
 		r.Report.InFlight, good[4] = parseFloat(words[5])
 		ms[1], good[5] = parseFloat(words[6])
 	}
@@ -309,7 +309,7 @@
 	weights        []weight
 	level          *rules.Admit
 	eject, restore []rules.ReplicaID
-	mark           *rules.Mark
+	mark           *rules.AckRequest
 	continued      bool // by another part of the message
 }
 
--- a/internal/clients/side.go
+++ b/internal/clients/side.go
@@ -276,7 +276,7 @@
 	case rules.Applied:
 		m := s.proxies[fact.Proxy]
 		return m != nil && m.conn == c
-	case rules.Intake:
+	case rules.GroupTraffic:
 		return s.proxies[fact.Proxy] != nil
 	}
 	return true
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -78,16 +78,16 @@
 }
 
 func deriveBounds(limits Limits, settings rules.Settings, open int) Bounds {
-	slowestAnswer := channelSlowdown * settings.LineCap / settings.LinePace * float64(time.Second)
+	slowestAnswer := channelSlowdown * settings.EntryCapacity / settings.EntryRate * float64(time.Second)
 	memory := limits.MemoryMB << 20
 	return Bounds{
 		QueueLength: 4096, MaxConnections: max(limits.Sockets-open-reservedDescriptors, 1),
 		MaxFirstMessageBytes: 4 << 10, MaxMessageBytes: int(min(1<<20, memory/256)), MaxMessageElements: 64,
 		MaxReportedTime: reportedPeriods * settings.Period, JoinTimeout: 1500 * time.Millisecond, MinEvictionAge: 20 * time.Millisecond,
-		AcknowledgeTimeout: time.Duration(slowestAnswer) + settings.TravelMost, MaxCollectorsPerZone: 4, CollectorIdleTimeout: collectorIdlePeriods * settings.Period,
+		AcknowledgeTimeout: time.Duration(slowestAnswer) + settings.MaxMessageDelay, MaxCollectorsPerZone: 4, CollectorIdleTimeout: collectorIdlePeriods * settings.Period,
 		MaxUnsentBytes: int(min(1<<20, memory/64)), MaxTotalUnsentBytes: memory / 8, WriteTimeout: 10 * time.Second,
 		AcceptRetryDelay: 50 * time.Millisecond, CountLogInterval: 10 * time.Second, LateTimerThreshold: 50 * time.Millisecond,
-		DiscoveryWait: min(max(settings.AskWithin/2, time.Second), time.Minute), DiscoveryCallMargin: 1500 * time.Millisecond,
+		DiscoveryWait: min(max(settings.ListRequestDeadline/2, time.Second), time.Minute), DiscoveryCallMargin: 1500 * time.Millisecond,
 		MaxDiscoveryBytes: min(16<<20, memory/8),
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -113,11 +113,11 @@
 		Governors: in.Balancers, Proxies: f.DataPlane, Zone: rules.ZoneID(in.MyZone), Zones: len(in.Zones),
 		Slices:        f.Slices,
 		ListOnRequest: in.Discovery == "on_request", ProbesAllowed: in.Permissions.Probing,
-		Period: *f.Interval, LinePace: *f.LinesPerS, LineCap: *f.QueueCap, HeadLines: *f.PerMessage,
-		MessageCap: f.UpdateCap, MessageSpan: *f.ReloadSpan, TravelMost: f.PushDelayMax,
-		FirstWait: f.FirstWait, FailsToAvoid: f.FailsToEject, LinksLeast: f.LinksLeast, LinkIdle: in.Permissions.LinkIdle,
-		BareMost: *f.Bare, DrainGrace: *gu.StopSendingWithin, AskWithin: *gu.AskWithin, WarmAfter: *gu.WarmAfter,
-		ColdFrom: *gu.ColdFrom, FallMultiple: *gu.FallMultiple, FallAfter: *gu.OverloadFor,
+		Period: *f.Interval, EntryRate: *f.LinesPerS, EntryCapacity: *f.QueueCap, MessageEntries: *f.PerMessage,
+		MessageLimit: f.UpdateCap, MessageSpan: *f.ReloadSpan, MaxMessageDelay: f.PushDelayMax,
+		FirstAttemptBudgets: f.FirstWait, FailuresToAvoid: f.FailsToEject, MinConnections: f.LinksLeast, ConnectionIdleTimeout: in.Permissions.LinkIdle,
+		MaxUnboundTime: *f.Bare, DrainGrace: *gu.StopSendingWithin, ListRequestDeadline: *gu.AskWithin, WarmupTime: *gu.WarmAfter,
+		ColdCapacity: *gu.ColdFrom, OverloadMultiple: *gu.FallMultiple, OverloadTime: *gu.OverloadFor,
 	}
 	switch f.LevelKind {
 	case "fraction":
@@ -142,10 +142,10 @@
 
 // SetLoadFigure puts a figure of a load report where its name belongs. Both names in use are read: the settings' own
 // and the protocol page's. Figures that are not known are passed over.
-func SetLoadFigure(r *rules.Report, name []byte, v float64) {
+func SetLoadFigure(r *rules.LoadReport, name []byte, v float64) {
 	switch string(name) {
 	case "cpu_share", "util":
-		r.Util = v
+		r.Utilization = v
 	case "busy_reqs", "inflight":
 		r.InFlight = v
 	case "svc_ms", "latency_ms":
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -208,7 +208,7 @@
 		return
 	}
 	s.At = now
-	d.governor.View(d.now(), &s.View)
+	d.governor.WriteView(d.now(), &s.View)
 	if s.HasIntake = d.intake != nil; s.HasIntake {
 		s.IntakeCounts = d.countsSinceStart
 		s.Held[0], s.Held[1], s.Held[2] = d.intake.Held()
@@ -289,7 +289,7 @@
 	}
 	facts := d.toFacts(d.queue.DropStale(events))
 	for now := d.now(); len(d.timers) > 0 && d.timers[0].at <= now; d.timers = d.timers[1:] {
-		facts = append(facts, rules.Wake{Mark: d.timers[0].id})
+		facts = append(facts, rules.Wake{TimerID: d.timers[0].id})
 	}
 	return d.trackRecovery(facts)
 }
@@ -319,7 +319,7 @@
 			d.intake.Take(now, e.Batch)
 			e.Batch.Free()
 			continue
-		case rules.Sums:
+		case rules.EndpointStats:
 			if s, counts := d.intake.Sums(now, d.rulesTime(e.ReceivedAt), fact); counts {
 				facts = append(facts, s)
 			}
@@ -395,7 +395,7 @@
 	for _, o := range d.queue.Dispatch(d.governor.Step(now, facts)) {
 		switch o := o.(type) {
 		case rules.WakeAfter:
-			d.timers = append(d.timers, timer{now + rules.Time(o.After), o.Mark})
+			d.timers = append(d.timers, timer{now + rules.Time(o.After), o.TimerID})
 			slices.SortStableFunc(d.timers, func(a, b timer) int { return cmp.Compare(a.at, b.at) })
 		case rules.Forget:
 			delete(d.entries, o.Replica)
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -49,7 +49,7 @@
 	var out []rules.Event
 	for _, f := range facts {
 		if l, is := f.(rules.List); is && l.Scope != rules.Failed {
-			if l.Scope == rules.Whole {
+			if l.Scope == rules.Full {
 				clear(d.entries)
 			}
 			for _, e := range l.Entries {
@@ -91,7 +91,7 @@
 func (d *Daemon) stateToSave(version discoveryclient.Version, heard time.Time) recovery.Kept {
 	k := recovery.Kept{Governor: d.conf.Name, Discovery: d.conf.Discovery, Version: uint64(version), Heard: d.rulesTime(heard), Written: d.now(), Next: d.discovery.Next()}
 	learnt := map[rules.ReplicaID]rules.Recalled{}
-	for _, m := range d.governor.Memory(nil) {
+	for _, m := range d.governor.AppendRecalled(nil) {
 		learnt[m.Replica] = m
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
--- a/internal/daemon/state_test.go
+++ b/internal/daemon/state_test.go
@@ -121,7 +121,7 @@
 	dir, copied := t.TempDir(), t.TempDir()
 	c := stateConf(dir)
 	c.Discovery, c.Operator.State.SyncInterval = strings.TrimPrefix(discovery.URL, "http://"), 100*time.Millisecond
-	c.Settings.ListOnRequest, c.Settings.AskWithin = true, 10*time.Second
+	c.Settings.ListOnRequest, c.Settings.ListRequestDeadline = true, 10*time.Second
 	c.Bounds.DiscoveryWait, c.Bounds.DiscoveryCallMargin, c.Bounds.MaxDiscoveryBytes = time.Second, time.Second, 1<<20
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
--- a/internal/discoveryclient/answer.go
+++ b/internal/discoveryclient/answer.go
@@ -31,7 +31,7 @@
 	Started int64    `json:"started_ms"`
 }
 
-var stateByName = map[string]rules.State{"ready": rules.Ready, "draining": rules.Draining, "gone": rules.Gone}
+var stateByName = map[string]rules.State{"ready": rules.Ready, "draining": rules.Draining, "gone": rules.Deregistered}
 
 // decodeAnswer decodes an answer and checks it whole, so that a bad one leaves nothing behind.
 func decodeAnswer(text []byte) (answer, error) {
@@ -62,12 +62,12 @@
 func (l *Client) toRules(a answer) rules.List {
 	out := rules.List{Scope: rules.Changes}
 	if a.Full {
-		out.Scope = rules.Whole
+		out.Scope = rules.Full
 		l.unlistAll()
 	}
 	for _, s := range a.Servers {
 		e := rules.Entry{
-			Replica: l.add(s.ID, stateByName[s.State] != rules.Gone), Zone: rules.ZoneID(indexOf(l.zones, s.Zone)),
+			Replica: l.add(s.ID, stateByName[s.State] != rules.Deregistered), Zone: rules.ZoneID(indexOf(l.zones, s.Zone)),
 			Kind: rules.KindID(indexOf(l.kinds, s.Kind)), Cell: rules.CellID(s.Cell), State: stateByName[s.State], Listed: 1,
 			StartedAt: rules.Time(s.Started) * rules.Time(time.Millisecond),
 		}
--- a/internal/eventqueue/queue.go
+++ b/internal/eventqueue/queue.go
@@ -22,7 +22,7 @@
 // be on its way however much is reported.
 func (e Event) isReport() bool {
 	switch e.Fact.(type) {
-	case nil, rules.Sums, rules.Intake:
+	case nil, rules.EndpointStats, rules.GroupTraffic:
 		return true
 	}
 	return false
@@ -128,7 +128,7 @@
 			q.discovery.Fetch()
 		case rules.Forget:
 			forgotten, own = append(forgotten, o.Replica), append(own, o)
-		case rules.WakeAfter, rules.Log, rules.Probe, rules.Tell:
+		case rules.WakeAfter, rules.Log, rules.Probe, rules.SendToPeer:
 			own = append(own, o)
 		default:
 			table = append(table, o)
--- a/internal/eventqueue/queue_test.go
+++ b/internal/eventqueue/queue_test.go
@@ -26,7 +26,7 @@
 func TestDeliver(t *testing.T) {
 	x, s := New(1), &sides{}
 	x.Connect(s, s)
-	own := x.Dispatch([]rules.Order{rules.Observe{On: true}, rules.Line{Replica: 4}, rules.Forget{Replica: 4}, rules.WakeAfter{Mark: 1}, rules.FetchList{}})
+	own := x.Dispatch([]rules.Order{rules.Observe{On: true}, rules.EndpointWeight{Replica: 4}, rules.Forget{Replica: 4}, rules.WakeAfter{TimerID: 1}, rules.FetchList{}})
 	want := []string{"observe true", "fetch", "carry [{Table:0 Replica:4 Weight:0}]", "forget 4", "forget 4"}
 	if d := cmp.Diff(want, s.asked); d != "" || len(own) != 2 {
 		t.Error(d, own)
@@ -39,7 +39,7 @@
 	x := New(4)
 	for x.TryPost(Event{Batch: &intake.Batch{}}) {
 	}
-	if x.TryPost(Event{Fact: rules.Sums{}}) || x.TryPost(Event{Fact: rules.Intake{}}) {
+	if x.TryPost(Event{Fact: rules.EndpointStats{}}) || x.TryPost(Event{Fact: rules.GroupTraffic{}}) {
 		t.Error("there is room for reports in a lane that is full")
 	}
 	for _, fact := range []rules.Event{rules.Joined{}, rules.Left{}, rules.Applied{}, rules.List{}} {
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -84,7 +84,7 @@
 	var recalled []rules.Event
 	for _, r := range k.Replicas {
 		e := r.Entry
-		if e.State == rules.Gone {
+		if e.State == rules.Deregistered {
 			continue
 		}
 		e.StartedAt = max(e.StartedAt, now)
@@ -146,12 +146,12 @@
 		if r.step == FromDisk {
 			r.step = FromProxies
 		}
-	case rules.Sums:
-		if r.step != Confirmed && e.Tries > e.Dropped {
+	case rules.EndpointStats:
+		if r.step != Confirmed && e.Attempts > e.Dropped {
 			r.heard[e.Replica] = true
 		}
 	case rules.List:
-		if r.step != Confirmed && (e.Scope == rules.Changes || e.Scope == rules.Whole) {
+		if r.step != Confirmed && (e.Scope == rules.Changes || e.Scope == rules.Full) {
 			return r.confirm(e)
 		}
 	}
@@ -169,10 +169,10 @@
 	same := 0 // replicas that have not started anew since
 	for _, k := range r.kept {
 		n, is := told[k.Entry.Replica]
-		if !is && e.Scope == rules.Changes && k.Entry.State != rules.Gone {
+		if !is && e.Scope == rules.Changes && k.Entry.State != rules.Deregistered {
 			asKept.Entries = append(asKept.Entries, k.Entry)
 		}
-		if is && n.StartedAt != k.Entry.StartedAt || !is && e.Scope == rules.Whole || is && n.State != rules.Ready {
+		if is && n.StartedAt != k.Entry.StartedAt || !is && e.Scope == rules.Full || is && n.State != rules.Ready {
 			continue
 		}
 		if same++; k.Learnt.Speed > 0 {
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -84,7 +84,7 @@
 					t.Fatalf("with time alone trust rises from %v to %v", trust, later)
 				}
 			case 1:
-				r.Hear(rules.Sums{Replica: rules.ReplicaID(rapid.IntRange(0, n-1).Draw(t, "replica")), Tries: 3})
+				r.Hear(rules.EndpointStats{Replica: rules.ReplicaID(rapid.IntRange(0, n-1).Draw(t, "replica")), Attempts: 3})
 				if later := r.Trust(now); later < trust-1e-12 {
 					t.Fatalf("a replica that answers takes trust from %v to %v", trust, later)
 				}
@@ -119,8 +119,8 @@
 func siteSettings(proxies int) rules.Settings {
 	pace := 100 * float64(proxies)
 	return rules.Settings{Groups: []rules.TrafficGroup{{Name: "look", LatencyBudget: time.Second}}, Governors: 1, Proxies: proxies, Zones: 1,
-		ListOnRequest: true, AskWithin: 10 * time.Second, Period: time.Second, LinePace: pace, LineCap: 2 * pace, HeadLines: 6, MessageCap: 20,
-		MessageSpan: 10 * time.Second, TravelMost: 400 * time.Millisecond, DrainGrace: 3 * time.Second, WarmAfter: 18 * time.Second, ColdFrom: 0.2}
+		ListOnRequest: true, ListRequestDeadline: 10 * time.Second, Period: time.Second, EntryRate: pace, EntryCapacity: 2 * pace, MessageEntries: 6, MessageLimit: 20,
+		MessageSpan: 10 * time.Second, MaxMessageDelay: 400 * time.Millisecond, DrainGrace: 3 * time.Second, WarmupTime: 18 * time.Second, ColdCapacity: 0.2}
 }
 
 // begin starts a governor from disk.
@@ -145,12 +145,12 @@
 	for _, o := range l.orders {
 		switch o := o.(type) {
 		case rules.WakeAfter:
-			l.mark = o.Mark
-		case rules.Mark:
+			l.mark = o.TimerID
+		case rules.AckRequest:
 			l.version = o.Version
 		case rules.Bind:
 			l.bound[o.Proxy] = true
-		case rules.Line:
+		case rules.EndpointWeight:
 			if l.lines[o.Replica] = o.Weight; o.Weight == 0 {
 				delete(l.lines, o.Replica)
 			}
@@ -166,14 +166,14 @@
 			events = append(events, rules.Applied{Proxy: p, Version: l.version})
 		}
 		slices.SortStableFunc(events, func(a, b rules.Event) int { return 0 })
-		l.hear(append(events, rules.Wake{Mark: l.mark})...)
+		l.hear(append(events, rules.Wake{TimerID: l.mark})...)
 		events = nil
 	}
 }
 
 func joins(n int) (events []rules.Event) {
 	for p := range n {
-		events = append(events, rules.Joined{Proxy: rules.ProxyID(p), Rate: float64(p), Fresh: true})
+		events = append(events, rules.Joined{Proxy: rules.ProxyID(p), FlowRate: float64(p), Fresh: true})
 	}
 	return events
 }
@@ -213,7 +213,7 @@
 	l := begin(now, k, 4)
 	l.hear(joins(4)...)
 	l.pass(4)
-	truth := rules.List{Scope: rules.Whole}
+	truth := rules.List{Scope: rules.Full}
 	for i := range 20 {
 		e := rules.Entry{Replica: rules.ReplicaID(i), State: rules.Ready, Listed: 1}
 		switch {
@@ -229,7 +229,7 @@
 	l.hear(truth)
 	gone, added := 0, false
 	for _, o := range l.orders {
-		line, is := o.(rules.Line)
+		line, is := o.(rules.EndpointWeight)
 		if !is {
 			continue
 		}
@@ -267,7 +267,7 @@
 		t.Errorf("the faster replica gets %.2f times as much", ratio)
 	}
 	var v rules.View
-	l.gov.View(l.now, &v)
+	l.gov.WriteView(l.now, &v)
 	for _, r := range v.Replicas {
 		if r.Cold != (r.Replica == 4) {
 			t.Errorf("replica %d: cold %v", r.Replica, r.Cold)
@@ -297,18 +297,18 @@
 		l.hear(truth)
 		l.pass(8)
 		var v rules.View
-		l.gov.View(l.now, &v)
-		if out := v.Replicas[3].HeldOut; out != (anew == 0) {
+		l.gov.WriteView(l.now, &v)
+		if out := v.Replicas[3].Ejected; out != (anew == 0) {
 			t.Errorf("with %d started anew it is held out: %v", anew, out)
 		}
 		for range 12 {
 			var sums []rules.Event
 			for i := range 10 {
-				sums = append(sums, rules.Sums{Replica: rules.ReplicaID(i), Tries: 10, Over: time.Second, Took: 50 * time.Millisecond, Report: rules.Report{Util: 0.5}})
+				sums = append(sums, rules.EndpointStats{Replica: rules.ReplicaID(i), Attempts: 10, Window: time.Second, MeanLatency: 50 * time.Millisecond, Report: rules.LoadReport{Utilization: 0.5}})
 			}
 			l.pass(4, sums...)
 		}
-		if l.gov.View(l.now, &v); v.Replicas[3].HeldOut {
+		if l.gov.WriteView(l.now, &v); v.Replicas[3].Ejected {
 			t.Error("it has answered for 12 s and is still held out")
 		}
 	}
@@ -324,8 +324,8 @@
 	begun := l.now
 	for len(l.bound) < 1000 {
 		l.pass(1)
-		if l.gov.View(l.now, &v); v.LinesWaiting > v.LinesCap || v.Busiest > v.MessageCap {
-			t.Fatalf("%.0f lines wait of %.0f, %d messages of %d", v.LinesWaiting, v.LinesCap, v.Busiest, v.MessageCap)
+		if l.gov.WriteView(l.now, &v); v.EntriesWaiting > v.EntryCapacity || v.MostMessages > v.MessageLimit {
+			t.Fatalf("%.0f lines wait of %.0f, %d messages of %d", v.EntriesWaiting, v.EntryCapacity, v.MostMessages, v.MessageLimit)
 		}
 		if l.now-begun > 5*second {
 			t.Fatalf("%d are bound after 5 s", len(l.bound))
@@ -344,7 +344,7 @@
 			switch o := o.(type) {
 			case rules.Bind:
 				tables[o.Proxy] = o.Table
-			case rules.Line:
+			case rules.EndpointWeight:
 				if o.Weight > 0 {
 					lines[o.Table]++
 				}
