--- a/internal/clients/trace_test.go
+++ b/internal/clients/trace_test.go
@@ -132,7 +132,7 @@
 	for synctest.Wait(); len(p.events) > 0; synctest.Wait() {
 		e := <-p.events
 		if e.Batch != nil {
-			fmt.Fprintf(&p.trace, "%+v %v\n", *e.Batch, p.side.Accept(e))
+			fmt.Fprintf(&p.trace, "%s %v\n", testkit.TraceValue(*e.Batch), p.side.Accept(e))
 			continue
 		}
 		note := "passed over"
@@ -142,7 +142,7 @@
 		if _, left := e.Fact.(rules.Left); left {
 			note += ": " + e.Connection.(*conn).closeReason().cause
 		}
-		fmt.Fprintf(&p.trace, "%T%+v %s\n", e.Fact, e.Fact, note)
+		fmt.Fprintf(&p.trace, "%s%s %s\n", testkit.TraceType(e.Fact), testkit.TraceValue(e.Fact), note)
 	}
 	for _, q := range p.peers {
 		for len(q.heard) > 0 {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -115,7 +115,7 @@
 			}()
 			fmt.Fprintf(&trace, "%v late:", late)
 			for _, f := range d.nextFacts(t.Context(), time.NewTimer(0)) {
-				fmt.Fprintf(&trace, " %T", f)
+				fmt.Fprintf(&trace, " %s", testkit.TraceType(f))
 			}
 			fmt.Fprintln(&trace)
 			time.Sleep(time.Second)
--- a/rules/trace_test.go
+++ b/rules/trace_test.go
@@ -92,7 +92,7 @@
 		case Bind:
 			shown = append(shown, fmt.Sprintf("bind p%d t%d g%b", o.Proxy, o.Table, o.Groups))
 		default:
-			shown = append(shown, fmt.Sprintf("%T%+v", o, o))
+			shown = append(shown, testkit.TraceType(o)+testkit.TraceValue(o))
 		}
 	}
 	if len(shown) > 0 {
