--- a/cmd/zincloft/state.go
+++ b/cmd/zincloft/state.go
@@ -64,10 +64,10 @@
 	when := func(ns int64) string { return time.Unix(0, ns).UTC().Format(time.RFC3339) }
 	out := c.OutOrStdout()
 	fmt.Fprintf(out, "governor %s, discovery %s, version %d, heard %s, written %s, %d replicas\n", k.Governor, k.Discovery, k.Version,
-		when(int64(k.Heard)), when(int64(k.Written)), len(k.Replicas))
+		when(int64(k.ConfirmedAt)), when(int64(k.WrittenAt)), len(k.Replicas))
 	for _, r := range k.Replicas {
-		fmt.Fprintf(out, "%s\t%d\t%s\tweight %g\tspeed %.2f%s\n", r.Name, r.Entry.Replica, stateNames[r.Entry.State], r.Entry.Listed, r.Learnt.Speed,
-			map[bool]string{true: "\theld out"}[r.Learnt.Out])
+		fmt.Fprintf(out, "%s\t%d\t%s\tweight %g\tspeed %.2f%s\n", r.Name, r.Entry.Replica, stateNames[r.Entry.State], r.Entry.Listed, r.Learned.Speed,
+			map[bool]string{true: "\theld out"}[r.Learned.Out])
 	}
 	return nil
 }
@@ -81,7 +81,7 @@
 	e.SetIndent("", "  ")
 	if err := e.Encode(struct {
 		Schema int `json:"schema"`
-		recovery.Kept
+		recovery.State
 	}{store.SchemaVersion, k}); err != nil {
 		return fmt.Errorf("writing: %w", err)
 	}
--- a/controlplane/weighting/loadreport.go
+++ b/controlplane/weighting/loadreport.go
@@ -27,7 +27,7 @@
 	if requests := report.Requests[name]; requests > 0 {
 		s.pending = append(s.pending, rules.GroupTraffic{Proxy: proxy, Flows: requests, Window: period})
 	}
-	batch := &intake.Batch{Proxy: proxy, Over: period, Read: governorTime(now)}
+	batch := &intake.Batch{Proxy: proxy, Window: period, ReceivedAt: governorTime(now)}
 	for _, stats := range report.Endpoints {
 		id, ok := s.replicaIDs[stats.Replica]
 		if !ok || stats.Attempts <= 0 {
@@ -37,16 +37,16 @@
 		s.pending = append(s.pending, rules.EndpointStats{
 			Replica:     id,
 			Zone:        zone,
-			Attempts:    record.Tries,
+			Attempts:    record.Attempts,
 			Dropped:     record.Dropped,
-			MeanLatency: record.Took,
+			MeanLatency: record.MeanLatency,
 			Window:      period,
 			Report:      record.Report,
 		})
 		batch.Records = append(batch.Records, record)
 	}
 	if len(batch.Records) > 0 {
-		s.intake.Take(governorTime(now), batch)
+		s.intake.AddBatch(governorTime(now), batch)
 	}
 }
 
@@ -58,10 +58,10 @@
 		load.InFlight = float64(stats.Running + stats.Waiting)
 	}
 	return intake.Record{
-		Replica: id,
-		Tries:   stats.Attempts,
-		Dropped: min(stats.Dropped, stats.Attempts),
-		Took:    time.Duration(stats.MeanLatencyMicros) * time.Microsecond,
-		Report:  load,
+		Replica:     id,
+		Attempts:    stats.Attempts,
+		Dropped:     min(stats.Dropped, stats.Attempts),
+		MeanLatency: time.Duration(stats.MeanLatencyMicros) * time.Microsecond,
+		Report:      load,
 	}
 }
--- a/controlplane/weighting/service.go
+++ b/controlplane/weighting/service.go
@@ -13,7 +13,7 @@
 	governor rules.Governor
 	version  uint16 // that gateways have applied once they report
 	pending  []rules.Event
-	intake   *intake.Intake // finds pairs of a gateway and a replica between which attempts fail
+	intake   *intake.Aggregator // finds pairs of a gateway and a replica between which attempts fail
 
 	nextReplicaID rules.ReplicaID
 	replicaIDs    map[string]rules.ReplicaID // by instance
@@ -34,8 +34,8 @@
 			Period:   ReportPeriod,
 			Budget:   maxRecordsPerPeriod,
 			HalfLife: recordHalfLife,
-			MostAge:  maxRecordAge,
-			Pairs:    maxFailingPairs,
+			MaxAge:   maxRecordAge,
+			MaxPairs: maxFailingPairs,
 			Zones:    max(len(options.Zones), 1),
 		}),
 		nextReplicaID: 1,
@@ -88,8 +88,8 @@
 		s.wakePending = false
 		events = append(events, rules.Wake{TimerID: s.wakeMark})
 	}
-	if s.intake.Due(governorTime(now)) {
-		events = append(events, s.intake.Cut(governorTime(now))...)
+	if s.intake.FlushDue(governorTime(now)) {
+		events = append(events, s.intake.Flush(governorTime(now))...)
 	}
 	return events
 }
--- a/internal/clients/codec.go
+++ b/internal/clients/codec.go
@@ -249,8 +249,8 @@
 func (c *codec) batch(f *fields) *intake.Batch {
 	f.require("sidecar", "window", "records")
 	b := intake.NewBatch()
-	b.Proxy, b.Over, b.Age = c.proxy(f), f.positiveDuration("window"), f.duration("age")
-	b.Seq, b.Sent = uint32(f.integer("seq", math.MaxUint32)), rules.Time(f.integer("sent", math.MaxInt64/int(time.Millisecond)))*rules.Time(time.Millisecond)
+	b.Proxy, b.Window, b.Age = c.proxy(f), f.positiveDuration("window"), f.duration("age")
+	b.Sequence, b.SentAt = uint32(f.integer("seq", math.MaxUint32)), rules.Time(f.integer("sent", math.MaxInt64/int(time.Millisecond)))*rules.Time(time.Millisecond)
 	text, _ := f.value("records")
 	for len(text) > 0 {
 		var record []byte
@@ -263,7 +263,7 @@
 		if known {
 			b.Records = append(b.Records, r)
 		} else {
-			b.Unknown++
+			b.UnknownReplicas++
 		}
 	}
 	return b
@@ -286,8 +286,8 @@
 	var good [6]bool
 	var ms [2]float64
 	r.Report = noReport
-	r.Tries, good[0] = parseInteger(words[1], math.MaxInt32)
-	r.Dropped, good[1] = parseInteger(words[2], r.Tries)
+	r.Attempts, good[0] = parseInteger(words[1], math.MaxInt32)
+	r.Dropped, good[1] = parseInteger(words[2], r.Attempts)
 	ms[0], good[2] = parseFloat(words[3])
 	good[3], good[4], good[5] = true, true, true
 	if n == 7 {
@@ -297,9 +297,9 @@
 	}
 	took, inTime := f.milliseconds(ms[0])
 	heard, lately := f.milliseconds(ms[1])
-	r.Took, r.Heard = took, heard
+	r.MeanLatency, r.ReportAge = took, heard
 	r.Replica, known = c.replica(words[0])
-	return r, known, r.Tries > 0 && inTime && lately && good == [6]bool{true, true, true, true, true, true}
+	return r, known, r.Attempts > 0 && inTime && lately && good == [6]bool{true, true, true, true, true, true}
 }
 
 // assignment is one part of a message to a proxy. What is empty is left out.
--- a/internal/clients/side_test.go
+++ b/internal/clients/side_test.go
@@ -401,7 +401,7 @@
 			}
 		case *intake.Batch:
 			for _, r := range m.Records {
-				if r.Tries <= 0 || r.Dropped < 0 || r.Dropped > r.Tries || r.Took < 0 || r.Took > time.Minute || r.Heard < 0 || int(r.Replica) > 9 {
+				if r.Attempts <= 0 || r.Dropped < 0 || r.Dropped > r.Attempts || r.MeanLatency < 0 || r.MeanLatency > time.Minute || r.ReportAge < 0 || int(r.Replica) > 9 {
 					t.Errorf("%+v", r)
 				}
 			}
--- a/internal/collectd/server.go
+++ b/internal/collectd/server.go
@@ -20,7 +20,7 @@
 
 // Mapping maps one value of a list to a figure of a replica.
 type Mapping struct {
-	Figure         intake.Figure
+	Figure         intake.LoadMetric
 	Plugin         string
 	PluginInstance string // "": any
 	Type           string
@@ -106,7 +106,7 @@
 		s.counts.Add(skippedPackets, "over the pace")
 		return
 	}
-	var loads []intake.Load
+	var loads []intake.MachineLoad
 	err := s.parser.Parse(b, func(v *Values) { loads = s.appendLoads(loads, v) })
 	if err != nil {
 		s.counts.Add(skippedPackets, causeOf(err))
@@ -128,7 +128,7 @@
 
 // appendLoads adds what a set of values tells of a replica. Hosts and values that stand for nothing here leave no trace but
 // a count.
-func (s *Server) appendLoads(loads []intake.Load, v *Values) []intake.Load {
+func (s *Server) appendLoads(loads []intake.MachineLoad, v *Values) []intake.MachineLoad {
 	for i := range s.options.Mappings {
 		f := &s.options.Mappings[i]
 		if f.Plugin != v.Plugin || f.Type != v.Type || f.PluginInstance != "" && f.PluginInstance != v.PluginInstance ||
@@ -145,8 +145,8 @@
 			continue
 		}
 		s.counts.Add(mappedValues, "heard")
-		l := intake.Load{Replica: replica, Figure: f.Figure, Kind: v.Kinds[f.Value], Over: v.Interval, Scale: f.Scale, Offset: f.Offset,
-			At: rules.Time(v.Time.UnixNano())}
+		l := intake.MachineLoad{Replica: replica, Metric: f.Figure, Kind: v.Kinds[f.Value], Interval: v.Interval, Scale: f.Scale, Offset: f.Offset,
+			MeasuredAt: rules.Time(v.Time.UnixNano())}
 		if l.Kind == intake.Gauge {
 			l.Value = v.Gauge(f.Value)
 		} else {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -165,7 +165,7 @@
 }
 
 var (
-	figureNames = map[string]intake.Figure{"util": intake.Util, "inflight": intake.InFlight, "latency_ms": intake.LatencyMS}
+	figureNames = map[string]intake.LoadMetric{"util": intake.Utilization, "inflight": intake.InFlight, "latency_ms": intake.LatencyMS}
 	levelNames  = map[string]collectd.SecurityLevel{"none": collectd.SecurityNone, "sign": collectd.SecuritySign, "encrypt": collectd.SecurityEncrypt}
 )
 
@@ -341,8 +341,8 @@
 		perS = float64(o.RecordsPerSecond)
 	}
 	return intake.Settings{Seed: c.Seed, Period: s.Period, Budget: max(int(perS*s.Period.Seconds()), 4),
-		HalfLife: o.HalfLife, MostAge: o.MaxAge, Pairs: cmp.Or(o.MaxPairs, int(c.Limits.MemoryMB<<20/intakeMemoryDivisor/keptPairBytes)), Zones: s.Zones,
-		MakeSums: o.Reports == ReportsSums}
+		HalfLife: o.HalfLife, MaxAge: o.MaxAge, MaxPairs: cmp.Or(o.MaxPairs, int(c.Limits.MemoryMB<<20/intakeMemoryDivisor/keptPairBytes)), Zones: s.Zones,
+		MakeStats: o.Reports == ReportsSums}
 }
 
 // StreamBytesPerSecond are the bytes a second that are read of one stream where batches are taken; 0: no bound.
@@ -392,6 +392,6 @@
 sync = %q
 half_life = %q
 most_age = %q
-`, o.Reports, int(float64(in.Budget)/in.Period.Seconds()), o.HalfLife, o.MaxAge, in.Pairs, cmp.Or(o.StreamBytesPerSecond, defaultStreamBytes),
+`, o.Reports, int(float64(in.Budget)/in.Period.Seconds()), o.HalfLife, o.MaxAge, in.MaxPairs, cmp.Or(o.StreamBytesPerSecond, defaultStreamBytes),
 		g.Address, g.Prefix, g.Interval, g.MaxQueuedPoints, d.Listen, d.AllowedSources, security, d.UsersFile, d.PacketsPerSecond, len(d.ReplicaByHost), len(d.Mappings), st.Dir, st.SyncInterval, st.HalfLife, st.MaxAge)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -52,7 +52,7 @@
 	timers    []timer // soonest first
 	governor  rules.Governor
 	// intake weighs and gathers reports; nil where the operator file leaves them as they come.
-	intake           *intake.Intake
+	intake           *intake.Aggregator
 	intakeLoggedAt   time.Time     // when intake's counts were logged last
 	countsSinceLog   intake.Counts // since then
 	countsSinceStart intake.Counts // since the start
@@ -211,7 +211,7 @@
 	d.governor.WriteView(d.now(), &s.View)
 	if s.HasIntake = d.intake != nil; s.HasIntake {
 		s.IntakeCounts = d.countsSinceStart
-		s.Held[0], s.Held[1], s.Held[2] = d.intake.Held()
+		s.Held[0], s.Held[1], s.Held[2] = d.intake.Sizes()
 	}
 	s.Duration = time.Since(now)
 	d.graphite.SubmitSnapshot(s)
@@ -310,17 +310,17 @@
 		switch fact := e.Fact.(type) {
 		case nil:
 			for _, l := range e.Loads {
-				d.intake.Load(now, l)
+				d.intake.AddLoad(now, l)
 			}
 			if e.Batch == nil {
 				continue
 			}
-			e.Batch.Read = d.rulesTime(e.ReceivedAt)
-			d.intake.Take(now, e.Batch)
+			e.Batch.ReceivedAt = d.rulesTime(e.ReceivedAt)
+			d.intake.AddBatch(now, e.Batch)
 			e.Batch.Free()
 			continue
 		case rules.EndpointStats:
-			if s, counts := d.intake.Sums(now, d.rulesTime(e.ReceivedAt), fact); counts {
+			if s, counts := d.intake.AdjustStats(now, d.rulesTime(e.ReceivedAt), fact); counts {
 				facts = append(facts, s)
 			}
 			continue
@@ -331,8 +331,8 @@
 		}
 		facts = append(facts, e.Fact)
 	}
-	if d.intake.Due(now) {
-		facts = append(facts, d.intake.Cut(now)...)
+	if d.intake.FlushDue(now) {
+		facts = append(facts, d.intake.Flush(now)...)
 		d.logIntakeCounts()
 	}
 	return facts
@@ -353,7 +353,7 @@
 			line = line.Int(intake.Cause(i).String(), n)
 		}
 	}
-	records, senders, pairs := d.intake.Held()
+	records, senders, pairs := d.intake.Sizes()
 	line.Int("records held", records).Int("senders", senders).Int("pairs", pairs).Msg("intake")
 	d.intakeLoggedAt, d.countsSinceLog = time.Now(), intake.Counts{}
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -175,7 +175,7 @@
 		go func() {
 			for !ended.Load() {
 				b := intake.NewBatch()
-				b.Proxy, b.Over, b.Records = 1, time.Second, append(b.Records, intake.Record{Replica: 0, Tries: 1})
+				b.Proxy, b.Window, b.Records = 1, time.Second, append(b.Records, intake.Record{Replica: 0, Attempts: 1})
 				d.queue.Post(eventqueue.Event{Connection: 1, Batch: b, ReceivedAt: time.Now()})
 			}
 		}()
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -27,10 +27,10 @@
 		return nil, nil
 	}
 	d.entries = map[rules.ReplicaID]rules.Entry{}
-	set := recovery.Settings{HalfLife: o.HalfLife, MostAge: o.MaxAge}
+	set := recovery.Settings{HalfLife: o.HalfLife, MaxAge: o.MaxAge}
 	now := d.now()
-	plan := recovery.Weigh(now, kept, d.conf.Name, d.conf.Discovery, set)
-	d.log.Info().Str("verdict", string(plan.Verdict)).Dur("age", plan.Age).Float64("trust", plan.Trust).Int("replicas", len(kept.Replicas)).Msg("state")
+	plan := recovery.NewPlan(now, kept, d.conf.Name, d.conf.Discovery, set)
+	d.log.Info().Str("verdict", string(plan.Assessment)).Dur("age", plan.Age).Float64("trust", plan.Trust).Int("replicas", len(kept.Replicas)).Msg("state")
 	if len(plan.Events) > 0 {
 		d.discovery.Restore(kept)
 		d.recovery = recovery.Begin(now, kept, plan, set)
@@ -60,12 +60,12 @@
 			out = append(out, f)
 			continue
 		}
-		before, trust := d.recovery.Step(), d.recovery.Trust(d.now())
-		out = append(out, d.recovery.Hear(f)...)
-		if step := d.recovery.Step(); step != before {
+		before, trust := d.recovery.Stage(), d.recovery.Trust(d.now())
+		out = append(out, d.recovery.Handle(f)...)
+		if step := d.recovery.Stage(); step != before {
 			d.log.Info().Str("step", string(step)).Float64("trust", trust).Msg("recovery")
 		}
-		if d.recovery.Step() == recovery.Confirmed {
+		if d.recovery.Stage() == recovery.Confirmed {
 			d.recovery = nil
 		}
 	}
@@ -88,15 +88,15 @@
 }
 
 // stateToSave is what the next start can use.
-func (d *Daemon) stateToSave(version discoveryclient.Version, heard time.Time) recovery.Kept {
-	k := recovery.Kept{Governor: d.conf.Name, Discovery: d.conf.Discovery, Version: uint64(version), Heard: d.rulesTime(heard), Written: d.now(), Next: d.discovery.Next()}
+func (d *Daemon) stateToSave(version discoveryclient.Version, heard time.Time) recovery.State {
+	k := recovery.State{Governor: d.conf.Name, Discovery: d.conf.Discovery, Version: uint64(version), ConfirmedAt: d.rulesTime(heard), WrittenAt: d.now(), NextReplicaID: d.discovery.Next()}
 	learnt := map[rules.ReplicaID]rules.Recalled{}
 	for _, m := range d.governor.AppendRecalled(nil) {
 		learnt[m.Replica] = m
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
 		if name, known := d.discovery.Name(id); known {
-			k.Replicas = append(k.Replicas, recovery.Replica{Name: name, Entry: d.entries[id], Learnt: learnt[id]})
+			k.Replicas = append(k.Replicas, recovery.Replica{Name: name, Entry: d.entries[id], Learned: learnt[id]})
 		}
 	}
 	return k
--- a/internal/discoveryclient/client.go
+++ b/internal/discoveryclient/client.go
@@ -61,12 +61,12 @@
 }
 
 // Restore takes on what a former life kept: names by number, and the version from which changes are asked for.
-func (l *Client) Restore(state recovery.Kept) {
+func (l *Client) Restore(state recovery.State) {
 	for _, r := range state.Replicas {
 		l.restore(r.Name, r.Entry.Replica)
 	}
 	l.namesMu.Lock()
-	l.next = max(l.next, state.Next)
+	l.next = max(l.next, state.NextReplicaID)
 	l.namesMu.Unlock()
 	l.version, l.hasVersion = Version(state.Version), true
 }
--- a/internal/emulate/governor.go
+++ b/internal/emulate/governor.go
@@ -40,9 +40,9 @@
 	known    map[rules.ReplicaID]rules.Entry
 	watching bool
 
-	in    *intake.Intake // where proxies tell what each met
-	sums  [][]sum        // by zone and replica, of this period
-	heard []reports      // what waits to be passed on, by zone
+	in    *intake.Aggregator // where proxies tell what each met
+	sums  [][]sum            // by zone and replica, of this period
+	heard []reports          // what waits to be passed on, by zone
 }
 
 type table struct {
@@ -116,8 +116,8 @@
 	set.Zone = rules.ZoneID(g.n % w.fleet.Zones)
 	g.post(rules.Start{Seed: w.play.Seed<<8 + uint64(g.n)<<4 + uint64(g.life), Settings: set})
 	if g.in = nil; w.fleet.Met {
-		g.in = intake.New(intake.Settings{Seed: w.play.Seed, Period: w.fleet.Period, Budget: metBudget, HalfLife: 2 * w.fleet.Period, MostAge: 10 * w.fleet.Period,
-			Pairs: metPairs, Zones: w.fleet.Zones})
+		g.in = intake.New(intake.Settings{Seed: w.play.Seed, Period: w.fleet.Period, Budget: metBudget, HalfLife: 2 * w.fleet.Period, MaxAge: 10 * w.fleet.Period,
+			MaxPairs: metPairs, Zones: w.fleet.Zones})
 		g.cut(g.life)
 	}
 	for z := range w.fleet.Zones {
@@ -573,13 +573,13 @@
 		g.tell(m, life)
 		b := intake.NewBatch()
 		m.told++
-		b.Proxy, b.Seq, b.Over = m.p.id, m.told, w.fleet.Period
+		b.Proxy, b.Sequence, b.Window = m.p.id, m.told, w.fleet.Period
 		for _, r := range slices.Sorted(maps.Keys(m.pairs)) {
 			s := m.pairs[r]
-			x := intake.Record{Replica: r, Tries: s.tries, Dropped: s.dropped, Report: rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent,
+			x := intake.Record{Replica: r, Attempts: s.tries, Dropped: s.dropped, Report: rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent,
 				ServiceTime: rules.Absent, Rate: rules.Absent}}
 			if n := s.tries - s.dropped; n > 0 {
-				x.Took = s.took / time.Duration(n)
+				x.MeanLatency = s.took / time.Duration(n)
 			}
 			if s.told {
 				x.Report = s.report
@@ -588,8 +588,8 @@
 		}
 		clear(m.pairs)
 		w.in(w.fleet.Net, func() {
-			if b.Read = w.now; g.life == life && len(b.Records) > 0 {
-				g.in.Take(w.now, b)
+			if b.ReceivedAt = w.now; g.life == life && len(b.Records) > 0 {
+				g.in.AddBatch(w.now, b)
 			}
 			b.Free()
 		})
@@ -603,8 +603,8 @@
 			return
 		}
 		g.cut(life)
-		if g.in.Due(g.w.now) {
-			for _, e := range g.in.Cut(g.w.now) {
+		if g.in.FlushDue(g.w.now) {
+			for _, e := range g.in.Flush(g.w.now) {
 				g.post(e)
 			}
 		}
@@ -727,7 +727,7 @@
 			case rules.EndpointStats:
 				e.Window = max(over-w.fleet.Period, w.fleet.Period)
 				if g.in != nil {
-					s, counts := g.in.Sums(w.now, w.now, e)
+					s, counts := g.in.AdjustStats(w.now, w.now, e)
 					if e = s; !counts {
 						continue
 					}
--- a/internal/eventqueue/queue.go
+++ b/internal/eventqueue/queue.go
@@ -14,7 +14,7 @@
 	Connection any
 	Fact       rules.Event
 	Batch      *intake.Batch
-	Loads      []intake.Load
+	Loads      []intake.MachineLoad
 	ReceivedAt time.Time // when a report came
 }
 
--- a/internal/graphite/points.go
+++ b/internal/graphite/points.go
@@ -121,7 +121,7 @@
 	}
 	if s.HasIntake {
 		for c, count := range s.IntakeCounts {
-			w.point(float64(count), "intake", SanitizePathPart(intake.Cause(c).Path()))
+			w.point(float64(count), "intake", SanitizePathPart(intake.Cause(c).PathName()))
 		}
 		for i, name := range []string{"records_held", "senders", "pairs"} {
 			w.point(float64(s.Held[i]), "intake", name)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -146,7 +146,7 @@
 // Open opens a folder's store for writing and reads what it keeps. A file that is damaged is set aside, never deleted, and
 // an empty one takes its place; damaged says what was wrong. One that is locked, or newer, or can't be opened at all is
 // left as it is, and there is no store.
-func Open(dir string, now time.Time) (s *Store, kept recovery.Kept, damaged error, err error) {
+func Open(dir string, now time.Time) (s *Store, kept recovery.State, damaged error, err error) {
 	path := Path(dir)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, kept, nil, fmt.Errorf("state.dir: %w", err)
@@ -158,13 +158,13 @@
 		}
 		aside := fmt.Sprintf("%s.damaged-%s", path, now.UTC().Format("20060102T150405.000"))
 		if moved := os.Rename(path, aside); moved != nil {
-			return nil, recovery.Kept{}, err, fmt.Errorf("setting aside: %w", moved)
+			return nil, recovery.State{}, err, fmt.Errorf("setting aside: %w", moved)
 		}
 		damaged = fmt.Errorf("%w; set aside as %s", err, filepath.Base(aside))
 	}
 }
 
-func openStore(path string) (s *Store, kept recovery.Kept, err error) {
+func openStore(path string) (s *Store, kept recovery.State, err error) {
 	db, err := openDatabase(path, false)
 	if err != nil {
 		return nil, kept, err
@@ -176,7 +176,7 @@
 	}
 	if err != nil {
 		_ = recoverFaults(db.Close) // the first error tells
-		return nil, recovery.Kept{}, err
+		return nil, recovery.State{}, err
 	}
 	return s, kept, nil
 }
@@ -236,7 +236,7 @@
 }
 
 // readAll reads all that is kept. One value that is damaged makes the whole so: what is left would be a list with holes.
-func (s *Store) readAll() (kept recovery.Kept, err error) {
+func (s *Store) readAll() (kept recovery.State, err error) {
 	err = recoverFaults(func() error {
 		return s.db.View(func(tx *bbolt.Tx) error {
 			meta, replicas := tx.Bucket(metaBucket), tx.Bucket(replicaBucket)
@@ -251,7 +251,7 @@
 			if err := decodeValue(b, &h); err != nil {
 				return err
 			}
-			kept = recovery.Kept{Governor: h.Governor, Discovery: h.Discovery, Version: h.Version, Heard: h.Heard, Written: h.Written, Next: h.Next}
+			kept = recovery.State{Governor: h.Governor, Discovery: h.Discovery, Version: h.Version, ConfirmedAt: h.Heard, WrittenAt: h.Written, NextReplicaID: h.Next}
 			err := replicas.ForEach(func(name, v []byte) error {
 				var r replicaRecord
 				if err := decodeValue(v, &r); err != nil {
@@ -260,7 +260,7 @@
 				s.written[string(name)] = slices.Clone(v)
 				kept.Replicas = append(kept.Replicas, recovery.Replica{Name: string(name), Entry: rules.Entry{Replica: r.Number, Zone: r.Zone, Kind: r.Kind,
 					Cell: r.Cell, State: r.State, Listed: r.Listed, StartedAt: r.Started},
-					Learnt: rules.Recalled{Replica: r.Number, Speed: r.Speed, Answers: r.Answers, Out: r.Out}})
+					Learned: rules.Recalled{Replica: r.Number, Speed: r.Speed, Answers: r.Answers, Out: r.Out}})
 				return nil
 			})
 			if err == nil && len(kept.Replicas) != h.Replicas {
@@ -273,17 +273,17 @@
 }
 
 // Write keeps k, in one transaction that holds what has changed. It returns the bytes of values written.
-func (s *Store) Write(k recovery.Kept) (bytes int, err error) {
+func (s *Store) Write(k recovery.State) (bytes int, err error) {
 	now := make(map[string][]byte, len(k.Replicas))
 	for _, r := range k.Replicas {
 		e := r.Entry
 		now[r.Name], err = encodeValue(replicaRecord{Number: e.Replica, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: e.State, Listed: e.Listed, Started: e.StartedAt,
-			Speed: r.Learnt.Speed, Answers: r.Learnt.Answers, Out: r.Learnt.Out})
+			Speed: r.Learned.Speed, Answers: r.Learned.Answers, Out: r.Learned.Out})
 		if err != nil {
 			return 0, err
 		}
 	}
-	top, err := encodeValue(header{Governor: k.Governor, Discovery: k.Discovery, Version: k.Version, Heard: k.Heard, Written: k.Written, Next: k.Next, Replicas: len(k.Replicas)})
+	top, err := encodeValue(header{Governor: k.Governor, Discovery: k.Discovery, Version: k.Version, Heard: k.ConfirmedAt, Written: k.WrittenAt, Next: k.NextReplicaID, Replicas: len(k.Replicas)})
 	if err != nil {
 		return 0, err
 	}
@@ -321,7 +321,7 @@
 func (s *Store) Close() error { return recoverFaults(s.db.Close) }
 
 // Read reads a folder's store without changing it. It fails with ErrLocked while a governor runs on it.
-func Read(dir string) (kept recovery.Kept, err error) {
+func Read(dir string) (kept recovery.State, err error) {
 	db, err := openDatabase(Path(dir), true)
 	if err != nil {
 		return kept, err
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -26,18 +26,18 @@
 )
 
 // state is what the test keeps as its nth: a function of n alone, so that whatever is found can be checked whole.
-func state(n int) recovery.Kept {
+func state(n int) recovery.State {
 	chance := rand.New(rand.NewPCG(uint64(n/3), 7)) // neighbours share most of it
-	k := recovery.Kept{Governor: "n1", Discovery: "127.0.0.1:1", Version: uint64(n), Heard: rules.Time(1000 + n), Written: rules.Time(1001 + n), Next: 500}
+	k := recovery.State{Governor: "n1", Discovery: "127.0.0.1:1", Version: uint64(n), ConfirmedAt: rules.Time(1000 + n), WrittenAt: rules.Time(1001 + n), NextReplicaID: 500}
 	for i := range 20 + chance.IntN(60) {
 		id := rules.ReplicaID(i)
 		k.Replicas = append(k.Replicas, recovery.Replica{Name: fmt.Sprintf("s-%03d", i), Entry: rules.Entry{Replica: id, State: rules.Ready, Listed: chance.Float64(),
-			StartedAt: rules.Time(n)}, Learnt: rules.Recalled{Replica: id, Speed: chance.Float64(), Answers: 3, Out: i%7 == 0}})
+			StartedAt: rules.Time(n)}, Learned: rules.Recalled{Replica: id, Speed: chance.Float64(), Answers: 3, Out: i%7 == 0}})
 	}
 	return k
 }
 
-func opened(t *testing.T, dir string) (*Store, recovery.Kept) {
+func opened(t *testing.T, dir string) (*Store, recovery.State) {
 	t.Helper()
 	s, k, damaged, err := Open(dir, time.Now())
 	if damaged != nil || err != nil {
@@ -266,11 +266,11 @@
 // TestMigrates has a file of version 1: all that it keeps is found, and found again as of the present version.
 func TestMigrates(t *testing.T) {
 	dir, want := t.TempDir(), state(4)
-	w := schema1State{header: header{Governor: want.Governor, Discovery: want.Discovery, Version: want.Version, Heard: want.Heard, Written: want.Written, Next: want.Next},
+	w := schema1State{header: header{Governor: want.Governor, Discovery: want.Discovery, Version: want.Version, Heard: want.ConfirmedAt, Written: want.WrittenAt, Next: want.NextReplicaID},
 		All: map[string]replicaRecord{}}
 	for _, r := range want.Replicas {
 		w.All[r.Name] = replicaRecord{Number: r.Entry.Replica, State: r.Entry.State, Listed: r.Entry.Listed, Started: r.Entry.StartedAt,
-			Speed: r.Learnt.Speed, Answers: r.Learnt.Answers, Out: r.Learnt.Out}
+			Speed: r.Learned.Speed, Answers: r.Learned.Answers, Out: r.Learned.Out}
 	}
 	db, err := bbolt.Open(Path(dir), 0o600, nil)
 	if err != nil {
@@ -307,7 +307,7 @@
 		t.Fatal(err)
 	}
 	k.Replicas = slices.Clone(k.Replicas)
-	k.Replicas[5].Learnt.Speed = 9
+	k.Replicas[5].Learned.Speed = 9
 	one, err := s.Write(k)
 	if err != nil || one > all/5 {
 		t.Errorf("%d bytes for all, %d for one, %v", all, one, err)
@@ -368,7 +368,7 @@
 			bytes := 0
 			for n := 0; b.Loop(); n++ {
 				for i := range changed {
-					k.Replicas[i].Learnt.Speed = 1 + float64(n)
+					k.Replicas[i].Learned.Speed = 1 + float64(n)
 				}
 				if bytes, err = s.Write(k); err != nil {
 					b.Fatal(err)
@@ -398,11 +398,11 @@
 	}
 }
 
-func many(n int) (k recovery.Kept) {
-	k.Governor, k.Discovery, k.Heard, k.Written = "n1", "d", 1, 1
+func many(n int) (k recovery.State) {
+	k.Governor, k.Discovery, k.ConfirmedAt, k.WrittenAt = "n1", "d", 1, 1
 	for i := range n {
 		k.Replicas = append(k.Replicas, recovery.Replica{Name: fmt.Sprintf("s-%08x", i), Entry: rules.Entry{Replica: rules.ReplicaID(i), State: rules.Ready, Listed: 1},
-			Learnt: rules.Recalled{Replica: rules.ReplicaID(i), Speed: 1.25, Answers: 7.5}})
+			Learned: rules.Recalled{Replica: rules.ReplicaID(i), Speed: 1.25, Answers: 7.5}})
 	}
 	return k
 }
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -13,20 +13,20 @@
 type Writer struct {
 	store   *Store
 	log     zerolog.Logger
-	pending chan recovery.Kept
+	pending chan recovery.State
 	failing bool // and told
 }
 
 // NewWriter returns a Writer that writes nothing before Run.
 func NewWriter(s *Store, log zerolog.Logger) *Writer {
-	return &Writer{store: s, log: log, pending: make(chan recovery.Kept, 1)}
+	return &Writer{store: s, log: log, pending: make(chan recovery.State, 1)}
 }
 
 // Ready tells whether there is room for an offer.
 func (w *Writer) Ready() bool { return len(w.pending) == 0 }
 
 // Offer hands over what is to be kept. It never waits.
-func (w *Writer) Offer(k recovery.Kept) {
+func (w *Writer) Offer(k recovery.State) {
 	select {
 	case w.pending <- k:
 	default:
@@ -53,7 +53,7 @@
 	}
 }
 
-func (w *Writer) write(k recovery.Kept) {
+func (w *Writer) write(k recovery.State) {
 	_, err := w.store.Write(k)
 	if err != nil && !w.failing {
 		w.log.Warn().Err(err).Msg("state can't be written")
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -13,15 +13,15 @@
 
 const second = rules.Time(time.Second)
 
-var set = Settings{HalfLife: 10 * time.Minute, MostAge: 24 * time.Hour}
+var set = Settings{HalfLife: 10 * time.Minute, MaxAge: 24 * time.Hour}
 
 // kept is a list of replicas that all started long ago, of which even ones are twice as fast as odd ones.
-func kept(n int, heard rules.Time) Kept {
-	k := Kept{Governor: "n1", Discovery: "d", Version: 7, Heard: heard, Written: heard + second, Next: rules.ReplicaID(n)}
+func kept(n int, heard rules.Time) State {
+	k := State{Governor: "n1", Discovery: "d", Version: 7, ConfirmedAt: heard, WrittenAt: heard + second, NextReplicaID: rules.ReplicaID(n)}
 	for i := range n {
 		id := rules.ReplicaID(i)
 		k.Replicas = append(k.Replicas, Replica{Name: fmt.Sprint("s", i), Entry: rules.Entry{Replica: id, State: rules.Ready, Listed: 1},
-			Learnt: rules.Recalled{Replica: id, Speed: 1.25 - 0.75*float64(i%2), Answers: 12.5 - 7.5*float64(i%2)}})
+			Learned: rules.Recalled{Replica: id, Speed: 1.25 - 0.75*float64(i%2), Answers: 12.5 - 7.5*float64(i%2)}})
 	}
 	return k
 }
@@ -31,29 +31,29 @@
 	now := 1_000_000 * second
 	for _, c := range []struct {
 		what  string
-		with  func(*Kept)
-		want  Verdict
+		with  func(*State)
+		want  Assessment
 		trust float64
 	}{
-		{"10 s old", func(k *Kept) { k.Heard = now - 10*second }, Used, 0.988},
-		{"5 min old", func(k *Kept) { k.Heard = now - 300*second }, Used, 0.707},
-		{"a day old", func(k *Kept) { k.Heard = now - 86_400*second }, Used, 0},
-		{"older", func(k *Kept) { k.Heard = now - 86_401*second }, TooOld, 0},
-		{"a clock that went back by an hour", func(k *Kept) { k.Heard, k.Written = now+3600*second, now+3601*second }, ClockBack, 0},
-		{"another discovery", func(k *Kept) { k.Discovery = "e" }, Another, 0},
-		{"another governor", func(k *Kept) { k.Governor = "n2" }, Another, 0},
-		{"nothing", func(k *Kept) { k.Replicas = nil }, Nothing, 0},
-		{"never heard", func(k *Kept) { k.Heard = 0 }, Impossible, 0},
-		{"written before it was heard", func(k *Kept) { k.Written = k.Heard - 3600*second }, Impossible, 0},
+		{"10 s old", func(k *State) { k.ConfirmedAt = now - 10*second }, Used, 0.988},
+		{"5 min old", func(k *State) { k.ConfirmedAt = now - 300*second }, Used, 0.707},
+		{"a day old", func(k *State) { k.ConfirmedAt = now - 86_400*second }, Used, 0},
+		{"older", func(k *State) { k.ConfirmedAt = now - 86_401*second }, TooOld, 0},
+		{"a clock that went back by an hour", func(k *State) { k.ConfirmedAt, k.WrittenAt = now+3600*second, now+3601*second }, ClockBack, 0},
+		{"another discovery", func(k *State) { k.Discovery = "e" }, Mismatch, 0},
+		{"another governor", func(k *State) { k.Governor = "n2" }, Mismatch, 0},
+		{"nothing", func(k *State) { k.Replicas = nil }, Nothing, 0},
+		{"never heard", func(k *State) { k.ConfirmedAt = 0 }, Impossible, 0},
+		{"written before it was heard", func(k *State) { k.WrittenAt = k.ConfirmedAt - 3600*second }, Impossible, 0},
 	} {
 		k := kept(4, now-60*second)
-		k.Written = now
+		k.WrittenAt = now
 		c.with(&k)
-		p := Weigh(now, k, "n1", "d", set)
-		if p.Verdict != c.want || p.Trust < c.trust-0.001 || p.Trust > c.trust+0.001 {
+		p := NewPlan(now, k, "n1", "d", set)
+		if p.Assessment != c.want || p.Trust < c.trust-0.001 || p.Trust > c.trust+0.001 {
 			t.Errorf("%s: %v", c.what, p)
 		}
-		used := p.Verdict == Used || p.Verdict == ClockBack
+		used := p.Assessment == Used || p.Assessment == ClockBack
 		if used != (len(p.Events) == 5) {
 			t.Errorf("%s: %d events", c.what, len(p.Events))
 		}
@@ -72,8 +72,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now, n := 1_000_000*second, rapid.IntRange(1, 20).Draw(t, "replicas")
 		k := kept(n, now-rules.Time(rapid.IntRange(0, 80_000).Draw(t, "age"))*second)
-		k.Written = now
-		p := Weigh(now, k, "n1", "d", set)
+		k.WrittenAt = now
+		p := NewPlan(now, k, "n1", "d", set)
 		r := Begin(now, k, p, set)
 		trust := r.Trust(now)
 		for range rapid.IntRange(0, 40).Draw(t, "events") {
@@ -84,22 +84,22 @@
 					t.Fatalf("with time alone trust rises from %v to %v", trust, later)
 				}
 			case 1:
-				r.Hear(rules.EndpointStats{Replica: rules.ReplicaID(rapid.IntRange(0, n-1).Draw(t, "replica")), Attempts: 3})
+				r.Handle(rules.EndpointStats{Replica: rules.ReplicaID(rapid.IntRange(0, n-1).Draw(t, "replica")), Attempts: 3})
 				if later := r.Trust(now); later < trust-1e-12 {
 					t.Fatalf("a replica that answers takes trust from %v to %v", trust, later)
 				}
 			case 2:
-				r.Hear(rules.Joined{Proxy: 1})
+				r.Handle(rules.Joined{Proxy: 1})
 			default:
-				r.Hear(rules.List{Scope: rules.Failed})
+				r.Handle(rules.List{Scope: rules.Failed})
 			}
-			if trust = r.Trust(now); trust < 0 || trust > 1 || r.Step() == Confirmed {
-				t.Fatalf("trust %v at step %v", trust, r.Step())
+			if trust = r.Trust(now); trust < 0 || trust > 1 || r.Stage() == Confirmed {
+				t.Fatalf("trust %v at step %v", trust, r.Stage())
 			}
 		}
-		r.Hear(rules.List{Scope: rules.Changes})
-		if r.Trust(now) != 1 || r.Step() != Confirmed {
-			t.Fatalf("discovery has spoken: trust %v, step %v", r.Trust(now), r.Step())
+		r.Handle(rules.List{Scope: rules.Changes})
+		if r.Trust(now) != 1 || r.Stage() != Confirmed {
+			t.Fatalf("discovery has spoken: trust %v, step %v", r.Trust(now), r.Stage())
 		}
 	})
 }
@@ -124,9 +124,9 @@
 }
 
 // begin starts a governor from disk.
-func begin(now rules.Time, k Kept, proxies int) *life {
+func begin(now rules.Time, k State, proxies int) *life {
 	l := &life{now: now, lines: map[rules.ReplicaID]float64{}, bound: map[rules.ProxyID]bool{}}
-	p := Weigh(now, k, "n1", "d", set)
+	p := NewPlan(now, k, "n1", "d", set)
 	l.rec = Begin(now, k, p, set)
 	l.raw(append([]rules.Event{rules.Start{Seed: 3, Settings: siteSettings(proxies)}}, p.Events...)...)
 	return l
@@ -135,7 +135,7 @@
 func (l *life) hear(events ...rules.Event) {
 	var out []rules.Event
 	for _, e := range events {
-		out = append(out, l.rec.Hear(e)...)
+		out = append(out, l.rec.Handle(e)...)
 	}
 	l.raw(out...)
 }
@@ -195,8 +195,8 @@
 			t.Errorf("%d s old: the faster replica gets %.2f times as much", age, ratio)
 		}
 		last = ratio
-		if l.rec.Step() != FromProxies {
-			t.Error(l.rec.Step())
+		if l.rec.Stage() != FromProxies {
+			t.Error(l.rec.Stage())
 		}
 		l.pass(40)
 		if len(l.lines) != 10 {
@@ -281,7 +281,7 @@
 func TestHeldOutStays(t *testing.T) {
 	now := 1_000_000 * second
 	k := kept(10, now-10*second)
-	k.Replicas[3].Learnt.Out = true
+	k.Replicas[3].Learned.Out = true
 	for _, anew := range []int{0, 8} {
 		l := begin(now, k, 4)
 		l.hear(joins(4)...)
--- a/rules/publish.go
+++ b/rules/publish.go
@@ -65,7 +65,8 @@
 // warm ones then, whatever a cold one weighs, and sums tell late. Harm: new ones help late.
 func (g *Governor) overwhelms(now Time, t *table, r *replica) bool {
 	least := g.cfg.coldCapacity + (1-g.cfg.coldCapacity)*min(float64(now-r.started)/float64(g.cfg.warmupTime), 1)
-	return g.cfg.avoidAfter > 0 && g.coldExcess(now, t, r, fewWarmReplicas) > g.cfg.coldMargin*g.cfg.coldMargin*coldLoadShare*least*cmp.Or(r.size, r.listed)*g.speed
+	most := g.cfg.coldMargin * g.cfg.coldMargin * coldLoadShare * least * cmp.Or(r.size, r.listed) * g.speed
+	return g.cfg.avoidAfter > 0 && g.coldExcess(now, t, r, fewWarmReplicas) > most
 }
 
 // removeLeaving takes the lines of replicas that drain or are gone, with all of a proxy's messages. Tables that only name
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -1,8 +1,7 @@
 package rules
 
-// The decisions of a governor stand in this file (Step and what comes in), health.go, weigh.go and publish.go; api.go
-// holds the interface, state.go the records. A caller keeps one Governor for each instance, whose zero value is
-// ready, and hands it what happened, in order:
+// The decisions of a governor stand in this file (Step and its input), health.go, weigh.go and publish.go. A caller
+// keeps one Governor for each instance, whose zero value is ready, and hands it what happened, in order:
 //
 //	orders := g.Step(now, events)
 //
@@ -10,8 +9,8 @@
 // before a Start event has brought the settings. Sites with slices are left undecided: Step orders nothing.
 //
 // The ordinary path: each replica's reported load is smoothed, its spare capacity (its size x the share not
-// busy) sets its weight, and once a report period the changed lines go out, largest change first. The
-// guards around it say what they are against, what else they should catch, and when they could do harm.
+// busy) sets its weight, and once a report period the changed weights are sent, largest change first. The
+// guards around it say what they protect against, what else they should catch, and when they could do harm.
 
 import (
 	"cmp"
