--- /dev/null
+++ b/internal/simulation/disk_test.go
@@ -0,0 +1,126 @@
+package simulation
+
+import (
+	"bytes"
+	"errors"
+	"io/fs"
+	"math/rand/v2"
+	"testing"
+)
+
+// writeFile writes to a file and carries out what is pending.
+func writeFile(t *testing.T, d *disk, name string, data []byte) fileHandle {
+	t.Helper()
+	file, err := d.OpenForWrite(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := file.WriteAt(data, 0); err != nil {
+		t.Fatal(err)
+	}
+	applyPending(d)
+	return file.(fileHandle)
+}
+
+func applyPending(d *disk) {
+	for _, operation := range d.pending {
+		d.apply(operation)
+	}
+	d.pending = nil
+}
+
+// syncAll makes a file and its name durable.
+func syncAll(t *testing.T, d *disk, file fileHandle) {
+	t.Helper()
+	if err := errors.Join(file.Sync(), d.SyncDirectory()); err != nil {
+		t.Fatal(err)
+	}
+	applyPending(d)
+}
+
+// TestDiskKeepsWhatWasSynced guards that a loss of power never takes away what was synced, nor its name.
+func TestDiskKeepsWhatWasSynced(t *testing.T) {
+	for seed := range uint64(50) {
+		d, data := newDisk(), []byte("synced")
+		syncAll(t, d, writeFile(t, d, "file", data))
+		d.powerLost(rand.New(rand.NewPCG(seed, 1)))
+		if got, err := d.ReadFile("file"); err != nil || !bytes.Equal(got, data) {
+			t.Fatalf("seed %d: %q, %v", seed, got, err)
+		}
+	}
+}
+
+// TestDiskTearsAtSectors guards that of a write that was not synced each sector lasts whole or not at all, and that all of it
+// and none of it and parts of it occur.
+func TestDiskTearsAtSectors(t *testing.T) {
+	const sectors = 4
+	lasted := map[int]int{}
+	for seed := range uint64(400) {
+		d := newDisk()
+		file := writeFile(t, d, "file", bytes.Repeat([]byte{'a'}, sectors*sectorSize))
+		syncAll(t, d, file)
+		writeFile(t, d, "file", bytes.Repeat([]byte{'b'}, sectors*sectorSize))
+		d.powerLost(rand.New(rand.NewPCG(seed, 1)))
+		got, err := d.ReadFile("file")
+		if err != nil || len(got) != sectors*sectorSize {
+			t.Fatalf("seed %d: %d bytes, %v", seed, len(got), err)
+		}
+		written := 0
+		for i := range sectors {
+			sector := got[i*sectorSize : (i+1)*sectorSize]
+			if n := bytes.Count(sector, []byte{'b'}); n == sectorSize {
+				written++
+			} else if n > 0 {
+				t.Fatalf("seed %d: %d bytes of sector %d were written", seed, n, i)
+			}
+		}
+		lasted[written]++
+	}
+	for written := range sectors + 1 {
+		if lasted[written] == 0 {
+			t.Errorf("%d sectors never lasted: %v", written, lasted)
+		}
+	}
+}
+
+// TestDiskLosesUnsyncedNames guards that a file may be lost, contents and all, whose folder was not synced.
+func TestDiskLosesUnsyncedNames(t *testing.T) {
+	lost, kept := 0, 0
+	for seed := range uint64(100) {
+		d := newDisk()
+		file := writeFile(t, d, "file", []byte("synced, but without a name"))
+		if err := file.Sync(); err != nil {
+			t.Fatal(err)
+		}
+		applyPending(d)
+		d.powerLost(rand.New(rand.NewPCG(seed, 1)))
+		switch _, err := d.ReadFile("file"); {
+		case errors.Is(err, fs.ErrNotExist):
+			lost++
+		case err == nil:
+			kept++
+		default:
+			t.Fatal(err)
+		}
+	}
+	if lost == 0 || kept == 0 {
+		t.Errorf("lost %d times and kept %d times", lost, kept)
+	}
+}
+
+// TestDiskFaults guards what the store sees of a full and of a failing disk.
+func TestDiskFaults(t *testing.T) {
+	d := newDisk()
+	file := writeFile(t, d, "file", []byte("before"))
+	d.full = true
+	if n, err := file.WriteAt([]byte("123456"), 0); n != 2 || !errors.Is(err, errNoSpace) {
+		t.Errorf("a full disk takes %d of 6 bytes: %v", n, err)
+	}
+	d.full, d.failing = false, true
+	if err := file.Sync(); !errors.Is(err, errInputOutput) {
+		t.Errorf("a failing disk syncs: %v", err)
+	}
+	if _, err := d.OpenForWrite("other"); !errors.Is(err, errInputOutput) {
+		t.Errorf("a failing disk opens a file: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/simulation/gatewayrequest.go
@@ -0,0 +1,96 @@
+package simulation
+
+import (
+	"slices"
+	"time"
+
+	"zincloft.example/zincloft/dataplane/admission"
+	"zincloft.example/zincloft/dataplane/loadbalancer"
+	"zincloft.example/zincloft/dataplane/outlier"
+	"zincloft.example/zincloft/dataplane/router"
+	"zincloft.example/zincloft/messages"
+)
+
+// Requests.
+const (
+	meanRequestInterval = 60 * time.Millisecond // at a gateway
+	drainingRequests    = 4                     // one in so many still comes to a gateway that does not serve
+	requestLatency      = time.Second           // the route's target
+	requestTimeLeft     = 3 * time.Second
+	forwardingTime      = 2 * time.Millisecond // a gateway forwards one request after the other
+	serviceTime         = 150 * time.Millisecond
+	connectRefusedTime  = time.Millisecond
+)
+
+// requestRepeatedly has a client send a gateway requests, now and at random intervals.
+func (c *cluster) requestRepeatedly(g *gatewayNode, incarnation int) {
+	if !g.up || g.incarnation != incarnation {
+		return
+	}
+	c.runOn(&g.process, incarnation, func() { c.forwardRequest(g) })
+	c.after(c.randomBelow(2*meanRequestInterval), func() { c.requestRepeatedly(g, incarnation) })
+}
+
+// forwardRequest has a gateway forward one request to a replica, or reject it.
+func (c *cluster) forwardRequest(g *gatewayNode) {
+	if g.router.Config() == nil {
+		return
+	}
+	now := c.monotonicTime(&g.process)
+	c.checkWindowSettles(g)
+	c.checkWarmupQuotas()
+	if !g.router.IsServing() && c.random.IntN(drainingRequests) > 0 || g.router.RejectsRequests(now) {
+		return
+	}
+	g.router.StartRequest(serviceName)
+	pick := g.router.Pick(now, router.PickRequest{Service: serviceName, Admission: admission.Request{Route: "r", LatencyTarget: requestLatency, TimeLeft: requestTimeLeft}})
+	if c.history != nil {
+		c.history.add(entryPick, c.now, historyGateways+g.index, now, pick)
+	}
+	c.checkConfigIsCurrent(g)
+	if pick.EndpointID == "" {
+		g.router.EndRequest(now, true, false)
+		return
+	}
+	c.measureRequest(g)
+	i := slices.IndexFunc(c.replicas, func(r *replica) bool { return r.id == pick.EndpointID })
+	if i < 0 {
+		c.violationf("%s sends to %s, which never was", g.name, pick.EndpointID)
+		return
+	}
+	c.checkRequest(g, c.replicas[i])
+	c.endAttemptLater(g, c.replicas[i], pick.AttemptID)
+}
+
+// measureRequest notes what a request takes that is forwarded now.
+func (c *cluster) measureRequest(g *gatewayNode) {
+	c.result.Requests++
+	start := max(c.now, g.idleAt)
+	g.idleAt = start + forwardingTime
+	latencies := &c.result.RequestLatencies[c.openWindowIndex()]
+	*latencies = append(*latencies, start-c.now+forwardingTime+serviceTime)
+}
+
+// endAttemptLater has a replica answer a request in its time, or refuse the connection at once if it is gone.
+func (c *cluster) endAttemptLater(g *gatewayNode, r *replica, attemptID uint64) {
+	result, took := router.AttemptResult{AttemptID: attemptID, Result: loadbalancer.Success, Latency: serviceTime, Load: [3]int{replicaSlots, 1, replicaSlots}}, serviceTime
+	if !r.alive {
+		result, took = router.AttemptResult{AttemptID: attemptID, Result: loadbalancer.ConnectFailed, ConnectionRefused: true}, connectRefusedTime
+	}
+	incarnation := g.incarnation
+	c.after(took, func() {
+		c.runOn(&g.process, incarnation, func() { c.endAttempt(g, result) })
+	})
+}
+
+// endAttempt has a gateway learn what came of a request, and report an outlier if it is one.
+func (c *cluster) endAttempt(g *gatewayNode, result router.AttemptResult) {
+	g.router.EndRequest(c.monotonicTime(&g.process), true, false)
+	ended := g.router.EndAttempt(c.monotonicTime(&g.process), result)
+	if c.history != nil {
+		c.history.add(entryAttempt, c.now, historyGateways+g.index, result, ended)
+	}
+	if ended.Observation != nil && g.member != nil {
+		c.sendReport(g.member, g, g.stream, &messages.LoadReport{Observations: []outlier.Observation{*ended.Observation}})
+	}
+}
--- /dev/null
+++ b/internal/simulation/injecttolerance.go
@@ -0,0 +1,182 @@
+package simulation
+
+import (
+	"strings"
+	"time"
+
+	"zincloft.example/zincloft/controlplane/membership"
+)
+
+// When gateways reconnect to a member because of Fault.Reconnect.
+const (
+	maxFirstReconnectDelay = 1500 * time.Millisecond
+	reconnectBeforeEnd     = 300 * time.Millisecond
+	maxLastReconnectDelay  = 600 * time.Millisecond
+)
+
+// injectWithTolerance strikes in a schedule with a Tolerance, and reports whether the fault is of a kind that differs there.
+func (c *cluster) injectWithTolerance(fault Fault) bool {
+	if fault.When != "" {
+		c.addWaiting(&c.coreHistory.pendingFaults, fault, maxFaultWait)
+		return true
+	}
+	switch fault.Kind {
+	case KillGateway, FreezeGateway, CutGateway, CrashReplica, StepClock:
+		return false
+	case KillAll, LosePowerAll, LosePowerWipes:
+		c.tracef("FAULT: %v", fault)
+		c.stopAllMembers(fault)
+	case AddSpareMember:
+		c.addSpare()
+	default:
+		m := c.targetOf(fault)
+		c.tracef("FAULT: %s: %v", m.name, fault)
+		c.unsettle()
+		c.injectMemberFaultWithTolerance(m, fault)
+		c.scheduleReconnects(m, fault)
+	}
+	return true
+}
+
+func (c *cluster) injectMemberFaultWithTolerance(m *member, fault Fault) {
+	switch fault.Kind {
+	case RemoveMember, ShutDownMember:
+		c.removeMember(m, fault)
+	case FreezeProcess, PauseClock, PauseAllClocks:
+		if m.up && !m.frozen {
+			c.pauseMember(m, fault)
+		}
+	case CutOff, CutFromMembers, CutFromInbound, CutFromOutbound:
+		c.isolateMember(m, fault)
+	default:
+		if !c.injectStopOrDiskFault(m, fault) {
+			c.violationf("no such fault: %s", fault.Kind)
+		}
+	}
+}
+
+// removeMember takes a member out for good, or until it comes back with its disk when nobody counts on it any more.
+func (c *cluster) removeMember(m *member, fault Fault) {
+	if m.up {
+		c.downSince[m.index] = c.now
+	}
+	if fault.Kind == ShutDownMember {
+		c.shutDown(m)
+	} else {
+		c.stopMember(m, powerLost, leftForGood)
+		m.gone = true
+	}
+	if fault.For == 0 {
+		return
+	}
+	c.after(fault.For, func() {
+		if m.gone && !m.up {
+			m.gone, m.leaving = false, false
+			c.startMember(m, false)
+		}
+	})
+}
+
+// pauseMember freezes a member, with its clocks if the fault says so.
+func (c *cluster) pauseMember(m *member, fault Fault) {
+	c.downSince[m.index], m.cutAt = c.now, c.now
+	incarnation, from := m.incarnation, c.now
+	c.after(fault.For, func() { // before it thaws
+		if m.incarnation == incarnation && fault.Kind != FreezeProcess {
+			m.clockOffset -= time.Duration(float64(c.now-from) * m.clockRate)
+		}
+		if m.incarnation == incarnation && fault.Kind == PauseAllClocks {
+			m.wallClockOffset -= c.now - from
+		}
+	})
+	c.freeze(&m.process, fault.For)
+	c.endFault(fault, func() { delete(c.downSince, m.index) })
+}
+
+// isolateMember cuts a member off as long as the fault lasts.
+func (c *cluster) isolateMember(m *member, fault Fault) {
+	c.downSince[m.index] = c.now
+	if !m.isCutOff() {
+		m.cutAt = c.now
+	}
+	m.addCuts(fault.Kind, 1)
+	c.endFault(fault, func() {
+		m.addCuts(fault.Kind, -1)
+		delete(c.downSince, m.index)
+	})
+}
+
+// addCuts adds to the counts of cuts that a kind of fault is about.
+func (p *process) addCuts(kind FaultKind, n int) {
+	switch kind {
+	case CutOff:
+		p.isolationCuts += n
+	case CutFromMembers:
+		p.inboundCuts += n
+		p.outboundCuts += n
+	case CutFromInbound:
+		p.inboundCuts += n
+	case CutFromOutbound:
+		p.outboundCuts += n
+	}
+}
+
+// scheduleReconnects has gateways call a member that was struck, soon after that and about when the fault is over.
+func (c *cluster) scheduleReconnects(m *member, fault Fault) {
+	if !fault.Reconnect || len(c.gateways) == 0 {
+		return
+	}
+	reconnect := func() { c.reconnectGatewayTo(m) }
+	c.after(c.randomBelow(maxFirstReconnectDelay), reconnect)
+	c.after(max(fault.For-reconnectBeforeEnd, 0)+c.randomBelow(maxLastReconnectDelay), reconnect)
+}
+
+// targetOf is the member that a fault strikes: by its role in the newest view, or by index among those that are not gone.
+func (c *cluster) targetOf(fault Fault) *member {
+	if m, ok := c.memberInRole(fault.Role); ok {
+		return m
+	}
+	if fault.Target < len(c.members) && !c.members[fault.Target].gone {
+		return c.members[fault.Target]
+	}
+	var remaining []*member
+	for _, m := range c.members {
+		if !m.gone {
+			remaining = append(remaining, m)
+		}
+	}
+	return remaining[fault.Target%len(remaining)]
+}
+
+func (c *cluster) memberInRole(role FaultRole) (*member, bool) {
+	if role == RoleNewest && c.coreHistory.newestSpare != nil {
+		return c.coreHistory.newestSpare, true
+	}
+	chain := c.newestView().Chain
+	if len(chain) == 0 {
+		return nil, false
+	}
+	var id string
+	switch role {
+	case RoleHead:
+		id = chain[0]
+	case RoleTail:
+		id = chain[len(chain)-1]
+	case RoleMiddle:
+		id = chain[len(chain)/2]
+	default:
+		return nil, false
+	}
+	address, _, _ := strings.Cut(id, "/")
+	return c.memberByAddress[address], true
+}
+
+// newestView is the newest view that a running process has.
+func (c *cluster) newestView() (newest membership.View) {
+	for _, m := range c.members {
+		if m.up && m.controller != nil && m.controller.Coordinator().View().Number > newest.Number {
+			newest = m.controller.Coordinator().View()
+		}
+	}
+	return newest
+}
--- /dev/null
+++ b/internal/simulation/memberlifecycle.go
@@ -0,0 +1,238 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"zincloft.example/zincloft/controlplane/controller"
+	"zincloft.example/zincloft/controlplane/coordinator"
+	"zincloft.example/zincloft/controlplane/membership"
+	"zincloft.example/zincloft/internal/statestore"
+)
+
+const (
+	startRetryDelay  = 300 * time.Millisecond // after the first write of an incarnation has failed
+	maxTickDelay     = 5                      // milliseconds, below which ticks come late
+	longTickDelay    = 60 * time.Millisecond  // of one tick in longTickOneIn
+	longTickOneIn    = 200
+	terminationGrace = 6 * time.Second // from SIGTERM to SIGKILL
+	leftForGood      = -1              // as the downtime of a member that does not come back
+	controlLinkMbps  = 1000
+)
+
+// The zones and regions that members are told of.
+var (
+	memberZones   = []string{"a", "b", "c"}
+	regionsByZone = map[string]string{"a": "r0", "b": "r1", "c": "r2"}
+)
+
+// stopCause says how a member's process ends, and with it what becomes of the disk and of connections.
+type stopCause int
+
+const (
+	processKilled stopCause = iota
+	powerLost
+	diskWiped
+)
+
+// startMember starts a member as its daemon does: it opens the store, initializes what an empty disk lacks, and awaits the
+// first write before it listens. The first start of all forms the first view.
+func (c *cluster) startMember(m *member, first bool) {
+	c.startProcess(&m.process)
+	c.unsettle()
+	m.newestSequence, m.controller, m.caughtUp = 0, nil, first
+	m.pendingCalls, m.waitingCalls, m.streams = map[uint64]func(controller.Response){}, map[uint64]*operatorCall{}, map[uint64]*gatewayNode{}
+	state, ok := c.openStore(m)
+	if !ok {
+		return
+	}
+	seeds := c.seedAddresses(first)
+	if state.DiskID == "" && !first {
+		m.wipeCount++
+	}
+	if c.hasBug(ForgetClaims) {
+		state.Register.Claims = nil
+	}
+	state.Initialize(m.address, seeds, first || c.hasBug(KeepVoteAfterWipe), fmt.Sprintf("w%d", m.wipeCount))
+	decisions := c.newController(m, seeds, state)
+	c.tracef("%s starts as %s, view %d, register %d (version %d)", m.name, state.DiskID, state.View.View.Number, state.Register.Sequence, state.Register.Version)
+	raw, err := decisions.PersistentState()
+	if err != nil {
+		c.violationf("%s: %v", m.name, err)
+		return
+	}
+	c.history.start(c, m, raw)
+	// First the renames of files that the store set aside when it was opened: two writers would take each other's operations.
+	c.runDiskOperations(m, func() { c.serveAfterWrite(m, decisions, raw) })
+}
+
+// openStore opens a member's store and reads the state in it.
+func (c *cluster) openStore(m *member) (state coordinator.PersistentState, ok bool) {
+	store, err := statestore.Open(m.disk)
+	if err != nil {
+		c.violationf("%s cannot open its store: %v", m.name, err)
+		return state, false
+	}
+	m.store = store
+	if raw, found := store.Get(stateKey); found {
+		if state, err = coordinator.DecodePersistentState(raw); err != nil {
+			c.violationf("%s cannot read its disk: %v", m.name, err)
+			return state, false
+		}
+	}
+	return state, true
+}
+
+func (c *cluster) newController(m *member, seeds []string, state coordinator.PersistentState) *controller.Controller {
+	zone := c.zoneName(m.index)
+	options := controller.Options{
+		Zone:              zone,
+		ControlAddr:       m.address,
+		Zones:             memberZones,
+		RegionByZone:      regionsByZone,
+		Seeds:             seeds,
+		LinkMbps:          controlLinkMbps,
+		DrainDeadline:     drainDeadline,
+		HeartbeatInterval: heartbeatInterval,
+		RandomSeed:        c.random.Uint64(),
+	}
+	self := membership.Member{ID: state.DiskID, Addr: m.address, Zone: zone, APIAddr: m.address}
+	return controller.New(c.monotonicTime(&m.process), options, self, state)
+}
+
+// serveAfterWrite has a member serve once its state is on disk, however often it takes.
+func (c *cluster) serveAfterWrite(m *member, decisions *controller.Controller, raw []byte) {
+	store := m.store
+	c.persist(m, raw, func(problem string) {
+		if problem != "" {
+			c.after(startRetryDelay, func() {
+				if m.up && m.store == store {
+					c.serveAfterWrite(m, decisions, raw)
+				}
+			})
+			return
+		}
+		m.controller = decisions
+		c.step(m, controller.Event{Start: true})
+		c.tick(m, m.incarnation)
+	})
+}
+
+// tick has a member's timer fire now, and again and again while that incarnation lasts.
+func (c *cluster) tick(m *member, incarnation int) {
+	fire := func() { c.step(m, controller.Event{}) }
+	if m.frozen && c.schedule.Tolerance > 0 {
+		m.heldTick = fire
+	} else {
+		c.runOn(&m.process, incarnation, fire)
+	}
+	if m.up && m.incarnation == incarnation {
+		late := c.randomMilliseconds(maxTickDelay)
+		if c.random.IntN(longTickOneIn) == 0 {
+			late += longTickDelay
+		}
+		c.after(controller.TickInterval+late, func() { c.tick(m, incarnation) })
+	}
+}
+
+// stopMember ends a member's process, and starts it again after the downtime, unless that is leftForGood.
+func (c *cluster) stopMember(m *member, cause stopCause, downtime time.Duration) {
+	if !m.up {
+		return
+	}
+	if m.isInOwnChain() && downtime >= time.Second {
+		c.downSince[m.index] = c.now
+	}
+	m.up, m.frozen = false, false
+	switch cause {
+	case processKilled:
+		m.disk.processKilled(c.random)
+	case powerLost:
+		m.disk.powerLost(c.random)
+	case diskWiped:
+		m.disk.wipe()
+	}
+	c.history.disk(entryKill, c, m)
+	c.closeStore(m)
+	c.dropConnections(m, cause)
+	c.unsettle()
+	if downtime < 0 {
+		m.gone, m.goneAt = true, c.now
+		return
+	}
+	c.after(downtime, func() {
+		delete(c.downSince, m.index)
+		if !m.up && !m.gone {
+			c.startMember(m, false)
+		}
+	})
+}
+
+// isInOwnChain reports whether a member is in the chain of the view that it has.
+func (m *member) isInOwnChain() bool {
+	if m.controller == nil {
+		return false
+	}
+	coordinator := m.controller.Coordinator()
+	return coordinator.View().Position(coordinator.Self().ID) >= 0
+}
+
+func (c *cluster) closeStore(m *member) {
+	if m.store == nil {
+		return
+	}
+	if err := m.store.Close(); err != nil {
+		c.tracef("%s: its store does not close: %v", m.name, err)
+	}
+}
+
+// dropConnections has callers and gateways notice that a process has ended. Streams end at once, but without power nobody
+// tells the gateways.
+func (c *cluster) dropConnections(m *member, cause stopCause) {
+	for _, token := range sortedTokens(m.waitingCalls) {
+		call := m.waitingCalls[token]
+		c.after(0, func() { c.attempt(call) })
+	}
+	if cause != processKilled {
+		return
+	}
+	for _, stream := range sortedTokens(m.streams) {
+		g := m.streams[stream]
+		c.sendReliably(&m.process, &g.process, func() { c.streamLost(g, stream) })
+	}
+}
+
+// shutDown ends a member in order: SIGTERM, and SIGKILL after a grace period.
+func (c *cluster) shutDown(m *member) {
+	if !m.up {
+		m.gone, m.goneAt = true, c.now
+		return
+	}
+	incarnation := m.incarnation
+	m.leaving = true
+	if c.hasBug(LeaveWithoutHandover) {
+		c.stopMember(m, processKilled, leftForGood)
+		return
+	}
+	c.runOn(&m.process, incarnation, func() { c.step(m, controller.Event{Shutdown: true}) })
+	c.after(terminationGrace, func() {
+		if m.up && m.incarnation == incarnation {
+			c.tracef("%s has not ended within the grace period", m.name)
+			c.stopMember(m, processKilled, leftForGood)
+		}
+	})
+}
+
+// addSpare starts a new member at a new address.
+func (c *cluster) addSpare() {
+	c.coreHistory.spareCount++
+	n := c.coreHistory.spareCount
+	m := newMember(len(c.members), "member "+string(rune('A'+n-1)), spareAddress(n))
+	m.isSpare = true
+	c.tracef("FAULT: %s is new", m.name)
+	c.coreHistory.newestSpare = m
+	c.addMember(m)
+	c.startMember(m, false)
+}
+
+func spareAddress(n int) string { return "10.0.1." + string(rune('0'+n)) + ":7000" }
--- /dev/null
+++ b/internal/simulation/overflowfault.go
@@ -0,0 +1,65 @@
+package simulation
+
+import (
+	"time"
+)
+
+const (
+	overloadStart        = 3 * time.Second
+	overloadEnd          = 8 * time.Second // before the end of the scenario
+	furtherOverloadStart = 4 * time.Second
+	furtherOverloadEnd   = 10 * time.Second // before the end
+
+	siteLinkFaults        = 4
+	siteLinkFaultsFrom    = 5 * time.Second
+	minLinkFaultDuration  = 500  // milliseconds
+	linkFaultDurationSpan = 3000 // milliseconds
+
+	siteStopAt    = 8 * time.Second
+	siteRestartAt = 9 * time.Second
+)
+
+// overload multiplies a site's load from a moment until some time before the end.
+func (o *overflowSimulation) overload(s *site, from, beforeEnd time.Duration) {
+	o.after(from, func() { s.rate *= o.scenario.LoadFactor })
+	o.after(o.scenario.Duration-beforeEnd, func() { s.rate /= o.scenario.LoadFactor })
+}
+
+// scheduleFaults draws faults of links, the restart of a site, and another site's overload.
+func (o *overflowSimulation) scheduleFaults() {
+	if o.scenario.Sites > 2 && o.random.IntN(2) == 0 {
+		s := o.sites[o.scenario.OverloadedSites+o.random.IntN(o.scenario.Sites-o.scenario.OverloadedSites)]
+		s.overloaded = true
+		o.overload(s, furtherOverloadStart, furtherOverloadEnd)
+	}
+	for range siteLinkFaults {
+		if l := (siteLink{o.random.IntN(o.scenario.Sites), o.random.IntN(o.scenario.Sites)}); l.from != l.to {
+			o.scheduleLinkFault(l)
+		}
+	}
+	if o.random.IntN(2) == 0 {
+		s := o.sites[o.random.IntN(o.scenario.Sites)]
+		o.after(siteStopAt, func() { s.up = false })
+		o.after(siteRestartAt, func() { o.startSite(s) })
+	}
+}
+
+// scheduleLinkFault has a link lose everything for a while, or hold it back and deliver it then.
+func (o *overflowSimulation) scheduleLinkFault(l siteLink) {
+	at := siteLinkFaultsFrom + time.Duration(o.random.Int64N(int64(o.scenario.Duration/2)))
+	end := at + o.milliseconds(minLinkFaultDuration, linkFaultDurationSpan)
+	if o.random.IntN(2) == 0 {
+		o.after(at, func() { o.cutLinks[l] = true })
+		o.after(end, func() { o.cutLinks[l] = false })
+		return
+	}
+	o.after(at, func() { o.holdingLinks[l] = true })
+	o.after(end, func() {
+		o.holdingLinks[l] = false
+		held := o.heldMessages[l]
+		o.heldMessages[l] = nil
+		for _, arrive := range held {
+			arrive()
+		}
+	})
+}
