--- a/controlplane/coordinator/cluster_test.go
+++ b/controlplane/coordinator/cluster_test.go
@@ -48,8 +48,9 @@
 
 // callerResponse is the response that a caller got. Its zero value stands for none.
 type callerResponse struct {
-	Status int
-	Body   []byte
+	Status     int
+	Body       []byte
+	RedirectTo string
 }
 
 type event struct {
@@ -147,7 +148,7 @@
 	}
 	for _, response := range actions.Responses {
 		if name, ok := n.requestNames[member.addr][response.RequestID]; ok {
-			n.responses[name] = callerResponse{response.Status(), response.Body}
+			n.responses[name] = callerResponse{response.Status(), response.Body, response.RedirectTo()}
 		}
 	}
 }
--- a/controlplane/coordinator/leave_test.go
+++ b/controlplane/coordinator/leave_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestLeaverWaitsForReplicas guards against a member that ends while it alone holds something: b's disk is lost, c is being
-// synced, and a is told to leave. It waits until the others hold on disk what it holds.
+// TestLeaverWaitsForReplicas guards against a member that ends while too few others hold what it holds: c has lost its disk and
+// is being synced, and a is told to leave. It waits until both others hold on disk what it holds.
 func TestLeaverWaitsForReplicas(t *testing.T) {
 	for at := time.Duration(0); at < 2*time.Second; at += 61 * time.Millisecond {
 		cluster := newTestCluster(t, "a", "b", "c")
--- a/controlplane/coordinator/persistence.go
+++ b/controlplane/coordinator/persistence.go
@@ -69,13 +69,13 @@
 		return
 	}
 	s.DiskID = initialDiskID(address)
-	if view := InitialView(seeds); view.HasVoter(s.DiskID) {
+	if view := initialView(seeds); view.HasVoter(s.DiskID) {
 		s.View.View = view
 	}
 }
 
-// InitialView is the view with which a system starts for the first time: its seeds, in order of their addresses.
-func InitialView(addresses []string) membership.View {
+// initialView is the view with which a system starts for the first time: its seeds, in order of their addresses.
+func initialView(addresses []string) membership.View {
 	view := membership.View{Number: 1}
 	for _, address := range slices.Compact(slices.Sorted(slices.Values(addresses))) {
 		id := initialDiskID(address)
--- a/controlplane/coordinator/proposal.go
+++ b/controlplane/coordinator/proposal.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// RequestTimeout is after how long a proposal or a read that could not be answered is refused. Callers turn to another
+	// requestTimeout is after how long a proposal or a read that could not be answered is refused. Callers turn to another
 	// member after a second.
-	RequestTimeout = 900 * time.Millisecond
+	requestTimeout = 900 * time.Millisecond
 
 	// proposeForwardWindow is for how long after its arrival a proposal is sent to the head.
 	proposeForwardWindow = 500 * time.Millisecond
@@ -50,7 +50,7 @@
 func (c *Coordinator) Propose(now time.Duration, command chainreplication.Command) (uint64, Actions) {
 	id := c.nextRequestID()
 	command.ID = xxhash.Sum64String(fmt.Sprint(c.membership.Self().ID, " ", c.incarnation, " ", id))
-	c.proposals[id] = &pendingProposal{command: command, receivedAt: now, deadline: now + RequestTimeout, sentAt: never, retryAt: now}
+	c.proposals[id] = &pendingProposal{command: command, receivedAt: now, deadline: now + requestTimeout, sentAt: never, retryAt: now}
 	return id, c.takeActions(now)
 }
 
--- a/controlplane/coordinator/read.go
+++ b/controlplane/coordinator/read.go
@@ -37,7 +37,7 @@
 			confirmations: map[string]bool{},
 			viewNumber:    view.Number,
 			sequence:      c.chain.Held().Sequence,
-			deadline:      now + RequestTimeout,
+			deadline:      now + requestTimeout,
 		}
 	}
 	return id, c.takeActions(now)
--- /dev/null
+++ b/controlplane/coordinator/status_test.go
@@ -0,0 +1,35 @@
+package coordinator
+
+import (
+	"testing"
+	"time"
+)
+
+// TestStatusCountsDisks follows the disks that are known to hold what is committed, as members are lost.
+func TestStatusCountsDisks(t *testing.T) {
+	cluster := newTestCluster(t, "a", "b", "c")
+	cluster.advance(3 * time.Second)
+	cluster.propose("a", "command", config(0x2a, "one"))
+	cluster.advance(time.Second)
+	a := cluster.members["a"]
+	expect := func(disks int, faultTolerant bool) Status {
+		t.Helper()
+		status := a.coordinator.Status(cluster.local(a))
+		if status.UpToDateDisks != disks || status.FaultTolerant != faultTolerant || status.FaultTolerant != (status.Shortfall == "") {
+			t.Errorf("%d disks, fault tolerant %v, shortfall %q; want %d, %v", status.UpToDateDisks, status.FaultTolerant, status.Shortfall, disks, faultTolerant)
+		}
+		return status
+	}
+	status := expect(3, true)
+	if status.ConfigVersion != "0000002a" || status.CommittedSequence != 1 || status.HeldSequence != 1 || !status.HasQuorumContact {
+		t.Errorf("%+v", status)
+	}
+	cluster.members["c"].up = false
+	cluster.advance(3 * time.Second)
+	expect(2, true)
+	cluster.members["b"].up = false
+	cluster.advance(3 * time.Second)
+	if expect(1, false).HasQuorumContact {
+		t.Error("one of three members is in contact with a quorum")
+	}
+}
