--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"testing"
 	"time"
@@ -30,16 +29,16 @@
 			w.WriteHeader(http.StatusBadGateway)
 			return
 		}
-		defer resp.Body.Close()
+		defer closeQuietly(resp.Body)
 		for k, v := range resp.Header {
 			w.Header()[k] = v
 		}
 		w.WriteHeader(resp.StatusCode)
-		io.Copy(w, resp.Body)
+		_, _ = io.Copy(w, resp.Body) // a client that is gone ends the benchmark by itself
 	})
 }
 
-// BenchmarkForward compares the time of a request through a forager with that through a plain forwarder, beside the
+// BenchmarkForward compares the time of a request through a gateway with that through a plain forwarder, beside the
 // replica's and the client's own, which "direct" shows. Run it with -cpu 1: then the time is processor time.
 func BenchmarkForward(b *testing.B) {
 	up, err := upstream.Start("i0")
@@ -51,7 +50,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	f, err := New(set, program.NewLogger(io.Discard, "forager"))
+	f, err := New(set, program.NewLogger(io.Discard, "gateway"))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -61,34 +60,37 @@
 	for _, x := range []struct {
 		name string
 		h    http.Handler
-	}{{"forager", http.HandlerFunc(f.handleRequest)}, {"plain", plain(up.Addr())}, {"direct", nil}} {
+	}{{"gateway", http.HandlerFunc(f.handleRequest)}, {"plain", plain(up.Addr())}, {"direct", nil}} {
 		b.Run(x.name, func(b *testing.B) {
-			ln, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				b.Fatal(err)
-			}
+			ln := listen(b)
 			srv := &http.Server{Handler: x.h}
-			if x.name == "forager" { // as in service: with what watches its clients' bytes
+			if x.name == "gateway" { // as in service: with what watches its clients' bytes
 				srv.ConnContext = withClientConn
-				go srv.Serve(clientListener{ln, f})
+				go func() { _ = srv.Serve(clientListener{ln, f}) }() // ends with srv.Close
 			} else {
-				go srv.Serve(ln)
+				go func() { _ = srv.Serve(ln) }() // ends with srv.Close
 			}
-			defer srv.Close()
+			defer closeQuietly(srv)
 			url := "http://" + ln.Addr().String() + "/x/1"
 			if x.h == nil {
 				url = "http://" + up.Addr() + "/x/1"
 			}
 			for i := range b.N {
-				q, _ := http.NewRequest(http.MethodGet, url, nil)
+				q, err := http.NewRequestWithContext(b.Context(), http.MethodGet, url, nil)
+				if err != nil {
+					b.Fatal(err)
+				}
 				q.Host = "h.example"
 				q.Header.Set("X-Attempt-Id", fmt.Sprint(x.name, b.N, i))
 				resp, err := http.DefaultClient.Do(q)
 				if err != nil {
 					b.Fatal(err)
 				}
-				io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
+				_, err = io.Copy(io.Discard, resp.Body)
+				_ = resp.Body.Close() // the response was read
+				if err != nil {
+					b.Fatal(err)
+				}
 				if resp.StatusCode != http.StatusOK {
 					b.Fatal(resp.Status)
 				}
--- a/internal/gateway/hostile_test.go
+++ b/internal/gateway/hostile_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"net/http"
 	"os"
 	"runtime"
@@ -22,10 +21,10 @@
 )
 
 const (
-	hostileRate    = 0.1
-	hostileFew     = 4000 // requests, where ZINCLOFT_HOSTILE names no number
-	hostileClients = 48
-	releaseEvery   = 500 * time.Millisecond
+	hostileRate     = 0.1
+	hostileRequests = 4000 // requests, where ZINCLOFT_HOSTILE names no number
+	hostileClients  = 48
+	releaseInterval = 500 * time.Millisecond
 )
 
 const hostileConfiguration = `{"version":"00000001","services":[{"name":"svc","cold_per_s":4}],"limits":{"max_body_bytes":1000000,"max_header_bytes":16384,"header_timeout":"2s","idle_timeout":"5s"},
@@ -48,12 +47,12 @@
 	return ok()
 }
 
-// TestHostile has hostile clients and hostile replicas on both sides of a forager. No answer may go to another caller, no
-// unsafe request run twice, nothing run that was promised not to, nor anything hidden in what is no request; memory,
-// goroutines and descriptors are back at their level after. ZINCLOFT_HOSTILE is the number of requests, ZINCLOFT_SEED
+// TestHostile has hostile clients and hostile replicas on both sides of a gateway. No response may go to another client, no
+// unsafe request be executed twice, nothing be executed that was promised not to be, nor anything smuggled in a bad request;
+// memory, goroutines and file descriptors are back at their level after. ZINCLOFT_HOSTILE is the number of requests, ZINCLOFT_SEED
 // the seed.
 func TestHostile(t *testing.T) {
-	most := hostileFew
+	most := hostileRequests
 	if n, err := strconv.Atoi(os.Getenv("ZINCLOFT_HOSTILE")); err == nil {
 		most = n
 	}
@@ -64,23 +63,21 @@
 	}
 	set.FileDescriptors, set.MemoryMB = 2000, 256
 	log := &logBuffer{}
-	f, err := New(set, program.NewLogger(log, "forager"))
+	f, err := New(set, program.NewLogger(log, "gateway"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.frontListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		t.Fatal(err)
-	}
-	book := hostile.NewLedger()
+	f.frontListener = listen(t)
+	ledger := hostile.NewLedger()
 	var replicas []*hostile.Replica
 	var addrs []string
 	for i := range 24 {
-		up := startReplica(t, fmt.Sprint(i))
-		r := hostile.New("", seed+uint64(i), hostileRate, book)
-		up.SetConnectionHandler(r.Serve)
-		replicas, addrs = append(replicas, r), append(addrs, up.Addr())
+		upstreamReplica := startReplica(t, fmt.Sprint(i))
+		r := hostile.New("", seed+uint64(i), hostileRate, ledger)
+		upstreamReplica.SetConnectionHandler(r.Serve)
+		replicas, addrs = append(replicas, r), append(addrs, upstreamReplica.Addr())
 	}
-	// release replaces all replicas by others, at the same addresses: their bad name goes with them.
+	// release replaces all replicas by others, at the same addresses: what was learned of the old ones goes with them.
 	release := func(n int) {
 		st := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: []byte(hostileConfiguration)}
 		for i, r := range replicas {
@@ -91,11 +88,11 @@
 		f.applyUpdate(st)
 	}
 	release(0)
-	defer f.server.Close()
+	defer closeQuietly(f.server)
 
-	var began, wrongs atomic.Int64
+	var began, violations atomic.Int64
 	var mu sync.Mutex
-	told := map[string]hostile.ClientResult{}
+	results := map[string]hostile.ClientResult{}
 	statuses := map[int]int{}
 	round := func(c *hostile.Client) {
 		all := c.RunConnection()
@@ -105,12 +102,12 @@
 		for _, x := range all {
 			statuses[x.Status]++
 			if x.Violation != "" {
-				if wrongs.Add(1) <= 10 {
+				if violations.Add(1) <= 10 {
 					t.Errorf("%s", x.Violation)
 				}
 			}
 			if !x.Invalid || x.Status != 0 {
-				told[x.ID] = x
+				results[x.ID] = x
 			}
 		}
 	}
@@ -126,7 +123,7 @@
 		}
 		ended := make(chan struct{})
 		go func() { wg.Wait(); close(ended) }()
-		for again, n := time.NewTicker(releaseEvery), 1; ; n++ {
+		for again, n := time.NewTicker(releaseInterval), 1; ; n++ {
 			select {
 			case <-again.C:
 				release(int(from) + n)
@@ -144,7 +141,7 @@
 	}
 	level := func() (int, int, uint64) {
 		if !until(quiet) {
-			t.Error("requests are still under way, or bytes of bodies still counted:", f.bodyMemory.used.Load())
+			t.Error("requests are still in flight, or bytes of bodies still reserved:", f.bodyMemory.used.Load())
 		}
 		debug.FreeOSMemory()
 		var m runtime.MemStats
@@ -153,52 +150,52 @@
 	}
 	bare := descriptors()
 	work(0, int64(most/4)) // warm
-	fds, routines, heapBefore := level()
-	until(func() bool { fds, routines, heapBefore = level(); return fds <= bare+hostileClients })
+	fds, goroutines, heapBefore := level()
+	until(func() bool { fds, goroutines, heapBefore = level(); return fds <= bare+hostileClients })
 	start := time.Now()
 	work(int64(most/4), int64(most))
 	took := time.Since(start)
-	var fdsAfter, routinesAfter int
+	var fdsAfter, goroutinesAfter int
 	if !until(func() bool {
-		fdsAfter, routinesAfter, _ = level()
-		return fdsAfter <= max(fds, bare+8) && routinesAfter <= routines+8
+		fdsAfter, goroutinesAfter, _ = level()
+		return fdsAfter <= max(fds, bare+8) && goroutinesAfter <= goroutines+8
 	}) {
-		t.Errorf("descriptors %d, before %d (bare %d); goroutines %d, before %d", fdsAfter, fds, bare, routinesAfter, routines)
+		t.Errorf("descriptors %d, before %d (bare %d); goroutines %d, before %d", fdsAfter, fds, bare, goroutinesAfter, goroutines)
 	}
 
-	twice, broken, hidden := 0, 0, 0
-	for id, x := range told {
-		ran := book.Executions(id)
+	twice, broken, smuggled := 0, 0, 0
+	for id, x := range results {
+		executions := ledger.Executions(id)
 		switch {
-		case x.Invalid && ran > 0:
-			hidden++
-			t.Errorf("%s ran %d times", id, ran)
+		case x.Invalid && executions > 0:
+			smuggled++
+			t.Errorf("%s was executed %d times", id, executions)
 		case x.Invalid:
-		case !x.Safe && ran > 1:
+		case !x.Safe && executions > 1:
 			twice++
-			t.Errorf("%s ran %d times", id, ran)
-		case ran > 0 && slices.Contains([]int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}, x.Status):
+			t.Errorf("%s was executed %d times", id, executions)
+		case executions > 0 && slices.Contains([]int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}, x.Status):
 			broken++
-			t.Errorf("%s was told %d and ran", id, x.Status)
+			t.Errorf("%s was answered %d and executed", id, x.Status)
 		}
 	}
 	f.mu.Lock()
 	counts := fmt.Sprint(f.counters)
 	f.mu.Unlock()
-	acts := book.Behaviours()
-	asked := len(told)
-	told = nil
-	book.Reset()
+	behaviours := ledger.Behaviours()
+	identities := len(results)
+	results = nil
+	ledger.Reset()
 	_, _, heap := level()
 	if heap > heapBefore+8<<20 {
 		t.Errorf("%d KiB on the heap, before %d", heap>>10, heapBefore>>10)
 	}
-	t.Logf("%d requests in %v; %d to another caller or wrong, %d unsafe ones twice, %d promises broken, %d hidden ones ran; descriptors %d (before %d), goroutines %d (before %d), heap %d KiB (before %d); %d identities",
-		began.Load(), took, wrongs.Load(), twice, broken, hidden, fdsAfter, fds, routinesAfter, routines, heap>>10, heapBefore>>10, asked)
-	t.Logf("told: %v", statuses)
-	t.Logf("%d acts of replicas: %v", len(acts), acts)
+	t.Logf("%d requests in %v; %d wrong responses, %d unsafe requests executed twice, %d promises broken, %d smuggled requests executed; descriptors %d (before %d), goroutines %d (before %d), heap %d KiB (before %d); %d identities",
+		began.Load(), took, violations.Load(), twice, broken, smuggled, fdsAfter, fds, goroutinesAfter, goroutines, heap>>10, heapBefore>>10, identities)
+	t.Logf("statuses: %v", statuses)
+	t.Logf("%d behaviours of replicas: %v", len(behaviours), behaviours)
 	t.Logf("counts: %s", counts)
-	if most <= hostileFew && statuses[200] < most/4 {
-		t.Errorf("only %d of %d were served: the rest tells little", statuses[200], most)
+	if most <= hostileRequests && statuses[200] < most/4 {
+		t.Errorf("only %d of %d were served: the rest proves little", statuses[200], most)
 	}
 }
--- a/internal/replica/conformance_test.go
+++ b/internal/replica/conformance_test.go
@@ -16,14 +16,23 @@
 	"zincloft.example/zincloft/dataplane/retry"
 )
 
-// scripted is a replica that says what it is told to: for the n-th request of all, from 1 on, bytes, and whether it
-// closes behind them.
-func scripted(t *testing.T, say func(q *http.Request, n int) (string, bool)) (addr string, opens *atomic.Int64) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// listen opens a listener on a free port of loopback that ends with the test.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	var config net.ListenConfig
+	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { closeQuietly(listener) })
+	return listener
+}
+
+// scripted starts a replica that writes what respond returns for the n-th request of all, counted from 1: bytes, and
+// whether it closes the connection behind them.
+func scripted(t *testing.T, respond func(q *http.Request, n int) (string, bool)) (addr string, opens *atomic.Int64) {
+	t.Helper()
+	ln := listen(t)
 	var n, open atomic.Int64
 	go func() {
 		for {
@@ -33,7 +42,7 @@
 			}
 			open.Add(1)
 			go func() {
-				defer c.Close()
+				defer closeQuietly(c)
 				br := bufio.NewReader(c)
 				for {
 					q, err := http.ReadRequest(br)
@@ -41,10 +50,10 @@
 						return
 					}
 					if q.Header.Get("X-Early") == "" {
-						io.Copy(io.Discard, q.Body)
+						_, _ = io.Copy(io.Discard, q.Body) // a client that breaks off is met by the next read
 					}
-					s, end := say(q, int(n.Add(1)))
-					io.WriteString(c, s)
+					s, end := respond(q, int(n.Add(1)))
+					_, _ = io.WriteString(c, s)        // the client may have closed the connection
 					if q.Header.Get("X-Early") != "" { // reads no body, and does not go away either
 						time.Sleep(5 * time.Second)
 					}
@@ -58,7 +67,7 @@
 	return ln.Addr().String(), &open
 }
 
-// validResponse is a proper answer with a body.
+// validResponse is a proper response with a body.
 func validResponse(id, body string, head ...string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Response-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s", id, strings.Join(head, ""), len(body), body)
 }
@@ -86,9 +95,9 @@
 	return string(r.Response.Body)
 }
 
-// Guards answers made of another's body: a surplus answer that is longer than what is passed over was read on from its
-// middle, and whatever stood there was taken for the next answer.
-func TestNoAnswerIsReadOutOfAnothersBody(t *testing.T) {
+// Guards against responses made of another's body: a surplus response longer than what is skipped was once read on from its
+// middle, and whatever stood there was taken for the next response.
+func TestSurplusBodyIsNotReadAsResponse(t *testing.T) {
 	forged := validResponse("2", "forged")
 	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) {
 		return validResponse("other", strings.Repeat("x", maxSkippedBytes)+forged) + validResponse("2", "ours"), false
@@ -96,9 +105,9 @@
 	expect(t, attempt(NewPool(), addr, "2", "POST"), retry.MayHaveExecuted, "")
 }
 
-// Guards the same by methods: a surplus answer of a HEAD has a length and no body, so under another method it swallows
-// ours; the other way round its body would be read as answers.
-func TestSurplusOfAnotherMethod(t *testing.T) {
+// Guards the same over methods: a surplus response to HEAD has a length and no body, so under another method it swallows
+// the next response; the other way round its body would be read as responses.
+func TestHeadSharesNoConnection(t *testing.T) {
 	for _, x := range []struct{ first, second string }{{"HEAD", "GET"}, {"GET", "HEAD"}} {
 		addr, opens := scripted(t, func(q *http.Request, n int) (string, bool) {
 			if q.Method == "HEAD" {
@@ -115,7 +124,7 @@
 	}
 }
 
-// Guards HEAD, whose answer need not tell a length.
+// Guards HEAD, whose response need not have a length.
 func TestHeadWithoutLength(t *testing.T) {
 	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) {
 		return "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\nX-Response-Seal: s\r\n\r\n", false
@@ -123,9 +132,9 @@
 	expect(t, attempt(NewPool(), addr, "1", "HEAD"), retry.Answered, "")
 }
 
-// Guards the promise that a request has not run: what proves it must be an answer to this request, on a connection on
-// which nothing else has come, with a status that says so.
-func TestWhatProvesThatItHasNotRun(t *testing.T) {
+// Guards the promise that a request was not executed: what proves it must be a response to this request, on a connection
+// on which nothing else has come, with a status that says so.
+func TestProofOfNonExecution(t *testing.T) {
 	no := func(status int, id string) string {
 		s := fmt.Sprintf("HTTP/1.1 %d X\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n", status)
 		if id != "" {
@@ -137,35 +146,35 @@
 		return fmt.Sprintf("HTTP/1.1 %d X\r\nX-Attempt-Id: 1\r\nContent-Length: 0\r\n\r\n", status)
 	}
 	for _, x := range []struct {
-		name, say string
-		v         retry.Execution
+		name, response string
+		want           retry.Execution
 	}{
-		{"its own word", no(503, "1"), retry.NotExecuted},
-		{"no id, the first words of a new connection", no(400, ""), retry.MayHaveExecuted},
-		{"no id, behind an answer of another", validResponse("other", "x") + no(503, ""), retry.MayHaveExecuted},
-		{"another's refusal", no(503, "other") + validResponse("1", "ours"), retry.Answered},
-		{"a success that says it was none", strings.Replace(validResponse("1", "x"), "Content", "X-Not-Executed: 1\r\nContent", 1), retry.MayHaveExecuted},
-		{"two ids", "HTTP/1.1 503 X\r\nX-Attempt-Id: 1\r\nX-Attempt-Id: 2\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", retry.MayHaveExecuted},
-		{"503 without a word on whether it ran", plain(503), retry.MayHaveExecuted},
-		{"429 without a word on whether it ran", plain(429), retry.MayHaveExecuted},
-		{"408 without a word on whether it ran", plain(408), retry.MayHaveExecuted},
-		{"421: it is another one", plain(421), retry.NotExecuted},
-		{"a failure of its own", plain(500), retry.Answered},
+		{"its own statement", no(503, "1"), retry.NotExecuted},
+		{"no identity, first on a new connection", no(400, ""), retry.MayHaveExecuted},
+		{"no identity, behind a response to another", validResponse("other", "x") + no(503, ""), retry.MayHaveExecuted},
+		{"another request's rejection", no(503, "other") + validResponse("1", "ours"), retry.Answered},
+		{"a success that says it was not executed", strings.Replace(validResponse("1", "x"), "Content", "X-Not-Executed: 1\r\nContent", 1), retry.MayHaveExecuted},
+		{"two identities", "HTTP/1.1 503 X\r\nX-Attempt-Id: 1\r\nX-Attempt-Id: 2\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", retry.MayHaveExecuted},
+		{"503 without a statement on execution", plain(503), retry.MayHaveExecuted},
+		{"429 without a statement on execution", plain(429), retry.MayHaveExecuted},
+		{"408 without a statement on execution", plain(408), retry.MayHaveExecuted},
+		{"421: another instance", plain(421), retry.NotExecuted},
+		{"a server error", plain(500), retry.Answered},
 	} {
-		addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) { return x.say, false })
-		if r := attempt(NewPool(), addr, "", "POST"); x.name == "no id, the first words of a new connection" && r.Execution != retry.NotExecuted {
+		addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) { return x.response, false })
+		if r := attempt(NewPool(), addr, "", "POST"); x.name == "no identity, first on a new connection" && r.Execution != retry.NotExecuted {
 			t.Errorf("a request without an identity: %s (%s)", r.Execution, r.Cause)
 		}
-		if r := attempt(NewPool(), addr, "1", "POST"); r.Execution != x.v || x.v == retry.Answered && bodyOf(r) == "x" {
-			t.Errorf("%s: %s (%s), want %s", x.name, r.Execution, r.Cause, x.v)
+		if r := attempt(NewPool(), addr, "1", "POST"); r.Execution != x.want || x.want == retry.Answered && bodyOf(r) == "x" {
+			t.Errorf("%s: %s (%s), want %s", x.name, r.Execution, r.Cause, x.want)
 		}
 	}
 }
 
-// Guards a head that is put together from the end of a surplus one and ours, and others that two readers could take for
-// different answers.
-func TestHeadsThatAreNone(t *testing.T) {
-	for name, say := range map[string]string{
+// Guards against a head that is put together from a piece of a surplus one and the right one, and others that two readers
+// could take for different responses.
+func TestAmbiguousHeads(t *testing.T) {
+	for name, response := range map[string]string{
 		"a surplus head that ends in the middle of a line": "HTTP/1.1 500 X\r\nX-Y: " + validResponse("1", "ours"),
 		"a surplus status line without an end":             "HTTP/1.1 500 " + validResponse("1", "ours"),
 		"a length and chunks":                              validResponse("1", "0\r\n\r\n", "Transfer-Encoding: chunked\r\n"),
@@ -176,15 +185,15 @@
 		"interim answers without end":                      strings.Repeat("HTTP/1.1 102 X\r\n\r\n", 1000) + validResponse("1", "ours"),
 		"a head without end":                               "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Y: "+strings.Repeat("z", 1000)+"\r\n", 200) + "X-Attempt-Id: 1\r\nX-Response-Seal: s\r\nContent-Length: 0\r\n\r\n",
 	} {
-		addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) { return say, n > 1 })
+		addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) { return response, n > 1 })
 		if r := attempt(NewPool(), addr, "1", "POST"); r.Execution != retry.MayHaveExecuted || r.DeadlineExceeded {
 			t.Errorf("%s: %s %q (%s)", name, r.Execution, bodyOf(r), r.Cause)
 		}
 	}
 }
 
-// Guards callers that use one id twice, or none: on one connection the id could not tell their answers apart.
-func TestAnIdentityIsUsedOnceOnAConnection(t *testing.T) {
+// Guards clients that use one identity twice, or none: on one connection it could not tell their responses apart.
+func TestIdentityIsUsedOncePerConnection(t *testing.T) {
 	for _, id := range []string{"same", ""} {
 		addr, opens := scripted(t, func(q *http.Request, n int) (string, bool) {
 			return validResponse(id, fmt.Sprint(n)), false
@@ -198,8 +207,8 @@
 	}
 }
 
-// Guards time: a replica that answers before it has read the body, and reads none of it, is heard at once.
-func TestAnswerBeforeTheBodyWasRead(t *testing.T) {
+// Guards latency: the response of a replica that answers before it has read the body, and reads none of it, is taken at once.
+func TestResponseBeforeBodyWasRead(t *testing.T) {
 	addr, opens := scripted(t, func(q *http.Request, n int) (string, bool) {
 		return "HTTP/1.1 503 X\r\nX-Attempt-Id: 1\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", false
 	})
@@ -210,7 +219,7 @@
 	began := time.Now()
 	expect(t, p.Do("i1", addr, q), retry.NotExecuted, "")
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("heard after %v", took)
+		t.Errorf("response after %v", took)
 	}
 	q = request("2", time.Second)
 	p.Do("i1", addr, q)
@@ -219,18 +228,17 @@
 	}
 }
 
-// Guards descriptors: an answer that is not wanted any more ends its connection, also where it was not read whole.
-func TestAnswersLetGoOf(t *testing.T) {
+// Guards file descriptors: discarding a response ends its connection, also where it was not read completely.
+func TestDiscardClosesConnection(t *testing.T) {
 	ended := make(chan bool, 1)
-	ln, _ := net.Listen("tcp", "127.0.0.1:0")
-	defer ln.Close()
+	ln := listen(t)
 	go func() {
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		http.ReadRequest(bufio.NewReader(c))
-		io.WriteString(c, strings.Replace(validResponse("1", ""), "Content-Length: 0", fmt.Sprint("Content-Length: ", maxBufferedBody*64), 1))
+		_, _ = http.ReadRequest(bufio.NewReader(c))                                                                                                   // its end is not of interest
+		_, _ = io.WriteString(c, strings.Replace(validResponse("1", ""), "Content-Length: 0", fmt.Sprint("Content-Length: ", maxBufferedBody*64), 1)) // the copy below meets an error too
 		_, err = io.CopyN(c, zeros{}, maxBufferedBody*64)
 		ended <- err != nil
 	}()
@@ -241,7 +249,7 @@
 	}
 	r.Discard()
 	if !<-ended {
-		t.Error("the replica sent all of an answer that nobody wants")
+		t.Error("the replica sent all of a discarded response")
 	}
 }
 
@@ -249,7 +257,7 @@
 
 func (zeros) Read(b []byte) (int, error) { return len(b), nil }
 
-// Guards requests that nobody waits for: nothing is sent once the caller has left or its time is over.
+// Guards requests that nobody waits for: nothing is sent once the client is gone or the deadline has passed.
 func TestNothingIsSentTooLate(t *testing.T) {
 	var seen atomic.Int64
 	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) { seen.Add(1); return validResponse("1", ""), false })
@@ -269,44 +277,46 @@
 	}
 }
 
-// Guards connections beyond what the replica tells: with no time at all, or one that is no time.
-func TestKeepAliveTimes(t *testing.T) {
+// Guards connections beyond the timeout that the replica states, also where that is none or no number.
+func TestKeepAliveTimeouts(t *testing.T) {
 	for _, x := range []struct {
-		say   string
-		opens int64
+		keepAlive string
+		opens     int64
 	}{{"timeout=10", 1}, {"timeout=0", 2}, {"timeout=9223372036854775807", 1}, {"timeout=-5", 1}, {"max=5, timeout=3", 1}} {
 		addr, opens := scripted(t, func(q *http.Request, n int) (string, bool) {
-			return validResponse(q.Header.Get("X-Attempt-Id"), "", "Keep-Alive: "+x.say+"\r\n"), false
+			return validResponse(q.Header.Get("X-Attempt-Id"), "", "Keep-Alive: "+x.keepAlive+"\r\n"), false
 		})
 		p := NewPool()
 		attempt(p, addr, "1", "POST")
 		attempt(p, addr, "2", "POST")
 		if opens.Load() != x.opens {
-			t.Errorf("%s: %d connections", x.say, opens.Load())
+			t.Errorf("%s: %d connections", x.keepAlive, opens.Load())
 		}
 	}
 }
 
-// Guards the seal and the identity: a Connection header may not take what is meant for the other end.
-func TestConnectionOptionsTakeNothingOfTheEnds(t *testing.T) {
+// Guards the seal and the identity: a Connection header may not remove what is meant for the other end.
+func TestConnectionOptionsKeepProtectedHeaders(t *testing.T) {
 	h := EndToEndHeaders(http.Header{"Connection": {"X-Response-Seal, x-attempt-id, X-Hop"}, "X-Hop": {"1"}, "X-Attempt-Id": {"1"}, "X-Response-Seal": {"s"}})
 	if len(h) != 2 {
 		t.Error(h)
 	}
 }
 
-// Guards answers that a silent link still brings: while an unsafe request waits, the kernel does not ask whether the other
-// end is there, and so does not end the connection before the deadline; while the connection rests it does.
-func TestSilenceIsWaitedFor(t *testing.T) {
+// Guards responses that a silent link still brings: while a request that is not idempotent waits, the kernel sends no
+// keep-alive probes and so does not end the connection before the deadline; while the connection is idle it does.
+func TestKeepAliveProbes(t *testing.T) {
 	var c *conn
-	asks := func() bool {
+	probes := func() bool {
 		on := -1
-		c.raw.Control(func(fd uintptr) { on, _ = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_KEEPALIVE) })
+		if err := c.raw.Control(func(fd uintptr) { on, _ = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_KEEPALIVE) }); err != nil {
+			t.Error(err)
+		}
 		return on == 1
 	}
 	during := make(chan bool, 2)
 	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) {
-		during <- asks()
+		during <- probes()
 		return validResponse(q.Header.Get("X-Attempt-Id"), ""), false
 	})
 	p := NewPool()
@@ -316,12 +326,12 @@
 		t.Fatal(err)
 	}
 	p.putIdle("i1", c)
-	for _, patient := range []bool{true, false} {
-		q := request(fmt.Sprint(patient), time.Second)
-		q.WaitForDeadline = patient
+	for _, wait := range []bool{true, false} {
+		q := request(fmt.Sprint(wait), time.Second)
+		q.WaitForDeadline = wait
 		expect(t, p.Do("i1", addr, q), retry.Answered, "")
-		if got := <-during; got == patient || !asks() {
-			t.Errorf("patient %v: asks while it waits: %v, while it rests: %v", patient, got, asks())
+		if got := <-during; got == wait || !probes() {
+			t.Errorf("waits for deadline %v: probes in flight: %v, while idle: %v", wait, got, probes())
 		}
 	}
 }
--- a/internal/replica/conn_fuzz_test.go
+++ b/internal/replica/conn_fuzz_test.go
@@ -22,10 +22,10 @@
 func (memoryConn) SetReadDeadline(time.Time) error  { return nil }
 func (memoryConn) SetWriteDeadline(time.Time) error { return nil }
 
-// FuzzAnswer reads what a replica may send in the place of an answer. What is taken for one names the request and holds
-// what the bytes hold; a proof that it has not run says so and names it; and a connection is used again only where every
-// byte was part of the answer.
-func FuzzAnswer(f *testing.F) {
+// FuzzResponse reads what a replica may send in the place of a response. What is taken for one names the request and holds
+// what the bytes hold; a proof of non-execution says so and names the request; and a connection is used again only where
+// every byte was part of the response.
+func FuzzResponse(f *testing.F) {
 	for _, s := range []string{
 		validResponse("1", "body"), validResponse("other", "x") + validResponse("1", "y"), validResponse("1", "x") + validResponse("other", "y"), validResponse("1", "z", "Transfer-Encoding: chunked\r\n"),
 		"HTTP/1.1 503 X\r\nX-Attempt-Id: 1\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 421 X\r\nX-Attempt-Id: 1\r\nContent-Length: 0\r\n\r\n",
@@ -47,13 +47,13 @@
 		}
 		if r.Execution == retry.MayHaveExecuted {
 			if c.reusable() {
-				t.Fatalf("used again after a doubt: %q", b)
+				t.Fatalf("used again after an unknown execution: %q", b)
 			}
 			return
 		}
 		a := r.Response
 		if ids := a.Header["X-Attempt-Id"]; len(ids) != 1 || ids[0] != "1" {
-			t.Fatalf("%s by an answer to %q: %q", r.Execution, ids, b)
+			t.Fatalf("%s by a response to %q: %q", r.Execution, ids, b)
 		}
 		if !bytes.Contains(b, a.Body) && len(a.Body) < 8 { // longer ones may have come in several chunks
 			if !strings.Contains(strings.ToLower(string(b)), "chunked") {
@@ -62,7 +62,7 @@
 		}
 		switch {
 		case r.Execution == retry.NotExecuted && (a.Status < 400 || a.Header.Get("X-Not-Executed") == "" && a.Status != 421):
-			t.Fatalf("not run, by %d: %q", a.Status, b)
+			t.Fatalf("not executed, by %d: %q", a.Status, b)
 		case r.Execution == retry.Answered && a.Status/100 == 2 && a.Header.Get("X-Response-Seal") == "":
 			t.Fatalf("a success without a seal: %q", b)
 		case r.Execution == retry.Answered && (a.Status == 503 || a.Status == 429 || a.Status == 408 || a.Status == 421 || a.Status < 200 || a.Status > 599):
--- a/internal/replica/pool_test.go
+++ b/internal/replica/pool_test.go
@@ -25,7 +25,7 @@
 		p := NewPool()
 		do := func(id string) Outcome { return p.Do("i1", r.Addr(), request(id, 2*time.Second)) }
 
-		Convey("a whole answer is passed on, and the connection used again", func() {
+		Convey("a complete response is passed on, and the connection used again", func() {
 			for _, id := range []string{"1", "2", "3"} {
 				res := do(id)
 				So(res.Execution, ShouldEqual, retry.Answered)
@@ -38,7 +38,7 @@
 			So(q.Header.Get("X-Target-Instance"), ShouldEqual, "i1")
 			So(q.ContentLength, ShouldEqual, 4)
 		})
-		Convey("what bad replicas send gets the verdict that is safe", func() {
+		Convey("what bad replicas send gets the execution that is safe", func() {
 			for _, x := range []struct {
 				b upstream.Behaviour
 				v retry.Execution
@@ -54,15 +54,15 @@
 				if x.v == retry.Answered && res.Response.Status == 200 {
 					So(string(res.Response.Body), ShouldEqual, "body of "+string(x.b)+" from i1\n")
 				}
-				// Guards answers that belong to another request: whatever was left over must not meet the next one.
+				// Guards responses to another request: whatever was left over must not meet the next one.
 				next := do("after-" + string(x.b))
 				So(next.Execution, ShouldEqual, retry.Answered)
 				So(string(next.Response.Body), ShouldEqual, "body of after-"+string(x.b)+" from i1\n")
-				// Guards hidden repeats: each attempt has run at most once.
+				// Guards against hidden repeats: each attempt was executed at most once.
 				So(r.Executions()[string(x.b)], ShouldBeLessThanOrEqualTo, 1)
 			}
 		})
-		Convey("a connection that the replica closed while it lay idle is not used", func() {
+		Convey("a connection that the replica closed while it was idle is not used", func() {
 			r.SetBehaviours(upstream.ClosesAfterResponse)
 			So(do("1").Execution, ShouldEqual, retry.Answered)
 			for p.newestIdleIsQuiet("i1") { // until its end has arrived
@@ -70,8 +70,8 @@
 			So(do("2").Execution, ShouldEqual, retry.Answered)
 			So(r.ConnectionCount(), ShouldEqual, 2)
 		})
-		// Guards replicas that forget idle connections sooner than they tell: what is sent next is a doubt.
-		Convey("a connection found forgotten teaches how idle is too idle, for a while", func() {
+		// Guards against replicas that forget idle connections sooner than they state: the next request has an unknown execution.
+		Convey("a connection found forgotten limits idle times of its service, for a while", func() {
 			q := func(id string) *Request {
 				q := request(id, time.Second)
 				q.Service = "svc"
@@ -85,32 +85,32 @@
 			So(p.maxIdle("other", time.Now()), ShouldEqual, maxIdleTime)
 			So(p.maxIdle("svc", time.Now().Add(time.Minute)), ShouldEqual, maxIdleTime)
 		})
-		Convey("silence ends at the deadline, as a doubt", func() {
+		Convey("silence ends at the deadline, with an unknown execution", func() {
 			r.SetBehaviours(upstream.NeverResponds)
 			res := p.Do("i1", r.Addr(), request("1", 50*time.Millisecond))
 			So(res.Execution, ShouldEqual, retry.MayHaveExecuted)
 			So(res.DeadlineExceeded, ShouldBeTrue)
 		})
-		Convey("a try whose client left ends at once", func() {
+		Convey("an attempt whose client is gone ends at once", func() {
 			r.SetBehaviours(upstream.NeverResponds)
 			ctx, cancel := context.WithCancel(context.Background())
 			q := request("1", time.Minute)
 			q.Cancel = ctx
 			go func() {
-				for len(r.Requests()) == 0 { // until it has arrived: before that it has not run
+				for len(r.Requests()) == 0 { // until it has arrived: before that it was not executed
 				}
 				cancel()
 			}()
 			So(p.Do("i1", r.Addr(), q).Execution, ShouldEqual, retry.MayHaveExecuted)
 		})
-		Convey("one that cannot be called has not run it", func() {
+		Convey("a replica that cannot be connected to has not executed it", func() {
 			r.Close()
 			res := do("1")
 			So(res.Execution, ShouldEqual, retry.NotExecuted)
 			So(res.NotSent, ShouldBeTrue)
 		})
 	})
-	Convey("Headers that concern one connection stay there", t, func() {
+	Convey("Hop-by-hop header fields are not passed on", t, func() {
 		h := EndToEndHeaders(http.Header{"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=5"}, "Te": {"x"}, "X-Attempt-Id": {"1"}, "X-Response-Seal": {"s"}})
 		So(h, ShouldResemble, http.Header{"X-Attempt-Id": {"1"}, "X-Response-Seal": {"s"}})
 	})
--- a/internal/replica/response.go
+++ b/internal/replica/response.go
@@ -64,7 +64,7 @@
 		var response *http.Response
 		err := c.awaitHead()
 		if err == nil {
-			response, err = http.ReadResponse(c.reader, &http.Request{Method: request.Method}) //nolint:bodyclose // see readNext
+			response, err = http.ReadResponse(c.reader, &http.Request{Method: request.Method})
 		}
 		if err != nil {
 			return nil, headFailed(err)
