--- a/dataplane/framing/framing_test.go
+++ b/dataplane/framing/scanner_test.go
@@ -9,9 +9,12 @@
 	"testing"
 )
 
-// Guards requests inside requests: each of these is taken by net/http in silence, or closes nothing after it.
+// Guards against request smuggling: each of these is taken by net/http in silence, or the connection is not closed after it.
 func TestAmbiguousFramingIsRejected(t *testing.T) {
-	for _, x := range []struct{ in, cause string }{
+	for _, x := range []struct {
+		in   string
+		want Violation
+	}{
 		{"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "length_and_chunks"},
 		{"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n", "length_and_chunks"},
 		{"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nContent-Length: 0\r\n\r\n", "two_lengths"},
@@ -29,12 +32,12 @@
 	} {
 		for step := 1; step <= len(x.in); step += max(1, len(x.in)-1) { // by bytes, and at once
 			var s Scanner
-			got := ""
-			for i := 0; i < len(x.in) && got == ""; i += step {
+			got := noViolation
+			for i := 0; i < len(x.in) && got == noViolation; i += step {
 				_, got = s.Feed([]byte(x.in[i:min(i+step, len(x.in))]))
 			}
-			if got != x.cause {
-				t.Errorf("%q by %d: %q, want %q", x.in, step, got, x.cause)
+			if got != x.want {
+				t.Errorf("%q by %d: %q, want %q", x.in, step, got, x.want)
 			}
 		}
 	}
@@ -45,28 +48,28 @@
 		"POST /c HTTP/1.1\r\nHost: h\r\ntransfer-encoding: Chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\nT: 1\r\n\r\nGET /d HTTP/1.0\r\n\r\n"
 	var s Scanner
 	for i := range in {
-		if n, cause := s.Feed([]byte{in[i]}); n != 1 || cause != "" {
-			t.Fatalf("at %d: %d %q", i, n, cause)
+		if n, violation := s.Feed([]byte{in[i]}); n != 1 || violation != noViolation {
+			t.Fatalf("at %d: %d %q", i, n, violation)
 		}
 	}
 	if s.Requests() != 4 || !s.Idle() {
-		t.Fatalf("%d requests, resting %v", s.Requests(), s.Idle())
+		t.Fatalf("%d requests, idle %v", s.Requests(), s.Idle())
 	}
 }
 
-// poisoned hands on what a scanner lets through, and the poison behind it.
-func poisoned(in []byte, step int) ([]byte, string) {
+// poisoned returns what a scanner lets through, and the poison behind it.
+func poisoned(in []byte, step int) ([]byte, Violation) {
 	var s Scanner
 	var out []byte
 	for i := 0; i < len(in); i += step {
 		b := in[i:min(i+step, len(in))]
-		n, cause := s.Feed(b)
+		n, violation := s.Feed(b)
 		out = append(out, b[:n]...)
-		if cause != "" {
-			return append(out, Poison...), cause
+		if violation != noViolation {
+			return append(out, Poison...), violation
 		}
 	}
-	return out, ""
+	return out, noViolation
 }
 
 // FuzzFraming has net/http read what the scanner lets through: where both agree that requests begin, nothing can be
@@ -82,7 +85,7 @@
 		f.Add([]byte(in), uint8(7))
 	}
 	f.Fuzz(func(t *testing.T, in []byte, step uint8) {
-		out, cause := poisoned(in, 1+int(step))
+		out, violation := poisoned(in, 1+int(step))
 		var s Scanner
 		starts := map[int]bool{}
 		for i := range out {
@@ -106,10 +109,10 @@
 				break
 			}
 			if !starts[at] {
-				t.Fatalf("net/http reads a request at %d of %q, the scanner none (%q)", at, out, cause)
+				t.Fatalf("net/http reads a request at %d of %q, the scanner none (%q)", at, out, violation)
 			}
-			if cause != "" && end > len(out)-len(Poison) && !strings.HasSuffix(string(out[:end]), "\n\r\n") {
-				t.Fatalf("the poison was read as a request: %q (%q)", out, cause)
+			if violation != noViolation && end > len(out)-len(Poison) && !strings.HasSuffix(string(out[:end]), "\n\r\n") {
+				t.Fatalf("the poison was read as a request: %q (%q)", out, violation)
 			}
 			for next := at + 1; next < end; next++ {
 				if starts[next] {
--- a/dataplane/loadbalancer/capacity_test.go
+++ b/dataplane/loadbalancer/capacity_test.go
@@ -26,7 +26,7 @@
 	return f
 }
 
-// BenchmarkCapacityPick chooses, begins and ends a try, 70 of them a second. "many" has 36 replicas a service, as the users
+// BenchmarkCapacityPick picks an endpoint and begins and ends an attempt, 70 of them a second. "many" has 36 replicas a service, as the users
 // have in the mean; "one" has all of them in one service, as a request's cost goes by those of its service.
 func BenchmarkCapacityPick(b *testing.B) {
 	for _, layout := range []string{"many", "one"} {
@@ -38,10 +38,9 @@
 			}
 			b.Run(fmt.Sprintf("%s/n=%d", layout, n), func(b *testing.B) {
 				before := heap()
-				lives := f.Instances()
+				instances := f.Instances()
 				s := loadbalancer.New(sizes.ZoneName(0))
-				s.UpdateInstances(0, true, lives)
-				lives = nil
+				s.UpdateInstances(0, true, instances)
 				held := float64(heap()) - float64(before)
 				chance := rand.New(rand.NewPCG(1, 2)).Float64
 				b.ReportAllocs()
@@ -60,24 +59,24 @@
 	}
 }
 
-// BenchmarkCapacityInstances takes a whole state in at a new forager, and again at one that holds it; "change" is one life that
-// moved; "report" goes over all for the report of a second.
+// BenchmarkCapacityInstances applies a full update at a new gateway, and again at one that holds it; "change" is one instance that
+// changed; "report" goes over all for the report of a second.
 func BenchmarkCapacityInstances(b *testing.B) {
 	for _, what := range []string{"first", "again", "change", "report"} {
 		for _, n := range capacitySizes {
 			b.Run(fmt.Sprintf("%s/n=%d", what, n), func(b *testing.B) {
-				lives := sized(n, n/36).Instances()
+				instances := sized(n, n/36).Instances()
 				s := loadbalancer.New(sizes.ZoneName(0))
-				s.UpdateInstances(0, true, lives)
+				s.UpdateInstances(0, true, instances)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					switch what {
 					case "first":
-						loadbalancer.New(sizes.ZoneName(0)).UpdateInstances(0, true, lives)
+						loadbalancer.New(sizes.ZoneName(0)).UpdateInstances(0, true, instances)
 					case "again":
-						s.UpdateInstances(0, true, lives)
+						s.UpdateInstances(0, true, instances)
 					case "change":
-						s.UpdateInstances(0, false, lives[i%n:i%n+1])
+						s.UpdateInstances(0, false, instances[i%n:i%n+1])
 					case "report":
 						s.All()
 					}
--- /dev/null
+++ b/dataplane/outlier/detector_test.go
@@ -0,0 +1,75 @@
+package outlier
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+const ms = time.Millisecond
+
+func TestDetector(t *testing.T) {
+	peers := []string{}
+	for i := range 10 {
+		peers = append(peers, fmt.Sprint(i))
+	}
+	Convey("A refused connection ejects at once, a broken one when two gateways saw it", t, func() {
+		detector := New()
+		ejection, ok := detector.Observe(0, "a", Observation{"1", true}, peers)
+		So(ok, ShouldBeTrue)
+		So(ejection.Milliseconds, ShouldEqual, baseEjectionTime.Milliseconds())
+		_, ok = detector.Observe(0, "a", Observation{"2", false}, peers)
+		So(ok, ShouldBeFalse)
+		_, ok = detector.Observe(100*ms, "a", Observation{"2", false}, peers)
+		So(ok, ShouldBeFalse) // the same gateway again: its own link may be at fault
+		_, ok = detector.Observe(200*ms, "b", Observation{"2", false}, peers)
+		So(ok, ShouldBeTrue)
+		Convey("and once for a failure", func() {
+			_, ok = detector.Observe(300*ms, "c", Observation{"1", true}, peers)
+			So(ok, ShouldBeFalse)
+		})
+	})
+	Convey("A replica that comes and goes is ejected for longer each time, until it held for a while", t, func() {
+		detector := New()
+		now, before := time.Duration(0), int64(0)
+		for range 4 {
+			ejection, ok := detector.Observe(now, "a", Observation{"1", true}, peers)
+			So(ok, ShouldBeTrue)
+			So(ejection.Milliseconds, ShouldBeGreaterThan, before)
+			before = ejection.Milliseconds
+			now += time.Duration(ejection.Milliseconds)*ms + ms
+		}
+		for range 4 {
+			ejection, _ := detector.Observe(now, "a", Observation{"1", true}, peers)
+			So(ejection.Milliseconds, ShouldBeLessThanOrEqualTo, maxEjectionTime.Milliseconds())
+			now += maxEjectionTime + ms
+		}
+		ejection, ok := detector.Observe(now+ejectionMemory+maxEjectionTime, "a", Observation{"1", true}, peers)
+		So(ok, ShouldBeTrue)
+		So(ejection.Milliseconds, ShouldEqual, baseEjectionTime.Milliseconds())
+		Convey("whichever member ejected it before", func() {
+			other := New()
+			other.RecordRemote(0, Ejection{"1", 800})
+			ejection, _ := other.Observe(time.Second, "a", Observation{"1", true}, peers)
+			So(ejection.Milliseconds, ShouldEqual, 2*baseEjectionTime.Milliseconds())
+		})
+	})
+	Convey("No more than a share of a service is ejected", t, func() {
+		detector := New()
+		n := 0
+		for _, id := range peers {
+			if _, ok := detector.Observe(0, "a", Observation{id, true}, peers); ok {
+				n++
+			}
+		}
+		So(n, ShouldEqual, 4)
+	})
+	Convey("Replicas that have not failed for long are forgotten", t, func() {
+		detector := New()
+		detector.Observe(0, "a", Observation{"1", true}, peers)
+		detector.Expire(time.Minute)
+		So(len(detector.replicas), ShouldEqual, 0)
+	})
+}
