--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -112,7 +112,7 @@
 		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
 			continue
 		}
-		config.SetLoad(&report, []byte(name), value)
+		config.SetLoadFigure(&report, []byte(name), value)
 	}
 	return report
 }
