--- a/controlplane/coordinator/contact_test.go
+++ b/controlplane/coordinator/contact_test.go
@@ -37,7 +37,8 @@
 		}
 		for step := range 20 {
 			if c.coordinator.HasQuorumContact(cluster.local(c)) {
-				t.Fatalf("clock stopped %v, alone %v: has contact with a quorum %d ms after it woke, with nobody to answer", clockStopped, alone, step*50)
+				t.Fatalf("clock stopped %v, alone %v: has contact with a quorum %d ms after it woke, with nobody to answer",
+					clockStopped, alone, step*50)
 			}
 			cluster.advance(50 * time.Millisecond)
 		}
--- a/controlplane/coordinator/persistence.go
+++ b/controlplane/coordinator/persistence.go
@@ -23,7 +23,7 @@
 	hintsWriteInterval = time.Second
 )
 
-// What Actions.DiskHealth may hold beside the problem that StatePersisted was told.
+// What Actions.DiskHealth may hold beside the problem that was passed to StatePersisted.
 const (
 	DiskHealthy = "healthy"
 	diskSlow    = "slow"
--- a/controlplane/coordinator/replacement_test.go
+++ b/controlplane/coordinator/replacement_test.go
@@ -166,8 +166,10 @@
 	d := cluster.start("d", false)
 	for range 3000 {
 		cluster.advance(time.Millisecond)
-		if d.coordinator.HasQuorumContact(cluster.local(d)) && !cluster.members["a"].coordinator.View().HasVoter(d.coordinator.Self().ID) {
-			t.Fatalf("contact with a quorum %v after its start, in view %d; the others are in %d", cluster.now-d.startedAt, d.coordinator.View().Number, cluster.members["a"].coordinator.View().Number)
+		view := cluster.members["a"].coordinator.View()
+		if d.coordinator.HasQuorumContact(cluster.local(d)) && !view.HasVoter(d.coordinator.Self().ID) {
+			t.Fatalf("contact with a quorum %v after its start, in view %d; the others are in %d",
+				cluster.now-d.startedAt, d.coordinator.View().Number, view.Number)
 		}
 	}
 	if !d.coordinator.HasQuorumContact(cluster.local(d)) {
--- a/controlplane/coordinator/status_test.go
+++ b/controlplane/coordinator/status_test.go
@@ -15,8 +15,11 @@
 	expect := func(disks int, faultTolerant bool) Status {
 		t.Helper()
 		status := a.coordinator.Status(cluster.local(a))
-		if status.UpToDateDisks != disks || status.FaultTolerant != faultTolerant || status.FaultTolerant != (status.Shortfall == "") {
-			t.Errorf("%d disks, fault tolerant %v, shortfall %q; want %d, %v", status.UpToDateDisks, status.FaultTolerant, status.Shortfall, disks, faultTolerant)
+		if status.UpToDateDisks != disks || status.FaultTolerant != faultTolerant {
+			t.Errorf("%d disks, fault tolerant %v; want %d, %v", status.UpToDateDisks, status.FaultTolerant, disks, faultTolerant)
+		}
+		if status.FaultTolerant != (status.Shortfall == "") {
+			t.Errorf("fault tolerant %v, shortfall %q", status.FaultTolerant, status.Shortfall)
 		}
 		return status
 	}
