--- a/intake/loads.go
+++ b/intake/machineload.go
@@ -7,29 +7,29 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// LoadMetric is one of the figures of a load report.
+// LoadMetric is one of the values of a load report.
 type LoadMetric int
 
-// Figures.
+// The metrics.
 const (
 	Utilization LoadMetric = iota // share of a replica's cores that is busy, 0 to 1
-	InFlight                      // flows that it holds
+	InFlight                      // flows in flight
 	LatencyMS                     // milliseconds that it takes for a flow, without waiting
 	metricCount
 )
 
-// Kind tells how a machine's value is to be read.
+// Kind is how a machine's value is to be interpreted.
 type Kind int
 
-// Kinds, as collectd's network protocol numbers them.
+// The kinds, as collectd's network protocol numbers them.
 const (
 	Counter  Kind = iota // a count that only grows, and wraps at 32 or 64 bits
-	Gauge                // the figure itself
-	Derive               // a count that may fall; a fall means that it began anew
-	Absolute             // a count since it was read last
+	Gauge                // the value itself
+	Derive               // a count that may fall; a fall means that it was reset
+	Absolute             // a count since the last reading
 )
 
-// MachineLoad is a machine's word on one figure of a replica.
+// MachineLoad is a machine's reading of one metric of a replica.
 type MachineLoad struct {
 	Replica    rules.ReplicaID
 	Metric     LoadMetric
@@ -37,33 +37,33 @@
 	Value      float64       // of a Gauge
 	Count      uint64        // of the others
 	Interval   time.Duration // of an Absolute: what it was counted over
-	Scale      float64       // the figure is Scale x the value, or x its growth a second, + Offset
+	Scale      float64       // the metric is Scale x the value, or x its growth a second, + Offset
 	Offset     float64
 	MeasuredAt rules.Time // by the machine's clock
 }
 
-// Bounds on what a figure can be. Beyond them it is no load but a fault of the sender or of the mapping.
+// Bounds on what a metric can be. Beyond them it is no load but a fault of the sender or of the mapping.
 const (
 	maxUtilization  = 1.5 // cores that run ahead of their nominal speed may show a little over 1
 	maxInFlight     = 1e6
 	maxLatencyMS    = 1e6 // milliseconds
-	maxAheadPeriods = 1   // periods that a machine's clock may be ahead of ours
-	excuseDropShare = 0.1 // share of dropped tries from which the lower word on a load counts
+	maxAheadPeriods = 1   // periods that a machine's clock may be ahead of the governor's
+	excuseDropShare = 0.1 // share of dropped attempts from which the lower of two utilizations counts
 )
 
 var maxOfMetric = [metricCount]float64{maxUtilization, maxInFlight, maxLatencyMS}
 
-// machineValue is a machine's last word on a figure.
+// machineValue is a machine's last reading of a metric.
 type machineValue struct {
 	measuredAt rules.Time // 0: none
 	value      float64
-	valid      bool   // value stands; a count has none before the second
+	valid      bool   // value is valid; a count has none before the second reading
 	count      uint64 // of kinds that count
 }
 
-// AddLoad takes in a machine's word and tells under what cause it is counted: Kept, or why it counts for nothing. Clocks
-// must agree with ours: what is told of the future by more than a period, or older than the bound of age, is refused, and
-// so is whatever is not newer than what came before, repeats and replays among it.
+// AddLoad takes in a machine's reading and returns the cause under which it is counted: Kept, or why it is rejected. Clocks
+// must agree with the governor's: a reading more than a period in the future, or older than MaxAge, is rejected, and so is
+// one that is not newer than the last, such as a repeat.
 func (in *Aggregator) AddLoad(now rules.Time, l MachineLoad) Cause {
 	fate := in.storeLoad(now, l)
 	in.counts[fate]++
@@ -103,7 +103,7 @@
 	return Kept
 }
 
-// growthRate is the growth of a count a second since the last word.
+// growthRate is the growth of a count a second since the last reading, and whether there is one.
 func (l *MachineLoad) growthRate(last machineValue) (float64, bool) {
 	if l.Kind == Absolute {
 		return float64(l.Count) / l.Interval.Seconds(), l.Interval > 0
@@ -123,12 +123,12 @@
 	return grown / time.Duration(l.MeasuredAt-last.measuredAt).Seconds(), true
 }
 
-// applyMachineLoad puts machines' words into a replica's report where they are the fresher ones. age is that of the report.
+// applyMachineLoad puts machines' readings into a replica's report where they are fresher. age is that of the report.
 //
-// A machine's word on the share busy may show a replica busier at once, and idler only by the part that its age leaves, as
-// with reports of proxies. Where tries are dropped, the lower of both words counts: a high load excuses drops, and a
-// machine that is busy with something else must not keep a replica that fails in its tables. It can't bring one back
-// either, as only good answers do that; and a replica of which there are no sums has no report to put a word into.
+// A machine's utilization may raise a replica's at once, but lower it only in proportion to its age weight, as with reports
+// of proxies. Where attempts are dropped, the lower of both counts: a high load excuses drops, and a machine that is busy
+// with something else must not keep a failing replica in the tables. Nor can it bring one back, as only successful
+// responses do that; and a replica without statistics has no report to put a reading into.
 func (in *Aggregator) applyMachineLoad(now rules.Time, s *rules.EndpointStats, age time.Duration) {
 	words := in.machineLoads[s.Replica]
 	if words == nil {
--- a/intake/pairs.go
+++ b/intake/pairs.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	pairHalfLifePeriods   = 8    // periods after which what was met at a pair counts for half
-	evidenceBudgetPart    = 64   // by the budget, pairs that are told of in a period at most
-	rescaleAfterHalfLives = 32   // half-lives after which counts are scaled anew
-	minRememberedDrops    = 0.05 // a pair with fewer drops is forgotten
-	generalFailureShare   = 0.5  // pairs of a replica that drops so much of all it gets are not remembered anew
+	pairHalfLifePeriods   = 8    // half-life of a pair's counts, in periods
+	evidenceBudgetPart    = 64   // pairs reported in a period are at most this part of the budget
+	rescaleAfterHalfLives = 32   // half-lives after which all counts are rescaled
+	minRememberedDrops    = 0.05 // a pair with fewer drops, decayed, is dropped
+	generalFailureShare   = 0.5  // no new pair is kept of a replica that drops this share of all its attempts
 )
 
-// pairTable remembers pairs of a proxy and a replica at which tries were dropped, and the counts of each proxy and
-// each replica that a pair's own are compared with. Counts fade by half in a half-life. They are kept scaled by the
-// time since a landmark (forward decay; Cormode, Shkapenyuk, Srivastava and Xu, 2009), so that fading never changes
+// pairTable keeps the pairs of a proxy and a replica at which attempts were dropped, and the counts of each proxy and
+// each replica that a pair's own are compared with. Counts decay by half in a half-life. They are kept scaled by the
+// time since a landmark (forward decay; Cormode, Shkapenyuk, Srivastava and Xu, 2009), so that decay never changes
 // the order of two pairs and costs nothing until a count is read. When the table is full, the pair with the fewest
 // drops goes first: a pair that fails again and again outlives any number that failed once.
 type pairTable struct {
@@ -33,8 +33,8 @@
 	byDrops        pairHeap
 	byReplica      map[rules.ReplicaID]tally
 	byProxy        map[rules.ProxyID]tally
-	retries        map[rules.ReplicaID]count // further tries at pairs that had dropped one
-	fresh, pending []*pair                   // with drops in this period; in the one before, to be told of now
+	retries        map[rules.ReplicaID]count // later attempts at pairs that had dropped one
+	fresh, pending []*pair                   // with drops in this period; in the one before, to be reported now
 }
 
 type pairKey struct {
@@ -42,29 +42,6 @@
 	replica rules.ReplicaID
 }
 
-type count struct{ attempts, dropped float64 }
-
-// tally is what fades, and what came in the latest period that brought any: a replica that has just begun to fail
-// for all shows it there, long before its good past has faded.
-type tally struct {
-	count
-	latest count
-	at     rules.Time
-}
-
-func (t *pairTable) plusNow(y tally, c count) tally {
-	if y.at != t.now {
-		y.latest, y.at = count{}, t.now
-	}
-	c.attempts, c.dropped = c.attempts*t.scale, c.dropped*t.scale
-	y.count, y.latest = y.plus(c), y.latest.plus(c)
-	return y
-}
-
-func (c count) plus(d count) count { return count{c.attempts + d.attempts, c.dropped + d.dropped} }
-
-func (c count) scaled(by float64) count { return count{c.attempts * by, c.dropped * by} }
-
 type pair struct {
 	pairKey
 	count
@@ -103,38 +80,25 @@
 	scaleAndPrune(t.retries, func(c count) count { return c.scaled(by) })
 }
 
-// scaleAndPrune scales counts and forgets those that have faded.
-func scaleAndPrune[K comparable, C interface{ all() float64 }](counts map[K]C, scaled func(C) C) {
-	for k, c := range counts {
-		if c = scaled(c); c.all() < minRememberedDrops {
-			delete(counts, k)
-		} else {
-			counts[k] = c
-		}
-	}
-}
-
-func (c count) all() float64 { return c.attempts }
-
-// addReplica adds to what is known of a replica.
+// addReplica adds to a replica's counts.
 func (t *pairTable) addReplica(r rules.ReplicaID, tries, dropped float64) {
 	t.byReplica[r] = t.plusNow(t.byReplica[r], count{tries, dropped})
 }
 
-// addProxy adds to what is known of a proxy. A drop at a replica counts by the part of its tries that it does not drop: that
-// of one which fails for all says nothing of the proxy.
+// addProxy adds to a proxy's counts. A drop at a replica counts by the share of attempts that the replica does not drop: the
+// drops of one that fails in general say nothing of the proxy.
 func (t *pairTable) addProxy(p rules.ProxyID, r rules.ReplicaID, tries, dropped float64) {
 	t.byProxy[p] = t.plusNow(t.byProxy[p], count{tries, dropped * (1 - t.dropShare(r))})
 }
 
-// dropShare is the share of tries that a replica drops.
+// dropShare is the share of attempts that a replica drops.
 func (t *pairTable) dropShare(r rules.ReplicaID) float64 {
 	y := t.byReplica[r]
 	return min(max(y.dropped/max(y.attempts, t.scale), y.latest.dropped/max(y.latest.attempts, t.scale)), 1)
 }
 
-// add takes in what a proxy met at a replica and tells whether a pair was let go, or not taken, for want of room.
-// Pairs without a drop are not remembered.
+// add adds a proxy's attempts at a replica and reports whether a pair was evicted, or not taken in, for want of room.
+// Pairs without a drop are not kept.
 func (t *pairTable) add(proxy rules.ProxyID, replica rules.ReplicaID, tries, dropped float64) (full bool) {
 	k := pairKey{proxy, replica}
 	p := t.pairs[k]
@@ -145,7 +109,7 @@
 	}
 	c := count{tries, dropped}.scaled(t.scale)
 	further := c
-	if p.dropped == 0 { // its first drop tells nothing of further ones
+	if p.dropped == 0 { // its first drop says nothing of later ones
 		one := min(t.scale, c.dropped)
 		further = c.plus(count{-one, -one})
 	}
@@ -187,7 +151,7 @@
 	p.listed = false
 }
 
-// forgetReplica drops all that is held of a replica.
+// forgetReplica drops all counts of a replica.
 func (t *pairTable) forgetReplica(r rules.ReplicaID) {
 	delete(t.byReplica, r)
 	delete(t.retries, r)
@@ -198,11 +162,11 @@
 	}
 }
 
-// evidence tells of pairs that failed in the period before and whose proxy is still joined, those first with most drops
-// beyond what its replica, or its proxy, drops elsewhere, and of two alike the lower numbers; and how many more there
-// were than it may tell of. So pairs of a replica that fails for all don't stand before those that fail alone. They wait
-// for a period, since a replica that begins to fail for all drops only a part of that period's tries.
-func (t *pairTable) evidence(most int, joined func(rules.ProxyID) bool) (out []rules.PairStats, more int) {
+// evidence returns the pairs that failed in the period before and whose proxy is still joined, at most limit of them, and how many
+// more there were. Those with most drops beyond what the replica, or the proxy, drops elsewhere come first, then lower IDs:
+// so pairs of a replica that fails in general don't displace those that fail alone. They are delayed by a period, since a
+// replica that begins to fail in general drops only a part of that period's attempts.
+func (t *pairTable) evidence(limit int, joined func(rules.ProxyID) bool) (out []rules.PairStats, more int) {
 	due := slices.DeleteFunc(t.pending, func(p *pair) bool { return !p.listed || !joined(p.proxy) })
 	for _, p := range due {
 		p.listed = false
@@ -219,43 +183,21 @@
 	slices.SortFunc(out, func(a, b rules.PairStats) int {
 		return cmp.Or(cmp.Compare(beyond(b), beyond(a)), cmp.Compare(a.Proxy, b.Proxy), cmp.Compare(a.Replica, b.Replica))
 	})
-	if len(out) > most {
-		more = len(out) - most
-		out = out[:most]
+	if len(out) > limit {
+		more = len(out) - limit
+		out = out[:limit]
 	}
 	clear(due)
 	t.pending, t.fresh = t.fresh, due[:0]
 	return out, more
 }
 
-// dropShareWithout is the share of tries dropped, less those of a pair: of all that is remembered, or of the latest period if that
-// is more.
+// dropShareWithout is the share of attempts dropped, less those of a pair: of all counts, or of the latest period if that is more.
 func (t *pairTable) dropShareWithout(of tally, less count) (most float64) {
 	for _, c := range []count{of.count, of.latest} {
-		if tries := c.attempts - less.attempts; tries >= t.scale { // less than one try tells nothing
+		if tries := c.attempts - less.attempts; tries >= t.scale { // less than one attempt says nothing
 			most = max(most, min(max(c.dropped-less.dropped, 0)/tries, 1))
 		}
 	}
 	return most
 }
-
-// pairHeap has the pair with the fewest drops first, and of two alike the lower numbers.
-type pairHeap []*pair
-
-// Len, Less and Swap are sort.Interface's, Push and Pop heap.Interface's.
-func (h pairHeap) Len() int { return len(h) }
-func (h pairHeap) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].dropped, h[j].dropped), cmp.Compare(h[i].proxy, h[j].proxy), cmp.Compare(h[i].replica, h[j].replica)) < 0
-}
-func (h pairHeap) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].heapIndex, h[j].heapIndex = i, j
-}
-func (h *pairHeap) Push(x any) { *h = append(*h, x.(*pair)) }
-func (h *pairHeap) Pop() any {
-	old := *h
-	last := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	return last
-}
--- a/intake/sample.go
+++ b/intake/sampler.go
@@ -19,26 +19,26 @@
 	minStrata     = 16 // rooms are by no fewer strata than this, until it is known how many there are
 )
 
-// sampledRecord is a record that is kept, and what is known of its sender.
+// sampledRecord is a kept record, with its sender.
 type sampledRecord struct {
 	replica             rules.ReplicaID
 	proxy               rules.ProxyID
 	zone                rules.ZoneID
 	attempts, dropped   int32
 	meanLatency, window time.Duration
-	ageWeight           float64 // by a fresh record
+	ageWeight           float64 // 1 for a fresh record
 	rank                float64
 }
 
-// size is what an item's chance to be kept goes by.
+// size is what a record's chance to be kept is proportional to.
 func (it *sampledRecord) size() float64 { return float64(it.attempts) * it.ageWeight }
 
-// counts are an item's tries and drops, by its worth, where it stands for so many like it.
+// counts are a record's attempts and drops, weighted by age, where it stands for so many like it.
 func (it *sampledRecord) counts(stands float64) (tries, dropped float64) {
 	return float64(it.attempts) * it.ageWeight * stands, float64(it.dropped) * it.ageWeight * stands
 }
 
-// sampler keeps records by strata, each of which has its room. In a stratum, records with drops come before those
+// sampler samples records by strata, each with a room of its own. In a stratum, records with drops come before those
 // without, which keep a quarter of the room; in each of the two classes the records of highest rank stay (priority
 // sampling: rank is size by a uniform draw, and one that stays stands for max(size, threshold), where the threshold
 // is the highest rank that did not; Duffield, Lund and Thorup, 2007). Totals of any choice of records are then
@@ -58,12 +58,6 @@
 	failed, clean class
 }
 
-// class is a heap of items, lowest rank first.
-type class struct {
-	items     []sampledRecord
-	threshold float64
-}
-
 func newSampler(seed uint64, budget int) sampler {
 	return sampler{seed: seed, budget: budget, strata: map[uint32]*stratum{}}
 }
@@ -77,7 +71,7 @@
 	return float64(xxhash.Sum64(b[:])>>11+1) / (1 << 53)
 }
 
-// offer takes an item in and tells whether it is kept for now.
+// offer takes a record in and reports whether it is kept for now.
 func (s *sampler) offer(key uint32, it sampledRecord) bool {
 	st := s.strata[key]
 	if st == nil {
@@ -123,7 +117,7 @@
 	return st
 }
 
-// each calls f for all that is kept, with how many records like it each stands for.
+// each calls f for all kept records, by stratum, with how many records like it each stands for.
 func (s *sampler) each(f func(key uint32, it *sampledRecord, stands float64)) {
 	for _, key := range slices.Sorted(maps.Keys(s.strata)) {
 		st := s.strata[key]
@@ -136,7 +130,7 @@
 	}
 }
 
-// reset begins a new period.
+// reset begins a new period, with no records.
 func (s *sampler) reset() {
 	s.strataBefore = len(s.strata)
 	for _, st := range s.strata {
@@ -150,13 +144,19 @@
 	s.kept = 0
 }
 
-// push adds an item. Unlike heap.Push it makes no garbage.
+// class is a heap of records, lowest rank first.
+type class struct {
+	items     []sampledRecord
+	threshold float64
+}
+
+// push adds a record. Unlike heap.Push it allocates nothing.
 func (c *class) push(it sampledRecord) {
 	c.items = append(c.items, it)
 	heap.Fix(c, len(c.items)-1)
 }
 
-// evictLowest lets the lowest go, for which the others stand from now on.
+// evictLowest evicts the record of lowest rank, for which the others stand from now on.
 func (c *class) evictLowest() {
 	last := len(c.items) - 1
 	c.threshold = max(c.threshold, c.items[0].rank)
@@ -167,10 +167,14 @@
 }
 
 // Len, Less and Swap are sort.Interface's, Push and Pop heap.Interface's.
-func (c *class) Len() int           { return len(c.items) }
+func (c *class) Len() int { return len(c.items) }
+
 func (c *class) Less(i, j int) bool { return c.items[i].rank < c.items[j].rank }
-func (c *class) Swap(i, j int)      { c.items[i], c.items[j] = c.items[j], c.items[i] }
-func (c *class) Push(x any)         { c.items = append(c.items, x.(sampledRecord)) }
+
+func (c *class) Swap(i, j int) { c.items[i], c.items[j] = c.items[j], c.items[i] }
+
+func (c *class) Push(x any) { c.items = append(c.items, x.(sampledRecord)) }
+
 func (c *class) Pop() any {
 	last := c.items[len(c.items)-1]
 	c.items = c.items[:len(c.items)-1]
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -1,132 +1,37 @@
-// Package recovery decides what a governor that starts makes of what it kept on disk: how far that is trusted, which
-// replicas it names, what is recalled of them, and in which order the disk, the proxies and discovery are believed. It
+// Package recovery decides how a governor starts from the state that it kept on disk: how far that is trusted, which
+// replicas it lists, what is recalled of them, and in which order the disk, the proxies and discovery take precedence. It
 // does no I/O and reads no clock.
 package recovery
 
 import (
-	"fmt"
-	"math"
 	"time"
 
 	"zincloft.example/zincloft/rules"
 )
 
-// State is what a governor kept on disk for its next start. Its JSON form, with the names in the tags, is what
-// "zincloft state export" prints.
-type State struct {
-	Governor      string          // its name
-	Discovery     string          // address of the discovery service that the list is from
-	Version       uint64          // of the list
-	ConfirmedAt   rules.Time      `json:"Heard"`   // when discovery last confirmed the list
-	WrittenAt     rules.Time      `json:"Written"` // when the state was written
-	NextReplicaID rules.ReplicaID `json:"Next"`    // the lowest ID that no replica has had
-	Replicas      []Replica
-}
-
-// Replica is the kept state of one replica.
-type Replica struct {
-	Name    string         // its name at discovery
-	Entry   rules.Entry    // its entry in the kept list
-	Learned rules.Recalled `json:"Learnt"` // what was measured of it; Speed 0: nothing
-}
-
-// Settings are how age is weighed.
-type Settings struct {
-	HalfLife time.Duration // a list of this age is trusted by half
-	MaxAge   time.Duration // an older one is not used
-}
-
-// Assessment is what is made of a kept list.
-type Assessment string
-
-// Verdicts.
-const (
-	Used       Assessment = "used"
-	Nothing    Assessment = "nothing is kept"
-	TooOld     Assessment = "older than it may be"
-	Mismatch   Assessment = "of another governor or discovery"
-	ClockBack  Assessment = "of the future: the clock went back; used without trust"
-	Impossible Assessment = "impossible"
-)
-
-// Plan is how to begin.
-type Plan struct {
-	Assessment Assessment
-	Age        time.Duration
-	Trust      float64 // of the list, at the start
-	Events     []rules.Event
-}
-
-// maxClockSkew is how far the wall clock may be off between two lives.
-const maxClockSkew = time.Minute
-
-// NewPlan makes a plan of what was kept. No replica of it counts as warm, as each may have started anew since: where the list
-// says that one started long ago, it is taken to have started now. What it had learnt is recalled by the list's trust.
-func NewPlan(now rules.Time, k State, governor, discovery string, s Settings) Plan {
-	p := Plan{Age: time.Duration(now - k.ConfirmedAt)}
-	switch {
-	case len(k.Replicas) == 0:
-		p.Assessment = Nothing
-	case k.ConfirmedAt <= 0 || k.WrittenAt < k.ConfirmedAt-rules.Time(maxClockSkew):
-		p.Assessment = Impossible
-	case k.Governor != governor || k.Discovery != discovery:
-		p.Assessment = Mismatch
-	case p.Age < -maxClockSkew:
-		p.Assessment = ClockBack
-	case p.Age > s.MaxAge:
-		p.Assessment = TooOld
-	default:
-		p.Assessment, p.Trust = Used, s.trustAt(p.Age)
-	}
-	if p.Assessment != Used && p.Assessment != ClockBack {
-		return p
-	}
-	list := rules.List{Scope: rules.Cached}
-	var recalled []rules.Event
-	for _, r := range k.Replicas {
-		e := r.Entry
-		if e.State == rules.Deregistered {
-			continue
-		}
-		e.StartedAt = max(e.StartedAt, now)
-		list.Entries = append(list.Entries, e)
-		if r.Learned.Speed > 0 {
-			l := r.Learned
-			l.Replica, l.Trust, l.Out = e.Replica, p.Trust, false // among cold ones a held out one would draw all
-			recalled = append(recalled, l)
-		}
-	}
-	p.Events = append([]rules.Event{list}, recalled...)
-	return p
-}
-
-func (s Settings) trustAt(age time.Duration) float64 {
-	return math.Exp2(-float64(max(age, 0)) / float64(s.HalfLife))
-}
-
-// Stage is where a recovery stands.
+// Stage is how far a recovery has come.
 type Stage string
 
-// Steps, in their order.
+// The stages, in their order.
 const (
 	FromDisk    Stage = "disk"      // ends with the first proxy that joins, or discovery's first answer
-	FromProxies Stage = "proxies"   // what they bring is heard; ends with discovery's first answer
-	Confirmed   Stage = "confirmed" // discovery has spoken
+	FromProxies Stage = "proxies"   // proxies report; ends with discovery's first answer
+	Confirmed   Stage = "confirmed" // discovery has answered
 )
 
-// Recovery is the one measure of trust in what is known of the replicas. It falls with the list's age, and rises as the
-// living speak: with each replica that is heard of, and to the whole with discovery. The zero value is a start from
-// nothing.
+// Recovery is the measure of trust in the list of replicas during a start. Trust falls with the list's age and rises with
+// each replica that responds; discovery's first answer makes it 1. The zero value is a start from nothing. It is not safe
+// for concurrent use.
 type Recovery struct {
 	settings    Settings
-	confirmedAt rules.Time // when the list was true
+	confirmedAt rules.Time // when discovery last confirmed the list
 	replicas    int
 	responding  map[rules.ReplicaID]bool
 	stage       Stage
 	kept        []Replica
 }
 
-// Begin starts a recovery by a plan.
+// Begin starts a recovery from a plan.
 func Begin(now rules.Time, k State, p Plan, s Settings) *Recovery {
 	r := &Recovery{settings: s, confirmedAt: now - rules.Time(p.Age), responding: map[rules.ReplicaID]bool{}, stage: FromDisk}
 	if len(p.Events) > 0 {
@@ -159,6 +64,8 @@
 	return []rules.Event{e}
 }
 
+// confirm merges discovery's first answer with the kept list, and recalls what was measured of replicas that have not
+// restarted since.
 func (r *Recovery) confirm(e rules.List) (out []rules.Event) {
 	r.stage, r.responding = Confirmed, nil
 	told := map[rules.ReplicaID]rules.Entry{}
@@ -167,7 +74,7 @@
 	}
 	asKept := rules.List{Scope: rules.Changes}
 	var recalled []rules.Recalled
-	same := 0 // replicas that have not started anew since
+	same := 0 // replicas that have not restarted since
 	for _, k := range r.kept {
 		n, is := told[k.Entry.Replica]
 		if !is && e.Scope == rules.Changes && k.Entry.State != rules.Deregistered {
@@ -194,15 +101,15 @@
 	return out
 }
 
-// minUnrestartedShare is the part of the list that must have gone on since, for those held out to be held out again: else one of
-// them would draw what cold replicas can't be sent.
+// minUnrestartedShare is the share of the list that must not have restarted since for ejected replicas to be ejected again:
+// else one of them would draw what cold replicas can't be sent.
 const minUnrestartedShare = 0.6
 
-// Stage tells where the recovery stands.
+// Stage returns how far the recovery has come.
 func (r *Recovery) Stage() Stage { return r.stage }
 
-// Trust is from 0 to 1. A replica that answers is as good as listed, so the part that has been heard of counts whole, and
-// the rest by the list's age.
+// Trust is the trust in the list at now, from 0 to 1. A replica that responds counts as confirmed, so the share of those
+// counts in full, and the rest by the list's age.
 func (r *Recovery) Trust(now rules.Time) float64 {
 	if r.stage == Confirmed {
 		return 1
@@ -213,8 +120,3 @@
 	part := min(float64(len(r.responding))/float64(r.replicas), 1)
 	return part + (1-part)*r.settings.trustAt(time.Duration(now-r.confirmedAt))
 }
-
-// String is for the log.
-func (p Plan) String() string {
-	return fmt.Sprintf("%s, %v old, trust %.2f", p.Assessment, p.Age.Round(time.Second), p.Trust)
-}
--- a/rules/health.go
+++ b/rules/health.go
@@ -1,4 +1,4 @@
-package rules // Which replicas are held out, and which come back.
+package rules // Which replicas are ejected, and which return.
 
 import (
 	"math"
@@ -9,27 +9,27 @@
 	smoothPeriods       = 12.0  // load is smoothed over so many report periods (design: 5)
 	speedPriorFlows     = 8.0   // flows after which a replica's own speed counts as much as its kind's
 	maxSpeedRatio       = 1.5   // a measured speed is believed up to so many times what answer times tell
-	maxLearningDrops    = 0.2   // share of dropped tries above which a replica's answers do not tell its speed
+	maxLearningDrops    = 0.2   // share of dropped attempts above which a replica's answers do not tell its speed
 	healthPeriods       = 4.0   // answers count in a replica's health for about so many periods
-	minDropsToEject     = 3.0   // no judgement on fewer dropped tries than this
-	ejectDropShare      = 0.35  // share of dropped tries from which a replica may be held out
-	overdueToEject      = 8.0   // answers owed after which silence counts
-	successesToReturn   = 2     // good answers in a row after which it returns
-	maxEjectedShare     = 0.4   // part of the fleet, or of one proxy's table, that may be held out at once
-	pairDropShare       = 0.5   // share of dropped tries from which a pair of proxy and replica may be bad
+	minDropsToEject     = 3.0   // no judgement on fewer dropped attempts than this
+	ejectDropShare      = 0.35  // share of dropped attempts from which a replica may be ejected
+	overdueToEject      = 8.0   // responses owed after which silence counts
+	successesToReturn   = 2     // successful responses in a row after which it returns
+	maxEjectedShare     = 0.4   // part of the fleet, or of one proxy's table, that may be ejected at once
+	pairDropShare       = 0.5   // share of dropped attempts from which a pair of proxy and replica may be bad
 	minPairDrops        = 2.0   // no judgement on a pair by fewer drops of its own than this
 	maxChancePairs      = 0.1   // nor where chance alone would bring so many such pairs
-	minDropRate         = 0.001 // share of tries that any pair is taken to drop by chance
-	pairPriorAttempts   = 2.0   // further tries at pairs of a replica are judged with so many good ones added
-	ejectionPeriods     = 12.0  // a proxy shuts a replica out for so long, twice as long each time that it fails on
+	minDropRate         = 0.001 // share of attempts that any pair is taken to drop by chance
+	pairPriorAttempts   = 2.0   // retries at pairs of a replica are judged with so many successful ones added
+	ejectionPeriods     = 12.0  // a proxy ejects a replica for so long, twice as long each time that it fails on
 	maxEjectionMultiple = 16.0  // and so many times as long at the most
 )
 
-// review takes in the sums that came since the last one: health first, then speeds, then how much to let
-// in. Sums come capped, so a replica may be heard of less than once a period; what is heard is judged by
+// review takes in the statistics that came since the last one: health first, then speeds, then how much to let
+// in. Statistics come capped, so a replica may be heard of less than once a period; what is heard is judged by
 // the time that it covers.
 func (g *Governor) review(now Time, since time.Duration) { //nolint:gocognit // one pass over the replicas; a split would exceed the policy's line bound
-	if !g.hasStats && g.statsPending { // the first sums may reach back to before our start
+	if !g.hasStats && g.statsPending { // the first statistics may reach back to before our start
 		since, g.hasStats = min(max(since, g.longestWindow), speedPeriods*g.cfg.period), true
 	}
 	periods := float64(since) / float64(g.cfg.period)
@@ -114,9 +114,9 @@
 	return (p.served + speedPriorFlows) / (p.busy*fleet + speedPriorFlows/alike)
 }
 
-// restore takes on what a former life of ours had learnt of a replica, as far as it is trusted and nothing is
-// heard yet. One held out is held out again; good answers bring it back. Against tables of which nothing is
-// learnt after a restart. Harm: one that is mended meanwhile gets a trickle at first.
+// restore takes on what an earlier run had measured of a replica, as far as it is trusted and nothing is
+// heard yet. One ejected before is ejected again; successful responses bring it back. Protects against tables of which nothing is
+// learnt after a restart. Harm: one that has recovered meanwhile gets a trial share at first.
 func (g *Governor) restore(e Recalled) {
 	r := g.byID[e.Replica]
 	if r == nil || r.loadKnown || r.served > 0 || !(e.Speed > 0 && e.Answers > 0 && e.Trust >= 0 && e.Trust <= 1) {
@@ -127,16 +127,16 @@
 	r.ejected = e.Out && r.state == Ready
 }
 
-// health holds out replicas that drop flows though less busy than the fleet, and those silent though flows
+// health ejects replicas that drop flows though less busy than the fleet, and those silent though flows
 // go there: against fast drops and hangs; it also catches a crash before the list tells, a cut path, and a
-// false report of nought. The load of full ones has lowered their weight already. When all others drop as
+// false report of zero load. The load of full ones has lowered their weight already. When all others drop as
 // much, the fault is shared. One that answers, though proxies keep more connections to it than replicas must
-// accept, refuses some: it gets less, else the fastest would be held out first. One held out keeps a trickle
-// and returns by its good answers. Harm: a few drops by chance on a quiet day hold one out for some seconds.
+// accept, refuses some: it gets less, else the fastest would be ejected first. One ejected keeps a trial share
+// and returns by its successful responses. Harm: a few drops by chance on a quiet day eject one for some seconds.
 func (g *Governor) health(now Time, f *fleetStats) {
 	for _, r := range g.replicas {
 		good := r.newAttempts - r.newDrops
-		if good <= 0 && f.sent > 0 && now-r.lastStatsAt > Time(2*g.statsWindow-g.cfg.period*5/4) { // or its sums may wait
+		if good <= 0 && f.sent > 0 && now-r.lastStatsAt > Time(2*g.statsWindow-g.cfg.period*5/4) { // or its statistics may wait
 			r.overdue += f.attempts * r.sentWeight(common) / f.sent
 		}
 		if r.ejected {
@@ -163,13 +163,13 @@
 	g.ejectionsLeft = int(f.ready*maxEjectedShare - f.ejected)
 }
 
-// ejectSilent holds out replicas that owe answers, once every zone which has spoken of one, and still speaks, has
-// gone a whole round without a word of it. So both must tell: the traffic, by answers owed, and the time, by
+// ejectSilent ejects replicas that owe responses, once every zone that has reported one, and still reports, has
+// gone a whole round without a report of it. So both must tell: the traffic, by responses owed, and the time, by
 // what was heard meanwhile. A review is due when a round begins and hears the head of it alone; what it
 // missed comes a moment later, and at much traffic one missed review is owed hundreds of answers. A round is
 // over when the next has begun, or when its collector is quiet after about as many replicas as last time.
-// Against hangs; it also catches a path that is cut for all. Not judged on a wake-up that comes late: then it
-// is we who were held up. Harm: a governor that is always late leaves a hung replica in until tries there are
+// Protects against hangs; it also catches a path that is cut for all. Not judged on a wake-up that comes late: then it
+// is the governor that was stalled. Harm: a governor that is always late leaves a hung replica in until attempts there are
 // dropped.
 func (g *Governor) ejectSilent(now Time) (marked bool) {
 	for _, r := range g.replicas {
@@ -192,13 +192,13 @@
 	return marked
 }
 
-// judgePair shuts a replica out at one proxy, where tries between the two are dropped that neither drops
-// elsewhere: against a replica that fails for a few proxies only, whose drops the sums of a zone hide; it
-// also catches a path cut between the two. A proxy that drops tries at many replicas has a bad path of its
+// judgePair ejects a replica at one proxy, where attempts between the two are dropped that neither drops
+// elsewhere: against a replica that fails for a few proxies only, whose drops the statistics of a zone hide; it
+// also catches a path cut between the two. A proxy that drops attempts at many replicas has a bad path of its
 // own, and a replica that drops them for many is for health to judge. Drops must be more than chance brings
 // all pairs together, or those that dropped one there must drop further ones. Nothing is heard of a pair shut
 // out, so it ends by time. A proxy keeps most of its table, and cold replicas are left alone. Harm: drops by
-// chance cost a proxy one line for a while.
+// chance cost a proxy one entry for a while.
 func (g *Governor) judgePair(now Time, e PairStats) {
 	p, r := g.proxies[e.Proxy], g.byID[e.Replica]
 	if p == nil || r == nil || r.state != Ready || r.ejected || !g.warm(now, r) || !(e.Attempts >= e.Dropped) {
--- a/rules/publish.go
+++ b/rules/publish.go
@@ -9,16 +9,16 @@
 const (
 	minRelativeChange = 0.1  // changes below this part of a weight are not sent (design)
 	targetLoad        = 0.8  // flows are blocked to keep the fleet at this load
-	fewWarmReplicas   = 3    // warm lines that proxies are not likely to avoid all before sums tell
-	restartLevel      = 0.5  // what a restarted governor lets in until its first sums
-	minLevel          = 0.05 // what is always let in of a traffic group
-	saturationLoad    = 1.2  // load, raised by drops, from which a fleet that can block nothing counts as jammed
+	fewWarmReplicas   = 3    // warm replicas that proxies are not likely to avoid all before statistics tell
+	restartLevel      = 0.5  // what a restarted governor lets in until its first statistics
+	minLevel          = 0.05 // what is always admitted of a traffic group
+	saturationLoad    = 1.2  // load, raised by drops, from which a fleet that can block nothing counts as saturated
 )
 
-// publish sends what changed: removals, then new lines and deep cuts, levels and joins, at once; all but
+// publish sends what changed: removals, then new entries and deep cuts, levels and joins, at once; all but
 // removals leave half of the channel. The rest goes once a period, in a part of the channel and of a proxy's
 // messages, tables whose changes move most first; each sends all, largest first, as heads cost much. A cold
-// replica gets no line that would flood it, nor a first one that could not be taken back before it falls over.
+// replica gets no entry that would flood it, nor a first one that could not be taken back before it falls over.
 func (g *Governor) publish(now Time, due bool) {
 	g.discardExpired(now)
 	g.removeLeaving(now)
@@ -54,24 +54,24 @@
 		for _, t := range slices.SortedStableFunc(slices.Values(g.tables), byMovedFlows) {
 			g.send(now, t, t.changes, g.cfg.pacedEntries, g.cfg.messageLimit/2)
 		}
-		// Else proxies would be sent far more lines when bound, or when the next wave goes.
+		// Else proxies would be sent far more entries when bound, or when the next wave goes.
 		if len(g.unbound) == 0 && now-g.removalsSentAt >= Time(g.cfg.messageSpan) {
 			g.addRemaining(now)
 		}
 	}
 }
 
-// overwhelms tells whether a table's flows are more than its few warm lines answer and its cold ones stand: proxies avoid the
-// warm ones then, whatever a cold one weighs, and sums tell late. Harm: new ones help late.
+// overwhelms reports whether a table's flows are more than its few warm replicas answer and its cold ones stand: proxies avoid the
+// warm ones then, whatever a cold one weighs, and statistics tell late. Harm: new ones help late.
 func (g *Governor) overwhelms(now Time, t *table, r *replica) bool {
 	least := g.cfg.coldCapacity + (1-g.cfg.coldCapacity)*min(float64(now-r.started)/float64(g.cfg.warmupTime), 1)
 	most := g.cfg.coldMargin * g.cfg.coldMargin * coldLoadShare * least * cmp.Or(r.size, r.listed) * g.speed
 	return g.cfg.avoidAfter > 0 && g.coldExcess(now, t, r, fewWarmReplicas) > most
 }
 
-// removeLeaving takes the lines of replicas that drain or are gone, with all of a proxy's messages. Tables that only name
-// them wait for others, as replicas which go one by one would use those up. One that would lose more lines than its
-// part holds is cleared and its part sent anew, against waves faster than a slow channel. Harm: a few flows go there
+// removeLeaving takes the entries of replicas that are draining or deregistered, with all of a proxy's messages. Tables that only name
+// them wait for others, as replicas which go one by one would use those up. One that would lose more entries than its
+// part holds is cleared and its subset sent anew, against waves faster than a slow channel. Harm: a few flows go there
 // for a part of the grace.
 func (g *Governor) removeLeaving(now Time) {
 	all := now-g.removalsSentAt >= g.cfg.removeWait
@@ -103,7 +103,7 @@
 	}
 }
 
-// send orders changes of a table, largest first, as far as they fit, and tells whether all did.
+// send orders changes of a table, largest first, as far as they fit, and reports whether all did.
 func (g *Governor) send(now Time, t *table, changes []change, room float64, messages int) bool {
 	slices.SortStableFunc(changes, func(a, b change) int { return cmp.Compare(b.delta, a.delta) })
 	n := g.reserve(now, t.proxies, len(changes), 1, room, messages)
@@ -113,7 +113,7 @@
 	return n == len(changes)
 }
 
-// addRemaining gives the table whose turn it is the replicas outside its part that it lacks, cold ones not yet: a
+// addRemaining gives the table whose turn it is the replicas outside its subset that it lacks, cold ones not yet: a
 // rolling deploy needs the channel for removals.
 func (g *Governor) addRemaining(now Time) {
 	for range g.tables {
@@ -133,8 +133,8 @@
 	}
 }
 
-// setLevel sets how much of the work asked for is let in, and whether a fleet that can block nothing is jammed, by
-// the load that flows met; beyond 1 drops tell how far the fleet is over. Where good answers take over the least
+// setLevel sets how much of the work asked for is admitted, and whether a fleet that can block nothing is saturated, by
+// the load that flows met; beyond 1 drops tell how far the fleet is over. Where successful responses take over the least
 // latency budget, drops count whatever load is reported: against reports that hide overload; it should also catch
 // work that waits for something else than a core. After a restart of ours it starts from the part of the flows that
 // was tried. Harm: drops not from load block flows for a while.
@@ -148,16 +148,16 @@
 	if f.newLatency > g.cfg.minBudget*(f.attempts-f.drops) {
 		met = max(met, targetLoad+g.dropShare-ejectDropShare)
 	}
-	made := levelDelay - 1 + int((g.statsWindow-g.cfg.period)/g.cfg.period) // the review whose level made these sums
+	made := levelDelay - 1 + int((g.statsWindow-g.cfg.period)/g.cfg.period) // the review whose level made these statistics
 	want := g.admitted[min(made, len(g.admitted)-1)] * targetLoad / max(met, minSpareShare)
 	copy(g.admitted[1:], g.admitted)
 	g.admitted[0] = min(max(want, minLevel), 1)
 }
 
-// admit orders levels and ways of trying again. What is not let in is taken from the traffic groups whose utility by
-// work is least. A flow is tried again only on proof that it never ran: a try that may be followed after any failure
-// gives up early, and its work is lost. While the fleet is jammed and nothing can be blocked, not even that, as a
-// further try would only fill the next replica.
+// admit orders levels and retry policies. What is not admitted is taken from the traffic groups whose utility by
+// work is least. A flow is tried again only on proof that it never ran: an attempt that may be retried after any failure
+// gives up early, and its work is lost. While the fleet is saturated and nothing can be blocked, not even that, as a
+// retry would only fill the next replica.
 func (g *Governor) admit(now Time) {
 	total := 0.0
 	for _, tg := range g.groups {
@@ -189,7 +189,7 @@
 }
 
 // bind puts proxies on their tables, those with most flows first; it also ends whatever an earlier stream withdrew.
-// After a restart of ours, proxies go on with what they hold until the first sums have told us the load, or until
+// After a restart of ours, proxies go on with what they hold until the first statistics have told us the load, or until
 // some replica must be left. Those that may hold it come before urgent changes, as far into the channel as half of
 // the drain grace lets it send: against a lost governor's proxies.
 func (g *Governor) bind(now Time) {
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -25,11 +25,11 @@
 	coldOverloadPart   = 0.75    // of what pushes a cold replica over, it may be sent where others can't take theirs
 	minRoundPeriods    = 0.75    // periods that a zone's round takes at the least
 	completeRoundShare = 0.8     // with so many replicas by those of the round before, a quiet zone has said all
-	maxChannelFill     = 0.9     // part of the lines that may wait, by our count of them
+	maxChannelFill     = 0.9     // part of the entries that may wait, by our count of them
 	maxSlowdown        = 10.0    // a channel so many times slower is still counted right
 	removeShare        = 0.25    // part of the drain grace that removals may wait for others, or for naming
 	listRetryParts     = 20      // a failed call for the list is made again after one or two such parts of the time
-	fillShare          = 2.0 / 3 // the same as pacedShare for naming replicas in tables that lean on others
+	fillShare          = 2.0 / 3 // the same as pacedShare for naming replicas in tables that prefer others
 )
 
 // Step takes what happened at now and returns what is to be done.
@@ -125,7 +125,7 @@
 		g.groups = append(g.groups, group{id: GroupID(i), budget: budget, utilityRate: tg.Utility / budget})
 	}
 	slices.SortStableFunc(g.groups, func(a, b group) int { return cmp.Compare(a.utilityRate, b.utilityRate) })
-	g.meanLoad, g.statsWindow = 0.5, s.Period // guesses until the first sums
+	g.meanLoad, g.statsWindow = 0.5, s.Period // guesses until the first statistics
 	g.bindAfter = now + Time(s.Period*levelDelay)
 	g.admitted = slices.Repeat([]float64{1}, 4*levelDelay)
 	g.zones = make([]zoneRounds, s.Zones)
@@ -137,7 +137,7 @@
 	g.orders = append(g.orders, WakeAfter{g.cfg.period / 4, g.timerID})
 }
 
-// updateList takes in word from discovery. A replica that started anew begins as an unknown one.
+// updateList takes in an update from discovery. A replica that started anew begins as an unknown one.
 func (g *Governor) updateList(now Time, e List) {
 	if !g.started || g.tables == nil && len(e.Entries) == 0 { // nothing to go by yet
 		return
--- a/rules/view.go
+++ b/rules/view.go
@@ -33,7 +33,7 @@
 	PairEjections   int     // proxies at which it is ejected
 }
 
-// WriteView writes down what a governor knows, into the memory of an earlier WriteView if there is one. It changes nothing.
+// WriteView writes the governor's state at now to v, whose memory it reuses. It changes nothing.
 func (g *Governor) WriteView(now Time, v *View) {
 	*v = View{At: now, Replicas: v.Replicas[:0], Levels: v.Levels[:0], EntriesWaiting: g.queuedEntries, EntryCapacity: g.cfg.entryCapacity / maxChannelFill,
 		Proxies: len(g.proxies), Unbound: len(g.unbound), MessageLimit: g.cfg.messageLimit, Tables: len(g.tables), Steps: g.step,
--- a/rules/weigh.go
+++ b/rules/weigh.go
@@ -11,26 +11,26 @@
 	rampStartShare  = 0.1     // a new replica's first part of its fair share (design)
 	rampSpan        = 5.0 / 9 // the ramp's length by the longest warm-up; 10 s where that is 18 s (design)
 	coldLoadShare   = 0.8     // part of a cold replica's least capacity that it may be sent
-	avoidShare      = 0.6     // with this share of tries dropped, a cold replica gets no line; less in small parts
-	avoidSpeedup    = 2.0     // all the less, as proxies need a part of the time until sums tell to avoid others
+	avoidShare      = 0.6     // with this share of attempts dropped, a cold replica gets no entry; less in small parts
+	avoidSpeedup    = 2.0     // all the less, as proxies need a part of the time until statistics tell to avoid others
 	speedPeriods    = 8.0     // speeds, and shares of traffic groups, are learnt over so many periods
 	outlierFactor   = 3.0     // dropping so many times more than the rest is bad; bounds a measured speed too
-	trialShare      = 0.15    // part of its fair share that a replica held out still gets
-	levelDelay      = 3       // reviews until the sums show what a changed level did
+	trialShare      = 0.15    // part of its fair share that an ejected replica still gets
+	levelDelay      = 3       // reviews until the statistics show what a changed level did
 	minTableProxies = 5.0     // there are no more tables than one for so many proxies
-	minSubsetSize   = 8.0     // a table leans on so many replicas or more
-	outsideShare    = 0.05    // by a table's part, what all replicas outside it weigh in it
+	minSubsetSize   = 8.0     // a table prefers so many replicas or more
+	outsideShare    = 0.05    // by a table's subset, what all replicas outside it weigh in it
 	maxSubsetSkew   = 1.25    // a part has at most so many times the spare capacity of another, by their flows
 )
 
 // createTables makes the tables: one of all replicas for all proxies and, for groups that stay in their zone, one a zone.
 //
-// Exception for size, where all lines of one table cannot be sent anew within a period's part of the
-// channel: a table for every few proxies, which leans on a part of the replicas and names the others at a
-// small weight. That is against changed lines that cost more than the channel has, and more connections than
+// Exception for size, where all entries of one table cannot be sent anew within a period's part of the
+// channel: a table for every few proxies, which prefers a subset of the replicas and names the others at a
+// small weight. That is against changed entries that cost more than the channel has, and more connections than
 // replicas accept; it should also catch handshakes that eat the fleet. Tables for groups that stay in their
-// zone have pairs among the common ones with the same proxies and, at first, the same part, so that both
-// share connections. Harm: a part is a smaller sample than the fleet, so share keeps parts even.
+// zone have pairs among the common ones with the same proxies and, at first, the same subset, so that both
+// share connections. Harm: a subset is a smaller sample than the fleet, so share keeps subsets even.
 func (g *Governor) createTables(replicas float64) {
 	zones := g.cfg.zones
 	n := int(min(g.cfg.proxies/minTableProxies/(1+indicator(zones > 0)), replicas/minSubsetSize))
@@ -53,7 +53,7 @@
 
 // weigh sets the wanted weights, by spare capacity under the bounds of bound.
 //
-// While the fleet is jammed and nothing can be blocked, an even load makes every replica late. Then listed weights
+// While the fleet is saturated and nothing can be blocked, an even load makes every replica late. Then listed weights
 // stand: some replicas stay in time, and full ones turn the excess away at once. Harm: where listed weights are far
 // from true speeds, a short jam moves more flows than it need.
 func (g *Governor) weigh(now Time) {
@@ -87,8 +87,8 @@
 	g.distribute(now, common, 0)
 }
 
-// distribute sets the weights in tables of one kind, home ones of one zone, each by the spare capacity of its part. New
-// replicas go to the part that has least by its flows, and others are moved until parts are about even. So all
+// distribute sets the weights in tables of one kind, home ones of one zone, each by the spare capacity of its subset. New
+// replicas go to the subset that has least by its flows, and others are moved until subsets are about even. So all
 // tables together still send each replica what one table would.
 func (g *Governor) distribute(now Time, kind int, zone ZoneID) {
 	var tables []*table
@@ -147,17 +147,17 @@
 	}
 }
 
-// outsideWeight is a replica's weight in a table that leans on others.
+// outsideWeight is a replica's weight in a table that prefers others.
 func (t *table) outsideWeight(r *replica) float64 { return 100 * outsideShare * r.size / t.totalSize }
 
 // shareLimit limits a replica's share, by its fair share. A started one climbs the design's ramp, and is never sent more
 // work than its least capacity at that age can do, as many cold at once or a high load would have it. Where proxies
 // avoid replicas that failed them, a fleet that drops much sends a cold one far more than its weight says; so its
-// line shrinks, then goes, as far as a proxy meets a replica often enough to avoid it before sums tell. Before the
-// first sums it gets none. Harm: new ones help late.
+// line shrinks, then goes, as far as a proxy meets a replica often enough to avoid it before statistics tell. Before the
+// first statistics it gets none. Harm: new ones help late.
 //
 // One that holds more than it answers within the least latency budget is cut by the square of that: what it is sent
-// comes late. Against replicas that slow down while their load, at 1, tells no more; it also catches stolen cores
+// comes late. Protects against replicas that slow down while their load, at 1, tells no more; it also catches stolen cores
 // and speeds taken too high. Harm: it comes back some seconds after its queue has gone.
 func (g *Governor) shareLimit(now Time, r *replica) float64 {
 	if r.ejected {
@@ -193,9 +193,9 @@
 	return most
 }
 
-// assignWeights shares a table's 100 among its part by spare capacity; what a bound cuts off goes to the others. Bounds are
+// assignWeights shares a table's 100 among its subset by spare capacity; what a bound cuts off goes to the others. Bounds are
 // by the fair share of all flows of its kind, since a few proxies may have more than their part. Where all are
-// bound, what they cannot take goes to the replicas named beside the part, or, where there are none, they share it
+// bound, what they cannot take goes to the replicas named beside the subset, or, where there are none, they share it
 // by their bounds; cold ones only as far as they surely stand, so long as one is warm.
 func (t *table) assignWeights(flows, room float64) {
 	size, all := t.totalSize*(t.flows+1)/flows, t.spareCapacity()
