--- a/controlplane/chainreplication/doc.go
+++ b/controlplane/chainreplication/doc.go
@@ -10,7 +10,7 @@
 // that very view only, so a head that was replaced or cut off commits nothing. At a new view the head forwards its register
 // once more. As members keep their order in the chain, the head's register is at least as new as any other's, so what it
 // forwards replaces what a member held, including commands that an earlier head had taken and nobody had acknowledged. See
-// docs/design/core.md, rules 1, 4, 5, 11 and 12.
+// docs/design/control-plane.md, rules 1, 4, 5, 11 and 12.
 //
 // The package is free of I/O. Replica is a deterministic state machine: the caller passes in commands, messages and the
 // time, and carries out what the returned Ready asks for.
--- a/controlplane/controller/controller.go
+++ b/controlplane/controller/controller.go
@@ -68,8 +68,8 @@
 	connectedPeers    map[string]bool // by identity, at the last gossip
 	peerGatewayCounts map[string]int  // by identity
 
-	isolated      bool // no contact with a quorum
-	reconnectedAt time.Duration
+	isolated      bool          // no contact with a quorum
+	reconnectedAt time.Duration // when contact with a quorum was last regained
 	shuttingDown  bool
 
 	// Stall detection.
@@ -109,7 +109,7 @@
 		persisted.Instances[i].HeartbeatAgeMillis = 0 // alive now, as far as is known; those that are not will time out
 	}
 	c.registry.Merge(now, persisted.Instances)
-	// If an evacuation finished while this member was away, the commit that tells of it finds the zone here.
+	// If an evacuation finished while this member was down, the commit that it learns of then must find the zone among the evacuated ones.
 	c.evacuatedZones = sortedKeys(persisted.Register.EvacuatedZones)
 	c.coordinator = coordinator.New(self, persisted, options.Seeds, rand.New(&c.random).Float64, instanceHints{c})
 	return c
@@ -118,13 +118,13 @@
 // PersistentState encodes what must be on disk now. It must be there before the process listens for anybody.
 func (c *Controller) PersistentState() ([]byte, error) { return c.coordinator.EncodeState() }
 
-// Describe tells how the control plane stands, as this member knows.
+// Describe returns the status of the control plane as this member knows it.
 func (c *Controller) Describe(now time.Duration) coordinator.Status { return c.coordinator.Status(now) }
 
 // Coordinator is the replicated state's part, for inspection only.
 func (c *Controller) Coordinator() *coordinator.Coordinator { return c.coordinator }
 
-// Config is the committed configuration; nil: there is none yet.
+// Config is the committed configuration, or nil if there is none yet.
 func (c *Controller) Config() *gatewayconfig.Config { return c.config }
 
 // Step takes an event that happened at now, by the monotonic clock, and returns what is to be done.
--- a/controlplane/controller/events.go
+++ b/controlplane/controller/events.go
@@ -36,7 +36,7 @@
 	WallClock time.Duration `cbor:"17,keyasint,omitempty"` // the time of day, with any event; 0: not known
 }
 
-// GatewayJoined tells of a gateway's new stream.
+// GatewayJoined is a gateway's new stream.
 type GatewayJoined struct {
 	Stream  uint64 `cbor:"1,keyasint"` // never used before
 	Gateway string `cbor:"2,keyasint"`
--- a/controlplane/controller/fleet.go
+++ b/controlplane/controller/fleet.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// fleetReportTTL: what a gateway or another member told of nodes counts for so long.
+	// fleetReportTTL: what a gateway or another member has reported of nodes counts for so long.
 	fleetReportTTL = 2500 * time.Millisecond
 
 	// fleetDiscoveryPeriod: a member that has just started doesn't know all nodes for so long.
 	fleetDiscoveryPeriod = 3 * time.Second
 )
 
-// peerFleet is what another member told of its gateways.
+// peerFleet is what another member has reported of its gateways.
 type peerFleet struct {
 	receivedAt time.Duration
 	fleet      messages.GatewaySummary
@@ -60,8 +60,8 @@
 	return node
 }
 
-// knownFleet is what is known of all nodes. It is complete once this member has run for a while and every member that can be reached has told
-// of its gateways lately; the gateways of the others go elsewhere within a second.
+// knownFleet is what is known of all nodes. It is complete once this member has run for a while and every member that can be reached has
+// reported its gateways lately; the gateways of the others connect to one of these within a second.
 func (c *Controller) knownFleet(now time.Duration) maintenance.Fleet {
 	fleet := maintenance.Fleet{Load: map[string]map[string]float64{}, Complete: now > fleetDiscoveryPeriod}
 	listed := map[string]bool{}
@@ -80,7 +80,7 @@
 	return fleet
 }
 
-// addSummary adds the nodes and the load of one member's gateways. A node that has just changed sides may stand in two summaries.
+// addSummary adds the nodes and the load of one member's gateways. A node whose gateway has just changed members may be in two summaries.
 func addSummary(fleet *maintenance.Fleet, listed map[string]bool, summary messages.GatewaySummary) {
 	for _, node := range summary.Nodes {
 		if !listed[node.Name] {
@@ -115,7 +115,7 @@
 	Capacity map[string]float64 `json:"carries"` // requests a second, by group
 }
 
-// DescribeMaintenance tells operators how maintenance windows stand, as this member knows: a MaintenanceStatus in JSON.
+// DescribeMaintenance returns the status of the maintenance windows as this member knows it: a MaintenanceStatus in JSON.
 func (c *Controller) DescribeMaintenance(now time.Duration) ([]byte, error) {
 	fleet := c.knownFleet(now)
 	status := MaintenanceStatus{
--- a/controlplane/controller/gossip.go
+++ b/controlplane/controller/gossip.go
@@ -41,15 +41,15 @@
 	c.mergeInstances(now, message.Instances)
 }
 
-// broadcastInstances tells the other members of instances at once.
+// broadcastInstances sends instances to the other members at once.
 func (c *Controller) broadcastInstances(now time.Duration, instances []registry.Instance) {
 	for _, peer := range c.coordinator.Peers(now) {
 		c.send(peer.Addr, Message{Instances: instances})
 	}
 }
 
-// gossip tells each other member which replicas have sent heartbeats here and what has changed lately; a member that can be reached again is
-// told all that is known.
+// gossip sends each other member the heartbeats that arrived here and the instances that changed lately; a member that has become reachable
+// again is sent all instances.
 func (c *Controller) gossip(now time.Duration) {
 	if now < c.nextGossipAt {
 		return
@@ -85,7 +85,7 @@
 	return c.registry.ChangesSince(now, c.gossipRevisions[0].revision)
 }
 
-// forgetUnreachablePeers drops what members that can't be reached told of their gateways, which go elsewhere.
+// forgetUnreachablePeers drops what members that can't be reached have reported of their gateways, as these connect to other members.
 func (c *Controller) forgetUnreachablePeers(now time.Duration) {
 	for _, id := range sortedKeys(c.peerGatewayCounts) {
 		if !c.coordinator.IsReachable(now, id) {
--- a/controlplane/controller/instances.go
+++ b/controlplane/controller/instances.go
@@ -17,7 +17,7 @@
 		if change.Urgent {
 			c.logInfo("draining", "instance", heartbeat.ID)
 		}
-		if change.Urgent || heartbeat.WarmupMillis > 0 { // the others may hold it as warm, or as warming up for a shorter time
+		if change.Urgent || heartbeat.WarmupMillis > 0 { // the others may know it as warm, or as warming up for a shorter time
 			c.broadcastInstances(now, []registry.Instance{heartbeat})
 		}
 		c.publish(now, change.Urgent)
@@ -49,7 +49,7 @@
 	c.respond(Response{Token: token, Status: http.StatusOK})
 }
 
-// deregister ends an instance, at its own request or on a gateway's proof, and tells everybody at once.
+// deregister ends an instance, at its own request or on a gateway's proof, and notifies all members and gateways at once.
 func (c *Controller) deregister(now time.Duration, id, by string) {
 	if !c.registry.Deregister(now, id) {
 		return
@@ -59,7 +59,7 @@
 	c.publish(now, true)
 }
 
-// mergeInstances takes in instances that another member or a gateway has told of.
+// mergeInstances takes in instances that another member or a gateway has reported.
 func (c *Controller) mergeInstances(now time.Duration, instances []registry.Instance) {
 	if len(instances) == 0 {
 		return
--- a/controlplane/controller/publication.go
+++ b/controlplane/controller/publication.go
@@ -14,7 +14,8 @@
 	// publishInterval: changes that are not urgent are published this often.
 	publishInterval = 200 * time.Millisecond
 
-	// keepaliveInterval: every gateway hears at least this often.
+	// keepaliveInterval: every gateway is sent an update at least this often, also an empty one. It must stay below
+	// router.WarmupRateLifetime and the stream timeout of package gateway.
 	keepaliveInterval = 400 * time.Millisecond
 
 	// bootstrapIntervals is the number of heartbeat intervals after which a member that has started, or was isolated, knows all instances.
@@ -56,7 +57,7 @@
 	}
 }
 
-// snapshotsDue tells whether a gateway waits for its snapshot. A snapshot without the instances would say that there are none, so the round
+// snapshotsDue reports whether a gateway waits for its snapshot. A snapshot without the instances would say that there are none, so the round
 // that sends it must be complete.
 func (c *Controller) snapshotsDue() bool {
 	for _, stream := range c.streams {
@@ -171,7 +172,7 @@
 	return true
 }
 
-// publishEjection tells the gateways at once that a replica is ejected. Gateways that wait for their snapshot don't know it yet.
+// publishEjection notifies the gateways at once that a replica is ejected. Gateways that wait for their snapshot don't know it yet.
 func (c *Controller) publishEjection(ejection outlier.Ejection) {
 	publication := Publication{Update: messages.StateUpdate{Ejections: []outlier.Ejection{ejection}}}
 	for _, stream := range c.streams {
@@ -184,7 +185,7 @@
 	}
 }
 
-// bootstrapping tells whether this member may not know all instances, as it has just started or was isolated.
+// bootstrapping reports whether this member may not know all instances, as it has just started or was isolated.
 func (c *Controller) bootstrapping(now time.Duration) bool {
 	return c.isolated || now-c.reconnectedAt < time.Duration(bootstrapIntervals*float64(c.options.HeartbeatInterval))
 }
--- a/controlplane/controller/replication.go
+++ b/controlplane/controller/replication.go
@@ -16,8 +16,8 @@
 // Revision is the registry's.
 func (h instanceHints) Revision() uint64 { return h.controller.registry.Revision() }
 
-// Instances lists all instances. Those that turn cold, or may have, as the evacuation of their zone finishes are marked as stale: the very
-// write that these go with may be the one that finishes it.
+// Instances lists all instances. Those that have to warm up, or may have to, once the evacuation of their zone finishes are marked as stale:
+// the write that they are part of may be the one by which it finishes.
 func (h instanceHints) Instances() []registry.Instance {
 	instances := h.controller.registry.ChangesSince(h.controller.lastTickAt, registry.AllRevisions)
 	for i, instance := range instances {
@@ -104,8 +104,8 @@
 	c.logInfo("config_committed", "version", register.Version, "sequence", register.Sequence, "routes", config.RouteCount)
 }
 
-// updateEvacuations notes which zones are evacuated. Where an evacuation has finished, the zone's instances count as warming up until they
-// have told how they are.
+// updateEvacuations notes which zones are evacuated. Where an evacuation has finished, the zone's instances count as warming up until their
+// next heartbeats say whether they are.
 func (c *Controller) updateEvacuations(now time.Duration, register chainreplication.Register) {
 	for _, zone := range c.evacuatedZones {
 		if !register.EvacuatedZones[zone] {
--- a/controlplane/controller/streams.go
+++ b/controlplane/controller/streams.go
@@ -40,9 +40,9 @@
 	return nil
 }
 
-// handleGatewayJoined has a gateway wait until a quorum has confirmed, after it came, that the register committed here is the newest: else a
-// gateway that has just started could be handed what this member knew before it was cut off or stood still. Gateways that come while a read
-// is under way wait for the next one.
+// handleGatewayJoined has a gateway wait until a quorum has confirmed, after it connected, that the register committed here is the newest:
+// else a gateway that has just started could be sent what this member knew before it was cut off or stalled. Gateways that connect while a
+// read is under way wait for the next one.
 func (c *Controller) handleGatewayJoined(now time.Duration, joined GatewayJoined) {
 	if c.shuttingDown {
 		c.closeStream(joined.Stream)
@@ -64,7 +64,7 @@
 	c.applyCoordinatorActions(now, actions)
 }
 
-// completeJoins lets in the gateways for which a read was made, or closes their streams where it failed, so that they go to another member.
+// completeJoins lets in the gateways for which a read was made, or closes their streams if it failed, so that they connect to another member.
 func (c *Controller) completeJoins(now time.Duration, readErr error) {
 	joins := c.confirmingJoins
 	c.confirmingJoins = nil
@@ -83,7 +83,7 @@
 	c.confirmJoins(now)
 }
 
-// handleGatewayLeft drops a stream that has ended, wherever its gateway stood.
+// handleGatewayLeft drops a stream that has ended, whether or not its gateway was let in yet.
 func (c *Controller) handleGatewayLeft(now time.Duration, streamID uint64) {
 	isStream := func(join GatewayJoined) bool { return join.Stream == streamID }
 	c.pendingJoins = slices.DeleteFunc(c.pendingJoins, isStream)
@@ -100,7 +100,7 @@
 	c.logInfo("gateway_left", "gateway", left.gateway)
 }
 
-// handleReport takes a gateway's load report. Instances that another member told it of are merged as if that member had told them here.
+// handleReport takes a gateway's load report. Instances that the gateway knows from another member are merged as if that member had sent them.
 func (c *Controller) handleReport(now time.Duration, streamID uint64, report *messages.LoadReport) {
 	stream := c.findStream(streamID)
 	if stream == nil {
--- a/controlplane/controller/tick.go
+++ b/controlplane/controller/tick.go
@@ -6,20 +6,20 @@
 const TickInterval = 100 * time.Millisecond
 
 const (
-	// stallThreshold: after so long between two ticks no heartbeat that is missing proves anything.
+	// stallThreshold: after so long between two ticks a missing heartbeat of a replica proves nothing.
 	stallThreshold = time.Second
 
 	// lateTickThreshold: after so long between two ticks, what comes next may have lain in a socket meanwhile.
 	lateTickThreshold = 500 * time.Millisecond
 
-	// callRejectionPeriod: calls that change something are rejected for so long after a stall.
+	// callRejectionPeriod: heartbeats and commands are rejected for so long after a stall, see rejectsCalls.
 	callRejectionPeriod = 300 * time.Millisecond
 
 	outlierSweepInterval = 2 * time.Second
 )
 
-// detectStall notices that this member stood still, or, by the time of day, that its monotonic clock stood still with it. The time of day may
-// also have been set; then contact with the others is made anew without need, which takes one heartbeat.
+// detectStall detects that this member has stalled: by a late tick or, where its monotonic clock stopped as well, by the time of day. If it
+// was only the time of day that was set, contact with the others is established anew without need, which takes one heartbeat.
 func (c *Controller) detectStall(now, wallClock time.Duration) {
 	if now-c.lastTickAt > lateTickThreshold {
 		c.resumedAt = now
@@ -37,15 +37,15 @@
 	c.wallClockAt = now
 }
 
-// rejectsCalls tells whether a call may have been sent long ago: its caller may have gone on to another member since, and what it asks may
-// have been undone.
+// rejectsCalls reports whether a call may have been sent before a stall: its caller may have gone on to another member since, and what it asks
+// for may have been undone. A deregistration is taken all the same, as it is final whenever it was sent.
 func (c *Controller) rejectsCalls(now time.Duration) bool {
 	return c.resumedAt+callRejectionPeriod > now
 }
 
 // tick does what is due as time passes.
 func (c *Controller) tick(now time.Duration) {
-	if stalled := now - c.lastTickAt; stalled > stallThreshold { // frozen or starved: it could hear nobody meanwhile
+	if stalled := now - c.lastTickAt; stalled > stallThreshold { // frozen, or starved of CPU: it received nothing meanwhile
 		c.logWarning("stalled", "stall_duration", stalled)
 		c.registry.ExtendHeartbeats(now)
 	}
@@ -61,7 +61,7 @@
 		for _, id := range c.registry.Expire(now) {
 			c.logInfo("heartbeat_timed_out", "instance", id)
 		}
-	case now-c.resumedAt > callRejectionPeriod: // the gateways are better off with another member
+	case now-c.resumedAt > callRejectionPeriod: // the gateways should connect to another member
 		for _, stream := range c.streams {
 			c.closeStream(stream.id)
 		}
@@ -73,7 +73,7 @@
 	c.actions.ShutdownComplete = c.shuttingDown && c.coordinator.LeaveComplete(now)
 }
 
-// updateContact notes that this member has lost contact with a quorum, or has it back: then it could hear nobody meanwhile.
+// updateContact notes that this member has lost contact with a quorum, or has regained it. While it had none it may have missed heartbeats.
 func (c *Controller) updateContact(now time.Duration) {
 	isolated := !c.coordinator.HasQuorumContact(now)
 	if isolated == c.isolated {
--- a/controlplane/controller/warmup.go
+++ b/controlplane/controller/warmup.go
@@ -13,12 +13,12 @@
 const warmupRateShare = 0.9
 
 // warmupRateDelay is for how long a member that has just started, or was isolated, gives out no warm-up rates: until those that it gave out
-// before have lapsed at the gateways.
+// before have expired at the gateways.
 const warmupRateDelay = router.WarmupRateLifetime + 100*time.Millisecond
 
 // allocateWarmupRates gives, for each instance that is warming up, one of this member's gateways the right to send it requests: requests a
 // second, by gateway and instance. Each voter of the view gives out an equal part of what the instance bears, whether or not the others
-// live, so that the sum holds while members fail and gateways change sides.
+// are alive, so that the sum holds while members fail and gateways change members.
 func (c *Controller) allocateWarmupRates(now time.Duration) map[*gatewayStream]map[string]float32 {
 	rates := map[*gatewayStream]map[string]float32{}
 	view := c.coordinator.View()
@@ -58,7 +58,7 @@
 	return best
 }
 
-// warmingUp tells whether an instance takes requests at its warm-up rate only.
+// warmingUp reports whether an instance takes requests at its warm-up rate only.
 func warmingUp(instance registry.Instance) bool {
 	return !instance.Draining && (instance.WarmupMillis != 0 || instance.WarmthUnknown || instance.Stale)
 }
--- a/controlplane/coordinator/coordinator.go
+++ b/controlplane/coordinator/coordinator.go
@@ -5,7 +5,7 @@
 // The package is free of I/O and of goroutines. Each call says what has happened and returns Actions that say what to do; the
 // clock and the random source are passed in. The control-plane server and the simulation drive the same code.
 //
-// The design, and what each rule protects against, is described in docs/design/core.md.
+// The design, and what each rule protects against, is described in docs/design/control-plane.md.
 package coordinator
 
 import (
--- a/controlplane/maintenance/state.go
+++ b/controlplane/maintenance/state.go
@@ -66,10 +66,10 @@
 	Complete bool                          // the nodes of every control-plane member are in it
 }
 
-// Enabled tells whether maintenance windows are used at all.
+// Enabled reports whether maintenance windows are used at all.
 func (s State) Enabled() bool { return len(s.AgreedFloors) > 0 || len(s.Windows) > 0 }
 
-// IsOut tells whether a node counts as out.
+// IsOut reports whether a node counts as out.
 func (s State) IsOut(node string) bool {
 	i := s.indexOf(node)
 	return i >= 0 && s.Windows[i].Phase != Requested
--- a/controlplane/membership/consensus.go
+++ b/controlplane/membership/consensus.go
@@ -65,7 +65,7 @@
 	}
 	// A view that was accepted here may have been decided, though its proposer may have failed: no voter that knows of
 	// it confirms the present view, and no linearizable read can be answered, until that agreement is finished
-	// (docs/design/core.md, rule 10).
+	// (docs/design/control-plane.md, rule 10).
 	if node.state.AcceptedView != nil && node.HasQuorumContact(now) && !node.diskUnhealthy {
 		return *node.state.AcceptedView, true
 	}
--- a/controlplane/membership/contact.go
+++ b/controlplane/membership/contact.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// This file is the lease of contact, which rests on echoes of clock readings (docs/design/core.md, rule 8). Contact counts
+// This file is the contact lease, which rests on echoes of clock readings (docs/design/control-plane.md, rule 8). Contact counts
 // from the sending of a reading that was echoed, never from the arrival of a message: that may have lain in a socket while
 // this machine was frozen or cut off.
 
--- a/controlplane/membership/node.go
+++ b/controlplane/membership/node.go
@@ -13,12 +13,12 @@
 	// HeartbeatInterval is how often a node sends heartbeats to every peer.
 	HeartbeatInterval = 200 * time.Millisecond
 
-	// maxTickGap bounds the time between two ticks of a running node. After a longer gap it was this node that was held
-	// up, so the silence meanwhile says nothing about its peers.
+	// maxTickGap bounds the time between two ticks of a running node. After a longer gap it was this node that stalled, so
+	// the silence meanwhile says nothing about its peers.
 	maxTickGap = 400 * time.Millisecond
 )
 
-// neverTicked stands for the time of the last tick before there was one.
+// neverTicked is the time of the last tick before there was one.
 const neverTicked Time = -1
 
 // DurableState is what must be on stable storage before a message that rests on it is sent. The ballots and the accepted
--- a/controlplane/membership/replacement.go
+++ b/controlplane/membership/replacement.go
@@ -12,7 +12,7 @@
 // synced as a learner. Once a commit has shown that it was, it takes the seat of a voter that has failed or left, in the
 // same step, so that the number of losses that can be borne does not shrink in between. A member that leaves stays in the
 // chain until the others can do without it. An even number of voters bears no more losses than one less, so a failed
-// voter is dropped from an even number. See docs/design/core.md, rules 3, 6, 13 and 15.
+// voter is dropped from an even number. See docs/design/control-plane.md, rules 3, 6, 13 and 15.
 
 const (
 	// joinStabilityPeriod is how long a machine must have been reachable without a gap before it joins the chain.
--- a/controlplane/membership/view.go
+++ b/controlplane/membership/view.go
@@ -19,7 +19,7 @@
 	Chain  []string `cbor:"3,keyasint"` // Identities, head first.
 
 	// Unsynced lists the chain members that may not hold yet what their predecessors hold. None of them may become the
-	// head before a commit in this view has shown that it was synced (docs/design/core.md, rule 6).
+	// head before a commit in this view has shown that it was synced (docs/design/control-plane.md, rule 6).
 	Unsynced []string `cbor:"4,keyasint,omitempty" json:"Fresh"`
 
 	// Learners are part of the chain, where they are synced, but do not vote. There is at most one.
--- a/controlplane/registry/expiry.go
+++ b/controlplane/registry/expiry.go
@@ -39,7 +39,7 @@
 }
 
 // ExtendHeartbeats leaves every instance at least half of the heartbeat timeout. It is called after this process was frozen or cut off and
-// could hear nobody, as etcd extends its leases after a change of leader.
+// could receive no heartbeats, as etcd extends its leases after a change of leader.
 func (r *Registry) ExtendHeartbeats(now time.Duration) {
 	for _, id := range r.sortedIDs {
 		known := r.records[id]
@@ -51,8 +51,8 @@
 	}
 }
 
-// MarkWarmthUnknown is called when the evacuation of a zone has finished: its instances may have turned cold, and count as warming up until
-// a later heartbeat tells how they are.
+// MarkWarmthUnknown is called when the evacuation of a zone has finished: its instances may have become cold, and count as warming up until
+// a later heartbeat says whether they are.
 func (r *Registry) MarkWarmthUnknown(now time.Duration, zone string) {
 	for _, id := range r.sortedIDs {
 		if known := r.records[id]; known.Zone == zone && !known.Deregistered {
--- a/controlplane/registry/instance.go
+++ b/controlplane/registry/instance.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Instance is one run of a replica process, as control-plane members and gateways tell one another about it. Durations are relative, so
+// Instance is one run of a replica process, as control-plane members and gateways exchange it. Durations are relative, so
 // that they hold on the clock of whoever receives them.
 type Instance struct {
 	ID       string `cbor:"1,keyasint"`
@@ -24,16 +24,16 @@
 	// HeartbeatAgeMillis is the time since the latest heartbeat, in milliseconds.
 	HeartbeatAgeMillis int64 `cbor:"10,keyasint,omitempty" json:"Age"`
 
-	// WarmthUnknown is set while the instance may have turned cold since its latest heartbeat, as the evacuation of its zone has just
-	// finished.
+	// WarmthUnknown is set while the instance may have become cold, so that it has to warm up again, since its latest heartbeat: the
+	// evacuation of its zone has just finished.
 	WarmthUnknown bool `cbor:"11,keyasint,omitempty" json:"Doubt"`
 
 	// HeartbeatTimedOut is the judgement of one process alone, withdrawn by the next heartbeat. It is neither taken over from others nor
-	// final: a member that was frozen has heard nobody, and must not deregister the whole fleet when it resumes.
+	// final: a member that was frozen has received no heartbeats, and must not deregister the entire fleet when it resumes.
 	HeartbeatTimedOut bool `cbor:"12,keyasint,omitempty" json:"Silent"`
 
-	// Stale is set on what comes from a disk that holds the zone as evacuated, or from a gateway that was long without a control plane:
-	// the instance may have turned cold since. Whoever has other knowledge of the instance ignores a stale report; whoever has none
+	// Stale is set on what comes from a disk that records the zone as evacuated, or from a gateway that was long without a control plane:
+	// the instance may have become cold since. Whoever has other knowledge of the instance ignores a stale report; whoever has none
 	// treats the instance as warming up until a newer report comes.
 	Stale bool `cbor:"13,keyasint,omitempty" json:"Old"`
 }
@@ -46,10 +46,10 @@
 	return time.Duration(i.HeartbeatAgeMillis) * time.Millisecond
 }
 
-// neverHeard stands for a direct heartbeat that never came: it is further back than any clock reads.
+// neverHeard is the time of a direct heartbeat that never came: it is earlier than any clock reads.
 const neverHeard = -time.Hour
 
-// record is what the registry holds of one instance. Its times are readings of the local monotonic clock.
+// record is what the registry knows of one instance. Its times are readings of the local monotonic clock.
 type record struct {
 	Instance
 	revision              uint64 // of the registry, at the latest change
@@ -69,7 +69,7 @@
 	return instance
 }
 
-// markWarmthUnknown notes that the instance may have turned cold after the heartbeat of that sequence.
+// markWarmthUnknown notes that the instance may have become cold after the heartbeat of that sequence.
 func (r *record) markWarmthUnknown(now time.Duration, sequence uint64) {
 	r.WarmthUnknown = true
 	r.warmthUnknownSince = now
--- a/controlplane/registry/merge.go
+++ b/controlplane/registry/merge.go
@@ -10,21 +10,22 @@
 	// heartbeats on their way.
 	warmupEarlierThreshold = 400 * time.Millisecond
 
-	// warmupLaterThreshold: so does one that comes that much later, as the instance has turned cold anew.
+	// warmupLaterThreshold: so is one that comes that much later, as the instance has become cold again.
 	warmupLaterThreshold = 20 * time.Millisecond
 
-	// warmthUnknownMergeInterval: after the warmth of an instance became unknown, it isn't taken over for so long from members that
-	// still hold it as unknown.
+	// warmthUnknownMergeInterval: for so long after the warmth of an instance became unknown, that it is unknown isn't taken over anew
+	// from other members, which may not know of the later heartbeat yet.
 	warmthUnknownMergeInterval = 10 * time.Second
 
-	// warmthUnknownGrace: a heartbeat sent so shortly after the warmth became unknown may tell of the time before.
+	// warmthUnknownGrace: a heartbeat sent so shortly after the warmth became unknown may describe the time before.
 	warmthUnknownGrace = 50 * time.Millisecond
 
-	// warmthUnknownSequences: where a heartbeat came through another member, it settles the warmth only from that many further on.
+	// warmthUnknownSequences: a heartbeat that came through another member shows the warmth only if its sequence is that much higher
+	// than the one known when the warmth became unknown.
 	warmthUnknownSequences = 2
 )
 
-// instanceReport is what somebody tells of an instance, and how it reached this process.
+// instanceReport is what a replica, a member or a gateway says of an instance, and how it reached this process.
 type instanceReport struct {
 	Instance
 	receivedAt time.Duration
@@ -49,12 +50,12 @@
 	return change
 }
 
-// Deregister ends an instance at its own request or on proof, and tells whether it was registered till then.
+// Deregister ends an instance at its own request or on proof, and reports whether it was registered until then.
 func (r *Registry) Deregister(now time.Duration, id string) bool {
 	return r.apply(&instanceReport{Instance: Instance{ID: id, Deregistered: true}, receivedAt: now, direct: true}).Changed
 }
 
-// Merge takes what another member or a gateway tells.
+// Merge takes in what another member or a gateway reports.
 func (r *Registry) Merge(now time.Duration, instances []Instance) Change {
 	var total Change
 	for _, instance := range instances {
@@ -113,7 +114,7 @@
 	return Change{Changed: true, Urgent: report.Draining || report.Deregistered || replaced}
 }
 
-// replaceAtAddr deregisters whoever was registered at the address of a new instance, and tells whether there was one: an address belongs
+// replaceAtAddr deregisters whoever was registered at the address of a new instance, and reports whether there was one: an address belongs
 // to one instance at a time.
 func (r *Registry) replaceAtAddr(now time.Duration, added *record) bool {
 	replaced := false
@@ -127,7 +128,7 @@
 	return replaced
 }
 
-// startDraining marks an instance as draining and tells whether that is new. Draining is never taken back, whatever the sequence.
+// startDraining marks an instance as draining and reports whether that is new. Draining is never taken back, whatever the sequence.
 func (r *record) startDraining(report *instanceReport) bool {
 	if !report.Draining || r.Draining {
 		return false
@@ -136,7 +137,7 @@
 	return true
 }
 
-// replaceStale takes over, in place of stale knowledge, what somebody knows who has heard as much of the instance.
+// replaceStale replaces stale knowledge by a report that rests on as late a heartbeat, and reports whether it did.
 func (r *record) replaceStale(report *instanceReport) bool {
 	if !r.Stale || report.Stale || report.Sequence < r.Sequence {
 		return false
@@ -149,7 +150,7 @@
 	return true
 }
 
-// advance takes in a report of a higher sequence than the known one, and tells whether anything but the heartbeat itself is new.
+// advance takes in a report of a higher sequence than the known one, and reports whether anything but the heartbeat itself is new.
 func (r *record) advance(report *instanceReport, heartbeatTimeout time.Duration) bool {
 	changed := r.mergeWarmthUnknown(report)
 	r.Sequence = report.Sequence
@@ -204,7 +205,8 @@
 	return true
 }
 
-// updateEndpoint takes over the service, address and capacity. Bare heartbeats carry none of them.
+// updateEndpoint takes over the service, address, capacity and zone. Bare heartbeats (DirectHeartbeats) carry none of them. A new field of
+// Instance that may change from one heartbeat to the next must be compared and copied here.
 func (r *record) updateEndpoint(report *instanceReport) bool {
 	if report.Addr == "" || r.Addr == report.Addr && r.Slots == report.Slots && r.Service == report.Service {
 		return false
--- a/controlplane/registry/registry.go
+++ b/controlplane/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry holds the instances of the replicas that are registered with the control plane: their heartbeats, draining and
-// deregistration. It is free of I/O; callers hand in the time.
+// Package registry keeps the instances of the replicas that are registered with the control plane: their heartbeats, draining and
+// deregistration. It is free of I/O; callers pass in the time.
 //
 // The registry is soft state. A member that lost it learns it again from the replicas' heartbeats, from the other members and from the
 // gateways. Three invariants make reports from any of them mergeable in any order: of one instance only a higher sequence brings
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Registry holds instances. The zero value is not ready; use New. Its methods must not be called concurrently.
+// Registry is a set of instances. The zero value is not ready; use New. Its methods must not be called concurrently.
 type Registry struct {
 	records          map[string]*record
 	sortedIDs        []string // every walk that has effects goes in this order, so that the same events give the same results
@@ -20,9 +20,9 @@
 	heartbeatTimeout time.Duration
 }
 
-// Change tells what a report changed in the registry.
+// Change is what a report changed in the registry.
 type Change struct {
-	Changed bool // something is new, and others are to be told
+	Changed bool // something is new, and others are to be notified
 	Urgent  bool // it must not wait: an instance drains or was deregistered
 }
 
@@ -31,7 +31,7 @@
 	return &Registry{records: map[string]*record{}, heartbeatTimeout: heartbeatTimeout}
 }
 
-// AllRevisions stands before the first revision: everything has changed since.
+// AllRevisions is before the first revision: everything has changed since.
 const AllRevisions = 0
 
 // Revision is the number of the latest change.
--- a/controlplane/weighting/manager.go
+++ b/controlplane/weighting/manager.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// listEntry is an instance as a governor is told of it.
+// listEntry is an instance as a governor's instance list has it.
 func (m *Manager) listEntry(now time.Duration, id rules.ReplicaID, instance registry.Instance) rules.Entry {
 	entry := rules.Entry{
 		Replica: id,
--- a/controlplane/weighting/service.go
+++ b/controlplane/weighting/service.go
@@ -80,7 +80,7 @@
 	s.tables[table][id] = weight
 }
 
-// takePending returns and clears what the governor is to be told at a tick.
+// takePending returns and clears the events that the governor is to take at a tick.
 func (s *service) takePending(now time.Duration) []rules.Event {
 	events := s.pending
 	s.pending = nil
--- a/dataplane/overflow/lease.go
+++ b/dataplane/overflow/lease.go
@@ -4,6 +4,8 @@
 // Spare capacity is lent by leases that expire: what a site has promised is off what it can promise to others, whether or not
 // it is used. A site that rejects requests of its own clients, or borrows itself, lends nothing; a guest request is never
 // forwarded again. So no two sites overflow into each other, and every request makes one hop at most.
+//
+// The daemons do not use this package yet; only internal/simulation drives it. See docs/design/overflow.md.
 package overflow
 
 import "time"
--- a/dataplane/router/warmup.go
+++ b/dataplane/router/warmup.go
@@ -4,7 +4,8 @@
 
 const (
 	// WarmupRateLifetime is how long warm-up rates hold after the last update of the member that assigned them. It is also
-	// the longest silence between two updates of one stream, see Apply.
+	// the longest silence between two updates of one stream, see Apply: the keepalive interval of package controller is
+	// less. A member that was isolated assigns no rates for longer than this (warmupRateDelay there).
 	WarmupRateLifetime = time.Second
 
 	// isolatedAfter is how long a gateway that hears no member sends to endpoints at any rate: as late as any update that
--- a/internal/modelcheck/membershipmodel/doc.go
+++ b/internal/modelcheck/membershipmodel/doc.go
@@ -1,5 +1,5 @@
 // Package membershipmodel checks the rules of packages membership and chainreplication by exhaustive exploration of two
-// models (docs/design/core.md):
+// models (docs/design/control-plane.md):
 //
 //   - The message model (messages_*.go) covers one or two agreements and the chain in every order of messages, which may be
 //     late, lost or repeated, of writes that reach the disk, of kills and of lost disks.
--- a/internal/modelcheck/membershipmodel/reconfiguration_candidates.go
+++ b/internal/modelcheck/membershipmodel/reconfiguration_candidates.go
@@ -6,7 +6,7 @@
 // candidateSearch collects the views that a member may want after the newest one. What it hears of others is modelled by
 // their faults.
 //
-// This states rules 3 and 6 of docs/design/core.md independently of membership.Node, and more freely: it has no clocks, so
+// This states rules 3 and 6 of docs/design/control-plane.md independently of membership.Node, and more freely: it has no clocks, so
 // any set of those that seem to have failed may be dropped, at any time.
 type candidateSearch struct {
 	model         *reconfigurationModel
--- a/internal/simulation/familyreplacements.go
+++ b/internal/simulation/familyreplacements.go
@@ -38,7 +38,7 @@
 
 func (g *generator) addSpare(at time.Duration) { g.append(Fault{At: at, Kind: AddSpareMember}) }
 
-// addRemoval has a member go, without a word or in order.
+// addRemoval has a member lost for good, or shut down gracefully.
 func (g *generator) addRemoval(at time.Duration) {
 	g.append(g.withTarget(Fault{At: at, For: g.returnDelay(), Kind: g.kind(RemoveMember, ShutDownMember)}))
 }
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -29,7 +29,7 @@
 	CutFromMembers  FaultKind = "island"  // in both directions, while gateways and operators reach it
 	CutFromInbound  FaultKind = "deaf"    // of what other members send
 	CutFromOutbound FaultKind = "mute"    // of what it sends to other members
-	RemoveMember    FaultKind = "gone"    // without a word and for good, or with For set until it comes back with its disk
+	RemoveMember    FaultKind = "gone"    // without notice and for good, or with For set until it comes back with its disk
 	ShutDownMember  FaultKind = "leave"   // by SIGTERM, for good or until it comes back
 	AddSpareMember  FaultKind = "spare"   // a new machine at a new address; Target and Role mean nothing
 )
--- a/internal/simulation/faultmoment.go
+++ b/internal/simulation/faultmoment.go
@@ -17,7 +17,7 @@
 	maxDelayAfterAnswer   = 4 * time.Millisecond
 	maxDelayAfterView     = 6 * time.Millisecond
 	maxDelayAtOnce        = 8 * time.Millisecond   // with When set: at once,
-	maxDelayWhileSettling = 700 * time.Millisecond // or while the view settles
+	maxDelayWhileSettling = 700 * time.Millisecond // or while members still follow the view
 
 	maxRestartSpread = 300 // milliseconds, below which members of one fault start one after the other
 )
--- a/internal/simulation/memberlifecycle.go
+++ b/internal/simulation/memberlifecycle.go
@@ -20,7 +20,7 @@
 	controlLinkMbps  = 1000
 )
 
-// The zones and regions that members are told of.
+// The zones and regions in the settings of members.
 var (
 	memberZones   = []string{"a", "b", "c"}
 	regionsByZone = map[string]string{"a": "r0", "b": "r1", "c": "r2"}
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// clockDrift is by how much clocks may run faster or slower than simulated time, all told.
+// clockDrift is the width of the range from which clocks' rates are drawn, around that of simulated time.
 const clockDrift = 0.004
 
 // process is what members and gateways have in common: a process on a machine with links and a clock, which may be killed,
--- a/peersampling/descriptor.go
+++ b/peersampling/descriptor.go
@@ -29,7 +29,7 @@
 	Age  uint16 `cbor:"4,keyasint,omitempty"` // rounds since the process itself was last heard
 }
 
-// valid tells whether a received descriptor may enter a view.
+// valid reports whether a received descriptor may enter a view.
 func (d Descriptor) valid() bool {
 	return d.Addr != "" && d.Role >= RoleControlPlane && d.Role <= RoleGateway && d.Age <= maxAge
 }
