--- a/controlplane/maintenanceplanner/capacitytable.go
+++ b/controlplane/maintenanceplanner/capacitytable.go
@@ -80,7 +80,7 @@
 	return sum
 }
 
-// noNode stands for no further node being out.
+// noNode is the index for no further node being out.
 const noNode = -1
 
 // remaining is what is left of a demand's capacity in a slot after the worst loss, with one more node out, or noNode.
@@ -150,7 +150,7 @@
 	}
 }
 
-// fits tells whether a node may be out in a slot.
+// fits reports whether a node may be out in a slot.
 func (t *capacityTable) fits(placed placement, slot int) bool {
 	window := t.request.Windows[placed.window]
 	if window.MaxConcurrent > 0 && t.concurrent[placed.window][slot] >= window.MaxConcurrent {
--- a/controlplane/maintenanceplanner/plan_test.go
+++ b/controlplane/maintenanceplanner/plan_test.go
@@ -28,7 +28,7 @@
 	return all
 }
 
-// provenInfeasible tells whether an error says that no schedule exists.
+// provenInfeasible reports whether an error says that no schedule exists.
 func provenInfeasible(err error) bool {
 	var infeasible *InfeasibleError
 	return errors.As(err, &infeasible) && infeasible.Proven
--- a/controlplane/maintenanceplanner/request.go
+++ b/controlplane/maintenanceplanner/request.go
@@ -1,5 +1,5 @@
 // Package maintenanceplanner schedules maintenance windows: it chooses when each node is to be out, so that the demand is met in
-// every slot, also after the worst loss that must be survived, and that all is over as early as possible. It is free of I/O and
+// every slot, also after the worst loss that must be survived, and that all windows are over as early as possible. It is free of I/O and
 // of clocks; time is counted in slots.
 //
 // Machines that may be lost are counted as the strongest of their region, whether or not one of them is out at the time. So a
@@ -57,12 +57,12 @@
 // ErrDependencyCycle rejects window requests that wait for one another.
 var ErrDependencyCycle = errors.New("windows: after: they wait for one another in a circle")
 
-// Validate returns an error that names the first thing that is wrong with a request.
+// Validate returns an error that names the first field of a request that is invalid.
 func (r *Request) Validate() error {
 	nodes := map[string]bool{}
 	for _, node := range r.Nodes {
 		if nodes[node.Name] {
-			return fmt.Errorf("nodes: %s stands twice", node.Name)
+			return fmt.Errorf("nodes: %s is listed twice", node.Name)
 		}
 		nodes[node.Name] = true
 	}
@@ -70,7 +70,7 @@
 	for i, window := range r.Windows {
 		path := fmt.Sprintf("windows.%d", i)
 		if windows[window.Name] && window.Name != "" {
-			return fmt.Errorf("%s.window: %s stands twice", path, window.Name)
+			return fmt.Errorf("%s.window: %s is listed twice", path, window.Name)
 		}
 		if err := r.validateWindow(path, window); err != nil {
 			return err
@@ -94,9 +94,9 @@
 	case window.Name == "":
 		return fmt.Errorf("%s.window: is empty", path)
 	case len(window.Nodes) == 0:
-		return fmt.Errorf("%s.nodes: names nobody", path)
+		return fmt.Errorf("%s.nodes: is empty", path)
 	case window.DurationSlots <= 0:
-		return fmt.Errorf("%s.takes: is nothing", path)
+		return fmt.Errorf("%s.takes: is not above zero", path)
 	case window.Earliest < 0 || window.Latest > r.SlotCount || window.Earliest+window.DurationSlots > window.Latest:
 		return fmt.Errorf("%s.latest: there is no time between earliest and latest for one window", path)
 	}
@@ -107,7 +107,7 @@
 	for i, window := range r.Windows {
 		for _, other := range slices.Concat(window.After, window.Conflicts) {
 			if !windows[other] || other == window.Name {
-				return fmt.Errorf("windows.%d: after or apart: %s is no other window", i, other)
+				return fmt.Errorf("windows.%d: after or apart: %s is not the name of another window", i, other)
 			}
 		}
 	}
--- a/controlplane/maintenanceplanner/schedule.go
+++ b/controlplane/maintenanceplanner/schedule.go
@@ -22,7 +22,7 @@
 	End    int    `json:"to"`   // the first slot after it
 }
 
-// covers tells whether the node is out in a slot.
+// covers reports whether the node is out in a slot.
 func (a Assignment) covers(slot int) bool { return a.Start <= slot && slot < a.End }
 
 func (r *Request) assignment(placed placement, start int) Assignment {
--- a/controlplane/maintenanceplanner/solver.go
+++ b/controlplane/maintenanceplanner/solver.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// solverScale turns requests a second into the solver's whole numbers.
+	// solverScale turns requests a second into the solver's integers.
 	solverScale = 1000
 
 	// roundingSlack absorbs rounding errors of scaled capacities.
--- a/gatewayconfig/fields.go
+++ b/gatewayconfig/fields.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// isAbsent tells whether a field is missing or null.
+// isAbsent reports whether a field is missing or null.
 func isAbsent(value gjson.Result) bool { return !value.Exists() || value.Type == gjson.Null }
 
 func (p *parser) listField(value gjson.Result, at, key string) []gjson.Result {
--- a/gatewayconfig/parse.go
+++ b/gatewayconfig/parse.go
@@ -17,7 +17,7 @@
 	defaultIdleTimeout    = 15 * time.Second
 )
 
-// maxLatencyTargetExcess bounds how far a route's latency target may stand above its timeout.
+// maxLatencyTargetExcess bounds how far a route's latency target may be above its timeout.
 const maxLatencyTargetExcess = time.Minute
 
 // versionDigits is the length of a version: it is written in hexadecimal, with leading zeros.
@@ -26,7 +26,7 @@
 // ErrMalformed is returned for a document that is not complete JSON.
 var ErrMalformed = errors.New("configuration: the body is not JSON, or is cut short")
 
-// FieldError is returned for a configuration that is invalid; it tells of the first field at fault.
+// FieldError is returned for a configuration that is invalid; it names the first field at fault.
 type FieldError struct {
 	Path   string // of the field, such as virtual_hosts.0.hostname
 	Reason string
@@ -72,7 +72,7 @@
 			WarmupRate:      p.numberField(value, at, "cold_per_s", 0, 0),
 		}
 		if _, exists := p.config.Services[service.Name]; exists {
-			p.fail(at+"name", "stands twice")
+			p.fail(at+"name", "is used twice")
 		}
 		p.config.Services[service.Name] = service
 	}
@@ -128,16 +128,16 @@
 	}
 	route.Idempotent = p.parseKind(value, at)
 	if value.Get("timeout").Exists() && route.Timeout <= 0 {
-		p.fail(at+"timeout", "is not above nothing")
+		p.fail(at+"timeout", "is not above zero")
 	}
 	if route.Timeout > 0 && route.LatencyTarget-route.Timeout >= maxLatencyTargetExcess {
-		p.fail(at+"target_latency", "stands a minute or more above the timeout")
+		p.fail(at+"target_latency", "is a minute or more above the timeout")
 	}
 	route.TrafficSplit = p.parseTrafficSplit(value, at)
 	return route
 }
 
-// parseKind tells whether a route's requests may run more than once.
+// parseKind reports whether a route's requests may run more than once.
 func (p *parser) parseKind(value gjson.Result, at string) (idempotent bool) {
 	switch p.stringField(value, at, "kind", true) {
 	case "safe":
--- a/internal/controlclient/outcome.go
+++ b/internal/controlclient/outcome.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// maxUnclearRejections is how often a 4xx that the protocol page does not name must come until it ends a call.
+// maxUnclearRejections is how often a call must receive a 4xx status that the protocol page does not name until it ends.
 const maxUnclearRejections = 3
 
 // outcome is what a response means for a call.
@@ -17,7 +17,7 @@
 	retry
 )
 
-// classify tells what a status means that has come for the n-th time (from 1) to a call.
+// classify returns what a status means that a call has received for the n-th time, counted from 1.
 func classify(status, n int) outcome {
 	switch {
 	case status >= 200 && status < 300:
@@ -32,7 +32,7 @@
 	return retry
 }
 
-// endsCall tells whether the protocol page names a status as one after which a call isn't repeated.
+// endsCall reports whether the protocol page names a status as one after which a call isn't repeated.
 func endsCall(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
@@ -52,7 +52,7 @@
 	return fmt.Sprintf("%d %s: %s", e.Status, http.StatusText(e.Status), e.Body)
 }
 
-// RejectedError tells that a member has rejected a call for good; it was not executed.
+// RejectedError means that a member has rejected a call for good; it was not executed.
 type RejectedError struct {
 	Call string
 	Err  *StatusError
@@ -63,7 +63,7 @@
 // Unwrap returns the member's response.
 func (e *RejectedError) Unwrap() error { return e.Err }
 
-// UnconfirmedError tells that a call ended without a clear answer: it may have been executed. Err is what the last attempt
+// UnconfirmedError means that a call ended without a clear answer: it may have been executed. Err is what the last attempt
 // met.
 type UnconfirmedError struct {
 	Call     string
--- a/internal/controlserver/calls.go
+++ b/internal/controlserver/calls.go
@@ -17,16 +17,16 @@
 	maxBodyBytes    = 16 << 20
 	bodyReadTimeout = 10 * time.Second
 
-	// retryAfterSeconds is when a caller that got 503 is to call again.
+	// retryAfterSeconds is after how long a caller that got 503 is to call again.
 	retryAfterSeconds = "0.2"
 
 	// statusClientClosedRequest is the status of a call whose caller has left; nobody reads it.
 	statusClientClosedRequest = 499
 
-	noQuorumText = "out of touch with the other members"
+	noQuorumText = "no contact with a quorum of the control plane"
 )
 
-// routes dispatches calls: the method and the path by the router, then the call's name, which stands in the query.
+// routes dispatches calls: by the method and the path, then by the call's name, which is a parameter of the query.
 func (s *Server) routes() http.Handler {
 	calls := map[string]http.HandlerFunc{
 		"instances.heartbeat":    s.handleHeartbeat,
@@ -45,7 +45,7 @@
 			call(w, r)
 			return
 		}
-		s.writeResult(w, http.StatusNotFound, "call: names no call")
+		s.writeResult(w, http.StatusNotFound, "call: is missing or unknown")
 	})
 	return router
 }
@@ -82,9 +82,9 @@
 	case errors.As(err, &tooLarge):
 		s.writeResult(w, http.StatusRequestEntityTooLarge, "the body is too large")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		s.writeResult(w, http.StatusRequestTimeout, "the body did not come in time")
+		s.writeResult(w, http.StatusRequestTimeout, "the body did not arrive in time")
 	default:
-		s.writeResult(w, http.StatusBadRequest, "the body cannot be read whole")
+		s.writeResult(w, http.StatusBadRequest, "the body cannot be read completely")
 	}
 	return nil, false
 }
@@ -96,7 +96,7 @@
 	}
 }
 
-// resultBody is the body of a response that tells no more than a problem, or nothing.
+// resultBody is the body of a response without a result: a problem, or nothing.
 type resultBody struct {
 	Error string `json:"error,omitempty"`
 }
--- a/internal/controlserver/instancecalls.go
+++ b/internal/controlserver/instancecalls.go
@@ -22,7 +22,7 @@
 // Errors of a heartbeat that can be read but isn't valid. The texts go to the caller.
 var (
 	errHeartbeatIncomplete = errors.New("heartbeat: address or service is missing")
-	errHeartbeatNumber     = errors.New("heartbeat: sequence, slots or cold_remaining is no such number")
+	errHeartbeatNumber     = errors.New("heartbeat: sequence, slots or cold_remaining is out of range or not a number")
 )
 
 // heartbeatBody is the response to a heartbeat: where to send the further ones, if that is elsewhere.
@@ -37,7 +37,7 @@
 	}
 	id := target(r)
 	if !gjson.ValidBytes(body) || id == "" {
-		s.writeResult(w, http.StatusBadRequest, "heartbeat: cannot be read")
+		s.writeResult(w, http.StatusBadRequest, "heartbeat: the body is not JSON, or the replica is not named")
 		return
 	}
 	heartbeat, err := parseHeartbeat(id, gjson.ParseBytes(body))
@@ -53,7 +53,8 @@
 	s.writeJSON(w, http.StatusOK, heartbeatBody{HeartbeatTarget: response.Address})
 }
 
-// parseHeartbeat reads a heartbeat. Its numbers are checked strictly: a sequence that is none would stand above all later ones.
+// parseHeartbeat reads a heartbeat. Its numbers are checked strictly: a sequence read from what is no number could be higher than all later
+// ones.
 func parseHeartbeat(id string, document gjson.Result) (registry.Instance, error) {
 	warmup, err := time.ParseDuration(document.Get("cold_remaining").String())
 	if err != nil {
@@ -84,7 +85,7 @@
 func (s *Server) handleDeregister(w http.ResponseWriter, r *http.Request) {
 	id := target(r)
 	if id == "" {
-		s.writeResult(w, http.StatusBadRequest, "of: names no replica")
+		s.writeResult(w, http.StatusBadRequest, "of: is missing")
 		return
 	}
 	if response := s.call(r, controller.Event{Deregister: id}); response.Status != http.StatusOK {
--- a/internal/controlserver/operatorcalls.go
+++ b/internal/controlserver/operatorcalls.go
@@ -29,18 +29,19 @@
 func (s *Server) handleEvacuation(w http.ResponseWriter, r *http.Request, evacuated bool) {
 	zone := target(r)
 	if _, ok := s.settings.ZoneRegions[zone]; !ok {
-		s.writeResult(w, http.StatusUnprocessableEntity, "of: names no zone")
+		s.writeResult(w, http.StatusUnprocessableEntity, "of: is not a known zone")
 		return
 	}
 	s.propose(w, r, chainreplication.Command{Zone: zone, Evacuated: evacuated})
 }
 
-// propose answers a call with the outcome of a command for the replicated register.
+// propose has a command for the replicated register committed and answers the call with the outcome: 200, 409 where another configuration
+// has its version, or 503. Such an answer has no error text, and nothing is logged for it.
 func (s *Server) propose(w http.ResponseWriter, r *http.Request, command chainreplication.Command) {
 	s.writeResult(w, s.call(r, controller.Event{Command: &command}).Status, "")
 }
 
-// handleDescribeConfiguration answers with the committed configuration, or tells where to ask.
+// handleDescribeConfiguration answers with the committed configuration, or redirects to a member that has it.
 func (s *Server) handleDescribeConfiguration(w http.ResponseWriter, r *http.Request) {
 	response := s.call(r, controller.Event{ReadConfiguration: true})
 	switch response.Status {
@@ -50,7 +51,7 @@
 	case http.StatusOK:
 		s.writeBody(w, http.StatusOK, response.Body)
 	case http.StatusNotFound:
-		s.writeResult(w, response.Status, "no configuration has been given yet")
+		s.writeResult(w, response.Status, "no configuration has been committed yet")
 	default:
 		s.writeResult(w, response.Status, noQuorumText)
 	}
@@ -71,14 +72,14 @@
 	s.writeResult(w, response.Status, string(response.Body))
 }
 
-// handleDescribeCore tells how the control plane stands, as this member knows; also while it has no contact with a quorum.
+// handleDescribeCore answers with the status of the control plane as this member knows it, also without contact with a quorum.
 func (s *Server) handleDescribeCore(w http.ResponseWriter, _ *http.Request) {
 	s.writeEvaluated(w, func() ([]byte, error) {
 		return json.MarshalIndent(s.controller.Describe(s.now()), "", "  ")
 	})
 }
 
-// handleDescribeMaintenance tells how maintenance windows stand, as this member knows.
+// handleDescribeMaintenance answers with the status of the maintenance windows as this member knows it.
 func (s *Server) handleDescribeMaintenance(w http.ResponseWriter, _ *http.Request) {
 	s.writeEvaluated(w, func() ([]byte, error) { return s.controller.DescribeMaintenance(s.now()) })
 }
--- a/internal/controlserver/peers.go
+++ b/internal/controlserver/peers.go
@@ -37,7 +37,7 @@
 	s.step(controller.Event{})
 }
 
-// discoverPeers tells the controller where other members may be: the seeds, and whom gossip knows.
+// discoverPeers passes the addresses of possible other members to the controller: the seeds, and those known by gossip.
 func (s *Server) discoverPeers() {
 	if nodesettings.FileChanged() { // without a signal
 		s.reloadSettings()
@@ -130,7 +130,7 @@
 	return peertransport.ReadFrame(conn)
 }
 
-// serveConnection serves a connection by who says hello on it: a gateway or another member.
+// serveConnection serves a connection from a gateway or from another member, by its Hello.
 func (s *Server) serveConnection(conn net.Conn) {
 	defer s.close(conn)
 	first, err := readFrame(conn, helloTimeout)
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -28,7 +28,7 @@
 )
 
 const (
-	// shutdownReserve is the part of the grace period that is left for what remains once the others do without this member.
+	// shutdownReserve is the part of the grace period that is kept for the rest of the shutdown, after the others go on without this member.
 	shutdownReserve = time.Second
 
 	// responseDrainTimeout bounds how long calls under way may take to be answered at the end.
@@ -37,7 +37,7 @@
 	readHeaderTimeout     = 3 * time.Second
 	idleConnectionTimeout = 30 * time.Second
 
-	// memoryLimitRatio is the part of the machine's memory bound that the Go runtime is told of.
+	// memoryLimitRatio is the part of the machine's memory bound that is set as the Go runtime's memory limit.
 	memoryLimitRatio = 0.6
 
 	taskQueueSize = 1024
@@ -146,7 +146,7 @@
 	return server
 }
 
-// runUntilStopped runs tasks and ticks. Once the context has ended, the member leaves: what it alone holds must be with the others before it
+// runUntilStopped runs tasks and ticks. Once the context has ended, the member leaves: what only it has must be at the others before it
 // stops, unless the grace period runs out first.
 func (s *Server) runUntilStopped(ctx context.Context, hup <-chan os.Signal) error {
 	ticker := time.NewTicker(controller.TickInterval)
--- a/internal/controlserver/storage.go
+++ b/internal/controlserver/storage.go
@@ -27,7 +27,7 @@
 	diskNonceBytes = 6
 )
 
-// restoreUntilDone restores the state from the disk, again and again while the disk refuses. It tells whether that was done before the
+// restoreUntilDone restores the state from the disk, and retries as long as the disk fails. It reports whether that succeeded before the
 // context ended.
 func (s *Server) restoreUntilDone(ctx context.Context) bool {
 	for {
@@ -45,7 +45,7 @@
 }
 
 // restore makes the controller from what is on disk, or from nothing at the first start, and writes the state back: it must be there before
-// anybody is listened to.
+// the member listens.
 func (s *Server) restore() error {
 	store, err := statestore.Open(statestore.Directory(s.settings.DataDir))
 	if err != nil {
--- a/internal/nodesettings/load.go
+++ b/internal/nodesettings/load.go
@@ -29,7 +29,7 @@
 	modTime time.Time
 }
 
-// FileChanged tells whether the file that PathVariable names has changed since the last call of FileChanged or Load. It
+// FileChanged reports whether the file that PathVariable names has changed since the last call of FileChanged or Load. It
 // may be called by several goroutines; one of them learns of each change. A file that cannot be read has not changed.
 func FileChanged() bool {
 	info, err := os.Stat(os.Getenv(PathVariable))
--- a/internal/nodesettings/reader.go
+++ b/internal/nodesettings/reader.go
@@ -68,11 +68,11 @@
 	return value.Num
 }
 
-// count reads a whole number of 0 or more.
+// count reads an integer of 0 or more.
 func (r *fieldReader) count(path string, defaultValue int) int {
 	value := r.number(path, 0, float64(defaultValue))
 	if value != math.Trunc(value) {
-		r.fail(path, "is not a whole number")
+		r.fail(path, "is not an integer")
 	}
 	return int(value)
 }
--- a/internal/nodesettings/settings.go
+++ b/internal/nodesettings/settings.go
@@ -1,4 +1,4 @@
-// Package nodesettings reads and checks the settings file that tells a process of the gateway who and where it is.
+// Package nodesettings reads and checks the settings file that gives a process of the gateway its name, its place and its limits.
 //
 // The file is YAML. It is turned into JSON and then read by gjson paths, so that each error names the path at fault.
 // Unknown keys are skipped.
--- a/internal/program/main.go
+++ b/internal/program/main.go
@@ -85,9 +85,9 @@
 	parser.Version = Version
 	parser.String(&parsed.settingsPath, "s", "settings", "path of the settings file; "+nodesettings.PathVariable+" names it too")
 	check := flaggy.NewSubcommand("check")
-	check.Description = "read the settings, say what is wrong, and end"
+	check.Description = "check the settings and exit"
 	run := flaggy.NewSubcommand("run")
-	run.Description = "serve (also without a verb)"
+	run.Description = "serve until SIGTERM or SIGINT (the default)"
 	parser.AttachSubcommand(check, 1)
 	parser.AttachSubcommand(run, 1)
 	err := parser.ParseArgs(args)
@@ -95,11 +95,11 @@
 	return parsed, err
 }
 
-// printSummary prints what `check` found.
+// printSummary prints the result of `check` for valid settings.
 func printSummary(out io.Writer, name string, settings *nodesettings.Settings) error {
 	tolerance := settings.FaultTolerance
-	_, headline := fmt.Fprintf(out, "%s: %s in zone %s: settings hold\n", name, settings.Name, settings.Zone)
-	_, details := fmt.Fprintf(out, "may be lost at once: %d machines that count, or %d zones, or %d regions; rules in force: %s\n",
+	_, headline := fmt.Fprintf(out, "%s: %s in zone %s: the settings are valid\n", name, settings.Name, settings.Zone)
+	_, details := fmt.Fprintf(out, "tolerates the loss of %d counted machines, or %d zones, or %d regions at once; active contracts: %s\n",
 		tolerance.Machines, tolerance.Zones, tolerance.Regions, strings.Join(settings.ActiveContracts, ", "))
 	return errors.Join(headline, details)
 }
