--- a/dataplane/loadbalancer/balancer_test.go
+++ b/dataplane/loadbalancer/balancer_test.go
@@ -93,7 +93,7 @@
 			So(picks(balancer, s, 100)["a1"], ShouldEqual, 0)
 		})
 		Convey("the load that a replica reports of other gateways counts", func() {
-			balancer.Get("a1").RecordLoad(s, 4, 2, 4)
+			balancer.Get("a1").RecordLoad(s, Load{Running: 4, Waiting: 2, Slots: 4})
 			So(picks(balancer, s, 100)["a1"], ShouldEqual, 0)
 		})
 	})
--- a/dataplane/loadbalancer/endpoint.go
+++ b/dataplane/loadbalancer/endpoint.go
@@ -9,6 +9,15 @@
 // loadReportLifetime is how long a replica's report of its load counts, less with time.
 const loadReportLifetime = 1500 * time.Millisecond
 
+// Load is the load that a replica reports of itself with a response.
+type Load struct {
+	_ struct{} `cbor:",toarray"`
+
+	Running int // requests that it works on
+	Waiting int // requests that it has queued
+	Slots   int // requests that it can work on at once; 0: it reported no load
+}
+
 // Endpoint is a registered instance of a replica as this gateway sees it.
 type Endpoint struct {
 	ID, Service, Addr, Zone string
@@ -65,10 +74,11 @@
 	return load / float64(max(e.Slots, 1))
 }
 
-// RecordLoad takes in the load that a replica reports with a response.
-func (e *Endpoint) RecordLoad(now time.Duration, running, waiting, slots int) {
-	e.Running, e.Waiting, e.ReportedSlots = running, waiting, slots
-	e.inFlightOfOthers = max(float64(running+waiting-e.inFlight), 0)
+// RecordLoad takes in the load that a replica reports with a response. What this gateway has in flight there is no load of
+// others.
+func (e *Endpoint) RecordLoad(now time.Duration, load Load) {
+	e.Running, e.Waiting, e.ReportedSlots = load.Running, load.Waiting, load.Slots
+	e.inFlightOfOthers = max(float64(load.Running+load.Waiting-e.inFlight), 0)
 	e.loadReportedAt = now
 }
 
--- a/dataplane/loadbalancer/warmup.go
+++ b/dataplane/loadbalancer/warmup.go
@@ -20,7 +20,7 @@
 // warmup is what is known of an endpoint's slow start, and the token bucket that bounds what it is sent meanwhile.
 //
 // Invariant: what is older than what is known takes nothing back. Updates come from members that know of different
-// heartbeats, also right after a restart from their disks; see docs/design/request-path.md.
+// heartbeats, also right after a restart from their disks; see docs/design/staleness.md.
 type warmup struct {
 	until    time.Duration // it is warming up until then
 	sequence uint64        // of the newest heartbeat known; 0: none
--- a/dataplane/router/attempt.go
+++ b/dataplane/router/attempt.go
@@ -37,7 +37,7 @@
 	Latency           time.Duration       `cbor:"3,keyasint,omitempty"`
 	ConnectionRefused bool                `cbor:"4,keyasint,omitempty"` // nobody listens at the address
 	Misdirected       bool                `cbor:"5,keyasint,omitempty"` // another instance answered there
-	Load              [3]int              `cbor:"6,keyasint,omitempty"` // running, waiting, slots as the replica reports them; no slots: it reported none
+	Load              loadbalancer.Load   `cbor:"6,keyasint,omitempty"`
 }
 
 // AttemptEffects is what the control plane must hear of an attempt's end at once.
@@ -93,8 +93,8 @@
 	if result.Misdirected && r.balancer.RemoveMisdirected(now, endpoint.ID) {
 		effects.MisdirectedEndpoint = endpoint.ID
 	}
-	if running, waiting, slots := result.Load[0], result.Load[1], result.Load[2]; slots > 0 {
-		endpoint.RecordLoad(now, running, waiting, slots)
+	if result.Load.Slots > 0 {
+		endpoint.RecordLoad(now, result.Load)
 	}
 	return effects
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -104,21 +104,23 @@
 
 // parseLoad reads the load that a replica reports: running, waiting, slots. All are zero where it reports none that is
 // well-formed.
-func parseLoad(header http.Header) (load [3]int) {
+func parseLoad(header http.Header) loadbalancer.Load {
 	value := header.Get("X-Instance-Load")
 	if value == "" {
-		return load
+		return loadbalancer.Load{}
 	}
+	var load loadbalancer.Load
+	fields := [...]*int{&load.Running, &load.Waiting, &load.Slots}
 	parts := strings.Split(value, ",")
-	if len(parts) != len(load) {
-		return load
+	if len(parts) != len(fields) {
+		return loadbalancer.Load{}
 	}
 	for i, part := range parts {
 		n, err := strconv.Atoi(strings.TrimSpace(part))
 		if err != nil || n < 0 || n > maxReportedLoad {
-			return [3]int{}
+			return loadbalancer.Load{}
 		}
-		load[i] = n
+		*fields[i] = n
 	}
 	return load
 }
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"net/http"
@@ -76,7 +77,7 @@
 				url = "http://" + up.Addr() + "/x/1"
 			}
 			for i := range b.N {
-				q, err := http.NewRequestWithContext(b.Context(), http.MethodGet, url, nil)
+				q, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil) // one that cannot end, as it costs nothing
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/simulation/gateway.go
+++ b/internal/simulation/gateway.go
@@ -341,7 +341,7 @@
 
 // endAttemptLater has a replica answer a request in its time, or refuse the connection at once if it is gone.
 func (c *cluster) endAttemptLater(g *gatewayNode, r *replica, attemptID uint64) {
-	result, took := router.AttemptResult{AttemptID: attemptID, Result: loadbalancer.Success, Latency: serviceTime, Load: [3]int{replicaSlots, 1, replicaSlots}}, serviceTime
+	result, took := router.AttemptResult{AttemptID: attemptID, Result: loadbalancer.Success, Latency: serviceTime, Load: loadbalancer.Load{Running: replicaSlots, Waiting: 1, Slots: replicaSlots}}, serviceTime
 	if !r.alive {
 		result, took = router.AttemptResult{AttemptID: attemptID, Result: loadbalancer.ConnectFailed, ConnectionRefused: true}, connectRefusedTime
 	}
