--- /dev/null
+++ b/internal/gateway/attempt_test.go
@@ -0,0 +1,61 @@
+package gateway
+
+import (
+	"net/http"
+	"testing"
+
+	"zincloft.example/zincloft/dataplane/loadbalancer"
+	"zincloft.example/zincloft/dataplane/retry"
+	"zincloft.example/zincloft/internal/replica"
+)
+
+// Guards outlier detection: an endpoint is blamed for what it did, not for a client that left or a deadline that passed
+// before it was reached.
+func TestEndpointResult(t *testing.T) {
+	responded := func(status int) *replica.Response { return &replica.Response{Status: status} }
+	for _, test := range []struct {
+		name     string
+		outcome  replica.Outcome
+		canceled bool
+		want     loadbalancer.Result
+	}{
+		{"a response", replica.Outcome{Execution: retry.Answered, Response: responded(200)}, false, loadbalancer.Success},
+		{"a response to a client that left", replica.Outcome{Execution: retry.Answered, Response: responded(200)}, true, loadbalancer.Success},
+		{"a client error", replica.Outcome{Execution: retry.Answered, Response: responded(404)}, false, loadbalancer.Success},
+		{"a server error", replica.Outcome{Execution: retry.Answered, Response: responded(500)}, false, loadbalancer.BadResponse},
+		{"a rejection", replica.Outcome{Execution: retry.NotExecuted, Response: responded(503), Rejected: true}, false, loadbalancer.Rejected},
+		{"no connection", replica.Outcome{Execution: retry.NotExecuted, Cause: replica.CauseDial, NotSent: true}, false, loadbalancer.ConnectFailed},
+		{"no connection by the deadline", replica.Outcome{Execution: retry.NotExecuted, Cause: replica.CauseDial, NotSent: true, DeadlineExceeded: true}, false, loadbalancer.Canceled},
+		{"no connection for a client that left", replica.Outcome{Execution: retry.NotExecuted, Cause: replica.CauseDial, NotSent: true}, true, loadbalancer.Canceled},
+		{"silence", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseDeadline, DeadlineExceeded: true}, false, loadbalancer.NoResponse},
+		{"a broken connection", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseBroken}, false, loadbalancer.NoResponse},
+		{"an attempt that was canceled", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseDeadline}, true, loadbalancer.Canceled},
+		{"a truncated response", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseTruncated}, false, loadbalancer.BadResponse},
+		{"an invalid response", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseInvalid}, false, loadbalancer.BadResponse},
+		{"surplus responses", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseSurplus}, false, loadbalancer.BadResponse},
+		{"a rejection without proof", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseUnproven}, false, loadbalancer.BadResponse},
+		{"a rejection that names nobody", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseNameless}, false, loadbalancer.BadResponse},
+		{"no HTTP", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseNotHTTP}, false, loadbalancer.BadResponse},
+	} {
+		if got := endpointResult(test.outcome, test.canceled); got != test.want {
+			t.Errorf("%s: %d, want %d", test.name, got, test.want)
+		}
+	}
+}
+
+func TestParseLoad(t *testing.T) {
+	for value, want := range map[string]loadbalancer.Load{
+		"":            {},
+		"1,2,3":       {Running: 1, Waiting: 2, Slots: 3},
+		" 1, 2 ,3 ":   {Running: 1, Waiting: 2, Slots: 3},
+		"1,2":         {},
+		"1,2,3,4":     {},
+		"1,-2,3":      {},
+		"1,x,3":       {},
+		"1,2,1048577": {},
+	} {
+		if got := parseLoad(http.Header{"X-Instance-Load": {value}}); got != want {
+			t.Errorf("%q: %+v, want %+v", value, got, want)
+		}
+	}
+}
