--- a/internal/clients/codec.go
+++ b/internal/clients/codec.go
@@ -164,10 +164,10 @@
 		f.require("sidecar")
 		fresh := f.integer("standing", 1) == 1
 		out = rules.Joined{Proxy: c.proxy(&f), Zone: rules.ZoneID(f.index("az", c.zones)),
-			Rate: f.float("share"), Fresh: fresh, Unsure: !fresh && c.ordersPairEjections}
+			FlowRate: f.float("share"), Fresh: fresh, MayHoldEjections: !fresh && c.ordersPairEjections}
 	case "done":
 		f.require("sidecar", "version", "lag_ms")
-		out = rules.Applied{Proxy: c.proxy(&f), Version: uint16(f.integer("version", math.MaxUint16)), Took: f.duration("lag_ms")}
+		out = rules.Applied{Proxy: c.proxy(&f), Version: uint16(f.integer("version", math.MaxUint16)), Delay: f.duration("lag_ms")}
 	case "upstream_stats":
 		f.require("host", "n", "bad", "window")
 		zone := f.index("az", c.zones)
@@ -176,18 +176,18 @@
 		if !known {
 			f.fail("host")
 		}
-		s := rules.Sums{Replica: replica, Zone: rules.ZoneID(zone), Over: f.positiveDuration("window"), Report: f.report("report"),
-			Took: f.duration("avg")}
-		s.Tries, s.Dropped = f.integer("n", math.MaxInt32), f.integer("bad", math.MaxInt32)
-		if s.Dropped > s.Tries {
+		s := rules.EndpointStats{Replica: replica, Zone: rules.ZoneID(zone), Window: f.positiveDuration("window"), Report: f.report("report"),
+			MeanLatency: f.duration("avg")}
+		s.Attempts, s.Dropped = f.integer("n", math.MaxInt32), f.integer("bad", math.MaxInt32)
+		if s.Dropped > s.Attempts {
 			f.fail("bad")
-		} else if s.Dropped < s.Tries {
+		} else if s.Dropped < s.Attempts {
 			f.require("avg")
 		}
 		out = s
 	case "client_stats":
 		f.require("sidecar", "n", "bad", "window")
-		out = rules.Intake{Proxy: c.proxy(&f), Group: rules.GroupID(f.index("kind", c.groups)), Over: f.positiveDuration("window"),
+		out = rules.GroupTraffic{Proxy: c.proxy(&f), Group: rules.GroupID(f.index("kind", c.groups)), Window: f.positiveDuration("window"),
 			Flows: f.integer("n", math.MaxInt32), Dropped: f.integer("bad", math.MaxInt32)} // which may have come before
 	case "met":
 		if !c.acceptsBatches {
@@ -220,7 +220,7 @@
 }
 
 // report reads a load report. Figures that are not known are passed over.
-func (f *fields) report(name string) rules.Report {
+func (f *fields) report(name string) rules.LoadReport {
 	r := noReport
 	text, _ := f.value(name)
 	for len(text) > 0 {
@@ -241,7 +241,7 @@
 
 var (
 	comma, colon = []byte(","), []byte(":")
-	noReport     = rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
+	noReport     = rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
 )
 
 // batch reads what a proxy met at each replica (docs/reports.md). A record of a replica that is not known is passed
@@ -249,8 +249,8 @@
 func (c *codec) batch(f *fields) *intake.Batch {
 	f.require("sidecar", "window", "records")
 	b := intake.NewBatch()
-	b.Proxy, b.Over, b.Age = c.proxy(f), f.positiveDuration("window"), f.duration("age")
-	b.Seq, b.Sent = uint32(f.integer("seq", math.MaxUint32)), rules.Time(f.integer("sent", math.MaxInt64/int(time.Millisecond)))*rules.Time(time.Millisecond)
+	b.Proxy, b.Window, b.Age = c.proxy(f), f.positiveDuration("window"), f.duration("age")
+	b.Sequence, b.SentAt = uint32(f.integer("seq", math.MaxUint32)), rules.Time(f.integer("sent", math.MaxInt64/int(time.Millisecond)))*rules.Time(time.Millisecond)
 	text, _ := f.value("records")
 	for len(text) > 0 {
 		var record []byte
@@ -263,7 +263,7 @@
 		if known {
 			b.Records = append(b.Records, r)
 		} else {
-			b.Unknown++
+			b.UnknownReplicas++
 		}
 	}
 	return b
@@ -286,20 +286,20 @@
 	var good [6]bool
 	var ms [2]float64
 	r.Report = noReport
-	r.Tries, good[0] = parseInteger(words[1], math.MaxInt32)
-	r.Dropped, good[1] = parseInteger(words[2], r.Tries)
+	r.Attempts, good[0] = parseInteger(words[1], math.MaxInt32)
+	r.Dropped, good[1] = parseInteger(words[2], r.Attempts)
 	ms[0], good[2] = parseFloat(words[3])
 	good[3], good[4], good[5] = true, true, true
 	if n == 7 {
-		r.Report.Util, good[3] = parseFloat(words[4])
+		r.Report.Utilization, good[3] = parseFloat(words[4])
 		r.Report.InFlight, good[4] = parseFloat(words[5])
 		ms[1], good[5] = parseFloat(words[6])
 	}
 	took, inTime := f.milliseconds(ms[0])
 	heard, lately := f.milliseconds(ms[1])
-	r.Took, r.Heard = took, heard
+	r.MeanLatency, r.ReportAge = took, heard
 	r.Replica, known = c.replica(words[0])
-	return r, known, r.Tries > 0 && inTime && lately && good == [6]bool{true, true, true, true, true, true}
+	return r, known, r.Attempts > 0 && inTime && lately && good == [6]bool{true, true, true, true, true, true}
 }
 
 // assignment is one part of a message to a proxy. What is empty is left out.
@@ -309,7 +309,7 @@
 	weights        []weight
 	level          *rules.Admit
 	eject, restore []rules.ReplicaID
-	mark           *rules.Mark
+	mark           *rules.AckRequest
 	continued      bool // by another part of the message
 }
 
