--- a/controlplane/controller/replication.go
+++ b/controlplane/controller/replication.go
@@ -45,7 +45,7 @@
 		c.actions.Write = actions.StateToPersist
 	}
 	if actions.ViewInstalled {
-		c.noteView()
+		c.handleViewInstalled()
 	}
 	if actions.RegisterCommitted {
 		c.applyCommitted(now)
@@ -55,8 +55,8 @@
 	}
 }
 
-// noteView has the members of a new view published to the gateways.
-func (c *Controller) noteView() {
+// handleViewInstalled has the members of a new view published to the gateways.
+func (c *Controller) handleViewInstalled() {
 	view := c.coordinator.View()
 	c.logInfo("view_installed", "view", view.Number, "chain", view.Chain, "voters", len(view.Voters))
 	for _, stream := range c.streams {
--- a/controlplane/registry/merge.go
+++ b/controlplane/registry/merge.go
@@ -159,7 +159,7 @@
 		r.HeartbeatTimedOut = false
 		changed = true
 	}
-	if r.settleWarmth(report) {
+	if r.clearWarmthUnknown(report) {
 		changed = true
 	}
 	if r.updateWarmup(report) {
@@ -180,9 +180,9 @@
 	return true
 }
 
-// settleWarmth ends the time in which the warmth is unknown, if the report rests on a heartbeat sent after that began. Of heartbeats that
+// clearWarmthUnknown ends the time in which the warmth is unknown, if the report rests on a heartbeat sent after that began. Of heartbeats that
 // came through another member the time of sending is no proof alone: where some were lost on the way, one from before may be next.
-func (r *record) settleWarmth(report *instanceReport) bool {
+func (r *record) clearWarmthUnknown(report *instanceReport) bool {
 	if !r.WarmthUnknown || report.sentAt() <= r.warmthUnknownSince+warmthUnknownGrace {
 		return false
 	}
--- a/internal/simulation/memberlifecycle.go
+++ b/internal/simulation/memberlifecycle.go
@@ -122,7 +122,7 @@
 func (c *cluster) tick(m *member, incarnation int) {
 	fire := func() { c.step(m, controller.Event{}) }
 	if m.frozen && c.schedule.Tolerance > 0 {
-		m.heldTick = fire
+		m.pendingTick = fire
 	} else {
 		c.runOn(&m.process, incarnation, fire)
 	}
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -19,10 +19,10 @@
 	clockRate   float64 // of its monotonic clock, against simulated time
 	clockOffset time.Duration
 
-	frozen          bool
-	heldWhileFrozen []func() // what arrived meanwhile
-	heldTick        func()   // at most one, since a timer that has elapsed several times fires once
-	thawedAt        time.Duration
+	frozen            bool
+	queuedWhileFrozen []func() // what arrived meanwhile
+	pendingTick       func()   // at most one, since a timer that has elapsed several times fires once
+	thawedAt          time.Duration
 
 	isMember                  bool
 	inboundCuts, outboundCuts int // how many faults cut it from other members, by direction
@@ -34,7 +34,7 @@
 func (c *cluster) startProcess(p *process) {
 	p.incarnation++
 	p.up, p.startedAt = true, c.now
-	p.frozen, p.heldWhileFrozen, p.heldTick, p.thawedAt = false, nil, nil, 0
+	p.frozen, p.queuedWhileFrozen, p.pendingTick, p.thawedAt = false, nil, nil, 0
 	p.clockOffset = 0
 	p.clockRate = 1 + clockDrift*(c.random.Float64()-0.5)
 }
@@ -49,7 +49,7 @@
 	switch {
 	case !p.up || p.incarnation != incarnation:
 	case p.frozen:
-		p.heldWhileFrozen = append(p.heldWhileFrozen, do)
+		p.queuedWhileFrozen = append(p.queuedWhileFrozen, do)
 	default:
 		do()
 	}
@@ -71,10 +71,10 @@
 
 func (c *cluster) thaw(p *process) {
 	p.frozen, p.thawedAt = false, c.now
-	held := p.heldWhileFrozen
-	p.heldWhileFrozen = nil
-	if p.heldTick != nil { // the timer may fire before what lay in the sockets is read, or after
-		held, p.heldTick = slices.Insert(held, c.random.IntN(len(held)+1), p.heldTick), nil
+	held := p.queuedWhileFrozen
+	p.queuedWhileFrozen = nil
+	if p.pendingTick != nil { // the timer may fire before what lay in the sockets is read, or after
+		held, p.pendingTick = slices.Insert(held, c.random.IntN(len(held)+1), p.pendingTick), nil
 	}
 	c.tracef("%s thaws", p.name)
 	for _, do := range held {
