--- a/internal/counts/counts.go
+++ b/internal/counts/counts.go
@@ -1,4 +1,5 @@
-// Package counts gathers what is too frequent for a log line each.
+// Package counts aggregates events that are too frequent for a log line each. They are counted by category and cause and
+// written at intervals as one log line.
 package counts
 
 import (
@@ -9,16 +10,18 @@
 	"github.com/rs/zerolog"
 )
 
-// Category is counted.
+// Category is what is counted. It is a key of the log line.
 type Category string
 
-// Counter are by what and cause. Causes are few: none holds a peer's words. The zero value is ready.
+// Counter counts events by category and cause. The zero value is ready to use, and all methods may be called
+// concurrently.
 type Counter struct {
 	mu         sync.Mutex
 	byCategory map[Category]map[string]int
 }
 
-// Add counts one.
+// Add counts one event. The set of causes must be small and fixed: memory grows with it, so a cause never contains text
+// that a peer has sent.
 func (c *Counter) Add(category Category, cause string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -31,7 +34,7 @@
 	c.byCategory[category][cause]++
 }
 
-// Log writes what was counted since the last time, if anything was.
+// Log writes the counts since the previous call as one line and resets them. It writes nothing where nothing was counted.
 func (c *Counter) Log(log zerolog.Logger) {
 	c.mu.Lock()
 	counted := c.byCategory
--- a/internal/discoveryclient/answer.go
+++ b/internal/discoveryclient/answer.go
@@ -11,16 +11,17 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Version is discovery's number of a state of the list.
+// Version is the number that discovery gives to a state of the endpoint list.
 type Version uint64
 
-// answer is a list as discovery writes it.
+// answer is an endpoint list, or changes of it, in the JSON form of discovery.
 type answer struct {
 	Version *Version      `json:"version"`
 	Full    bool          `json:"full"`
 	Servers []serverEntry `json:"servers"`
 }
 
+// serverEntry is one replica of an answer.
 type serverEntry struct {
 	ID      string   `json:"id"`
 	Zone    string   `json:"zone"`
@@ -33,7 +34,7 @@
 
 var stateByName = map[string]rules.State{"ready": rules.Ready, "draining": rules.Draining, "gone": rules.Gone}
 
-// decodeAnswer decodes an answer and checks it whole, so that a bad one leaves nothing behind.
+// decodeAnswer decodes an answer and validates all of it before any is used, so that an invalid one changes nothing.
 func decodeAnswer(text []byte) (answer, error) {
 	var a answer
 	if err := json.Unmarshal(text, &a); err != nil {
@@ -57,28 +58,33 @@
 	return a, nil
 }
 
-// toRules puts an answer that counts into the words of package rules. Zones and kinds that the settings lack stand
-// past those that they have.
-func (l *Client) toRules(a answer) rules.List {
-	out := rules.List{Scope: rules.Changes}
+// toRules converts a valid answer into an event of package rules and numbers its replicas. A zone or kind that the settings
+// lack gets the index after the last one.
+func (c *Client) toRules(a answer) rules.List {
+	list := rules.List{Scope: rules.Changes}
 	if a.Full {
-		out.Scope = rules.Whole
-		l.unlistAll()
+		list.Scope = rules.Whole
+		c.unlistAll()
 	}
 	for _, s := range a.Servers {
 		e := rules.Entry{
-			Replica: l.add(s.ID, stateByName[s.State] != rules.Gone), Zone: rules.ZoneID(indexOf(l.zones, s.Zone)),
-			Kind: rules.KindID(indexOf(l.kinds, s.Kind)), Cell: rules.CellID(s.Cell), State: stateByName[s.State], Listed: 1,
+			Replica:   c.add(s.ID, stateByName[s.State] != rules.Gone),
+			Zone:      rules.ZoneID(indexOf(c.zones, s.Zone)),
+			Kind:      rules.KindID(indexOf(c.kinds, s.Kind)),
+			Cell:      rules.CellID(s.Cell),
+			State:     stateByName[s.State],
+			Listed:    1,
 			StartedAt: rules.Time(s.Started) * rules.Time(time.Millisecond),
 		}
 		if s.Weight != nil {
 			e.Listed = *s.Weight
 		}
-		out.Entries = append(out.Entries, e)
+		list.Entries = append(list.Entries, e)
 	}
-	return out
+	return list
 }
 
+// indexOf returns the index of a name, or that after the last one.
 func indexOf(in []string, name string) int {
 	if i := slices.Index(in, name); i >= 0 {
 		return i
--- a/internal/discoveryclient/client.go
+++ b/internal/discoveryclient/client.go
@@ -1,5 +1,5 @@
-// Package discoveryclient speaks to discovery: it asks for the list of replicas and follows its changes, and it holds the
-// replicas' names.
+// Package discoveryclient is the client of discovery: it requests the endpoint list, follows its changes, and keeps the
+// numbers by which the rules know replicas.
 package discoveryclient
 
 import (
@@ -16,7 +16,11 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Client asks when it is told to and posts each answer as an event.
+// serversPath is the resource of the endpoint list.
+const serversPath = "/v1/servers"
+
+// Client requests the endpoint list when it is told to and posts each answer as an event. Its methods may be called
+// concurrently, but for LoadKnown and Restore, which come before all others.
 type Client struct {
 	nameTable
 	zones, kinds []string
@@ -25,163 +29,190 @@
 	post         func(rules.List)
 	ctx          context.Context
 	dial         dialFunc
-	running      sync.WaitGroup
-
-	posting      sync.Mutex
-	mu           sync.Mutex         // never while posting, as the poster may have to wait for one who calls Observe
-	endpoint     *endpoint          // to the address that counts
-	version      Version            // of the list as posted last
-	hasVersion   bool               // there is such a version, so changes from it can be asked for
-	lastAnswerAt time.Time          // when an answer was good last
+	running      sync.WaitGroup // requests and watches
+
+	posting      sync.Mutex         // held while an answer is taken in and posted, so that posts keep the order of versions
+	mu           sync.Mutex         // guards the following; never held while posting, as post may wait for a caller of Watch
+	endpoint     *endpoint          // at the current address
+	version      Version            // of the list as last posted
+	hasVersion   bool               // changes since version can be requested
+	lastAnswerAt time.Time          // of a valid answer; zero: none yet
 	watching     bool               // a watch is wanted and has not failed
-	stopWatch    context.CancelFunc // of the watch that counts
+	stopWatch    context.CancelFunc // of the current watch
 }
 
-// New returns a List that calls discovery until ctx ends. What it hears goes to post.
+// New returns a Client whose calls end with ctx. It calls nobody before Watch or Fetch. Answers, and failures too, go to
+// post, one at a time.
 func New(ctx context.Context, c config.Config, log zerolog.Logger, post func(rules.List)) *Client {
-	l := &Client{
-		nameTable: newNameTable(), zones: c.Settings.Zones, kinds: c.Settings.Kinds,
-		bounds: c.Bounds, log: log, post: post, ctx: ctx,
-		dial: (&net.Dialer{}).DialContext, stopWatch: func() {},
+	client := &Client{
+		nameTable: newNameTable(),
+		zones:     c.Settings.Zones,
+		kinds:     c.Settings.Kinds,
+		bounds:    c.Bounds,
+		log:       log,
+		post:      post,
+		ctx:       ctx,
+		dial:      (&net.Dialer{}).DialContext,
+		stopWatch: func() {},
 	}
-	l.endpoint = newEndpoint(ctx, c.Discovery, c.Bounds.MaxDiscoveryBytes, l.dial)
-	return l
+	client.endpoint = newEndpoint(ctx, c.Discovery, c.Bounds.MaxDiscoveryBytes, client.dial)
+	return client
 }
 
-// LoadKnown reads the list as this governor last held it. Where there is none, the first call asks for the whole list.
-func (l *Client) LoadKnown(text []byte) (rules.List, error) {
-	held, err := decodeAnswer(text)
+// LoadKnown takes the list that the configuration brings as the current one and returns it. Without it, or Restore, the
+// first request is for the full list.
+func (c *Client) LoadKnown(text []byte) (rules.List, error) {
+	known, err := decodeAnswer(text)
 	if err != nil {
 		return rules.List{}, fmt.Errorf("known: %w", err)
 	}
-	l.version, l.hasVersion = *held.Version, true
-	out := l.toRules(held)
-	out.Scope = rules.Cached
-	return out, nil
+	c.version, c.hasVersion = *known.Version, true
+	list := c.toRules(known)
+	list.Scope = rules.Cached
+	return list, nil
 }
 
-// Restore takes on what a former life kept: names by number, and the version from which changes are asked for.
-func (l *Client) Restore(state recovery.Kept) {
-	for _, r := range state.Replicas {
-		l.restore(r.Name, r.Entry.Replica)
+// Restore takes over what the previous process has kept: the replicas' numbers, and the version whose changes are
+// requested.
+func (c *Client) Restore(state recovery.Kept) {
+	for _, replica := range state.Replicas {
+		c.restore(replica.Name, replica.Entry.Replica)
 	}
-	l.namesMu.Lock()
-	l.next = max(l.next, state.Next)
-	l.namesMu.Unlock()
-	l.version, l.hasVersion = Version(state.Version), true
+	c.reserve(state.Next)
+	c.version, c.hasVersion = Version(state.Version), true
 }
 
-// Position is the version of the list as posted last, and when discovery was last heard; zero: never.
-func (l *Client) Position() (Version, time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.version, l.lastAnswerAt
+// Position returns the version of the list as last posted, and the time of the last valid answer, zero if there was none.
+func (c *Client) Position() (Version, time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.version, c.lastAnswerAt
 }
 
-// Watch begins a watch, which ends any earlier one, or ends it.
-func (l *Client) Watch(on bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.setWatch(on)
+// Watch begins to follow changes of the list, in place of any earlier watch, or ends that.
+func (c *Client) Watch(on bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.setWatch(on)
 }
 
-// setWatch is Observe with the lock held.
-func (l *Client) setWatch(on bool) {
-	l.stopWatch()
-	ctx, cancel := context.WithCancel(l.endpoint.ctx)
-	if l.stopWatch, l.watching = cancel, on; on {
-		l.running.Add(1)
-		go l.watchLoop(ctx, l.endpoint)
+// setWatch is Watch with mu held.
+func (c *Client) setWatch(on bool) {
+	c.stopWatch()
+	ctx, cancel := context.WithCancel(c.endpoint.ctx)
+	c.stopWatch, c.watching = cancel, on
+	if on {
+		c.running.Add(1)
+		go c.watchLoop(ctx, c.endpoint)
 	}
 }
 
-// SetAddress goes over to another address of discovery at once. Calls to the old one are given up; the watch goes on at
-// the new one from the version held, so that nothing is missed that changed in between.
-func (l *Client) SetAddress(address string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.endpoint.close()
-	l.endpoint = newEndpoint(l.ctx, address, l.bounds.MaxDiscoveryBytes, l.dial)
-	if l.watching {
-		l.setWatch(true)
+// SetAddress changes the address of discovery at once. Requests to the previous address are abandoned; a watch goes on at
+// the new one from the current version, so that no change in between is missed.
+func (c *Client) SetAddress(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.endpoint.close()
+	c.endpoint = newEndpoint(c.ctx, address, c.bounds.MaxDiscoveryBytes, c.dial)
+	if c.watching {
+		c.setWatch(true)
 	}
 }
 
-// Fetch asks for the whole list once, again where the address changes meanwhile.
-func (l *Client) Fetch() {
-	l.running.Add(1)
+// Fetch requests the full list once, and again where the address changes meanwhile. It does not wait for the answer.
+func (c *Client) Fetch() {
+	c.running.Add(1)
 	go func() {
-		defer l.running.Done()
-		for l.ctx.Err() == nil {
-			asked, _, calls := l.current()
-			body, err := calls.get(calls.ctx, "/v1/servers", l.bounds.DiscoveryCallMargin)
-			if l.handleAnswer(calls.ctx, body, err, asked, false); calls.ctx.Err() == nil {
+		defer c.running.Done()
+		for c.ctx.Err() == nil {
+			version, _, endpoint := c.current()
+			body, err := endpoint.get(endpoint.ctx, serversPath, c.bounds.DiscoveryCallMargin)
+			c.handleAnswer(endpoint.ctx, response{body: body, err: err, requestedAt: version})
+			if endpoint.ctx.Err() == nil {
 				return
 			}
 		}
 	}()
 }
 
-// Wait returns when all calls have ended, which they do once the context has.
-func (l *Client) Wait() { l.running.Wait() }
+// Wait returns when all requests have ended, which they do after the context of New has.
+func (c *Client) Wait() { c.running.Wait() }
 
-// watchLoop asks for what was missed, then call after call for what changes. The first answer is posted even if it
-// tells nothing, as it answers the order; the next call begins at once, so that the watch is one.
-func (l *Client) watchLoop(ctx context.Context, endpoint *endpoint) {
-	defer l.running.Done()
+// watchLoop requests what was missed, then makes one blocking request after the other until one fails or ctx ends. The
+// first answer is posted even if it holds no change, as it answers the order to watch.
+func (c *Client) watchLoop(ctx context.Context, endpoint *endpoint) {
+	defer c.running.Done()
 	for first := true; ; first = false {
-		wait := l.bounds.DiscoveryWait
+		wait := c.bounds.DiscoveryWait
 		if first {
 			wait = 0
 		}
-		target := "/v1/servers"
-		version, hasVersion, _ := l.current()
+		target := serversPath
+		version, hasVersion, _ := c.current()
 		if hasVersion {
 			target = fmt.Sprintf("%s?index=%d&wait=%d", target, version, wait.Milliseconds())
 		}
-		body, err := endpoint.get(ctx, target, wait+l.bounds.DiscoveryCallMargin)
-		if !l.handleAnswer(ctx, body, err, version, !first) {
+		body, err := endpoint.get(ctx, target, wait+c.bounds.DiscoveryCallMargin)
+		if !c.handleAnswer(ctx, response{body: body, err: err, requestedAt: version, skipIfUnchanged: !first}) {
 			return
 		}
 	}
 }
 
-// current is the version of the list as posted last, whether there is one, and who is asked for more.
-func (l *Client) current() (Version, bool, *endpoint) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.version, l.hasVersion, l.endpoint
+// current returns the version as last posted, whether there is one, and the endpoint at the current address.
+func (c *Client) current() (Version, bool, *endpoint) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.version, c.hasVersion, c.endpoint
+}
+
+// response is the outcome of one request.
+type response struct {
+	body            []byte
+	err             error
+	requestedAt     Version // the version that was current when the request was made
+	skipIfUnchanged bool    // an answer without changes is not posted
 }
 
-// handleAnswer takes in an answer to a call made when version asked was held, and tells whether it was good; that of a
-// call whose context has ended is about nobody, as Observe ends an earlier watch while it holds the lock. What is
-// older than what has come since would undo it, and so would changes from before it: both count as failures,
-// after which the whole list is asked for.
-func (l *Client) handleAnswer(ctx context.Context, body []byte, err error, askedVersion Version, mayBeEmpty bool) bool {
+// handleAnswer takes in the outcome of a request and posts it, and reports whether it was valid. The outcome of a request
+// whose context has ended is ignored: an earlier watch is ended with mu held, so nothing of it can follow.
+func (c *Client) handleAnswer(ctx context.Context, r response) bool {
 	var decoded answer
+	err := r.err
 	if err == nil {
-		decoded, err = decodeAnswer(body)
+		decoded, err = decodeAnswer(r.body)
 	}
-	l.posting.Lock() // posts keep the order in which versions were taken in
-	defer l.posting.Unlock()
-	l.mu.Lock()
-	if ctx.Err() != nil {
-		l.mu.Unlock()
+	c.posting.Lock()
+	defer c.posting.Unlock()
+	ignored, err := c.advance(ctx, r, decoded, err)
+	if ignored {
 		return false
 	}
-	if err == nil && *decoded.Version < l.version && (!decoded.Full || l.version != askedVersion) {
-		err = fmt.Errorf("the list went back from version %d to %d", l.version, *decoded.Version)
-		l.hasVersion = false
-	} else if err == nil {
-		l.version, l.hasVersion, l.lastAnswerAt = *decoded.Version, true, time.Now()
-	}
-	l.watching = l.watching && err == nil
-	l.mu.Unlock()
 	if err != nil {
-		l.log.Warn().Err(err).Msg("list failure")
-		l.post(rules.List{Scope: rules.Failed})
-	} else if !mayBeEmpty || decoded.Full || len(decoded.Servers) > 0 {
-		l.post(l.toRules(decoded))
+		c.log.Warn().Err(err).Msg("list failure")
+		c.post(rules.List{Scope: rules.Failed})
+		return false
+	}
+	if !r.skipIfUnchanged || decoded.Full || len(decoded.Servers) > 0 {
+		c.post(c.toRules(decoded))
+	}
+	return true
+}
+
+// advance moves the version to that of an answer. An answer that is older than what has come since would undo it, and so
+// would changes on top of it: both are failures, after which the full list is requested.
+func (c *Client) advance(ctx context.Context, r response, decoded answer, err error) (ignored bool, failure error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if ctx.Err() != nil {
+		return true, nil
+	}
+	if err == nil && *decoded.Version < c.version && (!decoded.Full || c.version != r.requestedAt) {
+		err = fmt.Errorf("the list went back from version %d to %d", c.version, *decoded.Version)
+		c.hasVersion = false
+	} else if err == nil {
+		c.version, c.hasVersion, c.lastAnswerAt = *decoded.Version, true, time.Now()
 	}
-	return err == nil
+	c.watching = c.watching && err == nil
+	return false, err
 }
--- a/internal/discoveryclient/client_test.go
+++ b/internal/discoveryclient/client_test.go
@@ -18,17 +18,17 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// An act is what the stand-in of discovery does with one call.
-type act func(l *Client, w http.ResponseWriter, r *http.Request)
+// action is what the stand-in of discovery does with one request.
+type action func(c *Client, w http.ResponseWriter, r *http.Request)
 
-func tells(version int, full bool, servers ...string) act {
+func answers(version int, full bool, servers ...string) action {
 	return func(_ *Client, w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(servers, ","))
+		_, _ = fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(servers, ","))
 	}
 }
 
-// after lets a call wait for so long, or until the caller gives up.
-func after(d time.Duration, a act) act {
+// after delays an action, unless the client gives up before.
+func after(d time.Duration, a action) action {
 	return func(l *Client, w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(d):
@@ -38,8 +38,8 @@
 	}
 }
 
-// moves tells the list of another address while a call to the old one waits.
-func moves(address string) act {
+// movesTo changes the address while a request to the previous one waits.
+func movesTo(address string) action {
 	return func(l *Client, _ http.ResponseWriter, r *http.Request) {
 		l.SetAddress(address)
 		<-r.Context().Done()
@@ -50,10 +50,10 @@
 	return fmt.Sprintf(`{"id":%q,"addr":"10.1.0.18:3000","zone":"b","kind":"m2","cell":3,"state":%q,"weight":1.5,"started_ms":7}`, id, state)
 }
 
-// follows plays a list that is told to observe against these acts, until they are used up, and compares what it
-// asked and posted with the trace in testdata. After a failure it is told to observe again, a second later. For
-// the time down, connections do not come up.
-func follows(t *testing.T, known string, down time.Duration, acts ...act) {
+// runWatch has a client watch a discovery that takes these actions, until they are used up, and compares its requests and
+// events with the trace in testdata. After a failure the watch is ordered again a second later. Connections are accepted
+// only after the time down.
+func runWatch(t *testing.T, known string, down time.Duration, actions ...action) {
 	t.Helper()
 	var trace strings.Builder
 	synctest.Test(t, func(t *testing.T) {
@@ -73,13 +73,13 @@
 		begun, connections, over := time.Now(), atomic.Int32{}, atomic.Bool{}
 		s := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			lines <- fmt.Sprintf("%v call %s of %s", time.Since(begun), r.URL, r.Host)
-			if len(acts) == 0 {
+			if len(actions) == 0 {
 				over.Store(true)
 				<-r.Context().Done()
 				return
 			}
-			a := acts[0]
-			acts = acts[1:]
+			a := actions[0]
+			actions = actions[1:]
 			a(l, w, r)
 		}), ConnState: func(_ net.Conn, s http.ConnState) {
 			if s == http.StateNew {
@@ -112,7 +112,7 @@
 		fmt.Fprintf(&trace, "first name %q %v, back to %d %v\n", name, found, id, back)
 		cancel()
 		l.Wait()
-		s.Close()
+		testkit.Close(t, &s)
 	})
 	testkit.CompareTrace(t, trace.String())
 }
@@ -120,12 +120,12 @@
 const known = `{"version":41,"full":true,"servers":[{"id":"s-1","zone":"a","kind":"m1","cell":1,"state":"ready","started_ms":0}]}`
 
 func TestWatch(t *testing.T) {
-	follows(t, known, 0, tells(41, false), after(3*time.Second, tells(42, false, server("s-2", "ready"))),
-		after(20*time.Second, tells(42, false)), tells(43, false, server("s-1", "gone")), tells(50, true, server("s-2", "draining")))
+	runWatch(t, known, 0, answers(41, false), after(3*time.Second, answers(42, false, server("s-2", "ready"))),
+		after(20*time.Second, answers(42, false)), answers(43, false, server("s-1", "gone")), answers(50, true, server("s-2", "draining")))
 }
 
 func TestNothingKnown(t *testing.T) {
-	follows(t, "", 0, tells(5, true, server("s-1", "ready")), tells(6, false, server("s-1", "draining")))
+	runWatch(t, "", 0, answers(5, true, server("s-1", "ready")), answers(6, false, server("s-1", "draining")))
 }
 
 func TestFailures(t *testing.T) {
@@ -136,40 +136,40 @@
 		_, _ = w.Write([]byte(`{"version":42,"full":true,"servers":[`))
 		panic(http.ErrAbortHandler)
 	}
-	words := func(_ *Client, w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "no list") }
-	long := tells(42, true, strings.Repeat(" ", 3000))
-	follows(t, known, 0, status, reset, cut, words, long, after(30*time.Second, status), tells(42, false, `{"id":"s-9","state":"lost"}`),
-		tells(42, false, server("s-3", "ready")))
+	words := func(_ *Client, w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "no list") }
+	long := answers(42, true, strings.Repeat(" ", 3000))
+	runWatch(t, known, 0, status, reset, cut, words, long, after(30*time.Second, status), answers(42, false, `{"id":"s-9","state":"lost"}`),
+		answers(42, false, server("s-3", "ready")))
 }
 
 func TestVersionsGoBack(t *testing.T) {
-	follows(t, known, 0, tells(45, false, server("s-2", "ready")), tells(44, false, server("s-2", "gone")),
-		tells(3, true, server("s-2", "ready")), tells(4, false, server("s-2", "draining")))
+	runWatch(t, known, 0, answers(45, false, server("s-2", "ready")), answers(44, false, server("s-2", "gone")),
+		answers(3, true, server("s-2", "ready")), answers(4, false, server("s-2", "draining")))
 }
 
 func TestConnectionsDoNotComeUp(t *testing.T) {
-	follows(t, known, 20500*time.Millisecond, tells(42, false, server("s-2", "ready")))
+	runWatch(t, known, 20500*time.Millisecond, answers(42, false, server("s-2", "ready")))
 }
 
-// TestMove has the address change before the first answer, while a call waits, twice in a row, and while a call for the
-// whole list is out: nothing that changed in between is missed, and what the old address still says counts for nothing.
+// TestMove changes the address before the first answer, while a request waits, twice in a row, and while the full list is
+// requested: no change in between is missed, and answers of the previous address are ignored.
 func TestMove(t *testing.T) {
 	twice := func(l *Client, w http.ResponseWriter, r *http.Request) {
 		l.SetAddress("10.2.0.8:8500")
 		l.SetAddress("10.2.0.9:8500")
-		tells(70, true)(l, w, r)
+		answers(70, true)(l, w, r)
 	}
 	failed := func(l *Client, w http.ResponseWriter, _ *http.Request) {
 		time.AfterFunc(500*time.Millisecond, l.Fetch)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	follows(t, known, 0, moves("10.2.0.2:8500"), tells(42, false, server("s-2", "ready")), after(time.Second, moves("10.2.0.4:8500")),
-		tells(43, false, server("s-2", "draining")), failed, moves("10.2.0.3:8500"), tells(44, true, server("s-2", "draining")), twice,
-		tells(45, false, server("s-3", "ready")))
+	runWatch(t, known, 0, movesTo("10.2.0.2:8500"), answers(42, false, server("s-2", "ready")), after(time.Second, movesTo("10.2.0.4:8500")),
+		answers(43, false, server("s-2", "draining")), failed, movesTo("10.2.0.3:8500"), answers(44, true, server("s-2", "draining")), twice,
+		answers(45, false, server("s-3", "ready")))
 }
 
-// TestForget has replicas come under ever new names: only those that are listed are held, and one that is listed
-// again before the module's Forget has come keeps its number.
+// TestForget has replicas come under ever new names: only listed ones are held, and one that is listed again before the
+// order to forget it arrives keeps its number.
 func TestForget(t *testing.T) {
 	l := Client{nameTable: newNameTable()}
 	hear := func(full bool, id string, state string) rules.ReplicaID {
--- a/internal/discoveryclient/endpoint.go
+++ b/internal/discoveryclient/endpoint.go
@@ -12,14 +12,20 @@
 	"time"
 )
 
+// maxHeaderBytes bounds the headers of an answer.
+const maxHeaderBytes = 64 << 10
+
+var errAnswerTooLong = errors.New("the answer is too long")
+
+// dialFunc opens a connection, as net.Dialer.DialContext does.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// endpoint makes calls to discovery at one address through a reverse proxy that is run in-process: the transport
-// below is all that touches the network, and a caller never sees half an answer.
+// endpoint makes requests to discovery at one address through an in-process reverse proxy. completeTransport is all that
+// touches the network, so that a caller never sees a partial answer.
 type endpoint struct {
 	proxy     *httputil.ReverseProxy
 	transport *completeTransport
-	ctx       context.Context // ends when another address has taken this one's place
+	ctx       context.Context // ends when the address changes
 	close     context.CancelFunc
 }
 
@@ -28,7 +34,7 @@
 	t := &completeTransport{maxBytes: maxBytes, base: &http.Transport{
 		DialContext:            dial,
 		MaxIdleConnsPerHost:    1,
-		MaxResponseHeaderBytes: 64 << 10,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 		DisableCompression:     true,
 	}}
 	context.AfterFunc(ctx, t.base.CloseIdleConnections)
@@ -41,7 +47,7 @@
 	}}
 }
 
-// get returns the body of an answer that came whole and well within the time.
+// get returns the body of an answer with status 200 that has arrived completely within timeout.
 func (e *endpoint) get(ctx context.Context, target string, timeout time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -55,37 +61,38 @@
 		w.err = fmt.Errorf("discovery answered %d", w.status)
 	}
 	if w.err != nil {
-		e.transport.base.CloseIdleConnections() // the next call goes by a fresh connection
+		e.transport.base.CloseIdleConnections() // so that the next request uses a new connection
 		return nil, w.err
 	}
 	return w.body.Bytes(), nil
 }
 
-// completeTransport is a round tripper that returns answers whole or not at all. It guards against bodies that are cut,
-// too long or that never end.
+// completeTransport is a round tripper that returns complete answers only. It guards against bodies that are truncated,
+// that are longer than maxBytes, or that never end.
 type completeTransport struct {
 	base     *http.Transport
 	maxBytes int64
 }
 
+// RoundTrip implements http.RoundTripper.
 func (t *completeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	res, err := t.base.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }() // the body has been read, or is given up
 	body, err := io.ReadAll(io.LimitReader(res.Body, t.maxBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("the answer is cut: %w", err)
 	}
 	if int64(len(body)) > t.maxBytes {
-		return nil, errors.New("the answer is too long")
+		return nil, errAnswerTooLong
 	}
 	res.Body = io.NopCloser(bytes.NewReader(body))
 	return res, nil
 }
 
-// bufferedReply takes what the reverse proxy answers.
+// bufferedReply is the http.ResponseWriter that the reverse proxy answers to.
 type bufferedReply struct {
 	header http.Header
 	status int
--- a/internal/discoveryclient/replicanames.go
+++ b/internal/discoveryclient/replicanames.go
@@ -6,8 +6,9 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// nameTable gives each replica that is listed a number. A replica that has left the list keeps its name until Forget,
-// as removals of it must still be nameable.
+// nameTable assigns a number to each listed replica. A replica that has left the list keeps its name until Forget, as its
+// removals must still be written by name. Numbers are never reused, so that late reports can't be taken for another
+// replica's.
 type nameTable struct {
 	namesMu sync.RWMutex
 	ids     map[string]rules.ReplicaID
@@ -17,73 +18,81 @@
 
 type namedReplica struct {
 	name   string
-	listed bool // as the list was posted last
+	listed bool // in the list as last posted
 }
 
 func newNameTable() nameTable {
 	return nameTable{ids: map[string]rules.ReplicaID{}, named: map[rules.ReplicaID]namedReplica{}}
 }
 
-// ID finds a replica by its name.
-func (n *nameTable) ID(name []byte) (rules.ReplicaID, bool) {
-	n.namesMu.RLock()
-	defer n.namesMu.RUnlock()
-	id, ok := n.ids[string(name)]
+// ID returns the number of the replica with this name.
+func (t *nameTable) ID(name []byte) (rules.ReplicaID, bool) {
+	t.namesMu.RLock()
+	defer t.namesMu.RUnlock()
+	id, ok := t.ids[string(name)]
 	return id, ok
 }
 
-// Name is a replica's name.
-func (n *nameTable) Name(id rules.ReplicaID) (string, bool) {
-	n.namesMu.RLock()
-	defer n.namesMu.RUnlock()
-	h, ok := n.named[id]
-	return h.name, ok
+// Name returns the name of a replica.
+func (t *nameTable) Name(id rules.ReplicaID) (string, bool) {
+	t.namesMu.RLock()
+	defer t.namesMu.RUnlock()
+	replica, ok := t.named[id]
+	return replica.name, ok
 }
 
-// Forget frees the name of a replica that is gone. One that has just been listed again keeps it: whoever orders
-// Forget has not heard of that yet. A number is never given twice, so that late words are about nobody else.
-func (n *nameTable) Forget(id rules.ReplicaID) {
-	n.namesMu.Lock()
-	defer n.namesMu.Unlock()
-	if h := n.named[id]; !h.listed {
-		delete(n.ids, h.name)
-		delete(n.named, id)
+// Forget releases the name of a replica that is gone. A replica that has been listed again meanwhile keeps it: the order
+// to forget was given before that was known.
+func (t *nameTable) Forget(id rules.ReplicaID) {
+	t.namesMu.Lock()
+	defer t.namesMu.Unlock()
+	if replica := t.named[id]; !replica.listed {
+		delete(t.ids, replica.name)
+		delete(t.named, id)
 	}
 }
 
-// restore gives a replica the number that it had in a former life.
-func (n *nameTable) restore(name string, id rules.ReplicaID) {
-	n.namesMu.Lock()
-	defer n.namesMu.Unlock()
-	n.ids[name], n.named[id], n.next = id, namedReplica{name, true}, max(n.next, id+1)
+// Next returns the number that the next new replica gets.
+func (t *nameTable) Next() rules.ReplicaID {
+	t.namesMu.RLock()
+	defer t.namesMu.RUnlock()
+	return t.next
 }
 
-// Next is the number that the next new replica gets.
-func (n *nameTable) Next() rules.ReplicaID {
-	n.namesMu.RLock()
-	defer n.namesMu.RUnlock()
-	return n.next
+// restore gives a replica the number that it had in the previous process.
+func (t *nameTable) restore(name string, id rules.ReplicaID) {
+	t.namesMu.Lock()
+	defer t.namesMu.Unlock()
+	t.ids[name], t.named[id], t.next = id, namedReplica{name, true}, max(t.next, id+1)
 }
 
-func (n *nameTable) add(name string, listed bool) rules.ReplicaID {
-	n.namesMu.Lock()
-	defer n.namesMu.Unlock()
-	id, ok := n.ids[name]
+// reserve keeps new replicas from getting a number below next.
+func (t *nameTable) reserve(next rules.ReplicaID) {
+	t.namesMu.Lock()
+	defer t.namesMu.Unlock()
+	t.next = max(t.next, next)
+}
+
+// add returns the number of a replica that an answer names, a new one if it has none.
+func (t *nameTable) add(name string, listed bool) rules.ReplicaID {
+	t.namesMu.Lock()
+	defer t.namesMu.Unlock()
+	id, ok := t.ids[name]
 	if !ok {
-		id = n.next
-		n.next++
-		n.ids[name] = id
+		id = t.next
+		t.next++
+		t.ids[name] = id
 	}
-	n.named[id] = namedReplica{name, listed}
+	t.named[id] = namedReplica{name, listed}
 	return id
 }
 
-// unlistAll makes room for a whole list: what it does not name is gone.
-func (n *nameTable) unlistAll() {
-	n.namesMu.Lock()
-	defer n.namesMu.Unlock()
-	for id, h := range n.named {
-		h.listed = false
-		n.named[id] = h
+// unlistAll precedes a full list: what that does not name is gone.
+func (t *nameTable) unlistAll() {
+	t.namesMu.Lock()
+	defer t.namesMu.Unlock()
+	for id, replica := range t.named {
+		replica.listed = false
+		t.named[id] = replica
 	}
 }
--- a/internal/eventqueue/queue.go
+++ b/internal/eventqueue/queue.go
@@ -1,4 +1,5 @@
-// Package eventqueue is where the client side and the server side meet: events go in, orders come out.
+// Package eventqueue connects the network code with the goroutine that decides: events of proxies, collectors, machines
+// and discovery go in, and the orders of each step go back to those that carry them out.
 package eventqueue
 
 import (
@@ -8,18 +9,18 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Event is a fact, or in its place a batch of a proxy's reports or what machines tell of their loads, and the connection
-// that it came by, if it came by one.
+// Event is one input of the deciding goroutine: a fact, or in its place a batch of a proxy's reports or load reports of
+// machines.
 type Event struct {
-	Connection any
-	Fact       rules.Event
-	Batch      *intake.Batch
-	Loads      []intake.Load
-	ReceivedAt time.Time // when a report came
+	Connection any           // of the client side, by which it came; nil where it came by none
+	Fact       rules.Event   // a join, a leave, an acknowledgement, sums, or an answer of discovery
+	Batch      *intake.Batch // reports of a single proxy
+	Loads      []intake.Load // load reports of machines
+	ReceivedAt time.Time     // of a report
 }
 
-// isReport tells whether an event may wait behind all others. Joins, leaves, marks and the list may not: a drain must
-// be on its way however much is reported.
+// isReport reports whether an event may wait behind all others. Joins, leaves, acknowledgements and the endpoint list may
+// not: a drain must take effect however much is reported.
 func (e Event) isReport() bool {
 	switch e.Fact.(type) {
 	case nil, rules.Sums, rules.Intake:
@@ -28,33 +29,36 @@
 	return false
 }
 
-// Clients is the side of the proxies and collectors.
+// Clients are the connections of proxies and collectors. Only the deciding goroutine calls them.
 type Clients interface {
-	// Heed takes note of an event and tells whether it counts: late words of a replaced stream do not.
+	// Accept updates the state of a proxy with an event and reports whether the event is current: what a replaced
+	// stream still sends is not.
 	Accept(Event) bool
-	// Carry writes the orders of one Step to the proxies concerned.
+	// Execute writes the orders of one step to the proxies concerned.
 	Execute([]rules.Order)
-	// Forget drops what is held of a replica that is gone.
+	// Forget drops the state of a replica that is gone.
 	Forget(rules.ReplicaID)
 }
 
-// ReplicaNames finds replicas by the name that discovery gives them, and names by replica.
+// ReplicaNames maps the names that discovery gives to replicas to the numbers that the rules use, and back.
 type ReplicaNames interface {
 	ID(name []byte) (rules.ReplicaID, bool)
 	Name(rules.ReplicaID) (string, bool)
 }
 
-// Discovery is the side of discovery. Its answers come as events.
+// Discovery is the client of discovery. Its answers are posted as events.
 type Discovery interface {
 	ReplicaNames
+	// Watch begins to follow changes of the endpoint list, or ends that.
 	Watch(on bool)
+	// Fetch requests the full endpoint list once.
 	Fetch()
-	// Forget frees the name of a replica that is gone.
+	// Forget releases the name of a replica that is gone.
 	Forget(rules.ReplicaID)
 }
 
-// Queue carries events to the one goroutine that decides, and its orders back to both sides. Reports have a lane
-// of their own, so that nothing else ever waits behind them.
+// Queue carries events to the one goroutine that decides and dispatches its orders. Reports have a lane of their own, so
+// that nothing else ever waits behind them.
 type Queue struct {
 	urgent, reports chan Event
 	closed          chan struct{}
@@ -62,49 +66,58 @@
 	discovery       Discovery
 }
 
-// New returns an Exchange in which so many reports may wait, and as many other events.
+// New returns a Queue that holds up to capacity reports and as many other events.
 func New(capacity int) *Queue {
-	return &Queue{urgent: make(chan Event, capacity), reports: make(chan Event, capacity), closed: make(chan struct{})}
+	return &Queue{
+		urgent:  make(chan Event, capacity),
+		reports: make(chan Event, capacity),
+		closed:  make(chan struct{}),
+	}
 }
 
-// Connect names the two sides. It is called once, before any other call.
+// Connect sets who carries out orders. It must be called once, before any other method.
 func (q *Queue) Connect(clients Clients, discovery Discovery) {
 	q.clients, q.discovery = clients, discovery
 }
 
-// Close lets all that wait in Post go.
+// Close releases all callers that wait in Post. It must be called once.
 func (q *Queue) Close() { close(q.closed) }
 
-func (q *Queue) channel(e Event) chan Event {
+func (q *Queue) lane(e Event) chan Event {
 	if e.isReport() {
 		return q.reports
 	}
 	return q.urgent
 }
 
-// Post hands an event over. It waits while its lane is full, so that whoever sends too much is not read from.
+// Post enqueues an event. It waits while the event's lane is full, which is the back pressure on peers that send too much:
+// meanwhile they are not read from. After Close it waits no longer and drops what has no room.
 func (q *Queue) Post(e Event) {
 	select {
-	case q.channel(e) <- e:
+	case q.lane(e) <- e:
 	case <-q.closed:
 	}
 }
 
-// TryPost hands an event over, unless its lane is full. It is for reports of streams: a proxy's marks come behind them.
+// TryPost enqueues an event unless its lane is full, and reports whether it did. It is for the reports on proxies'
+// streams: acknowledgements come behind them on the same stream and must not be delayed.
 func (q *Queue) TryPost(e Event) bool {
 	select {
-	case q.channel(e) <- e:
+	case q.lane(e) <- e:
 		return true
 	default:
 		return false
 	}
 }
 
-// Urgent is where events come out that must not wait, Reports where the others do.
-func (q *Queue) Urgent() <-chan Event  { return q.urgent }
+// Urgent is the lane of all events but reports.
+func (q *Queue) Urgent() <-chan Event { return q.urgent }
+
+// Reports is the lane of reports.
 func (q *Queue) Reports() <-chan Event { return q.reports }
 
-// DropStale returns those events that count.
+// DropStale has the client side take note of the events of its connections and returns those that are current. It reuses
+// the slice.
 func (q *Queue) DropStale(events []Event) []Event {
 	current := events[:0]
 	for _, e := range events {
@@ -115,37 +128,37 @@
 	return current
 }
 
-// Dispatch hands the orders of one Step to the sides that carry them out, and returns those that are for the
-// caller itself: timers, log lines, and replicas to forget.
+// Dispatch hands the orders of one step to the sides that carry them out and returns those that are the caller's own:
+// timers, log lines, and replicas to forget.
 func (q *Queue) Dispatch(orders []rules.Order) (own []rules.Order) {
-	var table []rules.Order
+	var routing []rules.Order
 	var forgotten []rules.ReplicaID
-	for _, o := range orders {
-		switch o := o.(type) {
+	for _, order := range orders {
+		switch order := order.(type) {
 		case rules.Observe:
-			q.discovery.Watch(o.On)
+			q.discovery.Watch(order.On)
 		case rules.FetchList:
 			q.discovery.Fetch()
 		case rules.Forget:
-			forgotten, own = append(forgotten, o.Replica), append(own, o)
+			forgotten, own = append(forgotten, order.Replica), append(own, order)
 		case rules.WakeAfter, rules.Log, rules.Probe, rules.Tell:
-			own = append(own, o)
+			own = append(own, order)
 		default:
-			table = append(table, o)
+			routing = append(routing, order)
 		}
 	}
-	if len(table) > 0 {
-		q.clients.Execute(table)
+	if len(routing) > 0 {
+		q.clients.Execute(routing)
 	}
-	for _, r := range forgotten { // the Step's last removals have named them
-		q.clients.Forget(r)
-		q.discovery.Forget(r)
+	for _, replica := range forgotten { // only now: the step's last removals needed their names
+		q.clients.Forget(replica)
+		q.discovery.Forget(replica)
 	}
 	return own
 }
 
-// ID finds a replica by the name that discovery gives it.
+// ID returns the number of the replica with this name.
 func (q *Queue) ID(name []byte) (rules.ReplicaID, bool) { return q.discovery.ID(name) }
 
-// Name is a replica's name.
+// Name returns the name of a replica.
 func (q *Queue) Name(id rules.ReplicaID) (string, bool) { return q.discovery.Name(id) }
--- a/internal/testkit/listener.go
+++ b/internal/testkit/listener.go
@@ -1,4 +1,5 @@
-// Package testkit is what the tests of several packages share.
+// Package testkit holds what the tests of several packages share: an in-memory listener, comparison with kept traces, and
+// checked closing.
 package testkit
 
 import (
@@ -7,20 +8,20 @@
 	"sync"
 )
 
-// Listener takes what Dial connects. Its connections are net.Pipe, so that sockets can run in a bubble of
-// testing/synctest.
+// Listener is an in-memory net.Listener whose connections are made by Dial. They are net.Pipe pairs, so that code that
+// uses sockets can run in a bubble of testing/synctest.
 type Listener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
 }
 
-// Listen returns a Listener.
+// Listen returns an open Listener.
 func Listen() *Listener {
 	return &Listener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// Dial returns the peer's end of a new connection. It fits http.Transport.
+// Dial connects to the listener and returns the client's end. Its signature fits http.Transport.DialContext.
 func (l *Listener) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	ours, theirs := net.Pipe()
 	select {
@@ -33,7 +34,7 @@
 	}
 }
 
-// Accept is net.Listener's.
+// Accept implements net.Listener.
 func (l *Listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
@@ -43,11 +44,11 @@
 	}
 }
 
-// Close is net.Listener's.
+// Close implements net.Listener. It may be called more than once.
 func (l *Listener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-// Addr is net.Listener's.
+// Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe", Net: "pipe"} }
--- a/internal/testkit/trace.go
+++ b/internal/testkit/trace.go
@@ -12,9 +12,10 @@
 	"github.com/rs/zerolog"
 )
 
-var update = flag.Bool("update", false, "write the traces anew")
+var update = flag.Bool("update", false, "rewrite the kept traces")
 
-// CompareTrace compares a trace with the one that testdata keeps under the test's name.
+// CompareTrace compares a trace with the one that testdata keeps under the test's name in lower case. With the flag
+// -update it writes the kept one first.
 func CompareTrace(t *testing.T, got string) {
 	t.Helper()
 	file := filepath.Join("testdata", strings.ToLower(strings.TrimPrefix(t.Name(), "Test"))+".trace")
@@ -32,5 +33,5 @@
 	}
 }
 
-// Logger writes to w without times.
+// Logger returns a logger that writes to w without timestamps, so that its lines can be compared.
 func Logger(w io.Writer) zerolog.Logger { return zerolog.New(zerolog.SyncWriter(w)) }
