--- /dev/null
+++ b/internal/store/benchmark_test.go
@@ -0,0 +1,65 @@
+package store
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"zincloft.example/zincloft/internal/testkit"
+	"zincloft.example/zincloft/recovery"
+	"zincloft.example/zincloft/rules"
+)
+
+// BenchmarkWrite measures a write of 10,000 replicas of which one has changed, or all.
+func BenchmarkWrite(b *testing.B) {
+	for _, changed := range []int{1, 10_000} {
+		b.Run(fmt.Sprint(changed), func(b *testing.B) {
+			s, _, _, err := Open(b.TempDir(), time.Now())
+			if err != nil {
+				b.Fatal(err)
+			}
+			defer testkit.Close(b, s)
+			k := many(10_000)
+			bytes := 0
+			for n := 0; b.Loop(); n++ {
+				for i := range changed {
+					k.Replicas[i].Learnt.Speed = 1 + float64(n)
+				}
+				if bytes, err = s.Write(k); err != nil {
+					b.Fatal(err)
+				}
+			}
+			b.ReportMetric(float64(bytes), "bytes/write")
+		})
+	}
+}
+
+// BenchmarkOpen measures a start from a file of 10,000 replicas.
+func BenchmarkOpen(b *testing.B) {
+	dir := b.TempDir()
+	s, _, _, err := Open(dir, time.Now())
+	if err != nil {
+		b.Fatal(err)
+	}
+	if _, err := s.Write(many(10_000)); err != nil {
+		b.Fatal(err)
+	}
+	testkit.Close(b, s)
+	for b.Loop() {
+		s, k, _, err := Open(dir, time.Now())
+		if err != nil || len(k.Replicas) != 10_000 {
+			b.Fatal(err)
+		}
+		testkit.Close(b, s)
+	}
+}
+
+// many returns a state of n replicas.
+func many(n int) (k recovery.Kept) {
+	k.Governor, k.Discovery, k.Heard, k.Written = "n1", "d", 1, 1
+	for i := range n {
+		k.Replicas = append(k.Replicas, recovery.Replica{Name: fmt.Sprintf("s-%08x", i), Entry: rules.Entry{Replica: rules.ReplicaID(i), State: rules.Ready, Listed: 1},
+			Learnt: rules.Recalled{Replica: rules.ReplicaID(i), Speed: 1.25, Answers: 7.5}})
+	}
+	return k
+}
--- /dev/null
+++ b/internal/store/schema.go
@@ -0,0 +1,216 @@
+package store
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+
+	"github.com/cespare/xxhash/v2"
+	"go.etcd.io/bbolt"
+
+	"zincloft.example/zincloft/recovery"
+	"zincloft.example/zincloft/rules"
+)
+
+// SchemaVersion is the version of the file's form. Version 1 had the whole state in one value; version 2 has a value for
+// each replica, so that only what changed is written.
+const SchemaVersion = 2
+
+const checksumBytes = 8 // at the head of each value
+
+var (
+	metaBucket    = []byte("meta")
+	replicaBucket = []byte("replicas")
+	schemaKey     = []byte("schema")
+	headerKey     = []byte("head")
+	schema1Key    = []byte("whole")
+)
+
+// header is what is kept beside the replicas.
+type header struct {
+	Governor  string          `json:"governor"`
+	Discovery string          `json:"discovery"`
+	Version   uint64          `json:"version"`
+	Heard     rules.Time      `json:"heard_ns"`
+	Written   rules.Time      `json:"written_ns"`
+	Next      rules.ReplicaID `json:"next"`
+	Replicas  int             `json:"replicas"`
+}
+
+// headerOf returns the header of a state.
+func headerOf(k recovery.Kept) header {
+	return header{
+		Governor:  k.Governor,
+		Discovery: k.Discovery,
+		Version:   k.Version,
+		Heard:     k.Heard,
+		Written:   k.Written,
+		Next:      k.Next,
+		Replicas:  len(k.Replicas),
+	}
+}
+
+// kept returns a state with this header and no replicas yet.
+func (h header) kept() recovery.Kept {
+	return recovery.Kept{
+		Governor:  h.Governor,
+		Discovery: h.Discovery,
+		Version:   h.Version,
+		Heard:     h.Heard,
+		Written:   h.Written,
+		Next:      h.Next,
+	}
+}
+
+// replicaRecord is the value of one replica.
+type replicaRecord struct {
+	Number  rules.ReplicaID `json:"number"`
+	Zone    rules.ZoneID    `json:"zone"`
+	Kind    rules.KindID    `json:"kind"`
+	Cell    rules.CellID    `json:"cell"`
+	State   rules.State     `json:"state"`
+	Listed  float64         `json:"weight"`
+	Started rules.Time      `json:"started_ns"`
+	Speed   float64         `json:"speed,omitempty"`
+	Answers float64         `json:"answers,omitempty"`
+	Out     bool            `json:"held_out,omitempty"`
+}
+
+// recordOf returns the value of a replica.
+func recordOf(r recovery.Replica) replicaRecord {
+	return replicaRecord{
+		Number:  r.Entry.Replica,
+		Zone:    r.Entry.Zone,
+		Kind:    r.Entry.Kind,
+		Cell:    r.Entry.Cell,
+		State:   r.Entry.State,
+		Listed:  r.Entry.Listed,
+		Started: r.Entry.StartedAt,
+		Speed:   r.Learnt.Speed,
+		Answers: r.Learnt.Answers,
+		Out:     r.Learnt.Out,
+	}
+}
+
+// replica returns the replica of a value.
+func (r replicaRecord) replica(name string) recovery.Replica {
+	return recovery.Replica{
+		Name: name,
+		Entry: rules.Entry{
+			Replica:   r.Number,
+			Zone:      r.Zone,
+			Kind:      r.Kind,
+			Cell:      r.Cell,
+			State:     r.State,
+			Listed:    r.Listed,
+			StartedAt: r.Started,
+		},
+		Learnt: rules.Recalled{Replica: r.Number, Speed: r.Speed, Answers: r.Answers, Out: r.Out},
+	}
+}
+
+// schema1State is the only value of version 1.
+type schema1State struct {
+	header
+	All map[string]replicaRecord `json:"all"`
+}
+
+// encodeValue encodes a value as JSON behind its checksum.
+func encodeValue(v any) ([]byte, error) {
+	text, err := json.Marshal(v)
+	if err != nil {
+		return nil, fmt.Errorf("encoding: %w", err)
+	}
+	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(text)), text...), nil
+}
+
+// decodeValue decodes a value whose checksum holds. Other errors wrap ErrDamaged.
+func decodeValue(b []byte, v any) error {
+	if len(b) < checksumBytes || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[checksumBytes:]) {
+		return fmt.Errorf("%w: a value without its checksum", ErrDamaged)
+	}
+	if err := json.Unmarshal(b[checksumBytes:], v); err != nil {
+		return fmt.Errorf("%w: %w", ErrDamaged, err)
+	}
+	return nil
+}
+
+// putValue encodes a value and puts it into a bucket.
+func putValue(b *bbolt.Bucket, key []byte, v any) error {
+	encoded, err := encodeValue(v)
+	if err != nil {
+		return err
+	}
+	if err := b.Put(key, encoded); err != nil {
+		return fmt.Errorf("writing %s: %w", key, err)
+	}
+	return nil
+}
+
+// migrate brings an empty file, or one of an older version, to SchemaVersion.
+func (s *Store) migrate(tx *bbolt.Tx) error {
+	meta, err := tx.CreateBucketIfNotExists(metaBucket)
+	if err != nil {
+		return fmt.Errorf("the bucket %s: %w", metaBucket, err)
+	}
+	replicas, err := tx.CreateBucketIfNotExists(replicaBucket)
+	if err != nil {
+		return fmt.Errorf("the bucket %s: %w", replicaBucket, err)
+	}
+	schema := 0
+	if b := meta.Get(schemaKey); b != nil {
+		if err := decodeValue(b, &schema); err != nil {
+			return err
+		}
+	}
+	switch schema {
+	case SchemaVersion:
+		return nil
+	case 0:
+	case 1:
+		if err := migrateSchema1(meta, replicas); err != nil {
+			return err
+		}
+	default:
+		return fmt.Errorf("%s: %w: schema %d, ours is %d", s.path, ErrNewerSchema, schema, SchemaVersion)
+	}
+	return putValue(meta, schemaKey, SchemaVersion)
+}
+
+// migrateSchema1 splits the value of version 1 into a header and a value for each replica.
+func migrateSchema1(meta, replicas *bbolt.Bucket) error {
+	var state schema1State
+	if err := decodeValue(meta.Get(schema1Key), &state); err != nil {
+		return err
+	}
+	for name, record := range state.All {
+		if err := putValue(replicas, []byte(name), record); err != nil {
+			return err
+		}
+	}
+	state.Replicas = len(state.All)
+	if err := putValue(meta, headerKey, state.header); err != nil {
+		return err
+	}
+	if err := meta.Delete(schema1Key); err != nil {
+		return fmt.Errorf("deleting: %w", err)
+	}
+	return nil
+}
+
+// checkSchema returns an error unless a file that is opened for reading alone has SchemaVersion.
+func checkSchema(tx *bbolt.Tx) error {
+	schema := 0
+	if meta := tx.Bucket(metaBucket); meta != nil {
+		if err := decodeValue(meta.Get(schemaKey), &schema); err != nil {
+			return err
+		}
+	}
+	if schema > SchemaVersion {
+		return fmt.Errorf("%w: schema %d, ours is %d", ErrNewerSchema, schema, SchemaVersion)
+	}
+	if schema < SchemaVersion {
+		return fmt.Errorf("schema %d: a governor brings it to %d at its next start", schema, SchemaVersion)
+	}
+	return nil
+}
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -8,13 +8,13 @@
 	"zincloft.example/zincloft/recovery"
 )
 
-// Writer writes beside the deciding goroutine. What is offered while it still writes is passed over: the next one holds all
-// of it.
+// Writer writes states in a goroutine of its own, beside the one that decides. A state that is offered while another waits
+// is dropped: the next one holds all of it.
 type Writer struct {
 	store   *Store
 	log     zerolog.Logger
 	pending chan recovery.Kept
-	failing bool // and told
+	failing bool // the last write has failed, which has been logged
 }
 
 // NewWriter returns a Writer that writes nothing before Run.
@@ -22,10 +22,10 @@
 	return &Writer{store: s, log: log, pending: make(chan recovery.Kept, 1)}
 }
 
-// Ready tells whether there is room for an offer.
+// Ready reports whether Offer would accept a state.
 func (w *Writer) Ready() bool { return len(w.pending) == 0 }
 
-// Offer hands over what is to be kept. It never waits.
+// Offer hands over a state to be written. It never waits.
 func (w *Writer) Offer(k recovery.Kept) {
 	select {
 	case w.pending <- k:
@@ -33,26 +33,31 @@
 	}
 }
 
-// Run writes until ctx ends, then what still waits, and closes the store. Trouble is told when it begins and when it ends.
+// Run writes until ctx ends, then writes what still waits and closes the store. A failure is logged when it begins and when
+// it ends.
 func (w *Writer) Run(ctx context.Context) {
 	for {
 		select {
 		case k := <-w.pending:
 			w.write(k)
 		case <-ctx.Done():
-			select {
-			case k := <-w.pending:
-				w.write(k)
-			default:
-			}
-			if err := w.store.Close(); err != nil {
-				w.log.Warn().Err(err).Msg("state")
-			}
+			w.finish()
 			return
 		}
 	}
 }
 
+func (w *Writer) finish() {
+	select {
+	case k := <-w.pending:
+		w.write(k)
+	default:
+	}
+	if err := w.store.Close(); err != nil {
+		w.log.Warn().Err(err).Msg("state")
+	}
+}
+
 func (w *Writer) write(k recovery.Kept) {
 	_, err := w.store.Write(k)
 	if err != nil && !w.failing {
