--- a/cmd/zincloft/export_test.go
+++ b/cmd/zincloft/export_test.go
@@ -4,8 +4,6 @@
 	"bytes"
 	"os"
 	"testing"
-
-	"github.com/spf13/cobra"
 )
 
 // TestStateExport compares what is printed of a kept governor's store with what commit 2705c65 printed of it. See
@@ -16,9 +14,7 @@
 		t.Fatal(err)
 	}
 	var got bytes.Buffer
-	c := &cobra.Command{}
-	c.SetOut(&got)
-	if err := exportState(c, dir); err != nil {
+	if err := exportState(&got, dir); err != nil {
 		t.Fatal(err)
 	}
 	want, err := os.ReadFile("testdata/state-export.json")
--- a/cmd/zincloft/linkage_test.go
+++ b/cmd/zincloft/linkage_test.go
@@ -9,10 +9,12 @@
 	"runtime"
 	"slices"
 	"testing"
+
+	"zincloft.example/zincloft/internal/testkit"
 )
 
-// TestLinkage builds the governor by the deploy file's own command: the platform starts it with a library loaded before
-// it, which reaches only programs that are linked dynamically with the C library.
+// TestLinkage builds the governor with the flags of the deploy file: the platform preloads a library, which reaches only
+// programs that are linked dynamically with the C library.
 func TestLinkage(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("the platform is Linux")
@@ -26,14 +28,14 @@
 		t.Fatal("deploy/balancer.toml: build has no -ldflags")
 	}
 	bin := filepath.Join(t.TempDir(), "zincloft")
-	if out, err := exec.Command("go", "build", string(flags[1]), "-o", bin, ".").CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(t.Context(), "go", "build", string(flags[1]), "-o", bin, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	f, err := elf.Open(bin)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer testkit.Close(t, f)
 	libraries, err := f.ImportedLibraries()
 	if err != nil || !slices.Contains(libraries, "libc.so.6") {
 		t.Errorf("libraries %v (%v), want libc.so.6 among them", libraries, err)
--- a/cmd/zincloft/main.go
+++ b/cmd/zincloft/main.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"net"
 	"os"
 	"os/signal"
@@ -18,90 +19,129 @@
 	"zincloft.example/zincloft/internal/daemon"
 )
 
-var getenv = os.Getenv
+// Exit statuses.
+const (
+	exitFailed       = 1 // the governor ended with an error
+	exitInvalidInput = 2 // the configuration, the command line or a file is invalid
+)
+
+// logTimeFormat has milliseconds.
+const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// exitError is an error that has been told already, and the exit status that it means.
+// exitError is an error with its exit status.
 type exitError struct {
 	error
 	status int
 }
 
+// Unwrap returns the error without its status.
+func (e exitError) Unwrap() error { return e.error }
+
 func main() {
-	hups := make(chan os.Signal, 1) // one that waits stands for all that came since
-	signal.Notify(hups, syscall.SIGHUP)
-	if err := rootCommand(hups).Execute(); err != nil {
-		var f exitError
-		if !errors.As(err, &f) {
-			f = exitError{err, 2}
-		}
-		if f.status == 2 { // else the log has it
-			fmt.Fprintln(os.Stderr, "zincloft:", err)
-		}
-		os.Exit(f.status)
+	reloadSignals := make(chan os.Signal, 1) // one that waits stands for all since
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	err := rootCommand(reloadSignals).Execute()
+	if err == nil {
+		return
 	}
+	exit := exitError{err, exitInvalidInput}
+	errors.As(err, &exit)
+	if exit.status == exitInvalidInput { // otherwise the log has it
+		fmt.Fprintln(os.Stderr, "zincloft:", err)
+	}
+	os.Exit(exit.status)
 }
 
-func rootCommand(hups <-chan os.Signal) *cobra.Command {
+// rootCommand returns the command line. Each value of reloadSignals has a serving governor read its configuration again.
+func rootCommand(reloadSignals <-chan os.Signal) *cobra.Command {
 	var operator string
-	serve := func(*cobra.Command, []string) error { return serve(operator, hups) }
-	root := &cobra.Command{Use: "zincloft", Short: "A governor: publishes routing tables to a fleet of proxies; without a command it serves",
-		Args: cobra.NoArgs, RunE: serve, SilenceUsage: true, SilenceErrors: true}
+	serve := func(*cobra.Command, []string) error { return serve(operator, reloadSignals) }
+	root := &cobra.Command{
+		Use:           "zincloft",
+		Short:         "A governor: publishes routing tables to a fleet of proxies; without a command it serves",
+		Args:          cobra.NoArgs,
+		RunE:          serve,
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
 	root.PersistentFlags().StringVar(&operator, "operator", "", "the operator file (TOML); else ZINCLOFT_OPERATOR, else none")
 	root.AddCommand(
 		stateCommand(&operator),
-		&cobra.Command{Use: "serve", Short: "Serve as LB_CONFIG and the operator file say, until SIGTERM", Args: cobra.NoArgs, RunE: serve},
-		&cobra.Command{Use: "check", Short: "Print what would hold, or what is wrong; listen on nothing", Args: cobra.NoArgs,
-			RunE: func(c *cobra.Command, _ []string) error { return checkCommand(c, operator) }},
-		&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) {
-			fmt.Fprintln(c.OutOrStdout(), version())
-		}},
+		&cobra.Command{
+			Use:   "serve",
+			Short: "Serve as LB_CONFIG and the operator file say, until SIGTERM",
+			Args:  cobra.NoArgs,
+			RunE:  serve,
+		},
+		&cobra.Command{
+			Use:   "check",
+			Short: "Print what would hold, or what is wrong; listen on nothing",
+			Args:  cobra.NoArgs,
+			RunE:  func(c *cobra.Command, _ []string) error { return check(c.OutOrStdout(), operator) },
+		},
+		&cobra.Command{
+			Use:   "version",
+			Short: "Print the version",
+			Args:  cobra.NoArgs,
+			RunE: func(c *cobra.Command, _ []string) error {
+				_, err := fmt.Fprintln(c.OutOrStdout(), version())
+				return err
+			},
+		},
 	)
 	return root
 }
 
-// checkCommand reads all that serve would. Without LB_CONFIG it reads the operator file alone, as for the usual machine.
-func checkCommand(c *cobra.Command, operator string) error {
-	conf := config.Config{}
+// check reads all that serve would and prints the options in force. Without LB_CONFIG it reads the operator file alone, with
+// the default limits.
+func check(out io.Writer, operator string) error {
+	var conf config.Config
 	var err error
 	if os.Getenv("LB_CONFIG") != "" {
 		conf, err = config.Load(os.Getenv, operator)
 	} else {
 		conf.Operator, err = config.ReadOperator(config.OperatorPath(os.Getenv, operator))
 	}
-	if err == nil {
-		fmt.Fprint(c.OutOrStdout(), conf.Effective())
+	if err != nil {
+		return err
 	}
+	_, err = fmt.Fprint(out, conf.Effective())
 	return err
 }
 
+// version returns the version of the module, the revision if it is known, and the version of Go.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
-	v := info.Main.Version
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			v += " " + s.Value
+	text := info.Main.Version
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			text += " " + setting.Value
 		}
 	}
-	return v + " " + info.GoVersion
+	return text + " " + info.GoVersion
 }
 
-func serve(operator string, hups <-chan os.Signal) error {
+// serve runs a governor until SIGTERM or SIGINT.
+func serve(operator string, reloadSignals <-chan os.Signal) error {
 	conf, err := config.Load(os.Getenv, operator)
 	if err != nil {
-		return exitError{err, 2}
+		return exitError{err, exitInvalidInput}
 	}
-	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
+	zerolog.TimeFieldFormat = logTimeFormat
 	log := zerolog.New(os.Stderr).With().Timestamp().Str("governor", conf.Name).Logger()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	listen := func() (net.Listener, error) { return net.Listen("tcp", conf.Listen) }
-	reload := func(now config.Config) (config.Config, []string, error) { return config.Reload(os.Getenv, now) }
-	if err := daemon.New(conf, log).Run(ctx, listen, hups, reload); err != nil {
+	listen := func() (net.Listener, error) {
+		var listenConfig net.ListenConfig
+		return listenConfig.Listen(context.WithoutCancel(ctx), "tcp", conf.Listen) // a signal during the start is no failure of it
+	}
+	reload := func(current config.Config) (config.Config, []string, error) { return config.Reload(os.Getenv, current) }
+	if err := daemon.New(conf, log).Run(ctx, listen, reloadSignals, reload); err != nil {
 		log.Error().Err(err).Msg("exit")
-		return exitError{err, 1}
+		return exitError{err, exitFailed}
 	}
 	return nil
 }
--- a/cmd/zincloft/main_test.go
+++ b/cmd/zincloft/main_test.go
@@ -12,7 +12,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// TestMain lets the test start this program as a process of its own.
+// TestMain lets tests start this program as a process of its own.
 func TestMain(m *testing.M) {
 	if os.Getenv("ZINCLOFT_MAIN") != "" {
 		main()
@@ -21,7 +21,7 @@
 	testscript.Main(m, map[string]func(){"zincloft": main})
 }
 
-// TestCommands runs the scripts in testdata, each of which is a session at a shell.
+// TestCommands runs the scripts in testdata, each of which is a session in a shell.
 func TestCommands(t *testing.T) {
 	example, err := filepath.Abs("../../deploy/example.json")
 	if err != nil {
@@ -33,7 +33,7 @@
 	}})
 }
 
-// TestSignals has SIGHUP come from the first line of the log on: it never ends the program, and SIGTERM does.
+// TestSignals sends SIGHUP from the first line of the log on, which never ends the program, and then SIGTERM, which does.
 func TestSignals(t *testing.T) {
 	c := exec.CommandContext(t.Context(), os.Args[0])
 	c.Env = append(os.Environ(), "ZINCLOFT_MAIN=1", "LB_CONFIG=../../deploy/example.json", "LB_LISTEN=127.0.0.1:0")
--- a/cmd/zincloft/state.go
+++ b/cmd/zincloft/state.go
@@ -4,6 +4,8 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
+	"os"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -13,77 +15,114 @@
 	"zincloft.example/zincloft/recovery"
 )
 
+// stateNames are the names of rules.State, by number.
 var stateNames = [...]string{"gone", "ready", "draining"}
 
-// stateCommand are the commands on what a governor keeps on disk. None of them changes the file but compact, and none works on
-// one that a governor has open.
+// stateCommand returns the commands on the state that a governor keeps on disk. Only compact changes the file, and none
+// works on one that a governor has open.
 func stateCommand(operator *string) *cobra.Command {
 	var dir string
-	at := func(run func(*cobra.Command, string) error) func(*cobra.Command, []string) error {
-		return func(c *cobra.Command, _ []string) error {
-			if dir == "" {
-				o, err := config.ReadOperator(config.OperatorPath(getenv, *operator))
+	root := &cobra.Command{Use: "state", Short: "Look at what a governor keeps on disk"}
+	root.PersistentFlags().StringVar(&dir, "dir", "", "the folder; else state.dir of the operator file")
+	for _, command := range []struct {
+		use, short string
+		run        func(out io.Writer, dir string) error
+	}{
+		{"show", "Print what is kept, for people", showState},
+		{"export", "Print what is kept, as JSON", exportState},
+		{"verify", "Read the file whole and say whether it is sound", verifyState},
+		{"compact", "Write the file anew without its free pages", compactState},
+	} {
+		root.AddCommand(&cobra.Command{
+			Use:   command.use,
+			Short: command.short,
+			Args:  cobra.NoArgs,
+			RunE: func(c *cobra.Command, _ []string) error {
+				folder, err := stateFolder(dir, *operator)
 				if err != nil {
 					return err
 				}
-				if dir = o.State.Dir; dir == "" {
-					return errors.New("state.dir is not set: name a folder by --dir, or an operator file")
-				}
-			}
-			return run(c, dir)
-		}
+				return command.run(c.OutOrStdout(), folder)
+			},
+		})
 	}
-	root := &cobra.Command{Use: "state", Short: "Look at what a governor keeps on disk"}
-	root.PersistentFlags().StringVar(&dir, "dir", "", "the folder; else state.dir of the operator file")
-	root.AddCommand(
-		&cobra.Command{Use: "show", Short: "Print what is kept, for people", Args: cobra.NoArgs, RunE: at(showState)},
-		&cobra.Command{Use: "export", Short: "Print what is kept, as JSON", Args: cobra.NoArgs, RunE: at(exportState)},
-		&cobra.Command{Use: "verify", Short: "Read the file whole and say whether it is sound", Args: cobra.NoArgs, RunE: at(func(c *cobra.Command, dir string) error {
-			n, err := store.Verify(dir)
-			if err == nil {
-				fmt.Fprintf(c.OutOrStdout(), "sound: %d replicas\n", n)
-			}
-			return err
-		})},
-		&cobra.Command{Use: "compact", Short: "Write the file anew without its free pages", Args: cobra.NoArgs, RunE: at(func(c *cobra.Command, dir string) error {
-			before, after, err := store.Compact(dir)
-			if err == nil {
-				fmt.Fprintf(c.OutOrStdout(), "%d bytes, %d before\n", after, before)
-			}
-			return err
-		})},
-	)
 	return root
 }
 
-func showState(c *cobra.Command, dir string) error {
-	k, err := store.Read(dir)
+// stateFolder returns the named folder, or that of the operator file.
+func stateFolder(named, operator string) (string, error) {
+	if named != "" {
+		return named, nil
+	}
+	options, err := config.ReadOperator(config.OperatorPath(os.Getenv, operator))
+	if err != nil {
+		return "", err
+	}
+	if options.State.Dir == "" {
+		return "", errors.New("state.dir is not set: name a folder by --dir, or an operator file")
+	}
+	return options.State.Dir, nil
+}
+
+func showState(out io.Writer, dir string) error {
+	kept, err := store.Read(dir)
 	if err != nil {
 		return err
 	}
-	when := func(ns int64) string { return time.Unix(0, ns).UTC().Format(time.RFC3339) }
-	out := c.OutOrStdout()
-	fmt.Fprintf(out, "governor %s, discovery %s, version %d, heard %s, written %s, %d replicas\n", k.Governor, k.Discovery, k.Version,
-		when(int64(k.Heard)), when(int64(k.Written)), len(k.Replicas))
-	for _, r := range k.Replicas {
-		fmt.Fprintf(out, "%s\t%d\t%s\tweight %g\tspeed %.2f%s\n", r.Name, r.Entry.Replica, stateNames[r.Entry.State], r.Entry.Listed, r.Learnt.Speed,
-			map[bool]string{true: "\theld out"}[r.Learnt.Out])
+	if _, err := fmt.Fprintf(out, "governor %s, discovery %s, version %d, heard %s, written %s, %d replicas\n", kept.Governor, kept.Discovery,
+		kept.Version, formatTime(int64(kept.Heard)), formatTime(int64(kept.Written)), len(kept.Replicas)); err != nil {
+		return err
+	}
+	for _, replica := range kept.Replicas {
+		if err := showReplica(out, replica); err != nil {
+			return err
+		}
 	}
 	return nil
 }
 
-func exportState(c *cobra.Command, dir string) error {
-	k, err := store.Read(dir)
+func showReplica(out io.Writer, r recovery.Replica) error {
+	heldOut := ""
+	if r.Learnt.Out {
+		heldOut = "\theld out"
+	}
+	_, err := fmt.Fprintf(out, "%s\t%d\t%s\tweight %g\tspeed %.2f%s\n", r.Name, r.Entry.Replica, stateNames[r.Entry.State], r.Entry.Listed,
+		r.Learnt.Speed, heldOut)
+	return err
+}
+
+func formatTime(unixNano int64) string { return time.Unix(0, unixNano).UTC().Format(time.RFC3339) }
+
+func exportState(out io.Writer, dir string) error {
+	kept, err := store.Read(dir)
 	if err != nil {
 		return err
 	}
-	e := json.NewEncoder(c.OutOrStdout())
-	e.SetIndent("", "  ")
-	if err := e.Encode(struct {
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	if err := encoder.Encode(struct {
 		Schema int `json:"schema"`
 		recovery.Kept
-	}{store.SchemaVersion, k}); err != nil {
+	}{store.SchemaVersion, kept}); err != nil {
 		return fmt.Errorf("writing: %w", err)
 	}
 	return nil
 }
+
+func verifyState(out io.Writer, dir string) error {
+	replicas, err := store.Verify(dir)
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Fprintf(out, "sound: %d replicas\n", replicas)
+	return err
+}
+
+func compactState(out io.Writer, dir string) error {
+	before, after, err := store.Compact(dir)
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Fprintf(out, "%d bytes, %d before\n", after, before)
+	return err
+}
--- a/internal/collectd/server.go
+++ b/internal/collectd/server.go
@@ -18,35 +18,35 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Mapping maps one value of a list to a figure of a replica.
+// Mapping maps one value of a list to a figure of a replica: value*Scale + Offset.
 type Mapping struct {
 	Figure         intake.Figure
 	Plugin         string
 	PluginInstance string // "": any
 	Type           string
 	TypeInstance   string // "": any
-	Value          int    // its place in the list
+	Value          int    // index in the list
 	Scale, Offset  float64
 }
 
-// Options are what is listened to, and the bounds of it.
+// Options are what a Server accepts.
 type Options struct {
 	AllowedSources   []netip.Prefix
 	MinLevel         SecurityLevel
 	PasswordOf       func(user string) (string, bool)
-	PacketsPerSecond int               // that are parsed
+	PacketsPerSecond int               // rate limit of packets that are parsed
 	ReplicaByHost    map[string]string // a host's replica, where the names differ
 	Mappings         []Mapping
-	ReadRetryDelay   time.Duration // after a packet could not be read
+	ReadRetryDelay   time.Duration // after a packet could not be received
 }
 
-// Inbox takes what is heard. It never waits.
+// Inbox takes events and knows the replicas' names. Its methods never wait.
 type Inbox interface {
 	eventqueue.ReplicaNames
 	TryPost(eventqueue.Event) bool
 }
 
-// Server hears load reports.
+// Server receives load reports and offers them as events. Its methods must not be called concurrently.
 type Server struct {
 	options Options
 	allowed bart.Lite
@@ -56,27 +56,32 @@
 	parser  Parser
 }
 
-// What is counted, by cause.
+// Categories of counts, which are keys of the log.
 const (
-	skippedPackets counts.Category = "collectd"          // packets passed over
+	skippedPackets counts.Category = "collectd"          // packets that were skipped, all or in part
 	mappedValues   counts.Category = "collectd, figures" // values of a mapped figure
 )
 
-// New returns a Server that hears nothing before Serve.
-func New(o Options, x Inbox, c *counts.Counter) *Server {
-	s := &Server{options: o, limiter: rate.NewLimiter(rate.Limit(o.PacketsPerSecond), o.PacketsPerSecond), inbox: x, counts: c,
-		parser: Parser{MinLevel: o.MinLevel, PasswordOf: o.PasswordOf}}
+// New returns a Server that receives nothing before Serve.
+func New(o Options, inbox Inbox, c *counts.Counter) *Server {
+	s := &Server{
+		options: o,
+		limiter: rate.NewLimiter(rate.Limit(o.PacketsPerSecond), o.PacketsPerSecond),
+		inbox:   inbox,
+		counts:  c,
+		parser:  Parser{MinLevel: o.MinLevel, PasswordOf: o.PasswordOf},
+	}
 	for _, p := range o.AllowedSources {
 		s.allowed.Insert(p.Masked())
 	}
 	return s
 }
 
-const maxDatagramBytes = 1 << 16 // no datagram is longer
+const maxDatagramBytes = 1 << 16 // the longest datagram
 
-// Serve hears packets until ctx ends, and then closes the connection.
+// Serve handles packets until ctx ends, and closes the connection then.
 func (s *Server) Serve(ctx context.Context, c net.PacketConn, log zerolog.Logger) {
-	defer context.AfterFunc(ctx, func() { c.Close() })()
+	defer context.AfterFunc(ctx, func() { _ = c.Close() })() // nothing can be lost by it
 	log.Info().Str("collectd", c.LocalAddr().String()).Msg("listening")
 	b := make([]byte, maxDatagramBytes)
 	for {
@@ -95,10 +100,11 @@
 	}
 }
 
-// HandlePacket takes in one packet. Who may not speak, and what is over the pace, is passed over before it is parsed.
+// HandlePacket handles one packet. Packets of other sources, and those over the rate limit, are skipped before they are
+// parsed.
 func (s *Server) HandlePacket(from net.Addr, b []byte, read time.Time) {
-	u, is := from.(*net.UDPAddr)
-	if !is || !s.allowed.Contains(u.AddrPort().Addr().Unmap()) {
+	udp, isUDP := from.(*net.UDPAddr)
+	if !isUDP || !s.allowed.Contains(udp.AddrPort().Addr().Unmap()) {
 		s.counts.Add(skippedPackets, "source not allowed")
 		return
 	}
@@ -116,7 +122,7 @@
 	}
 }
 
-// causeOf puts an error into one of few causes, without a word of the peer.
+// causeOf reduces an error to one of a fixed set of causes, without text of the peer.
 func causeOf(err error) string {
 	for _, known := range []error{ErrTruncated, ErrLength, ErrUnterminated, ErrSignature, ErrDecryption, ErrUnknownUser, ErrUnprotected, ErrNested} {
 		if errors.Is(err, known) {
@@ -126,16 +132,14 @@
 	return "can't be read"
 }
 
-// appendLoads adds what a set of values tells of a replica. Hosts and values that stand for nothing here leave no trace but
-// a count.
+// appendLoads adds the figures that a list of values gives. Hosts and values that map to nothing leave no trace but a count.
 func (s *Server) appendLoads(loads []intake.Load, v *Values) []intake.Load {
 	for i := range s.options.Mappings {
-		f := &s.options.Mappings[i]
-		if f.Plugin != v.Plugin || f.Type != v.Type || f.PluginInstance != "" && f.PluginInstance != v.PluginInstance ||
-			f.TypeInstance != "" && f.TypeInstance != v.TypeInstance {
+		mapping := &s.options.Mappings[i]
+		if !mapping.matches(v) {
 			continue
 		}
-		if f.Value >= len(v.Kinds) {
+		if mapping.Value >= len(v.Kinds) {
 			s.counts.Add(mappedValues, "no such value")
 			continue
 		}
@@ -145,18 +149,38 @@
 			continue
 		}
 		s.counts.Add(mappedValues, "heard")
-		l := intake.Load{Replica: replica, Figure: f.Figure, Kind: v.Kinds[f.Value], Over: v.Interval, Scale: f.Scale, Offset: f.Offset,
-			At: rules.Time(v.Time.UnixNano())}
-		if l.Kind == intake.Gauge {
-			l.Value = v.Gauge(f.Value)
-		} else {
-			l.Count = v.Raw[f.Value]
-		}
-		loads = append(loads, l)
+		loads = append(loads, mapping.load(replica, v))
 	}
 	return loads
 }
 
+// matches reports whether a list of values has the mapped value.
+func (m *Mapping) matches(v *Values) bool {
+	return m.Plugin == v.Plugin && m.Type == v.Type &&
+		(m.PluginInstance == "" || m.PluginInstance == v.PluginInstance) &&
+		(m.TypeInstance == "" || m.TypeInstance == v.TypeInstance)
+}
+
+// load returns the mapped value as a load report of a replica.
+func (m *Mapping) load(replica rules.ReplicaID, v *Values) intake.Load {
+	l := intake.Load{
+		Replica: replica,
+		Figure:  m.Figure,
+		Kind:    v.Kinds[m.Value],
+		Over:    v.Interval,
+		Scale:   m.Scale,
+		Offset:  m.Offset,
+		At:      rules.Time(v.Time.UnixNano()),
+	}
+	if l.Kind == intake.Gauge {
+		l.Value = v.Gauge(m.Value)
+	} else {
+		l.Count = v.Raw[m.Value]
+	}
+	return l
+}
+
+// replica returns the replica of a host, whose name may be mapped.
 func (s *Server) replica(host string) (rules.ReplicaID, bool) {
 	if name, mapped := s.options.ReplicaByHost[host]; mapped {
 		host = name
@@ -164,9 +188,10 @@
 	return s.inbox.ID([]byte(host))
 }
 
-// Listen opens the address.
-func Listen(address string) (net.PacketConn, error) {
-	c, err := net.ListenPacket("udp", address)
+// Listen opens the address for packets.
+func Listen(ctx context.Context, address string) (net.PacketConn, error) {
+	var config net.ListenConfig
+	c, err := config.ListenPacket(ctx, "udp", address)
 	if err != nil {
 		return nil, fmt.Errorf("collectd.listen: %w", err)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,7 +14,7 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// example is a whole configuration, the one that README names.
+// example returns a complete configuration, the one that README names.
 func example(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/example.json")
@@ -24,6 +24,7 @@
 	return string(text)
 }
 
+// load reads a configuration file with this text.
 func load(t *testing.T, text string, env map[string]string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -35,6 +36,7 @@
 	return Load(func(name string) string { return all[name] }, "")
 }
 
+// TestLoad reads the example, with a name from the environment.
 func TestLoad(t *testing.T) {
 	got, err := load(t, example(t), map[string]string{"LB_NAME": "n4"})
 	if err != nil {
@@ -65,10 +67,11 @@
 	}
 }
 
-func TestFaultsNameTheirKey(t *testing.T) {
-	whole := example(t)
+// TestErrorsNameTheKey has faults that are reported in one line with the variable or key.
+func TestErrorsNameTheKey(t *testing.T) {
+	full := example(t)
 	for _, f := range []struct{ old, new, want string }{
-		{whole, "", "LB_CONFIG"}, {whole, "{", "LB_CONFIG"}, {`"listen":`, `"lisen":`, "LB_LISTEN"},
+		{full, "", "LB_CONFIG"}, {full, "{", "LB_CONFIG"}, {`"listen":`, `"lisen":`, "LB_LISTEN"},
 		{`127.0.0.1:8500`, `nowhere`, "LB_DISCOVERY (discovery)"}, {`"name":"n3"`, `"name":""`, "LB_NAME"},
 		{`8c1f30`, `zz`, "seed"}, {`"cores":1.0`, `"cores":0`, "limits.cores"},
 		{`"memory_mb":192`, `"memory_mb":-1`, "limits.memory_mb"}, {`"sockets":1024`, `"sockets":0`, "limits.sockets"},
@@ -76,7 +79,7 @@
 		{`"linesPerS":1000`, `"linesPerS":0`, "familyInfo.linesPerS"}, {`"bare":5000000000`, `"bare":"5s"`, "familyInfo.bare"},
 		{`"askWithin":10000000000,`, ``, "guarantees.askWithin"},
 	} {
-		_, err := load(t, strings.Replace(whole, f.old, f.new, 1), nil)
+		_, err := load(t, strings.Replace(full, f.old, f.new, 1), nil)
 		if err == nil || !strings.Contains(err.Error(), f.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s for %s: want one line with %q, got %v", f.new, f.old, f.want, err)
 		}
@@ -86,8 +89,9 @@
 	}
 }
 
+// TestReload has changes that hold at once, that wait for the next start, and that are refused.
 func TestReload(t *testing.T) {
-	whole := example(t)
+	full := example(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"LB_CONFIG": path, "LB_DISCOVERY": "127.0.0.9:1"}
 	put := func(text string) {
@@ -96,7 +100,7 @@
 		}
 	}
 	getenv := func(name string) string { return env[name] }
-	put(whole)
+	put(full)
 	first, err := Load(getenv, "")
 	if err != nil || first.Discovery != "127.0.0.9:1" {
 		t.Fatal("the environment goes first at the start: ", first.Discovery, err)
@@ -108,10 +112,10 @@
 		{`"sockets":1024`, `"sockets":256`, "127.0.0.1:8500", "limits", ""},
 		{`"perMessage":6`, `"perMessage":7`, "127.0.0.1:8500", "settings", ""},
 		{`"name":"n3"`, `"name":"n4"`, "", "", "name"}, {`:3000"`, `:3001"`, "", "", "listen"},
-		{`127.0.0.1:8500`, `nowhere`, "", "", "LB_DISCOVERY (discovery)"}, {whole, "{", "", "", "LB_CONFIG"},
+		{`127.0.0.1:8500`, `nowhere`, "", "", "LB_DISCOVERY (discovery)"}, {full, "{", "", "", "LB_CONFIG"},
 		{`"perMessage":6,`, ``, "", "", "familyInfo.perMessage"},
 	} {
-		put(strings.Replace(whole, f.old, f.new, 1))
+		put(strings.Replace(full, f.old, f.new, 1))
 		got, later, err := Reload(getenv, first)
 		want := first
 		if f.fault == "" {
--- /dev/null
+++ b/internal/config/derived.go
@@ -0,0 +1,121 @@
+package config
+
+import (
+	"cmp"
+	"fmt"
+	"time"
+
+	"zincloft.example/zincloft/intake"
+	"zincloft.example/zincloft/internal/collectd"
+	"zincloft.example/zincloft/internal/graphite"
+)
+
+const (
+	intakeCoreShare     = 0.2      // share of the cores that intake may use
+	recordCoreSeconds   = 1e-6     // core seconds of a record; measured: 0.65e-6 with its decoding
+	keptRecordBytes     = 256      // memory of a kept record, in both samples, with its share of the indexes
+	keptPairBytes       = 256      // memory of a remembered pair
+	intakeMemoryDivisor = 16       // of the memory: the part that records, and pairs, may each take
+	defaultStreamBytes  = 64 << 10 // per second and stream: a thousand records of 64 bytes
+)
+
+const (
+	queuedPointBytes      = 128 // memory of a queued point
+	graphiteMemoryDivisor = 32  // of the memory: the part that queued points may take
+	graphiteWriteTimeout  = 5 * time.Second
+	graphiteDialTimeout   = 2 * time.Second
+	graphiteMaxRetryDelay = time.Minute
+)
+
+// IntakeSettings returns the settings of package intake: options, or what the limits of the machine allow.
+func (c Config) IntakeSettings() intake.Settings {
+	o, s := c.Operator.Intake, c.Settings.Settings
+	recordsPerSecond := c.Limits.Cores * intakeCoreShare / recordCoreSeconds
+	recordsPerSecond = min(recordsPerSecond, float64(c.intakeBytes()/keptRecordBytes)/s.Period.Seconds())
+	if o.RecordsPerSecond > 0 {
+		recordsPerSecond = float64(o.RecordsPerSecond)
+	}
+	return intake.Settings{
+		Seed:     c.Seed,
+		Period:   s.Period,
+		Budget:   max(int(recordsPerSecond*s.Period.Seconds()), 4),
+		HalfLife: o.HalfLife,
+		MostAge:  o.MaxAge,
+		Pairs:    cmp.Or(o.MaxPairs, int(c.intakeBytes()/keptPairBytes)),
+		Zones:    s.Zones,
+		MakeSums: o.Reports == ReportsSums,
+	}
+}
+
+// intakeBytes returns the memory that records, and pairs, may each take.
+func (c Config) intakeBytes() int64 { return c.Limits.MemoryMB << 20 / intakeMemoryDivisor }
+
+// GraphiteOptions returns the options of package graphite: those set, or what the limits of the machine allow.
+func (c Config) GraphiteOptions() graphite.Options {
+	o := c.Operator.Graphite
+	return graphite.Options{
+		Address:         o.Address,
+		Prefix:          o.Prefix + "." + graphite.SanitizePathPart(c.Name),
+		Interval:        o.Interval,
+		MaxQueuedPoints: cmp.Or(o.MaxQueuedPoints, int(c.Limits.MemoryMB<<20/graphiteMemoryDivisor/queuedPointBytes)),
+		WriteTimeout:    graphiteWriteTimeout,
+		DialTimeout:     graphiteDialTimeout,
+		MaxRetryDelay:   graphiteMaxRetryDelay,
+	}
+}
+
+// StreamBytesPerSecond returns the rate limit of reading one stream where batches are accepted; 0: no limit.
+func (c Config) StreamBytesPerSecond() int {
+	if !c.Operator.Intake.Enabled() {
+		return 0
+	}
+	return cmp.Or(c.Operator.Intake.StreamBytesPerSecond, defaultStreamBytes)
+}
+
+// Effective returns the options in force, in the form of the operator file, with what was derived.
+func (c Config) Effective() string {
+	if c.Settings.Period == 0 { // no configuration: the default machine
+		c.Limits, c.Settings.Period = defaultLimits, time.Second
+	}
+	o, in, g, d := c.Operator.Intake, c.IntakeSettings(), c.GraphiteOptions(), c.Operator.Collectd
+	st := c.Operator.State
+	return fmt.Sprintf(`[intake]
+reports = %q
+records_per_s = %d
+half_life = %q
+most_age = %q
+pairs = %d
+stream_bytes_per_s = %d
+
+[graphite]
+address = %q
+prefix = %q
+interval = %q
+points = %d
+
+[collectd]
+listen = %q
+allow = %q
+security = %q
+users = %q
+packets_per_s = %d
+# %d hosts are mapped by name, %d figures are read
+
+[state]
+dir = %q
+sync = %q
+half_life = %q
+most_age = %q
+`, o.Reports, int(float64(in.Budget)/in.Period.Seconds()), o.HalfLife, o.MaxAge, in.Pairs, cmp.Or(o.StreamBytesPerSecond, defaultStreamBytes),
+		g.Address, g.Prefix, g.Interval, g.MaxQueuedPoints, d.Listen, d.AllowedSources, securityName(d.Security), d.UsersFile, d.PacketsPerSecond, len(d.ReplicaByHost), len(d.Mappings), st.Dir, st.SyncInterval, st.HalfLife, st.MaxAge)
+}
+
+// securityName returns the name of a level in the file.
+func securityName(level collectd.SecurityLevel) string {
+	for name, named := range securityLevels {
+		if named == level {
+			return name
+		}
+	}
+	return ""
+}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -14,6 +14,7 @@
 	"zincloft.example/zincloft/internal/collectd"
 )
 
+// operatorFileOf writes an operator file and returns its path.
 func operatorFileOf(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.toml")
@@ -23,7 +24,7 @@
 	return path
 }
 
-// TestOperatorDefaults has the file that is kept in deploy hold each key at its default.
+// TestOperatorDefaults checks that the file in deploy has every key, at its default.
 func TestOperatorDefaults(t *testing.T) {
 	kept, err := ReadOperator("../../deploy/operator.toml")
 	if err != nil {
@@ -52,8 +53,8 @@
 	}
 }
 
-// TestOperatorFaults names key and line of whatever can't be meant.
-func TestOperatorFaults(t *testing.T) {
+// TestOperatorErrors has faults that are reported by key and line.
+func TestOperatorErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"[intake]\nreports = \"all\"":                               ":2: intake.reports: want",
 		"\n[intake]\nreprots = \"off\"":                             ":3: intake.reprots: no such key",
@@ -89,7 +90,7 @@
 	}
 }
 
-// TestIntakeSettings derives the budget from the machine, unless the file sets it.
+// TestIntakeSettings derives the budget from the limits of the machine, unless the file sets it.
 func TestIntakeSettings(t *testing.T) {
 	c := Config{Seed: 5, Limits: Limits{Cores: 1, MemoryMB: 192}}
 	c.Settings.Period = time.Second
@@ -117,7 +118,7 @@
 	}
 }
 
-// TestCollectdMapping reads hosts and figures, with what is left out at its default.
+// TestCollectdMapping reads hosts and mappings, with defaults for what is left out.
 func TestCollectdMapping(t *testing.T) {
 	o, err := ReadOperator(operatorFileOf(t, `[collectd]
 listen = "127.0.0.1:25826"
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,12 +8,12 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// SettingsError names a figure that the governor can't do without and that the settings lack or misstate.
+// SettingsError is a fault of the site's settings: a required value that is missing or impossible.
 type SettingsError string
 
 func (e SettingsError) Error() string { return string(e) }
 
-// Settings are a site's settings in the words of package rules, and the site's names for what those number.
+// Settings are a site's settings in the types of package rules, with the names of what those number.
 type Settings struct {
 	rules.Settings
 	Zones      []string
@@ -22,6 +22,7 @@
 	Tick       time.Duration // what comes within it counts as arriving together
 }
 
+// laneSettings are the settings of one traffic group.
 type laneSettings struct {
 	Name       string        `json:"name"`
 	Aim        time.Duration `json:"aim"`
@@ -33,6 +34,7 @@
 	Window     time.Duration `json:"window"`
 }
 
+// settingsFile is the settings object in JSON.
 type settingsFile struct {
 	Balancers  int            `json:"balancers"`
 	Discovery  string         `json:"discovery"`
@@ -76,72 +78,137 @@
 	} `json:"report"`
 }
 
-// ReadSettings reads the settings object. Keys that it does not know are passed over.
+// ReadSettings reads and validates the settings object. Unknown keys are ignored. The error is a SettingsError unless the
+// text is not the expected JSON.
 func ReadSettings(text []byte) (Settings, error) {
-	var in settingsFile
-	if err := json.Unmarshal(text, &in); err != nil {
+	var f settingsFile
+	if err := json.Unmarshal(text, &f); err != nil {
 		return Settings{}, fmt.Errorf("the settings are not the expected JSON: %w", err)
 	}
-	f, gu := &in.FamilyInfo, &in.Guarantees
-	if in.Discovery != "on_request" && gu.AskWithin == nil {
-		gu.AskWithin = new(time.Duration)
+	f.setDefaults()
+	if err := f.validate(); err != nil {
+		return Settings{}, err
 	}
-	if f.UpdateCap == 0 && f.ReloadSpan == nil {
-		f.ReloadSpan = new(time.Duration)
+	return Settings{
+		Settings:   f.rulesSettings(),
+		Zones:      f.Zones,
+		Kinds:      f.HostTypes,
+		LoadFields: f.Report.Fields,
+		Tick:       f.Tick,
+	}, nil
+}
+
+// listOnRequest reports whether discovery sends the list only when it is asked.
+func (f *settingsFile) listOnRequest() bool { return f.Discovery == "on_request" }
+
+// setDefaults sets what is required only with other settings.
+func (f *settingsFile) setDefaults() {
+	if !f.listOnRequest() && f.Guarantees.AskWithin == nil {
+		f.Guarantees.AskWithin = new(time.Duration)
 	}
-	needed := []struct {
-		name string
-		has  bool
-	}{
-		{"familyInfo.bare", f.Bare != nil}, {"familyInfo.interval", f.Interval != nil},
-		{"familyInfo.linesPerS", f.LinesPerS != nil}, {"familyInfo.perMessage", f.PerMessage != nil},
-		{"familyInfo.queueCap", f.QueueCap != nil}, {"familyInfo.reloadSpan", f.ReloadSpan != nil},
-		{"guarantees.askWithin", gu.AskWithin != nil}, {"guarantees.coldFrom", gu.ColdFrom != nil},
-		{"guarantees.fallMultiple", gu.FallMultiple != nil}, {"guarantees.overloadFor", gu.OverloadFor != nil},
-		{"guarantees.stopSendingWithin", gu.StopSendingWithin != nil},
-		{"guarantees.warmAfter", gu.WarmAfter != nil}, {"lanes", len(in.Lanes) > 0}, {"zones", len(in.Zones) > 0},
+	if f.FamilyInfo.UpdateCap == 0 && f.FamilyInfo.ReloadSpan == nil {
+		f.FamilyInfo.ReloadSpan = new(time.Duration)
 	}
-	for _, n := range needed {
-		if !n.has {
-			return Settings{}, SettingsError("the settings lack " + n.name)
+}
+
+// validate returns a SettingsError for the first required value that is missing, or for an impossible one.
+func (f *settingsFile) validate() error {
+	family, guarantees := &f.FamilyInfo, &f.Guarantees
+	for _, required := range []struct {
+		key   string
+		isSet bool
+	}{
+		{"familyInfo.bare", family.Bare != nil},
+		{"familyInfo.interval", family.Interval != nil},
+		{"familyInfo.linesPerS", family.LinesPerS != nil},
+		{"familyInfo.perMessage", family.PerMessage != nil},
+		{"familyInfo.queueCap", family.QueueCap != nil},
+		{"familyInfo.reloadSpan", family.ReloadSpan != nil},
+		{"guarantees.askWithin", guarantees.AskWithin != nil},
+		{"guarantees.coldFrom", guarantees.ColdFrom != nil},
+		{"guarantees.fallMultiple", guarantees.FallMultiple != nil},
+		{"guarantees.overloadFor", guarantees.OverloadFor != nil},
+		{"guarantees.stopSendingWithin", guarantees.StopSendingWithin != nil},
+		{"guarantees.warmAfter", guarantees.WarmAfter != nil},
+		{"lanes", len(f.Lanes) > 0},
+		{"zones", len(f.Zones) > 0},
+	} {
+		if !required.isSet {
+			return SettingsError("the settings lack " + required.key)
 		}
 	}
-	if *f.Interval <= 0 || *f.LinesPerS <= 0 || *f.QueueCap <= 0 {
-		return Settings{}, SettingsError("familyInfo.interval, familyInfo.linesPerS and familyInfo.queueCap must be above 0")
+	if *family.Interval <= 0 || *family.LinesPerS <= 0 || *family.QueueCap <= 0 {
+		return SettingsError("familyInfo.interval, familyInfo.linesPerS and familyInfo.queueCap must be above 0")
 	}
+	return nil
+}
+
+// rulesSettings converts valid settings into those of package rules.
+func (f *settingsFile) rulesSettings() rules.Settings {
+	family, guarantees := &f.FamilyInfo, &f.Guarantees
 	s := rules.Settings{
-		Governors: in.Balancers, Proxies: f.DataPlane, Zone: rules.ZoneID(in.MyZone), Zones: len(in.Zones),
-		Slices:        f.Slices,
-		ListOnRequest: in.Discovery == "on_request", ProbesAllowed: in.Permissions.Probing,
-		Period: *f.Interval, LinePace: *f.LinesPerS, LineCap: *f.QueueCap, HeadLines: *f.PerMessage,
-		MessageCap: f.UpdateCap, MessageSpan: *f.ReloadSpan, TravelMost: f.PushDelayMax,
-		FirstWait: f.FirstWait, FailsToAvoid: f.FailsToEject, LinksLeast: f.LinksLeast, LinkIdle: in.Permissions.LinkIdle,
-		BareMost: *f.Bare, DrainGrace: *gu.StopSendingWithin, AskWithin: *gu.AskWithin, WarmAfter: *gu.WarmAfter,
-		ColdFrom: *gu.ColdFrom, FallMultiple: *gu.FallMultiple, FallAfter: *gu.OverloadFor,
+		Governors:     f.Balancers,
+		Proxies:       family.DataPlane,
+		Zone:          rules.ZoneID(f.MyZone),
+		Zones:         len(f.Zones),
+		Slices:        family.Slices,
+		ListOnRequest: f.listOnRequest(),
+		ProbesAllowed: f.Permissions.Probing,
+		Period:        *family.Interval,
+		LinePace:      *family.LinesPerS,
+		LineCap:       *family.QueueCap,
+		HeadLines:     *family.PerMessage,
+		MessageCap:    family.UpdateCap,
+		MessageSpan:   *family.ReloadSpan,
+		TravelMost:    family.PushDelayMax,
+		FirstWait:     family.FirstWait,
+		FailsToAvoid:  family.FailsToEject,
+		LinksLeast:    family.LinksLeast,
+		LinkIdle:      f.Permissions.LinkIdle,
+		BareMost:      *family.Bare,
+		DrainGrace:    *guarantees.StopSendingWithin,
+		AskWithin:     *guarantees.AskWithin,
+		WarmAfter:     *guarantees.WarmAfter,
+		ColdFrom:      *guarantees.ColdFrom,
+		FallMultiple:  *guarantees.FallMultiple,
+		FallAfter:     *guarantees.OverloadFor,
 	}
-	switch f.LevelKind {
+	switch family.LevelKind {
 	case "fraction":
 		s.Levels = rules.LevelShare
 	case "per_second":
 		s.Levels = rules.LevelRate
 	}
-	for i, l := range in.Lanes {
-		tg := rules.TrafficGroup{Name: l.Name, LatencyBudget: l.Aim, Expiry: l.Deadline, Utility: l.Importance,
-			LateShare: l.LateWorth, DedupedByAll: l.Group == "all", Window: l.Window,
-			HomeOnly: i < len(f.HomeOnly) && f.HomeOnly[i], Writes: i < len(f.ClassWrites) && f.ClassWrites[i]}
-		switch l.Effect {
-		case "retryable":
-			tg.Effect = rules.Retriable
-		case "dedup":
-			tg.Effect = rules.Deduped
-		}
-		s.Groups = append(s.Groups, tg)
+	for i, lane := range f.Lanes {
+		group := lane.trafficGroup()
+		group.HomeOnly = i < len(family.HomeOnly) && family.HomeOnly[i]
+		group.Writes = i < len(family.ClassWrites) && family.ClassWrites[i]
+		s.Groups = append(s.Groups, group)
+	}
+	return s
+}
+
+func (l laneSettings) trafficGroup() rules.TrafficGroup {
+	group := rules.TrafficGroup{
+		Name:          l.Name,
+		LatencyBudget: l.Aim,
+		Expiry:        l.Deadline,
+		Utility:       l.Importance,
+		LateShare:     l.LateWorth,
+		DedupedByAll:  l.Group == "all",
+		Window:        l.Window,
+	}
+	switch l.Effect {
+	case "retryable":
+		group.Effect = rules.Retriable
+	case "dedup":
+		group.Effect = rules.Deduped
 	}
-	return Settings{Settings: s, Zones: in.Zones, Kinds: in.HostTypes, LoadFields: in.Report.Fields, Tick: in.Tick}, nil
+	return group
 }
 
-// SetLoadFigure puts a figure of a load report where its name belongs. Both names in use are read: the settings' own
-// and the protocol page's. Figures that are not known are passed over.
+// SetLoadFigure sets a figure of a load report by its name, that of the settings or that of the protocol page. Unknown names
+// are ignored.
 func SetLoadFigure(r *rules.Report, name []byte, v float64) {
 	switch string(name) {
 	case "cpu_share", "util":
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -24,6 +24,7 @@
 	"zincloft.example/zincloft/rules"
 )
 
+// conf returns a configuration of three proxies, two groups and two replicas.
 func conf() config.Config {
 	return config.Config{Name: "n0", Limits: config.Limits{Cores: 1, MemoryMB: 192}, Discovery: "127.0.0.1:0",
 		Known: []byte(`{"version":1,"full":true,"servers":[{"id":"r1","zone":"a","state":"ready"},{"id":"r2","zone":"a","state":"ready"}]}`),
@@ -35,9 +36,9 @@
 			MaxReportedTime: time.Minute, JoinTimeout: 10 * time.Second, AcknowledgeTimeout: time.Minute, MaxUnsentBytes: 1 << 20, MaxTotalUnsentBytes: 1 << 20, CountLogInterval: time.Hour, WriteTimeout: time.Second, LateTimerThreshold: 50 * time.Millisecond}}
 }
 
-// TestLife goes from start to exit: a sign of life, two joinings that arrive together, their tables in one
-// message each, three signals to reload, of which one meets a faulty file, and a stop at once after them that closes
-// what is open. No reload writes to a proxy.
+// TestLife goes from start to exit: a heartbeat, two joins that arrive together, their tables in one message each, three
+// signals to reload, of which one finds a faulty file, and a stop right after them that closes all connections. No reload
+// writes to a proxy.
 func TestLife(t *testing.T) {
 	var trace, log strings.Builder
 	synctest.Test(t, func(t *testing.T) {
@@ -96,8 +97,8 @@
 	testkit.CompareTrace(t, trace.String()+regexp.MustCompile(`"time":"[^"]*",`).ReplaceAllString(log.String(), ""))
 }
 
-// TestHeldUp has a timer that is long due while words still trickle in, as after the process was stopped: they
-// come before it. A timer that is in time does not wait for more than a tick.
+// TestHeldUp has a timer that is long overdue while reports still come in, as after the process was suspended: they are taken
+// in before it. A timer that is in time waits no longer than a tick.
 func TestHeldUp(t *testing.T) {
 	var trace strings.Builder
 	for _, late := range []time.Duration{0, time.Second} {
@@ -124,6 +125,7 @@
 	testkit.CompareTrace(t, trace.String())
 }
 
+// TestStartFails has an address that can't be opened, and a known list that can't be read, which is no reason not to serve.
 func TestStartFails(t *testing.T) {
 	no := func() (net.Listener, error) { return nil, errors.New("address in use") }
 	if err := New(conf(), zerolog.Nop()).Run(t.Context(), no, nil, nil); err == nil || !strings.Contains(err.Error(), "LB_LISTEN: address in use") {
@@ -140,19 +142,19 @@
 	}
 }
 
-// TestPanicIsNotHidden orders a watch where there is no exchange.
+// TestPanicIsNotHidden has an order to watch where there is no queue.
 func TestPanicIsNotHidden(t *testing.T) {
 	var log strings.Builder
 	d, s := New(conf(), zerolog.New(&log)), conf().Settings.Settings
 	s.ListOnRequest = true
 	if err := d.step([]rules.Event{rules.Start{Settings: s}}); err == nil || !strings.Contains(err.Error(), "panic in a step") ||
-		!strings.Contains(log.String(), "daemon.go") {
+		!strings.Contains(log.String(), "step.go") {
 		t.Error(err, log.String())
 	}
 }
 
-// TestDrainDuringFlood has the lane of reports full, and filled again as fast as it is emptied, while a replica
-// drains: the very next Step orders its lines out.
+// TestDrainDuringFlood keeps the lane of reports full while a replica begins to drain: the very next step orders its
+// removal.
 func TestDrainDuringFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := conf()
@@ -191,7 +193,7 @@
 	})
 }
 
-// anySide stands for both sides of the exchange.
+// anySide stands for both sides of the queue.
 type anySide struct{ eventqueue.Discovery }
 
 func (anySide) Accept(eventqueue.Event) bool { return true }
--- a/internal/daemon/fronts_test.go
+++ b/internal/daemon/fronts_test.go
@@ -23,9 +23,9 @@
 	"github.com/rs/zerolog"
 )
 
-// TestFrontsAreOff runs a governor without an operator file, and with one that sets nothing: there is no intake, nothing
-// is sent and nothing else is listened on.
-func TestFrontsAreOff(t *testing.T) {
+// TestFrontsOffByDefault runs a governor without an operator file, and with one that has the defaults: there is no intake,
+// nothing is sent and no further address is opened.
+func TestFrontsOffByDefault(t *testing.T) {
 	for _, path := range []string{"", "../../deploy/operator.toml"} {
 		c := conf()
 		var err error
@@ -37,25 +37,25 @@
 		listened := 0
 		stop()
 		err = d.Run(ctx, func() (net.Listener, error) { listened++; return testkit.Listen(), nil }, nil, nil)
-		if machines, _ := d.listenCollectd(); err != nil || listened != 1 || d.intake != nil || d.graphite != nil || machines != nil {
+		if machines, _ := d.listenCollectd(t.Context()); err != nil || listened != 1 || d.intake != nil || d.graphite != nil || machines != nil {
 			t.Errorf("%q: %v, %d listeners, intake %v, graphite %v, machines %v", path, err, listened, d.intake, d.graphite, machines)
 		}
 	}
 }
 
-// TestFronts runs a governor with both fronts on: a machine's packet is taken in, and what Graphite is sent tells of it.
+// TestFronts runs a governor with collectd and Graphite: a load report is taken in, and a point sent to Graphite shows it.
 func TestFronts(t *testing.T) {
 	g, err := standin.ListenGraphite("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer g.Close()
-	free, err := collectd.Listen("127.0.0.1:0")
+	free, err := collectd.Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := free.LocalAddr().String()
-	free.Close()
+	testkit.Close(t, free)
 	c := conf()
 	if c.Operator, err = config.ReadOperator(""); err != nil {
 		t.Fatal(err)
@@ -68,11 +68,12 @@
 	d := New(c, zerolog.Nop())
 	done := make(chan error)
 	go func() { done <- d.Run(ctx, func() (net.Listener, error) { return testkit.Listen(), nil }, nil, nil) }()
-	peer, err := net.Dial("udp", address)
+	var dialer net.Dialer
+	peer, err := dialer.DialContext(t.Context(), "udp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer peer.Close()
+	defer testkit.Close(t, peer)
 	heard := false
 	for ctx.Err() == nil && !heard {
 		_, _ = peer.Write(standin.CollectdPacket{}.AppendString(0, "r1").AppendTime(time.Now()).AppendString(2, "cpu").AppendString(4, "percent").AppendGauges(40)) // refused until it listens
@@ -82,7 +83,7 @@
 		}
 	}
 	if !heard {
-		t.Error("Graphite was not told of a machine's word: ", g.Lines())
+		t.Error("no point shows the load report: ", g.Lines())
 	}
 	stop()
 	if err := <-done; err != nil {
@@ -90,9 +91,9 @@
 	}
 }
 
-// BenchmarkSteps is the time from an event to its orders, of a governor of 200 proxies and 1,000 replicas, one of whose
-// proxies comes back each time and is bound: alone, with a Graphite that reads, and with one that has stopped reading.
-// Snapshots are taken each second, ten times as often as usual.
+// BenchmarkSteps measures the time from an event to its orders, of a governor of 200 proxies and 1,000 replicas, one of whose
+// proxies reconnects each time: alone, with a Graphite that reads, and with one that has stopped reading. Snapshots are taken
+// each second, ten times as often as usual.
 func BenchmarkSteps(b *testing.B) {
 	for name, manner := range map[string]standin.ConnectionBehaviour{"alone": -1, "graphite reads": standin.ReadsLines, "graphite stalls": standin.StallsReading} {
 		b.Run(name, func(b *testing.B) {
@@ -146,7 +147,7 @@
 	}
 }
 
-// BenchmarkView is what a snapshot costs the deciding goroutine, with so many replicas.
+// BenchmarkView measures what a snapshot costs the deciding goroutine.
 func BenchmarkView(b *testing.B) {
 	for _, replicas := range []int{60, 1000, 2000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -11,8 +11,8 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// restoreState opens what a former life kept, where the operator file names a folder, and returns what the governor is to begin
-// with. Whatever is wrong with the disk is told once, and the governor serves.
+// restoreState opens the store, where the operator file names a folder, and returns the facts that the governor starts with
+// and the writer of the store. Faults of the disk are logged, and the governor serves without a store.
 func (d *Daemon) restoreState() ([]rules.Event, *store.Writer) {
 	o := d.conf.Operator.State
 	if o.Dir == "" {
@@ -27,13 +27,13 @@
 		return nil, nil
 	}
 	d.entries = map[rules.ReplicaID]rules.Entry{}
-	set := recovery.Settings{HalfLife: o.HalfLife, MostAge: o.MaxAge}
+	settings := recovery.Settings{HalfLife: o.HalfLife, MostAge: o.MaxAge}
 	now := d.now()
-	plan := recovery.Weigh(now, kept, d.conf.Name, d.conf.Discovery, set)
+	plan := recovery.Weigh(now, kept, d.conf.Name, d.conf.Discovery, settings)
 	d.log.Info().Str("verdict", string(plan.Verdict)).Dur("age", plan.Age).Float64("trust", plan.Trust).Int("replicas", len(kept.Replicas)).Msg("state")
 	if len(plan.Events) > 0 {
 		d.discovery.Restore(kept)
-		d.recovery = recovery.Begin(now, kept, plan, set)
+		d.recovery = recovery.Begin(now, kept, plan, settings)
 		for _, r := range kept.Replicas {
 			d.entries[r.Entry.Replica] = r.Entry
 		}
@@ -41,27 +41,22 @@
 	return plan.Events, store.NewWriter(s, d.log)
 }
 
-// trackRecovery passes facts through the recovery while there is one, and follows the list.
+// trackRecovery keeps the current endpoint list, and passes facts through the recovery while there is one.
 func (d *Daemon) trackRecovery(facts []rules.Event) []rules.Event {
 	if d.entries == nil {
 		return facts
 	}
-	var out []rules.Event
-	for _, f := range facts {
-		if l, is := f.(rules.List); is && l.Scope != rules.Failed {
-			if l.Scope == rules.Whole {
-				clear(d.entries)
-			}
-			for _, e := range l.Entries {
-				d.entries[e.Replica] = e
-			}
+	var passed []rules.Event
+	for _, fact := range facts {
+		if list, isList := fact.(rules.List); isList {
+			d.updateEntries(list)
 		}
 		if d.recovery == nil {
-			out = append(out, f)
+			passed = append(passed, fact)
 			continue
 		}
 		before, trust := d.recovery.Step(), d.recovery.Trust(d.now())
-		out = append(out, d.recovery.Hear(f)...)
+		passed = append(passed, d.recovery.Hear(fact)...)
 		if step := d.recovery.Step(); step != before {
 			d.log.Info().Str("step", string(step)).Float64("trust", trust).Msg("recovery")
 		}
@@ -69,11 +64,23 @@
 			d.recovery = nil
 		}
 	}
-	return out
+	return passed
 }
 
-// saveState hands what the next start can use to the writer, when that is due. Nothing is kept before discovery has spoken:
-// what stands on disk is as good until then.
+func (d *Daemon) updateEntries(list rules.List) {
+	if list.Scope == rules.Failed {
+		return
+	}
+	if list.Scope == rules.Whole {
+		clear(d.entries)
+	}
+	for _, entry := range list.Entries {
+		d.entries[entry.Replica] = entry
+	}
+}
+
+// saveState hands the state to the writer when that is due. Nothing is written before discovery has answered: until then the
+// state on disk is as good.
 func (d *Daemon) saveState() {
 	now := time.Now()
 	if d.writer == nil || d.recovery != nil || now.Before(d.nextSaveAt) || !d.writer.Ready() {
@@ -87,9 +94,16 @@
 	d.writer.Offer(d.stateToSave(version, heard))
 }
 
-// stateToSave is what the next start can use.
+// stateToSave returns what the next start can use.
 func (d *Daemon) stateToSave(version discoveryclient.Version, heard time.Time) recovery.Kept {
-	k := recovery.Kept{Governor: d.conf.Name, Discovery: d.conf.Discovery, Version: uint64(version), Heard: d.rulesTime(heard), Written: d.now(), Next: d.discovery.Next()}
+	k := recovery.Kept{
+		Governor:  d.conf.Name,
+		Discovery: d.conf.Discovery,
+		Version:   uint64(version),
+		Heard:     d.rulesTime(heard),
+		Written:   d.now(),
+		Next:      d.discovery.Next(),
+	}
 	learnt := map[rules.ReplicaID]rules.Recalled{}
 	for _, m := range d.governor.Memory(nil) {
 		learnt[m.Replica] = m
--- a/internal/daemon/state_test.go
+++ b/internal/daemon/state_test.go
@@ -59,9 +59,9 @@
 	return lines.String(), told
 }
 
-// TestStartsFromDisk starts with discovery away: with a list on disk a proxy that joins has lines; with another's, or
-// none, it has not; and whatever is wrong with the disk, the governor serves and says so once.
-func TestStartsFromDisk(t *testing.T) {
+// TestStartFromDisk starts while discovery is away: with its own list on disk a proxy that joins gets weights; with that of
+// another governor, or none, it does not; and whatever is wrong with the disk, the governor serves and logs it once.
+func TestStartFromDisk(t *testing.T) {
 	keep := func(governor string) string {
 		dir := t.TempDir()
 		s, _, _, err := store.Open(dir, time.Now())
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer testkit.Close(t, s)
 	for _, c := range []struct {
 		what, dir, log string
 		told           bool
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestKeeps has discovery speak: what stands is kept, and a second life on another day's port of it begins with that.
-func TestKeeps(t *testing.T) {
+// TestSaveState has discovery answer: the current list is saved.
+func TestSaveState(t *testing.T) {
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("index") == "4" {
 			<-r.Context().Done()
@@ -145,8 +145,8 @@
 	}
 }
 
-// BenchmarkKeep is what gathering costs the deciding goroutine, with 10,000 replicas of which something has been learnt.
-func BenchmarkKeep(b *testing.B) {
+// BenchmarkStateToSave measures what gathering the state costs the deciding goroutine, with 10,000 replicas.
+func BenchmarkStateToSave(b *testing.B) {
 	c := stateConf(b.TempDir())
 	d := New(c, zerolog.Nop())
 	d.startedAt = time.Now()
--- /dev/null
+++ b/internal/graphite/plaintext.go
@@ -0,0 +1,137 @@
+package graphite
+
+import (
+	"math"
+	"strconv"
+	"time"
+
+	"zincloft.example/zincloft/intake"
+	"zincloft.example/zincloft/rules"
+)
+
+const chunkBytes = 8 << 10 // points are sent, and dropped, in chunks of about this size
+
+// pointWriter formats points as lines and hands them over in chunks of complete lines.
+type pointWriter struct {
+	prefix      string // of each path; ends with a dot
+	lines       []byte
+	unixSeconds int64
+	points      int // in lines
+}
+
+// point adds a point with the path that the parts make. Values that Graphite has no form for are left out.
+func (w *pointWriter) point(value float64, parts ...string) {
+	if math.IsNaN(value) || math.IsInf(value, 0) {
+		return
+	}
+	w.lines = append(w.lines, w.prefix...)
+	for i, p := range parts {
+		if i > 0 {
+			w.lines = append(w.lines, '.')
+		}
+		w.lines = append(w.lines, p...)
+	}
+	w.lines = append(w.lines, ' ')
+	w.lines = strconv.AppendFloat(w.lines, value, 'f', -1, 32)
+	w.lines = append(w.lines, ' ')
+	w.lines = strconv.AppendInt(w.lines, w.unixSeconds, 10)
+	w.lines = append(w.lines, '\n')
+	w.points++
+}
+
+// writeSnapshot writes the points of a snapshot and of the sender itself. It calls emit with each chunk and the number of
+// its points.
+func (w *pointWriter) writeSnapshot(s *Snapshot, labels Labels, own Stats, emit func([]byte, int)) {
+	w.unixSeconds = s.At.Unix()
+	w.writeFleet(s, labels)
+	if s.HasIntake {
+		w.writeIntake(s)
+	}
+	w.writeSender(own)
+	for i := range s.View.Replicas {
+		replica := &s.View.Replicas[i]
+		name, known := labels.ReplicaName(replica.Replica)
+		if !known {
+			continue // it has gone meanwhile
+		}
+		w.writeReplica(SanitizePathPart(name), s.View.At, replica)
+		w.flush(chunkBytes, emit)
+	}
+	w.flush(0, emit)
+}
+
+// flush emits the lines if they are longer than minBytes.
+func (w *pointWriter) flush(minBytes int, emit func([]byte, int)) {
+	if len(w.lines) > minBytes {
+		emit(w.lines, w.points)
+		w.lines, w.points = nil, 0
+	}
+}
+
+func (w *pointWriter) writeFleet(s *Snapshot, labels Labels) {
+	v := &s.View
+	w.point(v.LinesWaiting, "channel", "lines_waiting")
+	w.point(v.LinesCap, "channel", "lines_cap")
+	w.point(float64(v.Proxies), "proxies", "joined")
+	w.point(float64(v.Unbound), "proxies", "unbound")
+	w.point(float64(v.Busiest), "messages", "busiest")
+	w.point(float64(v.MessageCap), "messages", "cap")
+	w.point(float64(v.Tables), "tables")
+	w.point(float64(v.Steps), "steps")
+	w.point(float64(v.Reviews), "reviews")
+	w.point(float64(v.Orders), "orders")
+	w.point(v.MeanLoad, "fleet", "load")
+	w.point(v.DropShare, "fleet", "drop_share")
+	w.point(boolValue(v.Jammed), "fleet", "jammed")
+	w.point(s.Duration.Seconds()*1e6, "snapshot_us")
+	if v.ListAt > 0 {
+		w.point(ageMillis(v.At, v.ListAt), "list", "age_ms")
+	}
+	for i, level := range v.Levels {
+		if i < len(labels.GroupNames) {
+			w.point(level, "level", SanitizePathPart(labels.GroupNames[i]))
+		}
+	}
+}
+
+func (w *pointWriter) writeIntake(s *Snapshot) {
+	for cause, count := range s.IntakeCounts {
+		w.point(float64(count), "intake", SanitizePathPart(intake.Cause(cause).Path()))
+	}
+	w.point(float64(s.IntakeHeld.Records), "intake", "records_held")
+	w.point(float64(s.IntakeHeld.Senders), "intake", "senders")
+	w.point(float64(s.IntakeHeld.Pairs), "intake", "pairs")
+}
+
+func (w *pointWriter) writeSender(own Stats) {
+	w.point(float64(own.Sent), "graphite", "sent")
+	w.point(float64(own.Dropped), "graphite", "dropped")
+	w.point(float64(own.SkippedSnapshots), "graphite", "missed")
+	w.point(float64(own.Failures), "graphite", "failures")
+}
+
+func (w *pointWriter) writeReplica(name string, now rules.Time, r *rules.ReplicaView) {
+	w.point(r.Picks, "replica", name, "picks")
+	w.point(r.Weight, "replica", name, "weight")
+	w.point(r.Tries, "replica", name, "tries")
+	w.point(r.Drops, "replica", name, "drops")
+	if r.Known {
+		w.point(r.Load, "replica", name, "load")
+	}
+	w.point(float64(r.State), "replica", name, "state")
+	w.point(boolValue(r.HeldOut), "replica", name, "held_out")
+	w.point(boolValue(r.Cold), "replica", name, "cold")
+	w.point(float64(r.Shunned), "replica", name, "shunned")
+	w.point(ageMillis(now, r.HeardAt), "replica", name, "age_ms")
+}
+
+func boolValue(is bool) float64 {
+	if is {
+		return 1
+	}
+	return 0
+}
+
+func ageMillis(now, then rules.Time) float64 {
+	return float64(time.Duration(now-then)) / float64(time.Millisecond)
+}
--- a/internal/graphite/sender.go
+++ b/internal/graphite/sender.go
@@ -13,31 +13,29 @@
 	"github.com/rs/zerolog"
 )
 
-// Options are where points go, and the bounds of it.
+// snapshotPoolSize lets one snapshot be filled while another is made into points.
+const snapshotPoolSize = 2
+
+// Options are the address of Graphite and the limits of a Sender.
 type Options struct {
 	Address         string
 	Prefix          string        // of each path
-	Interval        time.Duration // from snapshot to snapshot
-	MaxQueuedPoints int           // that may wait to be sent; past it the oldest are dropped
-	WriteTimeout    time.Duration // a write makes its way within this time
-	DialTimeout     time.Duration // a connection comes up within this time
-	MaxRetryDelay   time.Duration // the longest wait between two attempts
+	Interval        time.Duration // between snapshots
+	MaxQueuedPoints int           // beyond it the oldest points are dropped
+	WriteTimeout    time.Duration
+	DialTimeout     time.Duration
+	MaxRetryDelay   time.Duration // between two attempts to connect
 }
 
-const (
-	chunkBytes       = 8 << 10 // points are sent, and dropped, by about so many bytes
-	snapshotPoolSize = 2       // one may be filled while another is made into points
-)
-
-// Stats are points and what became of them, since the start.
+// Stats count points and what became of them since the start.
 type Stats struct {
-	Sent             int // points that were written
-	Dropped          int // points that were dropped unsent, the oldest first
-	SkippedSnapshots int // snapshots that were not taken, as the ones before were still being made into points
-	Failures         int // connections that failed or did not come up
+	Sent             int // points written to a connection
+	Dropped          int // points dropped unsent, the oldest first
+	SkippedSnapshots int // snapshots not taken, as the ones before were still being made into points
+	Failures         int // connections that failed or could not be opened
 }
 
-// Sender makes points of snapshots and sends them. Take and Give never wait.
+// Sender makes points of snapshots and sends them. AcquireSnapshot and SubmitSnapshot never wait.
 type Sender struct {
 	options Options
 	labels  Labels
@@ -45,23 +43,24 @@
 	dial    func(ctx context.Context) (net.Conn, error)
 
 	freeSnapshots, filledSnapshots chan *Snapshot
-	wake                           chan struct{} // something waits to be sent
+	wake                           chan struct{} // the queue is not empty
 
 	mu           sync.Mutex
 	queue        []chunk // oldest first
-	queuedPoints int     // in waiting
+	queuedPoints int
 	stats        Stats
 }
 
-type chunk struct {
-	lines  []byte
-	points int
-}
-
 // New returns a Sender that sends nothing before Run.
-func New(o Options, n Labels, log zerolog.Logger) *Sender {
-	s := &Sender{options: o, labels: n, log: log, freeSnapshots: make(chan *Snapshot, snapshotPoolSize), filledSnapshots: make(chan *Snapshot, snapshotPoolSize),
-		wake: make(chan struct{}, 1)}
+func New(o Options, labels Labels, log zerolog.Logger) *Sender {
+	s := &Sender{
+		options:         o,
+		labels:          labels,
+		log:             log,
+		freeSnapshots:   make(chan *Snapshot, snapshotPoolSize),
+		filledSnapshots: make(chan *Snapshot, snapshotPoolSize),
+		wake:            make(chan struct{}, 1),
+	}
 	for range snapshotPoolSize {
 		s.freeSnapshots <- &Snapshot{}
 	}
@@ -70,11 +69,12 @@
 	return s
 }
 
-// AcquireSnapshot returns a snapshot to fill, nil if none is free: then this one is missed, and counted.
+// AcquireSnapshot returns a snapshot to fill, which must then be submitted. It returns nil if none is free; the snapshot is
+// then counted as skipped.
 func (s *Sender) AcquireSnapshot() *Snapshot {
 	select {
-	case x := <-s.freeSnapshots:
-		return x
+	case snapshot := <-s.freeSnapshots:
+		return snapshot
 	default:
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -83,10 +83,10 @@
 	}
 }
 
-// SubmitSnapshot hands a filled snapshot over.
-func (s *Sender) SubmitSnapshot(x *Snapshot) { s.filledSnapshots <- x } // there is room for all there are
+// SubmitSnapshot hands over a snapshot from AcquireSnapshot. The channel has room for all of them.
+func (s *Sender) SubmitSnapshot(snapshot *Snapshot) { s.filledSnapshots <- snapshot }
 
-// Stats tells what has become of points so far.
+// Stats returns the counts so far.
 func (s *Sender) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,66 +103,22 @@
 		case <-ctx.Done():
 			running.Wait()
 			return
-		case x := <-s.filledSnapshots:
-			w.writeSnapshot(x, s.labels, s.Stats(), s.enqueue)
-			s.freeSnapshots <- x
+		case snapshot := <-s.filledSnapshots:
+			w.writeSnapshot(snapshot, s.labels, s.Stats(), s.enqueue)
+			s.freeSnapshots <- snapshot
 		}
 	}
 }
 
-// enqueue puts points in line. Where there is no room the oldest go: the newest tell most.
-func (s *Sender) enqueue(lines []byte, points int) {
-	s.mu.Lock()
-	s.queue = append(s.queue, chunk{lines, points})
-	s.queuedPoints += points
-	for s.queuedPoints > s.options.MaxQueuedPoints && len(s.queue) > 0 {
-		s.countDropped(s.queue[0].points)
-		s.queue[0] = chunk{}
-		s.queue = s.queue[1:]
-	}
-	s.mu.Unlock()
-	select {
-	case s.wake <- struct{}{}:
-	default:
-	}
-}
-
-func (s *Sender) countDropped(points int) {
-	s.queuedPoints, s.stats.Dropped = s.queuedPoints-points, s.stats.Dropped+points
-}
-
-func (s *Sender) dequeue() (c chunk, ok bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.queue) == 0 {
-		return chunk{}, false
-	}
-	c = s.queue[0]
-	s.queue = s.queue[1:]
-	s.queuedPoints -= c.points
-	return c, true
-}
-
-// requeue puts a chunk that was not sent in line again, first. Where newer points have filled the room it is dropped.
-func (s *Sender) requeue(c chunk) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.queuedPoints += c.points; s.queuedPoints > s.options.MaxQueuedPoints {
-		s.countDropped(c.points)
-		return
-	}
-	s.queue = append([]chunk{c}, s.queue...)
-}
-
-// sendLoop connects, writes what waits, and begins again after a while when that fails. A chunk that failed is sent again
-// whole: Graphite keeps one value for a path and second, so lines that come twice do no harm.
+// sendLoop connects, sends what is queued, and connects again with exponential backoff when that fails. A chunk that failed
+// is sent again as a whole: Graphite keeps one value for a path and second, so repeated lines do no harm.
 func (s *Sender) sendLoop(ctx context.Context) {
-	wait := backoff.NewExponentialBackOff()
-	wait.MaxInterval = s.options.MaxRetryDelay
+	retryDelay := backoff.NewExponentialBackOff()
+	retryDelay.MaxInterval = s.options.MaxRetryDelay
 	failed := false
 	for {
 		err := s.sendOnConnection(ctx, func() {
-			if wait.Reset(); failed {
+			if retryDelay.Reset(); failed {
 				s.log.Info().Str("graphite", s.options.Address).Msg("graphite is back")
 			}
 			failed = false
@@ -170,9 +126,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		s.mu.Lock()
-		s.stats.Failures++
-		s.mu.Unlock()
+		s.countFailure()
 		if !failed {
 			s.log.Warn().Str("graphite", s.options.Address).Err(err).Msg("graphite failure")
 		}
@@ -180,28 +134,30 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(wait.NextBackOff()):
+		case <-time.After(retryDelay.NextBackOff()):
 		}
 	}
 }
 
-// sendOnConnection sends until something fails; good is called once writes have made their way for as long as one may take.
-func (s *Sender) sendOnConnection(ctx context.Context, good func()) error {
-	c, err := s.dial(ctx)
+// sendOnConnection opens a connection and sends until something fails. It calls onHealthy once the connection is older than
+// one write may take: earlier writes fit into buffers, whether anybody reads or not.
+func (s *Sender) sendOnConnection(ctx context.Context, onHealthy func()) error {
+	conn, err := s.dial(ctx)
 	if err != nil {
 		return fmt.Errorf("dialing: %w", err)
 	}
-	defer c.Close()
-	up := time.Now()
+	closeConn := func() { _ = conn.Close() } // what has not been acknowledged is of no further use
+	defer closeConn()
+	openedAt := time.Now()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	context.AfterFunc(ctx, func() { c.Close() })
-	go func() { // the receiver says nothing: an end here is the end
-		_, err := io.Copy(io.Discard, c)
+	context.AfterFunc(ctx, closeConn)
+	go func() { // the receiver never sends, so the end of a read is the end of the connection
+		_, err := io.Copy(io.Discard, conn)
 		cancel(fmt.Errorf("closed by the receiver: %w", cmp.Or(err, io.EOF)))
 	}()
 	for {
-		b, ok := s.dequeue()
+		next, ok := s.dequeue()
 		if !ok {
 			select {
 			case <-ctx.Done():
@@ -210,18 +166,21 @@
 			}
 			continue
 		}
-		if err = c.SetWriteDeadline(time.Now().Add(s.options.WriteTimeout)); err == nil {
-			_, err = c.Write(b.lines)
-		}
-		if err != nil {
-			s.requeue(b)
+		if err := s.write(conn, next); err != nil {
+			s.requeue(next)
 			return fmt.Errorf("writing: %w", err)
 		}
-		s.mu.Lock()
-		s.stats.Sent += b.points
-		s.mu.Unlock()
-		if time.Since(up) > s.options.WriteTimeout { // the first writes fit into buffers, whether anybody reads or not
-			good()
+		s.countSent(next.points)
+		if time.Since(openedAt) > s.options.WriteTimeout {
+			onHealthy()
 		}
 	}
 }
+
+func (s *Sender) write(conn net.Conn, c chunk) error {
+	if err := conn.SetWriteDeadline(time.Now().Add(s.options.WriteTimeout)); err != nil {
+		return err
+	}
+	_, err := conn.Write(c.lines)
+	return err
+}
