--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -5,7 +5,6 @@
 	"io"
 	"net"
 	"os"
-	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -13,110 +12,53 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/time/rate"
 
-	"zincloft.example/zincloft/intake"
 	"zincloft.example/zincloft/internal/eventqueue"
 	"zincloft.example/zincloft/internal/resp"
 	"zincloft.example/zincloft/rules"
 )
 
-// conn is one connection: a stream once it has named a proxy, a collector's once it has named a zone, and a
-// stranger's until then.
+// conn is one connection: a proxy's stream once it has named a proxy, a collector's once it has named a zone, and
+// unidentified until then.
 type conn struct {
 	net.Conn
 	server     *Server
 	acceptedAt time.Time
+	limiter    *rate.Limiter // of bytes read; nil: none
 
-	proxy rules.ProxyID // of a stream; the reader's own, like zone
+	proxy rules.ProxyID // of a stream; used by readLoop only, like zone
 	zone  rules.ZoneID  // of a collector
 
 	mu             sync.Mutex
-	role           role        // written by the reader only, which need not lock to read it
-	lastUsefulAt   time.Time   // when a collector last passed something on that counts
-	unacknowledged []uint16    // marks that the peer has been sent and not answered yet, oldest first
-	pending        net.Buffers // messages may be shared with other connections: nobody changes their bytes
-	unsentBytes    int         // bytes pending or being written
-	writing        bool        // a goroutine takes what is pending; there is none while nothing is
+	role           role        // written by readLoop only, which need not lock to read it
+	lastUsefulAt   time.Time   // when a collector last delivered a valid report
+	unacknowledged []uint16    // versions that the peer has been sent, oldest first
+	pending        net.Buffers // messages may be shared with other connections: their bytes are never changed
+	unsentBytes    int         // pending or being written
+	writing        bool        // writeLoop runs; it does not while nothing is pending
 	closed         bool
 	reason         closeReason
-
-	limiter *rate.Limiter // of bytes read; nil: no bound
-}
-
-// closeReason is why a connection has ended. Causes are few; the detail may quote the peer or an address.
-type closeReason struct{ cause, detail string }
-
-// log writes the line of a leave, whose peer it begins with.
-func (e closeReason) log(line *zerolog.Event) {
-	line.Str("cause", e.cause).Str("detail", e.detail).Msg("leave")
 }
 
+// role is what a connection has identified itself as.
 type role string
 
 const (
-	roleUnidentified role = "stranger"
+	roleUnidentified role = "unidentified"
 	roleStream       role = "stream"
 	roleCollector    role = "collector"
 )
 
-// readLoop takes in messages until the connection ends. It is the only one that posts this connection's events, so
-// they keep their order.
-//
-// Here it is decided what bad input costs. Framing that is broken ends the connection. A message that is framed well
-// but has a bad field, or no place on this connection, is passed over whole and counted, and it is a sign of life like
-// any other. A stranger may say nothing but hb and a joining that is good, and has FirstWord for it from its accept on,
-// whatever it says meanwhile: against strangers that stay for good, silent, beating, or byte by byte.
-func (c *conn) readLoop() {
-	b := c.server.bounds
-	in := resp.NewReader(c, b.MaxFirstMessageBytes, b.MaxMessageElements)
-	err := c.SetReadDeadline(c.acceptedAt.Add(b.JoinTimeout))
-	for err == nil {
-		var words [][]byte
-		if words, err = in.Next(); err != nil {
-			break
-		}
-		c.throttle(in.Size())
-		m := c.handle(c.server.codec.decode(words))
-		if bad, is := m.(invalidMessage); is && c.role == roleUnidentified {
-			c.closeWith("not a joining", bad.cause)
-			break
-		} else if is {
-			c.server.counts.Add(skippedMessages, bad.cause)
-		}
-		if _, beats := m.(heartbeat); !beats || c.role != roleUnidentified {
-			err = c.updateDeadline(m)
-			in.MaxBytes = b.MaxMessageBytes
-		}
-	}
-	c.closeWith(reasonOf(err))
-	switch c.role {
-	case roleStream:
-		c.server.inbox.Post(eventqueue.Event{Connection: c, Fact: rules.Left{Proxy: c.proxy}})
-	case roleCollector:
-		c.closeReason().log(c.server.log.Info().Str("collector", c.server.codec.zones[c.zone]))
-	default:
-		c.server.counts.Add(unidentifiedConns, c.closeReason().cause)
-	}
-	c.server.removeConn(c)
-}
+// closeReason is why a connection has ended. Causes are a fixed set; the detail may quote the peer or an address.
+type closeReason struct{ cause, detail string }
 
-// throttle keeps a stream that brings more than its share waiting, and nobody else: against floods of reports. Its own
-// marks wait too, so one that never ends falls silent in the end.
-func (c *conn) throttle(bytes int) {
-	if c.limiter == nil || c.role != roleStream {
-		return
-	}
-	if wait := c.limiter.ReserveN(time.Now(), min(bytes, c.limiter.Burst())).Delay(); wait > 0 {
-		c.server.counts.Add(delayedMessages, "over its share")
-		select {
-		case <-time.After(wait):
-		case <-c.server.closing:
-		}
-	}
+// log writes the line of a leave, which begins with the peer.
+func (r closeReason) log(line *zerolog.Event) {
+	line.Str("cause", r.cause).Str("detail", r.detail).Msg("leave")
 }
 
-// reasonOf puts an error into one of few causes.
+// reasonOf reduces an error to one of a fixed set of causes.
 func reasonOf(err error) (cause, detail string) {
-	var broken resp.ProtocolError
+	var protocolError resp.ProtocolError
 	switch {
 	case err == nil:
 		return "", ""
@@ -124,7 +66,7 @@
 		return "closed by the peer", ""
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return "silent", ""
-	case errors.As(err, &broken):
+	case errors.As(err, &protocolError):
 		return "can't be read", err.Error()
 	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, syscall.ECONNRESET):
 		return "cut", err.Error()
@@ -132,178 +74,70 @@
 	return "failed", err.Error()
 }
 
-// handle does as a message says and returns it; what has no place on this connection comes back spoilt.
-func (c *conn) handle(m any) any {
-	switch m := m.(type) {
-	case heartbeat:
-		c.send(heartbeatAnswer)
-		return m
-	case invalidMessage:
-		return m
-	case collectorJoin:
-		if c.role != roleUnidentified {
-			return unexpectedMessage
-		}
-		c.zone = m.zone
-		c.setRole(roleCollector)
-		c.server.addCollector(c)
-		return m
-	case rules.Joined:
-		if c.role != roleUnidentified {
-			return unexpectedMessage
-		}
-		c.proxy = m.Proxy
-		c.setRole(roleStream)
-	case rules.Applied:
-		if c.role != roleStream || m.Proxy != c.proxy || !c.awaits(m.Version) {
-			return invalidMessage{cause: unexpectedMessage.cause, isAcknowledgement: true}
+// readLoop takes in messages until the connection ends. Nothing else posts this connection's events, so they keep their
+// order.
+//
+// It decides what invalid input leads to. Broken framing ends the connection. A message that is framed well but has an
+// invalid field, or no place on this connection, is skipped as a whole and counted, and it is a sign of life like any other.
+// A connection that has not joined may send only heartbeats and a valid join, within JoinTimeout of being accepted: this
+// bounds those that stay silent, that send heartbeats only, or that send byte by byte.
+func (c *conn) readLoop() {
+	bounds := c.server.bounds
+	reader := resp.NewReader(c, bounds.MaxFirstMessageBytes, bounds.MaxMessageElements)
+	err := c.SetReadDeadline(c.acceptedAt.Add(bounds.JoinTimeout))
+	for err == nil {
+		var elements [][]byte
+		if elements, err = reader.Next(); err != nil {
+			break
 		}
-	case rules.Intake:
-		if c.role == roleUnidentified || c.role == roleStream && m.Proxy != c.proxy {
-			return unexpectedMessage
+		c.throttle(reader.Size())
+		message := c.handle(c.server.codec.decode(elements))
+		invalid, isInvalid := message.(invalidMessage)
+		if isInvalid && c.role == roleUnidentified {
+			c.closeWith("not a joining", invalid.cause)
+			break
 		}
-		return c.postReport(eventqueue.Event{Fact: m}, m)
-	case rules.Sums:
-		if c.role != roleCollector {
-			return unexpectedMessage
+		if isInvalid {
+			c.server.counts.Add(skippedMessages, invalid.cause)
 		}
-		return c.postReport(eventqueue.Event{Fact: m}, m)
-	case *intake.Batch:
-		if c.role != roleStream || m.Proxy != c.proxy {
-			m.Free()
-			return unexpectedMessage
+		if _, isHeartbeat := message.(heartbeat); !isHeartbeat || c.role != roleUnidentified {
+			err = c.updateDeadline(message)
+			reader.MaxBytes = bounds.MaxMessageBytes
 		}
-		return c.postReport(eventqueue.Event{Batch: m}, m)
-	}
-	c.server.inbox.Post(eventqueue.Event{Connection: c, Fact: m.(rules.Event)})
-	return m
-}
-
-// postReport passes on what may wait. A collector waits until there is room; a stream can't, as a proxy's marks come
-// behind its reports, so what has no room is counted and gone.
-func (c *conn) postReport(e eventqueue.Event, m any) any {
-	e.Connection, e.ReceivedAt = c, time.Now()
-	if c.role == roleCollector {
-		c.server.inbox.Post(e)
-	} else if !c.server.inbox.TryPost(e) {
-		return queueFull
 	}
-	return m
-}
-
-func (c *conn) setRole(r role) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.role = r
-}
-
-func (c *conn) awaits(mark uint16) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return slices.Contains(c.unacknowledged, mark)
-}
-
-// updateDeadline sets the time until which a peer that has joined must say something: as a stream, while it owes the answer
-// to a mark. This one guard ends whatever has fallen silent: peers that vanished, that stopped inside a message, or
-// that send it byte by byte. A proxy that owes nothing may be quiet for long. An answer that can't be used is taken
-// for that to the oldest mark: else a proxy that lives would count as silent. Collectors owe nothing ever; those that
-// pass nothing on make room for others.
-func (c *conn) updateDeadline(m any) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	switch m := m.(type) {
-	case rules.Applied:
-		c.unacknowledged = c.unacknowledged[slices.Index(c.unacknowledged, m.Version)+1:]
-	case invalidMessage:
-		if m.isAcknowledgement {
-			c.unacknowledged = c.unacknowledged[min(1, len(c.unacknowledged)):]
-		}
-	case rules.Sums, rules.Intake, *intake.Batch:
-		c.lastUsefulAt = time.Now()
-	}
-	if len(c.unacknowledged) > 0 {
-		return c.SetReadDeadline(time.Now().Add(c.server.bounds.AcknowledgeTimeout))
-	}
-	return c.SetReadDeadline(time.Time{})
+	c.closeWith(reasonOf(err))
+	c.reportEnd()
+	c.server.removeConn(c)
 }
 
-// sendMarked sends a message that is to be answered.
-func (c *conn) sendMarked(b []byte, mark uint16) {
-	c.mu.Lock()
-	var err error
-	if c.unacknowledged = append(c.unacknowledged, mark); len(c.unacknowledged) == 1 {
-		err = c.SetReadDeadline(time.Now().Add(c.server.bounds.AcknowledgeTimeout))
-	}
-	c.mu.Unlock()
-	if err == nil { // else it has ended
-		c.send(b)
+// reportEnd posts the end of a stream, and logs or counts that of any other connection.
+func (c *conn) reportEnd() {
+	switch c.role {
+	case roleStream:
+		c.server.inbox.Post(eventqueue.Event{Connection: c, Fact: rules.Left{Proxy: c.proxy}})
+	case roleCollector:
+		c.closeReason().log(c.server.log.Info().Str("collector", c.server.codec.zones[c.zone]))
+	default:
+		c.server.counts.Add(unidentifiedConns, c.closeReason().cause)
 	}
 }
 
-// send puts bytes in line for the peer and never waits. A peer that does not read is cut off.
-func (c *conn) send(b []byte) {
-	c.mu.Lock()
-	if c.closed {
-		c.mu.Unlock()
+// throttle delays a stream, and nothing else, that exceeds its rate limit: this bounds floods of reports. The stream's
+// acknowledgements wait too, so one that never stops times out in the end.
+func (c *conn) throttle(bytes int) {
+	if c.limiter == nil || c.role != roleStream {
 		return
 	}
-	c.pending = append(c.pending, b)
-	c.unsentBytes += len(b)
-	full := c.unsentBytes > c.server.bounds.MaxUnsentBytes
-	all := c.server.unsentBytes.Add(int64(len(b)))
-	if !c.writing {
-		c.writing = true
-		c.server.handlers.Go(c.writeLoop)
-	}
-	c.mu.Unlock()
-	if all > c.server.bounds.MaxTotalUnsentBytes {
-		c.server.evictLargestBacklog()
-	}
-	if full {
-		c.closeWith("does not read", "")
-	}
-}
-
-// writeLoop writes what is pending until nothing is.
-func (c *conn) writeLoop() {
-	for {
-		c.mu.Lock()
-		pending := c.pending
-		c.pending = nil
-		if c.closed || len(pending) == 0 {
-			c.writing = false
-			c.mu.Unlock()
-			return
-		}
-		c.mu.Unlock()
-		n := 0
-		for _, b := range pending {
-			n += len(b)
-		}
-		err := c.SetWriteDeadline(time.Now().Add(c.server.bounds.WriteTimeout))
-		if err == nil {
-			_, err = pending.WriteTo(c.Conn)
-		}
-		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.closeWith("does not read", "")
-		} else if err != nil {
-			c.closeWith(reasonOf(err))
+	if wait := c.limiter.ReserveN(time.Now(), min(bytes, c.limiter.Burst())).Delay(); wait > 0 {
+		c.server.counts.Add(delayedMessages, "over its share")
+		select {
+		case <-time.After(wait):
+		case <-c.server.closing:
 		}
-		c.releaseUnsent(n)
 	}
 }
 
-// releaseUnsent takes bytes off what waits.
-func (c *conn) releaseUnsent(n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.closed { // else end has done so
-		c.unsentBytes -= n
-		c.server.unsentBytes.Add(int64(-n))
-	}
-}
-
-// closeWith closes the connection; the first cause given stays.
+// closeWith closes the connection. The first reason given is kept.
 func (c *conn) closeWith(cause, detail string) {
 	c.mu.Lock()
 	if !c.closed {
@@ -311,11 +145,21 @@
 		c.server.unsentBytes.Add(int64(-c.unsentBytes))
 	}
 	c.mu.Unlock()
-	c.Close()
+	c.closeConn()
 }
 
+// closeConn closes the socket. An error is of no interest: nothing is read or written after it.
+func (c *conn) closeConn() { _ = c.Close() }
+
+// closeReason returns why the connection has ended.
 func (c *conn) closeReason() closeReason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.reason
 }
+
+func (c *conn) setRole(r role) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.role = r
+}
--- /dev/null
+++ b/internal/clients/decode.go
@@ -0,0 +1,158 @@
+package clients
+
+import (
+	"bytes"
+	"math"
+
+	"zincloft.example/zincloft/intake"
+	"zincloft.example/zincloft/internal/config"
+	"zincloft.example/zincloft/internal/resp"
+	"zincloft.example/zincloft/rules"
+)
+
+// What a message may be beside an event of package rules and a batch.
+type (
+	// heartbeat asks for an answer.
+	heartbeat struct{}
+	// collectorJoin makes its connection a collector of a zone.
+	collectorJoin struct{ zone rules.ZoneID }
+	// invalidMessage is framed well and otherwise unusable.
+	invalidMessage struct {
+		cause             string // one of a fixed set: without text of the peer
+		isAcknowledgement bool
+	}
+)
+
+var (
+	heartbeatAnswer   = resp.Append(nil, "hb_ok")
+	unexpectedMessage = invalidMessage{cause: "out of place"}
+	queueFull         = invalidMessage{cause: "no room for reports"}
+)
+
+// decode returns the typed value of a message: an event of package rules, a batch, a heartbeat or a collectorJoin, or an
+// invalidMessage if any field of it is missing or impossible, or has an unknown name.
+func (c *codec) decode(elements [][]byte) any {
+	if len(elements)%2 == 0 {
+		return invalidMessage{cause: "words without a pair"}
+	}
+	kind := string(elements[0])
+	f := fields{pairs: elements[1:], maxReportedTime: c.maxReportedTime}
+	message := c.decodeKind(kind, &f)
+	if message == nil {
+		return invalidMessage{cause: "unknown kind"}
+	}
+	if f.invalid == "" {
+		return message
+	}
+	if batch, isBatch := message.(*intake.Batch); isBatch {
+		batch.Free()
+	}
+	return invalidMessage{cause: kind + " " + f.invalid, isAcknowledgement: kind == "done"}
+}
+
+// decodeKind reads the fields of a message of a kind. It returns nil for an unknown kind.
+func (c *codec) decodeKind(kind string, f *fields) any {
+	switch kind {
+	case "hb":
+		return heartbeat{}
+	case "telemetry":
+		return collectorJoin{rules.ZoneID(f.index("az", c.zones))}
+	case "attach":
+		return c.decodeJoin(f)
+	case "done":
+		f.require("sidecar", "version", "lag_ms")
+		return rules.Applied{
+			Proxy:   c.proxy(f),
+			Version: uint16(f.integer("version", math.MaxUint16)),
+			Took:    f.duration("lag_ms"),
+		}
+	case "upstream_stats":
+		return c.decodeSums(f)
+	case "client_stats":
+		return c.decodeUsage(f)
+	case "met":
+		if c.acceptsBatches {
+			return c.decodeBatch(f)
+		}
+	}
+	return nil
+}
+
+func (c *codec) decodeJoin(f *fields) rules.Joined {
+	f.require("sidecar")
+	fresh := f.integer("standing", 1) == 1
+	return rules.Joined{
+		Proxy:  c.proxy(f),
+		Zone:   rules.ZoneID(f.index("az", c.zones)),
+		Rate:   f.float("share"),
+		Fresh:  fresh,
+		Unsure: !fresh && c.ordersPairEjections,
+	}
+}
+
+// decodeSums reads what the proxies of a zone have met at a replica.
+func (c *codec) decodeSums(f *fields) rules.Sums {
+	f.require("host", "n", "bad", "window")
+	zone := f.index("az", c.zones)
+	host, _ := f.value("host")
+	replica, known := c.replica(host)
+	if !known {
+		f.fail("host")
+	}
+	sums := rules.Sums{
+		Replica: replica,
+		Zone:    rules.ZoneID(zone),
+		Over:    f.positiveDuration("window"),
+		Report:  f.report("report"),
+		Took:    f.duration("avg"),
+		Tries:   f.integer("n", math.MaxInt32),
+		Dropped: f.integer("bad", math.MaxInt32),
+	}
+	if sums.Dropped > sums.Tries {
+		f.fail("bad")
+	} else if sums.Dropped < sums.Tries {
+		f.require("avg")
+	}
+	return sums
+}
+
+// decodeUsage reads the flows that a proxy has taken in. More may be dropped than have come, as they may have come before.
+func (c *codec) decodeUsage(f *fields) rules.Intake {
+	f.require("sidecar", "n", "bad", "window")
+	return rules.Intake{
+		Proxy:   c.proxy(f),
+		Group:   rules.GroupID(f.index("kind", c.groups)),
+		Over:    f.positiveDuration("window"),
+		Flows:   f.integer("n", math.MaxInt32),
+		Dropped: f.integer("bad", math.MaxInt32),
+	}
+}
+
+func (c *codec) proxy(f *fields) rules.ProxyID {
+	return rules.ProxyID(f.integer("sidecar", c.proxies-1))
+}
+
+// report reads a load report. Unknown figures are ignored.
+func (f *fields) report(name string) rules.Report {
+	r := noReport
+	text, _ := f.value(name)
+	for len(text) > 0 {
+		var pair []byte
+		pair, text, _ = bytes.Cut(text, comma)
+		key, of, paired := bytes.Cut(pair, colon)
+		if len(pair) == 0 {
+			continue
+		}
+		v, ok := parseFloat(of)
+		if !paired || !ok {
+			f.fail(name)
+		}
+		config.SetLoadFigure(&r, key, v)
+	}
+	return r
+}
+
+var (
+	comma, colon = []byte(","), []byte(":")
+	noReport     = rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
+)
--- a/internal/clients/trace_test.go
+++ b/internal/clients/play_test.go
@@ -19,13 +19,14 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// names lists replicas r0 to r9.
+// names knows the replicas r0 to r9.
 type names struct{}
 
 func (names) ID(name []byte) (rules.ReplicaID, bool) {
 	n, err := strconv.Atoi(strings.TrimPrefix(string(name), "r"))
 	return rules.ReplicaID(n), err == nil && n < 10
 }
+
 func (names) Name(id rules.ReplicaID) (string, bool) { return fmt.Sprint("r", id), id < 10 }
 
 // inbox hands events to the test.
@@ -35,6 +36,7 @@
 }
 
 func (x inbox) Post(e eventqueue.Event) { x.events <- e }
+
 func (x inbox) TryPost(e eventqueue.Event) bool {
 	select {
 	case x.events <- e:
@@ -44,23 +46,24 @@
 	}
 }
 
-// play runs a client side with peers of ours and keeps a trace of what each side hears.
+// play runs a server with peers of ours and keeps a trace of what each side receives.
 type play struct {
 	t      *testing.T
-	side   *Server
+	server *Server
 	listen *testkit.Listener
 	events chan eventqueue.Event
 	peers  []*peer
 	trace  strings.Builder
 }
 
+// peer is our end of a connection, with what it has received.
 type peer struct {
 	net.Conn
 	name  string
 	heard chan string
 }
 
-// reports are what the side takes of single proxies.
+// reports is the use that the server makes of batches of single proxies.
 var reports = config.ReportsOff
 
 // run plays a script inside a bubble and compares the trace with the one in testdata.
@@ -76,12 +79,12 @@
 				WriteTimeout: 10 * time.Second, AcceptRetryDelay: 50 * time.Millisecond, CountLogInterval: 24 * time.Hour}}
 		conf.Operator.Intake.Reports = reports
 		var log strings.Builder
-		p.side = New(conf, zerolog.New(zerolog.SyncWriter(&log)), inbox{events: p.events}, &counts.Counter{})
-		go p.side.Serve(p.listen)
+		p.server = New(conf, zerolog.New(zerolog.SyncWriter(&log)), inbox{events: p.events}, &counts.Counter{})
+		go p.server.Serve(p.listen)
 		script(p)
 		p.settle()
-		p.listen.Close()
-		p.side.Close()
+		testkit.Close(t, p.listen)
+		p.server.Close()
 		got = p.trace.String()
 		for line := range strings.Lines(log.String()) {
 			if !strings.Contains(line, `"join"`) && !strings.Contains(line, "the governor stops") {
@@ -122,21 +125,22 @@
 	p.raw(q, string(resp.Append(nil, strings.Fields(message)...)))
 }
 
+// raw writes bytes, then waits until all that they led to has happened.
 func (p *play) raw(q *peer, bytes string) {
 	_, _ = q.Write([]byte(bytes)) // fails where the other end closes, which the trace shows
 	p.settle()
 }
 
-// settle writes down what has happened since the last time.
+// settle writes into the trace what has happened since the last time.
 func (p *play) settle() {
 	for synctest.Wait(); len(p.events) > 0; synctest.Wait() {
 		e := <-p.events
 		if e.Batch != nil {
-			fmt.Fprintf(&p.trace, "%+v %v\n", *e.Batch, p.side.Accept(e))
+			fmt.Fprintf(&p.trace, "%+v %v\n", *e.Batch, p.server.Accept(e))
 			continue
 		}
 		note := "passed over"
-		if p.side.Accept(e) {
+		if p.server.Accept(e) {
 			note = "heeded"
 		}
 		if _, left := e.Fact.(rules.Left); left {
@@ -151,8 +155,9 @@
 	}
 }
 
+// order has the server execute orders.
 func (p *play) order(orders ...rules.Order) {
-	p.side.Execute(orders)
+	p.server.Execute(orders)
 	p.settle()
 }
 
@@ -163,4 +168,5 @@
 	p.settle()
 }
 
+// note writes a comment into the trace.
 func (p *play) note(text string) { fmt.Fprintf(&p.trace, "# %s\n", text) }
