--- a/cmd/zincloft/state.go
+++ b/cmd/zincloft/state.go
@@ -70,7 +70,7 @@
 		return err
 	}
 	if _, err := fmt.Fprintf(out, "governor %s, discovery %s, version %d, heard %s, written %s, %d replicas\n", kept.Governor, kept.Discovery,
-		kept.Version, formatTime(int64(kept.Heard)), formatTime(int64(kept.Written)), len(kept.Replicas)); err != nil {
+		kept.Version, formatTime(int64(kept.ConfirmedAt)), formatTime(int64(kept.WrittenAt)), len(kept.Replicas)); err != nil {
 		return err
 	}
 	for _, replica := range kept.Replicas {
@@ -83,11 +83,11 @@
 
 func showReplica(out io.Writer, r recovery.Replica) error {
 	heldOut := ""
-	if r.Learnt.Out {
+	if r.Learned.Out {
 		heldOut = "\theld out"
 	}
 	_, err := fmt.Fprintf(out, "%s\t%d\t%s\tweight %g\tspeed %.2f%s\n", r.Name, r.Entry.Replica, stateNames[r.Entry.State], r.Entry.Listed,
-		r.Learnt.Speed, heldOut)
+		r.Learned.Speed, heldOut)
 	return err
 }
 
@@ -102,7 +102,7 @@
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(struct {
 		Schema int `json:"schema"`
-		recovery.Kept
+		recovery.State
 	}{store.SchemaVersion, kept}); err != nil {
 		return fmt.Errorf("writing: %w", err)
 	}
--- a/controlplane/weighting/loadreport.go
+++ b/controlplane/weighting/loadreport.go
@@ -25,43 +25,43 @@
 	period := time.Duration(report.PeriodMillis) * time.Millisecond
 	s.pending = append(s.pending, rules.Applied{Proxy: proxy, Version: s.version})
 	if requests := report.Requests[name]; requests > 0 {
-		s.pending = append(s.pending, rules.Intake{Proxy: proxy, Flows: requests, Over: period})
+		s.pending = append(s.pending, rules.GroupTraffic{Proxy: proxy, Flows: requests, Window: period})
 	}
-	batch := &intake.Batch{Proxy: proxy, Over: period, Read: governorTime(now)}
+	batch := &intake.Batch{Proxy: proxy, Window: period, ReceivedAt: governorTime(now)}
 	for _, stats := range report.Endpoints {
 		id, ok := s.replicaIDs[stats.Replica]
 		if !ok || stats.Attempts <= 0 {
 			continue
 		}
 		record := endpointRecord(id, stats)
-		s.pending = append(s.pending, rules.Sums{
-			Replica: id,
-			Zone:    zone,
-			Tries:   record.Tries,
-			Dropped: record.Dropped,
-			Took:    record.Took,
-			Over:    period,
-			Report:  record.Report,
+		s.pending = append(s.pending, rules.EndpointStats{
+			Replica:     id,
+			Zone:        zone,
+			Attempts:    record.Attempts,
+			Dropped:     record.Dropped,
+			MeanLatency: record.MeanLatency,
+			Window:      period,
+			Report:      record.Report,
 		})
 		batch.Records = append(batch.Records, record)
 	}
 	if len(batch.Records) > 0 {
-		s.intake.Take(governorTime(now), batch)
+		s.intake.AddBatch(governorTime(now), batch)
 	}
 }
 
 // endpointRecord translates a gateway's statistics of one replica. What a replica doesn't tell of its load is absent.
 func endpointRecord(id rules.ReplicaID, stats messages.EndpointStats) intake.Record {
-	load := rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
+	load := rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
 	if stats.Slots > 0 {
-		load.Util = min(float64(stats.Running)/float64(stats.Slots), 1)
+		load.Utilization = min(float64(stats.Running)/float64(stats.Slots), 1)
 		load.InFlight = float64(stats.Running + stats.Waiting)
 	}
 	return intake.Record{
-		Replica: id,
-		Tries:   stats.Attempts,
-		Dropped: min(stats.Dropped, stats.Attempts),
-		Took:    time.Duration(stats.MeanLatencyMicros) * time.Microsecond,
-		Report:  load,
+		Replica:     id,
+		Attempts:    stats.Attempts,
+		Dropped:     min(stats.Dropped, stats.Attempts),
+		MeanLatency: time.Duration(stats.MeanLatencyMicros) * time.Microsecond,
+		Report:      load,
 	}
 }
--- a/controlplane/weighting/manager.go
+++ b/controlplane/weighting/manager.go
@@ -88,7 +88,7 @@
 	m.services[name] = started
 	events := []rules.Event{
 		rules.Start{Seed: m.options.RandomSeed, Settings: m.governorSettings(config, name, gatewayCount)},
-		rules.List{Scope: rules.Whole},
+		rules.List{Scope: rules.Full},
 	}
 	for _, gateway := range slices.Sorted(maps.Keys(m.joined)) {
 		joined := m.joined[gateway]
@@ -127,7 +127,7 @@
 	}
 	switch {
 	case instance.Deregistered:
-		entry.State = rules.Gone
+		entry.State = rules.Deregistered
 	case instance.Draining || instance.HeartbeatTimedOut:
 		entry.State = rules.Draining
 	}
@@ -142,7 +142,7 @@
 	m.RemoveGateway(now, gateway)
 	m.nextProxyID++
 	id := m.nextProxyID
-	joined := rules.Joined{Proxy: id, Zone: m.zoneIDs[zone], Rate: 1, Fresh: true}
+	joined := rules.Joined{Proxy: id, Zone: m.zoneIDs[zone], FlowRate: 1, Fresh: true}
 	m.proxyIDs[gateway] = id
 	m.gatewayByProxy[id] = gateway
 	m.pendingWeights[gateway] = map[string]float64{}
--- a/controlplane/weighting/publication.go
+++ b/controlplane/weighting/publication.go
@@ -37,7 +37,7 @@
 }
 
 // queueEjection queues for one gateway that a replica is ejected or readmitted there.
-func (m *Manager) queueEjection(service *service, shun rules.Shun) {
+func (m *Manager) queueEjection(service *service, shun rules.PairEjection) {
 	name := service.replicaNames[shun.Replica]
 	gateway := m.gatewayByProxy[shun.Proxy]
 	if name == "" || gateway == "" {
@@ -46,7 +46,7 @@
 	if m.pendingEjections[gateway] == nil {
 		m.pendingEjections[gateway] = map[string]bool{}
 	}
-	m.pendingEjections[gateway][name] = shun.Out
+	m.pendingEjections[gateway][name] = shun.Ejected
 }
 
 // TakeWeightChanges returns and clears the weights that are to be published to a gateway, in the order of the replicas' names.
--- a/controlplane/weighting/service.go
+++ b/controlplane/weighting/service.go
@@ -13,7 +13,7 @@
 	governor rules.Governor
 	version  uint16 // that gateways have applied once they report
 	pending  []rules.Event
-	intake   *intake.Intake // finds pairs of a gateway and a replica between which attempts fail
+	intake   *intake.Aggregator // finds pairs of a gateway and a replica between which attempts fail
 
 	nextReplicaID rules.ReplicaID
 	replicaIDs    map[string]rules.ReplicaID // by instance
@@ -34,8 +34,8 @@
 			Period:   ReportPeriod,
 			Budget:   maxRecordsPerPeriod,
 			HalfLife: recordHalfLife,
-			MostAge:  maxRecordAge,
-			Pairs:    maxFailingPairs,
+			MaxAge:   maxRecordAge,
+			MaxPairs: maxFailingPairs,
 			Zones:    max(len(options.Zones), 1),
 		}),
 		nextReplicaID: 1,
@@ -86,10 +86,10 @@
 	s.pending = nil
 	if s.wakePending && now >= s.wakeAt {
 		s.wakePending = false
-		events = append(events, rules.Wake{Mark: s.wakeMark})
+		events = append(events, rules.Wake{TimerID: s.wakeMark})
 	}
-	if s.intake.Due(governorTime(now)) {
-		events = append(events, s.intake.Cut(governorTime(now))...)
+	if s.intake.FlushDue(governorTime(now)) {
+		events = append(events, s.intake.Flush(governorTime(now))...)
 	}
 	return events
 }
@@ -101,10 +101,10 @@
 		case rules.WakeAfter:
 			service.wakePending = true
 			service.wakeAt = now + output.After
-			service.wakeMark = output.Mark
-		case rules.Mark:
+			service.wakeMark = output.TimerID
+		case rules.AckRequest:
 			service.version = output.Version
-		case rules.Line:
+		case rules.EndpointWeight:
 			service.setWeight(output.Table, output.Replica, output.Weight)
 			m.queueWeight(service, output.Table, output.Replica, output.Weight)
 		case rules.ClearTable:
@@ -115,7 +115,7 @@
 		case rules.Bind:
 			service.tableByProxy[output.Proxy] = output.Table
 			m.queueTable(service, output.Proxy)
-		case rules.Shun:
+		case rules.PairEjection:
 			m.queueEjection(service, output)
 		case rules.Forget:
 			service.forgetReplica(output.Replica)
--- a/intake/fleet_test.go
+++ b/intake/fleet_test.go
@@ -13,7 +13,7 @@
 type fleet struct {
 	t        *testing.T
 	gov      rules.Governor
-	in       *intake.Intake
+	in       *intake.Aggregator
 	now      rules.Time
 	mark     uint64
 	version  uint16
@@ -47,16 +47,16 @@
 	f.gov, f.joinedAt = rules.Governor{}, f.seq
 	clear(f.weights)
 	f.ever = map[int]bool{}
-	f.in = intake.New(intake.Settings{Seed: 5, Period: time.Second, Budget: 20_000, HalfLife: 2 * time.Second, MostAge: 10 * time.Second,
-		Pairs: 2000, Zones: 1, MakeSums: true})
+	f.in = intake.New(intake.Settings{Seed: 5, Period: time.Second, Budget: 20_000, HalfLife: 2 * time.Second, MaxAge: 10 * time.Second,
+		MaxPairs: 2000, Zones: 1, MakeStats: true})
 	pace := 200 * float64(len(f.shut))
 	f.step(rules.Start{Seed: 7, Settings: rules.Settings{Groups: []rules.TrafficGroup{{Name: "look", LatencyBudget: time.Second}},
-		Governors: 1, Proxies: len(f.shut), Zones: 1, Period: time.Second, LinePace: pace, LineCap: 2 * pace, HeadLines: 6, MessageCap: 20,
-		MessageSpan: 10 * time.Second, TravelMost: 400 * time.Millisecond, DrainGrace: 3 * time.Second, WarmAfter: 18 * time.Second, ColdFrom: 0.2}},
-		rules.List{Scope: rules.Whole, Entries: f.list})
+		Governors: 1, Proxies: len(f.shut), Zones: 1, Period: time.Second, EntryRate: pace, EntryCapacity: 2 * pace, MessageEntries: 6, MessageLimit: 20,
+		MessageSpan: 10 * time.Second, MaxMessageDelay: 400 * time.Millisecond, DrainGrace: 3 * time.Second, WarmupTime: 18 * time.Second, ColdCapacity: 0.2}},
+		rules.List{Scope: rules.Full, Entries: f.list})
 	var joins []rules.Event
 	for p := range f.shut {
-		joins = append(joins, rules.Joined{Proxy: rules.ProxyID(p), Rate: 4, Fresh: true})
+		joins = append(joins, rules.Joined{Proxy: rules.ProxyID(p), FlowRate: 4, Fresh: true})
 		f.in.Join(rules.ProxyID(p), 0)
 		clear(f.shut[p])
 	}
@@ -67,13 +67,13 @@
 	for _, o := range f.gov.Step(f.now, events) {
 		switch o := o.(type) {
 		case rules.WakeAfter:
-			f.mark = o.Mark
-		case rules.Mark:
+			f.mark = o.TimerID
+		case rules.AckRequest:
 			f.version = o.Version
-		case rules.Line:
+		case rules.EndpointWeight:
 			f.weights[o.Replica] = o.Weight
-		case rules.Shun:
-			f.shut[o.Proxy][o.Replica] = o.Out
+		case rules.PairEjection:
+			f.shut[o.Proxy][o.Replica] = o.Ejected
 			if o.Replica == 11 {
 				f.ever[int(o.Proxy)] = true
 			}
@@ -108,14 +108,14 @@
 			}
 		}
 		b := intake.NewBatch()
-		b.Proxy, b.Seq, b.Over, b.Read = rules.ProxyID(p), f.seq-f.joinedAt, time.Second, f.now
+		b.Proxy, b.Sequence, b.Window, b.ReceivedAt = rules.ProxyID(p), f.seq-f.joinedAt, time.Second, f.now
 		for r, n := range tries {
 			if n > 0 {
-				b.Records = append(b.Records, intake.Record{Replica: rules.ReplicaID(r), Tries: n, Dropped: dropped[r], Took: 50 * time.Millisecond,
-					Report: rules.Report{Util: 0.5}})
+				b.Records = append(b.Records, intake.Record{Replica: rules.ReplicaID(r), Attempts: n, Dropped: dropped[r], MeanLatency: 50 * time.Millisecond,
+					Report: rules.LoadReport{Utilization: 0.5}})
 			}
 		}
-		f.in.Take(f.now, b)
+		f.in.AddBatch(f.now, b)
 		b.Free()
 	}
 	for q := range 4 {
@@ -125,9 +125,9 @@
 			events = append(events, rules.Applied{Proxy: rules.ProxyID(p), Version: f.version})
 		}
 		if q == 0 {
-			events = append(events, f.in.Cut(f.now)...)
+			events = append(events, f.in.Flush(f.now)...)
 		}
-		f.step(append(events, rules.Wake{Mark: f.mark})...)
+		f.step(append(events, rules.Wake{TimerID: f.mark})...)
 	}
 }
 
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -20,36 +20,36 @@
 
 // Settings are what an Intake is told at its start.
 type Settings struct {
-	Seed     uint64
-	Period   time.Duration // reports are gathered, and cut, this often
-	Budget   int           // records a period that are kept, over all senders
-	HalfLife time.Duration // a record of this age counts for half of a fresh one
-	MostAge  time.Duration // an older one counts for nothing
-	Pairs    int           // failing pairs that are remembered
-	Zones    int
-	MakeSums bool // records make the fleet's sums, and those of collectors count for nothing
+	Seed      uint64
+	Period    time.Duration // reports are gathered, and cut, this often
+	Budget    int           // records a period that are kept, over all senders
+	HalfLife  time.Duration // a record of this age counts for half of a fresh one
+	MaxAge    time.Duration // an older one counts for nothing
+	MaxPairs  int           // failing pairs that are remembered
+	Zones     int
+	MakeStats bool // records make the fleet's sums, and those of collectors count for nothing
 }
 
 // Record is what a proxy met at a replica.
 type Record struct {
-	Replica rules.ReplicaID
-	Tries   int
-	Dropped int           // tries without a good answer
-	Took    time.Duration // mean time of the good ones; 0: none
-	Report  rules.Report  // the replica's last word on its load; Absent figures where there is none
-	Heard   time.Duration // how long before the end of the window that word was heard
+	Replica     rules.ReplicaID
+	Attempts    int
+	Dropped     int              // tries without a good answer
+	MeanLatency time.Duration    // mean time of the good ones; 0: none
+	Report      rules.LoadReport // the replica's last word on its load; Absent figures where there is none
+	ReportAge   time.Duration    // how long before the end of the window that word was heard
 }
 
 // Batch is what one message of a proxy tells.
 type Batch struct {
-	Proxy   rules.ProxyID
-	Seq     uint32        // grows by one from batch to batch of a stream; 0: not told
-	Sent    rules.Time    // by the sender's clock, as it wrote; 0: not told
-	Age     time.Duration // from the end of its window until it was written, as the sender says
-	Over    time.Duration // its window
-	Read    rules.Time    // by our clock, as it came
-	Records []Record
-	Unknown int // records of replicas that are not known, which are left out
+	Proxy           rules.ProxyID
+	Sequence        uint32        // grows by one from batch to batch of a stream; 0: not told
+	SentAt          rules.Time    // by the sender's clock, as it wrote; 0: not told
+	Age             time.Duration // from the end of its window until it was written, as the sender says
+	Window          time.Duration // its window
+	ReceivedAt      rules.Time    // by our clock, as it came
+	Records         []Record
+	UnknownReplicas int // records of replicas that are not known, which are left out
 }
 
 var batches = sync.Pool{New: func() any { return new(Batch) }}
@@ -68,116 +68,116 @@
 
 // Causes, by what they are counted under.
 const (
-	Kept         Cause = iota
-	SampledOut         // over the budget; those kept stand for them
-	Repeated           // told before
-	TooLate            // so far behind later ones that it can't be said whether it was told before
-	TooOld             // past the bound of age
-	Flooded            // over the sender's share
-	NotJoined          // of a proxy that has left, or never joined
-	Superseded         // sums of collectors where records make the sums
-	PairsFull          // pairs that were let go for ones with more evidence
-	EvidenceFull       // pairs that were not told of in a period for others
-	Ahead              // of the future, by the sender's clock
-	Impossible         // figures that no load can be
-	Unknown            // of replicas that are not known
-	Lost               // batches that never came, by the numbers of those that did
-	causes
+	Kept           Cause = iota
+	SampledOut           // over the budget; those kept stand for them
+	Repeated             // told before
+	TooLate              // so far behind later ones that it can't be said whether it was told before
+	TooOld               // past the bound of age
+	Flooded              // over the sender's share
+	NotJoined            // of a proxy that has left, or never joined
+	Superseded           // sums of collectors where records make the sums
+	PairsEvicted         // pairs that were let go for ones with more evidence
+	PairsOmitted         // pairs that were not told of in a period for others
+	InFuture             // of the future, by the sender's clock
+	Impossible           // figures that no load can be
+	UnknownReplica       // of replicas that are not known
+	LostBatches          // batches that never came, by the numbers of those that did
+	causeCount
 )
 
-var causeNames = [causes]string{"kept", "sampled out", "repeated", "too late", "too old", "flooded", "not joined",
+var causeNames = [causeCount]string{"kept", "sampled out", "repeated", "too late", "too old", "flooded", "not joined",
 	"superseded", "pairs full", "evidence full", "of the future", "impossible", "unknown replica", "lost batches"}
 
 func (c Cause) String() string { return causeNames[c] }
 
-// Path is a cause's name as one word.
-func (c Cause) Path() string { return strings.ReplaceAll(causeNames[c], " ", "_") }
+// PathName is a cause's name as one word.
+func (c Cause) PathName() string { return strings.ReplaceAll(causeNames[c], " ", "_") }
 
 // Counts are records by cause.
-type Counts [causes]int
+type Counts [causeCount]int
 
-// Intake is the state. New makes one.
-type Intake struct {
-	set                Settings
+// Aggregator is the state. New makes one.
+type Aggregator struct {
+	settings           Settings
 	senders            map[rules.ProxyID]*sender
 	byReplica, byProxy sampler
 	pairs              pairTable
-	loads              map[rules.ReplicaID]load
-	words              map[rules.ReplicaID]*[figures]word // of machines
-	known              map[rules.ReplicaID]float64        // share busy as told last, where machines tell too
+	reports            map[rules.ReplicaID]reportedLoad
+	machineLoads       map[rules.ReplicaID]*[metricCount]machineValue // of machines
+	lastUtilization    map[rules.ReplicaID]float64                    // share busy as told last, where machines tell too
 	counts             Counts
-	cutAt              rules.Time // the next cut; 0: none yet
+	flushAt            rules.Time // the next cut; 0: none yet
 }
 
 // New returns an Intake that has heard of nobody.
-func New(s Settings) *Intake {
-	return &Intake{set: s, senders: map[rules.ProxyID]*sender{}, loads: map[rules.ReplicaID]load{},
-		words: map[rules.ReplicaID]*[figures]word{}, known: map[rules.ReplicaID]float64{},
-		byReplica: newSampler(s.Seed, s.Budget/2), byProxy: newSampler(s.Seed+1, s.Budget/2), pairs: newPairTable(s.Pairs, pairMemory*s.Period)}
+func New(s Settings) *Aggregator {
+	return &Aggregator{settings: s, senders: map[rules.ProxyID]*sender{}, reports: map[rules.ReplicaID]reportedLoad{},
+		machineLoads: map[rules.ReplicaID]*[metricCount]machineValue{}, lastUtilization: map[rules.ReplicaID]float64{},
+		byReplica: newSampler(s.Seed, s.Budget/2), byProxy: newSampler(s.Seed+1, s.Budget/2), pairs: newPairTable(s.MaxPairs, pairHalfLifePeriods*s.Period)}
 }
 
 // Join begins a proxy's stream: what an earlier one told is not repeated by it.
-func (in *Intake) Join(p rules.ProxyID, z rules.ZoneID) {
-	in.senders[p] = &sender{zone: z, left: in.share() * burstPeriods}
+func (in *Aggregator) Join(p rules.ProxyID, z rules.ZoneID) {
+	in.senders[p] = &sender{zone: z, quota: in.senderQuota() * burstPeriods}
 }
 
 // Leave ends a proxy's stream. What is known of its pairs fades.
-func (in *Intake) Leave(p rules.ProxyID) { delete(in.senders, p) }
+func (in *Aggregator) Leave(p rules.ProxyID) { delete(in.senders, p) }
 
 // Forget drops what is held of a replica that is gone.
-func (in *Intake) Forget(r rules.ReplicaID) {
-	delete(in.loads, r)
-	delete(in.words, r)
-	delete(in.known, r)
-	in.pairs.forget(r)
+func (in *Aggregator) Forget(r rules.ReplicaID) {
+	delete(in.reports, r)
+	delete(in.machineLoads, r)
+	delete(in.lastUtilization, r)
+	in.pairs.forgetReplica(r)
 }
 
-// Sums tells what a collector's sums count for that waited here since they were read, and whether for anything.
-func (in *Intake) Sums(now, read rules.Time, s rules.Sums) (rules.Sums, bool) {
-	if in.set.MakeSums {
+// AdjustStats tells what a collector's sums count for that waited here since they were read, and whether for anything.
+func (in *Aggregator) AdjustStats(now, read rules.Time, s rules.EndpointStats) (rules.EndpointStats, bool) {
+	if in.settings.MakeStats {
 		in.counts[Superseded]++
 		return s, false
 	}
-	w := in.weight(time.Duration(now - read))
+	w := in.ageWeight(time.Duration(now - read))
 	if w == 0 {
 		in.counts[TooOld]++
 		return s, false
 	}
-	in.machine(now, &s, time.Duration(now-read)+s.Over/2)
-	s.Tries, s.Dropped = int(math.Round(float64(s.Tries)*w)), int(math.Round(float64(s.Dropped)*w))
-	return s, s.Tries > 0
+	in.applyMachineLoad(now, &s, time.Duration(now-read)+s.Window/2)
+	s.Attempts, s.Dropped = int(math.Round(float64(s.Attempts)*w)), int(math.Round(float64(s.Dropped)*w))
+	return s, s.Attempts > 0
 }
 
-// Take takes in a batch.
-func (in *Intake) Take(now rules.Time, b *Batch) {
+// AddBatch takes in a batch.
+func (in *Aggregator) AddBatch(now rules.Time, b *Batch) {
 	s := in.senders[b.Proxy]
 	if s == nil {
 		in.counts[NotJoined] += len(b.Records)
 		return
 	}
-	in.counts[Unknown] += b.Unknown
-	fate, lost := s.order(b.Seq)
-	if in.counts[Lost] += lost; fate != Kept {
+	in.counts[UnknownReplica] += b.UnknownReplicas
+	fate, lost := s.classify(b.Sequence)
+	if in.counts[LostBatches] += lost; fate != Kept {
 		in.counts[fate] += len(b.Records)
 		return
 	}
-	age := max(b.Age, 0) + s.transit(b.Sent, b.Read) + max(time.Duration(now-b.Read), 0)
-	w := in.weight(age)
+	age := max(b.Age, 0) + s.extraDelay(b.SentAt, b.ReceivedAt) + max(time.Duration(now-b.ReceivedAt), 0)
+	w := in.ageWeight(age)
 	if w == 0 {
 		in.counts[TooOld] += len(b.Records)
 		return
 	}
-	n := min(len(b.Records), s.left, in.share()*burstPeriods) // its share was larger before others came
-	s.left = min(s.left, in.share()*burstPeriods) - n
+	n := min(len(b.Records), s.quota, in.senderQuota()*burstPeriods) // its share was larger before others came
+	s.quota = min(s.quota, in.senderQuota()*burstPeriods) - n
 	in.counts[Flooded] += len(b.Records) - n
 	for i := range b.Records[:n] {
 		r := &b.Records[i]
-		if r.Tries <= 0 || r.Dropped < 0 || r.Dropped > r.Tries {
+		if r.Attempts <= 0 || r.Dropped < 0 || r.Dropped > r.Attempts {
 			continue // the decoder lets none through
 		}
-		in.hear(now, age, r)
-		it := item{replica: r.Replica, proxy: b.Proxy, zone: s.zone, tries: int32(min(r.Tries, math.MaxInt32)),
-			dropped: int32(min(r.Dropped, math.MaxInt32)), took: r.Took, worth: w, over: b.Over}
+		in.recordReport(now, age, r)
+		it := sampledRecord{replica: r.Replica, proxy: b.Proxy, zone: s.zone, attempts: int32(min(r.Attempts, math.MaxInt32)),
+			dropped: int32(min(r.Dropped, math.MaxInt32)), meanLatency: r.MeanLatency, ageWeight: w, window: b.Window}
 		first := in.byReplica.offer(uint32(r.Replica), it)
 		second := in.byProxy.offer(uint32(b.Proxy), it)
 		if first || second {
@@ -188,52 +188,52 @@
 	}
 }
 
-// Due tells whether a period is over.
-func (in *Intake) Due(now rules.Time) bool { return in.cutAt == 0 || now >= in.cutAt }
+// FlushDue tells whether a period is over.
+func (in *Aggregator) FlushDue(now rules.Time) bool { return in.flushAt == 0 || now >= in.flushAt }
 
-// Cut ends a period. It returns what it comes to, in an order that depends on nothing but what came: sums, where
+// Flush ends a period. It returns what it comes to, in an order that depends on nothing but what came: sums, where
 // records make them, then evidence on pairs.
-func (in *Intake) Cut(now rules.Time) []rules.Event {
-	in.cutAt = now + rules.Time(in.set.Period)
+func (in *Aggregator) Flush(now rules.Time) []rules.Event {
+	in.flushAt = now + rules.Time(in.settings.Period)
 	in.pairs.advance(now)
 	var out []rules.Event
-	if in.set.MakeSums {
-		out = in.sums(now)
+	if in.settings.MakeStats {
+		out = in.makeStats(now)
 	}
-	in.byReplica.each(func(_ uint32, it *item, stands float64) {
+	in.byReplica.each(func(_ uint32, it *sampledRecord, stands float64) {
 		tries, dropped := it.counts(stands)
-		in.pairs.met(it.replica, tries, dropped)
+		in.pairs.addReplica(it.replica, tries, dropped)
 	})
-	in.byProxy.each(func(_ uint32, it *item, stands float64) {
+	in.byProxy.each(func(_ uint32, it *sampledRecord, stands float64) {
 		tries, dropped := it.counts(stands)
-		in.pairs.by(it.proxy, it.replica, tries, dropped)
+		in.pairs.addProxy(it.proxy, it.replica, tries, dropped)
 		if tries, dropped = it.counts(1); in.pairs.add(it.proxy, it.replica, tries, dropped) {
-			in.counts[PairsFull]++ // only what was seen counts as evidence on a pair
+			in.counts[PairsEvicted]++ // only what was seen counts as evidence on a pair
 		}
 	})
-	evidence, more := in.pairs.evidence(max(in.set.Budget/evidencePart, 1), func(p rules.ProxyID) bool { return in.senders[p] != nil })
-	in.counts[EvidenceFull] += more
+	evidence, more := in.pairs.evidence(max(in.settings.Budget/evidenceBudgetPart, 1), func(p rules.ProxyID) bool { return in.senders[p] != nil })
+	in.counts[PairsOmitted] += more
 	for _, e := range evidence {
 		out = append(out, e)
 	}
-	in.byReplica.cut()
-	in.byProxy.cut()
-	share := in.share()
+	in.byReplica.reset()
+	in.byProxy.reset()
+	share := in.senderQuota()
 	for _, s := range in.senders {
-		s.left = min(s.left+share, share*burstPeriods)
+		s.quota = min(s.quota+share, share*burstPeriods)
 	}
 	return out
 }
 
-// sums makes the fleet's sums of the records kept, by replica and zone.
-func (in *Intake) sums(now rules.Time) []rules.Event {
+// makeStats makes the fleet's sums of the records kept, by replica and zone.
+func (in *Aggregator) makeStats(now rules.Time) []rules.Event {
 	type key struct {
 		replica rules.ReplicaID
 		zone    rules.ZoneID
 	}
 	type sum struct{ tries, dropped, took, good, over float64 }
 	sums := map[key]*sum{}
-	in.byReplica.each(func(_ uint32, it *item, stands float64) {
+	in.byReplica.each(func(_ uint32, it *sampledRecord, stands float64) {
 		k := key{it.replica, it.zone}
 		s := sums[k]
 		if s == nil {
@@ -241,38 +241,38 @@
 			sums[k] = s
 		}
 		tries, dropped := it.counts(stands)
-		s.tries, s.dropped, s.over = s.tries+tries, s.dropped+dropped, s.over+tries*it.over.Seconds()
-		s.good, s.took = s.good+tries-dropped, s.took+(tries-dropped)*it.took.Seconds()
+		s.tries, s.dropped, s.over = s.tries+tries, s.dropped+dropped, s.over+tries*it.window.Seconds()
+		s.good, s.took = s.good+tries-dropped, s.took+(tries-dropped)*it.meanLatency.Seconds()
 	})
 	var out []rules.Event
 	for k, s := range sums {
-		e := rules.Sums{Replica: k.replica, Zone: k.zone, Tries: int(math.Round(s.tries)), Report: in.report(now, k.replica),
-			Over: time.Duration(s.over / s.tries * float64(time.Second))}
-		e.Dropped = min(int(math.Round(s.dropped)), e.Tries)
+		e := rules.EndpointStats{Replica: k.replica, Zone: k.zone, Attempts: int(math.Round(s.tries)), Report: in.currentReport(now, k.replica),
+			Window: time.Duration(s.over / s.tries * float64(time.Second))}
+		e.Dropped = min(int(math.Round(s.dropped)), e.Attempts)
 		if s.good > 0 {
-			e.Took = time.Duration(s.took / s.good * float64(time.Second))
+			e.MeanLatency = time.Duration(s.took / s.good * float64(time.Second))
 		}
-		if e.Tries > 0 {
-			in.machine(now, &e, time.Duration(now-in.loads[k.replica].at))
+		if e.Attempts > 0 {
+			in.applyMachineLoad(now, &e, time.Duration(now-in.reports[k.replica].heardAt))
 			out = append(out, e)
 		}
 	}
 	slices.SortFunc(out, func(a, b rules.Event) int {
-		x, y := a.(rules.Sums), b.(rules.Sums)
+		x, y := a.(rules.EndpointStats), b.(rules.EndpointStats)
 		return cmp.Or(cmp.Compare(x.Replica, y.Replica), cmp.Compare(x.Zone, y.Zone))
 	})
 	return out
 }
 
 // Totals are the tries and drops of the present period by replica and by proxy, estimated from what is kept.
-func (in *Intake) Totals() (byReplica map[rules.ReplicaID][2]float64, byProxy map[rules.ProxyID][2]float64) {
+func (in *Aggregator) Totals() (byReplica map[rules.ReplicaID][2]float64, byProxy map[rules.ProxyID][2]float64) {
 	byReplica, byProxy = map[rules.ReplicaID][2]float64{}, map[rules.ProxyID][2]float64{}
-	in.byReplica.each(func(_ uint32, it *item, stands float64) {
+	in.byReplica.each(func(_ uint32, it *sampledRecord, stands float64) {
 		t := byReplica[it.replica]
 		tries, dropped := it.counts(stands)
 		byReplica[it.replica] = [2]float64{t[0] + tries, t[1] + dropped}
 	})
-	in.byProxy.each(func(_ uint32, it *item, stands float64) {
+	in.byProxy.each(func(_ uint32, it *sampledRecord, stands float64) {
 		t := byProxy[it.proxy]
 		tries, dropped := it.counts(stands)
 		byProxy[it.proxy] = [2]float64{t[0] + tries, t[1] + dropped}
@@ -281,13 +281,13 @@
 }
 
 // Counts returns what was counted since the last call.
-func (in *Intake) Counts() Counts {
+func (in *Aggregator) Counts() Counts {
 	c := in.counts
 	in.counts = Counts{}
 	return c
 }
 
-// Held tells the size of what is remembered: records of this period, senders, failing pairs.
-func (in *Intake) Held() (records, senders, pairs int) {
+// Sizes tells the size of what is remembered: records of this period, senders, failing pairs.
+func (in *Aggregator) Sizes() (records, senders, pairs int) {
 	return in.byReplica.kept + in.byProxy.kept, len(in.senders), len(in.pairs.pairs)
 }
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -15,17 +15,17 @@
 const second = rules.Time(time.Second)
 
 func settings() Settings {
-	return Settings{Seed: 7, Period: time.Second, Budget: 400, HalfLife: 2 * time.Second, MostAge: 10 * time.Second, Pairs: 100, Zones: 2}
+	return Settings{Seed: 7, Period: time.Second, Budget: 400, HalfLife: 2 * time.Second, MaxAge: 10 * time.Second, MaxPairs: 100, Zones: 2}
 }
 
-var unreported = rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
+var unreported = rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
 
 func record(r, tries, dropped int) Record {
-	return Record{Replica: rules.ReplicaID(r), Tries: tries, Dropped: dropped, Took: 50 * time.Millisecond, Report: unreported}
+	return Record{Replica: rules.ReplicaID(r), Attempts: tries, Dropped: dropped, MeanLatency: 50 * time.Millisecond, Report: unreported}
 }
 
 func batch(p int, seq uint32, read rules.Time, records ...Record) *Batch {
-	return &Batch{Proxy: rules.ProxyID(p), Seq: seq, Over: time.Second, Read: read, Records: records}
+	return &Batch{Proxy: rules.ProxyID(p), Sequence: seq, Window: time.Second, ReceivedAt: read, Records: records}
 }
 
 // estimate is a figure under many seeds.
@@ -60,9 +60,9 @@
 			records = append(records, record(replicas, 1, 0))
 		}
 		for _, r := range records {
-			truth[r.Replica] += float64(r.Tries)
+			truth[r.Replica] += float64(r.Attempts)
 			dropped[r.Replica] += float64(r.Dropped)
-			of[rules.ProxyID(p)] += float64(r.Tries)
+			of[rules.ProxyID(p)] += float64(r.Attempts)
 		}
 		batches = append(batches, batch(p, 0, second, records...))
 	}
@@ -75,7 +75,7 @@
 			in.Join(rules.ProxyID(p), 0)
 		}
 		for _, b := range batches {
-			in.Take(second, b)
+			in.AddBatch(second, b)
 		}
 		byReplica, byProxy := in.Totals()
 		for r := range rules.ReplicaID(replicas + 1) {
@@ -108,7 +108,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := settings()
 		s.Budget = rapid.IntRange(8, 300).Draw(t, "budget")
-		s.MakeSums = rapid.Bool().Draw(t, "sums")
+		s.MakeStats = rapid.Bool().Draw(t, "sums")
 		proxies := rapid.IntRange(1, 40).Draw(t, "proxies")
 		var batches []*Batch
 		for range rapid.IntRange(1, 120).Draw(t, "batches") {
@@ -130,7 +130,7 @@
 			for _, b := range batches {
 				came += len(b.Records)
 				before := in.counts[Kept] + in.counts[SampledOut]
-				in.Take(2*second, b)
+				in.AddBatch(2*second, b)
 				for _, r := range b.Records[:in.counts[Kept]+in.counts[SampledOut]-before] {
 					heardAt[r.Replica], heardOf[b.Proxy] = true, true
 				}
@@ -139,11 +139,11 @@
 			if len(byReplica) != len(heardAt) || len(byProxy) != len(heardOf) {
 				t.Fatalf("of %d replicas and %d proxies heard, %d and %d are left", len(heardAt), len(heardOf), len(byReplica), len(byProxy))
 			}
-			held, _, pairs := in.Held()
-			if least := roomLeast * (len(heardAt) + len(heardOf)); held > s.Budget+least || pairs > s.Pairs {
+			held, _, pairs := in.Sizes()
+			if least := minRoom * (len(heardAt) + len(heardOf)); held > s.Budget+least || pairs > s.MaxPairs {
 				t.Fatalf("%d records held with a budget of %d, %d pairs", held, s.Budget, pairs)
 			}
-			events = in.Cut(2 * second)
+			events = in.Flush(2 * second)
 			counts = in.Counts()
 			told := 0
 			for _, c := range []Cause{Kept, SampledOut, Repeated, TooLate, TooOld, Flooded, NotJoined} {
@@ -173,12 +173,12 @@
 			in.Join(1, 0)
 			b := batch(1, 0, 100*second, record(1, 10, 2))
 			b.Age = time.Duration(said * float64(age)) // the rest of it has waited here
-			in.Take(100*second+rules.Time(age-b.Age), b)
+			in.AddBatch(100*second+rules.Time(age-b.Age), b)
 			all, _ := in.Totals()
 			return all[1][0]
 		}
 		a, b := count(young), count(old)
-		if b > a || young == 0 && a != 10 || old > settings().MostAge && b != 0 {
+		if b > a || young == 0 && a != 10 || old > settings().MaxAge && b != 0 {
 			t.Fatalf("10 tries count %v at %v and %v at %v", a, young, b, old)
 		}
 	})
@@ -190,9 +190,9 @@
 	in := New(settings())
 	worth := func(p int, seq uint32, off, late time.Duration) float64 {
 		b := batch(p, seq, rules.Time(1000+int(seq))*second, record(p, 8, 0))
-		b.Sent = b.Read + rules.Time(off-late)
+		b.SentAt = b.ReceivedAt + rules.Time(off-late)
 		s := in.senders[rules.ProxyID(p)]
-		return in.weight(s.transit(b.Sent, b.Read))
+		return in.ageWeight(s.extraDelay(b.SentAt, b.ReceivedAt))
 	}
 	for p := range 4 {
 		in.Join(rules.ProxyID(p), 0)
@@ -214,7 +214,7 @@
 		if seq > 20 {
 			back = -time.Hour
 		}
-		if w := worth(3, seq, back, 0); seq <= 20 && w != 1 || seq == 21 && w != 0 || seq > 21+2*clockBatches && w != 1 {
+		if w := worth(3, seq, back, 0); seq <= 20 && w != 1 || seq == 21 && w != 0 || seq > 21+2*clockGroupBatches && w != 1 {
 			t.Fatalf("batch %d of a clock that was set back counts %v", seq, w)
 		}
 	}
@@ -227,10 +227,10 @@
 	var got []Cause
 	for _, seq := range []uint32{1, 2, 2, 5, 4, 4, 200, 150, 130, 201, 0, 0} {
 		b := batch(1, seq, second, record(1, 1, 0))
-		in.Take(second, b)
+		in.AddBatch(second, b)
 		c := in.Counts()
 		for cause, n := range c {
-			if n != 0 && Cause(cause) != Lost {
+			if n != 0 && Cause(cause) != LostBatches {
 				got = append(got, Cause(cause))
 			}
 		}
@@ -240,7 +240,7 @@
 		t.Errorf("got %v, want %v", got, want)
 	}
 	in.Join(1, 0)
-	in.Take(second, batch(1, 1, second, record(1, 1, 0)))
+	in.AddBatch(second, batch(1, 1, second, record(1, 1, 0)))
 	if c := in.Counts(); c[Kept] != 1 {
 		t.Error("a new stream's first batch counts as", c)
 	}
@@ -262,10 +262,10 @@
 				for r := range 20 {
 					records = append(records, record(100+r, 1, 1))
 				}
-				in.Take(second, batch(0, 0, second, records...))
+				in.AddBatch(second, batch(0, 0, second, records...))
 			}
 			for r := range 10 {
-				in.Take(second, batch(p, 0, second, record(r, p, 0)))
+				in.AddBatch(second, batch(p, 0, second, record(r, p, 0)))
 			}
 		}
 		byReplica, _ := in.Totals()
@@ -292,21 +292,21 @@
 // less and less, and in the end for nothing. A word that it is busier counts at once.
 func TestOldLoadDoesNotLookIdle(t *testing.T) {
 	s := settings()
-	s.MakeSums = true
+	s.MakeStats = true
 	in := New(s)
 	in.Join(1, 0)
 	util := func(at rules.Time, records ...Record) float64 {
-		in.Take(at, batch(1, 0, at, records...))
-		for _, e := range in.Cut(at) {
-			if s, is := e.(rules.Sums); is && s.Replica == 1 {
-				return s.Report.Util
+		in.AddBatch(at, batch(1, 0, at, records...))
+		for _, e := range in.Flush(at) {
+			if s, is := e.(rules.EndpointStats); is && s.Replica == 1 {
+				return s.Report.Utilization
 			}
 		}
 		return math.NaN()
 	}
 	with := func(load float64, heard time.Duration) Record {
 		r := record(1, 5, 0)
-		r.Report.Util, r.Report.InFlight, r.Heard = load, 2, heard
+		r.Report.Utilization, r.Report.InFlight, r.ReportAge = load, 2, heard
 		return r
 	}
 	if got := util(10*second, with(0.6, 0)); math.Abs(got-0.6) > 1e-9 {
--- a/intake/loads.go
+++ b/intake/loads.go
@@ -7,15 +7,15 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Figure is one of the figures of a load report.
-type Figure int
+// LoadMetric is one of the figures of a load report.
+type LoadMetric int
 
 // Figures.
 const (
-	Util      Figure = iota // share of a replica's cores that is busy, 0 to 1
-	InFlight                // flows that it holds
-	LatencyMS               // milliseconds that it takes for a flow, without waiting
-	figures
+	Utilization LoadMetric = iota // share of a replica's cores that is busy, 0 to 1
+	InFlight                      // flows that it holds
+	LatencyMS                     // milliseconds that it takes for a flow, without waiting
+	metricCount
 )
 
 // Kind tells how a machine's value is to be read.
@@ -29,86 +29,86 @@
 	Absolute             // a count since it was read last
 )
 
-// Load is a machine's word on one figure of a replica.
-type Load struct {
-	Replica rules.ReplicaID
-	Figure  Figure
-	Kind    Kind
-	Value   float64       // of a Gauge
-	Count   uint64        // of the others
-	Over    time.Duration // of an Absolute: what it was counted over
-	Scale   float64       // the figure is Scale x the value, or x its growth a second, + Offset
-	Offset  float64
-	At      rules.Time // by the machine's clock
+// MachineLoad is a machine's word on one figure of a replica.
+type MachineLoad struct {
+	Replica    rules.ReplicaID
+	Metric     LoadMetric
+	Kind       Kind
+	Value      float64       // of a Gauge
+	Count      uint64        // of the others
+	Interval   time.Duration // of an Absolute: what it was counted over
+	Scale      float64       // the figure is Scale x the value, or x its growth a second, + Offset
+	Offset     float64
+	MeasuredAt rules.Time // by the machine's clock
 }
 
 // Bounds on what a figure can be. Beyond them it is no load but a fault of the sender or of the mapping.
 const (
-	utilMost    = 1.5 // cores that run ahead of their nominal speed may show a little over 1
-	heldMost    = 1e6
-	latencyMost = 1e6 // milliseconds
-	aheadMost   = 1   // periods that a machine's clock may be ahead of ours
-	dropsCount  = 0.1 // share of dropped tries from which the lower word on a load counts
+	maxUtilization  = 1.5 // cores that run ahead of their nominal speed may show a little over 1
+	maxInFlight     = 1e6
+	maxLatencyMS    = 1e6 // milliseconds
+	maxAheadPeriods = 1   // periods that a machine's clock may be ahead of ours
+	excuseDropShare = 0.1 // share of dropped tries from which the lower word on a load counts
 )
 
-var mostOf = [figures]float64{utilMost, heldMost, latencyMost}
+var maxOfMetric = [metricCount]float64{maxUtilization, maxInFlight, maxLatencyMS}
 
-// word is a machine's last word on a figure.
-type word struct {
-	at    rules.Time // 0: none
-	value float64
-	good  bool   // value stands; a count has none before the second
-	count uint64 // of kinds that count
+// machineValue is a machine's last word on a figure.
+type machineValue struct {
+	measuredAt rules.Time // 0: none
+	value      float64
+	valid      bool   // value stands; a count has none before the second
+	count      uint64 // of kinds that count
 }
 
-// Load takes in a machine's word and tells under what cause it is counted: Kept, or why it counts for nothing. Clocks
+// AddLoad takes in a machine's word and tells under what cause it is counted: Kept, or why it counts for nothing. Clocks
 // must agree with ours: what is told of the future by more than a period, or older than the bound of age, is refused, and
 // so is whatever is not newer than what came before, repeats and replays among it.
-func (in *Intake) Load(now rules.Time, l Load) Cause {
-	fate := in.load(now, l)
+func (in *Aggregator) AddLoad(now rules.Time, l MachineLoad) Cause {
+	fate := in.storeLoad(now, l)
 	in.counts[fate]++
 	return fate
 }
 
-func (in *Intake) load(now rules.Time, l Load) Cause {
-	if l.Figure < 0 || l.Figure >= figures {
+func (in *Aggregator) storeLoad(now rules.Time, l MachineLoad) Cause {
+	if l.Metric < 0 || l.Metric >= metricCount {
 		return Impossible
 	}
-	words := in.words[l.Replica]
+	words := in.machineLoads[l.Replica]
 	if words == nil {
-		words = new([figures]word)
-		in.words[l.Replica] = words
+		words = new([metricCount]machineValue)
+		in.machineLoads[l.Replica] = words
 	}
-	w := &words[l.Figure]
+	w := &words[l.Metric]
 	switch {
-	case l.At > now+rules.Time(aheadMost*in.set.Period):
-		return Ahead
-	case time.Duration(now-l.At) > in.set.MostAge:
+	case l.MeasuredAt > now+rules.Time(maxAheadPeriods*in.settings.Period):
+		return InFuture
+	case time.Duration(now-l.MeasuredAt) > in.settings.MaxAge:
 		return TooOld
-	case l.At <= w.at:
+	case l.MeasuredAt <= w.measuredAt:
 		return Repeated
 	}
 	v, good := l.Value, true
 	if l.Kind != Gauge {
-		v, good = l.rate(*w)
+		v, good = l.growthRate(*w)
 	}
 	v = l.Scale*v + l.Offset
-	if good && !(v >= 0 && v <= mostOf[l.Figure]) { // NaN too
+	if good && !(v >= 0 && v <= maxOfMetric[l.Metric]) { // NaN too
 		return Impossible
 	}
-	if l.Figure == Util {
+	if l.Metric == Utilization {
 		v = min(v, 1)
 	}
-	*w = word{at: l.At, value: v, good: good, count: l.Count}
+	*w = machineValue{measuredAt: l.MeasuredAt, value: v, valid: good, count: l.Count}
 	return Kept
 }
 
-// rate is the growth of a count a second since the last word.
-func (l *Load) rate(last word) (float64, bool) {
+// growthRate is the growth of a count a second since the last word.
+func (l *MachineLoad) growthRate(last machineValue) (float64, bool) {
 	if l.Kind == Absolute {
-		return float64(l.Count) / l.Over.Seconds(), l.Over > 0
+		return float64(l.Count) / l.Interval.Seconds(), l.Interval > 0
 	}
-	if last.at == 0 {
+	if last.measuredAt == 0 {
 		return 0, false
 	}
 	grown := float64(l.Count - last.count) // modulo 2^64
@@ -120,24 +120,24 @@
 			grown = float64(uint32(l.Count) - uint32(last.count))
 		}
 	}
-	return grown / time.Duration(l.At-last.at).Seconds(), true
+	return grown / time.Duration(l.MeasuredAt-last.measuredAt).Seconds(), true
 }
 
-// machine puts machines' words into a replica's report where they are the fresher ones. age is that of the report.
+// applyMachineLoad puts machines' words into a replica's report where they are the fresher ones. age is that of the report.
 //
 // A machine's word on the share busy may show a replica busier at once, and idler only by the part that its age leaves, as
 // with reports of proxies. Where tries are dropped, the lower of both words counts: a high load excuses drops, and a
 // machine that is busy with something else must not keep a replica that fails in its tables. It can't bring one back
 // either, as only good answers do that; and a replica of which there are no sums has no report to put a word into.
-func (in *Intake) machine(now rules.Time, s *rules.Sums, age time.Duration) {
-	words := in.words[s.Replica]
+func (in *Aggregator) applyMachineLoad(now rules.Time, s *rules.EndpointStats, age time.Duration) {
+	words := in.machineLoads[s.Replica]
 	if words == nil {
 		return
 	}
-	fresher := func(f Figure, told float64) (word, bool) {
+	fresher := func(f LoadMetric, told float64) (machineValue, bool) {
 		w := words[f]
-		own := time.Duration(now - w.at)
-		return w, w.good && own <= in.set.MostAge && (told < 0 || own < age)
+		own := time.Duration(now - w.measuredAt)
+		return w, w.valid && own <= in.settings.MaxAge && (told < 0 || own < age)
 	}
 	if w, is := fresher(InFlight, s.Report.InFlight); is {
 		s.Report.InFlight = w.value
@@ -145,21 +145,21 @@
 	if w, is := fresher(LatencyMS, s.Report.ServiceTime); is {
 		s.Report.ServiceTime = w.value
 	}
-	if w, is := fresher(Util, s.Report.Util); is {
-		before, told := in.known[s.Replica]
+	if w, is := fresher(Utilization, s.Report.Utilization); is {
+		before, told := in.lastUtilization[s.Replica]
 		if !told {
 			before = 1
 		}
 		util := w.value
 		if util < before {
-			util = before + in.weight(time.Duration(now-w.at))*(util-before)
+			util = before + in.ageWeight(time.Duration(now-w.measuredAt))*(util-before)
 		}
-		if s.Report.Util >= 0 && float64(s.Dropped) >= dropsCount*float64(s.Tries) {
-			util = min(util, s.Report.Util)
+		if s.Report.Utilization >= 0 && float64(s.Dropped) >= excuseDropShare*float64(s.Attempts) {
+			util = min(util, s.Report.Utilization)
 		}
-		s.Report.Util = util
+		s.Report.Utilization = util
 	}
-	if s.Report.Util >= 0 {
-		in.known[s.Replica] = s.Report.Util
+	if s.Report.Utilization >= 0 {
+		in.lastUtilization[s.Replica] = s.Report.Utilization
 	}
 }
--- a/intake/loads_test.go
+++ b/intake/loads_test.go
@@ -10,13 +10,13 @@
 	"zincloft.example/zincloft/rules"
 )
 
-func gauge(r int, f Figure, v float64, at rules.Time) Load {
-	return Load{Replica: rules.ReplicaID(r), Figure: f, Kind: Gauge, Value: v, Scale: 1, At: at}
+func gauge(r int, f LoadMetric, v float64, at rules.Time) MachineLoad {
+	return MachineLoad{Replica: rules.ReplicaID(r), Metric: f, Kind: Gauge, Value: v, Scale: 1, MeasuredAt: at}
 }
 
-func told(util float64, tries, dropped int) rules.Sums {
-	s := rules.Sums{Replica: 1, Tries: tries, Dropped: dropped, Over: time.Second, Report: unreported}
-	s.Report.Util = util
+func told(util float64, tries, dropped int) rules.EndpointStats {
+	s := rules.EndpointStats{Replica: 1, Attempts: tries, Dropped: dropped, Window: time.Second, Report: unreported}
+	s.Report.Utilization = util
 	return s
 }
 
@@ -25,22 +25,22 @@
 	in := New(settings())
 	now := 1000 * second
 	for i, c := range []struct {
-		l    Load
+		l    MachineLoad
 		want Cause
 	}{
-		{gauge(1, Util, 0.5, now-second), Kept}, {gauge(1, Util, 0.4, now-second), Repeated}, {gauge(1, Util, 0.4, now-2*second), Repeated},
-		{gauge(1, Util, 0.4, now+2*second), Ahead}, {gauge(1, Util, 0.4, now+3600*second), Ahead}, {gauge(1, Util, 0.4, now-3600*second), TooOld},
-		{gauge(1, Util, math.NaN(), now), Impossible}, {gauge(1, Util, math.Inf(1), now), Impossible}, {gauge(1, Util, math.Inf(-1), now), Impossible},
-		{gauge(1, Util, -0.1, now), Impossible}, {gauge(1, Util, 80, now), Impossible}, {gauge(1, Util, 1.2, now), Kept},
+		{gauge(1, Utilization, 0.5, now-second), Kept}, {gauge(1, Utilization, 0.4, now-second), Repeated}, {gauge(1, Utilization, 0.4, now-2*second), Repeated},
+		{gauge(1, Utilization, 0.4, now+2*second), InFuture}, {gauge(1, Utilization, 0.4, now+3600*second), InFuture}, {gauge(1, Utilization, 0.4, now-3600*second), TooOld},
+		{gauge(1, Utilization, math.NaN(), now), Impossible}, {gauge(1, Utilization, math.Inf(1), now), Impossible}, {gauge(1, Utilization, math.Inf(-1), now), Impossible},
+		{gauge(1, Utilization, -0.1, now), Impossible}, {gauge(1, Utilization, 80, now), Impossible}, {gauge(1, Utilization, 1.2, now), Kept},
 		{gauge(1, InFlight, 7, now), Kept}, {gauge(1, InFlight, 1e9, now+second), Impossible}, {gauge(1, LatencyMS, 40, now+second/2), Kept},
-		{Load{Replica: 1, Figure: 9, At: now}, Impossible}, {Load{Replica: 1, Figure: -1, At: now}, Impossible},
+		{MachineLoad{Replica: 1, Metric: 9, MeasuredAt: now}, Impossible}, {MachineLoad{Replica: 1, Metric: -1, MeasuredAt: now}, Impossible},
 	} {
-		if got := in.Load(now, c.l); got != c.want {
+		if got := in.AddLoad(now, c.l); got != c.want {
 			t.Errorf("%d: %+v counts as %v, want %v", i, c.l, got, c.want)
 		}
 	}
-	s, _ := in.Sums(now, now, told(rules.Absent, 10, 0))
-	if s.Report.Util != 1 || s.Report.InFlight != 7 || s.Report.ServiceTime != 40 {
+	s, _ := in.AdjustStats(now, now, told(rules.Absent, 10, 0))
+	if s.Report.Utilization != 1 || s.Report.InFlight != 7 || s.Report.ServiceTime != 40 {
 		t.Errorf("%+v", s.Report)
 	}
 }
@@ -62,11 +62,11 @@
 		now := 1000 * second
 		for i, n := range c.counts {
 			now = rules.Time(1000+10*i) * second
-			if fate := in.Load(now, Load{Replica: 1, Figure: InFlight, Kind: c.kind, Count: n, Over: 10 * time.Second, Scale: 1, At: now}); fate != Kept {
+			if fate := in.AddLoad(now, MachineLoad{Replica: 1, Metric: InFlight, Kind: c.kind, Count: n, Interval: 10 * time.Second, Scale: 1, MeasuredAt: now}); fate != Kept {
 				t.Errorf("%s: %v", c.what, fate)
 			}
 		}
-		s, _ := in.Sums(now, now, told(0.5, 10, 0))
+		s, _ := in.AdjustStats(now, now, told(0.5, 10, 0))
 		if got := s.Report.InFlight; got != c.want && (c.want >= 0 || got != rules.Absent) {
 			t.Errorf("%s: %v, want %v", c.what, got, c.want)
 		}
@@ -95,14 +95,14 @@
 	} {
 		in := New(settings())
 		if c.proxies >= 0 { // what was believed before
-			in.Load(now-12*second, gauge(1, Util, 0.5, now-12*second))
-			in.Sums(now-9*second, now-9*second, told(c.proxies, 10, 0))
+			in.AddLoad(now-12*second, gauge(1, Utilization, 0.5, now-12*second))
+			in.AdjustStats(now-9*second, now-9*second, told(c.proxies, 10, 0))
 		}
-		if fate := in.Load(now, gauge(1, Util, c.machine, now-rules.Time(c.age))); fate != Kept {
+		if fate := in.AddLoad(now, gauge(1, Utilization, c.machine, now-rules.Time(c.age))); fate != Kept {
 			t.Fatal(c.what, fate)
 		}
-		s, _ := in.Sums(now, now, told(c.proxies, 10, c.dropped))
-		if got := s.Report.Util; got < c.least-1e-9 || got > c.most+1e-9 {
+		s, _ := in.AdjustStats(now, now, told(c.proxies, 10, c.dropped))
+		if got := s.Report.Utilization; got < c.least-1e-9 || got > c.most+1e-9 {
 			t.Errorf("%s: %v, want %v to %v", c.what, got, c.least, c.most)
 		}
 	}
@@ -117,16 +117,16 @@
 		for range rapid.IntRange(1, 30).Draw(t, "words") {
 			at := 1000*second + rules.Time(rapid.IntRange(-5, 0).Draw(t, "at"))*second
 			util := rapid.Float64Range(0, 1).Draw(t, "util")
-			if fate := in.Load(1000*second, gauge(1, Util, util, at)); (fate == Kept) != (at > newest) {
+			if fate := in.AddLoad(1000*second, gauge(1, Utilization, util, at)); (fate == Kept) != (at > newest) {
 				t.Fatalf("told of %v after %v: %v", at, newest, fate)
 			}
 			if at > newest {
 				newest, value = at, util
 			}
 		}
-		s, _ := in.Sums(1000*second, 1000*second, told(rules.Absent, 10, 0))
-		if s.Report.Util < value-1e-9 || s.Report.Util > 1 {
-			t.Fatalf("the newest word is %v, and %v is told", value, s.Report.Util)
+		s, _ := in.AdjustStats(1000*second, 1000*second, told(rules.Absent, 10, 0))
+		if s.Report.Utilization < value-1e-9 || s.Report.Utilization > 1 {
+			t.Fatalf("the newest word is %v, and %v is told", value, s.Report.Utilization)
 		}
 	})
 }
@@ -143,8 +143,8 @@
 			for _, o := range gov.Step(now, events) {
 				switch o := o.(type) {
 				case rules.WakeAfter:
-					mark = o.Mark
-				case rules.Line:
+					mark = o.TimerID
+				case rules.EndpointWeight:
 					weights[o.Replica] = o.Weight
 				}
 			}
@@ -154,8 +154,8 @@
 			list = append(list, rules.Entry{Replica: rules.ReplicaID(r), State: rules.Ready, Listed: 1})
 		}
 		step(rules.Start{Settings: rules.Settings{Groups: []rules.TrafficGroup{{Name: "look", LatencyBudget: time.Second}}, Governors: 1, Proxies: 2,
-			Zones: 1, Period: time.Second, LinePace: 3000, LineCap: 6000, HeadLines: 4, MessageSpan: 10 * time.Second, WarmAfter: 18 * time.Second,
-			ColdFrom: 0.2, DrainGrace: 2 * time.Second}}, rules.List{Scope: rules.Whole, Entries: list}, rules.Joined{Proxy: 1, Rate: 50, Fresh: true})
+			Zones: 1, Period: time.Second, EntryRate: 3000, EntryCapacity: 6000, MessageEntries: 4, MessageSpan: 10 * time.Second, WarmupTime: 18 * time.Second,
+			ColdCapacity: 0.2, DrainGrace: 2 * time.Second}}, rules.List{Scope: rules.Full, Entries: list}, rules.Joined{Proxy: 1, FlowRate: 50, Fresh: true})
 		for q := range 80 {
 			now += second / 4
 			if machines {
@@ -164,19 +164,19 @@
 					if r == 2 {
 						util = 0.01
 					}
-					in.Load(now, gauge(r, Util, util, now))
+					in.AddLoad(now, gauge(r, Utilization, util, now))
 				}
 			}
 			var events []rules.Event
 			for r, w := range weights {
 				if hung := r == 2 && q >= 20; q%4 == 0 && !hung {
-					if s, counts := in.Sums(now, now, rules.Sums{Replica: rules.ReplicaID(r), Tries: int(w) * 3, Over: time.Second, Took: 50 * time.Millisecond,
-						Report: rules.Report{Util: 0.5}}); counts {
+					if s, counts := in.AdjustStats(now, now, rules.EndpointStats{Replica: rules.ReplicaID(r), Attempts: int(w) * 3, Window: time.Second, MeanLatency: 50 * time.Millisecond,
+						Report: rules.LoadReport{Utilization: 0.5}}); counts {
 						events = append(events, s)
 					}
 				}
 			}
-			step(append(events, rules.Wake{Mark: mark}, rules.Applied{Proxy: 1})...)
+			step(append(events, rules.Wake{TimerID: mark}, rules.Applied{Proxy: 1})...)
 			if at == 0 && q >= 20 && weights[2] < 100.0/6/4 {
 				at = q - 20
 			}
--- a/intake/pairs.go
+++ b/intake/pairs.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	pairMemory   = 8    // periods after which what was met at a pair counts for half
-	evidencePart = 64   // by the budget, pairs that are told of in a period at most
-	rescaleAfter = 32   // half-lives after which counts are scaled anew
-	fadedDrops   = 0.05 // a pair with fewer drops is forgotten
-	failsForAll  = 0.5  // pairs of a replica that drops so much of all it gets are not remembered anew
+	pairHalfLifePeriods   = 8    // periods after which what was met at a pair counts for half
+	evidenceBudgetPart    = 64   // by the budget, pairs that are told of in a period at most
+	rescaleAfterHalfLives = 32   // half-lives after which counts are scaled anew
+	minRememberedDrops    = 0.05 // a pair with fewer drops is forgotten
+	generalFailureShare   = 0.5  // pairs of a replica that drops so much of all it gets are not remembered anew
 )
 
 // pairTable remembers pairs of a proxy and a replica at which tries were dropped, and the counts of each proxy and
@@ -24,17 +24,17 @@
 // the order of two pairs and costs nothing until a count is read. When the table is full, the pair with the fewest
 // drops goes first: a pair that fails again and again outlives any number that failed once.
 type pairTable struct {
-	most       int
-	half       time.Duration
-	landmark   rules.Time
-	now        rules.Time
-	scale      float64 // of what is added now
-	pairs      map[pairKey]*pair
-	byDrops    pairHeap
-	byReplica  map[rules.ReplicaID]tally
-	byProxy    map[rules.ProxyID]tally
-	again      map[rules.ReplicaID]count // further tries at pairs that had dropped one
-	fresh, due []*pair                   // with drops in this period; in the one before, to be told of now
+	capacity       int
+	halfLife       time.Duration
+	landmark       rules.Time
+	now            rules.Time
+	scale          float64 // of what is added now
+	pairs          map[pairKey]*pair
+	byDrops        pairHeap
+	byReplica      map[rules.ReplicaID]tally
+	byProxy        map[rules.ProxyID]tally
+	retries        map[rules.ReplicaID]count // further tries at pairs that had dropped one
+	fresh, pending []*pair                   // with drops in this period; in the one before, to be told of now
 }
 
 type pairKey struct {
@@ -42,7 +42,7 @@
 	replica rules.ReplicaID
 }
 
-type count struct{ tries, dropped float64 }
+type count struct{ attempts, dropped float64 }
 
 // tally is what fades, and what came in the latest period that brought any: a replica that has just begun to fail
 // for all shows it there, long before its good past has faded.
@@ -52,29 +52,29 @@
 	at     rules.Time
 }
 
-func (t *pairTable) more(y tally, c count) tally {
+func (t *pairTable) plusNow(y tally, c count) tally {
 	if y.at != t.now {
 		y.latest, y.at = count{}, t.now
 	}
-	c.tries, c.dropped = c.tries*t.scale, c.dropped*t.scale
+	c.attempts, c.dropped = c.attempts*t.scale, c.dropped*t.scale
 	y.count, y.latest = y.plus(c), y.latest.plus(c)
 	return y
 }
 
-func (c count) plus(d count) count { return count{c.tries + d.tries, c.dropped + d.dropped} }
+func (c count) plus(d count) count { return count{c.attempts + d.attempts, c.dropped + d.dropped} }
 
-func (c count) scaled(by float64) count { return count{c.tries * by, c.dropped * by} }
+func (c count) scaled(by float64) count { return count{c.attempts * by, c.dropped * by} }
 
 type pair struct {
 	pairKey
 	count
-	at    int  // place in the heap
-	fresh bool // in one of the two lists
+	heapIndex int  // place in the heap
+	listed    bool // in one of the two lists
 }
 
-func newPairTable(most int, half time.Duration) pairTable {
-	return pairTable{most: most, half: half, scale: 1, pairs: map[pairKey]*pair{}, byReplica: map[rules.ReplicaID]tally{},
-		byProxy: map[rules.ProxyID]tally{}, again: map[rules.ReplicaID]count{}}
+func newPairTable(capacity int, halfLife time.Duration) pairTable {
+	return pairTable{capacity: capacity, halfLife: halfLife, scale: 1, pairs: map[pairKey]*pair{}, byReplica: map[rules.ReplicaID]tally{},
+		byProxy: map[rules.ProxyID]tally{}, retries: map[rules.ReplicaID]count{}}
 }
 
 // advance moves to a later time.
@@ -83,30 +83,30 @@
 		t.landmark = now
 	}
 	t.now = max(now, t.now)
-	halves := float64(t.now-t.landmark) / float64(t.half)
-	if halves > rescaleAfter {
+	halves := float64(t.now-t.landmark) / float64(t.halfLife)
+	if halves > rescaleAfterHalfLives {
 		t.rescale(math.Exp2(-halves))
 		t.landmark, halves = t.now, 0
 	}
 	t.scale = math.Exp2(halves)
-	for len(t.byDrops) > 0 && t.byDrops[0].dropped < fadedDrops*t.scale {
+	for len(t.byDrops) > 0 && t.byDrops[0].dropped < minRememberedDrops*t.scale {
 		t.remove(t.byDrops[0])
 	}
 }
 
 func (t *pairTable) rescale(by float64) {
 	for _, p := range t.pairs { // the heap's order stays
-		p.tries, p.dropped = p.tries*by, p.dropped*by
+		p.attempts, p.dropped = p.attempts*by, p.dropped*by
 	}
-	faded(t.byReplica, func(y tally) tally { return tally{y.scaled(by), y.latest.scaled(by), y.at} })
-	faded(t.byProxy, func(y tally) tally { return tally{y.scaled(by), y.latest.scaled(by), y.at} })
-	faded(t.again, func(c count) count { return c.scaled(by) })
+	scaleAndPrune(t.byReplica, func(y tally) tally { return tally{y.scaled(by), y.latest.scaled(by), y.at} })
+	scaleAndPrune(t.byProxy, func(y tally) tally { return tally{y.scaled(by), y.latest.scaled(by), y.at} })
+	scaleAndPrune(t.retries, func(c count) count { return c.scaled(by) })
 }
 
-// faded scales counts and forgets those that have faded.
-func faded[K comparable, C interface{ all() float64 }](counts map[K]C, scaled func(C) C) {
+// scaleAndPrune scales counts and forgets those that have faded.
+func scaleAndPrune[K comparable, C interface{ all() float64 }](counts map[K]C, scaled func(C) C) {
 	for k, c := range counts {
-		if c = scaled(c); c.all() < fadedDrops {
+		if c = scaled(c); c.all() < minRememberedDrops {
 			delete(counts, k)
 		} else {
 			counts[k] = c
@@ -114,23 +114,23 @@
 	}
 }
 
-func (c count) all() float64 { return c.tries }
+func (c count) all() float64 { return c.attempts }
 
-// met adds to what is known of a replica.
-func (t *pairTable) met(r rules.ReplicaID, tries, dropped float64) {
-	t.byReplica[r] = t.more(t.byReplica[r], count{tries, dropped})
+// addReplica adds to what is known of a replica.
+func (t *pairTable) addReplica(r rules.ReplicaID, tries, dropped float64) {
+	t.byReplica[r] = t.plusNow(t.byReplica[r], count{tries, dropped})
 }
 
-// by adds to what is known of a proxy. A drop at a replica counts by the part of its tries that it does not drop: that
+// addProxy adds to what is known of a proxy. A drop at a replica counts by the part of its tries that it does not drop: that
 // of one which fails for all says nothing of the proxy.
-func (t *pairTable) by(p rules.ProxyID, r rules.ReplicaID, tries, dropped float64) {
-	t.byProxy[p] = t.more(t.byProxy[p], count{tries, dropped * (1 - t.usual(r))})
+func (t *pairTable) addProxy(p rules.ProxyID, r rules.ReplicaID, tries, dropped float64) {
+	t.byProxy[p] = t.plusNow(t.byProxy[p], count{tries, dropped * (1 - t.dropShare(r))})
 }
 
-// usual is the share of tries that a replica drops.
-func (t *pairTable) usual(r rules.ReplicaID) float64 {
+// dropShare is the share of tries that a replica drops.
+func (t *pairTable) dropShare(r rules.ReplicaID) float64 {
 	y := t.byReplica[r]
-	return min(max(y.dropped/max(y.tries, t.scale), y.latest.dropped/max(y.latest.tries, t.scale)), 1)
+	return min(max(y.dropped/max(y.attempts, t.scale), y.latest.dropped/max(y.latest.attempts, t.scale)), 1)
 }
 
 // add takes in what a proxy met at a replica and tells whether a pair was let go, or not taken, for want of room.
@@ -139,10 +139,10 @@
 	k := pairKey{proxy, replica}
 	p := t.pairs[k]
 	if p == nil {
-		if all := t.byReplica[replica].latest; dropped == 0 || all.dropped-dropped*t.scale > failsForAll*all.tries {
+		if all := t.byReplica[replica].latest; dropped == 0 || all.dropped-dropped*t.scale > generalFailureShare*all.attempts {
 			return false
 		}
-		if len(t.pairs) >= t.most {
+		if len(t.pairs) >= t.capacity {
 			if least := t.byDrops[0]; least.dropped >= dropped*t.scale {
 				return true
 			} else {
@@ -150,7 +150,7 @@
 				full = true
 			}
 		}
-		p = &pair{pairKey: k, at: len(t.byDrops)}
+		p = &pair{pairKey: k, heapIndex: len(t.byDrops)}
 		t.pairs[k] = p
 		t.byDrops = append(t.byDrops, p)
 	}
@@ -160,26 +160,26 @@
 		one := min(t.scale, c.dropped)
 		further = c.plus(count{-one, -one})
 	}
-	t.again[replica] = t.again[replica].plus(further)
+	t.retries[replica] = t.retries[replica].plus(further)
 	p.count = p.plus(c)
-	heap.Fix(&t.byDrops, p.at)
-	if dropped > 0 && !p.fresh {
-		p.fresh = true
+	heap.Fix(&t.byDrops, p.heapIndex)
+	if dropped > 0 && !p.listed {
+		p.listed = true
 		t.fresh = append(t.fresh, p)
 	}
 	return full
 }
 
 func (t *pairTable) remove(p *pair) {
-	heap.Remove(&t.byDrops, p.at)
+	heap.Remove(&t.byDrops, p.heapIndex)
 	delete(t.pairs, p.pairKey)
-	p.fresh = false
+	p.listed = false
 }
 
-// forget drops all that is held of a replica.
-func (t *pairTable) forget(r rules.ReplicaID) {
+// forgetReplica drops all that is held of a replica.
+func (t *pairTable) forgetReplica(r rules.ReplicaID) {
 	delete(t.byReplica, r)
-	delete(t.again, r)
+	delete(t.retries, r)
 	for k, p := range t.pairs {
 		if k.replica == r {
 			t.remove(p)
@@ -191,19 +191,21 @@
 // beyond what its replica, or its proxy, drops elsewhere, and of two alike the lower numbers; and how many more there
 // were than it may tell of. So pairs of a replica that fails for all don't stand before those that fail alone. They wait
 // for a period, since a replica that begins to fail for all drops only a part of that period's tries.
-func (t *pairTable) evidence(most int, joined func(rules.ProxyID) bool) (out []rules.Pair, more int) {
-	due := slices.DeleteFunc(t.due, func(p *pair) bool { return !p.fresh || !joined(p.proxy) })
+func (t *pairTable) evidence(most int, joined func(rules.ProxyID) bool) (out []rules.PairStats, more int) {
+	due := slices.DeleteFunc(t.pending, func(p *pair) bool { return !p.listed || !joined(p.proxy) })
 	for _, p := range due {
-		p.fresh = false
+		p.listed = false
 	}
 	for _, p := range due {
-		r, x, a := t.byReplica[p.replica], t.byProxy[p.proxy], t.again[p.replica]
-		less := count{p.tries, p.dropped * (1 - t.usual(p.replica))}
-		out = append(out, rules.Pair{Proxy: p.proxy, Replica: p.replica, Tries: p.tries / t.scale, Dropped: p.dropped / t.scale,
-			Elsewhere: t.rate(r, p.count), Others: t.rate(x, less), Again: a.tries / t.scale, AgainDropped: a.dropped / t.scale})
+		r, x, a := t.byReplica[p.replica], t.byProxy[p.proxy], t.retries[p.replica]
+		less := count{p.attempts, p.dropped * (1 - t.dropShare(p.replica))}
+		out = append(out, rules.PairStats{Proxy: p.proxy, Replica: p.replica, Attempts: p.attempts / t.scale, Dropped: p.dropped / t.scale,
+			ReplicaDropShare: t.dropShareWithout(r, p.count), ProxyDropShare: t.dropShareWithout(x, less), RetriedAttempts: a.attempts / t.scale, RetriedDropped: a.dropped / t.scale})
 	}
-	beyond := func(e rules.Pair) float64 { return e.Dropped - e.Tries*max(e.Elsewhere, e.Others) }
-	slices.SortFunc(out, func(a, b rules.Pair) int {
+	beyond := func(e rules.PairStats) float64 {
+		return e.Dropped - e.Attempts*max(e.ReplicaDropShare, e.ProxyDropShare)
+	}
+	slices.SortFunc(out, func(a, b rules.PairStats) int {
 		return cmp.Or(cmp.Compare(beyond(b), beyond(a)), cmp.Compare(a.Proxy, b.Proxy), cmp.Compare(a.Replica, b.Replica))
 	})
 	if len(out) > most {
@@ -211,15 +213,15 @@
 		out = out[:most]
 	}
 	clear(due)
-	t.due, t.fresh = t.fresh, due[:0]
+	t.pending, t.fresh = t.fresh, due[:0]
 	return out, more
 }
 
-// rate is the share of tries dropped, less those of a pair: of all that is remembered, or of the latest period if that
+// dropShareWithout is the share of tries dropped, less those of a pair: of all that is remembered, or of the latest period if that
 // is more.
-func (t *pairTable) rate(of tally, less count) (most float64) {
+func (t *pairTable) dropShareWithout(of tally, less count) (most float64) {
 	for _, c := range []count{of.count, of.latest} {
-		if tries := c.tries - less.tries; tries >= t.scale { // less than one try tells nothing
+		if tries := c.attempts - less.attempts; tries >= t.scale { // less than one try tells nothing
 			most = max(most, min(max(c.dropped-less.dropped, 0)/tries, 1))
 		}
 	}
@@ -236,7 +238,7 @@
 }
 func (h pairHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].at, h[j].at = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 func (h *pairHeap) Push(x any) { *h = append(*h, x.(*pair)) }
 func (h *pairHeap) Pop() any {
--- a/intake/pairs_test.go
+++ b/intake/pairs_test.go
@@ -28,12 +28,12 @@
 				}
 				records = append(records, record(r, 2, dropped))
 			}
-			in.Take(at, batch(p, 0, at, records...))
+			in.AddBatch(at, batch(p, 0, at, records...))
 		}
-		for _, e := range in.Cut(at) {
-			if p := e.(rules.Pair); at == 2*second || at == 6*second {
+		for _, e := range in.Flush(at) {
+			if p := e.(rules.PairStats); at == 2*second || at == 6*second {
 				fmt.Fprintf(&trace, "%ds p%d r%d %.1f of %.1f dropped; the replica elsewhere %.2f, the proxy elsewhere %.2f; again %.1f of %.1f\n",
-					at/second, p.Proxy, p.Replica, p.Dropped, p.Tries, p.Elsewhere, p.Others, p.AgainDropped, p.Again)
+					at/second, p.Proxy, p.Replica, p.Dropped, p.Attempts, p.ReplicaDropShare, p.ProxyDropShare, p.RetriedDropped, p.RetriedAttempts)
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 	if len(out) != 5 || more != 45 {
 		t.Errorf("%d pairs told of and %d not", len(out), more)
 	}
-	table.forget(1)
+	table.forgetReplica(1)
 	if len(table.pairs) != 45 {
 		t.Errorf("%d pairs after a replica has gone", len(table.pairs))
 	}
@@ -85,7 +85,7 @@
 // BenchmarkTake is what a record costs behind its decoding, with 5,000 senders, 60 replicas and a tight budget.
 func BenchmarkTake(b *testing.B) {
 	s := settings()
-	s.Budget, s.Pairs = 20_000, 10_000
+	s.Budget, s.MaxPairs = 20_000, 10_000
 	in := New(s)
 	var batches []*Batch
 	for p := range 5000 {
@@ -101,10 +101,10 @@
 	for n := 0; n < b.N; n += 6 {
 		x := batches[n/6%len(batches)]
 		if x.Proxy == 0 {
-			in.Cut(at)
+			in.Flush(at)
 			at += second
 		}
-		x.Read = at
-		in.Take(at, x)
+		x.ReceivedAt = at
+		in.AddBatch(at, x)
 	}
 }
--- a/intake/sample.go
+++ b/intake/sample.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	cleanPart = 4  // a quarter of a stratum's room is left to records without drops
-	classRoom = 2  // and two at least; with one, what it stands for has no bound on its spread
-	roomLeast = 4  // records that any stratum may keep
-	fewStrata = 16 // rooms are by no fewer strata than this, until it is known how many there are
+	cleanRoomPart = 4  // a quarter of a stratum's room is left to records without drops
+	minClassRoom  = 2  // and two at least; with one, what it stands for has no bound on its spread
+	minRoom       = 4  // records that any stratum may keep
+	minStrata     = 16 // rooms are by no fewer strata than this, until it is known how many there are
 )
 
-// item is a record that is kept, and what is known of its sender.
-type item struct {
-	replica        rules.ReplicaID
-	proxy          rules.ProxyID
-	zone           rules.ZoneID
-	tries, dropped int32
-	took, over     time.Duration
-	worth          float64 // by a fresh record
-	rank           float64
+// sampledRecord is a record that is kept, and what is known of its sender.
+type sampledRecord struct {
+	replica             rules.ReplicaID
+	proxy               rules.ProxyID
+	zone                rules.ZoneID
+	attempts, dropped   int32
+	meanLatency, window time.Duration
+	ageWeight           float64 // by a fresh record
+	rank                float64
 }
 
 // size is what an item's chance to be kept goes by.
-func (it *item) size() float64 { return float64(it.tries) * it.worth }
+func (it *sampledRecord) size() float64 { return float64(it.attempts) * it.ageWeight }
 
 // counts are an item's tries and drops, by its worth, where it stands for so many like it.
-func (it *item) counts(stands float64) (tries, dropped float64) {
-	return float64(it.tries) * it.worth * stands, float64(it.dropped) * it.worth * stands
+func (it *sampledRecord) counts(stands float64) (tries, dropped float64) {
+	return float64(it.attempts) * it.ageWeight * stands, float64(it.dropped) * it.ageWeight * stands
 }
 
 // sampler keeps records by strata, each of which has its room. In a stratum, records with drops come before those
@@ -44,13 +44,13 @@
 // is the highest rank that did not; Duffield, Lund and Thorup, 2007). Totals of any choice of records are then
 // unbiased. Rooms never grow within a period, so what stays is always the highest of all that came.
 type sampler struct {
-	seed   uint64
-	draws  uint64
-	budget int
-	kept   int
-	strata map[uint32]*stratum
-	before int // strata of the period before
-	spare  []*stratum
+	seed         uint64
+	draws        uint64
+	budget       int
+	kept         int
+	strata       map[uint32]*stratum
+	strataBefore int // strata of the period before
+	spare        []*stratum
 }
 
 type stratum struct {
@@ -60,7 +60,7 @@
 
 // class is a heap of items, lowest rank first.
 type class struct {
-	items     []item
+	items     []sampledRecord
 	threshold float64
 }
 
@@ -78,13 +78,13 @@
 }
 
 // offer takes an item in and tells whether it is kept for now.
-func (s *sampler) offer(key uint32, it item) bool {
+func (s *sampler) offer(key uint32, it sampledRecord) bool {
 	st := s.strata[key]
 	if st == nil {
-		st = s.open(key)
+		st = s.newStratum(key)
 	}
 	it.rank = it.size() / s.draw()
-	c, most := &st.clean, st.room-max(st.room/cleanPart, classRoom)
+	c, most := &st.clean, st.room-max(st.room/cleanRoomPart, minClassRoom)
 	if it.dropped > 0 {
 		c = &st.failed
 	}
@@ -94,10 +94,10 @@
 		s.kept++
 		c.push(it)
 	case it.dropped > 0 && failed < most:
-		st.clean.drop()
+		st.clean.evictLowest()
 		c.push(it)
 	case it.dropped == 0 && clean < st.room-most: // failed ones came first and hold the others' part
-		st.failed.drop()
+		st.failed.evictLowest()
 		c.push(it)
 	case it.rank > c.items[0].rank:
 		c.threshold = max(c.threshold, c.items[0].rank)
@@ -110,21 +110,21 @@
 	return true
 }
 
-func (s *sampler) open(key uint32) *stratum {
+func (s *sampler) newStratum(key uint32) *stratum {
 	st := &stratum{}
 	if n := len(s.spare); n > 0 {
 		st, s.spare = s.spare[n-1], s.spare[:n-1]
 	}
-	if st.room = s.budget / max(s.before, len(s.strata)+1, fewStrata); s.kept >= s.budget {
+	if st.room = s.budget / max(s.strataBefore, len(s.strata)+1, minStrata); s.kept >= s.budget {
 		st.room = 0
 	}
-	st.room = max(st.room, roomLeast)
+	st.room = max(st.room, minRoom)
 	s.strata[key] = st
 	return st
 }
 
 // each calls f for all that is kept, with how many records like it each stands for.
-func (s *sampler) each(f func(key uint32, it *item, stands float64)) {
+func (s *sampler) each(f func(key uint32, it *sampledRecord, stands float64)) {
 	for _, key := range slices.Sorted(maps.Keys(s.strata)) {
 		st := s.strata[key]
 		for _, c := range []*class{&st.failed, &st.clean} {
@@ -136,9 +136,9 @@
 	}
 }
 
-// cut begins a new period.
-func (s *sampler) cut() {
-	s.before = len(s.strata)
+// reset begins a new period.
+func (s *sampler) reset() {
+	s.strataBefore = len(s.strata)
 	for _, st := range s.strata {
 		st.failed.items, st.clean.items = st.failed.items[:0], st.clean.items[:0]
 		st.failed.threshold, st.clean.threshold = 0, 0
@@ -151,13 +151,13 @@
 }
 
 // push adds an item. Unlike heap.Push it makes no garbage.
-func (c *class) push(it item) {
+func (c *class) push(it sampledRecord) {
 	c.items = append(c.items, it)
 	heap.Fix(c, len(c.items)-1)
 }
 
-// drop lets the lowest go, for which the others stand from now on.
-func (c *class) drop() {
+// evictLowest lets the lowest go, for which the others stand from now on.
+func (c *class) evictLowest() {
 	last := len(c.items) - 1
 	c.threshold = max(c.threshold, c.items[0].rank)
 	c.items[0] = c.items[last]
@@ -170,7 +170,7 @@
 func (c *class) Len() int           { return len(c.items) }
 func (c *class) Less(i, j int) bool { return c.items[i].rank < c.items[j].rank }
 func (c *class) Swap(i, j int)      { c.items[i], c.items[j] = c.items[j], c.items[i] }
-func (c *class) Push(x any)         { c.items = append(c.items, x.(item)) }
+func (c *class) Push(x any)         { c.items = append(c.items, x.(sampledRecord)) }
 func (c *class) Pop() any {
 	last := c.items[len(c.items)-1]
 	c.items = c.items[:len(c.items)-1]
--- a/internal/clients/batch.go
+++ b/internal/clients/batch.go
@@ -15,10 +15,10 @@
 	f.require("sidecar", "window", "records")
 	b := intake.NewBatch()
 	b.Proxy = c.proxy(f)
-	b.Over = f.positiveDuration("window")
+	b.Window = f.positiveDuration("window")
 	b.Age = f.duration("age")
-	b.Seq = uint32(f.integer("seq", math.MaxUint32))
-	b.Sent = rules.Time(f.integer("sent", math.MaxInt64/int(time.Millisecond))) * rules.Time(time.Millisecond)
+	b.Sequence = uint32(f.integer("seq", math.MaxUint32))
+	b.SentAt = rules.Time(f.integer("sent", math.MaxInt64/int(time.Millisecond))) * rules.Time(time.Millisecond)
 	text, _ := f.value("records")
 	for len(text) > 0 {
 		var record []byte
@@ -31,7 +31,7 @@
 		if known {
 			b.Records = append(b.Records, r)
 		} else {
-			b.Unknown++
+			b.UnknownReplicas++
 		}
 	}
 	return b
@@ -51,19 +51,19 @@
 	}
 	var validTries, validDropped, validTook bool
 	r.Report = noReport
-	r.Tries, validTries = parseInteger(parts[1], math.MaxInt32)
-	r.Dropped, validDropped = parseInteger(parts[2], r.Tries)
-	r.Took, validTook = f.parseMilliseconds(parts[3])
+	r.Attempts, validTries = parseInteger(parts[1], math.MaxInt32)
+	r.Dropped, validDropped = parseInteger(parts[2], r.Attempts)
+	r.MeanLatency, validTook = f.parseMilliseconds(parts[3])
 	validLoad := true
 	if len(parts) == recordPartsOfLoad {
 		var validUtil, validInFlight, validHeard bool
-		r.Report.Util, validUtil = parseFloat(parts[4])
+		r.Report.Utilization, validUtil = parseFloat(parts[4])
 		r.Report.InFlight, validInFlight = parseFloat(parts[5])
-		r.Heard, validHeard = f.parseMilliseconds(parts[6])
+		r.ReportAge, validHeard = f.parseMilliseconds(parts[6])
 		validLoad = validUtil && validInFlight && validHeard
 	}
 	r.Replica, known = c.replica(parts[0])
-	return r, known, r.Tries > 0 && validTries && validDropped && validTook && validLoad
+	return r, known, r.Attempts > 0 && validTries && validDropped && validTook && validLoad
 }
 
 // splitRecord splits a record at its colons into the buffer and reports whether it has a valid number of parts.
--- a/internal/clients/codec_test.go
+++ b/internal/clients/codec_test.go
@@ -66,13 +66,13 @@
 			words = append(words, []byte(w))
 		}
 		switch m := c.decode(words).(type) {
-		case rules.Sums:
-			if m.Dropped > m.Tries || m.Over <= 0 || m.Over > time.Minute || m.Took < 0 {
+		case rules.EndpointStats:
+			if m.Dropped > m.Attempts || m.Window <= 0 || m.Window > time.Minute || m.MeanLatency < 0 {
 				t.Errorf("%+v", m)
 			}
 		case *intake.Batch:
 			for _, r := range m.Records {
-				if r.Tries <= 0 || r.Dropped < 0 || r.Dropped > r.Tries || r.Took < 0 || r.Took > time.Minute || r.Heard < 0 || int(r.Replica) > 9 {
+				if r.Attempts <= 0 || r.Dropped < 0 || r.Dropped > r.Attempts || r.MeanLatency < 0 || r.MeanLatency > time.Minute || r.ReportAge < 0 || int(r.Replica) > 9 {
 					t.Errorf("%+v", r)
 				}
 			}
--- a/internal/clients/decode.go
+++ b/internal/clients/decode.go
@@ -64,7 +64,7 @@
 		return rules.Applied{
 			Proxy:   c.proxy(f),
 			Version: uint16(f.integer("version", math.MaxUint16)),
-			Took:    f.duration("lag_ms"),
+			Delay:   f.duration("lag_ms"),
 		}
 	case "upstream_stats":
 		return c.decodeSums(f)
@@ -82,16 +82,16 @@
 	f.require("sidecar")
 	fresh := f.integer("standing", 1) == 1
 	return rules.Joined{
-		Proxy:  c.proxy(f),
-		Zone:   rules.ZoneID(f.index("az", c.zones)),
-		Rate:   f.float("share"),
-		Fresh:  fresh,
-		Unsure: !fresh && c.ordersPairEjections,
+		Proxy:            c.proxy(f),
+		Zone:             rules.ZoneID(f.index("az", c.zones)),
+		FlowRate:         f.float("share"),
+		Fresh:            fresh,
+		MayHoldEjections: !fresh && c.ordersPairEjections,
 	}
 }
 
 // decodeSums reads what the proxies of a zone have met at a replica.
-func (c *codec) decodeSums(f *fields) rules.Sums {
+func (c *codec) decodeSums(f *fields) rules.EndpointStats {
 	f.require("host", "n", "bad", "window")
 	zone := f.index("az", c.zones)
 	host, _ := f.value("host")
@@ -99,30 +99,30 @@
 	if !known {
 		f.fail("host")
 	}
-	sums := rules.Sums{
-		Replica: replica,
-		Zone:    rules.ZoneID(zone),
-		Over:    f.positiveDuration("window"),
-		Report:  f.report("report"),
-		Took:    f.duration("avg"),
-		Tries:   f.integer("n", math.MaxInt32),
-		Dropped: f.integer("bad", math.MaxInt32),
+	sums := rules.EndpointStats{
+		Replica:     replica,
+		Zone:        rules.ZoneID(zone),
+		Window:      f.positiveDuration("window"),
+		Report:      f.report("report"),
+		MeanLatency: f.duration("avg"),
+		Attempts:    f.integer("n", math.MaxInt32),
+		Dropped:     f.integer("bad", math.MaxInt32),
 	}
-	if sums.Dropped > sums.Tries {
+	if sums.Dropped > sums.Attempts {
 		f.fail("bad")
-	} else if sums.Dropped < sums.Tries {
+	} else if sums.Dropped < sums.Attempts {
 		f.require("avg")
 	}
 	return sums
 }
 
 // decodeUsage reads the flows that a proxy has taken in. More may be dropped than have come, as they may have come before.
-func (c *codec) decodeUsage(f *fields) rules.Intake {
+func (c *codec) decodeUsage(f *fields) rules.GroupTraffic {
 	f.require("sidecar", "n", "bad", "window")
-	return rules.Intake{
+	return rules.GroupTraffic{
 		Proxy:   c.proxy(f),
 		Group:   rules.GroupID(f.index("kind", c.groups)),
-		Over:    f.positiveDuration("window"),
+		Window:  f.positiveDuration("window"),
 		Flows:   f.integer("n", math.MaxInt32),
 		Dropped: f.integer("bad", math.MaxInt32),
 	}
@@ -133,7 +133,7 @@
 }
 
 // report reads a load report. Unknown figures are ignored.
-func (f *fields) report(name string) rules.Report {
+func (f *fields) report(name string) rules.LoadReport {
 	r := noReport
 	text, _ := f.value(name)
 	for len(text) > 0 {
@@ -154,5 +154,5 @@
 
 var (
 	comma, colon = []byte(","), []byte(":")
-	noReport     = rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
+	noReport     = rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
 )
--- a/internal/clients/encode.go
+++ b/internal/clients/encode.go
@@ -15,7 +15,7 @@
 	weights        []weight
 	level          *rules.Admit
 	eject, restore []rules.ReplicaID
-	mark           *rules.Mark
+	mark           *rules.AckRequest
 	continued      bool // by another part of the message
 }
 
--- a/internal/clients/handle.go
+++ b/internal/clients/handle.go
@@ -35,12 +35,12 @@
 		if c.role != roleStream || m.Proxy != c.proxy || !c.awaits(m.Version) {
 			return invalidMessage{cause: unexpectedMessage.cause, isAcknowledgement: true}
 		}
-	case rules.Intake:
+	case rules.GroupTraffic:
 		if c.role == roleUnidentified || c.role == roleStream && m.Proxy != c.proxy {
 			return unexpectedMessage
 		}
 		return c.postReport(eventqueue.Event{Fact: m}, m)
-	case rules.Sums:
+	case rules.EndpointStats:
 		if c.role != roleCollector {
 			return unexpectedMessage
 		}
@@ -89,7 +89,7 @@
 		if m.isAcknowledgement {
 			c.unacknowledged = c.unacknowledged[min(1, len(c.unacknowledged)):]
 		}
-	case rules.Sums, rules.Intake, *intake.Batch:
+	case rules.EndpointStats, rules.GroupTraffic, *intake.Batch:
 		c.lastUsefulAt = time.Now()
 	}
 	if len(c.unacknowledged) > 0 {
--- a/internal/clients/publication.go
+++ b/internal/clients/publication.go
@@ -2,7 +2,7 @@
 
 // sendChanges sends each proxy what the step has changed for it. Proxies that get the same share the bytes.
 func (s *routingState) sendChanges(c *codec) {
-	toAll := s.mark != nil && s.mark.ToAll
+	toAll := s.mark != nil && s.mark.AllProxies
 	for _, id := range s.order {
 		proxy := s.proxies[id]
 		if !toAll && s.isUnchanged(proxy) {
@@ -74,7 +74,7 @@
 	if changes := s.ejectionChanges(proxy, parts); changes.lineCount() > 0 {
 		parts = append(parts, changes)
 	}
-	if s.mark == nil || len(parts) == 0 && !s.mark.ToAll {
+	if s.mark == nil || len(parts) == 0 && !s.mark.AllProxies {
 		return parts
 	}
 	if len(parts) == 0 {
--- a/internal/clients/routingstate.go
+++ b/internal/clients/routingstate.go
@@ -17,7 +17,7 @@
 	withdrawn map[rules.ReplicaID]bool // from all proxies
 
 	// Changes of the current step.
-	mark               *rules.Mark // the version to acknowledge
+	mark               *rules.AckRequest // the version to acknowledge
 	withdrawalsChanged bool
 
 	// Caches and buffers of sendChanges.
@@ -66,7 +66,7 @@
 // addProxy adds a proxy that has joined by a connection, in place of any earlier state of it.
 func (s *routingState) addProxy(j rules.Joined, c *conn) {
 	proxy := &proxyState{conn: c, table: map[rules.GroupID]rules.TableID{}}
-	if j.Unsure {
+	if j.MayHoldEjections {
 		proxy.seen = map[rules.ReplicaID]bool{}
 	}
 	s.proxies[j.Proxy] = proxy
@@ -107,7 +107,7 @@
 // apply applies an order and notes what it changes.
 func (s *routingState) apply(order rules.Order) {
 	switch order := order.(type) {
-	case rules.Line:
+	case rules.EndpointWeight:
 		s.table(order.Table).setWeight(order.Replica, order.Weight)
 	case rules.ClearTable:
 		s.table(order.Table).clear()
@@ -122,9 +122,9 @@
 	case rules.Withdraw:
 		s.withdrawalsChanged = true
 		setMember(s.withdrawn, order.Replica, order.Out)
-	case rules.Shun:
+	case rules.PairEjection:
 		s.eject(order)
-	case rules.Mark:
+	case rules.AckRequest:
 		s.mark = &order
 	}
 }
@@ -156,7 +156,7 @@
 }
 
 // eject changes the ejections of one proxy.
-func (s *routingState) eject(order rules.Shun) {
+func (s *routingState) eject(order rules.PairEjection) {
 	proxy := s.proxies[order.Proxy]
 	if proxy == nil {
 		return
@@ -165,7 +165,7 @@
 		proxy.ejections = map[rules.ReplicaID]bool{}
 	}
 	proxy.ejectionsChanged = true
-	setMember(proxy.ejections, order.Replica, order.Out)
+	setMember(proxy.ejections, order.Replica, order.Ejected)
 }
 
 // setMember adds a replica to a set, or removes it.
--- a/internal/clients/routingstate_test.go
+++ b/internal/clients/routingstate_test.go
@@ -7,10 +7,10 @@
 	"zincloft.example/zincloft/rules"
 )
 
-func mark(version uint16) rules.Mark { return rules.Mark{Version: version} }
+func mark(version uint16) rules.AckRequest { return rules.AckRequest{Version: version} }
 
-func set(table rules.TableID, r rules.ReplicaID, weight float64) rules.Line {
-	return rules.Line{Table: table, Replica: r, Weight: weight}
+func set(table rules.TableID, r rules.ReplicaID, weight float64) rules.EndpointWeight {
+	return rules.EndpointWeight{Table: table, Replica: r, Weight: weight}
 }
 
 func bind(p rules.ProxyID, t rules.TableID, groups rules.GroupSet) rules.Bind {
@@ -23,7 +23,7 @@
 		a := p.dial("a", "attach sidecar 0 az a share 2 standing 1")
 		p.dial("b", "attach sidecar 1 az b share 2 standing 1")
 		p.note("levels that differ stand in parts of their own; a proxy that is not bound is told nothing")
-		p.order(set(0, 1, 60), set(0, 2, 40), rules.Admit{Table: 0, Groups: 3, Level: 1, Retry: rules.RetryUnrun},
+		p.order(set(0, 1, 60), set(0, 2, 40), rules.Admit{Table: 0, Groups: 3, Level: 1, Retry: rules.RetryUnprocessed},
 			rules.Admit{Table: 0, Groups: 4, Level: 0.5, Retry: rules.RetryNever}, bind(0, 0, 0), mark(1))
 		p.say(a, "done sidecar 0 version 1 lag_ms 310.4")
 		p.note("what is bound in a Step gets the table as it stands at its end, the others its changes")
@@ -35,7 +35,7 @@
 		p.note("the lower of two levels holds")
 		p.order(rules.Admit{Table: rules.AllTables, Level: 0.6, Retry: rules.RetryNever}, mark(5))
 		p.note("a mark for all, and none for those that are told nothing")
-		p.order(rules.Mark{Version: 6, ToAll: true})
+		p.order(rules.AckRequest{Version: 6, AllProxies: true})
 		p.order(mark(7))
 	})
 }
@@ -64,15 +64,15 @@
 	run(t, func(p *play) {
 		p.dial("a", "attach sidecar 1 az a share 2 standing 1")
 		p.dial("b", "attach sidecar 2 az a share 2 standing 1")
-		p.order(rules.Line{Table: 0, Replica: 1, Weight: 50}, rules.Line{Table: 0, Replica: 2, Weight: 50},
-			rules.Bind{Proxy: 1, Table: 0}, rules.Bind{Proxy: 2, Table: 0}, rules.Mark{Version: 1})
+		p.order(rules.EndpointWeight{Table: 0, Replica: 1, Weight: 50}, rules.EndpointWeight{Table: 0, Replica: 2, Weight: 50},
+			rules.Bind{Proxy: 1, Table: 0}, rules.Bind{Proxy: 2, Table: 0}, rules.AckRequest{Version: 1})
 		p.note("one alone")
-		p.order(rules.Shun{Proxy: 1, Replica: 2, Out: true}, rules.Mark{Version: 2})
+		p.order(rules.PairEjection{Proxy: 1, Replica: 2, Ejected: true}, rules.AckRequest{Version: 2})
 		p.note("all, and then not all: the one still does")
-		p.order(rules.Withdraw{Replica: 2, Out: true}, rules.Mark{Version: 3})
-		p.order(rules.Withdraw{Replica: 2}, rules.Mark{Version: 4})
+		p.order(rules.Withdraw{Replica: 2, Out: true}, rules.AckRequest{Version: 3})
+		p.order(rules.Withdraw{Replica: 2}, rules.AckRequest{Version: 4})
 		p.note("a line that changes goes to both")
-		p.order(rules.Line{Table: 0, Replica: 2, Weight: 20}, rules.Mark{Version: 5})
-		p.order(rules.Shun{Proxy: 1, Replica: 2}, rules.Mark{Version: 6})
+		p.order(rules.EndpointWeight{Table: 0, Replica: 2, Weight: 20}, rules.AckRequest{Version: 5})
+		p.order(rules.PairEjection{Proxy: 1, Replica: 2}, rules.AckRequest{Version: 6})
 	})
 }
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -206,7 +206,7 @@
 	case rules.Applied:
 		proxy := s.proxies[fact.Proxy]
 		return proxy != nil && proxy.conn == c
-	case rules.Intake:
+	case rules.GroupTraffic:
 		return s.proxies[fact.Proxy] != nil
 	}
 	return true
--- a/internal/collectd/server.go
+++ b/internal/collectd/server.go
@@ -20,7 +20,7 @@
 
 // Mapping maps one value of a list to a figure of a replica: value*Scale + Offset.
 type Mapping struct {
-	Figure         intake.Figure
+	Figure         intake.LoadMetric
 	Plugin         string
 	PluginInstance string // "": any
 	Type           string
@@ -112,7 +112,7 @@
 		s.counts.Add(skippedPackets, "over the pace")
 		return
 	}
-	var loads []intake.Load
+	var loads []intake.MachineLoad
 	err := s.parser.Parse(b, func(v *Values) { loads = s.appendLoads(loads, v) })
 	if err != nil {
 		s.counts.Add(skippedPackets, causeOf(err))
@@ -133,7 +133,7 @@
 }
 
 // appendLoads adds the figures that a list of values gives. Hosts and values that map to nothing leave no trace but a count.
-func (s *Server) appendLoads(loads []intake.Load, v *Values) []intake.Load {
+func (s *Server) appendLoads(loads []intake.MachineLoad, v *Values) []intake.MachineLoad {
 	for i := range s.options.Mappings {
 		mapping := &s.options.Mappings[i]
 		if !mapping.matches(v) {
@@ -162,15 +162,15 @@
 }
 
 // load returns the mapped value as a load report of a replica.
-func (m *Mapping) load(replica rules.ReplicaID, v *Values) intake.Load {
-	l := intake.Load{
-		Replica: replica,
-		Figure:  m.Figure,
-		Kind:    v.Kinds[m.Value],
-		Over:    v.Interval,
-		Scale:   m.Scale,
-		Offset:  m.Offset,
-		At:      rules.Time(v.Time.UnixNano()),
+func (m *Mapping) load(replica rules.ReplicaID, v *Values) intake.MachineLoad {
+	l := intake.MachineLoad{
+		Replica:    replica,
+		Metric:     m.Figure,
+		Kind:       v.Kinds[m.Value],
+		Interval:   v.Interval,
+		Scale:      m.Scale,
+		Offset:     m.Offset,
+		MeasuredAt: rules.Time(v.Time.UnixNano()),
 	}
 	if l.Kind == intake.Gauge {
 		l.Value = v.Gauge(m.Value)
--- a/internal/collectd/server_test.go
+++ b/internal/collectd/server_test.go
@@ -23,7 +23,7 @@
 )
 
 // inbox knows web-1 and keeps what it is offered.
-type inbox struct{ loads []intake.Load }
+type inbox struct{ loads []intake.MachineLoad }
 
 func (*inbox) ID(name []byte) (rules.ReplicaID, bool) { return 1, string(name) == "web-1" }
 
@@ -36,7 +36,7 @@
 func options() Options {
 	return Options{AllowedSources: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8"), netip.MustParsePrefix("::1/128")}, PacketsPerSecond: 50,
 		ReplicaByHost: map[string]string{"w1.example": "web-1"}, Mappings: []Mapping{
-			{Figure: intake.Util, Plugin: "cpu", Type: "percent", TypeInstance: "idle", Scale: -0.01, Offset: 1},
+			{Figure: intake.Utilization, Plugin: "cpu", Type: "percent", TypeInstance: "idle", Scale: -0.01, Offset: 1},
 			{Figure: intake.InFlight, Plugin: "http", Type: "requests", Value: 1, Scale: 1}}}
 }
 
@@ -54,7 +54,7 @@
 	s.HandlePacket(from("[::ffff:127.0.0.1]:1"), one("w1.example"), now)
 	s.HandlePacket(from("127.0.0.1:1"), one("elsewhere"), now)
 	s.HandlePacket(from("10.0.0.1:1"), one("web-1"), now)
-	if len(x.loads) != 4 || x.loads[0].Replica != 1 || x.loads[0].Figure != intake.Util || x.loads[0].Value != 40 || x.loads[1].Value != 12 {
+	if len(x.loads) != 4 || x.loads[0].Replica != 1 || x.loads[0].Metric != intake.Utilization || x.loads[0].Value != 40 || x.loads[1].Value != 12 {
 		t.Fatalf("%+v", x.loads)
 	}
 	for range 1000 {
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard := make(chan intake.Load, 10)
+	heard := make(chan intake.MachineLoad, 10)
 	s := New(options(), loadChannel(heard), &counts.Counter{})
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -93,7 +93,7 @@
 			t.Fatal(err)
 		}
 	}
-	if l := <-heard; l.Value != 40 || l.At != 5*rules.Time(time.Second) {
+	if l := <-heard; l.Value != 40 || l.MeasuredAt != 5*rules.Time(time.Second) {
 		t.Errorf("%+v", l)
 	}
 	stop()
@@ -107,7 +107,7 @@
 }
 
 // loadChannel knows any host and hands over the first load of each event.
-type loadChannel chan intake.Load
+type loadChannel chan intake.MachineLoad
 
 func (loadChannel) ID([]byte) (rules.ReplicaID, bool) { return 1, true }
 
@@ -163,14 +163,14 @@
 	o.MinLevel, o.PasswordOf = SecuritySign, password
 	o.Mappings = []Mapping{{Figure: intake.InFlight, Plugin: "cpu", PluginInstance: "0", Type: "percent", Scale: 1}}
 	s := New(o, x, &counts.Counter{})
-	in := intake.New(intake.Settings{Period: time.Second, Budget: 10, HalfLife: time.Second, MostAge: 10 * time.Second, Pairs: 1})
+	in := intake.New(intake.Settings{Period: time.Second, Budget: 10, HalfLife: time.Second, MaxAge: 10 * time.Second, MaxPairs: 1})
 	packet := protectedPacket(t, SecuritySign, "web", "secret")
 	var got []intake.Cause
 	for _, at := range []int64{1_700_000_001, 1_700_000_002, 1_700_003_600} {
 		x.loads = nil
 		s.HandlePacket(from("127.0.0.1:1"), packet, time.Unix(at, 0))
 		for _, l := range x.loads {
-			got = append(got, in.Load(rules.Time(at)*rules.Time(time.Second), l))
+			got = append(got, in.AddLoad(rules.Time(at)*rules.Time(time.Second), l))
 		}
 	}
 	if want := []intake.Cause{intake.Kept, intake.Repeated, intake.TooOld}; !slices.Equal(got, want) {
--- a/internal/compatibility/disk_test.go
+++ b/internal/compatibility/disk_test.go
@@ -121,12 +121,12 @@
 }
 
 // governorState is what the kept governor's store holds: two replicas in the order of their names.
-func governorState() recovery.Kept {
-	k := filled(reflect.TypeFor[recovery.Kept]()).Interface().(recovery.Kept)
+func governorState() recovery.State {
+	k := filled(reflect.TypeFor[recovery.State]()).Interface().(recovery.State)
 	k.Replicas[0].Name, k.Replicas[1].Name = "a", "b"
 	for i := range k.Replicas { // the number is kept once, and trust is worked out anew
 		r := &k.Replicas[i]
-		r.Learnt.Replica, r.Learnt.Trust = r.Entry.Replica, 0
+		r.Learned.Replica, r.Learned.Trust = r.Entry.Replica, 0
 	}
 	return k
 }
--- a/internal/compatibility/encoding_test.go
+++ b/internal/compatibility/encoding_test.go
@@ -111,7 +111,7 @@
 	{"calls/core.describe", inJSON, reflect.TypeFor[coordinator.Status]()},
 	{"exports/instance", inJSON, reflect.TypeFor[registry.Instance]()},
 	{"exports/view", inJSON, reflect.TypeFor[membership.View]()},
-	{"exports/governor-state", inJSON, reflect.TypeFor[recovery.Kept]()},
+	{"exports/governor-state", inJSON, reflect.TypeFor[recovery.State]()},
 
 	// Files of experiments and of simulated days.
 	{"files/experiment-row", inJSON, reflect.TypeFor[experiment.Row]()},
--- a/internal/config/bounds.go
+++ b/internal/config/bounds.go
@@ -44,7 +44,7 @@
 // deriveBounds derives the bounds from the limits of the machine, the site's settings, and the number of descriptors that
 // are open already.
 func deriveBounds(limits Limits, s rules.Settings, openDescriptors int) Bounds {
-	slowestAcknowledgement := channelSlowdown * s.LineCap / s.LinePace * float64(time.Second)
+	slowestAcknowledgement := channelSlowdown * s.EntryCapacity / s.EntryRate * float64(time.Second)
 	memory := limits.MemoryMB << 20
 	return Bounds{
 		QueueLength:          4096,
@@ -55,7 +55,7 @@
 		MaxReportedTime:      reportedPeriods * s.Period,
 		JoinTimeout:          1500 * time.Millisecond,
 		MinEvictionAge:       20 * time.Millisecond,
-		AcknowledgeTimeout:   time.Duration(slowestAcknowledgement) + s.TravelMost,
+		AcknowledgeTimeout:   time.Duration(slowestAcknowledgement) + s.MaxMessageDelay,
 		MaxCollectorsPerZone: 4,
 		CollectorIdleTimeout: collectorIdlePeriods * s.Period,
 		MaxUnsentBytes:       int(min(1<<20, memory/64)),
@@ -64,7 +64,7 @@
 		AcceptRetryDelay:     50 * time.Millisecond,
 		CountLogInterval:     10 * time.Second,
 		LateTimerThreshold:   50 * time.Millisecond,
-		DiscoveryWait:        min(max(s.AskWithin/2, time.Second), time.Minute),
+		DiscoveryWait:        min(max(s.ListRequestDeadline/2, time.Second), time.Minute),
 		DiscoveryCallMargin:  1500 * time.Millisecond,
 		MaxDiscoveryBytes:    min(16<<20, memory/8),
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -53,10 +53,10 @@
 					{Name: "look", LatencyBudget: time.Second, Expiry: 3 * time.Second, Utility: 3, Effect: rules.Retriable},
 					{Name: "edit", LatencyBudget: 2 * time.Second, Expiry: 5 * time.Second, Effect: rules.Deduped, DedupedByAll: true,
 						Window: 5 * time.Second, Writes: true}},
-				Governors: 2, Proxies: 8, Zone: 1, Zones: 2, ListOnRequest: true, Period: time.Second, LinePace: 1000, LineCap: 2000,
-				HeadLines: 6, MessageCap: 20, TravelMost: 400 * time.Millisecond, MessageSpan: 10 * time.Second,
-				BareMost: 5 * time.Second, DrainGrace: 3 * time.Second, AskWithin: 10 * time.Second, WarmAfter: 18 * time.Second,
-				ColdFrom: 0.2, FallMultiple: 4, FallAfter: 2 * time.Second, LinksLeast: 70, LinkIdle: 15 * time.Second}}}
+				Governors: 2, Proxies: 8, Zone: 1, Zones: 2, ListOnRequest: true, Period: time.Second, EntryRate: 1000, EntryCapacity: 2000,
+				MessageEntries: 6, MessageLimit: 20, MaxMessageDelay: 400 * time.Millisecond, MessageSpan: 10 * time.Second,
+				MaxUnboundTime: 5 * time.Second, DrainGrace: 3 * time.Second, ListRequestDeadline: 10 * time.Second, WarmupTime: 18 * time.Second,
+				ColdCapacity: 0.2, OverloadMultiple: 4, OverloadTime: 2 * time.Second, MinConnections: 70, ConnectionIdleTimeout: 15 * time.Second}}}
 	want.Bounds = deriveBounds(want.Limits, want.Settings.Settings, openDescriptors())
 	if want.Operator, err = ReadOperator(""); err != nil {
 		t.Fatal(err)
--- a/internal/config/derived.go
+++ b/internal/config/derived.go
@@ -36,14 +36,14 @@
 		recordsPerSecond = float64(o.RecordsPerSecond)
 	}
 	return intake.Settings{
-		Seed:     c.Seed,
-		Period:   s.Period,
-		Budget:   max(int(recordsPerSecond*s.Period.Seconds()), 4),
-		HalfLife: o.HalfLife,
-		MostAge:  o.MaxAge,
-		Pairs:    cmp.Or(o.MaxPairs, int(c.intakeBytes()/keptPairBytes)),
-		Zones:    s.Zones,
-		MakeSums: o.Reports == ReportsSums,
+		Seed:      c.Seed,
+		Period:    s.Period,
+		Budget:    max(int(recordsPerSecond*s.Period.Seconds()), 4),
+		HalfLife:  o.HalfLife,
+		MaxAge:    o.MaxAge,
+		MaxPairs:  cmp.Or(o.MaxPairs, int(c.intakeBytes()/keptPairBytes)),
+		Zones:     s.Zones,
+		MakeStats: o.Reports == ReportsSums,
 	}
 }
 
@@ -106,7 +106,7 @@
 sync = %q
 half_life = %q
 most_age = %q
-`, o.Reports, int(float64(in.Budget)/in.Period.Seconds()), o.HalfLife, o.MaxAge, in.Pairs, cmp.Or(o.StreamBytesPerSecond, defaultStreamBytes),
+`, o.Reports, int(float64(in.Budget)/in.Period.Seconds()), o.HalfLife, o.MaxAge, in.MaxPairs, cmp.Or(o.StreamBytesPerSecond, defaultStreamBytes),
 		g.Address, g.Prefix, g.Interval, g.MaxQueuedPoints, d.Listen, d.AllowedSources, securityName(d.Security), d.UsersFile, d.PacketsPerSecond, len(d.ReplicaByHost), len(d.Mappings), st.Dir, st.SyncInterval, st.HalfLife, st.MaxAge)
 }
 
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	got := c.IntakeSettings()
-	if got.Budget != 49152 || got.Pairs != 49152 || !got.MakeSums || got.HalfLife != time.Second || got.Seed != 5 {
+	if got.Budget != 49152 || got.MaxPairs != 49152 || !got.MakeStats || got.HalfLife != time.Second || got.Seed != 5 {
 		t.Errorf("%+v", got)
 	}
 	c.Limits.Cores, c.Settings.Period = 0.1, 2*time.Second
@@ -107,7 +107,7 @@
 		t.Errorf("a tenth of a core: %+v", got)
 	}
 	c.Operator.Intake.RecordsPerSecond, c.Operator.Intake.MaxPairs = 100, 7
-	if got := c.IntakeSettings(); got.Budget != 200 || got.Pairs != 7 {
+	if got := c.IntakeSettings(); got.Budget != 200 || got.MaxPairs != 7 {
 		t.Errorf("set: %+v", got)
 	}
 	if got := c.StreamBytesPerSecond(); got != 64<<10 {
@@ -143,7 +143,7 @@
 	}
 	want := CollectdOptions{Listen: "127.0.0.1:25826", AllowedSources: []netip.Prefix{netip.MustParsePrefix("10.1.2.3/32"), netip.MustParsePrefix("10.2.0.0/16")},
 		PacketsPerSecond: 2000, ReplicaByHost: map[string]string{"web-1.example": "s-1"}, Mappings: []collectd.Mapping{
-			{Figure: intake.Util, Plugin: "cpu", Type: "percent", TypeInstance: "idle", Scale: -0.01, Offset: 1},
+			{Figure: intake.Utilization, Plugin: "cpu", Type: "percent", TypeInstance: "idle", Scale: -0.01, Offset: 1},
 			{Figure: intake.LatencyMS, Plugin: "http", Type: "response_time", Value: 2, Scale: 1}}}
 	if d := cmp.Diff(want, o.Collectd, cmp.Comparer(func(a, b netip.Prefix) bool { return a == b })); d != "" {
 		t.Error(d)
--- a/internal/config/operatorfile.go
+++ b/internal/config/operatorfile.go
@@ -77,7 +77,7 @@
 }
 
 var (
-	figureNames    = map[string]intake.Figure{"util": intake.Util, "inflight": intake.InFlight, "latency_ms": intake.LatencyMS}
+	figureNames    = map[string]intake.LoadMetric{"util": intake.Utilization, "inflight": intake.InFlight, "latency_ms": intake.LatencyMS}
 	securityLevels = map[string]collectd.SecurityLevel{"none": collectd.SecurityNone, "sign": collectd.SecuritySign, "encrypt": collectd.SecurityEncrypt}
 )
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -147,31 +147,31 @@
 func (f *settingsFile) rulesSettings() rules.Settings {
 	family, guarantees := &f.FamilyInfo, &f.Guarantees
 	s := rules.Settings{
-		Governors:     f.Balancers,
-		Proxies:       family.DataPlane,
-		Zone:          rules.ZoneID(f.MyZone),
-		Zones:         len(f.Zones),
-		Slices:        family.Slices,
-		ListOnRequest: f.listOnRequest(),
-		ProbesAllowed: f.Permissions.Probing,
-		Period:        *family.Interval,
-		LinePace:      *family.LinesPerS,
-		LineCap:       *family.QueueCap,
-		HeadLines:     *family.PerMessage,
-		MessageCap:    family.UpdateCap,
-		MessageSpan:   *family.ReloadSpan,
-		TravelMost:    family.PushDelayMax,
-		FirstWait:     family.FirstWait,
-		FailsToAvoid:  family.FailsToEject,
-		LinksLeast:    family.LinksLeast,
-		LinkIdle:      f.Permissions.LinkIdle,
-		BareMost:      *family.Bare,
-		DrainGrace:    *guarantees.StopSendingWithin,
-		AskWithin:     *guarantees.AskWithin,
-		WarmAfter:     *guarantees.WarmAfter,
-		ColdFrom:      *guarantees.ColdFrom,
-		FallMultiple:  *guarantees.FallMultiple,
-		FallAfter:     *guarantees.OverloadFor,
+		Governors:             f.Balancers,
+		Proxies:               family.DataPlane,
+		Zone:                  rules.ZoneID(f.MyZone),
+		Zones:                 len(f.Zones),
+		Slices:                family.Slices,
+		ListOnRequest:         f.listOnRequest(),
+		ProbesAllowed:         f.Permissions.Probing,
+		Period:                *family.Interval,
+		EntryRate:             *family.LinesPerS,
+		EntryCapacity:         *family.QueueCap,
+		MessageEntries:        *family.PerMessage,
+		MessageLimit:          family.UpdateCap,
+		MessageSpan:           *family.ReloadSpan,
+		MaxMessageDelay:       family.PushDelayMax,
+		FirstAttemptBudgets:   family.FirstWait,
+		FailuresToAvoid:       family.FailsToEject,
+		MinConnections:        family.LinksLeast,
+		ConnectionIdleTimeout: f.Permissions.LinkIdle,
+		MaxUnboundTime:        *family.Bare,
+		DrainGrace:            *guarantees.StopSendingWithin,
+		ListRequestDeadline:   *guarantees.AskWithin,
+		WarmupTime:            *guarantees.WarmAfter,
+		ColdCapacity:          *guarantees.ColdFrom,
+		OverloadMultiple:      *guarantees.FallMultiple,
+		OverloadTime:          *guarantees.OverloadFor,
 	}
 	switch family.LevelKind {
 	case "fraction":
@@ -209,10 +209,10 @@
 
 // SetLoadFigure sets a figure of a load report by its name, that of the settings or that of the protocol page. Unknown names
 // are ignored.
-func SetLoadFigure(r *rules.Report, name []byte, v float64) {
+func SetLoadFigure(r *rules.LoadReport, name []byte, v float64) {
 	switch string(name) {
 	case "cpu_share", "util":
-		r.Util = v
+		r.Utilization = v
 	case "busy_reqs", "inflight":
 		r.InFlight = v
 	case "svc_ms", "latency_ms":
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -49,7 +49,7 @@
 	timers    []timer // soonest first
 	governor  rules.Governor
 
-	intake           *intake.Intake // nil: reports are passed on as they come
+	intake           *intake.Aggregator // nil: reports are passed on as they come
 	intakeLoggedAt   time.Time
 	countsSinceLog   intake.Counts
 	countsSinceStart intake.Counts
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -30,8 +30,8 @@
 		Known: []byte(`{"version":1,"full":true,"servers":[{"id":"r1","zone":"a","state":"ready"},{"id":"r2","zone":"a","state":"ready"}]}`),
 		Settings: config.Settings{Zones: []string{"a"}, Tick: 4 * time.Millisecond, Settings: rules.Settings{
 			Groups:    []rules.TrafficGroup{{Name: "look", LatencyBudget: time.Second}, {Name: "edit", LatencyBudget: 2 * time.Second}},
-			Governors: 1, Proxies: 3, Zones: 1, Period: time.Second, LinePace: 1000, LineCap: 2000, HeadLines: 6,
-			MessageSpan: 10 * time.Second, MessageCap: 20, DrainGrace: 3 * time.Second, WarmAfter: 18 * time.Second, ColdFrom: 0.2}},
+			Governors: 1, Proxies: 3, Zones: 1, Period: time.Second, EntryRate: 1000, EntryCapacity: 2000, MessageEntries: 6,
+			MessageSpan: 10 * time.Second, MessageLimit: 20, DrainGrace: 3 * time.Second, WarmupTime: 18 * time.Second, ColdCapacity: 0.2}},
 		Bounds: config.Bounds{QueueLength: 100, MaxConnections: 10, MaxFirstMessageBytes: 1 << 10, MaxMessageBytes: 1 << 20, MaxMessageElements: 64, MaxCollectorsPerZone: 2,
 			MaxReportedTime: time.Minute, JoinTimeout: 10 * time.Second, AcknowledgeTimeout: time.Minute, MaxUnsentBytes: 1 << 20, MaxTotalUnsentBytes: 1 << 20, CountLogInterval: time.Hour, WriteTimeout: time.Second, LateTimerThreshold: 50 * time.Millisecond}}
 }
@@ -110,7 +110,7 @@
 			time.Sleep(late) // on the bubble's clock
 			go func() {
 				for i := range 4 {
-					d.queue.Post(eventqueue.Event{Fact: rules.Sums{Tries: i}})
+					d.queue.Post(eventqueue.Event{Fact: rules.EndpointStats{Attempts: i}})
 					time.Sleep(3 * time.Millisecond)
 				}
 			}()
@@ -177,7 +177,7 @@
 		go func() {
 			for !ended.Load() {
 				b := intake.NewBatch()
-				b.Proxy, b.Over, b.Records = 1, time.Second, append(b.Records, intake.Record{Replica: 0, Tries: 1})
+				b.Proxy, b.Window, b.Records = 1, time.Second, append(b.Records, intake.Record{Replica: 0, Attempts: 1})
 				d.queue.Post(eventqueue.Event{Connection: 1, Batch: b, ReceivedAt: time.Now()})
 			}
 		}()
@@ -185,7 +185,7 @@
 		d.queue.Post(eventqueue.Event{Fact: r(rules.Ready, rules.Draining)})
 		timer := time.NewTimer(time.Hour)
 		for _, o := range d.governor.Step(d.now(), d.nextFacts(t.Context(), timer)) {
-			if l, is := o.(rules.Line); is && l.Replica == 1 && l.Weight == 0 {
+			if l, is := o.(rules.EndpointWeight); is && l.Replica == 1 && l.Weight == 0 {
 				return
 			}
 		}
--- a/internal/daemon/fronts.go
+++ b/internal/daemon/fronts.go
@@ -66,10 +66,10 @@
 		return
 	}
 	s.At = now
-	d.governor.View(d.now(), &s.View)
+	d.governor.WriteView(d.now(), &s.View)
 	if s.HasIntake = d.intake != nil; s.HasIntake {
 		s.IntakeCounts = d.countsSinceStart
-		s.IntakeHeld.Records, s.IntakeHeld.Senders, s.IntakeHeld.Pairs = d.intake.Held()
+		s.IntakeHeld.Records, s.IntakeHeld.Senders, s.IntakeHeld.Pairs = d.intake.Sizes()
 	}
 	s.Duration = time.Since(now)
 	d.graphite.SubmitSnapshot(s)
--- a/internal/daemon/fronts_test.go
+++ b/internal/daemon/fronts_test.go
@@ -62,7 +62,7 @@
 	}
 	c.Operator.Graphite.Address, c.Operator.Graphite.Interval = g.Address(), 50*time.Millisecond
 	c.Operator.Collectd.Listen, c.Operator.Collectd.AllowedSources = address, []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}
-	c.Operator.Collectd.Mappings = []collectd.Mapping{{Figure: intake.Util, Plugin: "cpu", Type: "percent", Scale: 0.01}}
+	c.Operator.Collectd.Mappings = []collectd.Mapping{{Figure: intake.Utilization, Plugin: "cpu", Type: "percent", Scale: 0.01}}
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
 	d := New(c, zerolog.Nop())
@@ -98,8 +98,8 @@
 	for name, manner := range map[string]standin.ConnectionBehaviour{"alone": -1, "graphite reads": standin.ReadsLines, "graphite stalls": standin.StallsReading} {
 		b.Run(name, func(b *testing.B) {
 			c := conf()
-			c.Settings.Proxies, c.Settings.LinePace, c.Settings.LineCap = 200, 1e12, 1e12
-			c.Settings.MessageSpan, c.Settings.MessageCap = time.Millisecond, 0
+			c.Settings.Proxies, c.Settings.EntryRate, c.Settings.EntryCapacity = 200, 1e12, 1e12
+			c.Settings.MessageSpan, c.Settings.MessageLimit = time.Millisecond, 0
 			c.Operator, _ = config.ReadOperator("") // nothing is read
 			if manner >= 0 {
 				g, err := standin.ListenGraphite("127.0.0.1:0")
@@ -122,7 +122,7 @@
 			}
 			first := []rules.Event{rules.Start{Settings: c.Settings.Settings}, list}
 			for p := range 200 {
-				first = append(first, rules.Joined{Proxy: rules.ProxyID(p), Rate: 10, Fresh: true})
+				first = append(first, rules.Joined{Proxy: rules.ProxyID(p), FlowRate: 10, Fresh: true})
 			}
 			if err := d.step(first); err != nil {
 				b.Fatal(err)
@@ -131,7 +131,7 @@
 			views := 0
 			for b.Loop() {
 				p := rules.ProxyID(views % 200)
-				facts := []rules.Event{rules.Left{Proxy: p}, rules.Joined{Proxy: p, Rate: 10, Fresh: true}}
+				facts := []rules.Event{rules.Left{Proxy: p}, rules.Joined{Proxy: p, FlowRate: 10, Fresh: true}}
 				from := time.Now()
 				if err := d.step(facts); err != nil {
 					b.Fatal(err)
@@ -153,20 +153,20 @@
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
 			var g rules.Governor
 			s := conf().Settings.Settings
-			s.Proxies, s.LinePace, s.LineCap = 200, 60_000, 120_000
+			s.Proxies, s.EntryRate, s.EntryCapacity = 200, 60_000, 120_000
 			var list rules.List
 			for r := range replicas {
 				list.Entries = append(list.Entries, rules.Entry{Replica: rules.ReplicaID(r), State: rules.Ready, Listed: 1})
 			}
 			events := []rules.Event{rules.Start{Settings: s}, list}
 			for p := range 200 {
-				events = append(events, rules.Joined{Proxy: rules.ProxyID(p), Rate: 10, Fresh: true})
+				events = append(events, rules.Joined{Proxy: rules.ProxyID(p), FlowRate: 10, Fresh: true})
 			}
 			g.Step(0, events)
 			var v rules.View
 			b.ReportAllocs()
 			for b.Loop() {
-				g.View(1, &v)
+				g.WriteView(1, &v)
 			}
 		})
 	}
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -120,7 +120,7 @@
 // dueTimers removes the timers that are due and returns them as facts.
 func (d *Daemon) dueTimers() (facts []rules.Event) {
 	for now := d.now(); len(d.timers) > 0 && d.timers[0].at <= now; d.timers = d.timers[1:] {
-		facts = append(facts, rules.Wake{Mark: d.timers[0].id})
+		facts = append(facts, rules.Wake{TimerID: d.timers[0].id})
 	}
 	return facts
 }
--- a/internal/daemon/reports.go
+++ b/internal/daemon/reports.go
@@ -22,8 +22,8 @@
 			facts = append(facts, fact)
 		}
 	}
-	if d.intake.Due(now) {
-		facts = append(facts, d.intake.Cut(now)...)
+	if d.intake.FlushDue(now) {
+		facts = append(facts, d.intake.Flush(now)...)
 		d.logIntakeCounts()
 	}
 	return facts
@@ -35,8 +35,8 @@
 	case nil:
 		d.takeInReports(now, e)
 		return nil
-	case rules.Sums:
-		sums, counts := d.intake.Sums(now, d.rulesTime(e.ReceivedAt), fact)
+	case rules.EndpointStats:
+		sums, counts := d.intake.AdjustStats(now, d.rulesTime(e.ReceivedAt), fact)
 		if !counts {
 			return nil
 		}
@@ -52,13 +52,13 @@
 // takeInReports passes load reports and a batch of a proxy to the intake.
 func (d *Daemon) takeInReports(now rules.Time, e eventqueue.Event) {
 	for _, load := range e.Loads {
-		d.intake.Load(now, load)
+		d.intake.AddLoad(now, load)
 	}
 	if e.Batch == nil {
 		return
 	}
-	e.Batch.Read = d.rulesTime(e.ReceivedAt)
-	d.intake.Take(now, e.Batch)
+	e.Batch.ReceivedAt = d.rulesTime(e.ReceivedAt)
+	d.intake.AddBatch(now, e.Batch)
 	e.Batch.Free()
 }
 
@@ -77,7 +77,7 @@
 			line = line.Int(intake.Cause(i).String(), n)
 		}
 	}
-	records, senders, pairs := d.intake.Held()
+	records, senders, pairs := d.intake.Sizes()
 	line.Int("records held", records).Int("senders", senders).Int("pairs", pairs).Msg("intake")
 	d.intakeLoggedAt, d.countsSinceLog = time.Now(), intake.Counts{}
 }
--- a/internal/daemon/state.go
+++ b/internal/daemon/state.go
@@ -27,10 +27,10 @@
 		return nil, nil
 	}
 	d.entries = map[rules.ReplicaID]rules.Entry{}
-	settings := recovery.Settings{HalfLife: o.HalfLife, MostAge: o.MaxAge}
+	settings := recovery.Settings{HalfLife: o.HalfLife, MaxAge: o.MaxAge}
 	now := d.now()
-	plan := recovery.Weigh(now, kept, d.conf.Name, d.conf.Discovery, settings)
-	d.log.Info().Str("verdict", string(plan.Verdict)).Dur("age", plan.Age).Float64("trust", plan.Trust).Int("replicas", len(kept.Replicas)).Msg("state")
+	plan := recovery.NewPlan(now, kept, d.conf.Name, d.conf.Discovery, settings)
+	d.log.Info().Str("verdict", string(plan.Assessment)).Dur("age", plan.Age).Float64("trust", plan.Trust).Int("replicas", len(kept.Replicas)).Msg("state")
 	if len(plan.Events) > 0 {
 		d.discovery.Restore(kept)
 		d.recovery = recovery.Begin(now, kept, plan, settings)
@@ -55,12 +55,12 @@
 			passed = append(passed, fact)
 			continue
 		}
-		before, trust := d.recovery.Step(), d.recovery.Trust(d.now())
-		passed = append(passed, d.recovery.Hear(fact)...)
-		if step := d.recovery.Step(); step != before {
+		before, trust := d.recovery.Stage(), d.recovery.Trust(d.now())
+		passed = append(passed, d.recovery.Handle(fact)...)
+		if step := d.recovery.Stage(); step != before {
 			d.log.Info().Str("step", string(step)).Float64("trust", trust).Msg("recovery")
 		}
-		if d.recovery.Step() == recovery.Confirmed {
+		if d.recovery.Stage() == recovery.Confirmed {
 			d.recovery = nil
 		}
 	}
@@ -71,7 +71,7 @@
 	if list.Scope == rules.Failed {
 		return
 	}
-	if list.Scope == rules.Whole {
+	if list.Scope == rules.Full {
 		clear(d.entries)
 	}
 	for _, entry := range list.Entries {
@@ -95,22 +95,22 @@
 }
 
 // stateToSave returns what the next start can use.
-func (d *Daemon) stateToSave(version discoveryclient.Version, heard time.Time) recovery.Kept {
-	k := recovery.Kept{
-		Governor:  d.conf.Name,
-		Discovery: d.conf.Discovery,
-		Version:   uint64(version),
-		Heard:     d.rulesTime(heard),
-		Written:   d.now(),
-		Next:      d.discovery.Next(),
+func (d *Daemon) stateToSave(version discoveryclient.Version, heard time.Time) recovery.State {
+	k := recovery.State{
+		Governor:      d.conf.Name,
+		Discovery:     d.conf.Discovery,
+		Version:       uint64(version),
+		ConfirmedAt:   d.rulesTime(heard),
+		WrittenAt:     d.now(),
+		NextReplicaID: d.discovery.Next(),
 	}
 	learnt := map[rules.ReplicaID]rules.Recalled{}
-	for _, m := range d.governor.Memory(nil) {
+	for _, m := range d.governor.AppendRecalled(nil) {
 		learnt[m.Replica] = m
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
 		if name, known := d.discovery.Name(id); known {
-			k.Replicas = append(k.Replicas, recovery.Replica{Name: name, Entry: d.entries[id], Learnt: learnt[id]})
+			k.Replicas = append(k.Replicas, recovery.Replica{Name: name, Entry: d.entries[id], Learned: learnt[id]})
 		}
 	}
 	return k
--- a/internal/daemon/state_test.go
+++ b/internal/daemon/state_test.go
@@ -69,7 +69,7 @@
 			t.Fatal(err)
 		}
 		at := rules.Time(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano()) - rules.Time(time.Minute) // a bubble's clock begins there
-		if _, err := s.Write(recovery.Kept{Governor: governor, Discovery: "127.0.0.1:0", Version: 3, Heard: at, Written: at, Next: 9, Replicas: []recovery.Replica{
+		if _, err := s.Write(recovery.State{Governor: governor, Discovery: "127.0.0.1:0", Version: 3, ConfirmedAt: at, WrittenAt: at, NextReplicaID: 9, Replicas: []recovery.Replica{
 			{Name: "r7", Entry: rules.Entry{Replica: 7, State: rules.Ready, Listed: 1}}, {Name: "r8", Entry: rules.Entry{Replica: 8, State: rules.Ready, Listed: 1}}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -121,7 +121,7 @@
 	dir, copied := t.TempDir(), t.TempDir()
 	c := stateConf(dir)
 	c.Discovery, c.Operator.State.SyncInterval = strings.TrimPrefix(discovery.URL, "http://"), 100*time.Millisecond
-	c.Settings.ListOnRequest, c.Settings.AskWithin = true, 10*time.Second
+	c.Settings.ListOnRequest, c.Settings.ListRequestDeadline = true, 10*time.Second
 	c.Bounds.DiscoveryWait, c.Bounds.DiscoveryCallMargin, c.Bounds.MaxDiscoveryBytes = time.Second, time.Second, 1<<20
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
@@ -129,7 +129,7 @@
 	go func() {
 		done <- New(c, zerolog.Nop()).Run(ctx, func() (net.Listener, error) { return testkit.Listen(), nil }, nil, nil)
 	}()
-	var kept recovery.Kept
+	var kept recovery.State
 	for ; ctx.Err() == nil && kept.Version != 4; time.Sleep(20 * time.Millisecond) { // a file that is open can only be looked at as a copy
 		if b, err := os.ReadFile(store.Path(dir)); err == nil && os.WriteFile(store.Path(copied), b, 0o600) == nil {
 			kept, _ = store.Read(copied) // torn while it is written
@@ -140,7 +140,7 @@
 		t.Error(err)
 	}
 	kept, err := store.Read(dir)
-	if err != nil || len(kept.Replicas) != 1 || kept.Replicas[0].Name != "r5" || kept.Replicas[0].Entry.Listed != 2.5 || kept.Discovery != c.Discovery || kept.Heard == 0 {
+	if err != nil || len(kept.Replicas) != 1 || kept.Replicas[0].Name != "r5" || kept.Replicas[0].Entry.Listed != 2.5 || kept.Discovery != c.Discovery || kept.ConfirmedAt == 0 {
 		t.Errorf("%+v, %v", kept, err)
 	}
 }
@@ -152,7 +152,7 @@
 	d.startedAt = time.Now()
 	d.discovery = discoveryclient.New(b.Context(), c, zerolog.Nop(), func(rules.List) {})
 	d.entries = map[rules.ReplicaID]rules.Entry{}
-	kept := recovery.Kept{Next: 10_000}
+	kept := recovery.State{NextReplicaID: 10_000}
 	var l rules.List
 	for i := range 10_000 {
 		e := rules.Entry{Replica: rules.ReplicaID(i), State: rules.Ready, Listed: 1}
@@ -167,7 +167,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if k := d.stateToSave(1, time.Now()); len(k.Replicas) != 10_000 || k.Replicas[7].Learnt.Speed == 0 {
+		if k := d.stateToSave(1, time.Now()); len(k.Replicas) != 10_000 || k.Replicas[7].Learned.Speed == 0 {
 			b.Fatal(len(k.Replicas))
 		}
 	}
--- a/internal/daemon/step.go
+++ b/internal/daemon/step.go
@@ -29,7 +29,7 @@
 func (d *Daemon) execute(now rules.Time, order rules.Order) {
 	switch order := order.(type) {
 	case rules.WakeAfter:
-		d.timers = append(d.timers, timer{now + rules.Time(order.After), order.Mark})
+		d.timers = append(d.timers, timer{now + rules.Time(order.After), order.TimerID})
 		slices.SortStableFunc(d.timers, func(a, b timer) int { return cmp.Compare(a.at, b.at) })
 	case rules.Forget:
 		delete(d.entries, order.Replica)
--- a/internal/discoveryclient/answer.go
+++ b/internal/discoveryclient/answer.go
@@ -32,7 +32,7 @@
 	Started int64    `json:"started_ms"`
 }
 
-var stateByName = map[string]rules.State{"ready": rules.Ready, "draining": rules.Draining, "gone": rules.Gone}
+var stateByName = map[string]rules.State{"ready": rules.Ready, "draining": rules.Draining, "gone": rules.Deregistered}
 
 // decodeAnswer decodes an answer and validates all of it before any is used, so that an invalid one changes nothing.
 func decodeAnswer(text []byte) (answer, error) {
@@ -63,12 +63,12 @@
 func (c *Client) toRules(a answer) rules.List {
 	list := rules.List{Scope: rules.Changes}
 	if a.Full {
-		list.Scope = rules.Whole
+		list.Scope = rules.Full
 		c.unlistAll()
 	}
 	for _, s := range a.Servers {
 		e := rules.Entry{
-			Replica:   c.add(s.ID, stateByName[s.State] != rules.Gone),
+			Replica:   c.add(s.ID, stateByName[s.State] != rules.Deregistered),
 			Zone:      rules.ZoneID(indexOf(c.zones, s.Zone)),
 			Kind:      rules.KindID(indexOf(c.kinds, s.Kind)),
 			Cell:      rules.CellID(s.Cell),
--- a/internal/discoveryclient/client.go
+++ b/internal/discoveryclient/client.go
@@ -74,11 +74,11 @@
 
 // Restore takes over what the previous process has kept: the replicas' numbers, and the version whose changes are
 // requested.
-func (c *Client) Restore(state recovery.Kept) {
+func (c *Client) Restore(state recovery.State) {
 	for _, replica := range state.Replicas {
 		c.restore(replica.Name, replica.Entry.Replica)
 	}
-	c.reserve(state.Next)
+	c.reserve(state.NextReplicaID)
 	c.version, c.hasVersion = Version(state.Version), true
 }
 
--- a/internal/emulate/baseline.go
+++ b/internal/emulate/baseline.go
@@ -56,7 +56,7 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case rules.Start:
-			out = append(out, rules.Observe{On: true}, rules.WakeAfter{After: trueLate / 2, Mark: 1})
+			out = append(out, rules.Observe{On: true}, rules.WakeAfter{After: trueLate / 2, TimerID: 1})
 		case rules.List:
 			if e.Scope == rules.Failed {
 				out = append(out, rules.Observe{On: true})
@@ -67,12 +67,12 @@
 				}
 			}
 			out = b.write(now, out)
-		case rules.Sums:
-			if e.Report.Util >= 0 {
-				b.load[e.Replica] = e.Report.Util
+		case rules.EndpointStats:
+			if e.Report.Utilization >= 0 {
+				b.load[e.Replica] = e.Report.Utilization
 			}
 		case rules.Wake:
-			out = append(b.write(now, out), rules.WakeAfter{After: trueLate / 2, Mark: 1})
+			out = append(b.write(now, out), rules.WakeAfter{After: trueLate / 2, TimerID: 1})
 		case rules.Joined:
 			out = append(out, rules.Bind{Proxy: e.Proxy, Table: rules.TableID(int(e.Proxy) % b.tables())})
 		}
@@ -116,7 +116,7 @@
 	slices.Sort(ids)
 	for _, r := range slices.Compact(ids) {
 		if b.lines[t][r] != want[r] {
-			out = append(out, rules.Line{Table: t, Replica: r, Weight: want[r]})
+			out = append(out, rules.EndpointWeight{Table: t, Replica: r, Weight: want[r]})
 		}
 	}
 	b.lines[t] = want
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -69,7 +69,7 @@
 		if j, is := x.(rules.Joined); is {
 			if !e.bound {
 				for r := range e.replicas {
-					out = append(out, rules.Line{Replica: rules.ReplicaID(r), Weight: 1})
+					out = append(out, rules.EndpointWeight{Replica: rules.ReplicaID(r), Weight: 1})
 				}
 			}
 			e.bound = true
@@ -181,7 +181,7 @@
 	out := b.Governor.Step(now, events)
 	for i, o := range out {
 		switch o := o.(type) {
-		case rules.Line:
+		case rules.EndpointWeight:
 			switch {
 			case b.how == Bare:
 				o.Weight = 0
@@ -201,7 +201,7 @@
 	}
 	if b.how == Queue {
 		for r := range 40 {
-			out = append(out, rules.Line{Table: 0, Replica: rules.ReplicaID(r % 12), Weight: float64(now%1000) + 1})
+			out = append(out, rules.EndpointWeight{Table: 0, Replica: rules.ReplicaID(r % 12), Weight: float64(now%1000) + 1})
 		}
 	}
 	return out
@@ -259,7 +259,7 @@
 		world = w
 		return &spy{step: func(_ rules.Time, _ []rules.Event, orders []rules.Order) {
 			for _, o := range orders {
-				if s, is := o.(rules.Shun); is && s.Out {
+				if s, is := o.(rules.PairEjection); is && s.Ejected {
 					shuns++
 					if w.replicas[s.Replica].partial == 0 || w.proxies[s.Proxy].lot >= 0.1 {
 						wrong++
--- a/internal/emulate/fleet.go
+++ b/internal/emulate/fleet.go
@@ -179,10 +179,10 @@
 // Settings are what a governor of the fleet is told.
 func (f *Fleet) Settings() rules.Settings {
 	s := rules.Settings{
-		Governors: f.Governors, Proxies: f.Proxies, Zones: f.Zones, ListOnRequest: true, Period: f.Period, LinePace: f.Pace, LineCap: f.QueueCap,
-		HeadLines: f.Head, MessageCap: f.MessageCap, TravelMost: f.Travel, MessageSpan: f.MessageSec, FailsToAvoid: f.Fails, FirstWait: f.FirstWait,
-		LinksLeast: float64(f.Links), LinkIdle: f.LinkIdle, BareMost: f.BareMost, DrainGrace: f.DrainGrace, AskWithin: f.AskWithin,
-		WarmAfter: f.WarmAfter, ColdFrom: f.ColdFrom, FallMultiple: f.FallMultiple, FallAfter: f.FallAfter,
+		Governors: f.Governors, Proxies: f.Proxies, Zones: f.Zones, ListOnRequest: true, Period: f.Period, EntryRate: f.Pace, EntryCapacity: f.QueueCap,
+		MessageEntries: f.Head, MessageLimit: f.MessageCap, MaxMessageDelay: f.Travel, MessageSpan: f.MessageSec, FailuresToAvoid: f.Fails, FirstAttemptBudgets: f.FirstWait,
+		MinConnections: float64(f.Links), ConnectionIdleTimeout: f.LinkIdle, MaxUnboundTime: f.BareMost, DrainGrace: f.DrainGrace, ListRequestDeadline: f.AskWithin,
+		WarmupTime: f.WarmAfter, ColdCapacity: f.ColdFrom, OverloadMultiple: f.FallMultiple, OverloadTime: f.FallAfter,
 	}
 	if f.Levels {
 		s.Levels = rules.LevelShare
@@ -191,7 +191,7 @@
 	for _, k := range f.Kinds {
 		least = min(least, k.Cores)
 	}
-	s.LinksLeast *= float64(least)
+	s.MinConnections *= float64(least)
 	for _, g := range f.Groups {
 		e, _ := effect(g.Effect) // Check has seen it
 		s.Groups = append(s.Groups, rules.TrafficGroup{Name: g.Name, LatencyBudget: g.LatencyBudget, Expiry: g.Expiry, Utility: g.Utility,
--- a/internal/emulate/governor.go
+++ b/internal/emulate/governor.go
@@ -40,9 +40,9 @@
 	known    map[rules.ReplicaID]rules.Entry
 	watching bool
 
-	in    *intake.Intake // where proxies tell what each met
-	sums  [][]sum        // by zone and replica, of this period
-	heard []reports      // what waits to be passed on, by zone
+	in    *intake.Aggregator // where proxies tell what each met
+	sums  [][]sum            // by zone and replica, of this period
+	heard []reports          // what waits to be passed on, by zone
 }
 
 type table struct {
@@ -79,7 +79,7 @@
 	tries, dropped int
 	took           time.Duration
 	since          rules.Time
-	report         rules.Report
+	report         rules.LoadReport
 	told           bool
 }
 
@@ -116,8 +116,8 @@
 	set.Zone = rules.ZoneID(g.n % w.fleet.Zones)
 	g.post(rules.Start{Seed: w.play.Seed<<8 + uint64(g.n)<<4 + uint64(g.life), Settings: set})
 	if g.in = nil; w.fleet.Met {
-		g.in = intake.New(intake.Settings{Seed: w.play.Seed, Period: w.fleet.Period, Budget: metBudget, HalfLife: 2 * w.fleet.Period, MostAge: 10 * w.fleet.Period,
-			Pairs: metPairs, Zones: w.fleet.Zones})
+		g.in = intake.New(intake.Settings{Seed: w.play.Seed, Period: w.fleet.Period, Budget: metBudget, HalfLife: 2 * w.fleet.Period, MaxAge: 10 * w.fleet.Period,
+			MaxPairs: metPairs, Zones: w.fleet.Zones})
 		g.cut(g.life)
 	}
 	for z := range w.fleet.Zones {
@@ -167,7 +167,7 @@
 		g.tell(m, g.life)
 	}
 	g.w.watch.bare(p, p.gov != nil)
-	g.post(rules.Joined{Proxy: p.id, Zone: rules.ZoneID(p.zone), Rate: p.rate, Fresh: p.fresh, Unsure: !p.fresh && g.in != nil})
+	g.post(rules.Joined{Proxy: p.id, Zone: rules.ZoneID(p.zone), FlowRate: p.rate, Fresh: p.fresh, MayHoldEjections: !p.fresh && g.in != nil})
 }
 
 func (g *governor) leave(p *proxy) {
@@ -201,13 +201,13 @@
 	g.note(events, orders)
 	life := g.life
 	carries := false
-	var mark *rules.Mark
+	var mark *rules.AckRequest
 	for _, o := range orders {
 		switch o := o.(type) {
 		case rules.WakeAfter:
 			g.w.in(o.After, func() {
 				if g.life == life {
-					g.post(rules.Wake{Mark: o.Mark})
+					g.post(rules.Wake{TimerID: o.TimerID})
 				}
 			})
 		case rules.Observe:
@@ -223,7 +223,7 @@
 			if g.in != nil {
 				g.in.Forget(o.Replica)
 			}
-		case rules.Mark:
+		case rules.AckRequest:
 			mark = &o
 		case rules.Log:
 		default:
@@ -256,7 +256,7 @@
 	lines, removed, binds, clears := 0, 0, 0, 0
 	for _, o := range orders {
 		switch o := o.(type) {
-		case rules.Line:
+		case rules.EndpointWeight:
 			if lines++; o.Weight == 0 {
 				removed++
 			}
@@ -309,7 +309,7 @@
 // take notes one order.
 func (g *governor) take(o rules.Order) {
 	switch o := o.(type) {
-	case rules.Line:
+	case rules.EndpointWeight:
 		t := g.table(o.Table)
 		_, is := t.lines[o.Replica]
 		if o.Weight > 0 && !is {
@@ -358,9 +358,9 @@
 		for _, m := range g.order {
 			m.shunned++
 		}
-	case rules.Shun:
+	case rules.PairEjection:
 		if m := g.members[o.Proxy]; m != nil {
-			m.shuns[o.Replica] = o.Out
+			m.shuns[o.Replica] = o.Ejected
 			m.shunned++
 		}
 	}
@@ -382,7 +382,7 @@
 }
 
 // write puts one message for each proxy concerned into the channel. It shows tables as they stand at the Step's end.
-func (g *governor) write(mark *rules.Mark) {
+func (g *governor) write(mark *rules.AckRequest) {
 	w := g.w
 	messages, lines := 0, 0.0
 	type content struct {
@@ -417,7 +417,7 @@
 			}
 		}
 		n += float64(m.shunned)
-		if n == 0 && (mark == nil || !mark.ToAll) {
+		if n == 0 && (mark == nil || !mark.AllProxies) {
 			continue
 		}
 		if mark != nil {
@@ -430,7 +430,7 @@
 			}
 			tab := g.tables[t]
 			c.views[i] = tab.shown()
-			c.levels[i] = rules.Admit{Level: 1, Retry: rules.RetryUnrun}
+			c.levels[i] = rules.Admit{Level: 1, Retry: rules.RetryUnprocessed}
 			if tab.has>>i&1 == 1 {
 				c.levels[i] = tab.admits[i]
 			}
@@ -471,7 +471,7 @@
 			}
 			w.in(time.Duration(p.until-w.now)+w.fleet.Net, func() {
 				if g.members[p.id] == joined && g.life == life {
-					g.post(rules.Applied{Proxy: p.id, Version: mark.Version, Took: arrive})
+					g.post(rules.Applied{Proxy: p.id, Version: mark.Version, Delay: arrive})
 				}
 			})
 		})
@@ -573,13 +573,13 @@
 		g.tell(m, life)
 		b := intake.NewBatch()
 		m.told++
-		b.Proxy, b.Seq, b.Over = m.p.id, m.told, w.fleet.Period
+		b.Proxy, b.Sequence, b.Window = m.p.id, m.told, w.fleet.Period
 		for _, r := range slices.Sorted(maps.Keys(m.pairs)) {
 			s := m.pairs[r]
-			x := intake.Record{Replica: r, Tries: s.tries, Dropped: s.dropped, Report: rules.Report{Util: rules.Absent, InFlight: rules.Absent,
+			x := intake.Record{Replica: r, Attempts: s.tries, Dropped: s.dropped, Report: rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent,
 				ServiceTime: rules.Absent, Rate: rules.Absent}}
 			if n := s.tries - s.dropped; n > 0 {
-				x.Took = s.took / time.Duration(n)
+				x.MeanLatency = s.took / time.Duration(n)
 			}
 			if s.told {
 				x.Report = s.report
@@ -588,8 +588,8 @@
 		}
 		clear(m.pairs)
 		w.in(w.fleet.Net, func() {
-			if b.Read = w.now; g.life == life && len(b.Records) > 0 {
-				g.in.Take(w.now, b)
+			if b.ReceivedAt = w.now; g.life == life && len(b.Records) > 0 {
+				g.in.AddBatch(w.now, b)
 			}
 			b.Free()
 		})
@@ -603,8 +603,8 @@
 			return
 		}
 		g.cut(life)
-		if g.in.Due(g.w.now) {
-			for _, e := range g.in.Cut(g.w.now) {
+		if g.in.FlushDue(g.w.now) {
+			for _, e := range g.in.Flush(g.w.now) {
 				g.post(e)
 			}
 		}
@@ -626,10 +626,10 @@
 			if s.tries == 0 {
 				continue
 			}
-			e := rules.Sums{Replica: rules.ReplicaID(r), Zone: rules.ZoneID(zone), Tries: s.tries, Dropped: s.dropped,
-				Report: rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}}
+			e := rules.EndpointStats{Replica: rules.ReplicaID(r), Zone: rules.ZoneID(zone), Attempts: s.tries, Dropped: s.dropped,
+				Report: rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}}
 			if n := s.tries - s.dropped; n > 0 {
-				e.Took = s.took / time.Duration(n)
+				e.MeanLatency = s.took / time.Duration(n)
 			}
 			if s.told {
 				e.Report = s.report
@@ -643,7 +643,7 @@
 			}
 			for i, u := range m.p.usage {
 				if u[0] > 0 {
-					batch = append(batch, report{1<<32 | uint64(m.p.id)<<8 | uint64(i), rules.Intake{Proxy: m.p.id, Group: rules.GroupID(i), Flows: u[0], Dropped: u[1]}, since})
+					batch = append(batch, report{1<<32 | uint64(m.p.id)<<8 | uint64(i), rules.GroupTraffic{Proxy: m.p.id, Group: rules.GroupID(i), Flows: u[0], Dropped: u[1]}, since})
 					m.p.usage[i] = [2]int{}
 				}
 			}
@@ -670,19 +670,19 @@
 	if at, is := q.waiting[r.key]; is {
 		old := &q.queue[at-q.first]
 		switch e := old.event.(type) {
-		case rules.Sums:
-			n := r.event.(rules.Sums)
-			goodOld, goodNew := e.Tries-e.Dropped, n.Tries-n.Dropped
+		case rules.EndpointStats:
+			n := r.event.(rules.EndpointStats)
+			goodOld, goodNew := e.Attempts-e.Dropped, n.Attempts-n.Dropped
 			if all := goodOld + goodNew; all > 0 {
-				e.Took = (e.Took*time.Duration(goodOld) + n.Took*time.Duration(goodNew)) / time.Duration(all)
+				e.MeanLatency = (e.MeanLatency*time.Duration(goodOld) + n.MeanLatency*time.Duration(goodNew)) / time.Duration(all)
 			}
-			e.Tries, e.Dropped = e.Tries+n.Tries, e.Dropped+n.Dropped
-			if n.Report.Util >= 0 {
+			e.Attempts, e.Dropped = e.Attempts+n.Attempts, e.Dropped+n.Dropped
+			if n.Report.Utilization >= 0 {
 				e.Report = n.Report
 			}
 			old.event = e
-		case rules.Intake:
-			n := r.event.(rules.Intake)
+		case rules.GroupTraffic:
+			n := r.event.(rules.GroupTraffic)
 			e.Flows, e.Dropped = e.Flows+n.Flows, e.Dropped+n.Dropped
 			old.event = e
 		}
@@ -724,17 +724,17 @@
 			delete(q.waiting, r.key)
 			over := time.Duration(w.now-r.since) / w.fleet.Period * w.fleet.Period
 			switch e := r.event.(type) {
-			case rules.Sums:
-				e.Over = max(over-w.fleet.Period, w.fleet.Period)
+			case rules.EndpointStats:
+				e.Window = max(over-w.fleet.Period, w.fleet.Period)
 				if g.in != nil {
-					s, counts := g.in.Sums(w.now, w.now, e)
+					s, counts := g.in.AdjustStats(w.now, w.now, e)
 					if e = s; !counts {
 						continue
 					}
 				}
 				g.post(e)
-			case rules.Intake:
-				e.Over = max(over-w.fleet.Period, w.fleet.Period)
+			case rules.GroupTraffic:
+				e.Window = max(over-w.fleet.Period, w.fleet.Period)
 				g.post(e)
 			}
 			left--
--- a/internal/emulate/list.go
+++ b/internal/emulate/list.go
@@ -65,10 +65,10 @@
 	at := l.told[g]
 	e := rules.List{Scope: rules.Changes}
 	if at.life != g.life {
-		e.Scope, at.version = rules.Whole, -1
+		e.Scope, at.version = rules.Full, -1
 	}
 	for i, entry := range l.entries {
-		if l.changed[i] > at.version && !(e.Scope == rules.Whole && entry.State == rules.Gone) {
+		if l.changed[i] > at.version && !(e.Scope == rules.Full && entry.State == rules.Deregistered) {
 			e.Entries = append(e.Entries, entry)
 		}
 	}
--- a/internal/emulate/proxy.go
+++ b/internal/emulate/proxy.go
@@ -99,7 +99,7 @@
 	}
 	for g := range p.views {
 		p.views[g] = standing
-		p.levels[g] = rules.Admit{Level: 1, Retry: rules.RetryUnrun}
+		p.levels[g] = rules.Admit{Level: 1, Retry: rules.RetryUnprocessed}
 	}
 }
 
@@ -297,7 +297,7 @@
 		})
 	}
 	// A try that may be followed after any failure is given up early.
-	if l := p.levels[f.group]; l.Retry >= rules.RetryOnce && f.repeats < int(l.Retry-rules.RetryUnrun) {
+	if l := p.levels[f.group]; l.Retry >= rules.RetryOnce && f.repeats < int(l.Retry-rules.RetryUnprocessed) {
 		w.in(time.Duration(w.fleet.FirstWait*float64(w.fleet.Groups[f.group].LatencyBudget)), func() {
 			if !t.over {
 				t.over = true
@@ -381,7 +381,7 @@
 	never := o == full || o == unheard
 	may := false
 	switch p.levels[f.group].Retry {
-	case rules.RetryUnrun:
+	case rules.RetryUnprocessed:
 		may = never && f.repeats < 1
 	case rules.RetryOnce:
 		may = f.repeats < 1
--- a/internal/emulate/replica.go
+++ b/internal/emulate/replica.go
@@ -57,7 +57,7 @@
 
 	busyFor float64 // core seconds since the last report
 	busyAt  rules.Time
-	report  rules.Report
+	report  rules.LoadReport
 	told    bool // there is a report
 
 	came [fallParts]float64 // work that came, by part of FallAfter
@@ -81,7 +81,7 @@
 func (r *replica) renew() {
 	life := r.life
 	r.w.in(r.w.between(r.w.fleet.ReportEach/2, r.w.fleet.ReportEach*3/2), func() {
-		if r.life != life || r.state == rules.Gone {
+		if r.life != life || r.state == rules.Deregistered {
 			return
 		}
 		util := 0.0
@@ -89,9 +89,9 @@
 			util = min(r.busyFor/span/float64(r.cores)+r.stolen, 1)
 		}
 		noise := 1 + 0.08*r.w.chance.NormFloat64()
-		r.report = rules.Report{Util: min(max(util*noise, 0), 1), InFlight: float64(r.busy + len(r.queue)), ServiceTime: rules.Absent, Rate: rules.Absent}
+		r.report = rules.LoadReport{Utilization: min(max(util*noise, 0), 1), InFlight: float64(r.busy + len(r.queue)), ServiceTime: rules.Absent, Rate: rules.Absent}
 		if r.liar > 0 {
-			r.report.Util, r.report.InFlight = 0, 0
+			r.report.Utilization, r.report.InFlight = 0, 0
 		}
 		r.told, r.busyFor, r.busyAt = true, 0, r.w.now
 		r.renew()
@@ -225,7 +225,7 @@
 
 // back starts a replica that was down, cold.
 func (r *replica) back() {
-	if r.up || r.fallen || r.state == rules.Gone {
+	if r.up || r.fallen || r.state == rules.Deregistered {
 		return
 	}
 	r.up, r.started = true, r.w.now
--- a/internal/emulate/result.go
+++ b/internal/emulate/result.go
@@ -211,7 +211,7 @@
 	for _, g := range w.governors {
 		if mind, is := g.mind.(*rules.Governor); is && g.up {
 			var v rules.View
-			mind.View(w.now, &v)
+			mind.WriteView(w.now, &v)
 			out = append(out, v)
 		}
 	}
--- a/internal/emulate/trouble.go
+++ b/internal/emulate/trouble.go
@@ -213,7 +213,7 @@
 		}
 		for _, r := range hit {
 			r.die(t.Kind == "vanish")
-			r.state = rules.Gone
+			r.state = rules.Deregistered
 			w.list.change(r)
 			if t.Back > 0 {
 				w.in(w.between(t.Back*9/10, t.Back*11/10), func() {
@@ -331,7 +331,7 @@
 	w.in(w.between(500*time.Millisecond, time.Second), func() { w.list.change(w.add(r.zone, r.kind, w.now)) })
 	w.in(w.fleet.ListLate+w.fleet.DrainGrace+drainTakes, func() {
 		r.die(false)
-		r.state = rules.Gone
+		r.state = rules.Deregistered
 		w.list.change(r)
 	})
 }
--- a/internal/emulate/watch.go
+++ b/internal/emulate/watch.go
@@ -232,7 +232,7 @@
 		return
 	}
 	r.die(false)
-	r.fallen, r.state = true, rules.Gone
+	r.fallen, r.state = true, rules.Deregistered
 	x.w.list.change(r)
 	x.broke(ColdFall, "replica %d, %.1f s old, was brought %.1f times what it can do", r.id, time.Duration(x.w.now-r.started).Seconds(), came/can)
 }
--- a/internal/eventqueue/queue.go
+++ b/internal/eventqueue/queue.go
@@ -12,18 +12,18 @@
 // Event is one input of the deciding goroutine: a fact, or in its place a batch of a proxy's reports or load reports of
 // machines.
 type Event struct {
-	Connection any           // of the client side, by which it came; nil where it came by none
-	Fact       rules.Event   // a join, a leave, an acknowledgement, sums, or an answer of discovery
-	Batch      *intake.Batch // reports of a single proxy
-	Loads      []intake.Load // load reports of machines
-	ReceivedAt time.Time     // of a report
+	Connection any                  // of the client side, by which it came; nil where it came by none
+	Fact       rules.Event          // a join, a leave, an acknowledgement, sums, or an answer of discovery
+	Batch      *intake.Batch        // reports of a single proxy
+	Loads      []intake.MachineLoad // load reports of machines
+	ReceivedAt time.Time            // of a report
 }
 
 // isReport reports whether an event may wait behind all others. Joins, leaves, acknowledgements and the endpoint list may
 // not: a drain must take effect however much is reported.
 func (e Event) isReport() bool {
 	switch e.Fact.(type) {
-	case nil, rules.Sums, rules.Intake:
+	case nil, rules.EndpointStats, rules.GroupTraffic:
 		return true
 	}
 	return false
@@ -141,7 +141,7 @@
 			q.discovery.Fetch()
 		case rules.Forget:
 			forgotten, own = append(forgotten, order.Replica), append(own, order)
-		case rules.WakeAfter, rules.Log, rules.Probe, rules.Tell:
+		case rules.WakeAfter, rules.Log, rules.Probe, rules.SendToPeer:
 			own = append(own, order)
 		default:
 			routing = append(routing, order)
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -201,12 +201,12 @@
 			return Plan{}, fmt.Errorf("variant %s: decider: want %s or one of %v, got %q", v.Name, Zincloft, emulate.Baselines(), v.Decider)
 		}
 		p.Variants = append(p.Variants, Variant{Name: v.Name, Decider: v.Decider, Settings: func(s *rules.Settings) {
-			set(&s.FailsToAvoid, v.Fails)
-			set(&s.MessageCap, v.MessageCap)
-			set(&s.LinePace, v.Pace)
+			set(&s.FailuresToAvoid, v.Fails)
+			set(&s.MessageLimit, v.MessageCap)
+			set(&s.EntryRate, v.Pace)
 			setSpan(&s.DrainGrace, v.Grace)
-			setSpan(&s.WarmAfter, v.WarmAfter)
-			set(&s.ColdFrom, v.ColdFrom)
+			setSpan(&s.WarmupTime, v.WarmAfter)
+			set(&s.ColdCapacity, v.ColdFrom)
 		}})
 	}
 	if len(p.Scenarios) == 0 || len(p.Variants) == 0 {
--- a/internal/graphite/plaintext.go
+++ b/internal/graphite/plaintext.go
@@ -70,22 +70,22 @@
 
 func (w *pointWriter) writeFleet(s *Snapshot, labels Labels) {
 	v := &s.View
-	w.point(v.LinesWaiting, "channel", "lines_waiting")
-	w.point(v.LinesCap, "channel", "lines_cap")
+	w.point(v.EntriesWaiting, "channel", "lines_waiting")
+	w.point(v.EntryCapacity, "channel", "lines_cap")
 	w.point(float64(v.Proxies), "proxies", "joined")
 	w.point(float64(v.Unbound), "proxies", "unbound")
-	w.point(float64(v.Busiest), "messages", "busiest")
-	w.point(float64(v.MessageCap), "messages", "cap")
+	w.point(float64(v.MostMessages), "messages", "busiest")
+	w.point(float64(v.MessageLimit), "messages", "cap")
 	w.point(float64(v.Tables), "tables")
 	w.point(float64(v.Steps), "steps")
 	w.point(float64(v.Reviews), "reviews")
 	w.point(float64(v.Orders), "orders")
 	w.point(v.MeanLoad, "fleet", "load")
 	w.point(v.DropShare, "fleet", "drop_share")
-	w.point(boolValue(v.Jammed), "fleet", "jammed")
+	w.point(boolValue(v.Saturated), "fleet", "jammed")
 	w.point(s.Duration.Seconds()*1e6, "snapshot_us")
-	if v.ListAt > 0 {
-		w.point(ageMillis(v.At, v.ListAt), "list", "age_ms")
+	if v.ListedAt > 0 {
+		w.point(ageMillis(v.At, v.ListedAt), "list", "age_ms")
 	}
 	for i, level := range v.Levels {
 		if i < len(labels.GroupNames) {
@@ -96,7 +96,7 @@
 
 func (w *pointWriter) writeIntake(s *Snapshot) {
 	for cause, count := range s.IntakeCounts {
-		w.point(float64(count), "intake", SanitizePathPart(intake.Cause(cause).Path()))
+		w.point(float64(count), "intake", SanitizePathPart(intake.Cause(cause).PathName()))
 	}
 	w.point(float64(s.IntakeHeld.Records), "intake", "records_held")
 	w.point(float64(s.IntakeHeld.Senders), "intake", "senders")
@@ -111,18 +111,18 @@
 }
 
 func (w *pointWriter) writeReplica(name string, now rules.Time, r *rules.ReplicaView) {
-	w.point(r.Picks, "replica", name, "picks")
+	w.point(r.TrafficShare, "replica", name, "picks")
 	w.point(r.Weight, "replica", name, "weight")
-	w.point(r.Tries, "replica", name, "tries")
+	w.point(r.Attempts, "replica", name, "tries")
 	w.point(r.Drops, "replica", name, "drops")
-	if r.Known {
+	if r.LoadKnown {
 		w.point(r.Load, "replica", name, "load")
 	}
 	w.point(float64(r.State), "replica", name, "state")
-	w.point(boolValue(r.HeldOut), "replica", name, "held_out")
+	w.point(boolValue(r.Ejected), "replica", name, "held_out")
 	w.point(boolValue(r.Cold), "replica", name, "cold")
-	w.point(float64(r.Shunned), "replica", name, "shunned")
-	w.point(ageMillis(now, r.HeardAt), "replica", name, "age_ms")
+	w.point(float64(r.PairEjections), "replica", name, "shunned")
+	w.point(ageMillis(now, r.LastStatsAt), "replica", name, "age_ms")
 }
 
 func boolValue(is bool) float64 {
--- a/internal/graphite/plaintext_test.go
+++ b/internal/graphite/plaintext_test.go
@@ -24,11 +24,11 @@
 // fill fills a snapshot of a moment in seconds, with so many replicas.
 func fill(s *Snapshot, at int64, replicas int) {
 	s.At = time.Unix(at, 0)
-	s.View = rules.View{At: rules.Time(at) * rules.Time(time.Second), LinesWaiting: 3, LinesCap: 100, Proxies: 2, Busiest: 4, MessageCap: 20, Tables: 1, Steps: 9,
-		Reviews: 2, Orders: 30, ListAt: rules.Time(at-2) * rules.Time(time.Second), MeanLoad: 0.5, DropShare: math.NaN(), Levels: []float64{1, 0.25}}
+	s.View = rules.View{At: rules.Time(at) * rules.Time(time.Second), EntriesWaiting: 3, EntryCapacity: 100, Proxies: 2, MostMessages: 4, MessageLimit: 20, Tables: 1, Steps: 9,
+		Reviews: 2, Orders: 30, ListedAt: rules.Time(at-2) * rules.Time(time.Second), MeanLoad: 0.5, DropShare: math.NaN(), Levels: []float64{1, 0.25}}
 	for i := range replicas {
-		s.View.Replicas = append(s.View.Replicas, rules.ReplicaView{Replica: rules.ReplicaID(i + 1), State: rules.Ready, Picks: 0.5, Weight: 50, Tries: 20, Drops: 1,
-			Load: 0.4, Known: i != 1, HeldOut: i == 1, HeardAt: rules.Time(at)*rules.Time(time.Second) - rules.Time(250*time.Millisecond)})
+		s.View.Replicas = append(s.View.Replicas, rules.ReplicaView{Replica: rules.ReplicaID(i + 1), State: rules.Ready, TrafficShare: 0.5, Weight: 50, Attempts: 20, Drops: 1,
+			Load: 0.4, LoadKnown: i != 1, Ejected: i == 1, LastStatsAt: rules.Time(at)*rules.Time(time.Second) - rules.Time(250*time.Millisecond)})
 	}
 }
 
--- a/internal/simadapter/decoder_test.go
+++ b/internal/simadapter/decoder_test.go
@@ -58,13 +58,13 @@
 	}
 	want := []*Batch{{Now: 5}, {Now: 5, Instances: []*InstanceEvents{
 		{Instance: 3, Events: []rules.Event{
-			rules.Wake{Mark: 77},
+			rules.Wake{TimerID: 77},
 			rules.List{Scope: rules.Changes, Entries: []rules.Entry{
 				{Replica: 0x03124a07, Kind: 1, Cell: 2, State: rules.Ready, Listed: 1}}},
-			rules.Sums{Replica: 0x03124a07, Tries: 14, Dropped: 1, Took: 48250 * time.Microsecond,
-				Over: time.Second, Report: rules.Report{Util: float64(float32(0.62)), InFlight: 7,
+			rules.EndpointStats{Replica: 0x03124a07, Attempts: 14, Dropped: 1, MeanLatency: 48250 * time.Microsecond,
+				Window: time.Second, Report: rules.LoadReport{Utilization: float64(float32(0.62)), InFlight: 7,
 					ServiceTime: 14.5, Rate: rules.Absent}}}},
-		{Instance: 5, Events: []rules.Event{rules.Left{Proxy: 41}, rules.Joined{Proxy: 41, Rate: 6.5, Fresh: true}}},
+		{Instance: 5, Events: []rules.Event{rules.Left{Proxy: 41}, rules.Joined{Proxy: 41, FlowRate: 6.5, Fresh: true}}},
 	}}}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -49,44 +49,44 @@
 func (d *Decoder) event(id InstanceID, r record) (rules.Event, error) {
 	switch r.code() {
 	case eventTenure:
-		return rules.SliceGiven{Slice: rules.SliceID(r.uint16(1)), Given: r.bytes[3] != 0}, nil
+		return rules.SliceAssigned{Slice: rules.SliceID(r.uint16(1)), Assigned: r.bytes[3] != 0}, nil
 	case eventHeld:
-		return rules.SliceLine{Slice: rules.SliceID(r.uint16(1)), Replica: rules.ReplicaID(r.uint32(3)), Weight: r.float32(7)}, nil
+		return rules.SliceWeight{Slice: rules.SliceID(r.uint16(1)), Replica: rules.ReplicaID(r.uint32(3)), Weight: r.float32(7)}, nil
 	case eventKilled:
 		return rules.Killed{}, nil
 	case eventDeadlineHit:
-		return rules.Wake{Mark: r.uint64(1)}, nil
+		return rules.Wake{TimerID: r.uint64(1)}, nil
 	case eventPeerData:
 		return peerData(r)
 	case eventSubscribed:
-		return rules.Joined{Proxy: rules.ProxyID(r.uint16(1)), Zone: rules.ZoneID(r.bytes[3]), Rate: r.float32(4), Fresh: r.bytes[8] != 0}, nil
+		return rules.Joined{Proxy: rules.ProxyID(r.uint16(1)), Zone: rules.ZoneID(r.bytes[3]), FlowRate: r.float32(4), Fresh: r.bytes[8] != 0}, nil
 	case eventStats:
-		return rules.Sums{Dropped: int(r.uint32(1)), Took: r.duration(5), Over: r.duration(13), Zone: rules.ZoneID(r.bytes[21]),
-			Tries: int(r.uint32(22)), Replica: rules.ReplicaID(r.uint32(26)), Report: d.loadReport(id, r, 30)}, nil
+		return rules.EndpointStats{Dropped: int(r.uint32(1)), MeanLatency: r.duration(5), Window: r.duration(13), Zone: rules.ZoneID(r.bytes[21]),
+			Attempts: int(r.uint32(22)), Replica: rules.ReplicaID(r.uint32(26)), Report: d.loadReport(id, r, 30)}, nil
 	case eventStart:
 		return d.start(id, r)
 	case eventCaughtUp:
-		return rules.Applied{Proxy: rules.ProxyID(r.uint16(1)), Version: uint16(r.uint64(3)), Took: r.duration(11)}, nil
+		return rules.Applied{Proxy: rules.ProxyID(r.uint16(1)), Version: uint16(r.uint64(3)), Delay: r.duration(11)}, nil
 	case eventEcho:
-		return rules.Probed{Replica: rules.ReplicaID(r.uint32(1)), Good: r.uint16(5) == 1, Took: r.duration(7),
+		return rules.Probed{Replica: rules.ReplicaID(r.uint32(1)), Healthy: r.uint16(5) == 1, Latency: r.duration(7),
 			Report: d.loadReport(id, r, 15)}, nil
 	case eventPressure:
-		return rules.SliceHeat{Group: rules.GroupID(r.bytes[1]), Slice: rules.SliceID(r.uint16(2)), Over: r.duration(4),
+		return rules.SliceTraffic{Group: rules.GroupID(r.bytes[1]), Slice: rules.SliceID(r.uint16(2)), Window: r.duration(4),
 			Flows: int(r.uint32(12)), Dropped: int(r.uint32(16))}, nil
 	case eventDroppedOff:
 		return rules.Left{Proxy: rules.ProxyID(r.uint16(1))}, nil
 	case eventUpdate:
 		return replicaList(r)
 	case eventIntake:
-		return rules.Intake{Proxy: rules.ProxyID(r.uint16(1)), Group: rules.GroupID(r.bytes[3]), Flows: int(r.uint32(4)),
-			Dropped: int(r.uint32(8)), Over: r.duration(12)}, nil
+		return rules.GroupTraffic{Proxy: rules.ProxyID(r.uint16(1)), Group: rules.GroupID(r.bytes[3]), Flows: int(r.uint32(4)),
+			Dropped: int(r.uint32(8)), Window: r.duration(12)}, nil
 	}
 	return nil, fmt.Errorf("%w: unknown event code %d", ErrMalformedFrame, r.code())
 }
 
 func peerData(r record) (rules.Event, error) {
 	data, err := r.tailBytes(5, 1)
-	return rules.Peer{From: rules.PeerID(r.uint32(1)), Data: data}, err
+	return rules.PeerMessage{From: rules.PeerID(r.uint32(1)), Data: data}, err
 }
 
 // start reads an instance's settings. The error is a config.SettingsError where the instance cannot run on them.
@@ -104,8 +104,8 @@
 }
 
 // loadReport reads a count and up to four values, in the site's order of load figures. Values that are no load are skipped.
-func (d *Decoder) loadReport(id InstanceID, r record, at int) rules.Report {
-	report := rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
+func (d *Decoder) loadReport(id InstanceID, r record, at int) rules.LoadReport {
+	report := rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
 	count := min(int(r.bytes[at]), maxLoadValues, len(d.loadFields[id]))
 	for i, name := range d.loadFields[id][:count] {
 		value := r.float32(at + 1 + 4*i)
@@ -118,8 +118,8 @@
 }
 
 func replicaList(r record) (rules.Event, error) {
-	scopes := []rules.Scope{rules.Changes, rules.Whole, rules.Cached, rules.Failed}
-	states := []rules.State{rules.Gone, rules.Ready, rules.Draining}
+	scopes := []rules.Scope{rules.Changes, rules.Full, rules.Cached, rules.Failed}
+	states := []rules.State{rules.Deregistered, rules.Ready, rules.Draining}
 	if int(r.bytes[1]) >= len(scopes) {
 		return nil, fmt.Errorf("%w: unknown list scope %d", ErrMalformedFrame, r.bytes[1])
 	}
--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -46,7 +46,7 @@
 // AddOrder adds one order. It fails on an order that the simulator does not know.
 func (r *Reply) AddOrder(order rules.Order) error {
 	switch o := order.(type) {
-	case rules.Line:
+	case rules.EndpointWeight:
 		record := r.addRecord(orderLine)
 		record.putUint16(1, uint16(o.Table))
 		record.putFloat32(3, o.Weight)
@@ -68,21 +68,21 @@
 		record := r.addRecord(orderBench)
 		record.putUint32(1, uint32(o.Replica))
 		record.putBool(5, o.Out)
-	case rules.Mark:
+	case rules.AckRequest:
 		record := r.addRecord(orderNonce)
 		record.putUint64(1, uint64(o.Version))
-		record.putBool(9, o.ToAll)
+		record.putBool(9, o.AllProxies)
 	case rules.WakeAfter:
 		record := r.addRecord(orderDefer)
 		record.putUint64(1, uint64(o.After))
-		record.putUint64(9, o.Mark)
+		record.putUint64(9, o.TimerID)
 	case rules.Observe:
 		r.addRecord(orderObserve).putBool(1, o.On)
 	case rules.FetchList:
 		r.addRecord(orderRefresh)
 	case rules.Probe:
 		r.addRecord(orderAskLoad).putUint32(1, uint32(o.Replica))
-	case rules.Tell:
+	case rules.SendToPeer:
 		record := r.addRecord(orderWritePeer)
 		record.putUint16(1, uint16(o.To))
 		r.addText(record, 3, o.Data)
--- a/internal/simadapter/reply_test.go
+++ b/internal/simadapter/reply_test.go
@@ -14,12 +14,12 @@
 	var reply Reply
 	reply.SelectInstance(3)
 	for _, order := range []rules.Order{
-		rules.Line{Table: 117, Replica: 0x2c9011f2, Weight: 0.75},
-		rules.WakeAfter{After: 500 * time.Millisecond, Mark: 77},
-		rules.Admit{Table: 117, Groups: 2, Level: 0.75, Retry: rules.RetryUnrun},
+		rules.EndpointWeight{Table: 117, Replica: 0x2c9011f2, Weight: 0.75},
+		rules.WakeAfter{After: 500 * time.Millisecond, TimerID: 77},
+		rules.Admit{Table: 117, Groups: 2, Level: 0.75, Retry: rules.RetryUnprocessed},
 		rules.Bind{Proxy: 41, Table: 117}, rules.Withdraw{Replica: 9, Out: true}, rules.Observe{On: true},
-		rules.ClearTable{Table: 117}, rules.FetchList{}, rules.Probe{Replica: 9}, rules.Mark{Version: 2, ToAll: true},
-		rules.Tell{To: 65535, Data: []byte("hi 7")},
+		rules.ClearTable{Table: 117}, rules.FetchList{}, rules.Probe{Replica: 9}, rules.AckRequest{Version: 2, AllProxies: true},
+		rules.SendToPeer{To: 65535, Data: []byte("hi 7")},
 	} {
 		if err := reply.AddOrder(order); err != nil {
 			t.Fatal(err)
--- a/internal/store/benchmark_test.go
+++ b/internal/store/benchmark_test.go
@@ -23,7 +23,7 @@
 			bytes := 0
 			for n := 0; b.Loop(); n++ {
 				for i := range changed {
-					k.Replicas[i].Learnt.Speed = 1 + float64(n)
+					k.Replicas[i].Learned.Speed = 1 + float64(n)
 				}
 				if bytes, err = s.Write(k); err != nil {
 					b.Fatal(err)
@@ -55,11 +55,11 @@
 }
 
 // many returns a state of n replicas.
-func many(n int) (k recovery.Kept) {
-	k.Governor, k.Discovery, k.Heard, k.Written = "n1", "d", 1, 1
+func many(n int) (k recovery.State) {
+	k.Governor, k.Discovery, k.ConfirmedAt, k.WrittenAt = "n1", "d", 1, 1
 	for i := range n {
 		k.Replicas = append(k.Replicas, recovery.Replica{Name: fmt.Sprintf("s-%08x", i), Entry: rules.Entry{Replica: rules.ReplicaID(i), State: rules.Ready, Listed: 1},
-			Learnt: rules.Recalled{Replica: rules.ReplicaID(i), Speed: 1.25, Answers: 7.5}})
+			Learned: rules.Recalled{Replica: rules.ReplicaID(i), Speed: 1.25, Answers: 7.5}})
 	}
 	return k
 }
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -14,14 +14,14 @@
 const compactTransactionBytes = 1 << 20 // copied in one transaction of Compact
 
 // Read reads the store of a folder without changing it. It fails with ErrLocked while a governor has it open.
-func Read(dir string) (recovery.Kept, error) {
+func Read(dir string) (recovery.State, error) {
 	db, err := openDatabase(Path(dir), true)
 	if err != nil {
-		return recovery.Kept{}, err
+		return recovery.State{}, err
 	}
 	defer closeDatabase(db)
 	if err := recoverFaults(func() error { return db.View(checkSchema) }); err != nil {
-		return recovery.Kept{}, err
+		return recovery.State{}, err
 	}
 	s := &Store{db: db, path: Path(dir), written: map[string][]byte{}}
 	return s.readAll()
--- a/internal/store/schema.go
+++ b/internal/store/schema.go
@@ -38,27 +38,27 @@
 }
 
 // headerOf returns the header of a state.
-func headerOf(k recovery.Kept) header {
+func headerOf(k recovery.State) header {
 	return header{
 		Governor:  k.Governor,
 		Discovery: k.Discovery,
 		Version:   k.Version,
-		Heard:     k.Heard,
-		Written:   k.Written,
-		Next:      k.Next,
+		Heard:     k.ConfirmedAt,
+		Written:   k.WrittenAt,
+		Next:      k.NextReplicaID,
 		Replicas:  len(k.Replicas),
 	}
 }
 
 // kept returns a state with this header and no replicas yet.
-func (h header) kept() recovery.Kept {
-	return recovery.Kept{
-		Governor:  h.Governor,
-		Discovery: h.Discovery,
-		Version:   h.Version,
-		Heard:     h.Heard,
-		Written:   h.Written,
-		Next:      h.Next,
+func (h header) kept() recovery.State {
+	return recovery.State{
+		Governor:      h.Governor,
+		Discovery:     h.Discovery,
+		Version:       h.Version,
+		ConfirmedAt:   h.Heard,
+		WrittenAt:     h.Written,
+		NextReplicaID: h.Next,
 	}
 }
 
@@ -86,9 +86,9 @@
 		State:   r.Entry.State,
 		Listed:  r.Entry.Listed,
 		Started: r.Entry.StartedAt,
-		Speed:   r.Learnt.Speed,
-		Answers: r.Learnt.Answers,
-		Out:     r.Learnt.Out,
+		Speed:   r.Learned.Speed,
+		Answers: r.Learned.Answers,
+		Out:     r.Learned.Out,
 	}
 }
 
@@ -105,7 +105,7 @@
 			Listed:    r.Listed,
 			StartedAt: r.Started,
 		},
-		Learnt: rules.Recalled{Replica: r.Number, Speed: r.Speed, Answers: r.Answers, Out: r.Out},
+		Learned: rules.Recalled{Replica: r.Number, Speed: r.Speed, Answers: r.Answers, Out: r.Out},
 	}
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -39,7 +39,7 @@
 // Open opens the store of a folder for writing and reads what it keeps. A damaged file is renamed, never deleted, and an
 // empty one takes its place; damaged then says what was wrong. A file that is locked, that has a newer schema, or that
 // can't be opened is left as it is, and there is no store.
-func Open(dir string, now time.Time) (s *Store, kept recovery.Kept, damaged error, err error) {
+func Open(dir string, now time.Time) (s *Store, kept recovery.State, damaged error, err error) {
 	path := Path(dir)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, kept, nil, fmt.Errorf("state.dir: %w", err)
@@ -50,7 +50,7 @@
 	}
 	aside := fmt.Sprintf("%s.damaged-%s", path, now.UTC().Format("20060102T150405.000"))
 	if renameErr := os.Rename(path, aside); renameErr != nil {
-		return nil, recovery.Kept{}, err, fmt.Errorf("setting aside: %w", renameErr)
+		return nil, recovery.State{}, err, fmt.Errorf("setting aside: %w", renameErr)
 	}
 	damaged = fmt.Errorf("%w; set aside as %s", err, filepath.Base(aside))
 	s, kept, err = openStore(path)
@@ -58,26 +58,26 @@
 }
 
 // openStore opens a file, creates or migrates it, and reads what it keeps.
-func openStore(path string) (*Store, recovery.Kept, error) {
+func openStore(path string) (*Store, recovery.State, error) {
 	db, err := openDatabase(path, false)
 	if err != nil {
-		return nil, recovery.Kept{}, err
+		return nil, recovery.State{}, err
 	}
 	s := &Store{db: db, path: path, written: map[string][]byte{}}
-	var kept recovery.Kept
+	var kept recovery.State
 	err = recoverFaults(func() error { return db.Update(s.migrate) })
 	if err == nil {
 		kept, err = s.readAll()
 	}
 	if err != nil {
 		closeDatabase(db)
-		return nil, recovery.Kept{}, err
+		return nil, recovery.State{}, err
 	}
 	return s, kept, nil
 }
 
 // readAll reads the state. One damaged value makes all of it invalid: the rest would be an endpoint list with holes.
-func (s *Store) readAll() (kept recovery.Kept, err error) {
+func (s *Store) readAll() (kept recovery.State, err error) {
 	err = recoverFaults(func() error {
 		return s.db.View(func(tx *bbolt.Tx) error {
 			kept, err = s.readState(tx)
@@ -87,18 +87,18 @@
 	return kept, err
 }
 
-func (s *Store) readState(tx *bbolt.Tx) (recovery.Kept, error) {
+func (s *Store) readState(tx *bbolt.Tx) (recovery.State, error) {
 	meta, replicas := tx.Bucket(metaBucket), tx.Bucket(replicaBucket)
 	if meta == nil || replicas == nil {
-		return recovery.Kept{}, fmt.Errorf("%w: it lacks its buckets", ErrDamaged)
+		return recovery.State{}, fmt.Errorf("%w: it lacks its buckets", ErrDamaged)
 	}
 	encoded := meta.Get(headerKey)
 	if encoded == nil {
-		return recovery.Kept{}, nil // a new file
+		return recovery.State{}, nil // a new file
 	}
 	var h header
 	if err := decodeValue(encoded, &h); err != nil {
-		return recovery.Kept{}, err
+		return recovery.State{}, err
 	}
 	kept := h.kept()
 	err := replicas.ForEach(func(name, encoded []byte) error {
@@ -118,7 +118,7 @@
 
 // Write replaces the state in one transaction, which holds only what has changed. It returns the bytes of the values
 // written.
-func (s *Store) Write(k recovery.Kept) (bytes int, err error) {
+func (s *Store) Write(k recovery.State) (bytes int, err error) {
 	values := make(map[string][]byte, len(k.Replicas))
 	for _, r := range k.Replicas {
 		if values[r.Name], err = encodeValue(recordOf(r)); err != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -21,19 +21,19 @@
 
 // state returns the state that the test keeps as its nth. It is a function of n alone, so that whatever is found can be
 // compared.
-func state(n int) recovery.Kept {
+func state(n int) recovery.State {
 	chance := rand.New(rand.NewPCG(uint64(n/3), 7)) // neighbours share most of it
-	k := recovery.Kept{Governor: "n1", Discovery: "127.0.0.1:1", Version: uint64(n), Heard: rules.Time(1000 + n), Written: rules.Time(1001 + n), Next: 500}
+	k := recovery.State{Governor: "n1", Discovery: "127.0.0.1:1", Version: uint64(n), ConfirmedAt: rules.Time(1000 + n), WrittenAt: rules.Time(1001 + n), NextReplicaID: 500}
 	for i := range 20 + chance.IntN(60) {
 		id := rules.ReplicaID(i)
 		k.Replicas = append(k.Replicas, recovery.Replica{Name: fmt.Sprintf("s-%03d", i), Entry: rules.Entry{Replica: id, State: rules.Ready, Listed: chance.Float64(),
-			StartedAt: rules.Time(n)}, Learnt: rules.Recalled{Replica: id, Speed: chance.Float64(), Answers: 3, Out: i%7 == 0}})
+			StartedAt: rules.Time(n)}, Learned: rules.Recalled{Replica: id, Speed: chance.Float64(), Answers: 3, Out: i%7 == 0}})
 	}
 	return k
 }
 
 // opened opens the store of a folder, which must not be damaged.
-func opened(t *testing.T, dir string) (*Store, recovery.Kept) {
+func opened(t *testing.T, dir string) (*Store, recovery.State) {
 	t.Helper()
 	s, k, damaged, err := Open(dir, time.Now())
 	if damaged != nil || err != nil {
@@ -92,11 +92,11 @@
 // TestMigration opens a file of version 1: all of its state is found, and found again as of the current version.
 func TestMigration(t *testing.T) {
 	dir, want := t.TempDir(), state(4)
-	w := schema1State{header: header{Governor: want.Governor, Discovery: want.Discovery, Version: want.Version, Heard: want.Heard, Written: want.Written, Next: want.Next},
+	w := schema1State{header: header{Governor: want.Governor, Discovery: want.Discovery, Version: want.Version, Heard: want.ConfirmedAt, Written: want.WrittenAt, Next: want.NextReplicaID},
 		All: map[string]replicaRecord{}}
 	for _, r := range want.Replicas {
 		w.All[r.Name] = replicaRecord{Number: r.Entry.Replica, State: r.Entry.State, Listed: r.Entry.Listed, Started: r.Entry.StartedAt,
-			Speed: r.Learnt.Speed, Answers: r.Learnt.Answers, Out: r.Learnt.Out}
+			Speed: r.Learned.Speed, Answers: r.Learned.Answers, Out: r.Learned.Out}
 	}
 	db, err := bbolt.Open(Path(dir), 0o600, nil)
 	if err != nil {
@@ -133,7 +133,7 @@
 		t.Fatal(err)
 	}
 	k.Replicas = slices.Clone(k.Replicas)
-	k.Replicas[5].Learnt.Speed = 9
+	k.Replicas[5].Learned.Speed = 9
 	one, err := s.Write(k)
 	if err != nil || one > all/5 {
 		t.Errorf("%d bytes for all, %d for one, %v", all, one, err)
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -13,20 +13,20 @@
 type Writer struct {
 	store   *Store
 	log     zerolog.Logger
-	pending chan recovery.Kept
+	pending chan recovery.State
 	failing bool // the last write has failed, which has been logged
 }
 
 // NewWriter returns a Writer that writes nothing before Run.
 func NewWriter(s *Store, log zerolog.Logger) *Writer {
-	return &Writer{store: s, log: log, pending: make(chan recovery.Kept, 1)}
+	return &Writer{store: s, log: log, pending: make(chan recovery.State, 1)}
 }
 
 // Ready reports whether Offer would accept a state.
 func (w *Writer) Ready() bool { return len(w.pending) == 0 }
 
 // Offer hands over a state to be written. It never waits.
-func (w *Writer) Offer(k recovery.Kept) {
+func (w *Writer) Offer(k recovery.State) {
 	select {
 	case w.pending <- k:
 	default:
@@ -58,7 +58,7 @@
 	}
 }
 
-func (w *Writer) write(k recovery.Kept) {
+func (w *Writer) write(k recovery.State) {
 	_, err := w.store.Write(k)
 	if err != nil && !w.failing {
 		w.log.Warn().Err(err).Msg("state can't be written")
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -11,86 +11,86 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Kept is what a governor kept.
-type Kept struct {
-	Governor  string     // its name
-	Discovery string     // the address that the list is from
-	Version   uint64     // of the list
-	Heard     rules.Time // when discovery last confirmed the list
-	Written   rules.Time
-	Next      rules.ReplicaID // the next number
-	Replicas  []Replica
+// State is what a governor kept.
+type State struct {
+	Governor      string     // its name
+	Discovery     string     // the address that the list is from
+	Version       uint64     // of the list
+	ConfirmedAt   rules.Time // when discovery last confirmed the list
+	WrittenAt     rules.Time
+	NextReplicaID rules.ReplicaID // the next number
+	Replicas      []Replica
 }
 
 // Replica is what was kept of one.
 type Replica struct {
-	Name   string
-	Entry  rules.Entry
-	Learnt rules.Recalled // Speed 0: nothing
+	Name    string
+	Entry   rules.Entry
+	Learned rules.Recalled // Speed 0: nothing
 }
 
 // Settings are how age is weighed.
 type Settings struct {
 	HalfLife time.Duration // a list of this age is trusted by half
-	MostAge  time.Duration // an older one is not used
+	MaxAge   time.Duration // an older one is not used
 }
 
-// Verdict is what is made of a kept list.
-type Verdict string
+// Assessment is what is made of a kept list.
+type Assessment string
 
 // Verdicts.
 const (
-	Used       Verdict = "used"
-	Nothing    Verdict = "nothing is kept"
-	TooOld     Verdict = "older than it may be"
-	Another    Verdict = "of another governor or discovery"
-	ClockBack  Verdict = "of the future: the clock went back; used without trust"
-	Impossible Verdict = "impossible"
+	Used       Assessment = "used"
+	Nothing    Assessment = "nothing is kept"
+	TooOld     Assessment = "older than it may be"
+	Mismatch   Assessment = "of another governor or discovery"
+	ClockBack  Assessment = "of the future: the clock went back; used without trust"
+	Impossible Assessment = "impossible"
 )
 
 // Plan is how to begin.
 type Plan struct {
-	Verdict Verdict
-	Age     time.Duration
-	Trust   float64 // of the list, at the start
-	Events  []rules.Event
+	Assessment Assessment
+	Age        time.Duration
+	Trust      float64 // of the list, at the start
+	Events     []rules.Event
 }
 
-// clockSlack is how far the wall clock may be off between two lives.
-const clockSlack = time.Minute
+// maxClockSkew is how far the wall clock may be off between two lives.
+const maxClockSkew = time.Minute
 
-// Weigh makes a plan of what was kept. No replica of it counts as warm, as each may have started anew since: where the list
+// NewPlan makes a plan of what was kept. No replica of it counts as warm, as each may have started anew since: where the list
 // says that one started long ago, it is taken to have started now. What it had learnt is recalled by the list's trust.
-func Weigh(now rules.Time, k Kept, governor, discovery string, s Settings) Plan {
-	p := Plan{Age: time.Duration(now - k.Heard)}
+func NewPlan(now rules.Time, k State, governor, discovery string, s Settings) Plan {
+	p := Plan{Age: time.Duration(now - k.ConfirmedAt)}
 	switch {
 	case len(k.Replicas) == 0:
-		p.Verdict = Nothing
-	case k.Heard <= 0 || k.Written < k.Heard-rules.Time(clockSlack):
-		p.Verdict = Impossible
+		p.Assessment = Nothing
+	case k.ConfirmedAt <= 0 || k.WrittenAt < k.ConfirmedAt-rules.Time(maxClockSkew):
+		p.Assessment = Impossible
 	case k.Governor != governor || k.Discovery != discovery:
-		p.Verdict = Another
-	case p.Age < -clockSlack:
-		p.Verdict = ClockBack
-	case p.Age > s.MostAge:
-		p.Verdict = TooOld
+		p.Assessment = Mismatch
+	case p.Age < -maxClockSkew:
+		p.Assessment = ClockBack
+	case p.Age > s.MaxAge:
+		p.Assessment = TooOld
 	default:
-		p.Verdict, p.Trust = Used, s.trust(p.Age)
+		p.Assessment, p.Trust = Used, s.trustAt(p.Age)
 	}
-	if p.Verdict != Used && p.Verdict != ClockBack {
+	if p.Assessment != Used && p.Assessment != ClockBack {
 		return p
 	}
 	list := rules.List{Scope: rules.Cached}
 	var recalled []rules.Event
 	for _, r := range k.Replicas {
 		e := r.Entry
-		if e.State == rules.Gone {
+		if e.State == rules.Deregistered {
 			continue
 		}
 		e.StartedAt = max(e.StartedAt, now)
 		list.Entries = append(list.Entries, e)
-		if r.Learnt.Speed > 0 {
-			l := r.Learnt
+		if r.Learned.Speed > 0 {
+			l := r.Learned
 			l.Replica, l.Trust, l.Out = e.Replica, p.Trust, false // among cold ones a held out one would draw all
 			recalled = append(recalled, l)
 		}
@@ -99,59 +99,59 @@
 	return p
 }
 
-func (s Settings) trust(age time.Duration) float64 {
+func (s Settings) trustAt(age time.Duration) float64 {
 	return math.Exp2(-float64(max(age, 0)) / float64(s.HalfLife))
 }
 
-// Step is where a recovery stands.
-type Step string
+// Stage is where a recovery stands.
+type Stage string
 
 // Steps, in their order.
 const (
-	FromDisk    Step = "disk"      // ends with the first proxy that joins, or discovery's first answer
-	FromProxies Step = "proxies"   // what they bring is heard; ends with discovery's first answer
-	Confirmed   Step = "confirmed" // discovery has spoken
+	FromDisk    Stage = "disk"      // ends with the first proxy that joins, or discovery's first answer
+	FromProxies Stage = "proxies"   // what they bring is heard; ends with discovery's first answer
+	Confirmed   Stage = "confirmed" // discovery has spoken
 )
 
 // Recovery is the one measure of trust in what is known of the replicas. It falls with the list's age, and rises as the
 // living speak: with each replica that is heard of, and to the whole with discovery. The zero value is a start from
 // nothing.
 type Recovery struct {
-	set      Settings
-	heardAt  rules.Time // when the list was true
-	replicas int
-	heard    map[rules.ReplicaID]bool
-	step     Step
-	kept     []Replica
+	settings    Settings
+	confirmedAt rules.Time // when the list was true
+	replicas    int
+	responding  map[rules.ReplicaID]bool
+	stage       Stage
+	kept        []Replica
 }
 
 // Begin starts a recovery by a plan.
-func Begin(now rules.Time, k Kept, p Plan, s Settings) *Recovery {
-	r := &Recovery{set: s, heardAt: now - rules.Time(p.Age), heard: map[rules.ReplicaID]bool{}, step: FromDisk}
+func Begin(now rules.Time, k State, p Plan, s Settings) *Recovery {
+	r := &Recovery{settings: s, confirmedAt: now - rules.Time(p.Age), responding: map[rules.ReplicaID]bool{}, stage: FromDisk}
 	if len(p.Events) > 0 {
 		r.replicas, r.kept = len(p.Events[0].(rules.List).Entries), k.Replicas
 	}
-	if p.Verdict == ClockBack {
-		r.heardAt = now - rules.Time(s.MostAge)
+	if p.Assessment == ClockBack {
+		r.confirmedAt = now - rules.Time(s.MaxAge)
 	}
 	return r
 }
 
-// Hear takes note of an event, and returns what stands in its place: itself, with what discovery's first answer confirms.
+// Handle takes note of an event, and returns what stands in its place: itself, with what discovery's first answer confirms.
 // Changes alone confirm that all else is as it was kept, so what was taken to have started now gets its true start again;
 // and what has not started anew since is recalled once more, as its record began anew with its start.
-func (r *Recovery) Hear(e rules.Event) []rules.Event {
+func (r *Recovery) Handle(e rules.Event) []rules.Event {
 	switch e := e.(type) {
 	case rules.Joined:
-		if r.step == FromDisk {
-			r.step = FromProxies
+		if r.stage == FromDisk {
+			r.stage = FromProxies
 		}
-	case rules.Sums:
-		if r.step != Confirmed && e.Tries > e.Dropped {
-			r.heard[e.Replica] = true
+	case rules.EndpointStats:
+		if r.stage != Confirmed && e.Attempts > e.Dropped {
+			r.responding[e.Replica] = true
 		}
 	case rules.List:
-		if r.step != Confirmed && (e.Scope == rules.Changes || e.Scope == rules.Whole) {
+		if r.stage != Confirmed && (e.Scope == rules.Changes || e.Scope == rules.Full) {
 			return r.confirm(e)
 		}
 	}
@@ -159,7 +159,7 @@
 }
 
 func (r *Recovery) confirm(e rules.List) (out []rules.Event) {
-	r.step, r.heard = Confirmed, nil
+	r.stage, r.responding = Confirmed, nil
 	told := map[rules.ReplicaID]rules.Entry{}
 	for _, n := range e.Entries {
 		told[n.Replica] = n
@@ -169,14 +169,14 @@
 	same := 0 // replicas that have not started anew since
 	for _, k := range r.kept {
 		n, is := told[k.Entry.Replica]
-		if !is && e.Scope == rules.Changes && k.Entry.State != rules.Gone {
+		if !is && e.Scope == rules.Changes && k.Entry.State != rules.Deregistered {
 			asKept.Entries = append(asKept.Entries, k.Entry)
 		}
-		if is && n.StartedAt != k.Entry.StartedAt || !is && e.Scope == rules.Whole || is && n.State != rules.Ready {
+		if is && n.StartedAt != k.Entry.StartedAt || !is && e.Scope == rules.Full || is && n.State != rules.Ready {
 			continue
 		}
-		if same++; k.Learnt.Speed > 0 {
-			l := k.Learnt
+		if same++; k.Learned.Speed > 0 {
+			l := k.Learned
 			l.Replica, l.Trust = k.Entry.Replica, 1
 			recalled = append(recalled, l)
 		}
@@ -187,33 +187,33 @@
 	}
 	out = append(out, e)
 	for _, l := range recalled {
-		l.Out = l.Out && float64(same) >= warmLeast*float64(max(len(e.Entries), r.replicas))
+		l.Out = l.Out && float64(same) >= minUnrestartedShare*float64(max(len(e.Entries), r.replicas))
 		out = append(out, l)
 	}
 	return out
 }
 
-// warmLeast is the part of the list that must have gone on since, for those held out to be held out again: else one of
+// minUnrestartedShare is the part of the list that must have gone on since, for those held out to be held out again: else one of
 // them would draw what cold replicas can't be sent.
-const warmLeast = 0.6
+const minUnrestartedShare = 0.6
 
-// Step tells where the recovery stands.
-func (r *Recovery) Step() Step { return r.step }
+// Stage tells where the recovery stands.
+func (r *Recovery) Stage() Stage { return r.stage }
 
 // Trust is from 0 to 1. A replica that answers is as good as listed, so the part that has been heard of counts whole, and
 // the rest by the list's age.
 func (r *Recovery) Trust(now rules.Time) float64 {
-	if r.step == Confirmed {
+	if r.stage == Confirmed {
 		return 1
 	}
 	if r.replicas == 0 {
 		return 0
 	}
-	part := min(float64(len(r.heard))/float64(r.replicas), 1)
-	return part + (1-part)*r.set.trust(time.Duration(now-r.heardAt))
+	part := min(float64(len(r.responding))/float64(r.replicas), 1)
+	return part + (1-part)*r.settings.trustAt(time.Duration(now-r.confirmedAt))
 }
 
 // String is for the log.
 func (p Plan) String() string {
-	return fmt.Sprintf("%s, %v old, trust %.2f", p.Verdict, p.Age.Round(time.Second), p.Trust)
+	return fmt.Sprintf("%s, %v old, trust %.2f", p.Assessment, p.Age.Round(time.Second), p.Trust)
 }
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -13,15 +13,15 @@
 
 const second = rules.Time(time.Second)
 
-var set = Settings{HalfLife: 10 * time.Minute, MostAge: 24 * time.Hour}
+var set = Settings{HalfLife: 10 * time.Minute, MaxAge: 24 * time.Hour}
 
 // kept is a list of replicas that all started long ago, of which even ones are twice as fast as odd ones.
-func kept(n int, heard rules.Time) Kept {
-	k := Kept{Governor: "n1", Discovery: "d", Version: 7, Heard: heard, Written: heard + second, Next: rules.ReplicaID(n)}
+func kept(n int, heard rules.Time) State {
+	k := State{Governor: "n1", Discovery: "d", Version: 7, ConfirmedAt: heard, WrittenAt: heard + second, NextReplicaID: rules.ReplicaID(n)}
 	for i := range n {
 		id := rules.ReplicaID(i)
 		k.Replicas = append(k.Replicas, Replica{Name: fmt.Sprint("s", i), Entry: rules.Entry{Replica: id, State: rules.Ready, Listed: 1},
-			Learnt: rules.Recalled{Replica: id, Speed: 1.25 - 0.75*float64(i%2), Answers: 12.5 - 7.5*float64(i%2)}})
+			Learned: rules.Recalled{Replica: id, Speed: 1.25 - 0.75*float64(i%2), Answers: 12.5 - 7.5*float64(i%2)}})
 	}
 	return k
 }
@@ -31,29 +31,29 @@
 	now := 1_000_000 * second
 	for _, c := range []struct {
 		what  string
-		with  func(*Kept)
-		want  Verdict
+		with  func(*State)
+		want  Assessment
 		trust float64
 	}{
-		{"10 s old", func(k *Kept) { k.Heard = now - 10*second }, Used, 0.988},
-		{"5 min old", func(k *Kept) { k.Heard = now - 300*second }, Used, 0.707},
-		{"a day old", func(k *Kept) { k.Heard = now - 86_400*second }, Used, 0},
-		{"older", func(k *Kept) { k.Heard = now - 86_401*second }, TooOld, 0},
-		{"a clock that went back by an hour", func(k *Kept) { k.Heard, k.Written = now+3600*second, now+3601*second }, ClockBack, 0},
-		{"another discovery", func(k *Kept) { k.Discovery = "e" }, Another, 0},
-		{"another governor", func(k *Kept) { k.Governor = "n2" }, Another, 0},
-		{"nothing", func(k *Kept) { k.Replicas = nil }, Nothing, 0},
-		{"never heard", func(k *Kept) { k.Heard = 0 }, Impossible, 0},
-		{"written before it was heard", func(k *Kept) { k.Written = k.Heard - 3600*second }, Impossible, 0},
+		{"10 s old", func(k *State) { k.ConfirmedAt = now - 10*second }, Used, 0.988},
+		{"5 min old", func(k *State) { k.ConfirmedAt = now - 300*second }, Used, 0.707},
+		{"a day old", func(k *State) { k.ConfirmedAt = now - 86_400*second }, Used, 0},
+		{"older", func(k *State) { k.ConfirmedAt = now - 86_401*second }, TooOld, 0},
+		{"a clock that went back by an hour", func(k *State) { k.ConfirmedAt, k.WrittenAt = now+3600*second, now+3601*second }, ClockBack, 0},
+		{"another discovery", func(k *State) { k.Discovery = "e" }, Mismatch, 0},
+		{"another governor", func(k *State) { k.Governor = "n2" }, Mismatch, 0},
+		{"nothing", func(k *State) { k.Replicas = nil }, Nothing, 0},
+		{"never heard", func(k *State) { k.ConfirmedAt = 0 }, Impossible, 0},
+		{"written before it was heard", func(k *State) { k.WrittenAt = k.ConfirmedAt - 3600*second }, Impossible, 0},
 	} {
 		k := kept(4, now-60*second)
-		k.Written = now
+		k.WrittenAt = now
 		c.with(&k)
-		p := Weigh(now, k, "n1", "d", set)
-		if p.Verdict != c.want || p.Trust < c.trust-0.001 || p.Trust > c.trust+0.001 {
+		p := NewPlan(now, k, "n1", "d", set)
+		if p.Assessment != c.want || p.Trust < c.trust-0.001 || p.Trust > c.trust+0.001 {
 			t.Errorf("%s: %v", c.what, p)
 		}
-		used := p.Verdict == Used || p.Verdict == ClockBack
+		used := p.Assessment == Used || p.Assessment == ClockBack
 		if used != (len(p.Events) == 5) {
 			t.Errorf("%s: %d events", c.what, len(p.Events))
 		}
@@ -72,8 +72,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now, n := 1_000_000*second, rapid.IntRange(1, 20).Draw(t, "replicas")
 		k := kept(n, now-rules.Time(rapid.IntRange(0, 80_000).Draw(t, "age"))*second)
-		k.Written = now
-		p := Weigh(now, k, "n1", "d", set)
+		k.WrittenAt = now
+		p := NewPlan(now, k, "n1", "d", set)
 		r := Begin(now, k, p, set)
 		trust := r.Trust(now)
 		for range rapid.IntRange(0, 40).Draw(t, "events") {
@@ -84,22 +84,22 @@
 					t.Fatalf("with time alone trust rises from %v to %v", trust, later)
 				}
 			case 1:
-				r.Hear(rules.Sums{Replica: rules.ReplicaID(rapid.IntRange(0, n-1).Draw(t, "replica")), Tries: 3})
+				r.Handle(rules.EndpointStats{Replica: rules.ReplicaID(rapid.IntRange(0, n-1).Draw(t, "replica")), Attempts: 3})
 				if later := r.Trust(now); later < trust-1e-12 {
 					t.Fatalf("a replica that answers takes trust from %v to %v", trust, later)
 				}
 			case 2:
-				r.Hear(rules.Joined{Proxy: 1})
+				r.Handle(rules.Joined{Proxy: 1})
 			default:
-				r.Hear(rules.List{Scope: rules.Failed})
+				r.Handle(rules.List{Scope: rules.Failed})
 			}
-			if trust = r.Trust(now); trust < 0 || trust > 1 || r.Step() == Confirmed {
-				t.Fatalf("trust %v at step %v", trust, r.Step())
+			if trust = r.Trust(now); trust < 0 || trust > 1 || r.Stage() == Confirmed {
+				t.Fatalf("trust %v at step %v", trust, r.Stage())
 			}
 		}
-		r.Hear(rules.List{Scope: rules.Changes})
-		if r.Trust(now) != 1 || r.Step() != Confirmed {
-			t.Fatalf("discovery has spoken: trust %v, step %v", r.Trust(now), r.Step())
+		r.Handle(rules.List{Scope: rules.Changes})
+		if r.Trust(now) != 1 || r.Stage() != Confirmed {
+			t.Fatalf("discovery has spoken: trust %v, step %v", r.Trust(now), r.Stage())
 		}
 	})
 }
@@ -119,14 +119,14 @@
 func siteSettings(proxies int) rules.Settings {
 	pace := 100 * float64(proxies)
 	return rules.Settings{Groups: []rules.TrafficGroup{{Name: "look", LatencyBudget: time.Second}}, Governors: 1, Proxies: proxies, Zones: 1,
-		ListOnRequest: true, AskWithin: 10 * time.Second, Period: time.Second, LinePace: pace, LineCap: 2 * pace, HeadLines: 6, MessageCap: 20,
-		MessageSpan: 10 * time.Second, TravelMost: 400 * time.Millisecond, DrainGrace: 3 * time.Second, WarmAfter: 18 * time.Second, ColdFrom: 0.2}
+		ListOnRequest: true, ListRequestDeadline: 10 * time.Second, Period: time.Second, EntryRate: pace, EntryCapacity: 2 * pace, MessageEntries: 6, MessageLimit: 20,
+		MessageSpan: 10 * time.Second, MaxMessageDelay: 400 * time.Millisecond, DrainGrace: 3 * time.Second, WarmupTime: 18 * time.Second, ColdCapacity: 0.2}
 }
 
 // begin starts a governor from disk.
-func begin(now rules.Time, k Kept, proxies int) *life {
+func begin(now rules.Time, k State, proxies int) *life {
 	l := &life{now: now, lines: map[rules.ReplicaID]float64{}, bound: map[rules.ProxyID]bool{}}
-	p := Weigh(now, k, "n1", "d", set)
+	p := NewPlan(now, k, "n1", "d", set)
 	l.rec = Begin(now, k, p, set)
 	l.raw(append([]rules.Event{rules.Start{Seed: 3, Settings: siteSettings(proxies)}}, p.Events...)...)
 	return l
@@ -135,7 +135,7 @@
 func (l *life) hear(events ...rules.Event) {
 	var out []rules.Event
 	for _, e := range events {
-		out = append(out, l.rec.Hear(e)...)
+		out = append(out, l.rec.Handle(e)...)
 	}
 	l.raw(out...)
 }
@@ -145,12 +145,12 @@
 	for _, o := range l.orders {
 		switch o := o.(type) {
 		case rules.WakeAfter:
-			l.mark = o.Mark
-		case rules.Mark:
+			l.mark = o.TimerID
+		case rules.AckRequest:
 			l.version = o.Version
 		case rules.Bind:
 			l.bound[o.Proxy] = true
-		case rules.Line:
+		case rules.EndpointWeight:
 			if l.lines[o.Replica] = o.Weight; o.Weight == 0 {
 				delete(l.lines, o.Replica)
 			}
@@ -166,14 +166,14 @@
 			events = append(events, rules.Applied{Proxy: p, Version: l.version})
 		}
 		slices.SortStableFunc(events, func(a, b rules.Event) int { return 0 })
-		l.hear(append(events, rules.Wake{Mark: l.mark})...)
+		l.hear(append(events, rules.Wake{TimerID: l.mark})...)
 		events = nil
 	}
 }
 
 func joins(n int) (events []rules.Event) {
 	for p := range n {
-		events = append(events, rules.Joined{Proxy: rules.ProxyID(p), Rate: float64(p), Fresh: true})
+		events = append(events, rules.Joined{Proxy: rules.ProxyID(p), FlowRate: float64(p), Fresh: true})
 	}
 	return events
 }
@@ -195,8 +195,8 @@
 			t.Errorf("%d s old: the faster replica gets %.2f times as much", age, ratio)
 		}
 		last = ratio
-		if l.rec.Step() != FromProxies {
-			t.Error(l.rec.Step())
+		if l.rec.Stage() != FromProxies {
+			t.Error(l.rec.Stage())
 		}
 		l.pass(40)
 		if len(l.lines) != 10 {
@@ -213,7 +213,7 @@
 	l := begin(now, k, 4)
 	l.hear(joins(4)...)
 	l.pass(4)
-	truth := rules.List{Scope: rules.Whole}
+	truth := rules.List{Scope: rules.Full}
 	for i := range 20 {
 		e := rules.Entry{Replica: rules.ReplicaID(i), State: rules.Ready, Listed: 1}
 		switch {
@@ -229,7 +229,7 @@
 	l.hear(truth)
 	gone, added := 0, false
 	for _, o := range l.orders {
-		line, is := o.(rules.Line)
+		line, is := o.(rules.EndpointWeight)
 		if !is {
 			continue
 		}
@@ -267,7 +267,7 @@
 		t.Errorf("the faster replica gets %.2f times as much", ratio)
 	}
 	var v rules.View
-	l.gov.View(l.now, &v)
+	l.gov.WriteView(l.now, &v)
 	for _, r := range v.Replicas {
 		if r.Cold != (r.Replica == 4) {
 			t.Errorf("replica %d: cold %v", r.Replica, r.Cold)
@@ -281,7 +281,7 @@
 func TestHeldOutStays(t *testing.T) {
 	now := 1_000_000 * second
 	k := kept(10, now-10*second)
-	k.Replicas[3].Learnt.Out = true
+	k.Replicas[3].Learned.Out = true
 	for _, anew := range []int{0, 8} {
 		l := begin(now, k, 4)
 		l.hear(joins(4)...)
@@ -297,18 +297,18 @@
 		l.hear(truth)
 		l.pass(8)
 		var v rules.View
-		l.gov.View(l.now, &v)
-		if out := v.Replicas[3].HeldOut; out != (anew == 0) {
+		l.gov.WriteView(l.now, &v)
+		if out := v.Replicas[3].Ejected; out != (anew == 0) {
 			t.Errorf("with %d started anew it is held out: %v", anew, out)
 		}
 		for range 12 {
 			var sums []rules.Event
 			for i := range 10 {
-				sums = append(sums, rules.Sums{Replica: rules.ReplicaID(i), Tries: 10, Over: time.Second, Took: 50 * time.Millisecond, Report: rules.Report{Util: 0.5}})
+				sums = append(sums, rules.EndpointStats{Replica: rules.ReplicaID(i), Attempts: 10, Window: time.Second, MeanLatency: 50 * time.Millisecond, Report: rules.LoadReport{Utilization: 0.5}})
 			}
 			l.pass(4, sums...)
 		}
-		if l.gov.View(l.now, &v); v.Replicas[3].HeldOut {
+		if l.gov.WriteView(l.now, &v); v.Replicas[3].Ejected {
 			t.Error("it has answered for 12 s and is still held out")
 		}
 	}
@@ -324,8 +324,8 @@
 	begun := l.now
 	for len(l.bound) < 1000 {
 		l.pass(1)
-		if l.gov.View(l.now, &v); v.LinesWaiting > v.LinesCap || v.Busiest > v.MessageCap {
-			t.Fatalf("%.0f lines wait of %.0f, %d messages of %d", v.LinesWaiting, v.LinesCap, v.Busiest, v.MessageCap)
+		if l.gov.WriteView(l.now, &v); v.EntriesWaiting > v.EntryCapacity || v.MostMessages > v.MessageLimit {
+			t.Fatalf("%.0f lines wait of %.0f, %d messages of %d", v.EntriesWaiting, v.EntryCapacity, v.MostMessages, v.MessageLimit)
 		}
 		if l.now-begun > 5*second {
 			t.Fatalf("%d are bound after 5 s", len(l.bound))
@@ -344,7 +344,7 @@
 			switch o := o.(type) {
 			case rules.Bind:
 				tables[o.Proxy] = o.Table
-			case rules.Line:
+			case rules.EndpointWeight:
 				if o.Weight > 0 {
 					lines[o.Table]++
 				}
--- a/rules/api.go
+++ b/rules/api.go
@@ -70,34 +70,34 @@
 	ProbesAllowed bool
 	Levels        LevelKind
 
-	Period     time.Duration // sums are gathered this often
-	LinePace   float64       // lines a second that the channel sends when all is well
-	LineCap    float64       // lines that may wait in the channel
-	HeadLines  float64       // lines that a message costs besides its own
-	MessageCap int           // messages to one proxy within MessageSpan; 0: no limit
-	TravelMost time.Duration // the longest way of a message to a proxy
+	Period          time.Duration // sums are gathered this often
+	EntryRate       float64       // lines a second that the channel sends when all is well
+	EntryCapacity   float64       // lines that may wait in the channel
+	MessageEntries  float64       // lines that a message costs besides its own
+	MessageLimit    int           // messages to one proxy within MessageSpan; 0: no limit
+	MaxMessageDelay time.Duration // the longest way of a message to a proxy
 
-	MessageSpan  time.Duration
-	FailsToAvoid int     // a proxy avoids a replica after so many failures in a row; 0: never
-	FirstWait    float64 // a try that may be followed waits so many latency budgets
+	MessageSpan         time.Duration
+	FailuresToAvoid     int     // a proxy avoids a replica after so many failures in a row; 0: never
+	FirstAttemptBudgets float64 // a try that may be followed waits so many latency budgets
 
-	LinksLeast float64       // connections that the smallest replicas accept; 0: not told
-	LinkIdle   time.Duration // a proxy closes connections that lie idle this long
+	MinConnections        float64       // connections that the smallest replicas accept; 0: not told
+	ConnectionIdleTimeout time.Duration // a proxy closes connections that lie idle this long
 
-	BareMost     time.Duration // the longest time that a proxy may lack a line
-	DrainGrace   time.Duration // sending to a draining or gone replica ends within this time
-	AskWithin    time.Duration // on request: the list must have been asked for within this time
-	WarmAfter    time.Duration // a started replica is warm after this at the latest
-	ColdFrom     float64       // share of its capacity with which a replica starts
-	FallMultiple float64       // a cold replica falls over under so many times its present capacity
-	FallAfter    time.Duration // for so long
+	MaxUnboundTime      time.Duration // the longest time that a proxy may lack a line
+	DrainGrace          time.Duration // sending to a draining or gone replica ends within this time
+	ListRequestDeadline time.Duration // on request: the list must have been asked for within this time
+	WarmupTime          time.Duration // a started replica is warm after this at the latest
+	ColdCapacity        float64       // share of its capacity with which a replica starts
+	OverloadMultiple    float64       // a cold replica falls over under so many times its present capacity
+	OverloadTime        time.Duration // for so long
 }
 
 // State is what the list says of a replica.
 type State int
 
 const (
-	Gone State = iota
+	Deregistered State = iota
 	Ready
 	Draining
 )
@@ -118,14 +118,14 @@
 
 const (
 	Changes Scope = iota // changed entries only
-	Whole                // the whole list
+	Full                 // the whole list
 	Cached               // the list as last held, maybe old
 	Failed               // a call failed or the subscription broke; the old list stands
 )
 
-// Report is a replica's own word on its load. A figure that it does not give is Absent.
-type Report struct {
-	Util        float64 // share of its cores that is busy
+// LoadReport is a replica's own word on its load. A figure that it does not give is Absent.
+type LoadReport struct {
+	Utilization float64 // share of its cores that is busy
 	InFlight    float64 // flows that it holds
 	ServiceTime float64 // milliseconds, without waiting
 	Rate        float64 // flows a second
@@ -151,17 +151,17 @@
 		Entries []Entry
 	}
 	// Wake answers a WakeAfter order.
-	Wake struct{ Mark uint64 }
+	Wake struct{ TimerID uint64 }
 	// Joined tells that a proxy's stream stands; it is bound to none of this governor's tables.
 	Joined struct {
-		Proxy ProxyID
-		Zone  ZoneID
-		Rate  float64 // flows a second that it usually gets
-		Fresh bool    // it holds only its standing tables
+		Proxy    ProxyID
+		Zone     ZoneID
+		FlowRate float64 // flows a second that it usually gets
+		Fresh    bool    // it holds only its standing tables
 
 		// Unsure tells that it may shut out replicas unknown to this governor. Binding it then lets each back, at the
 		// cost of a further line for each line of its tables.
-		Unsure bool
+		MayHoldEjections bool
 	}
 	// Left tells that a proxy's stream broke.
 	Left struct{ Proxy ProxyID }
@@ -169,36 +169,36 @@
 	Applied struct {
 		Proxy   ProxyID
 		Version uint16
-		Took    time.Duration
+		Delay   time.Duration
 	}
-	// Sums tell what the joined proxies of a zone met at a replica.
-	Sums struct {
-		Replica ReplicaID
-		Zone    ZoneID
-		Tries   int
-		Dropped int           // tries without a good answer
-		Took    time.Duration // mean time of the good ones; 0: none
-		Over    time.Duration
-		Report  Report
+	// EndpointStats tell what the joined proxies of a zone met at a replica.
+	EndpointStats struct {
+		Replica     ReplicaID
+		Zone        ZoneID
+		Attempts    int
+		Dropped     int           // tries without a good answer
+		MeanLatency time.Duration // mean time of the good ones; 0: none
+		Window      time.Duration
+		Report      LoadReport
 	}
-	// Intake tells how many flows of a traffic group came to a proxy.
-	Intake struct {
+	// GroupTraffic tells how many flows of a traffic group came to a proxy.
+	GroupTraffic struct {
 		Proxy   ProxyID
 		Group   GroupID
 		Flows   int
 		Dropped int // let in, but not answered
-		Over    time.Duration
+		Window  time.Duration
 	}
-	// Pair tells that tries of one proxy at one replica were dropped, as intake remembers it: counts fade with time.
-	Pair struct {
-		Proxy          ProxyID
-		Replica        ReplicaID
-		Tries, Dropped float64
-		Elsewhere      float64 // share of tries that the replica drops at all other proxies
-		Others         float64 // share of tries that the proxy drops at all other replicas
+	// PairStats tells that tries of one proxy at one replica were dropped, as intake remembers it: counts fade with time.
+	PairStats struct {
+		Proxy             ProxyID
+		Replica           ReplicaID
+		Attempts, Dropped float64
+		ReplicaDropShare  float64 // share of tries that the replica drops at all other proxies
+		ProxyDropShare    float64 // share of tries that the proxy drops at all other replicas
 		// What became of further tries at all pairs of the replica that had dropped one: of drops that hit any proxy by
 		// chance few drop again, where some proxies fail there nearly all do.
-		Again, AgainDropped float64
+		RetriedAttempts, RetriedDropped float64
 	}
 	// Recalled tells what a former life had learnt of a replica, and how far that is trusted.
 	Recalled struct {
@@ -211,59 +211,59 @@
 	// Probed answers a Probe order.
 	Probed struct {
 		Replica ReplicaID
-		Good    bool
-		Took    time.Duration
-		Report  Report
+		Healthy bool
+		Latency time.Duration
+		Report  LoadReport
 	}
-	// Peer is a message from another governor.
-	Peer struct {
+	// PeerMessage is a message from another governor.
+	PeerMessage struct {
 		From PeerID
 		Data []byte
 	}
-	// SliceGiven, SliceLine and SliceHeat come at sites with slices only.
-	SliceGiven struct {
-		Slice SliceID
-		Given bool
+	// SliceAssigned, SliceLine and SliceHeat come at sites with slices only.
+	SliceAssigned struct {
+		Slice    SliceID
+		Assigned bool
 	}
-	SliceLine struct {
+	SliceWeight struct {
 		Slice   SliceID
 		Replica ReplicaID
 		Weight  float64
 	}
-	SliceHeat struct {
+	SliceTraffic struct {
 		Slice   SliceID
 		Group   GroupID
 		Flows   int
 		Dropped int
-		Over    time.Duration
+		Window  time.Duration
 	}
 )
 
-func (Start) event()      {}
-func (Killed) event()     {}
-func (List) event()       {}
-func (Wake) event()       {}
-func (Joined) event()     {}
-func (Left) event()       {}
-func (Applied) event()    {}
-func (Sums) event()       {}
-func (Intake) event()     {}
-func (Pair) event()       {}
-func (Recalled) event()   {}
-func (Probed) event()     {}
-func (Peer) event()       {}
-func (SliceGiven) event() {}
-func (SliceLine) event()  {}
-func (SliceHeat) event()  {}
+func (Start) event()         {}
+func (Killed) event()        {}
+func (List) event()          {}
+func (Wake) event()          {}
+func (Joined) event()        {}
+func (Left) event()          {}
+func (Applied) event()       {}
+func (EndpointStats) event() {}
+func (GroupTraffic) event()  {}
+func (PairStats) event()     {}
+func (Recalled) event()      {}
+func (Probed) event()        {}
+func (PeerMessage) event()   {}
+func (SliceAssigned) event() {}
+func (SliceWeight) event()   {}
+func (SliceTraffic) event()  {}
 
 // Retry is a way of trying again.
 type Retry uint8
 
 const (
-	RetryNever Retry = iota
-	RetryUnrun       // once, at another replica, after proof that the first try never ran
-	RetryOnce        // once after any failure
-	RetryTwice       // twice after any failure
+	RetryNever       Retry = iota
+	RetryUnprocessed       // once, at another replica, after proof that the first try never ran
+	RetryOnce              // once after any failure
+	RetryTwice             // twice after any failure
 )
 
 // AllTables stands for all tables in an Admit order.
@@ -273,8 +273,8 @@
 type Order interface{ order() }
 
 type (
-	// Line sets one line of a table; weight 0 removes it.
-	Line struct {
+	// EndpointWeight sets one line of a table; weight 0 removes it.
+	EndpointWeight struct {
 		Table   TableID
 		Replica ReplicaID
 		Weight  float64
@@ -299,21 +299,21 @@
 		Replica ReplicaID
 		Out     bool
 	}
-	// Shun shuts a replica out at one proxy alone, or lets it in again there.
-	Shun struct {
+	// PairEjection shuts a replica out at one proxy alone, or lets it in again there.
+	PairEjection struct {
 		Proxy   ProxyID
 		Replica ReplicaID
-		Out     bool
+		Ejected bool
 	}
-	// Mark asks the proxies that this Step's messages reach for an Applied event.
-	Mark struct {
-		Version uint16
-		ToAll   bool
+	// AckRequest asks the proxies that this Step's messages reach for an Applied event.
+	AckRequest struct {
+		Version    uint16
+		AllProxies bool
 	}
 	// WakeAfter asks for a Wake event.
 	WakeAfter struct {
-		After time.Duration
-		Mark  uint64
+		After   time.Duration
+		TimerID uint64
 	}
 	// Observe asks for the list's changes from now on, or no longer.
 	Observe struct{ On bool }
@@ -324,8 +324,8 @@
 	Forget struct{ Replica ReplicaID }
 	// Probe checks a replica; it costs the replica work.
 	Probe struct{ Replica ReplicaID }
-	// Tell sends a message to another governor.
-	Tell struct {
+	// SendToPeer sends a message to another governor.
+	SendToPeer struct {
 		To   PeerID
 		Data []byte
 	}
@@ -333,17 +333,17 @@
 	Log struct{ Text string }
 )
 
-func (Line) order()       {}
-func (Admit) order()      {}
-func (Bind) order()       {}
-func (ClearTable) order() {}
-func (Withdraw) order()   {}
-func (Shun) order()       {}
-func (Mark) order()       {}
-func (WakeAfter) order()  {}
-func (Observe) order()    {}
-func (FetchList) order()  {}
-func (Forget) order()     {}
-func (Probe) order()      {}
-func (Tell) order()       {}
-func (Log) order()        {}
+func (EndpointWeight) order() {}
+func (Admit) order()          {}
+func (Bind) order()           {}
+func (ClearTable) order()     {}
+func (Withdraw) order()       {}
+func (PairEjection) order()   {}
+func (AckRequest) order()     {}
+func (WakeAfter) order()      {}
+func (Observe) order()        {}
+func (FetchList) order()      {}
+func (Forget) order()         {}
+func (Probe) order()          {}
+func (SendToPeer) order()     {}
+func (Log) order()            {}
--- a/rules/bench_test.go
+++ b/rules/bench_test.go
@@ -12,12 +12,12 @@
 // grown is a governor of so many proxies, all bound, that has heard sums of all replicas for some periods.
 func grown(proxies, replicas int) *play {
 	s := site()
-	s.Proxies, s.MessageCap = proxies, 0
-	s.LinePace, s.LineCap = 8*float64(proxies), 32*float64(proxies)
-	s.FailsToAvoid = 3
+	s.Proxies, s.MessageLimit = proxies, 0
+	s.EntryRate, s.EntryCapacity = 8*float64(proxies), 32*float64(proxies)
+	s.FailuresToAvoid = 3
 	p := newPlay(s, replicas, 0)
 	for i := range proxies {
-		p.proxies = append(p.proxies, Joined{Proxy: ProxyID(i), Zone: ZoneID(i % 2), Rate: 0.5, Fresh: true})
+		p.proxies = append(p.proxies, Joined{Proxy: ProxyID(i), Zone: ZoneID(i % 2), FlowRate: 0.5, Fresh: true})
 	}
 	p.step(events(p.proxies)...)
 	p.run(12)
@@ -37,7 +37,7 @@
 
 // settle takes what waits as applied, so that the channel has room again.
 func (p *play) settle() {
-	p.g.channel, p.g.queue = nil, 0
+	p.g.channel, p.g.queuedEntries = nil, 0
 }
 
 // BenchmarkJoin has a proxy come back and be bound, a Step each.
@@ -46,7 +46,7 @@
 		for b.Loop() {
 			p.now += Time(time.Millisecond)
 			p.settle()
-			p.g.Step(p.now, []Event{Joined{Proxy: 7, Zone: 1, Rate: 0.5}})
+			p.g.Step(p.now, []Event{Joined{Proxy: 7, Zone: 1, FlowRate: 0.5}})
 		}
 	})
 }
@@ -72,7 +72,7 @@
 		for b.Loop() {
 			p.now += Time(time.Second)
 			p.settle()
-			p.g.Step(p.now, append(p.sums(), Wake{Mark: p.mark}))
+			p.g.Step(p.now, append(p.sums(), Wake{TimerID: p.mark}))
 		}
 	})
 }
--- a/rules/phase_test.go
+++ b/rules/phase_test.go
@@ -22,7 +22,7 @@
 
 func newFeed(replicas int) *feed {
 	s := site()
-	s.Zones, s.LinePace, s.LineCap = 4, 30000, 30000
+	s.Zones, s.EntryRate, s.EntryCapacity = 4, 30000, 30000
 	f := &feed{play: newPlay(s, replicas, 4), kept: map[int][]Event{}}
 	f.wakeAt = f.now + 250*ms
 	return f
@@ -38,7 +38,7 @@
 		sums := append([]Event{}, f.kept[z]...)
 		f.kept[z] = nil
 		for _, r := range f.g.replicas {
-			e := Sums{Replica: r.id, Zone: ZoneID(z), Tries: 125, Over: time.Second, Took: f.took, Report: Report{Util: 0.5}}
+			e := EndpointStats{Replica: r.id, Zone: ZoneID(z), Attempts: 125, Window: time.Second, MeanLatency: f.took, Report: LoadReport{Utilization: 0.5}}
 			if f.hung[r.id] {
 				continue
 			}
@@ -58,7 +58,7 @@
 	for end := f.now + 1000*ms; f.now < end; f.now += 4 * ms {
 		in := due[f.now]
 		if f.now >= f.wakeAt {
-			in = append(in, Wake{Mark: f.mark})
+			in = append(in, Wake{TimerID: f.mark})
 			f.wakeAt = f.now + 250*ms
 		}
 		if len(in) > 0 {
@@ -138,10 +138,10 @@
 	f.seconds(4, same...)
 	for range 6 {
 		f.now += 600 * ms
-		f.step(Wake{Mark: f.mark}, Sums{Replica: 1, Zone: 0, Tries: 125, Over: time.Second, Took: f.took, Report: Report{Util: 0.5}})
+		f.step(Wake{TimerID: f.mark}, EndpointStats{Replica: 1, Zone: 0, Attempts: 125, Window: time.Second, MeanLatency: f.took, Report: LoadReport{Utilization: 0.5}})
 	}
 	for _, r := range f.g.replicas {
-		if r.out {
+		if r.ejected {
 			t.Errorf("while late itself it took replica %d for silent", r.id)
 		}
 	}
