--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -20,7 +20,7 @@
 
 func TestPace(t *testing.T) {
 	s := site()
-	s.LinePace = 90
+	s.EntryRate = 90
 	p := newPlay(s, 6, 3)
 	p.note("a period's changes stay within a third of a second of channel, largest first")
 	for id := range ReplicaID(6) {
@@ -41,15 +41,15 @@
 
 func TestRejoinsCountWhatIsLetBack(t *testing.T) {
 	s := site()
-	s.LineCap = 112
+	s.EntryCapacity = 112
 	for _, unsure := range []bool{false, true} {
 		p := newPlay(s, 3, 0)
 		var joins []Event
 		for i := range 5 {
-			joins = append(joins, Joined{Proxy: ProxyID(i), Fresh: true, Unsure: unsure})
+			joins = append(joins, Joined{Proxy: ProxyID(i), Fresh: true, MayHoldEjections: unsure})
 		}
 		p.step(joins...)
-		if bound := 5 - len(p.g.waiting); unsure && bound != 3 || !unsure && bound != 4 {
+		if bound := 5 - len(p.g.unbound); unsure && bound != 3 || !unsure && bound != 4 {
 			t.Errorf("unsure %v: %d proxies bound within half of the channel", unsure, bound)
 		}
 	}
@@ -72,24 +72,24 @@
 func TestJoinsWhileOneLeaves(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		s := site()
-		s.LinePace, s.LineCap, s.DrainGrace = 300, 1200, 6*time.Second
+		s.EntryRate, s.EntryCapacity, s.DrainGrace = 300, 1200, 6*time.Second
 		p := newPlay(s, 4, 2)
 		p.run(3)
-		p.g.channel, p.g.queue = nil, 0
+		p.g.channel, p.g.queuedEntries = nil, 0
 		if leaves {
 			p.list[3].State = Draining
 		}
 		in := []Event{List{Scope: Changes, Entries: p.list[3:]}}
 		for i := range 150 {
-			in = append(in, Joined{Proxy: ProxyID(10 + i), Rate: 1})
+			in = append(in, Joined{Proxy: ProxyID(10 + i), FlowRate: 1})
 		}
 		p.step(in...)
 		lines := 1080 * 0.5
 		if leaves {
 			lines = 900
 		}
-		if p.g.queue > lines || p.g.queue < lines-30 {
-			t.Errorf("one leaves: %v; %.0f lines wait, %d proxies are not bound", leaves, p.g.queue, len(p.g.waiting))
+		if p.g.queuedEntries > lines || p.g.queuedEntries < lines-30 {
+			t.Errorf("one leaves: %v; %.0f lines wait, %d proxies are not bound", leaves, p.g.queuedEntries, len(p.g.unbound))
 		}
 	}
 }
@@ -99,7 +99,7 @@
 	p.run(2)
 	p.change(1, Draining, 0)
 	p.note("dropped from the whole list")
-	p.step(List{Scope: Whole, Entries: p.list[:2]})
+	p.step(List{Scope: Full, Entries: p.list[:2]})
 	p.note("the last one drains as well: the table is empty until one is ready")
 	p.change(2, Draining, 0)
 	p.change(3, Ready, 0)
@@ -124,7 +124,7 @@
 // Proxies that avoid most replicas bring a cold one far more than its weight says.
 func TestColdWhileProxiesAvoid(t *testing.T) {
 	s := site()
-	s.FailsToAvoid = 3
+	s.FailuresToAvoid = 3
 	p := newPlay(s, 4, 2)
 	p.run(3)
 	p.change(4, Ready, p.now)
@@ -139,19 +139,19 @@
 // sums tell, so what is dropped elsewhere does not bring the cold one more than its weight, and it keeps its line.
 func TestColdWhileProxiesCannotAvoid(t *testing.T) {
 	s := site()
-	s.FailsToAvoid = 3
+	s.FailuresToAvoid = 3
 	p := newPlay(s, 4, 0)
 	for i := range 60 {
-		p.proxies = append(p.proxies, Joined{Proxy: ProxyID(i), Rate: 0.5, Fresh: true})
+		p.proxies = append(p.proxies, Joined{Proxy: ProxyID(i), FlowRate: 0.5, Fresh: true})
 	}
 	p.step(events(p.proxies)...)
 	p.run(3)
 	p.change(4, Ready, p.now)
 	p.run(2)
-	before := p.g.byID[4].ordered(common)
+	before := p.g.byID[4].sentWeight(common)
 	p.failing = map[ReplicaID]float64{1: 0.6, 2: 0.6, 3: 0.6}
 	p.run(3)
-	if after := p.g.byID[4].ordered(common); p.g.dropShare < 0.4 || after < before {
+	if after := p.g.byID[4].sentWeight(common); p.g.dropShare < 0.4 || after < before {
 		t.Errorf("with %.2f of the tries dropped, the cold replica's weight went from %.2f to %.2f", p.g.dropShare, before, after)
 	}
 }
@@ -163,10 +163,10 @@
 func TestColdBesideOneOverrunLine(t *testing.T) {
 	for _, flows := range []int{20, 300} {
 		s := site()
-		s.FailsToAvoid = 3
+		s.FailuresToAvoid = 3
 		p := newPlay(s, 3, 0)
 		for i := range 60 {
-			p.proxies = append(p.proxies, Joined{Proxy: ProxyID(i), Rate: 0.5, Fresh: true})
+			p.proxies = append(p.proxies, Joined{Proxy: ProxyID(i), FlowRate: 0.5, Fresh: true})
 		}
 		p.step(events(p.proxies)...)
 		p.run(4)
@@ -177,7 +177,7 @@
 		p.list = append(p.list, Entry{Replica: 9, State: Ready, Listed: 1, StartedAt: p.now})
 		p.change(9, Ready, p.now)
 		p.run(1)
-		if got := p.g.byID[9].ordered(common); (got > 0) != (flows == 20) || p.g.byID[1].ordered(common) == 0 {
+		if got := p.g.byID[9].sentWeight(common); (got > 0) != (flows == 20) || p.g.byID[1].sentWeight(common) == 0 {
 			t.Errorf("with %d flows a period at one warm line, the cold one beside it has %.2f", flows, got)
 		}
 	}
@@ -187,10 +187,10 @@
 // than a cold replica stands being overrun, none gets a first line.
 func TestColdWaitsForTheChannel(t *testing.T) {
 	s := site()
-	s.LinePace, s.LineCap, s.FailsToAvoid = 60, 1200, 3
+	s.EntryRate, s.EntryCapacity, s.FailuresToAvoid = 60, 1200, 3
 	p := newPlay(s, 4, 0)
 	for i := range 12 {
-		p.proxies = append(p.proxies, Joined{Proxy: ProxyID(i), Rate: 0.5, Fresh: true})
+		p.proxies = append(p.proxies, Joined{Proxy: ProxyID(i), FlowRate: 0.5, Fresh: true})
 	}
 	p.step(events(p.proxies)...)
 	p.run(4)
@@ -201,13 +201,13 @@
 	p.list = append(p.list, Entry{Replica: 9, State: Ready, Listed: 1, StartedAt: p.now})
 	p.change(9, Ready, p.now)
 	p.run(1)
-	if got := p.g.byID[9].ordered(common); got > 0 {
-		t.Errorf("with %.0f lines waiting, of which the channel sends %.0f a second, the cold replica has %.2f", p.g.queue, s.LinePace, got)
+	if got := p.g.byID[9].sentWeight(common); got > 0 {
+		t.Errorf("with %.0f lines waiting, of which the channel sends %.0f a second, the cold replica has %.2f", p.g.queuedEntries, s.EntryRate, got)
 	}
 	p.silent = false
 	p.run(4)
-	if got := p.g.byID[9].ordered(common); got == 0 {
-		t.Errorf("with %.0f lines waiting, the cold replica has none", p.g.queue)
+	if got := p.g.byID[9].sentWeight(common); got == 0 {
+		t.Errorf("with %.0f lines waiting, the cold replica has none", p.g.queuedEntries)
 	}
 }
 
@@ -219,7 +219,7 @@
 		p.list[i].Kind = KindID(i % 2)
 	}
 	p.load = map[ReplicaID]float64{1: 0.25, 2: 0.75, 3: 0.25, 4: 0.75}
-	p.step(List{Scope: Whole, Entries: p.list})
+	p.step(List{Scope: Full, Entries: p.list})
 	p.run(3)
 	p.note("one more of each")
 	p.step(List{Entries: []Entry{{Replica: 5, Kind: 0, State: Ready, Listed: 1}, {Replica: 6, Kind: 1, State: Ready, Listed: 1}}})
@@ -254,8 +254,8 @@
 	p.held = map[ReplicaID]float64{1: 90, 2: 90, 3: 90}
 	p.run(4)
 	p.change(4, Ready, p.now)
-	if r := p.g.byID[4]; r.want[common] > 10 {
-		t.Errorf("a cold replica among late ones is to get %.1f of 100, its bound is %.2f of its fair share", r.want[common], r.most)
+	if r := p.g.byID[4]; r.wanted[common] > 10 {
+		t.Errorf("a cold replica among late ones is to get %.1f of 100, its bound is %.2f of its fair share", r.wanted[common], r.maxShare)
 	}
 }
 
@@ -267,7 +267,7 @@
 	p.run(20)
 	p.load = map[ReplicaID]float64{1: 0.1, 2: 0.1, 3: 0.1, 4: Absent}
 	p.run(60)
-	told, untold := p.g.byID[1].want[common], p.g.byID[4].want[common]
+	told, untold := p.g.byID[1].wanted[common], p.g.byID[4].wanted[common]
 	if untold < 0.9*told {
 		t.Errorf("weight %.1f where no load is told, %.1f where it is that of the fleet", untold, told)
 	}
@@ -291,7 +291,7 @@
 // replicas surely accept.
 func TestRefusedConnections(t *testing.T) {
 	s := site()
-	s.Proxies, s.LinksLeast, s.LinkIdle = 60, 50, 15*time.Second
+	s.Proxies, s.MinConnections, s.ConnectionIdleTimeout = 60, 50, 15*time.Second
 	p := newPlay(s, 4, 60)
 	p.trace.Reset()
 	p.run(15)
@@ -303,7 +303,7 @@
 	p.failing[2] = 1
 	p.run(3)
 	p.note("it answers half again, where replicas accept more: it stays out")
-	p.failing[2], p.g.fig.links = 0.5, 200
+	p.failing[2], p.g.cfg.minConnections = 0.5, 200
 	p.run(3)
 	p.check(t)
 }
@@ -364,7 +364,7 @@
 
 func TestChannel(t *testing.T) {
 	s := site()
-	s.LineCap, s.MessageCap = 90, 4
+	s.EntryCapacity, s.MessageLimit = 90, 4
 	p := newPlay(s, 4, 2)
 	p.silent = true
 	p.note("a third proxy waits for room in the channel")
@@ -387,7 +387,7 @@
 // What a channel five times slower has not sent must not be taken for gone.
 func TestSlowChannel(t *testing.T) {
 	s := site()
-	s.LinePace, s.LineCap = 100, 100
+	s.EntryRate, s.EntryCapacity = 100, 100
 	p := newPlay(s, 4, 3)
 	p.silent = true
 	p.note("nothing is confirmed; a proxy waits, until what was sent must be out or lost")
@@ -402,7 +402,7 @@
 	p := newPlay(s, 2, 0)
 	p.step(List{Scope: Failed})
 	p.run(2)
-	p.step(List{Scope: Whole, Entries: p.list})
+	p.step(List{Scope: Full, Entries: p.list})
 	p.run(20)
 	p.check(t)
 }
@@ -415,7 +415,7 @@
 	p.note("most flows that stay in their zone come to one zone")
 	p.busy = 1
 	p.run(6)
-	p.change(1, Gone, 0)
+	p.change(1, Deregistered, 0)
 	p.check(t)
 }
 
@@ -434,27 +434,27 @@
 	s := site()
 	s.Slices = 8
 	p := newPlay(s, 2, 1)
-	p.step(SliceGiven{Slice: 1, Given: true}, SliceLine{Slice: 1, Replica: 1, Weight: 1}, SliceHeat{Slice: 1, Flows: 5})
+	p.step(SliceAssigned{Slice: 1, Assigned: true}, SliceWeight{Slice: 1, Replica: 1, Weight: 1}, SliceTraffic{Slice: 1, Flows: 5})
 	p.check(t)
 }
 
 func TestBadInputDoesNoHarm(t *testing.T) {
 	p := newPlay(site(), 3, 2)
 	p.list[0].Listed = math.NaN()
-	p.step(List{Scope: Whole, Entries: p.list}, Sums{Replica: 99, Tries: 5}, Sums{Replica: 1, Tries: 2, Dropped: 5},
-		Sums{Replica: 2, Tries: -1}, Sums{Replica: 3, Tries: 4, Over: -time.Second, Report: Report{Util: 7}},
-		Wake{Mark: 12345}, Applied{Proxy: 50, Version: 3}, Left{Proxy: 50}, Intake{Proxy: 50, Group: 9, Flows: 3},
-		Probed{Replica: 4}, Peer{From: 1}, Joined{Proxy: 1, Rate: math.Inf(1)})
+	p.step(List{Scope: Full, Entries: p.list}, EndpointStats{Replica: 99, Attempts: 5}, EndpointStats{Replica: 1, Attempts: 2, Dropped: 5},
+		EndpointStats{Replica: 2, Attempts: -1}, EndpointStats{Replica: 3, Attempts: 4, Window: -time.Second, Report: LoadReport{Utilization: 7}},
+		Wake{TimerID: 12345}, Applied{Proxy: 50, Version: 3}, Left{Proxy: 50}, GroupTraffic{Proxy: 50, Group: 9, Flows: 3},
+		Probed{Replica: 4}, PeerMessage{From: 1}, Joined{Proxy: 1, FlowRate: math.Inf(1)})
 	p.run(3)
 	p.note("an empty list first, then thousands of entries twice over, some of a zone that is not there")
 	home := large()
 	home.Groups[2].HomeOnly, home.Proxies = true, 200
-	p.step(Start{Seed: 9, Settings: home}, List{Scope: Cached}, Wake{Mark: 1}, Joined{Proxy: 3, Fresh: true})
+	p.step(Start{Seed: 9, Settings: home}, List{Scope: Cached}, Wake{TimerID: 1}, Joined{Proxy: 3, Fresh: true})
 	var many []Entry
 	for i := range 3000 {
 		many = append(many, Entry{Replica: ReplicaID(i), Zone: ZoneID(i % 3), State: Ready, Listed: 1})
 	}
-	if orders := p.g.Step(p.now, []Event{List{Scope: Whole, Entries: append(many, many...)}}); len(orders) < 5000 {
+	if orders := p.g.Step(p.now, []Event{List{Scope: Full, Entries: append(many, many...)}}); len(orders) < 5000 {
 		t.Errorf("%d orders for a list of 3000 replicas", len(orders))
 	}
 	p.check(t)
@@ -473,7 +473,7 @@
 // large is a site whose channel cannot carry one table of all replicas in a period.
 func large() Settings {
 	s := site()
-	s.LinePace, s.Proxies = 300, 16
+	s.EntryRate, s.Proxies = 300, 16
 	return s
 }
 
@@ -496,14 +496,14 @@
 	p := newPlay(s, 32, 10)
 	p.run(5)
 	p.note("three quarters of the fleet go at once")
-	p.step(List{Scope: Whole, Entries: p.list[:8]})
+	p.step(List{Scope: Full, Entries: p.list[:8]})
 	p.run(2)
 	p.check(t)
 }
 
 func TestRemovalsFitBesideJoins(t *testing.T) {
 	s := large()
-	s.LineCap = 300
+	s.EntryCapacity = 300
 	p := newPlay(s, 16, 16)
 	p.silent = true
 	p.note("joins fill half of the channel and wait; a drain does not")
--- a/rules/trace_test.go
+++ b/rules/trace_test.go
@@ -42,10 +42,10 @@
 				DedupedByAll: true, Window: 5 * time.Second, Writes: true},
 			{Name: "pay", LatencyBudget: 2 * time.Second, Expiry: 5 * time.Second, Utility: 4, Writes: true},
 		},
-		Governors: 1, Proxies: 3, Zones: 2, Levels: LevelShare, Period: time.Second, LinePace: 3000, LineCap: 3000, HeadLines: 4,
-		MessageSpan: 10 * time.Second, TravelMost: 400 * time.Millisecond, FirstWait: 0.8, BareMost: 5 * time.Second,
-		DrainGrace: 2 * time.Second, AskWithin: 10 * time.Second, WarmAfter: 18 * time.Second, ColdFrom: 0.2,
-		FallMultiple: 4, FallAfter: 2 * time.Second,
+		Governors: 1, Proxies: 3, Zones: 2, Levels: LevelShare, Period: time.Second, EntryRate: 3000, EntryCapacity: 3000, MessageEntries: 4,
+		MessageSpan: 10 * time.Second, MaxMessageDelay: 400 * time.Millisecond, FirstAttemptBudgets: 0.8, MaxUnboundTime: 5 * time.Second,
+		DrainGrace: 2 * time.Second, ListRequestDeadline: 10 * time.Second, WarmupTime: 18 * time.Second, ColdCapacity: 0.2,
+		OverloadMultiple: 4, OverloadTime: 2 * time.Second,
 	}
 }
 
@@ -60,7 +60,7 @@
 	}
 	p.step(Start{Seed: 7, Settings: s}, List{Scope: Cached, Entries: p.list})
 	for i := range m {
-		p.proxies = append(p.proxies, Joined{Proxy: ProxyID(i), Zone: ZoneID(i % 2), Rate: 5, Fresh: true})
+		p.proxies = append(p.proxies, Joined{Proxy: ProxyID(i), Zone: ZoneID(i % 2), FlowRate: 5, Fresh: true})
 	}
 	if m > 0 {
 		p.step(events(p.proxies)...)
@@ -82,10 +82,10 @@
 	for _, o := range p.g.Step(p.now, events) {
 		switch o := o.(type) {
 		case WakeAfter:
-			p.mark = o.Mark
-		case Mark:
+			p.mark = o.TimerID
+		case AckRequest:
 			p.version = o.Version
-		case Line:
+		case EndpointWeight:
 			shown = append(shown, fmt.Sprintf("t%d r%d %.1f", o.Table, o.Replica, o.Weight))
 		case Admit:
 			shown = append(shown, fmt.Sprintf("admit t%d g%b %.2f retry %d", o.Table, o.Groups, o.Level, o.Retry))
@@ -118,7 +118,7 @@
 			if q == 3 && len(p.proxies) > 0 {
 				in = append(in, p.sums()...)
 			}
-			p.step(append(in, Wake{Mark: p.mark})...)
+			p.step(append(in, Wake{TimerID: p.mark})...)
 		}
 	}
 }
@@ -128,14 +128,14 @@
 	var out []Event
 	total := 0.0
 	for _, r := range p.g.replicas {
-		total += r.ordered(common)
+		total += r.sentWeight(common)
 	}
 	for _, r := range p.g.replicas {
-		tries := int(float64(p.flows)*r.ordered(common)/max(total, 1) + 0.5)
-		s := Sums{Replica: r.id, Tries: tries * p.turns, Over: time.Second * time.Duration(p.turns),
-			Dropped: int(float64(tries*p.turns)*p.failing[r.id] + 0.5), Took: p.took, Report: Report{Util: p.load[r.id], InFlight: p.held[r.id]}}
+		tries := int(float64(p.flows)*r.sentWeight(common)/max(total, 1) + 0.5)
+		s := EndpointStats{Replica: r.id, Attempts: tries * p.turns, Window: time.Second * time.Duration(p.turns),
+			Dropped: int(float64(tries*p.turns)*p.failing[r.id] + 0.5), MeanLatency: p.took, Report: LoadReport{Utilization: p.load[r.id], InFlight: p.held[r.id]}}
 		if r.id == p.slow {
-			s.Took *= 3
+			s.MeanLatency *= 3
 		}
 		turn := (int(r.id)+int(p.now/1000/ms))%p.turns == 0
 		if tries > 0 && !p.hung[r.id] && turn {
@@ -148,7 +148,7 @@
 			if p.busy != 0 && j.Proxy == p.busy {
 				n *= 3
 			}
-			out = append(out, Intake{Proxy: j.Proxy, Group: GroupID(g), Flows: n, Over: time.Second})
+			out = append(out, GroupTraffic{Proxy: j.Proxy, Group: GroupID(g), Flows: n, Window: time.Second})
 		}
 	}
 	return out
--- a/rules/view.go
+++ b/rules/view.go
@@ -8,40 +8,40 @@
 	Replicas []ReplicaView // by number
 	Levels   []float64     // by traffic group: as last ordered, on average over tables by their flows; 1 lets all in
 
-	LinesWaiting, LinesCap float64 // of the channel, by our count; that may wait at the most
-	Proxies, Unbound       int     // joined; of these, not yet on a table
-	Busiest, MessageCap    int     // messages to the proxy with the most of them within the message span; 0: no cap
-	Tables                 int
-	Steps, Reviews, Orders int  // so far
-	ListAt                 Time // when discovery was last heard; 0: never
-	MeanLoad, DropShare    float64
-	Jammed                 bool
+	EntriesWaiting, EntryCapacity float64 // of the channel, by our count; that may wait at the most
+	Proxies, Unbound              int     // joined; of these, not yet on a table
+	MostMessages, MessageLimit    int     // messages to the proxy with the most of them within the message span; 0: no cap
+	Tables                        int
+	Steps, Reviews, Orders        int  // so far
+	ListedAt                      Time // when discovery was last heard; 0: never
+	MeanLoad, DropShare           float64
+	Saturated                     bool
 }
 
 // ReplicaView is what is known of one replica.
 type ReplicaView struct {
-	Replica      ReplicaID
-	State        State
-	HeldOut      bool
-	Cold         bool
-	Picks        float64 // share of all flows that the tables ask for it, by their flows
-	Weight       float64 // in the common table whose part it is in, of 100
-	Tries, Drops float64 // over the health window
-	Load         float64 // smoothed share of it that is busy
-	Known        bool    // its load has been reported
-	HeardAt      Time    // the last review that had sums of it, or when it was first listed
-	Shunned      int     // proxies that shut it out on their own account
+	Replica         ReplicaID
+	State           State
+	Ejected         bool
+	Cold            bool
+	TrafficShare    float64 // share of all flows that the tables ask for it, by their flows
+	Weight          float64 // in the common table whose part it is in, of 100
+	Attempts, Drops float64 // over the health window
+	Load            float64 // smoothed share of it that is busy
+	LoadKnown       bool    // its load has been reported
+	LastStatsAt     Time    // the last review that had sums of it, or when it was first listed
+	PairEjections   int     // proxies that shut it out on their own account
 }
 
-// View writes down what a governor knows, into the memory of an earlier View if there is one. It changes nothing.
-func (g *Governor) View(now Time, v *View) {
-	*v = View{At: now, Replicas: v.Replicas[:0], Levels: v.Levels[:0], LinesWaiting: g.queue, LinesCap: g.fig.lineCap / fillMost,
-		Proxies: len(g.proxies), Unbound: len(g.waiting), MessageCap: g.fig.messageCap, Tables: len(g.tables), Steps: g.step,
-		Reviews: g.reviews, Orders: g.ordered + len(g.orders), ListAt: g.listedAt, MeanLoad: g.meanLoad, DropShare: g.dropShare, Jammed: g.jammed}
+// WriteView writes down what a governor knows, into the memory of an earlier WriteView if there is one. It changes nothing.
+func (g *Governor) WriteView(now Time, v *View) {
+	*v = View{At: now, Replicas: v.Replicas[:0], Levels: v.Levels[:0], EntriesWaiting: g.queuedEntries, EntryCapacity: g.cfg.entryCapacity / maxChannelFill,
+		Proxies: len(g.proxies), Unbound: len(g.unbound), MessageLimit: g.cfg.messageLimit, Tables: len(g.tables), Steps: g.step,
+		Reviews: g.reviews, Orders: g.orderCount + len(g.orders), ListedAt: g.listedAt, MeanLoad: g.meanLoad, DropShare: g.dropShare, Saturated: g.saturated}
 	shunned := map[*replica]int{}
-	for _, p := range g.shunners {
-		for _, s := range p.shuns {
-			shunned[s.r] += int(one(s.out))
+	for _, p := range g.ejecting {
+		for _, s := range p.ejections {
+			shunned[s.replica] += int(indicator(s.active))
 		}
 	}
 	sums, flows := make([]float64, len(g.tables)), 0.0
@@ -57,11 +57,11 @@
 		if g.byID[r.id] != r {
 			continue
 		}
-		x := ReplicaView{Replica: r.id, State: r.state, HeldOut: r.out, Cold: r.state == Ready && !g.warm(now, r), Weight: r.ordered(common),
-			Tries: r.tries, Drops: r.drops, Load: r.load, Known: r.known, HeardAt: r.heardAt, Shunned: shunned[r]}
+		x := ReplicaView{Replica: r.id, State: r.state, Ejected: r.ejected, Cold: r.state == Ready && !g.warm(now, r), Weight: r.sentWeight(common),
+			Attempts: r.attempts, Drops: r.drops, Load: r.load, LoadKnown: r.loadKnown, LastStatsAt: r.lastStatsAt, PairEjections: shunned[r]}
 		for i, t := range g.tables {
 			if r.sent[i] > 0 {
-				x.Picks += r.sent[i] / sums[i] * (t.flows + 1) / flows
+				x.TrafficShare += r.sent[i] / sums[i] * (t.flows + 1) / flows
 			}
 		}
 		v.Replicas = append(v.Replicas, x)
@@ -70,9 +70,9 @@
 	for _, p := range g.proxies {
 		lately := 0
 		for _, at := range p.messages {
-			lately += int(one(at > now-Time(g.fig.messageSpan)))
+			lately += int(indicator(at > now-Time(g.cfg.messageSpan)))
 		}
-		v.Busiest = max(v.Busiest, lately)
+		v.MostMessages = max(v.MostMessages, lately)
 	}
 	for i := range g.groups {
 		level, weight := 0.0, 0.0
