--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -11,22 +11,23 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// State is what a governor kept.
+// State is what a governor kept on disk for its next start. Its JSON form, with the names in the tags, is what
+// "zincloft state export" prints.
 type State struct {
-	Governor      string     // its name
-	Discovery     string     // the address that the list is from
-	Version       uint64     // of the list
-	ConfirmedAt   rules.Time // when discovery last confirmed the list
-	WrittenAt     rules.Time
-	NextReplicaID rules.ReplicaID // the next number
+	Governor      string          // its name
+	Discovery     string          // address of the discovery service that the list is from
+	Version       uint64          // of the list
+	ConfirmedAt   rules.Time      `json:"Heard"`   // when discovery last confirmed the list
+	WrittenAt     rules.Time      `json:"Written"` // when the state was written
+	NextReplicaID rules.ReplicaID `json:"Next"`    // the lowest ID that no replica has had
 	Replicas      []Replica
 }
 
-// Replica is what was kept of one.
+// Replica is the kept state of one replica.
 type Replica struct {
-	Name    string
-	Entry   rules.Entry
-	Learned rules.Recalled // Speed 0: nothing
+	Name    string         // its name at discovery
+	Entry   rules.Entry    // its entry in the kept list
+	Learned rules.Recalled `json:"Learnt"` // what was measured of it; Speed 0: nothing
 }
 
 // Settings are how age is weighed.
