--- a/controlplane/chainreplication/message.go
+++ b/controlplane/chainreplication/message.go
@@ -30,6 +30,6 @@
 	To      string // Identity of the receiver, which may be the replica itself.
 	Message Message
 
-	// AfterSave says that the message must not leave before the register held now is on stable storage.
+	// AfterSave says that the message must not leave before the latest register is on stable storage.
 	AfterSave bool
 }
--- a/controlplane/chainreplication/replica.go
+++ b/controlplane/chainreplication/replica.go
@@ -20,7 +20,7 @@
 	catchUpRetryInterval = time.Second
 )
 
-// Ready is what the caller has to do after a call: save the register held, then send the messages. A message that is not
+// Ready is what the caller has to do after a call: save the latest register, then send the messages. A message that is not
 // marked AfterSave may be sent before.
 type Ready struct {
 	Messages         []Outbound
@@ -28,9 +28,9 @@
 	CommittedChanged bool // Committed or CommittedView has changed.
 }
 
-// Proposed says where a command stands that was proposed at the head. The command holds once a register with at least that
+// CommitCondition says where a command stands that was proposed at the head. The command holds once a register with at least that
 // sequence is committed in that view.
-type Proposed struct {
+type CommitCondition struct {
 	ViewNumber uint64
 	Sequence   uint64
 
@@ -44,7 +44,7 @@
 	id   string
 	view membership.View
 
-	held       Register
+	latest     Register
 	syncedView uint64     // Last view in which a forwarded register was taken, or whose head this was.
 	pending    []Register // Forwarded in the present view and not committed yet, oldest first.
 
@@ -56,7 +56,7 @@
 	catchUps    map[string]sentCatchUp // The last one sent, by the receiver's identity.
 
 	outbound         []Outbound
-	heldChanged      bool
+	latestChanged    bool
 	committedChanged bool
 }
 
@@ -70,8 +70,8 @@
 //
 // Without the synced view a member that was killed and came back would take a late Forward of the same view for the first
 // one, and fall behind what it had already forwarded.
-func New(id string, held Register, syncedView uint64) *Replica {
-	return &Replica{id: id, held: held, syncedView: syncedView, catchUps: map[string]sentCatchUp{}}
+func New(id string, latest Register, syncedView uint64) *Replica {
+	return &Replica{id: id, latest: latest, syncedView: syncedView, catchUps: map[string]sentCatchUp{}}
 }
 
 // InstallView takes in a view that was decided. At the head the register is forwarded anew.
@@ -81,22 +81,22 @@
 	}
 	replica.view, replica.pending = view, nil
 	if replica.IsHead() {
-		replica.syncedView, replica.heldChanged = view.Number, true
-		replica.pending = []Register{replica.held}
+		replica.syncedView, replica.latestChanged = view.Number, true
+		replica.pending = []Register{replica.latest}
 		replica.forward(now)
 	}
 	return replica.ready()
 }
 
 // Propose applies a command at the head and forwards the register if the command has changed it.
-func (replica *Replica) Propose(now time.Duration, c Command) (Proposed, Ready) {
-	conflicts := replica.held.ConflictsWith(c)
-	if next := replica.held.Apply(c); next.Sequence != replica.held.Sequence {
-		replica.held, replica.heldChanged = next, true
+func (replica *Replica) Propose(now time.Duration, c Command) (CommitCondition, Ready) {
+	conflicts := replica.latest.ConflictsWith(c)
+	if next := replica.latest.Apply(c); next.Sequence != replica.latest.Sequence {
+		replica.latest, replica.latestChanged = next, true
 		replica.pending = append(replica.pending, next)
 		replica.forward(now)
 	}
-	proposed := Proposed{ViewNumber: replica.view.Number, Sequence: replica.held.Sequence, Conflicts: conflicts}
+	proposed := CommitCondition{ViewNumber: replica.view.Number, Sequence: replica.latest.Sequence, Conflicts: conflicts}
 	return proposed, replica.ready()
 }
 
@@ -132,8 +132,8 @@
 	return replica.ready()
 }
 
-// Held returns the register to be saved.
-func (replica *Replica) Held() Register { return replica.held }
+// Latest returns the register to be saved.
+func (replica *Replica) Latest() Register { return replica.latest }
 
 // SyncedView returns the number, to be saved beside the register, of the last view in which this replica was synced.
 func (replica *Replica) SyncedView() uint64 { return replica.syncedView }
@@ -157,7 +157,7 @@
 func (replica *Replica) isSynced() bool { return replica.syncedView == replica.view.Number }
 
 func (replica *Replica) forwardTimeout() time.Duration {
-	return forwardRetryInterval + time.Duration(len(replica.held.Body))*transferTimePerByte
+	return forwardRetryInterval + time.Duration(len(replica.latest.Body))*transferTimePerByte
 }
 
 // forward sends the register to the successor or, at the tail, announces that it is committed.
@@ -167,16 +167,16 @@
 	switch {
 	case position < 0:
 	case position+1 < len(replica.view.Chain):
-		successor, register := replica.view.Chain[position+1], replica.held
+		successor, register := replica.view.Chain[position+1], replica.latest
 		replica.send(successor, replica.message(Forward, &register), true)
 	default:
 		replica.announceCommit()
 	}
 }
 
-// announceCommit tells all members of the view, this one included, that the register held at the tail is committed.
+// announceCommit tells all members of the view, this one included, that the tail's latest register is committed.
 func (replica *Replica) announceCommit() {
-	register := replica.held
+	register := replica.latest
 	for _, member := range replica.view.Members() {
 		message := replica.message(Commit, nil)
 		if replica.view.Position(member.ID) < 0 {
@@ -194,14 +194,14 @@
 		return
 	}
 	wasSynced := replica.isSynced()
-	if wasSynced && m.Register.Sequence < replica.held.Sequence {
+	if wasSynced && m.Register.Sequence < replica.latest.Sequence {
 		return // Late.
 	}
-	if !wasSynced || m.Register.Sequence > replica.held.Sequence {
-		replica.held, replica.heldChanged, replica.syncedView = *m.Register, true, replica.view.Number
+	if !wasSynced || m.Register.Sequence > replica.latest.Sequence {
+		replica.latest, replica.latestChanged, replica.syncedView = *m.Register, true, replica.view.Number
 	}
-	if !replica.isPending(replica.held.Sequence) && !replica.isCommittedInView(replica.held.Sequence) {
-		replica.pending = append(replica.pending, replica.held)
+	if !replica.isPending(replica.latest.Sequence) && !replica.isCommittedInView(replica.latest.Sequence) {
+		replica.pending = append(replica.pending, replica.latest)
 	}
 	replica.forward(now)
 }
@@ -264,9 +264,9 @@
 	return !sent || last.sequence < replica.committed.Sequence || now-last.sentAt >= catchUpRetryInterval
 }
 
-// message returns a message of the present view about the register held.
+// message returns a message of the present view about the latest register.
 func (replica *Replica) message(kind MessageKind, register *Register) Message {
-	return Message{Kind: kind, ViewNumber: replica.view.Number, Sequence: replica.held.Sequence, Register: register}
+	return Message{Kind: kind, ViewNumber: replica.view.Number, Sequence: replica.latest.Sequence, Register: register}
 }
 
 func (replica *Replica) send(to string, m Message, afterSave bool) {
@@ -276,7 +276,7 @@
 
 // ready returns what has come up since it was last called.
 func (replica *Replica) ready() Ready {
-	ready := Ready{Messages: replica.outbound, MustSave: replica.heldChanged, CommittedChanged: replica.committedChanged}
-	replica.outbound, replica.heldChanged, replica.committedChanged = nil, false, false
+	ready := Ready{Messages: replica.outbound, MustSave: replica.latestChanged, CommittedChanged: replica.committedChanged}
+	replica.outbound, replica.latestChanged, replica.committedChanged = nil, false, false
 	return ready
 }
--- a/controlplane/chainreplication/replica_test.go
+++ b/controlplane/chainreplication/replica_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func (c *chain) propose(id string, command Command) Proposed {
+func (c *chain) propose(id string, command Command) CommitCondition {
 	proposed, ready := c.replicas[id].Propose(c.now, command)
 	c.queue = append(c.queue, ready.Messages...)
 	return proposed
@@ -66,7 +66,7 @@
 	c.install(viewOf(1, "a", "b", "c"), "a", "b", "c")
 	c.deliver()
 	proposed := c.propose("a", configuration(1, "one"))
-	if proposed != (Proposed{ViewNumber: 1, Sequence: 1}) {
+	if proposed != (CommitCondition{ViewNumber: 1, Sequence: 1}) {
 		t.Errorf("%+v", proposed)
 	}
 	c.wantCommitted("a", 0, 1)
@@ -111,7 +111,7 @@
 	for _, id := range third.Chain {
 		c.wantCommitted(id, 1, 3)
 	}
-	if held := c.replicas["a"].Held(); string(held.Body) != "kept" {
+	if held := c.replicas["a"].Latest(); string(held.Body) != "kept" {
 		t.Errorf("a holds %q", held.Body)
 	}
 }
@@ -147,8 +147,8 @@
 	replica := New("b", Register{Sequence: 2}, 1)
 	replica.InstallView(0, viewOf(1, "a", "b"))
 	ready := replica.Step(0, Message{Kind: Forward, From: "a", ViewNumber: 1, Sequence: 1, Register: &Register{Sequence: 1}})
-	if ready.MustSave || len(ready.Messages) > 0 || replica.Held().Sequence != 2 {
-		t.Errorf("%+v, holds %d", ready, replica.Held().Sequence)
+	if ready.MustSave || len(ready.Messages) > 0 || replica.Latest().Sequence != 2 {
+		t.Errorf("%+v, holds %d", ready, replica.Latest().Sequence)
 	}
 }
 
--- a/controlplane/controller/replication.go
+++ b/controlplane/controller/replication.go
@@ -31,7 +31,7 @@
 
 // applyCoordinatorActions carries out what the coordinator has decided.
 func (c *Controller) applyCoordinatorActions(now time.Duration, actions coordinator.Actions) {
-	if actions.StandstillDetected {
+	if actions.ClockStallDetected {
 		c.logWarning("clock_stopped")
 		c.resumedAt = now
 	}
--- a/controlplane/coordinator/dispatch.go
+++ b/controlplane/coordinator/dispatch.go
@@ -13,7 +13,7 @@
 	switch {
 	case message.View != nil:
 		c.applyMembershipReady(now, c.membership.Step(now, *message.View))
-		c.expireProposalsAfterStandstill()
+		c.expireProposalsAfterClockStall()
 		if status := message.CommitStatus; status != nil {
 			c.peerCommitted[from.ID] = status.Sequence
 			c.applyChainReady(c.chain.SendCatchUp(now, from.ID, status.Sequence, status.Known))
@@ -49,7 +49,7 @@
 	}
 }
 
-// installView makes the chain follow the view that is held.
+// installView makes the chain follow the view that is installed.
 func (c *Coordinator) installView(now time.Duration) {
 	c.actions.ViewInstalled = true
 	c.applyChainReady(c.chain.InstallView(now, c.membership.View()))
@@ -90,7 +90,7 @@
 	c.actions.Messages = append(c.actions.Messages, Outbound{to.Addr, message})
 }
 
-// sendWhenPersisted sends a message once the state that is held now is on stable storage: nothing may be promised that a loss
+// sendWhenPersisted sends a message once the present state is on stable storage: nothing may be promised that a loss
 // of power would undo.
 func (c *Coordinator) sendWhenPersisted(to membership.Member, message Message) {
 	if c.persistence.isPersisted() {
@@ -135,7 +135,7 @@
 }
 
 // isCommitted reports whether a proposed command, or its refusal, holds.
-func (s stepState) isCommitted(position chainreplication.Proposed) bool {
+func (s stepState) isCommitted(position chainreplication.CommitCondition) bool {
 	return s.isCommittedInView(position.ViewNumber, position.Sequence)
 }
 
--- a/controlplane/coordinator/message.go
+++ b/controlplane/coordinator/message.go
@@ -36,14 +36,14 @@
 	// RegisterCommitted reports that another register is committed.
 	RegisterCommitted bool
 
-	// ViewInstalled reports that another view is held.
+	// ViewInstalled reports that another view was installed.
 	ViewInstalled bool
 
 	// DiskHealth, if not empty, is what the disk's health has changed to: DiskHealthy, or what is wrong with it.
 	DiskHealth string
 
 	// StandstillDetected reports that this machine was suspended together with its clock.
-	StandstillDetected bool
+	ClockStallDetected bool
 }
 
 // Outbound is a message for the member at an address.
--- a/controlplane/coordinator/persistence.go
+++ b/controlplane/coordinator/persistence.go
@@ -23,7 +23,7 @@
 	hintsWriteInterval = time.Second
 )
 
-// What Actions.DiskHealth may hold beside the problem that was passed to StatePersisted.
+// Values of Actions.DiskHealth, beside the problem that was passed to StatePersisted.
 const (
 	DiskHealthy = "healthy"
 	diskSlow    = "slow"
@@ -48,7 +48,7 @@
 	Instances() []registry.Instance
 }
 
-// DecodePersistentState decodes what Actions.StateToPersist held.
+// DecodePersistentState decodes the bytes of an Actions.StateToPersist.
 func DecodePersistentState(raw []byte) (PersistentState, error) {
 	var state PersistentState
 	if err := cbor.Unmarshal(raw, &state); err != nil {
@@ -141,7 +141,7 @@
 	return cbor.Marshal(PersistentState{
 		DiskID:     c.membership.Self().ID,
 		View:       c.membership.State(),
-		Register:   c.chain.Held(),
+		Register:   c.chain.Latest(),
 		SyncedView: c.chain.SyncedView(),
 		Instances:  c.persistence.hints.Instances(),
 	})
--- a/controlplane/coordinator/proposal.go
+++ b/controlplane/coordinator/proposal.go
@@ -34,14 +34,14 @@
 
 // pendingProposal is a caller's proposal that has no response yet.
 type pendingProposal struct {
-	command      chainreplication.Command
-	accepted     bool                      // by the head of the view in position
-	position     chainreplication.Proposed // what must be committed for the command to hold
-	receivedAt   time.Duration             // never: it must not be sent any more
-	sentAt       time.Duration             // to another member; never: nothing of it is under way
-	retryAt      time.Duration             // when it may be sent again
-	retriedEarly bool                      // it was sent again before that, once
-	deadline     time.Duration
+	command         chainreplication.Command
+	accepted        bool                             // by the head of the view in position
+	commitCondition chainreplication.CommitCondition // what must be committed for the command to hold
+	receivedAt      time.Duration                    // never: it must not be sent any more
+	sentAt          time.Duration                    // to another member; never: nothing of it is under way
+	retryAt         time.Duration                    // when it may be sent again
+	retriedEarly    bool                             // it was sent again before that, once
+	deadline        time.Duration
 }
 
 // Propose starts a caller's proposal and returns its request ID. The Response comes with these Actions or with later ones:
@@ -65,14 +65,14 @@
 	var ready []chainreplication.Ready
 	for _, id := range slices.Sorted(maps.Keys(c.proposals)) {
 		proposal := c.proposals[id]
-		if proposal.accepted && step.view.Number != proposal.position.ViewNumber {
+		if proposal.accepted && step.view.Number != proposal.commitCondition.ViewNumber {
 			// The head of a former view cannot commit. Proposing again is safe, as a command is applied once.
 			proposal.accepted = false
 		}
 		switch {
-		case proposal.accepted && step.isCommitted(proposal.position):
+		case proposal.accepted && step.isCommitted(proposal.commitCondition):
 			var err error
-			if proposal.position.Conflicts {
+			if proposal.commitCondition.Conflicts {
 				err = ErrConflict
 			}
 			c.finishProposal(id, err)
@@ -89,7 +89,7 @@
 				c.forwardProposal(now, head, id, proposal)
 			} else if !c.persistence.diskUnhealthy {
 				position, output := c.chain.Propose(now, proposal.command)
-				proposal.accepted, proposal.position = true, position
+				proposal.accepted, proposal.commitCondition = true, position
 				ready = append(ready, output)
 			}
 		}
@@ -127,7 +127,7 @@
 // own clock, as the sender last heard it; the sender refuses its caller only once what it sent is too old to be taken.
 func (c *Coordinator) handleProposeRequest(now time.Duration, from membership.Member, request *messages.ProposeRequest) {
 	response := &messages.ProposeResponse{RequestID: request.RequestID, HeadClock: c.membership.Clock(now)}
-	if !c.membership.IsRecentReading(now, request.HeadClock, maxProposalAge) || !c.mayLead(now) {
+	if !c.membership.IsRecentReading(now, request.HeadClock, maxProposalAge) || !c.mayTakeCommands(now) {
 		c.send(from, Message{ProposeResponse: response})
 		return
 	}
@@ -140,32 +140,32 @@
 	c.sendWhenPersisted(from, Message{ProposeResponse: response})
 }
 
-// mayLead reports whether this member may take commands as the head of the chain.
-func (c *Coordinator) mayLead(now time.Duration) bool {
+// mayTakeCommands reports whether this member may take commands as the head of the chain.
+func (c *Coordinator) mayTakeCommands(now time.Duration) bool {
 	return c.chain.IsHead() && c.membership.HasQuorumContact(now) && !c.persistence.diskUnhealthy
 }
 
 func (c *Coordinator) handleProposeResponse(now time.Duration, from membership.Member, response *messages.ProposeResponse) {
 	c.membership.ObserveClock(now, from.ID, response.HeadClock)
-	c.expireProposalsAfterStandstill()
+	c.expireProposalsAfterClockStall()
 	proposal := c.proposals[response.RequestID]
 	switch {
 	case proposal == nil:
 	case response.Accepted:
 		proposal.accepted = true
-		proposal.position = chainreplication.Proposed{ViewNumber: response.ViewNumber, Sequence: response.Sequence, Conflicts: response.Conflict}
+		proposal.commitCondition = chainreplication.CommitCondition{ViewNumber: response.ViewNumber, Sequence: response.Sequence, Conflicts: response.Conflict}
 	case !proposal.retriedEarly: // rejected for its age, perhaps: now that the head's clock is known, try again at once
 		proposal.retriedEarly, proposal.retryAt = true, now
 	}
 }
 
-// expireProposalsAfterStandstill gives up the pending proposals if this machine was suspended together with its clock: they may
+// expireProposalsAfterClockStall gives up the pending proposals if this machine was suspended together with its clock: they may
 // have waited in its sockets, been proposed again elsewhere and undone since. What is in the chain goes its way.
-func (c *Coordinator) expireProposalsAfterStandstill() {
-	if !c.membership.TakeStandstill() {
+func (c *Coordinator) expireProposalsAfterClockStall() {
+	if !c.membership.TakeClockStall() {
 		return
 	}
-	c.actions.StandstillDetected = true
+	c.actions.ClockStallDetected = true
 	for _, proposal := range c.proposals {
 		proposal.receivedAt = never
 	}
--- a/controlplane/coordinator/proposal_test.go
+++ b/controlplane/coordinator/proposal_test.go
@@ -104,10 +104,10 @@
 	}
 }
 
-// TestStandstillExpiresProposals guards against an operator's command that waited in the socket of a machine that was suspended
+// TestClockStallExpiresProposals guards against an operator's command that waited in the socket of a machine that was suspended
 // together with its monotonic clock and its time of day: on waking it took effect over something newer. Only the other members'
 // clocks show it. Found by the simulation.
-func TestStandstillExpiresProposals(t *testing.T) {
+func TestClockStallExpiresProposals(t *testing.T) {
 	for _, readOrder := range []string{"before", "after"} { // the socket's content is read before or after the other members' messages
 		cluster := newTestCluster(t, "a", "b", "c")
 		cluster.advance(3 * time.Second)
--- a/controlplane/coordinator/read.go
+++ b/controlplane/coordinator/read.go
@@ -36,7 +36,7 @@
 		c.reads[id] = &pendingRead{
 			confirmations: map[string]bool{},
 			viewNumber:    view.Number,
-			sequence:      c.chain.Held().Sequence,
+			sequence:      c.chain.Latest().Sequence,
 			deadline:      now + requestTimeout,
 		}
 	}
--- a/controlplane/coordinator/status.go
+++ b/controlplane/coordinator/status.go
@@ -26,7 +26,7 @@
 	View              uint64         `json:"view"`
 	ConfigVersion     string         `json:"version"`   // of the committed configuration, in hexadecimal
 	CommittedSequence uint64         `json:"committed"` // number of commands that are committed
-	HeldSequence      uint64         `json:"held"`      // number of commands that this member holds
+	LatestSequence    uint64         `json:"held"`      // number of commands that this member holds
 	EvacuatedZones    []string       `json:"evacuated"`
 	DiskHealth        string         `json:"disk"`
 	Members           []MemberStatus `json:"members"`
@@ -58,7 +58,7 @@
 		View:              view.Number,
 		ConfigVersion:     fmt.Sprintf("%08x", committed.Version),
 		CommittedSequence: committed.Sequence,
-		HeldSequence:      c.chain.Held().Sequence,
+		LatestSequence:    c.chain.Latest().Sequence,
 		EvacuatedZones:    slices.Sorted(maps.Keys(committed.EvacuatedZones)),
 		DiskHealth:        statusDiskHealthy,
 	}
--- a/controlplane/coordinator/status_test.go
+++ b/controlplane/coordinator/status_test.go
@@ -24,7 +24,7 @@
 		return status
 	}
 	status := expect(3, true)
-	if status.ConfigVersion != "0000002a" || status.CommittedSequence != 1 || status.HeldSequence != 1 || !status.HasQuorumContact {
+	if status.ConfigVersion != "0000002a" || status.CommittedSequence != 1 || status.LatestSequence != 1 || !status.HasQuorumContact {
 		t.Errorf("%+v", status)
 	}
 	cluster.members["c"].up = false
--- a/controlplane/maintenance/command.go
+++ b/controlplane/maintenance/command.go
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// end finishes or cancels the windows of nodes. Nodes without one are passed over: theirs has ended.
+// end finishes or cancels the windows of nodes. Nodes without one are skipped: theirs has ended.
 func (s *State) end(command Command) error {
 	for _, node := range command.Nodes {
 		i := s.indexOf(node)
--- a/controlplane/membership/contact.go
+++ b/controlplane/membership/contact.go
@@ -10,9 +10,9 @@
 	// contactLease is how long an echoed clock reading shows contact, from its sending.
 	contactLease = time.Second
 
-	// standstillThreshold is how far another member's clock must have gained on this node's for this node's to have
+	// clockStallThreshold is how far another member's clock must have gained on this node's for this node's to have
 	// stood still.
-	standstillThreshold = 500 * time.Millisecond
+	clockStallThreshold = 500 * time.Millisecond
 
 	// clockDriftDivisor bounds the drift between clocks: they differ by less than one part in so many.
 	clockDriftDivisor = 100
@@ -92,12 +92,12 @@
 	return reading.Incarnation == node.incarnation && reading.Elapsed <= now && now-reading.Elapsed <= maxAge
 }
 
-// TakeStandstill reports, once, that this machine was found to have stood still together with its clock. Whatever comes
+// TakeClockStall reports, once, that this machine was found to have was suspended together with its clock. Whatever comes
 // from its sockets may be old.
-func (node *Node) TakeStandstill() bool {
-	stoodStill := node.stoodStill
-	node.stoodStill = false
-	return stoodStill
+func (node *Node) TakeClockStall() bool {
+	stalled := node.clockStalled
+	node.clockStalled = false
+	return stalled
 }
 
 // observeClock takes in a reading of a peer's clock. If that clock has gained on ours, ours stood still together with the
@@ -109,9 +109,9 @@
 	switch {
 	case reading.Incarnation != clock.reading.Incarnation:
 		clock.lead = lead
-	case lead > clock.lead+drift+standstillThreshold:
+	case lead > clock.lead+drift+clockStallThreshold:
 		node.ResetContact(now)
-		node.stoodStill = true
+		node.clockStalled = true
 		clock.lead = lead
 	default:
 		// The estimate moves by no more than the drift: each of the messages that lay in a socket seems to be further
--- a/controlplane/membership/contact_test.go
+++ b/controlplane/membership/contact_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestStandstillIsFoundByPeersClocks freezes a machine together with its clock.
-func TestStandstillIsFoundByPeersClocks(t *testing.T) {
+// TestClockStallIsFoundByPeersClocks freezes a machine together with its clock.
+func TestClockStallIsFoundByPeersClocks(t *testing.T) {
 	heartbeatAt := func(peer ClockReading) Message {
 		return Message{Kind: Heartbeat, From: testMember("b"), ViewNumber: 1, Clock: peer}
 	}
@@ -82,8 +82,8 @@
 		stood  bool
 	}{
 		{"same rate", 0, false},
-		{"up to the threshold", standstillThreshold, false},
-		{"beyond the threshold and the drift", standstillThreshold + time.Second/clockDriftDivisor + 1, true},
+		{"up to the threshold", clockStallThreshold, false},
+		{"beyond the threshold and the drift", clockStallThreshold + time.Second/clockDriftDivisor + 1, true},
 		{"late messages", -10 * time.Second, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -91,8 +91,8 @@
 			node.Step(0, heartbeatAt(ClockReading{5, 20 * time.Second}))
 			incarnation := node.incarnation
 			node.Step(time.Second, heartbeatAt(ClockReading{5, 21*time.Second + test.gained}))
-			if got := node.TakeStandstill(); got != test.stood || node.TakeStandstill() {
-				t.Errorf("standstill: %v", got)
+			if got := node.TakeClockStall(); got != test.stood || node.TakeClockStall() {
+				t.Errorf("clock stall: %v", got)
 			}
 			if reset := node.incarnation != incarnation; reset != test.stood {
 				t.Errorf("contact reset: %v", reset)
--- a/controlplane/membership/node.go
+++ b/controlplane/membership/node.go
@@ -54,9 +54,9 @@
 
 	lastTick          Time
 	nextHeartbeat     Time
-	observingSince    Time // First tick, or the first one after a standstill: silence counts from there.
+	observingSince    Time // First tick, or the first one after a stall: silence counts from there.
 	changeWantedSince Time // 0 while no change of the view is wanted.
-	stoodStill        bool
+	clockStalled      bool
 
 	proposal     proposal
 	highestRound uint64 // Highest round used or seen in the agreement on the next view.
--- a/controlplane/weighting/manager.go
+++ b/controlplane/weighting/manager.go
@@ -2,8 +2,8 @@
 // with registered instances and with the gateways' load reports, and hands their tables to the gateways. It is free of I/O and decides
 // nothing itself; it translates.
 //
-// Load is known at second hand: a gateway reports what each replica that answered it told of its load. A replica that no gateway of this
-// member has met counts as busy as the fleet, and so does one that tells no load. Members do not exchange tables or load: each serves
+// Load is known at second hand: a gateway relays the load that each replica reports in its responses. A replica that no gateway of this
+// member has met counts as busy as the fleet, and so does one that reports no load. Members do not exchange tables or load: each serves
 // the gateways of its zone, whose requests stay there while there is capacity, so its own gateways meet the replicas that matter to them;
 // where requests overflow to another zone, their reports tell of the replicas there.
 package weighting
--- a/dataplane/admission/admission.go
+++ b/dataplane/admission/admission.go
@@ -1,5 +1,5 @@
 // Package admission is admission control: it decides how many requests may queue at an endpoint before further ones are
-// rejected instead (load shedding), and when a rejected client is told to come back. It is free of I/O; the time and the
+// rejected instead (load shedding), and when a rejected client should retry (Retry-After). It is free of I/O; the time and the
 // randomness are parameters.
 //
 // A request that would be answered late takes as much of a replica as one answered in time and is worth a part of it. So
@@ -18,8 +18,8 @@
 	returningTimeShare     = 0.85 // of the longest time left seen at a route: a request with less has been rejected before
 	smoothing              = 0.05 // weight of a new sample in a moving average
 	minRetryAfter          = 200 * time.Millisecond
-	retryAfterServiceTimes = 2.0 // service times until a rejected client finds room, when little is rejected
-	rejectionFactor        = 4.0 // the more of the requests are rejected, the later they are told to come back
+	retryAfterServiceTimes = 2.0 // service times until a rejected client finds a free slot, when little is rejected
+	rejectionFactor        = 4.0 // the more of the requests are rejected, the later they should retry
 	minJitter              = 0.5 // of the time until they come back, to which up to 1 is added
 	maxRetryAfterShare     = 1.0 / 3
 	unlimitedDepth         = 1e9
--- a/dataplane/capacity/remaining.go
+++ b/dataplane/capacity/remaining.go
@@ -29,7 +29,7 @@
 
 // RemainingAfterLosses returns the capacity of a group that a region keeps without the nodes that are out, after the worst
 // loss that must be survived: of the strongest machines, or of the strongest zones where the region has several, whichever is
-// more. So nothing remains where all that is left stands in one zone.
+// more. So nothing remains where all nodes that are left are in one zone.
 func RemainingAfterLosses(nodes []Node, region, group string, out func(node string) bool, tolerance FaultTolerance) float64 {
 	total := 0.0
 	var machines []float64
--- a/dataplane/loadbalancer/endpoint.go
+++ b/dataplane/loadbalancer/endpoint.go
@@ -51,7 +51,7 @@
 	Running, Waiting, ReportedSlots int
 }
 
-// Instance returns what this gateway was told of the endpoint.
+// Instance returns what this gateway knows of the endpoint, as it reports it to a member.
 func (e *Endpoint) Instance(now time.Duration) registry.Instance {
 	return registry.Instance{
 		ID:            e.ID,
--- a/dataplane/loadbalancer/warmup.go
+++ b/dataplane/loadbalancer/warmup.go
@@ -27,8 +27,8 @@
 	stale    bool          // only a stale update is known
 
 	unknown      bool          // it may be warming up
-	unknownSince uint64        // the heartbeat behind which it is unknown: a newer one settles it
-	unknownUntil time.Duration // where no update settles it
+	unknownSince uint64        // sequence of the last heartbeat before it became unknown: a newer heartbeat resolves it
+	unknownUntil time.Duration // when it is taken for warm if no update resolves it
 
 	rate     float64 // requests a second that this gateway may send meanwhile
 	tokens   float64 // requests that it may send now, at most one
--- a/dataplane/router/maintenance.go
+++ b/dataplane/router/maintenance.go
@@ -19,7 +19,7 @@
 	return r.phase != maintenance.Serving && now-r.drainingSince > ReadinessPropagation
 }
 
-// updateMaintenance applies this gateway's maintenance window. A window with an older fencing token is passed over; one that
+// updateMaintenance applies this gateway's maintenance window. A window with an older fencing token is ignored; one that
 // is not there any more has ended.
 func (r *Router) updateMaintenance(now time.Duration, window messages.MaintenanceWindow) {
 	switch {
--- a/dataplane/router/report.go
+++ b/dataplane/router/report.go
@@ -43,7 +43,7 @@
 	return stats
 }
 
-// InitialReport returns what a member is told at the beginning of a stream, as it may have lost it. That an instance is
+// InitialReport returns the report that a member gets at the beginning of a stream, as it may have lost it. That an instance is
 // warming up is part of it: a member that knows of it by this gateway alone would else have all gateways take it for warm
 // until its next heartbeat.
 func (r *Router) InitialReport(now time.Duration) *messages.LoadReport {
--- a/dataplane/router/router.go
+++ b/dataplane/router/router.go
@@ -23,7 +23,7 @@
 // ReadinessPropagation is how long after readiness has fallen the platform has noticed and sends its clients elsewhere.
 const ReadinessPropagation = 2500 * time.Millisecond
 
-// minGateways is how many gateways a share is reckoned by at least: few are known at first.
+// minGateways is the least number of gateways that a share is computed with: few are known at first.
 const minGateways = 8
 
 // Settings are what a gateway is given at its start. Bounds hold over all gateways together.
@@ -53,7 +53,7 @@
 	lastUpdateAt        time.Duration
 	streaming           bool          // a stream is held that began with a full update
 	silenceBeforeStream time.Duration // how long no member was heard before the stream at hand
-	hasWarmupRates      bool          // warm-up rates are held, until they expire
+	hasWarmupRates      bool          // some warm-up rate has not expired yet
 	isolated            bool          // no member was heard for long: endpoints are sent less
 
 	// Requests and attempts.
@@ -64,7 +64,7 @@
 	lastAttemptID uint64
 	inFlight      int                      // requests of clients
 	requestCounts map[string]int           // by service, since the last report
-	observedAt    map[string]time.Duration // when the control plane was last told of an endpoint's failure
+	observedAt    map[string]time.Duration // when an endpoint's failure was last reported to the control plane
 
 	// Maintenance windows.
 	maintenanceEnabled bool
--- a/dataplane/router/update.go
+++ b/dataplane/router/update.go
@@ -18,7 +18,7 @@
 }
 
 // Apply puts in force what a control-plane member sends. Within a process no version goes back: a register or a
-// configuration that is older than the one in force is passed over.
+// configuration that is older than the one in force is ignored.
 //
 // After a silence of more than WarmupRateLifetime within a stream, this gateway or the member was held up, and what still
 // arrives may be stale: the stream is left.
--- a/internal/compatibility/disk_test.go
+++ b/internal/compatibility/disk_test.go
@@ -31,7 +31,8 @@
 
 // controlPlaneState is what the newest file of the kept state store holds.
 func controlPlaneState() coordinator.PersistentState {
-	k := filled(reflect.TypeFor[coordinator.PersistentState]()).Interface().(coordinator.PersistentState)
+	value, _ := filled(reflect.TypeFor[coordinator.PersistentState](), laterFields)
+	k := value.Interface().(coordinator.PersistentState)
 	k.Register.Body = []byte(`{"version":"0000002a"}`) // a configuration, as exports print it
 	return k
 }
@@ -122,7 +123,8 @@
 
 // governorState is what the kept governor's store holds: two replicas in the order of their names.
 func governorState() recovery.State {
-	k := filled(reflect.TypeFor[recovery.State]()).Interface().(recovery.State)
+	value, _ := filled(reflect.TypeFor[recovery.State](), laterFields)
+	k := value.Interface().(recovery.State)
 	k.Replicas[0].Name, k.Replicas[1].Name = "a", "b"
 	for i := range k.Replicas { // the number is kept once, and trust is worked out anew
 		r := &k.Replicas[i]
--- a/internal/compatibility/doc.go
+++ b/internal/compatibility/doc.go
@@ -9,4 +9,8 @@
 //	go test ./internal/compatibility -record
 //
 // which writes the files that do not exist yet and leaves all others as they are. See testdata/README.md.
+//
+// A new field of a type that is sampled already gets the next free CBOR number and omitempty, so that processes of both
+// versions understand each other. It is named in laterFields: the samples of before then leave it at zero, and -record writes
+// a further one, NAME.later, in which it is set.
 package compatibility
--- a/internal/compatibility/encoding_test.go
+++ b/internal/compatibility/encoding_test.go
@@ -45,7 +45,7 @@
 	inCBOR = encoding{cbor.Marshal, cbor.Unmarshal, true}
 	inJSON = encoding{json.Marshal, json.Unmarshal, false}
 
-	// inFrame is a frame of a connection between governors, its length included.
+	// inFrame is a frame of a connection between processes, its length included.
 	inFrame = encoding{
 		func(v any) ([]byte, error) { m := v.(peertransport.Frame); return peertransport.EncodeFrame(&m) },
 		func(raw []byte, v any) error {
@@ -119,16 +119,24 @@
 	{"files/simulation-schedule", inJSON, reflect.TypeFor[simulation.Schedule]()},
 }
 
+// laterFields are fields that were added to a type after its samples had been recorded: "package.Type.Field" for each. The
+// samples of before leave them at zero, as programs of before do; a further sample, NAME.later, has all fields set.
+var laterFields = fieldSet{}
+
 // TestEncodings compares the encodings of filled and of zero values with the kept ones, and the decoded ones with the
 // values.
 func TestEncodings(t *testing.T) {
 	for _, s := range samples {
 		t.Run(s.name, func(t *testing.T) {
-			full := filled(s.of)
-			if zero := zeroFields(s.of.String(), full); len(zero) > 0 {
+			full, omitted := filled(s.of, laterFields)
+			if zero := zeroFields(s.of.String(), full, laterFields); len(zero) > 0 {
 				t.Fatalf("the sample leaves fields at zero: %v", zero)
 			}
 			compare(t, s.name, s.encoding, full)
+			if omitted {
+				later, _ := filled(s.of, nil)
+				compare(t, s.name+".later", s.encoding, later)
+			}
 			compare(t, s.name+".zero", s.encoding, reflect.Zero(s.of))
 		})
 	}
--- a/internal/compatibility/fill_test.go
+++ b/internal/compatibility/fill_test.go
@@ -9,13 +9,25 @@
 
 // filler sets every exported field of a value, nested ones too, to a value that differs from zero. What it sets depends
 // on the order and the types of the fields only, so that a renamed field keeps its value.
-type filler struct{ count int }
+type filler struct {
+	count  int
+	omit   fieldSet // left at zero
+	passed bool     // a field of omit was met
+}
+
+// fieldSet holds names of fields as "package.Type.Field".
+type fieldSet map[string]bool
 
-// filled returns a filled value of a type.
-func filled(of reflect.Type) reflect.Value {
+func (s fieldSet) has(of reflect.Type, field reflect.StructField) bool {
+	return s[of.String()+"."+field.Name]
+}
+
+// filled returns a value of a type with all fields filled but those to omit, and whether it has any of these.
+func filled(of reflect.Type, omit fieldSet) (value reflect.Value, omitted bool) {
 	v := reflect.New(of).Elem()
-	new(filler).fill(v)
-	return v
+	f := filler{omit: omit}
+	f.fill(v)
+	return v, f.passed
 }
 
 func (f *filler) fill(v reflect.Value) {
@@ -47,7 +59,12 @@
 		v.SetMapIndex(key, value)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if encoded(v.Type().Field(i)) {
+			field := v.Type().Field(i)
+			switch {
+			case !encoded(field):
+			case f.omit.has(v.Type(), field):
+				f.passed = true
+			default:
 				f.fill(v.Field(i))
 			}
 		}
@@ -67,26 +84,26 @@
 	return field.IsExported() && field.Tag.Get("json") != "-" && field.Tag.Get("cbor") != "-"
 }
 
-// zeroFields lists the paths of the encoded fields that hold their zero value.
-func zeroFields(path string, v reflect.Value) (zero []string) {
+// zeroFields lists the paths of the encoded fields that hold their zero value, but for those to omit.
+func zeroFields(path string, v reflect.Value, omit fieldSet) (zero []string) {
 	if v.IsZero() {
 		return []string{path}
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
-		return zeroFields(path, v.Elem())
+		return zeroFields(path, v.Elem(), omit)
 	case reflect.Slice, reflect.Array:
 		for i := range v.Len() {
-			zero = append(zero, zeroFields(fmt.Sprintf("%s[%d]", path, i), v.Index(i))...)
+			zero = append(zero, zeroFields(fmt.Sprintf("%s[%d]", path, i), v.Index(i), omit)...)
 		}
 	case reflect.Map:
 		for _, key := range v.MapKeys() {
-			zero = append(zero, zeroFields(fmt.Sprintf("%s[%v]", path, key), v.MapIndex(key))...)
+			zero = append(zero, zeroFields(fmt.Sprintf("%s[%v]", path, key), v.MapIndex(key), omit)...)
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if field := v.Type().Field(i); encoded(field) {
-				zero = append(zero, zeroFields(path+"."+field.Name, v.Field(i))...)
+			if field := v.Type().Field(i); encoded(field) && !omit.has(v.Type(), field) {
+				zero = append(zero, zeroFields(path+"."+field.Name, v.Field(i), omit)...)
 			}
 		}
 	}
@@ -103,11 +120,31 @@
 	}
 	v := outer{Inner: inner{A: 1}, List: []inner{{1, 0}}}
 	_ = v.hidden
-	got := strings.Join(zeroFields("outer", reflect.ValueOf(v)), " ")
+	got := strings.Join(zeroFields("outer", reflect.ValueOf(v), nil), " ")
 	if want := "outer.Inner.B outer.List[0].B"; got != want {
 		t.Errorf("zero fields: %q, want %q", got, want)
 	}
-	if got := zeroFields("outer", filled(reflect.TypeFor[outer]())); len(got) > 0 {
+	full, omitted := filled(reflect.TypeFor[outer](), nil)
+	if got := zeroFields("outer", full, nil); len(got) > 0 || omitted {
 		t.Errorf("a filled value has zero fields: %v", got)
 	}
 }
+
+// TestFieldsAddedLaterAreLeftOut checks that a field that is named as added later leaves the other fields' values as they were.
+func TestFieldsAddedLaterAreLeftOut(t *testing.T) {
+	type before struct{ A, B int }
+	type after struct{ A, Added, B int }
+	omit := fieldSet{reflect.TypeFor[after]().String() + ".Added": true}
+	was, _ := filled(reflect.TypeFor[before](), omit)
+	is, omitted := filled(reflect.TypeFor[after](), omit)
+	want := after{A: was.Interface().(before).A, B: was.Interface().(before).B}
+	if got := is.Interface().(after); got != want || !omitted {
+		t.Errorf("filled: %+v, want %+v (omitted %v)", got, want, omitted)
+	}
+	if zero := zeroFields("after", is, omit); len(zero) > 0 {
+		t.Errorf("zero fields: %v", zero)
+	}
+	if zero := zeroFields("after", is, nil); len(zero) != 1 {
+		t.Errorf("zero fields where none is omitted: %v", zero)
+	}
+}
--- a/internal/controlserver/calls.go
+++ b/internal/controlserver/calls.go
@@ -33,7 +33,7 @@
 		"instances.deregister":   s.handleDeregister,
 		"configuration.replace":  s.handleReplaceConfiguration,
 		"configuration.describe": s.handleDescribeConfiguration,
-		"core.describe":          s.handleDescribeCore, // this project's own, beside the protocol's
+		"core.describe":          s.handleControlPlaneStatus, // this project's own, beside the protocol's
 		"windows.command":        s.handleMaintenanceCommand,
 		"windows.describe":       s.handleDescribeMaintenance,
 		"evacuations.start":      func(w http.ResponseWriter, r *http.Request) { s.handleEvacuation(w, r, true) },
--- a/internal/controlserver/operatorcalls.go
+++ b/internal/controlserver/operatorcalls.go
@@ -72,8 +72,8 @@
 	s.writeResult(w, response.Status, string(response.Body))
 }
 
-// handleDescribeCore answers with the status of the control plane as this member knows it, also without contact with a quorum.
-func (s *Server) handleDescribeCore(w http.ResponseWriter, _ *http.Request) {
+// handleControlPlaneStatus answers with the status of the control plane as this member knows it, also without contact with a quorum.
+func (s *Server) handleControlPlaneStatus(w http.ResponseWriter, _ *http.Request) {
 	s.writeEvaluated(w, func() ([]byte, error) {
 		return json.MarshalIndent(s.controller.Describe(s.now()), "", "  ")
 	})
--- a/internal/gateway/controlstream.go
+++ b/internal/gateway/controlstream.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	streamTimeout       = time.Second // a member that sends nothing for so long is left
+	streamTimeout       = time.Second // a member that is silent for so long is left; router.WarmupRateLifetime has the same length on purpose
 	controlDialTimeout  = 300 * time.Millisecond
 	localMemberInterval = 4 * time.Second // after so long with a member of another zone, one of the own zone is tried again
 	reconnectDelay      = 100 * time.Millisecond
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -11,7 +11,7 @@
 
 const (
 	countBadRequest           counter = "bad_request"            // a request that is malformed or ambiguous
-	countDraining             counter = "draining"               // passed over to another gateway in a maintenance window
+	countDraining             counter = "draining"               // rejected while draining for a maintenance window, so that another gateway serves it
 	countNoRoute              counter = "no_route"               // answered 404
 	countBodyTooLarge         counter = "body_too_large"         // answered 413
 	countBodyMemoryFull       counter = "body_memory_full"       // bodies of other requests hold all memory meant for them
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -115,7 +115,7 @@
 	g.router.StartRequest(service)
 }
 
-// endRequest counts the end of a client's request, and whether the gateway itself held it up: atReplicas is the part of
+// endRequest counts the end of a client's request, and whether the gateway itself delayed it: atReplicas is the part of
 // its total time that attempts took.
 func (g *Gateway) endRequest(idempotent bool, total, atReplicas time.Duration) {
 	g.mu.Lock()
--- a/internal/gateway/lifecycle.go
+++ b/internal/gateway/lifecycle.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	go g.followControlPlane(streamContext)
-	g.logger.Info().Str("event", "start").Str("name", g.settings.Name).Str("zone", g.settings.Zone).Str("front", g.settings.FrontAddress).Msg("")
+	g.logger.Info().Str("event", "started").Str("name", g.settings.Name).Str("zone", g.settings.Zone).Str("front", g.settings.FrontAddress).Msg("")
 	return g.loop(ctx, reload)
 }
 
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// initialReport is what a member is told at the beginning of a stream.
+// initialReport is the report that a member gets at the beginning of a stream.
 func (g *Gateway) initialReport() *messages.LoadReport {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/response.go
+++ b/internal/gateway/response.go
@@ -17,7 +17,7 @@
 	status     int
 	counter    counter         // empty: not counted
 	badRequest badRequestCause // empty: the client did nothing wrong
-	retryAfter time.Duration   // 0: the client is not told when to come back
+	retryAfter time.Duration   // 0: no Retry-After is sent
 	closesConn bool            // the connection ends with the response
 	aborts     bool            // the connection ends without a response
 }
--- a/internal/replica/pool.go
+++ b/internal/replica/pool.go
@@ -119,7 +119,7 @@
 		return nil, err
 	}
 	tcp := netConn.(*net.TCPConn)
-	// Without probes a machine that is gone without a word is noticed at the deadline only; that much is lost by an error.
+	// Without probes a machine that vanishes silently is noticed at the deadline only; that much is lost by an error.
 	_ = tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: 1})
 	raw, err := tcp.SyscallConn()
 	if err != nil {
--- a/internal/replica/response.go
+++ b/internal/replica/response.go
@@ -14,7 +14,7 @@
 
 const (
 	maxBufferedBody     = 1 << 20   // responses up to this size are complete before their first byte is passed on
-	maxSkippedResponses = 3         // surplus responses passed over on one connection
+	maxSkippedResponses = 3         // surplus responses skipped on one connection
 	maxSkippedBytes     = 256 << 10 // of one surplus response
 	maxInterimResponses = 8         // 1xx before the final response
 	maxKeepAliveSeconds = 3600
@@ -96,7 +96,7 @@
 		response.StatusCode == http.StatusNoContent || response.StatusCode == http.StatusNotModified
 }
 
-// readBody reads the body of a response that names this request, or none, and classifies the whole.
+// readBody reads the body of a response that names this request, or none, and classifies the complete response.
 func (c *conn) readBody(request *Request, from *http.Response, id string, delimited bool) Outcome {
 	body, err := io.ReadAll(io.LimitReader(from.Body, maxBufferedBody+1))
 	if err != nil {
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -60,7 +60,7 @@
 	cutLinks    map[link]int // how many cuts a link is under
 	lastArrival map[link]time.Duration
 
-	unsettledUntil    time.Duration         // until when a fault acts, or has acted
+	faultActiveUntil  time.Duration         // until when a fault acts, or has acted
 	downSince         map[int]time.Duration // members that are lost, by index
 	onAcknowledgement []Fault               // faults that wait for the next acknowledgement,
 	onViewChange      []Fault               // for the next view,
@@ -184,17 +184,17 @@
 }
 
 // calmFor reports whether for so long no fault has acted anywhere.
-func (c *cluster) calmFor(span time.Duration) bool { return c.now > c.unsettledUntil+span }
+func (c *cluster) calmFor(span time.Duration) bool { return c.now > c.faultActiveUntil+span }
 
-// unsettle notes that a fault has just begun or ended to act on the members. Only schedules with a Tolerance count so;
+// noteFault notes that a fault has just begun or ended to act on the members. Only schedules with a Tolerance count so;
 // in others injectFault knows beforehand how long a fault lasts.
-func (c *cluster) unsettle() {
+func (c *cluster) noteFault() {
 	if c.schedule.Tolerance > 0 {
-		c.unsettledUntil = max(c.unsettledUntil, c.now+restartTime)
+		c.faultActiveUntil = max(c.faultActiveUntil, c.now+restartTime)
 	}
 }
 
-// zoneName is the zone in which the node of an index stands.
+// zoneName is the zone of the node of an index.
 func (c *cluster) zoneName(index int) string { return string(rune('a' + index%c.zoneCount())) }
 
 func (c *cluster) zoneCount() int {
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -11,7 +11,7 @@
 	"zincloft.example/zincloft/internal/statestore"
 )
 
-// sectorSize is the unit that a disk writes whole or not at all.
+// sectorSize is the unit that a disk writes completely or not at all.
 const sectorSize = 512
 
 var (
--- a/internal/simulation/faultmoment.go
+++ b/internal/simulation/faultmoment.go
@@ -52,7 +52,7 @@
 	}
 	fault := (*waiting)[0]
 	*waiting = (*waiting)[1:]
-	c.unsettledUntil = c.now + fault.For + restartTime
+	c.faultActiveUntil = c.now + fault.For + restartTime
 	fault.Target, fault.Kind = m.index, struckAs[fault.Kind]
 	c.after(c.randomBelow(maxDelayAfterAnswer), func() { c.injectFault(fault) })
 }
@@ -64,7 +64,7 @@
 	}
 	fault := c.onViewChange[0]
 	c.onViewChange = nil
-	c.unsettledUntil = c.now + fault.For + restartTime
+	c.faultActiveUntil = c.now + fault.For + restartTime
 	fault.Kind = struckAs[fault.Kind]
 	c.after(c.randomBelow(maxDelayAfterView), func() { c.injectFault(fault) })
 }
--- a/internal/simulation/inject.go
+++ b/internal/simulation/inject.go
@@ -9,7 +9,7 @@
 		return
 	}
 	c.tracef("FAULT: %v", fault)
-	c.unsettledUntil = max(c.unsettledUntil, c.now+fault.For+restartTime)
+	c.faultActiveUntil = max(c.faultActiveUntil, c.now+fault.For+restartTime)
 	switch fault.Kind {
 	case KillAll, LosePowerAll, LosePowerWipes:
 		c.stopAllMembers(fault)
@@ -115,7 +115,7 @@
 func (c *cluster) endFault(fault Fault, do func()) {
 	c.after(fault.For, func() {
 		do()
-		c.unsettle()
+		c.noteFault()
 	})
 }
 
--- a/internal/simulation/injecttolerance.go
+++ b/internal/simulation/injecttolerance.go
@@ -31,7 +31,7 @@
 	default:
 		m := c.targetOf(fault)
 		c.tracef("FAULT: %s: %v", m.name, fault)
-		c.unsettle()
+		c.noteFault()
 		c.injectMemberFaultWithTolerance(m, fault)
 		c.scheduleReconnects(m, fault)
 	}
--- a/internal/simulation/invariant_acknowledgement.go
+++ b/internal/simulation/invariant_acknowledgement.go
@@ -9,7 +9,7 @@
 // checkCallAnswered: a call that is made when all has been calm for long is answered before its deadline. It is checked
 // when a call is not made again.
 func (c *cluster) checkCallAnswered(call *operatorCall) {
-	if !call.done && !c.finished && call.startedAt > c.unsettledUntil+calmBeforeCall && call.attempts > 0 {
+	if !call.done && !c.finished && call.startedAt > c.faultActiveUntil+calmBeforeCall && call.attempts > 0 {
 		c.violationf("call %d, made at %.2f s when all had been calm, was not answered", call.number, call.startedAt.Seconds())
 	}
 }
--- a/internal/simulation/invariant_gateway.go
+++ b/internal/simulation/invariant_gateway.go
@@ -58,7 +58,7 @@
 // checkConfigIsCurrent: a gateway has in force what was acknowledged longer than configPropagationBound ago, if all has been
 // calm since.
 func (c *cluster) checkConfigIsCurrent(g *gatewayNode) {
-	due := max(c.acknowledgedAt, c.unsettledUntil+contactTimeout) + configPropagationBound
+	due := max(c.acknowledgedAt, c.faultActiveUntil+contactTimeout) + configPropagationBound
 	if c.calmFor(contactTimeout) && c.acknowledgedVersion > 0 && c.now > due && g.version < c.acknowledgedVersion {
 		c.violationf("%s still has version %d in force, %d was acknowledged at %.2f s", g.name, g.version, c.acknowledgedVersion, c.acknowledgedAt.Seconds())
 	}
--- a/internal/simulation/invariant_request.go
+++ b/internal/simulation/invariant_request.go
@@ -33,7 +33,7 @@
 // isOverdue reports whether what was acknowledged at a moment must be in force at all gateways, given a bound and that faults
 // delay it.
 func (c *cluster) isOverdue(acknowledgedAt, bound time.Duration) bool {
-	return c.now > max(acknowledgedAt, c.unsettledUntil+contactTimeout)+bound && c.calmFor(contactTimeout)
+	return c.now > max(acknowledgedAt, c.faultActiveUntil+contactTimeout)+bound && c.calmFor(contactTimeout)
 }
 
 // checkWarmupRate: a warming replica gets no more requests within a second than it bears, with some allowance for bursts.
--- a/internal/simulation/memberlifecycle.go
+++ b/internal/simulation/memberlifecycle.go
@@ -39,7 +39,7 @@
 // first write before it listens. The first start of all forms the first view.
 func (c *cluster) startMember(m *member, first bool) {
 	c.startProcess(&m.process)
-	c.unsettle()
+	c.noteFault()
 	m.newestSequence, m.controller, m.caughtUp = 0, nil, first
 	m.pendingCalls, m.waitingCalls, m.streams = map[uint64]func(controller.Response){}, map[uint64]*operatorCall{}, map[uint64]*gatewayNode{}
 	state, ok := c.openStore(m)
@@ -155,7 +155,7 @@
 	c.history.disk(entryKill, c, m)
 	c.closeStore(m)
 	c.dropConnections(m, cause)
-	c.unsettle()
+	c.noteFault()
 	if downtime < 0 {
 		m.gone, m.goneAt = true, c.now
 		return
--- a/internal/simulation/plantedbug.go
+++ b/internal/simulation/plantedbug.go
@@ -70,7 +70,7 @@
 	return &message
 }
 
-// withUndividedQuota is an update whose warm-up rates are each what all members together may deal out.
+// withUndividedQuota is an update whose warm-up rates are each what all members together may grant.
 func (c *cluster) withUndividedQuota(update *messages.StateUpdate) *messages.StateUpdate {
 	altered := *update
 	altered.WarmupRates = nil
--- a/internal/statestore/store.go
+++ b/internal/statestore/store.go
@@ -1,4 +1,4 @@
-// Package statestore keeps a process's durable state on disk: a small set of keys and values, written as a whole into one of
+// Package statestore keeps a process's durable state on disk: a small set of keys and values, written completely into one of
 // two files, cell.0 and cell.1, alternately.
 //
 // The values are held in an in-memory buntdb database; a file is a header with a checksum, and the database as its Save writes
@@ -110,7 +110,7 @@
 }
 
 // Put sets values and writes the whole store. They are on stable storage when it returns without an error. After an error,
-// which is a *FileError where a file is concerned, the copy written before still stands, and the next Put writes everything.
+// which is a *FileError where a file is concerned, the copy written before is still valid, and the next Put writes everything.
 func (s *Store) Put(values map[string][]byte) error {
 	err := s.db.Update(func(tx *buntdb.Tx) error {
 		for key, value := range values {
