--- a/intake/fleet_test.go
+++ b/intake/fleet_test.go
@@ -11,32 +11,32 @@
 
 // fleet has proxies do as a governor orders and tell an intake what they met, a second at a time.
 type fleet struct {
-	t        *testing.T
-	gov      rules.Governor
-	in       *intake.Aggregator
-	now      rules.Time
-	mark     uint64
-	version  uint16
-	chance   *rand.Rand
-	weights  []float64 // of the one table
-	shut     []map[rules.ReplicaID]bool
-	seq      uint32
-	joinedAt uint32
-	list     []rules.Entry
-	fails    func(proxy, replica int) float64 // share of tries dropped
-	ever     map[int]bool                     // proxies that have shut out replica 11 in this life
+	t           *testing.T
+	gov         rules.Governor
+	in          *intake.Aggregator
+	now         rules.Time
+	mark        uint64
+	version     uint16
+	chance      *rand.Rand
+	weights     []float64 // of the one table
+	ejected     []map[rules.ReplicaID]bool
+	seq         uint32
+	joinedAt    uint32
+	list        []rules.Entry
+	dropShare   func(proxy, replica int) float64 // share of tries dropped
+	everEjected map[int]bool                     // proxies that have shut out replica 11 in this life
 }
 
 const second = rules.Time(time.Second)
 
 func newFleet(t *testing.T, proxies, replicas int) *fleet {
 	f := &fleet{t: t, now: 1000 * second, chance: rand.New(rand.NewPCG(3, 4)), weights: make([]float64, replicas),
-		shut: make([]map[rules.ReplicaID]bool, proxies), fails: func(int, int) float64 { return 0 }}
+		ejected: make([]map[rules.ReplicaID]bool, proxies), dropShare: func(int, int) float64 { return 0 }}
 	for r := range replicas {
 		f.list = append(f.list, rules.Entry{Replica: rules.ReplicaID(r), State: rules.Ready, Listed: 1})
 	}
-	for p := range f.shut {
-		f.shut[p] = map[rules.ReplicaID]bool{}
+	for p := range f.ejected {
+		f.ejected[p] = map[rules.ReplicaID]bool{}
 	}
 	f.start()
 	return f
@@ -46,19 +46,19 @@
 func (f *fleet) start() {
 	f.gov, f.joinedAt = rules.Governor{}, f.seq
 	clear(f.weights)
-	f.ever = map[int]bool{}
+	f.everEjected = map[int]bool{}
 	f.in = intake.New(intake.Settings{Seed: 5, Period: time.Second, Budget: 20_000, HalfLife: 2 * time.Second, MaxAge: 10 * time.Second,
 		MaxPairs: 2000, Zones: 1, MakeStats: true})
-	pace := 200 * float64(len(f.shut))
+	pace := 200 * float64(len(f.ejected))
 	f.step(rules.Start{Seed: 7, Settings: rules.Settings{Groups: []rules.TrafficGroup{{Name: "look", LatencyBudget: time.Second}},
-		Governors: 1, Proxies: len(f.shut), Zones: 1, Period: time.Second, EntryRate: pace, EntryCapacity: 2 * pace, MessageEntries: 6, MessageLimit: 20,
+		Governors: 1, Proxies: len(f.ejected), Zones: 1, Period: time.Second, EntryRate: pace, EntryCapacity: 2 * pace, MessageEntries: 6, MessageLimit: 20,
 		MessageSpan: 10 * time.Second, MaxMessageDelay: 400 * time.Millisecond, DrainGrace: 3 * time.Second, WarmupTime: 18 * time.Second, ColdCapacity: 0.2}},
 		rules.List{Scope: rules.Full, Entries: f.list})
 	var joins []rules.Event
-	for p := range f.shut {
+	for p := range f.ejected {
 		joins = append(joins, rules.Joined{Proxy: rules.ProxyID(p), FlowRate: 4, Fresh: true})
 		f.in.Join(rules.ProxyID(p), 0)
-		clear(f.shut[p])
+		clear(f.ejected[p])
 	}
 	f.step(joins...)
 }
@@ -73,9 +73,9 @@
 		case rules.EndpointWeight:
 			f.weights[o.Replica] = o.Weight
 		case rules.PairEjection:
-			f.shut[o.Proxy][o.Replica] = o.Ejected
+			f.ejected[o.Proxy][o.Replica] = o.Ejected
 			if o.Replica == 11 {
-				f.ever[int(o.Proxy)] = true
+				f.everEjected[int(o.Proxy)] = true
 			}
 		}
 	}
@@ -84,23 +84,23 @@
 // second lets every proxy try four flows and tell of them.
 func (f *fleet) second() {
 	f.seq++
-	for p := range f.shut {
+	for p := range f.ejected {
 		tries, dropped := make([]int, len(f.weights)), make([]int, len(f.weights))
 		total := 0.0
 		for r, w := range f.weights {
-			if !f.shut[p][rules.ReplicaID(r)] {
+			if !f.ejected[p][rules.ReplicaID(r)] {
 				total += w
 			}
 		}
 		for range 4 {
 			at := f.chance.Float64() * total
 			for r, w := range f.weights {
-				if f.shut[p][rules.ReplicaID(r)] {
+				if f.ejected[p][rules.ReplicaID(r)] {
 					continue
 				}
 				if at -= w; at <= 0 {
 					tries[r]++
-					if f.chance.Float64() < f.fails(p, r) {
+					if f.chance.Float64() < f.dropShare(p, r) {
 						dropped[r]++
 					}
 					break
@@ -121,7 +121,7 @@
 	for q := range 4 {
 		f.now += second / 4
 		var events []rules.Event
-		for p := range f.shut {
+		for p := range f.ejected {
 			events = append(events, rules.Applied{Proxy: rules.ProxyID(p), Version: f.version})
 		}
 		if q == 0 {
@@ -131,9 +131,9 @@
 	}
 }
 
-// shunned counts the proxies that shut a replica out.
-func (f *fleet) shunned(r rules.ReplicaID) (n int) {
-	for _, shut := range f.shut {
+// ejectedBy counts the proxies that shut a replica out.
+func (f *fleet) ejectedBy(r rules.ReplicaID) (n int) {
+	for _, shut := range f.ejected {
 		if shut[r] {
 			n++
 		}
@@ -141,9 +141,9 @@
 	return n
 }
 
-// wrong counts the pairs shut out that the test does not name.
-func (f *fleet) wrong(right func(p int, r rules.ReplicaID) bool) (n int) {
-	for p, shut := range f.shut {
+// unexpectedEjections counts the pairs shut out that the test does not name.
+func (f *fleet) unexpectedEjections(right func(p int, r rules.ReplicaID) bool) (n int) {
+	for p, shut := range f.ejected {
 		for r, out := range shut {
 			if out && !right(p, r) {
 				n++
@@ -153,18 +153,18 @@
 	return n
 }
 
-// TestFailsForAFew has a replica swallow the flows of 1% of 2,000 proxies, while another drops 1% of everybody's: the
+// TestReplicaFailingForFewProxies has a replica swallow the flows of 1% of 2,000 proxies, while another drops 1% of everybody's: the
 // first is found within 10 s and shut out by those alone, and the second by next to nobody. Killed and started again
 // in the middle of it, the governor finds it anew, and a drain that is told with its start goes out at once.
-func TestFailsForAFew(t *testing.T) {
+func TestReplicaFailingForFewProxies(t *testing.T) {
 	f := newFleet(t, 2000, 30)
 	for range 4 {
 		f.second()
 	}
-	if n := f.wrong(func(int, rules.ReplicaID) bool { return false }); n > 0 {
+	if n := f.unexpectedEjections(func(int, rules.ReplicaID) bool { return false }); n > 0 {
 		t.Fatalf("%d pairs are shut out while nothing fails", n)
 	}
-	f.fails = func(p, r int) float64 {
+	f.dropShare = func(p, r int) float64 {
 		switch {
 		case r == 11 && p%100 == 7:
 			return 1
@@ -184,17 +184,17 @@
 		}
 		found := 0
 		for s := 1; s <= 25; s++ {
-			if f.second(); found == 0 && f.shunned(11) > 0 {
+			if f.second(); found == 0 && f.ejectedBy(11) > 0 {
 				found = s
 			}
 		}
 		if found == 0 || found > 10 {
 			t.Errorf("life %d: found after %d s", life, found)
 		}
-		if n := len(f.ever); n < 15 {
+		if n := len(f.everEjected); n < 15 {
 			t.Errorf("life %d: %d of 20 proxies have shut it out within 25 s", life, n)
 		}
-		if n := f.wrong(few); n > 2 {
+		if n := f.unexpectedEjections(few); n > 2 {
 			t.Errorf("life %d: %d other pairs are shut out", life, n)
 		}
 		if f.weights[11] < f.weights[12]/2 {
@@ -203,17 +203,17 @@
 	}
 }
 
-// TestFailsForAll has a replica swallow the flows of all proxies: it is down to a quarter within 5 s, by the sums
+// TestReplicaFailingForAllProxies has a replica swallow the flows of all proxies: it is down to a quarter within 5 s, by the sums
 // that single reports make, and no proxy shuts anything out on its own account, though in the first second only a
 // tenth of them have met it.
-func TestFailsForAll(t *testing.T) {
+func TestReplicaFailingForAllProxies(t *testing.T) {
 	f := newFleet(t, 500, 20)
 	for range 4 {
 		f.second()
 	}
-	f.fails = func(p, r int) float64 { return map[[2]int]float64{{5, 0}: 1}[[2]int{r, p % 10}] }
+	f.dropShare = func(p, r int) float64 { return map[[2]int]float64{{5, 0}: 1}[[2]int{r, p % 10}] }
 	f.second()
-	f.fails = func(_, r int) float64 { return map[int]float64{5: 1}[r] }
+	f.dropShare = func(_, r int) float64 { return map[int]float64{5: 1}[r] }
 	for s := 1; f.weights[5] > 5.0/4; s++ {
 		if f.second(); s > 5 {
 			t.Fatalf("after 5 s its weight is %.2f", f.weights[5])
@@ -222,20 +222,20 @@
 	for range 5 {
 		f.second()
 	}
-	if n := f.wrong(func(int, rules.ReplicaID) bool { return false }); n > 0 {
+	if n := f.unexpectedEjections(func(int, rules.ReplicaID) bool { return false }); n > 0 {
 		t.Errorf("%d proxies shut out what fails for all, or others", n)
 	}
 }
 
-// TestPathOfAProxy has one proxy drop three quarters of its tries, wherever they go: that is its own path, and no
+// TestFaultyPathOfProxy has one proxy drop three quarters of its tries, wherever they go: that is its own path, and no
 // replica is shut out.
-func TestPathOfAProxy(t *testing.T) {
+func TestFaultyPathOfProxy(t *testing.T) {
 	f := newFleet(t, 200, 20)
-	f.fails = func(p, _ int) float64 { return map[int]float64{9: 0.75}[p] }
+	f.dropShare = func(p, _ int) float64 { return map[int]float64{9: 0.75}[p] }
 	for range 20 {
 		f.second()
 	}
-	if n := f.wrong(func(int, rules.ReplicaID) bool { return false }); n > 1 {
+	if n := f.unexpectedEjections(func(int, rules.ReplicaID) bool { return false }); n > 1 {
 		t.Errorf("%d pairs are shut out", n)
 	}
 }
--- a/intake/machineload_test.go
+++ b/intake/machineload_test.go
@@ -14,14 +14,14 @@
 	return MachineLoad{Replica: rules.ReplicaID(r), Metric: f, Kind: Gauge, Value: v, Scale: 1, MeasuredAt: at}
 }
 
-func told(util float64, tries, dropped int) rules.EndpointStats {
+func stats(util float64, tries, dropped int) rules.EndpointStats {
 	s := rules.EndpointStats{Replica: 1, Attempts: tries, Dropped: dropped, Window: time.Second, Report: unreported}
 	s.Report.Utilization = util
 	return s
 }
 
-// TestFates has words of machines that count and others that don't.
-func TestFates(t *testing.T) {
+// TestMachineLoadCauses has words of machines that count and others that don't.
+func TestMachineLoadCauses(t *testing.T) {
 	in := New(settings())
 	now := 1000 * second
 	for i, c := range []struct {
@@ -39,14 +39,14 @@
 			t.Errorf("%d: %+v counts as %v, want %v", i, c.l, got, c.want)
 		}
 	}
-	s, _ := in.AdjustStats(now, now, told(rules.Absent, 10, 0))
+	s, _ := in.AdjustStats(now, now, stats(rules.Absent, 10, 0))
 	if s.Report.Utilization != 1 || s.Report.InFlight != 7 || s.Report.ServiceTime != 40 {
 		t.Errorf("%+v", s.Report)
 	}
 }
 
-// TestCountsThatGrow reads counters over a wrap at 32 and at 64 bits, a derive that begins anew, and absolutes.
-func TestCountsThatGrow(t *testing.T) {
+// TestMachineLoadCounters reads counters over a wrap at 32 and at 64 bits, a derive that begins anew, and absolutes.
+func TestMachineLoadCounters(t *testing.T) {
 	for _, c := range []struct {
 		what   string
 		kind   Kind
@@ -66,16 +66,16 @@
 				t.Errorf("%s: %v", c.what, fate)
 			}
 		}
-		s, _ := in.AdjustStats(now, now, told(0.5, 10, 0))
+		s, _ := in.AdjustStats(now, now, stats(0.5, 10, 0))
 		if got := s.Report.InFlight; got != c.want && (c.want >= 0 || got != rules.Absent) {
 			t.Errorf("%s: %v, want %v", c.what, got, c.want)
 		}
 	}
 }
 
-// TestTwoSources has proxies and a machine speak of one replica: the fresher counts, an idle word only by its age, and
+// TestMachineAndProxyReports has proxies and a machine speak of one replica: the fresher counts, an idle word only by its age, and
 // where tries are dropped the lower one.
-func TestTwoSources(t *testing.T) {
+func TestMachineAndProxyReports(t *testing.T) {
 	now := 1000 * second
 	for _, c := range []struct {
 		what        string
@@ -96,12 +96,12 @@
 		in := New(settings())
 		if c.proxies >= 0 { // what was believed before
 			in.AddLoad(now-12*second, gauge(1, Utilization, 0.5, now-12*second))
-			in.AdjustStats(now-9*second, now-9*second, told(c.proxies, 10, 0))
+			in.AdjustStats(now-9*second, now-9*second, stats(c.proxies, 10, 0))
 		}
 		if fate := in.AddLoad(now, gauge(1, Utilization, c.machine, now-rules.Time(c.age))); fate != Kept {
 			t.Fatal(c.what, fate)
 		}
-		s, _ := in.AdjustStats(now, now, told(c.proxies, 10, c.dropped))
+		s, _ := in.AdjustStats(now, now, stats(c.proxies, 10, c.dropped))
 		if got := s.Report.Utilization; got < c.least-1e-9 || got > c.most+1e-9 {
 			t.Errorf("%s: %v, want %v to %v", c.what, got, c.least, c.most)
 		}
@@ -124,7 +124,7 @@
 				newest, value = at, util
 			}
 		}
-		s, _ := in.AdjustStats(1000*second, 1000*second, told(rules.Absent, 10, 0))
+		s, _ := in.AdjustStats(1000*second, 1000*second, stats(rules.Absent, 10, 0))
 		if s.Report.Utilization < value-1e-9 || s.Report.Utilization > 1 {
 			t.Fatalf("the newest word is %v, and %v is told", value, s.Report.Utilization)
 		}
--- a/intake/pairs_test.go
+++ b/intake/pairs_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// BenchmarkTake is what a record costs behind its decoding, with 5,000 senders, 60 replicas and a tight budget.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkAddBatch is what a record costs behind its decoding, with 5,000 senders, 60 replicas and a tight budget.
+func BenchmarkAddBatch(b *testing.B) {
 	s := settings()
 	s.Budget, s.MaxPairs = 20_000, 10_000
 	in := New(s)
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -15,8 +15,8 @@
 
 var set = Settings{HalfLife: 10 * time.Minute, MaxAge: 24 * time.Hour}
 
-// kept is a list of replicas that all started long ago, of which even ones are twice as fast as odd ones.
-func kept(n int, heard rules.Time) State {
+// keptState is a list of replicas that all started long ago, of which even ones are twice as fast as odd ones.
+func keptState(n int, heard rules.Time) State {
 	k := State{Governor: "n1", Discovery: "d", Version: 7, ConfirmedAt: heard, WrittenAt: heard + second, NextReplicaID: rules.ReplicaID(n)}
 	for i := range n {
 		id := rules.ReplicaID(i)
@@ -26,8 +26,8 @@
 	return k
 }
 
-// TestVerdicts weighs what is kept: by its age, and told from what is another's, impossible or of the future.
-func TestVerdicts(t *testing.T) {
+// TestAssessments weighs what is kept: by its age, and told from what is another's, impossible or of the future.
+func TestAssessments(t *testing.T) {
 	now := 1_000_000 * second
 	for _, c := range []struct {
 		what  string
@@ -46,7 +46,7 @@
 		{"never heard", func(k *State) { k.ConfirmedAt = 0 }, Impossible, 0},
 		{"written before it was heard", func(k *State) { k.WrittenAt = k.ConfirmedAt - 3600*second }, Impossible, 0},
 	} {
-		k := kept(4, now-60*second)
+		k := keptState(4, now-60*second)
 		k.WrittenAt = now
 		c.with(&k)
 		p := NewPlan(now, k, "n1", "d", set)
@@ -71,7 +71,7 @@
 func TestTrust(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, n := 1_000_000*second, rapid.IntRange(1, 20).Draw(t, "replicas")
-		k := kept(n, now-rules.Time(rapid.IntRange(0, 80_000).Draw(t, "age"))*second)
+		k := keptState(n, now-rules.Time(rapid.IntRange(0, 80_000).Draw(t, "age"))*second)
 		k.WrittenAt = now
 		p := NewPlan(now, k, "n1", "d", set)
 		r := Begin(now, k, p, set)
@@ -104,8 +104,8 @@
 	})
 }
 
-// life is a governor that has just started, and what its proxies hold.
-type life struct {
+// governorRun is a governor that has just started, and what its proxies hold.
+type governorRun struct {
 	gov     rules.Governor
 	rec     *Recovery
 	now     rules.Time
@@ -124,15 +124,15 @@
 }
 
 // begin starts a governor from disk.
-func begin(now rules.Time, k State, proxies int) *life {
-	l := &life{now: now, lines: map[rules.ReplicaID]float64{}, bound: map[rules.ProxyID]bool{}}
+func begin(now rules.Time, k State, proxies int) *governorRun {
+	l := &governorRun{now: now, lines: map[rules.ReplicaID]float64{}, bound: map[rules.ProxyID]bool{}}
 	p := NewPlan(now, k, "n1", "d", set)
 	l.rec = Begin(now, k, p, set)
 	l.raw(append([]rules.Event{rules.Start{Seed: 3, Settings: siteSettings(proxies)}}, p.Events...)...)
 	return l
 }
 
-func (l *life) hear(events ...rules.Event) {
+func (l *governorRun) handle(events ...rules.Event) {
 	var out []rules.Event
 	for _, e := range events {
 		out = append(out, l.rec.Handle(e)...)
@@ -140,7 +140,7 @@
 	l.raw(out...)
 }
 
-func (l *life) raw(events ...rules.Event) {
+func (l *governorRun) raw(events ...rules.Event) {
 	l.orders = l.gov.Step(l.now, events)
 	for _, o := range l.orders {
 		switch o := o.(type) {
@@ -159,14 +159,14 @@
 }
 
 // pass lets time pass, in quarters of a second, while proxies confirm.
-func (l *life) pass(quarters int, events ...rules.Event) {
+func (l *governorRun) pass(quarters int, events ...rules.Event) {
 	for range quarters {
 		l.now += second / 4
 		for p := range l.bound {
 			events = append(events, rules.Applied{Proxy: p, Version: l.version})
 		}
 		slices.SortStableFunc(events, func(a, b rules.Event) int { return 0 })
-		l.hear(append(events, rules.Wake{TimerID: l.mark})...)
+		l.handle(append(events, rules.Wake{TimerID: l.mark})...)
 		events = nil
 	}
 }
@@ -178,15 +178,15 @@
 	return events
 }
 
-// TestDiscoveryAway starts with discovery down and lists of 10 s, 5 min and a day: a proxy has lines at once, what was
+// TestDiscoveryUnavailable starts with discovery down and lists of 10 s, 5 min and a day: a proxy has lines at once, what was
 // learnt shows in them by the trust in the list, and none is without any replica for long.
-func TestDiscoveryAway(t *testing.T) {
+func TestDiscoveryUnavailable(t *testing.T) {
 	last := 9.0
 	for _, age := range []int{10, 300, 86_400} {
 		now := 1_000_000 * second
-		k := kept(10, now-rules.Time(age)*second)
+		k := keptState(10, now-rules.Time(age)*second)
 		l := begin(now, k, 4)
-		l.hear(joins(4)...)
+		l.handle(joins(4)...)
 		if len(l.bound) != 4 || len(l.lines) != 10 {
 			t.Fatalf("%d s old: %d proxies are bound to %d lines", age, len(l.bound), len(l.lines))
 		}
@@ -205,13 +205,13 @@
 	}
 }
 
-// TestReadyOnDiskDrainingInTruth has three of ten replicas drain, and half replaced by others, while the governor was
+// TestReadyInStateDrainingAtDiscovery has three of ten replicas drain, and half replaced by others, while the governor was
 // away: with discovery's first answer their removals stand before any new line, and none gets a line again.
-func TestReadyOnDiskDrainingInTruth(t *testing.T) {
+func TestReadyInStateDrainingAtDiscovery(t *testing.T) {
 	now := 1_000_000 * second
-	k := kept(10, now-300*second)
+	k := keptState(10, now-300*second)
 	l := begin(now, k, 4)
-	l.hear(joins(4)...)
+	l.handle(joins(4)...)
 	l.pass(4)
 	truth := rules.List{Scope: rules.Full}
 	for i := range 20 {
@@ -226,7 +226,7 @@
 		}
 		truth.Entries = append(truth.Entries, e)
 	}
-	l.hear(truth)
+	l.handle(truth)
 	gone, added := 0, false
 	for _, o := range l.orders {
 		line, is := o.(rules.EndpointWeight)
@@ -258,10 +258,10 @@
 // was learnt of it holds; the one that has started anew is cold and unknown.
 func TestChangesConfirmTheRest(t *testing.T) {
 	now := 1_000_000 * second
-	l := begin(now, kept(10, now-300*second), 4)
-	l.hear(joins(4)...)
+	l := begin(now, keptState(10, now-300*second), 4)
+	l.handle(joins(4)...)
 	l.pass(2)
-	l.hear(rules.List{Scope: rules.Changes, Entries: []rules.Entry{{Replica: 4, State: rules.Ready, Listed: 1, StartedAt: l.now - second}}})
+	l.handle(rules.List{Scope: rules.Changes, Entries: []rules.Entry{{Replica: 4, State: rules.Ready, Listed: 1, StartedAt: l.now - second}}})
 	l.pass(8)
 	if ratio := l.lines[0] / l.lines[1]; ratio < 2 || ratio > 2.6 {
 		t.Errorf("the faster replica gets %.2f times as much", ratio)
@@ -275,16 +275,16 @@
 	}
 }
 
-// TestHeldOutStays has a replica that was held out. From disk alone, where all may be cold, it is not, or it would draw all
+// TestEjectedStaysEjected has a replica that was held out. From disk alone, where all may be cold, it is not, or it would draw all
 // that those can't be sent; once discovery has confirmed the others it is, until it answers. Where most have started anew, it
 // is not.
-func TestHeldOutStays(t *testing.T) {
+func TestEjectedStaysEjected(t *testing.T) {
 	now := 1_000_000 * second
-	k := kept(10, now-10*second)
+	k := keptState(10, now-10*second)
 	k.Replicas[3].Learned.Out = true
 	for _, anew := range []int{0, 8} {
 		l := begin(now, k, 4)
-		l.hear(joins(4)...)
+		l.handle(joins(4)...)
 		if l.lines[3] > 2*l.lines[1] {
 			t.Errorf("from disk it gets %.2f beside %.2f", l.lines[3], l.lines[1])
 		}
@@ -294,7 +294,7 @@
 				truth.Entries = append(truth.Entries, rules.Entry{Replica: rules.ReplicaID(i), State: rules.Ready, Listed: 1, StartedAt: l.now - second})
 			}
 		}
-		l.hear(truth)
+		l.handle(truth)
 		l.pass(8)
 		var v rules.View
 		l.gov.WriteView(l.now, &v)
@@ -318,8 +318,8 @@
 // nobody is sent more messages than allowed, and all are bound in the time that the channel needs.
 func TestManyJoinFromDisk(t *testing.T) {
 	now := 1_000_000 * second
-	l := begin(now, kept(60, now-300*second), 1000)
-	l.hear(joins(1000)...)
+	l := begin(now, keptState(60, now-300*second), 1000)
+	l.handle(joins(1000)...)
 	var v rules.View
 	begun := l.now
 	for len(l.bound) < 1000 {
@@ -337,7 +337,7 @@
 // don't fit into the channel: all replicas count as cold, and yet each proxy is bound to a table that has lines.
 func TestAllColdAtSize(t *testing.T) {
 	now := 1_000_000 * second
-	l := begin(now, kept(1000, now-300*second), 200)
+	l := begin(now, keptState(1000, now-300*second), 200)
 	tables, lines := map[rules.ProxyID]rules.TableID{}, map[rules.TableID]int{}
 	note := func() {
 		for _, o := range l.orders {
@@ -352,7 +352,7 @@
 		}
 	}
 	note()
-	l.hear(joins(200)...)
+	l.handle(joins(200)...)
 	note()
 	for range 12 {
 		l.pass(1)
--- a/rules/bench_test.go
+++ b/rules/bench_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// settle takes what waits as applied, so that the channel has room again.
-func (p *play) settle() {
+// drainChannel takes what waits as applied, so that the channel has room again.
+func (p *play) drainChannel() {
 	p.g.channel, p.g.queuedEntries = nil, 0
 }
 
@@ -45,7 +45,7 @@
 	eachSize(b, func(b *testing.B, p *play) {
 		for b.Loop() {
 			p.now += Time(time.Millisecond)
-			p.settle()
+			p.drainChannel()
 			p.g.Step(p.now, []Event{Joined{Proxy: 7, Zone: 1, FlowRate: 0.5}})
 		}
 	})
@@ -57,7 +57,7 @@
 		state := Draining
 		for b.Loop() {
 			p.now += Time(10 * time.Millisecond)
-			p.settle()
+			p.drainChannel()
 			e := p.list[3]
 			e.State = state
 			p.g.Step(p.now, []Event{List{Scope: Changes, Entries: []Entry{e}}})
@@ -71,7 +71,7 @@
 	eachSize(b, func(b *testing.B, p *play) {
 		for b.Loop() {
 			p.now += Time(time.Second)
-			p.settle()
+			p.drainChannel()
 			p.g.Step(p.now, append(p.sums(), Wake{TimerID: p.mark}))
 		}
 	})
