--- a/controlplane/maintenanceplanner/capacitytable.go
+++ b/controlplane/maintenanceplanner/capacitytable.go
@@ -1,8 +1,9 @@
 package maintenanceplanner
 
 import (
-	"cmp"
 	"slices"
+
+	"zincloft.example/zincloft/dataplane/capacity"
 )
 
 // tolerance absorbs rounding where capacities are compared, in requests a second.
@@ -54,32 +55,22 @@
 		if node.Region != demand.Region {
 			continue
 		}
-		capacity := node.Capacity[demand.Group]
-		total += capacity
-		machines = append(machines, capacity)
-		byZone[t.zoneOfNode[i]] += capacity
+		rate := node.Capacity[demand.Group]
+		total += rate
+		machines = append(machines, rate)
+		byZone[t.zoneOfNode[i]] += rate
 		zones[node.Zone] = true
 	}
 	var zoneRows [][]float64
-	for _, capacity := range byZone {
-		zoneRows = append(zoneRows, slices.Repeat([]float64{capacity}, r.SlotCount))
+	for _, rate := range byZone {
+		zoneRows = append(zoneRows, slices.Repeat([]float64{rate}, r.SlotCount))
 	}
 	t.capacity = append(t.capacity, slices.Repeat([]float64{total}, r.SlotCount))
 	t.zoneCapacity = append(t.zoneCapacity, zoneRows)
-	t.machineLoss = append(t.machineLoss, sumOfLargest(machines, min(r.FaultTolerance.Machines, len(machines))))
+	t.machineLoss = append(t.machineLoss, capacity.SumOfLargest(machines, r.FaultTolerance.Machines))
 	t.zoneCount = append(t.zoneCount, len(zones))
 }
 
-// sumOfLargest sums the largest count values; it sorts the values.
-func sumOfLargest(values []float64, count int) float64 {
-	slices.SortFunc(values, func(a, b float64) int { return cmp.Compare(b, a) })
-	sum := 0.0
-	for _, value := range values[:count] {
-		sum += value
-	}
-	return sum
-}
-
 // noNode stands for no further node being out.
 const noNode = -1
 
@@ -112,7 +103,7 @@
 	if zones == 1 {
 		return slices.Max(sums)
 	}
-	return sumOfLargest(sums, min(zones, t.zoneCount[demand]-1))
+	return capacity.SumOfLargest(sums, min(zones, t.zoneCount[demand]-1))
 }
 
 // shortfall is a demand that is not met, and by how much; demand is noDemand where all are met.
--- a/dataplane/capacity/remaining.go
+++ b/dataplane/capacity/remaining.go
@@ -49,16 +49,16 @@
 		zones[node.Zone] += capacity
 		machines = append(machines, capacity)
 	}
-	machineLoss := sumOfLargest(machines, tolerance.Machines)
+	machineLoss := SumOfLargest(machines, tolerance.Machines)
 	zoneLoss := 0.0
 	if len(zones) > 1 {
-		zoneLoss = sumOfLargest(slices.Collect(maps.Values(zones)), min(tolerance.Zones, len(zones)-1))
+		zoneLoss = SumOfLargest(slices.Collect(maps.Values(zones)), min(tolerance.Zones, len(zones)-1))
 	}
 	return total - max(machineLoss, zoneLoss)
 }
 
-// sumOfLargest sums the largest count values; it sorts the values.
-func sumOfLargest(values []float64, count int) float64 {
+// SumOfLargest sums the largest count values, all of them where there are fewer; it sorts the values.
+func SumOfLargest(values []float64, count int) float64 {
 	slices.SortFunc(values, func(a, b float64) int { return cmp.Compare(b, a) })
 	sum := 0.0
 	for _, value := range values[:min(max(count, 0), len(values))] {
