--- a/controlplane/maintenanceplanner/capacitytable.go
+++ b/controlplane/maintenanceplanner/capacitytable.go
@@ -71,7 +71,7 @@
 	t.zoneCount = append(t.zoneCount, len(zones))
 }
 
-// noNode stands for no further node being out.
+// noNode is the index for no further node being out.
 const noNode = -1
 
 // remaining is what is left of a demand's capacity in a slot after the worst loss, with one more node out, or noNode.
@@ -141,7 +141,7 @@
 	}
 }
 
-// fits tells whether a node may be out in a slot.
+// fits reports whether a node may be out in a slot.
 func (t *capacityTable) fits(placed placement, slot int) bool {
 	window := t.request.Windows[placed.window]
 	if window.MaxConcurrent > 0 && t.concurrent[placed.window][slot] >= window.MaxConcurrent {
