--- a/internal/emulate/result.go
+++ b/internal/emulate/result.go
@@ -30,14 +30,24 @@
 
 // Second is what happened in one.
 type Second struct {
-	Offered, InTime, Late, Blocked, Dropped, Again int
-	Tries, Bad, Cold, Crossed                      int // sent; without a good answer; to cold replicas; to another zone
-	Asked, Served                                  float64
-	Lines                                          float64 // put into all channels
-	Messages                                       int
-	Waiting                                        float64 // the fullest channel, by its cap
-	Load                                           float64 // share of all cores that are busy
-	Ready, Warm                                    int     // replicas
+	Offered  int
+	InTime   int
+	Late     int
+	Blocked  int     `json:"Blocked"` // flows that admission control rejected
+	Dropped  int     // flows that a proxy or their client gave up
+	Again    int     `json:"Again"`   // times that clients came back
+	Tries    int     `json:"Tries"`   // attempts sent to replicas
+	Bad      int     `json:"Bad"`     // attempts that ended without a good answer
+	Cold     int     `json:"Cold"`    // attempts sent to replicas that were warming up
+	Crossed  int     `json:"Crossed"` // attempts sent to another zone
+	Asked    float64 `json:"Asked"`   // utility of the flows that came
+	Served   float64 `json:"Served"`  // utility of the answers
+	Lines    float64 `json:"Lines"`   // lines put into all channels
+	Messages int     // messages put into all channels
+	Waiting  float64 `json:"Waiting"` // queued lines of the fullest channel, by its capacity
+	Load     float64 `json:"Load"`    // share of the cores of running replicas that were busy at its end
+	Ready    int     `json:"Ready"`   // replicas that ran at its end
+	Warm     int     `json:"Warm"`    // of these, the ones that were not warming up
 }
 
 // Note is a trouble that began or ended.
@@ -48,27 +58,28 @@
 
 // GroupResult is what became of a traffic group.
 type GroupResult struct {
-	Name          string
-	Asked, Served float64 // utility
+	Name   string
+	Asked  float64 `json:"Asked"`  // utility of the flows that came
+	Served float64 `json:"Served"` // utility of the answers
 }
 
 // Result is what a run has shown.
 type Result struct {
 	Seed    uint64
 	Seconds []Second
-	Notes   []Note
-	Breaks  []Break // the first of each rule
-	Before  []Note  // what governors were told and ordered in the minute before the first break
-	Broken  int     // times that any rule was broken
-	Ended   [endings]int
+	Notes   []Note       `json:"Notes"`  // begins and ends of faults
+	Breaks  []Break      `json:"Breaks"` // the first violation of each invariant
+	Before  []Note       `json:"Before"` // governors' inputs and orders in the minute before the first violation
+	Broken  int          `json:"Broken"` // violations of any invariant
+	Ended   [endings]int `json:"Ended"`  // flows by outcome
 	Groups  []GroupResult
-	Events  uint64
-	Service float64 // share of the utility asked for that was delivered
-	Worst   float64 // the same in the worst ten seconds
-	P50     time.Duration
-	P99     time.Duration
-	Crossed float64 // share of the tries that went to another zone
-	Wasted  float64 // tries without a good answer, by flow
+	Events  uint64        `json:"Events"`  // events scheduled
+	Service float64       `json:"Service"` // delivered utility by requested utility
+	Worst   float64       `json:"Worst"`   // the same in the worst ten seconds
+	P50     time.Duration // median latency of answered flows
+	P99     time.Duration // 99th percentile of the same
+	Crossed float64       `json:"Crossed"` // share of the attempts that went to another zone
+	Wasted  float64       `json:"Wasted"`  // attempts without a good answer, by flow
 	Steps   int
 
 	latency *hdrhistogram.Histogram
--- a/internal/emulate/trouble.go
+++ b/internal/emulate/trouble.go
@@ -13,14 +13,14 @@
 // Trouble is something that goes wrong, or changes, for a time.
 type Trouble struct {
 	Kind   string        `toml:"kind"`
-	At     time.Duration `toml:"at"`     // from the start, or after When has become true
-	For    time.Duration `toml:"for"`    // how long it lasts, or over how long it is spread; 0: to the end
-	Share  float64       `toml:"share"`  // of the replicas, proxies or governors that it hits
-	Zone   *int          `toml:"zone"`   // only there; for zone troubles, which one
-	Factor float64       `toml:"factor"` // how strong; see the kind
-	Back   time.Duration `toml:"back"`   // what died comes back after this; 0: never
-	When   string        `toml:"when"`   // begins only once so much is measured over a second: "dropped > 0.1", "late > 0.2", "load > 0.8"
-	Name   string        `toml:"name"`   // for `when = "NAME"`: begins with the trouble of that name
+	At     time.Duration `toml:"at"`               // from the start, or after When has become true
+	For    time.Duration `toml:"for" json:"For"`   // how long it lasts, or over how long it is spread; 0: to the end
+	Share  float64       `toml:"share"`            // of the replicas, proxies or governors that it hits
+	Zone   *int          `toml:"zone"`             // only there; for zone troubles, which one
+	Factor float64       `toml:"factor"`           // how strong; see the kind
+	Back   time.Duration `toml:"back" json:"Back"` // what died comes back after this; 0: never
+	When   string        `toml:"when" json:"When"` // begins only once so much is measured over a second: "dropped > 0.1", "late > 0.2", "load > 0.8"
+	Name   string        `toml:"name"`             // for `when = "NAME"`: begins with the trouble of that name
 }
 
 // kindOf tells what each kind does, for people and for checks.
--- a/internal/emulate/watch.go
+++ b/internal/emulate/watch.go
@@ -22,7 +22,7 @@
 
 // Break is a rule that broke.
 type Break struct {
-	Rule   Rule
+	Rule   Rule    `json:"Rule"`
 	At     float64 // seconds from the start
 	Detail string
 }
