--- a/cmd/zinclab/emulate.go
+++ b/cmd/zinclab/emulate.go
@@ -14,14 +14,14 @@
 
 // emulateCommand plays days in simulated time.
 func emulateCommand() *cobra.Command {
-	fleet, large := emulate.Small(), false
+	fleet, large := emulate.SmallFleet(), false
 	var troubles []string
 	var seeds int
 	var first uint64
 	var asJSON bool
 	var kinds strings.Builder
-	for _, k := range emulate.Kinds() {
-		fmt.Fprintf(&kinds, "  %-18s %s\n", k, emulate.Tells(k))
+	for _, k := range emulate.FaultKinds() {
+		fmt.Fprintf(&kinds, "  %-18s %s\n", k, emulate.DescribeFault(k))
 	}
 	c := &cobra.Command{Use: "emulate", Short: "Plays days of a fleet in simulated time, the rules watched", Args: cobra.NoArgs,
 		Long: "Plays clients, proxies, replicas, discovery and governors in simulated time and prints what became of the flows, and where a rule broke.\n" +
@@ -31,19 +31,19 @@
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		f := fleet
 		if large {
-			f = emulate.Large(fleet.Proxies, fleet.Replicas)
-			f.Load, f.Length = fleet.Load, fleet.Length
+			f = emulate.LargeFleet(fleet.Proxies, fleet.Replicas)
+			f.Load, f.Duration = fleet.Load, fleet.Duration
 		}
-		play := emulate.Play{Fleet: f}
+		play := emulate.Config{Fleet: f}
 		for _, text := range troubles {
 			t, err := readTrouble(text)
 			if err == nil {
-				err = t.Check(&f)
+				err = t.Validate(&f)
 			}
 			if err != nil {
 				return fmt.Errorf("--trouble %s: %w", text, err)
 			}
-			play.Troubles = append(play.Troubles, t)
+			play.Faults = append(play.Faults, t)
 		}
 		broken := 0
 		for n := range seeds {
@@ -52,7 +52,7 @@
 			if err != nil {
 				return err
 			}
-			broken += min(len(r.Breaks), 1)
+			broken += min(len(r.Violations), 1)
 			if asJSON {
 				if err := json.NewEncoder(c.OutOrStdout()).Encode(r); err != nil {
 					return fmt.Errorf("writing the result: %w", err)
@@ -60,7 +60,7 @@
 				continue
 			}
 			fmt.Fprintf(c.OutOrStdout(), "seed %d\n", play.Seed)
-			r.Write(c.OutOrStdout())
+			r.WriteSummary(c.OutOrStdout())
 		}
 		if broken > 0 {
 			return fmt.Errorf("a rule broke on %d of %d days", broken, seeds)
@@ -73,8 +73,8 @@
 	fl.IntVar(&fleet.Replicas, "replicas", fleet.Replicas, "replicas")
 	fl.IntVar(&fleet.Zones, "zones", fleet.Zones, "zones")
 	fl.Float64Var(&fleet.Load, "load", fleet.Load, "share of all cores that the flows would keep busy")
-	fl.DurationVar(&fleet.Length, "length", fleet.Length, "the day's length")
-	fl.BoolVar(&fleet.Levels, "levels", false, "proxies heed levels")
+	fl.DurationVar(&fleet.Duration, "length", fleet.Duration, "the day's length")
+	fl.BoolVar(&fleet.AdmissionLevels, "levels", false, "proxies heed levels")
 	fl.BoolVar(&large, "large", false, "five governors in four zones that hear of few reports, with channels of the size")
 	fl.StringArrayVar(&troubles, "trouble", nil, "a trouble; may be given again")
 	fl.IntVar(&seeds, "seeds", 1, "days, of one seed after the other")
@@ -84,7 +84,7 @@
 }
 
 // readTrouble reads KIND:KEY=VALUE,...
-func readTrouble(text string) (t emulate.Trouble, err error) {
+func readTrouble(text string) (t emulate.Fault, err error) {
 	var rest string
 	t.Kind, rest, _ = strings.Cut(text, ":")
 	for _, pair := range strings.FieldsFunc(rest, func(r rune) bool { return r == ',' }) {
@@ -93,9 +93,9 @@
 		case "at":
 			t.At, err = time.ParseDuration(value)
 		case "for":
-			t.For, err = time.ParseDuration(value)
+			t.Duration, err = time.ParseDuration(value)
 		case "back":
-			t.Back, err = time.ParseDuration(value)
+			t.RecoverAfter, err = time.ParseDuration(value)
 		case "share":
 			t.Share, err = strconv.ParseFloat(value, 64)
 		case "factor":
@@ -105,7 +105,7 @@
 			zone, err = strconv.Atoi(value)
 			t.Zone = &zone
 		case "when":
-			t.When = value
+			t.Trigger = value
 		case "name":
 			t.Name = value
 		default:
--- a/cmd/zinclab/experiment.go
+++ b/cmd/zinclab/experiment.go
@@ -101,10 +101,10 @@
 		}
 		out := json.NewEncoder(c.OutOrStdout())
 		for _, f := range found {
-			if shrink && len(f.Result.Breaks) > 0 {
+			if shrink && len(f.Result.Violations) > 0 {
 				f, _ = experiment.Shrink(p, f)
 			}
-			if err := out.Encode(map[string]any{"seed": f.Seed, "service": f.Result.Service, "breaks": f.Result.Breaks, "troubles": f.Troubles}); err != nil {
+			if err := out.Encode(map[string]any{"seed": f.Seed, "service": f.Result.ServiceLevel, "breaks": f.Result.Violations, "troubles": f.Troubles}); err != nil {
 				return fmt.Errorf("writing a day: %w", err)
 			}
 		}
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func run(t testing.TB, p Play) *Result {
+func run(t testing.TB, p Config) *Result {
 	t.Helper()
 	r, err := Run(p)
 	if err != nil {
@@ -34,9 +34,9 @@
 
 // TestSameSeedSameRun plays a troubled day twice at a time on one core and on four: every second of it is the same.
 func TestSameSeedSameRun(t *testing.T) {
-	p := Play{Fleet: Large(250, 30), Seed: 3, Troubles: []Trouble{
-		{Kind: "deploy", At: 5 * time.Second, For: 4 * time.Second, Share: 0.5}, {Kind: "governors_die", At: 8 * time.Second, Share: 0.4, Back: 5 * time.Second},
-		{Kind: "hang", At: 12 * time.Second, For: 5 * time.Second, Share: 0.1}, {Kind: "burst", At: 15 * time.Second, For: 4 * time.Second, Factor: 1.5}}}
+	p := Config{Fleet: LargeFleet(250, 30), Seed: 3, Faults: []Fault{
+		{Kind: "deploy", At: 5 * time.Second, Duration: 4 * time.Second, Share: 0.5}, {Kind: "governors_die", At: 8 * time.Second, Share: 0.4, RecoverAfter: 5 * time.Second},
+		{Kind: "hang", At: 12 * time.Second, Duration: 5 * time.Second, Share: 0.1}, {Kind: "burst", At: 15 * time.Second, Duration: 4 * time.Second, Factor: 1.5}}}
 	var all []*Result
 	for _, cores := range []int{1, 4} {
 		before := runtime.GOMAXPROCS(cores)
@@ -48,7 +48,7 @@
 		runtime.GOMAXPROCS(before)
 	}
 	for _, r := range all[1:] {
-		if !reflect.DeepEqual(all[0].Seconds, r.Seconds) || all[0].Events != r.Events {
+		if !reflect.DeepEqual(all[0].Seconds, r.Seconds) || all[0].EventCount != r.EventCount {
 			t.Error("two runs of one seed differ")
 		}
 	}
@@ -58,13 +58,13 @@
 	}
 }
 
-// even steers one replica or a few by even weights, whatever comes.
-type even struct {
+// evenDecider steers one replica or a few by even weights, whatever comes.
+type evenDecider struct {
 	replicas int
 	bound    bool
 }
 
-func (e *even) Step(_ rules.Time, events []rules.Event) (out []rules.Order) {
+func (e *evenDecider) Step(_ rules.Time, events []rules.Event) (out []rules.Order) {
 	for _, x := range events {
 		if j, is := x.(rules.Joined); is {
 			if !e.bound {
@@ -79,8 +79,8 @@
 	return out
 }
 
-// erlang is the mean wait in a queue M/M/c, in mean services, by Erlang's formula C.
-func erlang(c int, load float64) float64 {
+// erlangWait is the mean wait in a queue M/M/c, in mean services, by Erlang's formula C.
+func erlangWait(c int, load float64) float64 {
 	a := load * float64(c)
 	term, sum := 1.0, 0.0
 	for k := range c {
@@ -91,27 +91,27 @@
 	return wait / (sum + wait) / (float64(c) * (1 - load))
 }
 
-// TestQueues holds the mean time at one replica against the formulas for M/M/c and, by Pollaczek and Khinchine, M/D/1.
-func TestQueues(t *testing.T) {
+// TestQueueingFormulas holds the mean time at one replica against the formulas for M/M/c and, by Pollaczek and Khinchine, M/D/1.
+func TestQueueingFormulas(t *testing.T) {
 	for _, x := range []struct {
 		cores int
 		load  float64
 		work  string
 	}{{1, 0.5, Exponential}, {1, 0.8, Exponential}, {2, 0.7, Exponential}, {4, 0.8, Exponential}, {1, 0.5, Constant}, {1, 0.8, Constant}} {
-		f := Small()
+		f := SmallFleet()
 		f.Governors, f.Zones, f.Proxies, f.Replicas = 1, 1, 20, 1
-		f.Kinds = []Kind{{Name: "one", Share: 1, Cores: x.cores, Speed: 1}}
-		f.Groups = []Group{{Name: "look", Share: 1, Work: 50 * time.Millisecond, LatencyBudget: time.Hour, Expiry: 2 * time.Hour, Utility: 1, Effect: "retriable"}}
-		f.Load, f.WorkModel, f.Length, f.Handshake, f.Net, f.Links, f.ProxyCV = x.load, x.work, 40*time.Minute, 0, 0, 1000, 0
-		f.LinkIdle, f.Pause = 2*time.Hour, 0
+		f.Kinds = []MachineKind{{Name: "one", Share: 1, Cores: x.cores, Speed: 1}}
+		f.Groups = []TrafficGroup{{Name: "look", Share: 1, MeanWork: 50 * time.Millisecond, LatencyBudget: time.Hour, Expiry: 2 * time.Hour, Utility: 1, Effect: "retriable"}}
+		f.Load, f.WorkDistribution, f.Duration, f.HandshakeWork, f.LocalDelay, f.MaxConnectionsPerCore, f.ProxyRateCV = x.load, x.work, 40*time.Minute, 0, 0, 1000, 0
+		f.ConnectionIdleTimeout, f.ApplyTimePerLine = 2*time.Hour, 0
 		mean, n := 0.0, 0
 		for seed := range uint64(4) {
-			w := Play{Fleet: f, Seed: seed, New: func(*World, int) Decider { return &even{replicas: 1} }}
+			w := Config{Fleet: f, Seed: seed, NewDecider: func(*Simulation, int) Decider { return &evenDecider{replicas: 1} }}
 			r := run(t, w)
 			mean, n = mean+r.latency.Mean(), n+1
 		}
 		got := mean / float64(n) / 50_000 // services
-		want := 1 + erlang(x.cores, x.load)
+		want := 1 + erlangWait(x.cores, x.load)
 		if x.work == Constant {
 			want = 1 + x.load/(2*(1-x.load))
 		}
@@ -121,23 +121,23 @@
 	}
 }
 
-// TestEachFlowEndsOnce draws days at random: every flow has exactly one ending, utility served is never more than asked for,
+// TestEachFlowHasOneOutcome draws days at random: every flow has exactly one ending, utility served is never more than asked for,
 // and connections and cores are all given back.
-func TestEachFlowEndsOnce(t *testing.T) {
+func TestEachFlowHasOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := Small()
+		f := SmallFleet()
 		f.Governors, f.Proxies, f.Replicas = rapid.IntRange(1, 3).Draw(t, "governors"), rapid.IntRange(3, 30).Draw(t, "proxies"), rapid.IntRange(2, 12).Draw(t, "replicas")
-		f.Load, f.Levels = rapid.Float64Range(0.2, 1.5).Draw(t, "load"), rapid.Bool().Draw(t, "levels")
-		f.Length, f.Settle = 12*time.Second, 30*time.Second
-		var troubles []Trouble
+		f.Load, f.AdmissionLevels = rapid.Float64Range(0.2, 1.5).Draw(t, "load"), rapid.Bool().Draw(t, "levels")
+		f.Duration, f.SettleTime = 12*time.Second, 30*time.Second
+		var troubles []Fault
 		for range rapid.IntRange(0, 4).Draw(t, "troubles") {
-			troubles = append(troubles, Trouble{Kind: rapid.SampledFrom(Kinds()).Draw(t, "kind"), At: time.Duration(rapid.IntRange(0, 10).Draw(t, "at")) * time.Second,
-				For: time.Duration(rapid.IntRange(0, 6).Draw(t, "for")) * time.Second, Back: time.Duration(rapid.IntRange(0, 5).Draw(t, "back")) * time.Second,
+			troubles = append(troubles, Fault{Kind: rapid.SampledFrom(FaultKinds()).Draw(t, "kind"), At: time.Duration(rapid.IntRange(0, 10).Draw(t, "at")) * time.Second,
+				Duration: time.Duration(rapid.IntRange(0, 6).Draw(t, "for")) * time.Second, RecoverAfter: time.Duration(rapid.IntRange(0, 5).Draw(t, "back")) * time.Second,
 				Share: rapid.Float64Range(0, 1).Draw(t, "share"), Factor: rapid.Float64Range(0, 3).Draw(t, "factor")})
 		}
-		var world *World
-		r, err := Run(Play{Fleet: f, Seed: rapid.Uint64().Draw(t, "seed"), Troubles: troubles,
-			New: func(w *World, _ int) Decider { world = w; return &rules.Governor{} }})
+		var world *Simulation
+		r, err := Run(Config{Fleet: f, Seed: rapid.Uint64().Draw(t, "seed"), Faults: troubles,
+			NewDecider: func(w *Simulation, _ int) Decider { world = w; return &rules.Governor{} }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -145,37 +145,37 @@
 		for _, s := range r.Seconds {
 			offered += s.Offered
 		}
-		if r.Offered() != offered || r.Ended[Pending] != 0 {
-			t.Fatalf("%d flows came, endings %v", offered, r.Ended)
+		if r.Offered() != offered || r.Outcomes[Pending] != 0 {
+			t.Fatalf("%d flows came, endings %v", offered, r.Outcomes)
 		}
 		for _, g := range r.Groups {
-			if g.Served > g.Asked+1e-9 {
-				t.Fatalf("%s: %.1f served of %.1f", g.Name, g.Served, g.Asked)
+			if g.DeliveredUtility > g.RequestedUtility+1e-9 {
+				t.Fatalf("%s: %.1f served of %.1f", g.Name, g.DeliveredUtility, g.RequestedUtility)
 			}
 		}
 		for _, x := range world.replicas {
 			open := 0
 			for _, p := range world.proxies {
-				if _, is := p.links[x.id]; is {
+				if _, is := p.connections[x.id]; is {
 					open++
 				}
 			}
-			if x.links != open || x.busy < 0 {
-				t.Fatalf("replica %d counts %d connections, %d are open; %d cores busy", x.id, x.links, open, x.busy)
+			if x.connections != open || x.busy < 0 {
+				t.Fatalf("replica %d counts %d connections, %d are open; %d cores busy", x.id, x.connections, open, x.busy)
 			}
 		}
 	})
 }
 
-// bad breaks one rule on purpose.
-type bad struct {
+// violatingDecider breaks one rule on purpose.
+type violatingDecider struct {
 	rules.Governor
-	how   Rule
-	table bool
+	violates Invariant
+	table    bool
 }
 
-func (b *bad) Step(now rules.Time, events []rules.Event) []rules.Order {
-	if b.how == Drains {
+func (b *violatingDecider) Step(now rules.Time, events []rules.Event) []rules.Order {
+	if b.violates == DrainsAreKept {
 		events = slices.DeleteFunc(slices.Clone(events), func(e rules.Event) bool { l, is := e.(rules.List); return is && l.Scope == rules.Changes })
 	}
 	out := b.Governor.Step(now, events)
@@ -183,9 +183,9 @@
 		switch o := o.(type) {
 		case rules.Line:
 			switch {
-			case b.how == Bare:
+			case b.violates == ProxiesHaveReplicas:
 				o.Weight = 0
-			case b.how == ColdFall && o.Weight > 0:
+			case b.violates == WarmupIsBounded && o.Weight > 0:
 				o.Weight = 1
 				if o.Replica >= 12 {
 					o.Weight = 1000
@@ -193,13 +193,13 @@
 			}
 			out[i] = o
 		case rules.Admit:
-			if b.how == Twice {
+			if b.violates == EffectsHappenOnce {
 				o.Retry = rules.RetryTwice
 				out[i] = o
 			}
 		}
 	}
-	if b.how == Queue {
+	if b.violates == ChannelIsBounded {
 		for r := range 40 {
 			out = append(out, rules.Line{Table: 0, Replica: rules.ReplicaID(r % 12), Weight: float64(now%1000) + 1})
 		}
@@ -207,61 +207,61 @@
 	return out
 }
 
-// TestBrokenRulesAreCaught has a governor break each rule on purpose, and one that breaks none.
-func TestBrokenRulesAreCaught(t *testing.T) {
-	for _, how := range []Rule{Bare, Twice, Drains, ColdFall, Queue, ""} {
-		f := Small()
-		f.Load, f.Length = 0.6, 30*time.Second
-		troubles := []Trouble{{Kind: "deploy", At: 8 * time.Second, For: 3 * time.Second, Share: 0.4}}
-		if how == Twice {
+// TestViolationsAreDetected has a governor break each rule on purpose, and one that breaks none.
+func TestViolationsAreDetected(t *testing.T) {
+	for _, how := range []Invariant{ProxiesHaveReplicas, EffectsHappenOnce, DrainsAreKept, WarmupIsBounded, ChannelIsBounded, ""} {
+		f := SmallFleet()
+		f.Load, f.Duration = 0.6, 30*time.Second
+		troubles := []Fault{{Kind: "deploy", At: 8 * time.Second, Duration: 3 * time.Second, Share: 0.4}}
+		if how == EffectsHappenOnce {
 			f.Load = 0.2 // and work takes long, so that some is under way when a zone is cut off: its answers are lost
-			troubles = append(troubles, Trouble{Kind: "slow", At: 3 * time.Second, Share: 1, Factor: 3}, Trouble{Kind: "zone_cut", At: 6 * time.Second, For: 5 * time.Second},
-				Trouble{Kind: "zone_cut", At: 15 * time.Second, For: 5 * time.Second})
+			troubles = append(troubles, Fault{Kind: "slow", At: 3 * time.Second, Share: 1, Factor: 3}, Fault{Kind: "zone_cut", At: 6 * time.Second, Duration: 5 * time.Second},
+				Fault{Kind: "zone_cut", At: 15 * time.Second, Duration: 5 * time.Second})
 		}
 		told := ""
-		r := run(t, Play{Fleet: f, Seed: 5, Troubles: troubles, New: func(*World, int) Decider { return &bad{how: how} },
-			OnBreak: func(w *World, b Break) { told += fmt.Sprintf("%s at %.2f; ", b.Rule, w.seconds()) }})
+		r := run(t, Config{Fleet: f, Seed: 5, Faults: troubles, NewDecider: func(*Simulation, int) Decider { return &violatingDecider{violates: how} },
+			OnViolation: func(w *Simulation, b Violation) { told += fmt.Sprintf("%s at %.2f; ", b.Invariant, w.elapsedSeconds()) }})
 		if how == "" {
-			if len(r.Breaks) > 0 {
-				t.Errorf("rules are kept, and %v is told", r.Breaks)
+			if len(r.Violations) > 0 {
+				t.Errorf("rules are kept, and %v is told", r.Violations)
 			}
 			continue
 		}
-		if !slices.ContainsFunc(r.Breaks, func(b Break) bool { return b.Rule == how }) || !strings.Contains(told, string(how)) || len(r.Before) == 0 {
-			t.Errorf("%s: found %v, told %s", how, r.Breaks, told)
+		if !slices.ContainsFunc(r.Violations, func(b Violation) bool { return b.Invariant == how }) || !strings.Contains(told, string(how)) || len(r.Trace) == 0 {
+			t.Errorf("%s: found %v, told %s", how, r.Violations, told)
 		}
 	}
 }
 
-// TestClientsOwnRepeats has the retry of a try that may have run counted as a repeat only where the governor ordered it.
-func TestClientsOwnRepeats(t *testing.T) {
-	f := Small()
-	f.Retries = 3
-	r := run(t, Play{Fleet: f, Seed: 2, Troubles: []Trouble{{Kind: "hang", At: 5 * time.Second, For: 10 * time.Second, Share: 0.3}}})
+// TestClientRetriesAreNotProxyRetries has the retry of a try that may have run counted as a repeat only where the governor ordered it.
+func TestClientRetriesAreNotProxyRetries(t *testing.T) {
+	f := SmallFleet()
+	f.ClientRetries = 3
+	r := run(t, Config{Fleet: f, Seed: 2, Faults: []Fault{{Kind: "hang", At: 5 * time.Second, Duration: 10 * time.Second, Share: 0.3}}})
 	again := 0
 	for _, s := range r.Seconds {
-		again += s.Again
+		again += s.ClientRetries
 	}
-	if len(r.Breaks) > 0 || again == 0 {
-		t.Errorf("%d repeats of clients, breaks %v", again, r.Breaks)
+	if len(r.Violations) > 0 || again == 0 {
+		t.Errorf("%d repeats of clients, breaks %v", again, r.Violations)
 	}
 }
 
-// TestPairsThroughIntake has a replica swallow the flows of one proxy in ten, which tell of it themselves: through the intake the
+// TestProxyReportsEjectPairs has a replica swallow the flows of one proxy in ten, which tell of it themselves: through the intake the
 // governor finds them and has them alone shut it out, and service is better than without such reports.
-func TestPairsThroughIntake(t *testing.T) {
-	f := Small()
-	f.Proxies, f.Load, f.Length = 60, 0.4, 60*time.Second
-	troubles := []Trouble{{Kind: "partial", At: 8 * time.Second, Share: 0.08, Factor: 0.1}}
+func TestProxyReportsEjectPairs(t *testing.T) {
+	f := SmallFleet()
+	f.Proxies, f.Load, f.Duration = 60, 0.4, 60*time.Second
+	troubles := []Fault{{Kind: "partial", At: 8 * time.Second, Share: 0.08, Factor: 0.1}}
 	shuns, wrong := 0, 0
-	var world *World
-	p := Play{Fleet: f, Seed: 6, Troubles: troubles, New: func(w *World, _ int) Decider {
+	var world *Simulation
+	p := Config{Fleet: f, Seed: 6, Faults: troubles, NewDecider: func(w *Simulation, _ int) Decider {
 		world = w
-		return &spy{step: func(_ rules.Time, _ []rules.Event, orders []rules.Order) {
+		return &spyDecider{step: func(_ rules.Time, _ []rules.Event, orders []rules.Order) {
 			for _, o := range orders {
 				if s, is := o.(rules.Shun); is && s.Out {
 					shuns++
-					if w.replicas[s.Replica].partial == 0 || w.proxies[s.Proxy].lot >= 0.1 {
+					if w.replicas[s.Replica].partialShare == 0 || w.proxies[s.Proxy].selector >= 0.1 {
 						wrong++
 					}
 				}
@@ -272,15 +272,15 @@
 	if shuns > 0 {
 		t.Errorf("%d orders to shut out, and no proxy tells of what it met", shuns)
 	}
-	p.Fleet.Met = true
+	p.Fleet.ProxyReports = true
 	with := run(t, p)
 	few := 0
 	for _, x := range world.proxies {
-		if x.lot < 0.1 {
+		if x.selector < 0.1 {
 			few++
 		}
 	}
-	if few == 0 || shuns < few/2 || wrong > 1 || with.Service < without.Service-0.005 {
-		t.Errorf("%d proxies fail there: %d orders, %d of them wrong; service %.4f, without %.4f", few, shuns, wrong, with.Service, without.Service)
+	if few == 0 || shuns < few/2 || wrong > 1 || with.ServiceLevel < without.ServiceLevel-0.005 {
+		t.Errorf("%d proxies fail there: %d orders, %d of them wrong; service %.4f, without %.4f", few, shuns, wrong, with.ServiceLevel, without.ServiceLevel)
 	}
 }
--- a/internal/emulate/fleet_test.go
+++ b/internal/emulate/fleet_test.go
@@ -8,36 +8,36 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// spy counts what five governors are told and order, on their way through.
-type spy struct {
+// spyDecider counts what five governors are told and order, on their way through.
+type spyDecider struct {
 	rules.Governor
 	step func(now rules.Time, events []rules.Event, orders []rules.Order)
 }
 
-func (s *spy) Step(now rules.Time, events []rules.Event) []rules.Order {
+func (s *spyDecider) Step(now rules.Time, events []rules.Event) []rules.Order {
 	orders := s.Governor.Step(now, events)
 	s.step(now, events, orders)
 	return orders
 }
 
-func keepsRules(t *testing.T, r *Result) {
+func requireNoViolations(t *testing.T, r *Result) {
 	t.Helper()
-	for _, b := range r.Breaks {
-		t.Errorf("rule broken at %.2f s: %s: %s", b.At, b.Rule, b.Detail)
+	for _, b := range r.Violations {
+		t.Errorf("rule broken at %.2f s: %s: %s", b.At, b.Invariant, b.Detail)
 	}
 }
 
-// TestJoinStorm kills three of five governors at once: their proxies come to the other two, all are bound within the time
+// TestGovernorFailover kills three of five governors at once: their proxies come to the other two, all are bound within the time
 // that a channel needs for them, and no channel ever holds more than it may.
-func TestJoinStorm(t *testing.T) {
+func TestGovernorFailover(t *testing.T) {
 	type wait struct{ joined, bound rules.Time }
 	waits := map[rules.ProxyID]*wait{}
-	f := Large(1280, 120)
-	f.Length = 25 * time.Second
-	died := began + rules.Time(8*time.Second)
-	r := run(t, Play{Fleet: f, Seed: 21, Troubles: []Trouble{{Kind: "governors_die", At: 8 * time.Second, Share: 0.6}},
-		New: func(*World, int) Decider {
-			return &spy{step: func(now rules.Time, events []rules.Event, orders []rules.Order) {
+	f := LargeFleet(1280, 120)
+	f.Duration = 25 * time.Second
+	died := simulationEpoch + rules.Time(8*time.Second)
+	r := run(t, Config{Fleet: f, Seed: 21, Faults: []Fault{{Kind: "governors_die", At: 8 * time.Second, Share: 0.6}},
+		NewDecider: func(*Simulation, int) Decider {
+			return &spyDecider{step: func(now rules.Time, events []rules.Event, orders []rules.Order) {
 				for _, e := range events {
 					if j, is := e.(rules.Joined); is && now > died {
 						waits[j.Proxy] = &wait{joined: now}
@@ -50,7 +50,7 @@
 				}
 			}}
 		}})
-	keepsRules(t, r)
+	requireNoViolations(t, r)
 	longest := time.Duration(0)
 	for p, w := range waits {
 		if w.bound == 0 {
@@ -59,27 +59,27 @@
 		longest = max(longest, time.Duration(w.bound-w.joined))
 	}
 	// Each is sent the whole of a table that names all replicas, each line twice as it may shut out any.
-	whole := float64(2*f.Replicas+20) * float64(len(waits)) / 2 / f.Pace
+	whole := float64(2*f.Replicas+20) * float64(len(waits)) / 2 / f.ChannelRate
 	if len(waits) < 600 || longest > time.Duration(1.5*whole*float64(time.Second)) {
 		t.Errorf("%d came, the last was bound after %v; their lines take %.1f s", len(waits), longest, whole)
 	}
-	if r.Service < 0.94 {
-		t.Errorf("service %.3f", r.Service)
+	if r.ServiceLevel < 0.94 {
+		t.Errorf("service %.3f", r.ServiceLevel)
 	}
 }
 
 // TestDiscoveryOutage takes discovery away from five governors at once, while replicas drain that none of them hears of: they
 // call again, but never all in one moment, and once it is back all hear of the drains and keep them.
 func TestDiscoveryOutage(t *testing.T) {
-	f := Large(640, 60)
-	f.Length = 30 * time.Second
+	f := LargeFleet(640, 60)
+	f.Duration = 30 * time.Second
 	calls := map[int]int{} // by tenth of a second
 	heard := 0
-	r := run(t, Play{Fleet: f, Seed: 22, Troubles: []Trouble{{Kind: "list_down", At: 6 * time.Second, For: 9 * time.Second},
-		{Kind: "deploy", At: 8 * time.Second, For: 3 * time.Second, Share: 0.3}},
-		New: func(*World, int) Decider {
-			return &spy{step: func(now rules.Time, events []rules.Event, orders []rules.Order) {
-				at := time.Duration(now - began)
+	r := run(t, Config{Fleet: f, Seed: 22, Faults: []Fault{{Kind: "list_down", At: 6 * time.Second, Duration: 9 * time.Second},
+		{Kind: "deploy", At: 8 * time.Second, Duration: 3 * time.Second, Share: 0.3}},
+		NewDecider: func(*Simulation, int) Decider {
+			return &spyDecider{step: func(now rules.Time, events []rules.Event, orders []rules.Order) {
+				at := time.Duration(now - simulationEpoch)
 				for _, e := range events {
 					if l, is := e.(rules.List); is && at > 15*time.Second && slices.ContainsFunc(l.Entries, func(n rules.Entry) bool { return n.State == rules.Draining }) {
 						heard++
@@ -92,7 +92,7 @@
 				}
 			}}
 		}})
-	keepsRules(t, r)
+	requireNoViolations(t, r)
 	total, most := 0, 0
 	for _, n := range calls {
 		total, most = total+n, max(most, n)
@@ -108,35 +108,35 @@
 // TestReplacement replaces six in ten replicas within three seconds. Rules are kept; and where the warm ones are far too few and
 // drop half of what they get, the cold ones, which drop next to nothing, are not left idle for it.
 func TestReplacement(t *testing.T) {
-	f := Large(1280, 120)
-	f.Load, f.Length = 0.5, 30*time.Second
-	troubles := []Trouble{{Kind: "deploy", At: 8 * time.Second, For: 3 * time.Second, Share: 0.6}}
-	r := run(t, Play{Fleet: f, Seed: 3, Troubles: troubles})
-	keepsRules(t, r)
-	if r.Service < 0.87 {
-		t.Errorf("service %.3f", r.Service)
+	f := LargeFleet(1280, 120)
+	f.Load, f.Duration = 0.5, 30*time.Second
+	troubles := []Fault{{Kind: "deploy", At: 8 * time.Second, Duration: 3 * time.Second, Share: 0.6}}
+	r := run(t, Config{Fleet: f, Seed: 3, Faults: troubles})
+	requireNoViolations(t, r)
+	if r.ServiceLevel < 0.87 {
+		t.Errorf("service %.3f", r.ServiceLevel)
 	}
-	f.Load, f.TryShare = 0.7, 0.4
-	r = run(t, Play{Fleet: f, Seed: 3, Troubles: troubles})
+	f.Load, f.ClientTimeoutShare = 0.7, 0.4
+	r = run(t, Config{Fleet: f, Seed: 3, Faults: troubles})
 	cold, tries, bad := 0, 0, 0
 	for _, s := range r.Seconds[14:24] {
-		cold, tries, bad = cold+s.Cold, tries+s.Tries, bad+s.Bad
+		cold, tries, bad = cold+s.WarmupAttempts, tries+s.Attempts, bad+s.FailedAttempts
 	}
 	if share := float64(cold) / float64(tries); share < 0.2 || bad < tries/4 {
 		t.Errorf("cold replicas, six in ten, got %.2f of the tries; %d of %d tries dropped", share, bad, tries)
 	}
 }
 
-// TestZoneReturns loses a zone of four, which comes back cold all at once, while governors hear of it at about the same time:
+// TestZoneRecovery loses a zone of four, which comes back cold all at once, while governors hear of it at about the same time:
 // five allowances for cold replicas together stay below what pushes one over.
-func TestZoneReturns(t *testing.T) {
-	f := Large(1280, 120)
-	f.Load, f.Length = 0.55, 35*time.Second
+func TestZoneRecovery(t *testing.T) {
+	f := LargeFleet(1280, 120)
+	f.Load, f.Duration = 0.55, 35*time.Second
 	zone := 2
-	r := run(t, Play{Fleet: f, Seed: 24, Troubles: []Trouble{{Kind: "zone_loss", At: 8 * time.Second, Back: 6 * time.Second, Zone: &zone}}})
-	keepsRules(t, r)
-	if r.Service < 0.9 {
-		t.Errorf("service %.3f", r.Service)
+	r := run(t, Config{Fleet: f, Seed: 24, Faults: []Fault{{Kind: "zone_loss", At: 8 * time.Second, RecoverAfter: 6 * time.Second, Zone: &zone}}})
+	requireNoViolations(t, r)
+	if r.ServiceLevel < 0.9 {
+		t.Errorf("service %.3f", r.ServiceLevel)
 	}
 	if last := r.Seconds[30]; float64(last.InTime) < 0.95*float64(last.Offered) {
 		t.Errorf("at 30 s %d of %d flows are delivered in time", last.InTime, last.Offered)
--- a/internal/emulate/governor.go
+++ b/internal/emulate/governor.go
@@ -10,179 +10,181 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// tick is how long a governor gathers before it steps.
-const tick = 4 * time.Millisecond
+// stepDelay is how long a governor gathers before it steps.
+const stepDelay = 4 * time.Millisecond
 
 // governor is one that is emulated: its decider, its channel, and what is on the way to it.
 type governor struct {
-	w     *World
-	n     int
-	up    bool
-	life  int
-	mind  Decider
-	slow  float64 // times that its channel is slower, by troubles
-	lost  float64 // share of its reports that is lost, by troubles
-	late  time.Duration
-	inbox []rules.Event
-	due   bool // a Step is coming
-
-	tables  []*table
-	all     map[rules.GroupID]rules.Admit
-	out     map[rules.ReplicaID]bool
-	members map[rules.ProxyID]*member
-	order   []*member // by the time of joining
-	version uint16
-
-	free    rules.Time // when the channel will have sent all that is in it
-	parcels []parcel
-
-	told     map[rules.ReplicaID]rules.Time // when it was told that one drains or is gone
-	known    map[rules.ReplicaID]rules.Entry
-	watching bool
-
-	in    *intake.Intake // where proxies tell what each met
-	sums  [][]sum        // by zone and replica, of this period
-	heard []reports      // what waits to be passed on, by zone
+	sim             *Simulation
+	index           int
+	up              bool
+	incarnation     int
+	decider         Decider
+	channelSlowdown float64 // times that its channel is slower, by troubles
+	reportLoss      float64 // share of its reports that is lost, by troubles
+	reportDelay     time.Duration
+	inbox           []rules.Event
+	stepScheduled   bool // a Step is coming
+
+	tables       []*weightTable
+	allTables    map[rules.GroupID]rules.Admit
+	withdrawn    map[rules.ReplicaID]bool
+	sessions     map[rules.ProxyID]*proxySession
+	sessionOrder []*proxySession // by the time of joining
+	version      uint16
+
+	channelFreeAt  rules.Time // when the channel will have sent all that is in it
+	channelBatches []channelBatch
+
+	unavailableSince  map[rules.ReplicaID]rules.Time // when it was told that one drains or is gone
+	listed            map[rules.ReplicaID]rules.Entry
+	watchingDiscovery bool
+
+	intake       *intake.Intake   // where proxies tell what each met
+	zoneStats    [][]attemptStats // by zone and replica, of this period
+	reportQueues []reportQueue    // what waits to be passed on, by zone
 }
 
-type table struct {
-	lines   map[rules.ReplicaID]float64
-	order   []rules.ReplicaID
-	admits  []rules.Admit
-	has     rules.GroupSet // levels ordered
-	view    *view          // as it stands; nil: to be made
-	altered int            // lines changed in this Step
-	cleared bool
-	leveled rules.GroupSet
+type weightTable struct {
+	weights           map[rules.ReplicaID]float64
+	order             []rules.ReplicaID
+	admissions        []rules.Admit
+	admissionGroups   rules.GroupSet // levels ordered
+	cached            *tableSnapshot // as it stands; nil: to be made
+	changedLines      int            // lines changed in this Step
+	cleared           bool
+	changedAdmissions rules.GroupSet
 }
 
-type member struct {
-	p       *proxy
-	life    int
-	table   []int // by group; -1: unbound
-	bound   rules.GroupSet
-	shuns   map[rules.ReplicaID]bool
-	shunned int
-	sent    []rules.Time // messages lately
-	arrives rules.Time   // the last of them
-	pairs   map[rules.ReplicaID]*sum
-	told    uint32 // batches
+type proxySession struct {
+	proxy            *proxy
+	incarnation      int
+	tables           []int // by group; -1: unbound
+	rebound          rules.GroupSet
+	ejected          map[rules.ReplicaID]bool
+	changedEjections int
+	recentMessages   []rules.Time // messages lately
+	lastArrival      rules.Time   // the last of them
+	replicaStats     map[rules.ReplicaID]*attemptStats
+	batchSequence    uint32 // batches
 }
 
-// parcel is lines in the channel until it has sent them.
-type parcel struct {
-	until rules.Time
-	lines float64
+// channelBatch is lines in the channel until it has sent them.
+type channelBatch struct {
+	sentAt rules.Time
+	lines  float64
 }
 
-type sum struct {
-	tries, dropped int
-	took           time.Duration
-	since          rules.Time
-	report         rules.Report
-	told           bool
+type attemptStats struct {
+	attempts, failures int
+	totalLatency       time.Duration
+	since              rules.Time
+	report             rules.Report
+	hasReport          bool
 }
 
-// reports wait until the governor is passed them, oldest first. What is told again of the same adds up.
-type reports struct {
-	queue   []report
-	waiting map[uint64]int // by key: place in the queue, counted from its first ever
-	first   int
+// reportQueue wait until the governor is passed them, oldest first. What is told again of the same adds up.
+type reportQueue struct {
+	pending       []queuedReport
+	positions     map[uint64]int // by key: place in the queue, counted from its first ever
+	firstPosition int
 }
 
-type report struct {
+type queuedReport struct {
 	key   uint64
 	event rules.Event
 	since rules.Time
 }
 
-func newGovernor(w *World, n int) *governor { return &governor{w: w, n: n, slow: 1} }
+func newGovernor(sim *Simulation, n int) *governor {
+	return &governor{sim: sim, index: n, channelSlowdown: 1}
+}
 
 // start begins a life.
 func (g *governor) start() {
-	w := g.w
+	sim := g.sim
 	g.up = true
-	g.life++
-	g.tables, g.all, g.out = nil, map[rules.GroupID]rules.Admit{}, map[rules.ReplicaID]bool{}
-	g.members, g.order, g.version, g.free, g.parcels = map[rules.ProxyID]*member{}, nil, 0, 0, nil
-	g.told, g.known = map[rules.ReplicaID]rules.Time{}, map[rules.ReplicaID]rules.Entry{}
-	g.inbox, g.due, g.watching = nil, false, false
-	g.sums, g.heard = make([][]sum, w.fleet.Zones), make([]reports, w.fleet.Zones)
-	g.mind = &rules.Governor{}
-	if w.play.New != nil {
-		g.mind = w.play.New(w, g.n)
-	}
-	set := w.set
-	set.Zone = rules.ZoneID(g.n % w.fleet.Zones)
-	g.post(rules.Start{Seed: w.play.Seed<<8 + uint64(g.n)<<4 + uint64(g.life), Settings: set})
-	if g.in = nil; w.fleet.Met {
-		g.in = intake.New(intake.Settings{Seed: w.play.Seed, Period: w.fleet.Period, Budget: metBudget, HalfLife: 2 * w.fleet.Period, MostAge: 10 * w.fleet.Period,
-			Pairs: metPairs, Zones: w.fleet.Zones})
-		g.cut(g.life)
-	}
-	for z := range w.fleet.Zones {
-		g.collect(z, g.life)
-	}
-	g.pass(g.life)
+	g.incarnation++
+	g.tables, g.allTables, g.withdrawn = nil, map[rules.GroupID]rules.Admit{}, map[rules.ReplicaID]bool{}
+	g.sessions, g.sessionOrder, g.version, g.channelFreeAt, g.channelBatches = map[rules.ProxyID]*proxySession{}, nil, 0, 0, nil
+	g.unavailableSince, g.listed = map[rules.ReplicaID]rules.Time{}, map[rules.ReplicaID]rules.Entry{}
+	g.inbox, g.stepScheduled, g.watchingDiscovery = nil, false, false
+	g.zoneStats, g.reportQueues = make([][]attemptStats, sim.fleet.Zones), make([]reportQueue, sim.fleet.Zones)
+	g.decider = &rules.Governor{}
+	if sim.config.NewDecider != nil {
+		g.decider = sim.config.NewDecider(sim, g.index)
+	}
+	set := sim.settings
+	set.Zone = rules.ZoneID(g.index % sim.fleet.Zones)
+	g.post(rules.Start{Seed: sim.config.Seed<<8 + uint64(g.index)<<4 + uint64(g.incarnation), Settings: set})
+	if g.intake = nil; sim.fleet.ProxyReports {
+		g.intake = intake.New(intake.Settings{Seed: sim.config.Seed, Period: sim.fleet.ReportPeriod, Budget: intakeBudget, HalfLife: 2 * sim.fleet.ReportPeriod, MostAge: 10 * sim.fleet.ReportPeriod,
+			Pairs: intakeMaxPairs, Zones: sim.fleet.Zones})
+		g.scheduleIntakeCut(g.incarnation)
+	}
+	for z := range sim.fleet.Zones {
+		g.scheduleCollection(z, g.incarnation)
+	}
+	g.scheduleDelivery(g.incarnation)
 }
 
-// kill ends a life; its proxies notice.
-func (g *governor) kill() {
+// crash ends a life; its proxies notice.
+func (g *governor) crash() {
 	if !g.up {
 		return
 	}
 	g.up = false
-	g.life++
-	for _, m := range slices.Clone(g.order) {
-		p := m.p
-		p.fresh = p.fresh && m.bound == 0 && len(m.sent) == 0
-		p.gov = nil
-		g.w.in(g.w.between(g.w.fleet.Noticed, 2*g.w.fleet.Noticed), p.dial)
-	}
-	g.members, g.order = map[rules.ProxyID]*member{}, nil
+	g.incarnation++
+	for _, m := range slices.Clone(g.sessionOrder) {
+		p := m.proxy
+		p.fresh = p.fresh && m.rebound == 0 && len(m.recentMessages) == 0
+		p.governor = nil
+		g.sim.schedule(g.sim.uniform(g.sim.fleet.DisconnectDetectionDelay, 2*g.sim.fleet.DisconnectDetectionDelay), p.connect)
+	}
+	g.sessions, g.sessionOrder = map[rules.ProxyID]*proxySession{}, nil
 }
 
 // post hands an event over with the next Step.
 func (g *governor) post(e rules.Event) {
 	g.inbox = append(g.inbox, e)
-	if g.due {
+	if g.stepScheduled {
 		return
 	}
-	g.due = true
-	life := g.life
-	g.w.in(tick, func() {
-		if g.life == life && g.up {
+	g.stepScheduled = true
+	life := g.incarnation
+	g.sim.schedule(stepDelay, func() {
+		if g.incarnation == life && g.up {
 			g.step()
 		}
 	})
 }
 
 func (g *governor) join(p *proxy) {
-	m := &member{p: p, life: g.life, table: slices.Repeat([]int{-1}, len(g.w.fleet.Groups)), shuns: map[rules.ReplicaID]bool{}}
-	g.members[p.id] = m
-	g.order = append(g.order, m)
-	if g.in != nil {
-		g.in.Join(p.id, rules.ZoneID(p.zone))
-		m.pairs = map[rules.ReplicaID]*sum{}
-		g.tell(m, g.life)
-	}
-	g.w.watch.bare(p, p.gov != nil)
-	g.post(rules.Joined{Proxy: p.id, Zone: rules.ZoneID(p.zone), Rate: p.rate, Fresh: p.fresh, Unsure: !p.fresh && g.in != nil})
+	m := &proxySession{proxy: p, incarnation: g.incarnation, tables: slices.Repeat([]int{-1}, len(g.sim.fleet.Groups)), ejected: map[rules.ReplicaID]bool{}}
+	g.sessions[p.id] = m
+	g.sessionOrder = append(g.sessionOrder, m)
+	if g.intake != nil {
+		g.intake.Join(p.id, rules.ZoneID(p.zone))
+		m.replicaStats = map[rules.ReplicaID]*attemptStats{}
+		g.scheduleProxyReport(m, g.incarnation)
+	}
+	g.sim.monitor.updateUnserved(p, p.governor != nil)
+	g.post(rules.Joined{Proxy: p.id, Zone: rules.ZoneID(p.zone), Rate: p.rate, Fresh: p.fresh, Unsure: !p.fresh && g.intake != nil})
 }
 
 func (g *governor) leave(p *proxy) {
-	m := g.members[p.id]
+	m := g.sessions[p.id]
 	if m == nil {
 		return
 	}
-	delete(g.members, p.id)
-	g.order = slices.DeleteFunc(g.order, func(o *member) bool { return o == m })
-	if g.in != nil {
-		g.in.Leave(p.id)
+	delete(g.sessions, p.id)
+	g.sessionOrder = slices.DeleteFunc(g.sessionOrder, func(o *proxySession) bool { return o == m })
+	if g.intake != nil {
+		g.intake.Leave(p.id)
 	}
-	life := g.life
-	g.w.in(g.w.between(g.w.fleet.Noticed/2, g.w.fleet.Noticed), func() {
-		if g.life == life && g.members[p.id] == nil {
+	life := g.incarnation
+	g.sim.schedule(g.sim.uniform(g.sim.fleet.DisconnectDetectionDelay/2, g.sim.fleet.DisconnectDetectionDelay), func() {
+		if g.incarnation == life && g.sessions[p.id] == nil {
 			g.post(rules.Left{Proxy: p.id})
 		}
 	})
@@ -191,53 +193,53 @@
 // step hands over what has come, and carries out what is ordered.
 func (g *governor) step() {
 	events := g.inbox
-	g.inbox, g.due = nil, false
+	g.inbox, g.stepScheduled = nil, false
 	for _, e := range events {
 		if l, is := e.(rules.List); is {
-			g.hear(l)
+			g.recordList(l)
 		}
 	}
-	orders := g.mind.Step(g.w.now, events)
-	g.note(events, orders)
-	life := g.life
+	orders := g.decider.Step(g.sim.now, events)
+	g.traceStep(events, orders)
+	life := g.incarnation
 	carries := false
 	var mark *rules.Mark
 	for _, o := range orders {
 		switch o := o.(type) {
 		case rules.WakeAfter:
-			g.w.in(o.After, func() {
-				if g.life == life {
+			g.sim.schedule(o.After, func() {
+				if g.incarnation == life {
 					g.post(rules.Wake{Mark: o.Mark})
 				}
 			})
 		case rules.Observe:
-			g.watching = o.On
+			g.watchingDiscovery = o.On
 			if o.On {
-				g.w.list.call(g)
+				g.sim.discovery.watch(g)
 			}
 		case rules.FetchList:
-			g.w.list.fetch(g)
+			g.sim.discovery.refetch(g)
 		case rules.Forget:
-			delete(g.told, o.Replica)
-			delete(g.known, o.Replica)
-			if g.in != nil {
-				g.in.Forget(o.Replica)
+			delete(g.unavailableSince, o.Replica)
+			delete(g.listed, o.Replica)
+			if g.intake != nil {
+				g.intake.Forget(o.Replica)
 			}
 		case rules.Mark:
 			mark = &o
 		case rules.Log:
 		default:
 			carries = true
-			g.take(o)
+			g.applyOrder(o)
 		}
 	}
 	if carries || mark != nil {
-		g.write(mark)
+		g.publish(mark)
 	}
 }
 
-// note writes a line of the trace for a Step in which something came or was ordered that people would ask for.
-func (g *governor) note(events []rules.Event, orders []rules.Order) {
+// traceStep writes a line of the trace for a Step in which something came or was ordered that people would ask for.
+func (g *governor) traceStep(events []rules.Event, orders []rules.Order) {
 	joins, leaves, changed, gone := 0, 0, 0, 0
 	for _, e := range events {
 		switch e := e.(type) {
@@ -267,395 +269,395 @@
 		}
 	}
 	if joins+leaves+changed+lines+binds+clears > 0 {
-		g.w.watch.trace(fmt.Sprintf("governor %d: %d join, %d leave, %d listed of which %d drain or are gone; orders %d lines, %d of them removals, %d clears, binds %d; %.0f lines wait",
-			g.n, joins, leaves, changed, gone, lines, removed, clears, binds, g.waits()))
+		g.sim.monitor.trace(fmt.Sprintf("governor %d: %d join, %d leave, %d listed of which %d drain or are gone; orders %d lines, %d of them removals, %d clears, binds %d; %.0f lines wait",
+			g.index, joins, leaves, changed, gone, lines, removed, clears, binds, g.queuedLines()))
 	}
 }
 
-// hear notes what a list tells: drains count from here on.
-func (g *governor) hear(l rules.List) {
+// recordList notes what a list tells: drains count from here on.
+func (g *governor) recordList(l rules.List) {
 	if l.Scope == rules.Failed {
 		return
 	}
 	named := map[rules.ReplicaID]bool{}
 	for _, e := range l.Entries {
 		named[e.Replica] = true
-		g.known[e.Replica] = e
+		g.listed[e.Replica] = e
 		if e.State == rules.Ready {
-			delete(g.told, e.Replica)
-		} else if _, is := g.told[e.Replica]; !is {
-			g.told[e.Replica] = g.w.now
+			delete(g.unavailableSince, e.Replica)
+		} else if _, is := g.unavailableSince[e.Replica]; !is {
+			g.unavailableSince[e.Replica] = g.sim.now
 		}
 	}
 	if l.Scope != rules.Changes {
-		for r := range g.known {
-			if _, is := g.told[r]; !named[r] && !is {
-				g.told[r] = g.w.now
+		for r := range g.listed {
+			if _, is := g.unavailableSince[r]; !named[r] && !is {
+				g.unavailableSince[r] = g.sim.now
 			}
 		}
 	}
 }
 
-func (g *governor) table(id rules.TableID) *table {
+func (g *governor) table(id rules.TableID) *weightTable {
 	for int(id) >= len(g.tables) {
-		g.tables = append(g.tables, &table{lines: map[rules.ReplicaID]float64{}, admits: make([]rules.Admit, len(g.w.fleet.Groups))})
+		g.tables = append(g.tables, &weightTable{weights: map[rules.ReplicaID]float64{}, admissions: make([]rules.Admit, len(g.sim.fleet.Groups))})
 	}
 	return g.tables[id]
 }
 
-// has tells whether a set names a group.
-func has(s rules.GroupSet, group int) bool { return s == 0 || s&(1<<group) != 0 }
+// inGroupSet tells whether a set names a group.
+func inGroupSet(s rules.GroupSet, group int) bool { return s == 0 || s&(1<<group) != 0 }
 
-// take notes one order.
-func (g *governor) take(o rules.Order) {
+// applyOrder notes one order.
+func (g *governor) applyOrder(o rules.Order) {
 	switch o := o.(type) {
 	case rules.Line:
 		t := g.table(o.Table)
-		_, is := t.lines[o.Replica]
+		_, is := t.weights[o.Replica]
 		if o.Weight > 0 && !is {
 			t.order = append(t.order, o.Replica)
 		} else if o.Weight == 0 && is {
 			t.order = slices.DeleteFunc(t.order, func(r rules.ReplicaID) bool { return r == o.Replica })
 		}
-		if t.lines[o.Replica] = o.Weight; o.Weight == 0 {
-			delete(t.lines, o.Replica)
+		if t.weights[o.Replica] = o.Weight; o.Weight == 0 {
+			delete(t.weights, o.Replica)
 		}
-		t.view = nil
-		t.altered++
+		t.cached = nil
+		t.changedLines++
 	case rules.ClearTable:
 		t := g.table(o.Table)
-		clear(t.lines)
-		t.order, t.view, t.cleared, t.altered, t.has = nil, nil, true, 0, 0
+		clear(t.weights)
+		t.order, t.cached, t.cleared, t.changedLines, t.admissionGroups = nil, nil, true, 0, 0
 	case rules.Admit:
-		for i := range g.w.fleet.Groups {
-			if !has(o.Groups, i) {
+		for i := range g.sim.fleet.Groups {
+			if !inGroupSet(o.Groups, i) {
 				continue
 			}
 			if o.Table == rules.AllTables {
-				g.all[rules.GroupID(i)] = o
+				g.allTables[rules.GroupID(i)] = o
 				for _, t := range g.tables {
-					t.leveled |= 1 << i
+					t.changedAdmissions |= 1 << i
 				}
 				continue
 			}
 			t := g.table(o.Table)
-			t.admits[i] = o
-			t.has |= 1 << i
-			t.leveled |= 1 << i
+			t.admissions[i] = o
+			t.admissionGroups |= 1 << i
+			t.changedAdmissions |= 1 << i
 		}
 	case rules.Bind:
-		if m := g.members[o.Proxy]; m != nil {
-			for i := range g.w.fleet.Groups {
-				if has(o.Groups, i) {
-					m.table[i] = int(o.Table)
-					m.bound |= 1 << i
+		if m := g.sessions[o.Proxy]; m != nil {
+			for i := range g.sim.fleet.Groups {
+				if inGroupSet(o.Groups, i) {
+					m.tables[i] = int(o.Table)
+					m.rebound |= 1 << i
 				}
 			}
 			g.table(o.Table)
 		}
 	case rules.Withdraw:
-		g.out[o.Replica] = o.Out
-		for _, m := range g.order {
-			m.shunned++
+		g.withdrawn[o.Replica] = o.Out
+		for _, m := range g.sessionOrder {
+			m.changedEjections++
 		}
 	case rules.Shun:
-		if m := g.members[o.Proxy]; m != nil {
-			m.shuns[o.Replica] = o.Out
-			m.shunned++
+		if m := g.sessions[o.Proxy]; m != nil {
+			m.ejected[o.Replica] = o.Out
+			m.changedEjections++
 		}
 	}
 }
 
-// shown is a table as it stands.
-func (t *table) shown() *view {
-	if t.view == nil {
-		v := &view{replicas: slices.Clone(t.order)}
+// snapshot is a table as it stands.
+func (t *weightTable) snapshot() *tableSnapshot {
+	if t.cached == nil {
+		v := &tableSnapshot{replicas: slices.Clone(t.order)}
 		total := 0.0
 		for _, r := range v.replicas {
-			total += t.lines[r]
-			v.weights = append(v.weights, t.lines[r])
-			v.sums = append(v.sums, total)
+			total += t.weights[r]
+			v.weights = append(v.weights, t.weights[r])
+			v.cumulativeWeights = append(v.cumulativeWeights, total)
 		}
-		t.view = v
+		t.cached = v
 	}
-	return t.view
+	return t.cached
 }
 
-// write puts one message for each proxy concerned into the channel. It shows tables as they stand at the Step's end.
-func (g *governor) write(mark *rules.Mark) {
-	w := g.w
+// publish puts one message for each proxy concerned into the channel. It shows tables as they stand at the Step's end.
+func (g *governor) publish(mark *rules.Mark) {
+	sim := g.sim
 	messages, lines := 0, 0.0
 	type content struct {
-		m      *member
-		views  []*view
+		m      *proxySession
+		views  []*tableSnapshot
 		levels []rules.Admit
 		lines  float64
 		shut   map[rules.ReplicaID]bool
 	}
 	var out []content
-	for _, m := range g.order {
+	for _, m := range g.sessionOrder {
 		n := 0.0
 		seen := [16]int{}
 		uses := seen[:0]
-		for i, t := range m.table {
+		for i, t := range m.tables {
 			if t < 0 || slices.Contains(uses, t) {
 				continue
 			}
 			uses = append(uses, t)
 			tab := g.tables[t]
 			switch {
-			case m.bound&(1<<i) != 0 || tab.cleared:
+			case m.rebound&(1<<i) != 0 || tab.cleared:
 				n += float64(len(tab.order)) + 1
-				for j := range w.fleet.Groups {
-					n += float64(tab.has >> j & 1)
+				for j := range sim.fleet.Groups {
+					n += float64(tab.admissionGroups >> j & 1)
 				}
 			default:
-				n += float64(tab.altered)
-				for j := range w.fleet.Groups {
-					n += float64(tab.leveled >> j & 1)
+				n += float64(tab.changedLines)
+				for j := range sim.fleet.Groups {
+					n += float64(tab.changedAdmissions >> j & 1)
 				}
 			}
 		}
-		n += float64(m.shunned)
+		n += float64(m.changedEjections)
 		if n == 0 && (mark == nil || !mark.ToAll) {
 			continue
 		}
 		if mark != nil {
 			n++
 		}
-		c := content{m: m, lines: n + w.fleet.Head, views: make([]*view, len(m.table)), levels: make([]rules.Admit, len(m.table))}
-		for i, t := range m.table {
+		c := content{m: m, lines: n + sim.fleet.MessageOverhead, views: make([]*tableSnapshot, len(m.tables)), levels: make([]rules.Admit, len(m.tables))}
+		for i, t := range m.tables {
 			if t < 0 {
 				continue
 			}
 			tab := g.tables[t]
-			c.views[i] = tab.shown()
+			c.views[i] = tab.snapshot()
 			c.levels[i] = rules.Admit{Level: 1, Retry: rules.RetryUnrun}
-			if tab.has>>i&1 == 1 {
-				c.levels[i] = tab.admits[i]
+			if tab.admissionGroups>>i&1 == 1 {
+				c.levels[i] = tab.admissions[i]
 			}
-			if a, is := g.all[rules.GroupID(i)]; is {
+			if a, is := g.allTables[rules.GroupID(i)]; is {
 				c.levels[i].Level = min(c.levels[i].Level, a.Level)
 			}
 		}
-		if m.shunned > 0 || m.bound != 0 {
+		if m.changedEjections > 0 || m.rebound != 0 {
 			c.shut = map[rules.ReplicaID]bool{}
-			for r, is := range g.out {
+			for r, is := range g.withdrawn {
 				c.shut[r] = is
 			}
-			for r, is := range m.shuns {
+			for r, is := range m.ejected {
 				c.shut[r] = c.shut[r] || is
 			}
 		}
 		out = append(out, c)
-		m.shunned = 0
+		m.changedEjections = 0
 		messages++
 		lines += c.lines
 	}
 	for _, c := range out {
-		g.enter(c.m, c.lines)
-		at := max(g.free+rules.Time(w.between(w.fleet.Travel/4, w.fleet.Travel)), c.m.arrives) // a stream keeps its order
-		c.m.arrives = at
-		arrive := time.Duration(at - w.now)
-		life, joined := g.life, c.m
-		pause := time.Duration(c.lines) * w.fleet.Pause
-		w.in(arrive, func() {
-			p := joined.p
-			if g.members[p.id] != joined || g.life != life || !p.up {
+		g.enqueue(c.m, c.lines)
+		at := max(g.channelFreeAt+rules.Time(sim.uniform(sim.fleet.MaxMessageDelay/4, sim.fleet.MaxMessageDelay)), c.m.lastArrival) // a stream keeps its order
+		c.m.lastArrival = at
+		arrive := time.Duration(at - sim.now)
+		life, joined := g.incarnation, c.m
+		pause := time.Duration(c.lines) * sim.fleet.ApplyTimePerLine
+		sim.schedule(arrive, func() {
+			p := joined.proxy
+			if g.sessions[p.id] != joined || g.incarnation != life || !p.up {
 				return
 			}
-			p.until = max(p.until, w.now) + rules.Time(pause)
-			p.apply(c.views, c.levels, c.shut)
+			p.busyUntil = max(p.busyUntil, sim.now) + rules.Time(pause)
+			p.applyMessage(c.views, c.levels, c.shut)
 			if mark == nil {
 				return
 			}
-			w.in(time.Duration(p.until-w.now)+w.fleet.Net, func() {
-				if g.members[p.id] == joined && g.life == life {
+			sim.schedule(time.Duration(p.busyUntil-sim.now)+sim.fleet.LocalDelay, func() {
+				if g.sessions[p.id] == joined && g.incarnation == life {
 					g.post(rules.Applied{Proxy: p.id, Version: mark.Version, Took: arrive})
 				}
 			})
 		})
-		c.m.bound = 0
+		c.m.rebound = 0
 	}
 	for _, t := range g.tables {
-		t.altered, t.cleared, t.leveled = 0, false, 0
+		t.changedLines, t.cleared, t.changedAdmissions = 0, false, 0
 	}
-	w.watch.channel(g)
+	sim.monitor.checkChannel(g)
 }
 
-// enter puts a message into the channel.
-func (g *governor) enter(m *member, lines float64) {
-	w := g.w
-	took := time.Duration(lines / w.fleet.Pace * g.slow * float64(time.Second))
-	if w.play.FreeChannel {
+// enqueue puts a message into the channel.
+func (g *governor) enqueue(m *proxySession, lines float64) {
+	sim := g.sim
+	took := time.Duration(lines / sim.fleet.ChannelRate * g.channelSlowdown * float64(time.Second))
+	if sim.config.FreeChannel {
 		took = 0
 	}
-	g.free = max(g.free, w.now) + rules.Time(took)
-	g.parcels = append(g.parcels, parcel{g.free, lines})
-	w.second.Lines += lines
-	w.second.Messages++
-	span := rules.Time(w.fleet.MessageSec)
-	for len(m.sent) > 0 && m.sent[0] <= w.now-span {
-		m.sent = m.sent[1:]
+	g.channelFreeAt = max(g.channelFreeAt, sim.now) + rules.Time(took)
+	g.channelBatches = append(g.channelBatches, channelBatch{g.channelFreeAt, lines})
+	sim.current.ChannelLines += lines
+	sim.current.Messages++
+	span := rules.Time(sim.fleet.MessageWindow)
+	for len(m.recentMessages) > 0 && m.recentMessages[0] <= sim.now-span {
+		m.recentMessages = m.recentMessages[1:]
 	}
-	m.sent = append(m.sent, w.now)
-	w.watch.message(g, m)
+	m.recentMessages = append(m.recentMessages, sim.now)
+	sim.monitor.checkMessages(g, m)
 }
 
-// waits is how many lines are in the channel.
-func (g *governor) waits() (lines float64) {
+// queuedLines is how many lines are in the channel.
+func (g *governor) queuedLines() (lines float64) {
 	sent := 0
-	for sent < len(g.parcels) && g.parcels[sent].until <= g.w.now {
+	for sent < len(g.channelBatches) && g.channelBatches[sent].sentAt <= g.sim.now {
 		sent++
 	}
-	g.parcels = g.parcels[sent:]
-	for _, p := range g.parcels {
+	g.channelBatches = g.channelBatches[sent:]
+	for _, p := range g.channelBatches {
 		lines += p.lines
 	}
 	return lines
 }
 
-// apply takes a message's tables on.
-func (p *proxy) apply(views []*view, levels []rules.Admit, shut map[rules.ReplicaID]bool) {
+// applyMessage takes a message's tables on.
+func (p *proxy) applyMessage(views []*tableSnapshot, levels []rules.Admit, shut map[rules.ReplicaID]bool) {
 	for i, v := range views {
 		if v != nil {
-			p.views[i], p.levels[i] = v, levels[i]
+			p.tables[i], p.admissions[i] = v, levels[i]
 		}
 	}
 	if shut != nil {
-		p.shut = shut
+		p.ejected = shut
 	}
 	p.fresh = false
-	p.w.watch.bare(p, true)
+	p.sim.monitor.updateUnserved(p, true)
 }
 
-// met adds a try to the sums of the proxy's zone.
-func (g *governor) met(p *proxy, t *try, o outcome) {
-	if g.sums[p.zone] == nil {
-		g.sums[p.zone] = make([]sum, 0, len(g.w.replicas))
+// recordAttempt adds a try to the sums of the proxy's zone.
+func (g *governor) recordAttempt(p *proxy, t *attempt, o attemptOutcome) {
+	if g.zoneStats[p.zone] == nil {
+		g.zoneStats[p.zone] = make([]attemptStats, 0, len(g.sim.replicas))
 	}
-	for len(g.sums[p.zone]) <= int(t.replica.id) {
-		g.sums[p.zone] = append(g.sums[p.zone], sum{})
+	for len(g.zoneStats[p.zone]) <= int(t.replica.id) {
+		g.zoneStats[p.zone] = append(g.zoneStats[p.zone], attemptStats{})
 	}
-	g.sums[p.zone][t.replica.id].add(t, o, g.w.now)
-	if m := g.members[p.id]; g.in != nil && m != nil {
-		if m.pairs[t.replica.id] == nil {
-			m.pairs[t.replica.id] = &sum{}
+	g.zoneStats[p.zone][t.replica.id].add(t, o, g.sim.now)
+	if m := g.sessions[p.id]; g.intake != nil && m != nil {
+		if m.replicaStats[t.replica.id] == nil {
+			m.replicaStats[t.replica.id] = &attemptStats{}
 		}
-		m.pairs[t.replica.id].add(t, o, g.w.now)
+		m.replicaStats[t.replica.id].add(t, o, g.sim.now)
 	}
 }
 
-func (s *sum) add(t *try, o outcome, now rules.Time) {
-	if s.tries++; o != good {
-		s.dropped++
+func (s *attemptStats) add(t *attempt, o attemptOutcome, now rules.Time) {
+	if s.attempts++; o != succeeded {
+		s.failures++
 		return
 	}
-	s.took += time.Duration(now - t.sent)
-	if t.replica.told {
-		s.report, s.told = t.replica.report, true
+	s.totalLatency += time.Duration(now - t.sentAt)
+	if t.replica.hasReport {
+		s.report, s.hasReport = t.replica.report, true
 	}
 }
 
 // What an intake may hold: the daemon derives the same from its machine.
 const (
-	metBudget = 20_000
-	metPairs  = 2_000
+	intakeBudget   = 20_000
+	intakeMaxPairs = 2_000
 )
 
-// tell has a proxy tell each period what it met at each replica.
-func (g *governor) tell(m *member, life int) {
-	w := g.w
-	w.in(w.between(w.fleet.Period*9/10, w.fleet.Period*11/10), func() {
-		if g.life != life || g.members[m.p.id] != m {
+// scheduleProxyReport has a proxy tell each period what it met at each replica.
+func (g *governor) scheduleProxyReport(m *proxySession, life int) {
+	sim := g.sim
+	sim.schedule(sim.uniform(sim.fleet.ReportPeriod*9/10, sim.fleet.ReportPeriod*11/10), func() {
+		if g.incarnation != life || g.sessions[m.proxy.id] != m {
 			return
 		}
-		g.tell(m, life)
+		g.scheduleProxyReport(m, life)
 		b := intake.NewBatch()
-		m.told++
-		b.Proxy, b.Seq, b.Over = m.p.id, m.told, w.fleet.Period
-		for _, r := range slices.Sorted(maps.Keys(m.pairs)) {
-			s := m.pairs[r]
-			x := intake.Record{Replica: r, Tries: s.tries, Dropped: s.dropped, Report: rules.Report{Util: rules.Absent, InFlight: rules.Absent,
+		m.batchSequence++
+		b.Proxy, b.Seq, b.Over = m.proxy.id, m.batchSequence, sim.fleet.ReportPeriod
+		for _, r := range slices.Sorted(maps.Keys(m.replicaStats)) {
+			s := m.replicaStats[r]
+			x := intake.Record{Replica: r, Tries: s.attempts, Dropped: s.failures, Report: rules.Report{Util: rules.Absent, InFlight: rules.Absent,
 				ServiceTime: rules.Absent, Rate: rules.Absent}}
-			if n := s.tries - s.dropped; n > 0 {
-				x.Took = s.took / time.Duration(n)
+			if n := s.attempts - s.failures; n > 0 {
+				x.Took = s.totalLatency / time.Duration(n)
 			}
-			if s.told {
+			if s.hasReport {
 				x.Report = s.report
 			}
 			b.Records = append(b.Records, x)
 		}
-		clear(m.pairs)
-		w.in(w.fleet.Net, func() {
-			if b.Read = w.now; g.life == life && len(b.Records) > 0 {
-				g.in.Take(w.now, b)
+		clear(m.replicaStats)
+		sim.schedule(sim.fleet.LocalDelay, func() {
+			if b.Read = sim.now; g.incarnation == life && len(b.Records) > 0 {
+				g.intake.Take(sim.now, b)
 			}
 			b.Free()
 		})
 	})
 }
 
-// cut hands over what the intake has gathered.
-func (g *governor) cut(life int) {
-	g.w.in(passEach, func() {
-		if g.life != life {
+// scheduleIntakeCut hands over what the intake has gathered.
+func (g *governor) scheduleIntakeCut(life int) {
+	g.sim.schedule(deliveryInterval, func() {
+		if g.incarnation != life {
 			return
 		}
-		g.cut(life)
-		if g.in.Due(g.w.now) {
-			for _, e := range g.in.Cut(g.w.now) {
+		g.scheduleIntakeCut(life)
+		if g.intake.Due(g.sim.now) {
+			for _, e := range g.intake.Cut(g.sim.now) {
 				g.post(e)
 			}
 		}
 	})
 }
 
-// collect gathers a zone's sums each period; they come late.
-func (g *governor) collect(zone, life int) {
-	w := g.w
-	w.in(w.fleet.Period, func() {
-		if g.life != life {
+// scheduleCollection gathers a zone's sums each period; they come late.
+func (g *governor) scheduleCollection(zone, life int) {
+	sim := g.sim
+	sim.schedule(sim.fleet.ReportPeriod, func() {
+		if g.incarnation != life {
 			return
 		}
-		g.collect(zone, life)
-		var batch []report
-		since := w.now - rules.Time(w.fleet.Period)
-		for r := range g.sums[zone] {
-			s := &g.sums[zone][r]
-			if s.tries == 0 {
+		g.scheduleCollection(zone, life)
+		var batch []queuedReport
+		since := sim.now - rules.Time(sim.fleet.ReportPeriod)
+		for r := range g.zoneStats[zone] {
+			s := &g.zoneStats[zone][r]
+			if s.attempts == 0 {
 				continue
 			}
-			e := rules.Sums{Replica: rules.ReplicaID(r), Zone: rules.ZoneID(zone), Tries: s.tries, Dropped: s.dropped,
+			e := rules.Sums{Replica: rules.ReplicaID(r), Zone: rules.ZoneID(zone), Tries: s.attempts, Dropped: s.failures,
 				Report: rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}}
-			if n := s.tries - s.dropped; n > 0 {
-				e.Took = s.took / time.Duration(n)
+			if n := s.attempts - s.failures; n > 0 {
+				e.Took = s.totalLatency / time.Duration(n)
 			}
-			if s.told {
+			if s.hasReport {
 				e.Report = s.report
 			}
-			batch = append(batch, report{uint64(r), e, since})
-			*s = sum{}
+			batch = append(batch, queuedReport{uint64(r), e, since})
+			*s = attemptStats{}
 		}
-		for _, m := range g.order {
-			if m.p.zone != zone {
+		for _, m := range g.sessionOrder {
+			if m.proxy.zone != zone {
 				continue
 			}
-			for i, u := range m.p.usage {
+			for i, u := range m.proxy.usage {
 				if u[0] > 0 {
-					batch = append(batch, report{1<<32 | uint64(m.p.id)<<8 | uint64(i), rules.Intake{Proxy: m.p.id, Group: rules.GroupID(i), Flows: u[0], Dropped: u[1]}, since})
-					m.p.usage[i] = [2]int{}
+					batch = append(batch, queuedReport{1<<32 | uint64(m.proxy.id)<<8 | uint64(i), rules.Intake{Proxy: m.proxy.id, Group: rules.GroupID(i), Flows: u[0], Dropped: u[1]}, since})
+					m.proxy.usage[i] = [2]int{}
 				}
 			}
 		}
-		w.chance.Shuffle(len(batch), func(i, j int) { batch[i], batch[j] = batch[j], batch[i] })
-		w.in(w.between(w.fleet.ReportLate/2, w.fleet.ReportLate)+g.late, func() {
-			if g.life != life {
+		sim.randomStream.Shuffle(len(batch), func(i, j int) { batch[i], batch[j] = batch[j], batch[i] })
+		sim.schedule(sim.uniform(sim.fleet.MaxReportDelay/2, sim.fleet.MaxReportDelay)+g.reportDelay, func() {
+			if g.incarnation != life {
 				return
 			}
 			for _, r := range batch {
-				if g.lost == 0 || w.chance.Float64() >= g.lost {
-					g.heard[zone].add(r)
+				if g.reportLoss == 0 || sim.randomStream.Float64() >= g.reportLoss {
+					g.reportQueues[zone].add(r)
 				}
 			}
 		})
@@ -663,12 +665,12 @@
 }
 
 // add puts a report in line, or to what waits of the same.
-func (q *reports) add(r report) {
-	if q.waiting == nil {
-		q.waiting = map[uint64]int{}
+func (q *reportQueue) add(r queuedReport) {
+	if q.positions == nil {
+		q.positions = map[uint64]int{}
 	}
-	if at, is := q.waiting[r.key]; is {
-		old := &q.queue[at-q.first]
+	if at, is := q.positions[r.key]; is {
+		old := &q.pending[at-q.firstPosition]
 		switch e := old.event.(type) {
 		case rules.Sums:
 			n := r.event.(rules.Sums)
@@ -688,53 +690,53 @@
 		}
 		return
 	}
-	q.waiting[r.key] = q.first + len(q.queue)
-	q.queue = append(q.queue, r)
+	q.positions[r.key] = q.firstPosition + len(q.pending)
+	q.pending = append(q.pending, r)
 }
 
-// passEach is how often reports are passed on.
-const passEach = 50 * time.Millisecond
+// deliveryInterval is how often reports are passed on.
+const deliveryInterval = 50 * time.Millisecond
 
-// pass hands the governor what it may be passed, oldest first.
-func (g *governor) pass(life int) {
-	w := g.w
-	w.in(passEach, func() {
-		if g.life != life {
+// scheduleDelivery hands the governor what it may be passed, oldest first.
+func (g *governor) scheduleDelivery(life int) {
+	sim := g.sim
+	sim.schedule(deliveryInterval, func() {
+		if g.incarnation != life {
 			return
 		}
-		g.pass(life)
+		g.scheduleDelivery(life)
 		left := int(1e9)
-		if w.fleet.Hears > 0 {
-			left = int(w.fleet.Hears * passEach.Seconds())
+		if sim.fleet.MaxReportsPerSecond > 0 {
+			left = int(sim.fleet.MaxReportsPerSecond * deliveryInterval.Seconds())
 		}
 		for left > 0 {
 			oldest := -1
-			for z := range g.heard {
-				if q := g.heard[z].queue; len(q) > 0 && (oldest < 0 || q[0].since < g.heard[oldest].queue[0].since) {
+			for z := range g.reportQueues {
+				if q := g.reportQueues[z].pending; len(q) > 0 && (oldest < 0 || q[0].since < g.reportQueues[oldest].pending[0].since) {
 					oldest = z
 				}
 			}
 			if oldest < 0 {
 				return
 			}
-			q := &g.heard[oldest]
-			r := q.queue[0]
-			q.queue = q.queue[1:]
-			q.first++
-			delete(q.waiting, r.key)
-			over := time.Duration(w.now-r.since) / w.fleet.Period * w.fleet.Period
+			q := &g.reportQueues[oldest]
+			r := q.pending[0]
+			q.pending = q.pending[1:]
+			q.firstPosition++
+			delete(q.positions, r.key)
+			over := time.Duration(sim.now-r.since) / sim.fleet.ReportPeriod * sim.fleet.ReportPeriod
 			switch e := r.event.(type) {
 			case rules.Sums:
-				e.Over = max(over-w.fleet.Period, w.fleet.Period)
-				if g.in != nil {
-					s, counts := g.in.Sums(w.now, w.now, e)
+				e.Over = max(over-sim.fleet.ReportPeriod, sim.fleet.ReportPeriod)
+				if g.intake != nil {
+					s, counts := g.intake.Sums(sim.now, sim.now, e)
 					if e = s; !counts {
 						continue
 					}
 				}
 				g.post(e)
 			case rules.Intake:
-				e.Over = max(over-w.fleet.Period, w.fleet.Period)
+				e.Over = max(over-sim.fleet.ReportPeriod, sim.fleet.ReportPeriod)
 				g.post(e)
 			}
 			left--
--- a/internal/emulate/trouble.go
+++ b/internal/emulate/trouble.go
@@ -10,21 +10,21 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Trouble is something that goes wrong, or changes, for a time.
-type Trouble struct {
-	Kind   string        `toml:"kind"`
-	At     time.Duration `toml:"at"`               // from the start, or after When has become true
-	For    time.Duration `toml:"for" json:"For"`   // how long it lasts, or over how long it is spread; 0: to the end
-	Share  float64       `toml:"share"`            // of the replicas, proxies or governors that it hits
-	Zone   *int          `toml:"zone"`             // only there; for zone troubles, which one
-	Factor float64       `toml:"factor"`           // how strong; see the kind
-	Back   time.Duration `toml:"back" json:"Back"` // what died comes back after this; 0: never
-	When   string        `toml:"when" json:"When"` // begins only once so much is measured over a second: "dropped > 0.1", "late > 0.2", "load > 0.8"
-	Name   string        `toml:"name"`             // for `when = "NAME"`: begins with the trouble of that name
+// Fault is something that goes wrong, or changes, for a time.
+type Fault struct {
+	Kind         string        `toml:"kind"`
+	At           time.Duration `toml:"at"`               // from the start, or after When has become true
+	Duration     time.Duration `toml:"for" json:"For"`   // how long it lasts, or over how long it is spread; 0: to the end
+	Share        float64       `toml:"share"`            // of the replicas, proxies or governors that it hits
+	Zone         *int          `toml:"zone"`             // only there; for zone troubles, which one
+	Factor       float64       `toml:"factor"`           // how strong; see the kind
+	RecoverAfter time.Duration `toml:"back" json:"Back"` // what died comes back after this; 0: never
+	Trigger      string        `toml:"when" json:"When"` // begins only once so much is measured over a second: "dropped > 0.1", "late > 0.2", "load > 0.8"
+	Name         string        `toml:"name"`             // for `when = "NAME"`: begins with the trouble of that name
 }
 
-// kindOf tells what each kind does, for people and for checks.
-var kindOf = map[string]string{
+// faultDescriptions tells what each kind does, for people and for checks.
+var faultDescriptions = map[string]string{
 	"crash":             "a share of the replicas dies; cold after back",
 	"vanish":            "the same, without a word: nothing is reset",
 	"hang":              "a share of the replicas takes flows and answers none",
@@ -53,22 +53,22 @@
 	"clear_of_troubles": "nothing: a mark that others may wait for",
 }
 
-// Kinds names all kinds of trouble.
-func Kinds() (names []string) {
-	for k := range kindOf {
+// FaultKinds names all kinds of trouble.
+func FaultKinds() (names []string) {
+	for k := range faultDescriptions {
 		names = append(names, k)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// Tells what a kind does.
-func Tells(kind string) string { return kindOf[kind] }
+// DescribeFault what a kind does.
+func DescribeFault(kind string) string { return faultDescriptions[kind] }
 
-// Check tells what is impossible in a trouble.
-func (t *Trouble) Check(f *Fleet) error {
-	if _, is := kindOf[t.Kind]; !is {
-		return fmt.Errorf("kind: there is no %q; there are %s", t.Kind, strings.Join(Kinds(), ", "))
+// Validate tells what is impossible in a trouble.
+func (t *Fault) Validate(f *Fleet) error {
+	if _, is := faultDescriptions[t.Kind]; !is {
+		return fmt.Errorf("kind: there is no %q; there are %s", t.Kind, strings.Join(FaultKinds(), ", "))
 	}
 	if t.Share < 0 || t.Share > 1 {
 		return fmt.Errorf("share: want 0 to 1, got %v", t.Share)
@@ -79,23 +79,23 @@
 	if t.Factor < 0 || math.IsInf(t.Factor, 0) || math.IsNaN(t.Factor) {
 		return fmt.Errorf("factor: want a figure of 0 or more, got %v", t.Factor)
 	}
-	if t.At < 0 || t.For < 0 || t.Back < 0 {
+	if t.At < 0 || t.Duration < 0 || t.RecoverAfter < 0 {
 		return fmt.Errorf("at, for and back must not be below 0")
 	}
-	_, err := condition(t.When)
+	_, err := parseTrigger(t.Trigger)
 	return err
 }
 
-// trouble is one under way.
-type trouble struct {
-	Trouble
-	w         *World
+// activeFault is one under way.
+type activeFault struct {
+	Fault
+	sim       *Simulation
 	began     bool
-	condition func(Second) bool
+	triggered func(Second) bool
 }
 
-// condition reads a When: a measure of the last second against a figure, or the name of a trouble.
-func condition(when string) (func(Second) bool, error) {
+// parseTrigger reads a When: a measure of the last second against a figure, or the name of a trouble.
+func parseTrigger(when string) (func(Second) bool, error) {
 	var measure string
 	var most float64
 	if n, _ := fmt.Sscanf(when, "%s > %g", &measure, &most); n != 2 {
@@ -103,56 +103,56 @@
 	}
 	switch measure {
 	case "dropped":
-		return func(s Second) bool { return s.Tries > 0 && float64(s.Bad) > most*float64(s.Tries) }, nil
+		return func(s Second) bool { return s.Attempts > 0 && float64(s.FailedAttempts) > most*float64(s.Attempts) }, nil
 	case "late":
 		return func(s Second) bool { return s.Offered > 0 && float64(s.Late) > most*float64(s.Offered) }, nil
 	case "load":
-		return func(s Second) bool { return s.Load > most }, nil
+		return func(s Second) bool { return s.Utilization > most }, nil
 	}
 	return nil, fmt.Errorf("when: want dropped, late or load, got %q", measure)
 }
 
-// plan sets the troubles up.
-func (w *World) plan() error {
+// scheduleFaults sets the troubles up.
+func (sim *Simulation) scheduleFaults() error {
 	names := map[string]bool{}
-	for _, t := range w.play.Troubles {
+	for _, t := range sim.config.Faults {
 		names[t.Name] = true
 	}
-	for i := range w.play.Troubles {
-		t := &trouble{Trouble: w.play.Troubles[i], w: w}
-		if err := t.Check(w.fleet); err != nil {
+	for i := range sim.config.Faults {
+		t := &activeFault{Fault: sim.config.Faults[i], sim: sim}
+		if err := t.Validate(sim.fleet); err != nil {
 			return fmt.Errorf("trouble %d: %w", i+1, err)
 		}
-		t.condition, _ = condition(t.When)
-		w.troubles = append(w.troubles, t)
+		t.triggered, _ = parseTrigger(t.Trigger)
+		sim.faults = append(sim.faults, t)
 		switch {
-		case t.When == "":
-			w.in(t.At, t.begin)
-		case t.condition == nil && !names[t.When]:
-			return fmt.Errorf("trouble %d: when: there is no trouble named %q", i+1, t.When)
+		case t.Trigger == "":
+			sim.schedule(t.At, t.begin)
+		case t.triggered == nil && !names[t.Trigger]:
+			return fmt.Errorf("trouble %d: when: there is no trouble named %q", i+1, t.Trigger)
 		}
 	}
 	return nil
 }
 
-// arise begins the troubles that a second's measures call for.
-func (w *World) arise(s Second) {
-	for _, t := range w.troubles {
-		if t.condition != nil && !t.began && t.condition(s) {
+// triggerFaults begins the troubles that a second's measures call for.
+func (sim *Simulation) triggerFaults(s Second) {
+	for _, t := range sim.faults {
+		if t.triggered != nil && !t.began && t.triggered(s) {
 			t.began = true
-			w.in(t.At, t.begin)
+			sim.schedule(t.At, t.begin)
 		}
 	}
 }
 
-func (t *trouble) log(text string) {
-	t.w.res.Notes = append(t.w.res.Notes, Note{t.w.seconds(), text})
+func (t *activeFault) record(text string) {
+	t.sim.result.FaultLog = append(t.sim.result.FaultLog, LogEntry{t.sim.elapsedSeconds(), text})
 }
 
-// some draws a share of a list, at least one where the share is above 0.
-func some[T any](w *World, share float64, all []T) []T {
+// sample draws a share of a list, at least one where the share is above 0.
+func sample[T any](sim *Simulation, share float64, all []T) []T {
 	all = slices.Clone(all)
-	w.chance.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	sim.randomStream.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	n := int(math.Round(share * float64(len(all))))
 	if share > 0 && n == 0 {
 		n = min(1, len(all))
@@ -160,197 +160,197 @@
 	return all[:n]
 }
 
-// hit are the replicas that a trouble is for: of those that are up.
-func (t *trouble) hit() []*replica {
+// targetReplicas are the replicas that a trouble is for: of those that are up.
+func (t *activeFault) targetReplicas() []*replica {
 	var all []*replica
-	for _, r := range t.w.replicas {
+	for _, r := range t.sim.replicas {
 		if r.up && r.state == rules.Ready && (t.Zone == nil || r.zone == *t.Zone) {
 			all = append(all, r)
 		}
 	}
-	return some(t.w, t.Share, all)
+	return sample(t.sim, t.Share, all)
 }
 
-// lasting does something for the time of a trouble.
-func (t *trouble) lasting(undo func()) {
-	if t.For > 0 {
-		t.w.in(t.For, undo)
+// whenOver does something for the time of a trouble.
+func (t *activeFault) whenOver(undo func()) {
+	if t.Duration > 0 {
+		t.sim.schedule(t.Duration, undo)
 	}
 }
 
-// set puts a figure of each replica to a value while the trouble lasts.
-func (t *trouble) set(figure func(*replica) *float64, value, normal float64) {
-	for _, r := range t.hit() {
-		*figure(r) = value
-		life := r.life
-		t.lasting(func() {
-			if r.life == life {
-				*figure(r) = normal
+// disturb puts a figure of each replica to a value while the trouble lasts.
+func (t *activeFault) disturb(parameter func(*replica) *float64, value, normal float64) {
+	for _, r := range t.targetReplicas() {
+		*parameter(r) = value
+		life := r.incarnation
+		t.whenOver(func() {
+			if r.incarnation == life {
+				*parameter(r) = normal
 				r.serve()
 			}
 		})
 	}
 }
 
-func (t *trouble) begin() {
-	w := t.w
-	if w.now >= w.end {
+func (t *activeFault) begin() {
+	sim := t.sim
+	if sim.now >= sim.end {
 		return
 	}
 	t.began = true
-	t.log(fmt.Sprintf("%s: %s", t.Kind, kindOf[t.Kind]))
-	for _, other := range w.troubles {
-		if t.Name != "" && other.When == t.Name && !other.began {
-			w.in(other.At, other.begin)
+	t.record(fmt.Sprintf("%s: %s", t.Kind, faultDescriptions[t.Kind]))
+	for _, other := range sim.faults {
+		if t.Name != "" && other.Trigger == t.Name && !other.began {
+			sim.schedule(other.At, other.begin)
 		}
 	}
 	switch t.Kind {
 	case "crash", "vanish", "zone_loss":
-		hit := t.hit()
+		hit := t.targetReplicas()
 		if t.Kind == "zone_loss" {
 			t.Share = 1
-			hit = t.hit()
+			hit = t.targetReplicas()
 		}
 		for _, r := range hit {
-			r.die(t.Kind == "vanish")
+			r.crash(t.Kind == "vanish")
 			r.state = rules.Gone
-			w.list.change(r)
-			if t.Back > 0 {
-				w.in(w.between(t.Back*9/10, t.Back*11/10), func() {
+			sim.discovery.update(r)
+			if t.RecoverAfter > 0 {
+				sim.schedule(sim.uniform(t.RecoverAfter*9/10, t.RecoverAfter*11/10), func() {
 					r.state = rules.Ready
-					r.hung, r.errors, r.partial, r.slow, r.stolen, r.liar = 0, 0, 0, 1, 0, 0
-					r.back()
+					r.hung, r.errorShare, r.partialShare, r.slowdown, r.stolenShare, r.falseReports = 0, 0, 0, 1, 0, 0
+					r.restart()
 				})
 			}
 		}
 	case "hang":
-		t.set(func(r *replica) *float64 { return &r.hung }, 1, 0)
+		t.disturb(func(r *replica) *float64 { return &r.hung }, 1, 0)
 	case "slow":
-		t.set(func(r *replica) *float64 { return &r.slow }, max(t.Factor, 1), 1)
+		t.disturb(func(r *replica) *float64 { return &r.slowdown }, max(t.Factor, 1), 1)
 	case "ageing":
 		const steps = 20
-		for _, r := range t.hit() {
-			life, span := r.life, t.For
+		for _, r := range t.targetReplicas() {
+			life, span := r.incarnation, t.Duration
 			if span == 0 {
-				span = time.Duration(w.end - w.now)
+				span = time.Duration(sim.end - sim.now)
 			}
 			for i := range steps {
-				w.in(span/steps*time.Duration(i), func() {
-					if r.life == life {
-						r.slow = 1 + (max(t.Factor, 1)-1)*float64(i+1)/steps
+				sim.schedule(span/steps*time.Duration(i), func() {
+					if r.incarnation == life {
+						r.slowdown = 1 + (max(t.Factor, 1)-1)*float64(i+1)/steps
 					}
 				})
 			}
 		}
 	case "stolen":
-		t.set(func(r *replica) *float64 { return &r.stolen }, min(t.Factor, 0.95), 0)
+		t.disturb(func(r *replica) *float64 { return &r.stolenShare }, min(t.Factor, 0.95), 0)
 	case "errors":
-		t.set(func(r *replica) *float64 { return &r.errors }, t.Factor, 0)
+		t.disturb(func(r *replica) *float64 { return &r.errorShare }, t.Factor, 0)
 	case "partial":
-		t.set(func(r *replica) *float64 { return &r.partial }, t.Factor, 0)
+		t.disturb(func(r *replica) *float64 { return &r.partialShare }, t.Factor, 0)
 	case "false_reports":
-		t.set(func(r *replica) *float64 { return &r.liar }, 1, 0)
+		t.disturb(func(r *replica) *float64 { return &r.falseReports }, 1, 0)
 	case "zone_cut":
-		z := t.theZone()
-		w.cut[z]++
-		t.lasting(func() { w.cut[z]-- })
+		z := t.targetZone()
+		sim.zoneCuts[z]++
+		t.whenOver(func() { sim.zoneCuts[z]-- })
 	case "growth":
-		n := int(t.Factor * float64(len(w.ready())))
+		n := int(t.Factor * float64(len(sim.warmReplicas())))
 		for i := range n {
-			w.in(t.For*time.Duration(i)/time.Duration(max(n, 1)), func() {
-				w.list.change(w.add(i%w.fleet.Zones, w.kinds[i%len(w.kinds)], w.now))
+			sim.schedule(t.Duration*time.Duration(i)/time.Duration(max(n, 1)), func() {
+				sim.discovery.update(sim.addReplica(i%sim.fleet.Zones, sim.machineKinds[i%len(sim.machineKinds)], sim.now))
 			})
 		}
 	case "deploy":
-		hit := t.hit()
+		hit := t.targetReplicas()
 		for i, r := range hit {
-			w.in(t.For*time.Duration(i)/time.Duration(max(len(hit), 1)), func() { w.replace(r) })
+			sim.schedule(t.Duration*time.Duration(i)/time.Duration(max(len(hit), 1)), func() { sim.replaceReplica(r) })
 		}
 	case "burst", "shift", "impatient", "insistent":
-		t.lasting(func() { t.log("over: " + t.Kind); t.Factor = 1; t.Kind = "clear_of_troubles" })
+		t.whenOver(func() { t.record("over: " + t.Kind); t.Factor = 1; t.Kind = "clear_of_troubles" })
 	case "governors_die":
-		for _, g := range some(w, t.Share, w.governors) {
-			g.kill()
-			if t.Back > 0 {
-				w.in(w.between(t.Back*9/10, t.Back*11/10), g.start)
+		for _, g := range sample(sim, t.Share, sim.governors) {
+			g.crash()
+			if t.RecoverAfter > 0 {
+				sim.schedule(sim.uniform(t.RecoverAfter*9/10, t.RecoverAfter*11/10), g.start)
 			}
 		}
 	case "proxies_die":
-		for _, p := range some(w, t.Share, w.proxies) {
-			p.die()
-			if t.Back > 0 {
-				w.in(w.between(t.Back*9/10, t.Back*11/10), p.back)
+		for _, p := range sample(sim, t.Share, sim.proxies) {
+			p.crash()
+			if t.RecoverAfter > 0 {
+				sim.schedule(sim.uniform(t.RecoverAfter*9/10, t.RecoverAfter*11/10), p.restart)
 			}
 		}
 	case "streams_break":
-		for _, p := range some(w, t.Share, w.proxies) {
-			p.part()
+		for _, p := range sample(sim, t.Share, sim.proxies) {
+			p.disconnect()
 		}
 	case "list_down":
-		w.list.fall()
-		t.lasting(func() { w.list.down-- })
+		sim.discovery.startOutage()
+		t.whenOver(func() { sim.discovery.outages-- })
 	case "list_late":
-		more := time.Duration((max(t.Factor, 1) - 1) * float64(w.fleet.ListLate))
-		w.list.late += more
-		t.lasting(func() { w.list.late -= more })
+		more := time.Duration((max(t.Factor, 1) - 1) * float64(sim.fleet.MaxDiscoveryDelay))
+		sim.discovery.extraDelay += more
+		t.whenOver(func() { sim.discovery.extraDelay -= more })
 	case "channel_slow":
-		for _, g := range w.governors {
-			g.slow = max(t.Factor, 1)
-			t.lasting(func() { g.slow = 1 })
+		for _, g := range sim.governors {
+			g.channelSlowdown = max(t.Factor, 1)
+			t.whenOver(func() { g.channelSlowdown = 1 })
 		}
 	case "reports_lost":
-		for _, g := range w.governors {
-			g.lost = t.Factor
-			t.lasting(func() { g.lost = 0 })
+		for _, g := range sim.governors {
+			g.reportLoss = t.Factor
+			t.whenOver(func() { g.reportLoss = 0 })
 		}
 	case "reports_late":
-		for _, g := range w.governors {
-			g.late = time.Duration(t.Factor * float64(w.fleet.Period))
-			t.lasting(func() { g.late = 0 })
+		for _, g := range sim.governors {
+			g.reportDelay = time.Duration(t.Factor * float64(sim.fleet.ReportPeriod))
+			t.whenOver(func() { g.reportDelay = 0 })
 		}
 	}
 }
 
-func (t *trouble) theZone() int {
+func (t *activeFault) targetZone() int {
 	if t.Zone != nil {
 		return *t.Zone
 	}
-	return t.w.chance.IntN(t.w.fleet.Zones)
+	return t.sim.randomStream.IntN(t.sim.fleet.Zones)
 }
 
-// drainTakes is how long one that drains stays after its grace, to finish what it has.
-const drainTakes = time.Second
+// drainExtraTime is how long one that drains stays after its grace, to finish what it has.
+const drainExtraTime = time.Second
 
-// replace drains a replica, starts another in its place, and takes it away when the grace is over.
-func (w *World) replace(r *replica) {
+// replaceReplica drains a replica, starts another in its place, and takes it away when the grace is over.
+func (sim *Simulation) replaceReplica(r *replica) {
 	if r.state != rules.Ready {
 		return
 	}
 	r.state = rules.Draining
-	w.list.change(r)
-	w.in(w.between(500*time.Millisecond, time.Second), func() { w.list.change(w.add(r.zone, r.kind, w.now)) })
-	w.in(w.fleet.ListLate+w.fleet.DrainGrace+drainTakes, func() {
-		r.die(false)
+	sim.discovery.update(r)
+	sim.schedule(sim.uniform(500*time.Millisecond, time.Second), func() { sim.discovery.update(sim.addReplica(r.zone, r.kind, sim.now)) })
+	sim.schedule(sim.fleet.MaxDiscoveryDelay+sim.fleet.DrainGrace+drainExtraTime, func() {
+		r.crash(false)
 		r.state = rules.Gone
-		w.list.change(r)
+		sim.discovery.update(r)
 	})
 }
 
-// under are the troubles of a kind that have begun.
-func (w *World) under(kind string, do func(*trouble)) {
-	for _, t := range w.troubles {
+// eachActiveFault are the troubles of a kind that have begun.
+func (sim *Simulation) eachActiveFault(kind string, do func(*activeFault)) {
+	for _, t := range sim.faults {
 		if t.began && t.Kind == kind {
 			do(t)
 		}
 	}
 }
 
-// burst is how many times its usual flows a proxy gets.
-func (w *World) burst(p *proxy) float64 {
+// arrivalFactor is how many times its usual flows a proxy gets.
+func (sim *Simulation) arrivalFactor(p *proxy) float64 {
 	times := 1.0
-	w.under("burst", func(t *trouble) { times *= max(t.Factor, 0.01) })
-	w.under("shift", func(t *trouble) {
-		zones := float64(w.fleet.Zones)
+	sim.eachActiveFault("burst", func(t *activeFault) { times *= max(t.Factor, 0.01) })
+	sim.eachActiveFault("shift", func(t *activeFault) {
+		zones := float64(sim.fleet.Zones)
 		if t.Zone != nil && p.zone == *t.Zone || t.Zone == nil && p.zone == 0 {
 			times *= max(t.Factor, 0.01)
 		} else if zones > 1 {
@@ -360,15 +360,15 @@
 	return times
 }
 
-// impatience is the share of its expiry after which a client gives up, patience how often it comes again.
-func (w *World) impatience() float64 {
-	share := w.fleet.TryShare
-	w.under("impatient", func(t *trouble) { share *= min(t.Factor, 1) })
+// clientTimeoutShare is the share of its expiry after which a client gives up, patience how often it comes again.
+func (sim *Simulation) clientTimeoutShare() float64 {
+	share := sim.fleet.ClientTimeoutShare
+	sim.eachActiveFault("impatient", func(t *activeFault) { share *= min(t.Factor, 1) })
 	return share
 }
 
-func (w *World) patience() int {
-	n := w.fleet.Retries
-	w.under("insistent", func(t *trouble) { n *= int(max(t.Factor, 1)) })
+func (sim *Simulation) clientRetries() int {
+	n := sim.fleet.ClientRetries
+	sim.eachActiveFault("insistent", func(t *activeFault) { n *= int(max(t.Factor, 1)) })
 	return n
 }
--- a/internal/emulate/trouble_test.go
+++ b/internal/emulate/trouble_test.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// TestEachTroubleShows plays a short day with each kind of trouble: it differs from the day without, from its begin on and no
+// TestEachFaultShows plays a short day with each kind of trouble: it differs from the day without, from its begin on and no
 // sooner, and those that end leave a fleet that delivers nearly all again.
-func TestEachTroubleShows(t *testing.T) {
-	f := Small()
-	f.Governors, f.Length = 2, 40*time.Second
-	calm := run(t, Play{Fleet: f, Seed: 8})
-	for _, kind := range Kinds() {
+func TestEachFaultShows(t *testing.T) {
+	f := SmallFleet()
+	f.Governors, f.Duration = 2, 40*time.Second
+	calm := run(t, Config{Fleet: f, Seed: 8})
+	for _, kind := range FaultKinds() {
 		if kind == "clear_of_troubles" {
 			continue
 		}
-		tr := Trouble{Kind: kind, At: 6100 * time.Millisecond, For: 5 * time.Second, Back: 4 * time.Second, Share: 0.5, Factor: 0.5}
+		tr := Fault{Kind: kind, At: 6100 * time.Millisecond, Duration: 5 * time.Second, RecoverAfter: 4 * time.Second, Share: 0.5, Factor: 0.5}
 		switch kind {
 		case "slow", "ageing", "burst", "shift", "insistent", "list_late", "channel_slow", "reports_late", "growth":
 			tr.Factor = 3
 		}
-		troubles := []Trouble{tr}
+		troubles := []Fault{tr}
 		switch kind {
 		case "list_late", "list_down":
-			troubles = append(troubles, Trouble{Kind: "deploy", At: 6500 * time.Millisecond, For: time.Second, Share: 0.3})
+			troubles = append(troubles, Fault{Kind: "deploy", At: 6500 * time.Millisecond, Duration: time.Second, Share: 0.3})
 		case "impatient":
 			troubles[0].Factor = 0.05
 		case "insistent":
-			troubles = append(troubles, Trouble{Kind: "hang", At: 6 * time.Second, For: 4 * time.Second, Share: 0.3})
+			troubles = append(troubles, Fault{Kind: "hang", At: 6 * time.Second, Duration: 4 * time.Second, Share: 0.3})
 		}
-		r := run(t, Play{Fleet: f, Seed: 8, Troubles: troubles})
+		r := run(t, Config{Fleet: f, Seed: 8, Faults: troubles})
 		if !reflect.DeepEqual(r.Seconds[:6], calm.Seconds[:6]) {
 			t.Errorf("%s: the day differs before the trouble begins", kind)
 		}
@@ -48,19 +48,19 @@
 	}
 }
 
-// TestConditions has one trouble begin with another that is named, and one once so many tries are dropped; one whose
+// TestTriggers has one trouble begin with another that is named, and one once so many tries are dropped; one whose
 // condition never comes does not begin.
-func TestConditions(t *testing.T) {
-	f := Small()
-	f.Length = 20 * time.Second
-	r := run(t, Play{Fleet: f, Seed: 9, Troubles: []Trouble{
-		{Kind: "errors", Name: "first", At: 5 * time.Second, For: 4 * time.Second, Share: 0.5, Factor: 0.9},
-		{Kind: "burst", When: "first", At: time.Second, For: time.Second, Factor: 1.2},
-		{Kind: "impatient", When: "dropped > 0.1", For: time.Second, Factor: 0.9},
-		{Kind: "list_down", When: "dropped > 0.99", For: time.Second},
+func TestTriggers(t *testing.T) {
+	f := SmallFleet()
+	f.Duration = 20 * time.Second
+	r := run(t, Config{Fleet: f, Seed: 9, Faults: []Fault{
+		{Kind: "errors", Name: "first", At: 5 * time.Second, Duration: 4 * time.Second, Share: 0.5, Factor: 0.9},
+		{Kind: "burst", Trigger: "first", At: time.Second, Duration: time.Second, Factor: 1.2},
+		{Kind: "impatient", Trigger: "dropped > 0.1", Duration: time.Second, Factor: 0.9},
+		{Kind: "list_down", Trigger: "dropped > 0.99", Duration: time.Second},
 	}})
 	at := map[string]float64{}
-	for _, n := range r.Notes {
+	for _, n := range r.FaultLog {
 		kind, _, _ := strings.Cut(n.Text, ":")
 		if _, is := at[kind]; !is {
 			at[kind] = n.At
@@ -72,9 +72,9 @@
 	if _, is := at["list_down"]; is {
 		t.Error("a trouble begins whose condition never comes")
 	}
-	for _, bad := range []Trouble{{Kind: "hung"}, {Kind: "hang", Share: 2}, {Kind: "hang", When: "mood > 1"}, {Kind: "zone_cut", Zone: new(int), Factor: -1},
-		{Kind: "hang", When: "nobody"}} {
-		if _, err := Run(Play{Fleet: f, Seed: 1, Troubles: []Trouble{bad}}); err == nil {
+	for _, bad := range []Fault{{Kind: "hung"}, {Kind: "hang", Share: 2}, {Kind: "hang", Trigger: "mood > 1"}, {Kind: "zone_cut", Zone: new(int), Factor: -1},
+		{Kind: "hang", Trigger: "nobody"}} {
+		if _, err := Run(Config{Fleet: f, Seed: 1, Faults: []Fault{bad}}); err == nil {
 			t.Errorf("%+v is taken", bad)
 		}
 	}
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -14,75 +14,75 @@
 	Step(now rules.Time, events []rules.Event) []rules.Order
 }
 
-// Picking is how proxies choose among the lines of a table.
-type Picking int
+// PickPolicy is how proxies choose among the lines of a table.
+type PickPolicy int
 
 // Ways of picking.
 const (
-	ByWeight Picking = iota
-	OfTwo            // two by weight; the one that the proxy itself has fewer flows at
+	PickWeighted   PickPolicy = iota
+	PickTwoChoices            // two by weight; the one that the proxy itself has fewer flows at
 )
 
-// Play is one run.
-type Play struct {
-	Fleet    Fleet
-	Troubles []Trouble
-	Seed     uint64
+// Config is one run.
+type Config struct {
+	Fleet  Fleet
+	Faults []Fault
+	Seed   uint64
 	// New makes the decider of a governor at each of its starts; nil: rules.Governor, with Settings.
-	New     func(w *World, governor int) Decider
-	Picking Picking
+	NewDecider func(w *Simulation, governor int) Decider
+	PickPolicy PickPolicy
 	// Settings changes what governors are told; nil: nothing.
-	Settings func(*rules.Settings)
+	AdjustSettings func(*rules.Settings)
 	// OnBreak is called with the world as it stands when a rule breaks for the first time; may be nil.
-	OnBreak func(*World, Break)
+	OnViolation func(*Simulation, Violation)
 	// FreeChannel takes the channel's pace and rule away, for deciders that know of none.
 	FreeChannel bool
 }
 
-// World is a run under way. All of it is used by one goroutine.
-type World struct {
-	play  Play
-	fleet *Fleet
-	set   rules.Settings
-	now   rules.Time
-	begun rules.Time
-	end   rules.Time // no flow begins from then on
-	queue events
-	count uint64 // events so far
-
-	flowing, chance *rand.Rand // flows and their work; all else: so that deciders meet the same flows
-	replicas        []*replica
-	kinds           []int
-	proxies         []*proxy
-	governors       []*governor
-	list            list
-	rate            float64 // flows a second, over all proxies
-	shares          []float64
-	troubles        []*trouble
-	cut             []int // troubles that cut a zone off, by zone
-	watch           watch
-	res             Result
-	second          *Second
+// Simulation is a run under way. All of it is used by one goroutine.
+type Simulation struct {
+	config     Config
+	fleet      *Fleet
+	settings   rules.Settings
+	now        rules.Time
+	start      rules.Time
+	end        rules.Time // no flow begins from then on
+	events     eventQueue
+	eventCount uint64 // events so far
+
+	arrivalStream, randomStream *rand.Rand // flows and their work; all else: so that deciders meet the same flows
+	replicas                    []*replica
+	machineKinds                []int
+	proxies                     []*proxy
+	governors                   []*governor
+	discovery                   discovery
+	arrivalRate                 float64 // flows a second, over all proxies
+	cumulativeShares            []float64
+	faults                      []*activeFault
+	zoneCuts                    []int // troubles that cut a zone off, by zone
+	monitor                     monitor
+	result                      Result
+	current                     *Second
 }
 
-// began is the emulated clock at the start: any time that is not 0, as 0 means long ago.
-const began = rules.Time(1_000_000 * time.Second)
+// simulationEpoch is the emulated clock at the start: any time that is not 0, as 0 means long ago.
+const simulationEpoch = rules.Time(1_000_000 * time.Second)
 
 type event struct {
-	at    rules.Time
-	order uint64
-	do    func()
+	at       rules.Time
+	sequence uint64
+	action   func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
 	(*e)[last] = event{}
@@ -91,74 +91,74 @@
 }
 
 // Run plays a run to its end.
-func Run(p Play) (*Result, error) {
-	if err := p.Fleet.Check(); err != nil {
+func Run(p Config) (*Result, error) {
+	if err := p.Fleet.Validate(); err != nil {
 		return nil, err
 	}
-	w := &World{play: p, fleet: &p.Fleet, now: began, begun: began,
-		flowing: rand.New(rand.NewPCG(p.Seed, 1)), chance: rand.New(rand.NewPCG(p.Seed, 2))}
-	if err := w.build(); err != nil {
+	sim := &Simulation{config: p, fleet: &p.Fleet, now: simulationEpoch, start: simulationEpoch,
+		arrivalStream: rand.New(rand.NewPCG(p.Seed, 1)), randomStream: rand.New(rand.NewPCG(p.Seed, 2))}
+	if err := sim.build(); err != nil {
 		return nil, err
 	}
-	for len(w.queue) > 0 {
-		e := heap.Pop(&w.queue).(event)
-		if e.at >= w.end+rules.Time(w.fleet.Settle) {
+	for len(sim.events) > 0 {
+		e := heap.Pop(&sim.events).(event)
+		if e.at >= sim.end+rules.Time(sim.fleet.SettleTime) {
 			break
 		}
-		w.now = e.at
-		w.count++
-		e.do()
+		sim.now = e.at
+		sim.eventCount++
+		e.action()
 	}
-	return w.finish(), nil
+	return sim.summarize(), nil
 }
 
-func (w *World) build() error {
-	f := w.fleet
-	w.set = f.Settings()
-	if w.play.Settings != nil {
-		w.play.Settings(&w.set)
-	}
-	w.end = w.begun + rules.Time(f.Length)
-	w.cut = make([]int, f.Zones)
-	w.res = Result{Seed: w.play.Seed}
-	w.watch.init(w)
-	w.kinds = spread(f.Kinds, f.Replicas)
+func (sim *Simulation) build() error {
+	f := sim.fleet
+	sim.settings = f.Settings()
+	if sim.config.AdjustSettings != nil {
+		sim.config.AdjustSettings(&sim.settings)
+	}
+	sim.end = sim.start + rules.Time(f.Duration)
+	sim.zoneCuts = make([]int, f.Zones)
+	sim.result = Result{Seed: sim.config.Seed}
+	sim.monitor.start(sim)
+	sim.machineKinds = assignKinds(f.Kinds, f.Replicas)
 	for i := range f.Replicas {
-		w.add(i%f.Zones, w.kinds[i], 0)
+		sim.addReplica(i%f.Zones, sim.machineKinds[i], 0)
 	}
-	all, each := f.capacity(w.replicas)
-	w.rate = f.Load * all / each
+	all, each := f.capacity(sim.replicas)
+	sim.arrivalRate = f.Load * all / each
 	total := 0.0
 	for _, g := range f.Groups {
 		total += g.Share
-		w.shares = append(w.shares, total)
+		sim.cumulativeShares = append(sim.cumulativeShares, total)
 	}
-	w.list.begin(w)
+	sim.discovery.start(sim)
 	for i := range f.Governors {
-		w.governors = append(w.governors, newGovernor(w, i))
+		sim.governors = append(sim.governors, newGovernor(sim, i))
 	}
 	sum := 0.0
 	for i := range f.Proxies {
-		p := newProxy(w, i)
-		w.proxies = append(w.proxies, p)
+		p := newProxy(sim, i)
+		sim.proxies = append(sim.proxies, p)
 		sum += p.rate
 	}
-	for _, p := range w.proxies {
-		p.rate *= w.rate / sum
+	for _, p := range sim.proxies {
+		p.rate *= sim.arrivalRate / sum
 	}
-	for _, g := range w.governors {
+	for _, g := range sim.governors {
 		g.start()
 	}
-	for _, p := range w.proxies {
-		w.in(w.between(0, time.Second), p.dial)
-		p.next()
+	for _, p := range sim.proxies {
+		sim.schedule(sim.uniform(0, time.Second), p.connect)
+		p.scheduleArrival()
 	}
-	w.everySecond()
-	return w.plan()
+	sim.startMetrics()
+	return sim.scheduleFaults()
 }
 
-// spread gives each machine a kind, so that each kind has its share.
-func spread(kinds []Kind, n int) (of []int) {
+// assignKinds gives each machine a kind, so that each kind has its share.
+func assignKinds(kinds []MachineKind, n int) (of []int) {
 	total := 0.0
 	for _, k := range kinds {
 		total += k.Share
@@ -177,32 +177,32 @@
 	return of
 }
 
-// in has something happen after a time.
-func (w *World) in(after time.Duration, do func()) {
-	w.count++
-	heap.Push(&w.queue, event{w.now + rules.Time(max(after, 0)), w.count, do})
+// schedule has something happen after a time.
+func (sim *Simulation) schedule(after time.Duration, do func()) {
+	sim.eventCount++
+	heap.Push(&sim.events, event{sim.now + rules.Time(max(after, 0)), sim.eventCount, do})
 }
 
-// between draws a time.
-func (w *World) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.chance.Float64()*float64(most-least))
+// uniform draws a time.
+func (sim *Simulation) uniform(least, most time.Duration) time.Duration {
+	return least + time.Duration(sim.randomStream.Float64()*float64(most-least))
 }
 
-// seconds is a time on the run's clock.
-func (w *World) seconds() float64 { return time.Duration(w.now - w.begun).Seconds() }
+// elapsedSeconds is a time on the run's clock.
+func (sim *Simulation) elapsedSeconds() float64 { return time.Duration(sim.now - sim.start).Seconds() }
 
-// way is how long a message takes between two zones, one way; cut tells that it never arrives.
-func (w *World) way(from, to int) (took time.Duration, cut bool) {
-	took = w.fleet.Net
+// networkDelay is how long a message takes between two zones, one way; cut tells that it never arrives.
+func (sim *Simulation) networkDelay(from, to int) (took time.Duration, cut bool) {
+	took = sim.fleet.LocalDelay
 	if from != to {
-		took = w.fleet.Cross
-		cut = w.cut[from] > 0 || w.cut[to] > 0
+		took = sim.fleet.CrossZoneDelay
+		cut = sim.zoneCuts[from] > 0 || sim.zoneCuts[to] > 0
 	}
-	return w.between(took*3/4, took*5/4), cut
+	return sim.uniform(took*3/4, took*5/4), cut
 }
 
-// gamma draws with mean 1 and a coefficient of variation, by Marsaglia and Tsang (2000).
-func gamma(r *rand.Rand, cv float64) float64 {
+// gammaVariate draws with mean 1 and a coefficient of variation, by Marsaglia and Tsang (2000).
+func gammaVariate(r *rand.Rand, cv float64) float64 {
 	if cv <= 0 {
 		return 1
 	}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -17,11 +17,11 @@
 // Measures are those that are compared.
 func Measures() []Measure {
 	return []Measure{
-		{"service", func(r Row) float64 { return r.Result.Service }},
-		{"worst 10 s", func(r Row) float64 { return r.Result.Worst }},
+		{"service", func(r Row) float64 { return r.Result.ServiceLevel }},
+		{"worst 10 s", func(r Row) float64 { return r.Result.WorstServiceLevel }},
 		{"p99 s", func(r Row) float64 { return r.Result.P99.Seconds() }},
-		{"rules broken", func(r Row) float64 { return float64(len(r.Result.Breaks)) }},
-		{"crossing zones", func(r Row) float64 { return r.Result.Crossed }},
+		{"rules broken", func(r Row) float64 { return float64(len(r.Result.Violations)) }},
+		{"crossing zones", func(r Row) float64 { return r.Result.CrossZoneShare }},
 	}
 }
 
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -162,16 +162,16 @@
 // TestShrink has a day of two troubles break a rule for one of them alone: what is left is that one, shorter or smaller.
 func TestShrink(t *testing.T) {
 	p := parsed(t, strings.Replace(small, "length = \"8s\"", "length = \"25s\"\ndrain_grace = \"100ms\"", 1))
-	p.Fleet.Travel = 4 * time.Second // no governor can keep that grace
-	f := Find{Seed: 2, Troubles: []emulate.Trouble{{Kind: "hang", At: 3 * time.Second, For: 2 * time.Second, Share: 0.1},
-		{Kind: "deploy", At: 5 * time.Second, For: 8 * time.Second, Share: 0.8}}}
+	p.Fleet.MaxMessageDelay = 4 * time.Second // no governor can keep that grace
+	f := Find{Seed: 2, Troubles: []emulate.Fault{{Kind: "hang", At: 3 * time.Second, Duration: 2 * time.Second, Share: 0.1},
+		{Kind: "deploy", At: 5 * time.Second, Duration: 8 * time.Second, Share: 0.8}}}
 	var err error
-	if f.Result, err = emulate.Run(p.play(Scenario{Troubles: f.Troubles}, f.Seed, p.Variants[0])); err != nil || len(f.Result.Breaks) == 0 {
+	if f.Result, err = emulate.Run(p.play(Scenario{Troubles: f.Troubles}, f.Seed, p.Variants[0])); err != nil || len(f.Result.Violations) == 0 {
 		t.Fatalf("the day breaks no rule: %v", err)
 	}
 	small, plays := Shrink(p, f)
-	if len(small.Troubles) != 1 || small.Troubles[0].Kind != "deploy" || small.Troubles[0].Share >= 0.8 || len(small.Result.Breaks) == 0 {
-		t.Errorf("after %d plays: %+v, %v", plays, small.Troubles, small.Result.Breaks)
+	if len(small.Troubles) != 1 || small.Troubles[0].Kind != "deploy" || small.Troubles[0].Share >= 0.8 || len(small.Result.Violations) == 0 {
+		t.Errorf("after %d plays: %+v, %v", plays, small.Troubles, small.Result.Violations)
 	}
 	found, played, err := Hunt(t.Context(), p, 8, 4)
 	if err != nil || played != 8 || len(found) != 8 {
--- a/internal/experiment/hunt.go
+++ b/internal/experiment/hunt.go
@@ -14,7 +14,7 @@
 // Find is a day that goes badly.
 type Find struct {
 	Seed     uint64
-	Troubles []emulate.Trouble
+	Troubles []emulate.Fault
 	Result   *emulate.Result
 }
 
@@ -23,11 +23,11 @@
 	"impatient", "governors_die", "proxies_die", "list_down", "list_late", "channel_slow", "reports_lost", "reports_late"}
 
 // day draws one of one to three troubles.
-func day(r *rand.Rand, f *emulate.Fleet) (out []emulate.Trouble) {
+func day(r *rand.Rand, f *emulate.Fleet) (out []emulate.Fault) {
 	for range 1 + r.IntN(3) {
 		zone := r.IntN(f.Zones)
-		t := emulate.Trouble{Kind: drawable[r.IntN(len(drawable))], At: time.Duration(5+r.IntN(10)) * time.Second, For: time.Duration(3+r.IntN(12)) * time.Second,
-			Back: time.Duration(3+r.IntN(10)) * time.Second, Share: 0.05 + 0.5*r.Float64(), Factor: 0.3 + 3*r.Float64()}
+		t := emulate.Fault{Kind: drawable[r.IntN(len(drawable))], At: time.Duration(5+r.IntN(10)) * time.Second, Duration: time.Duration(3+r.IntN(12)) * time.Second,
+			RecoverAfter: time.Duration(3+r.IntN(10)) * time.Second, Share: 0.05 + 0.5*r.Float64(), Factor: 0.3 + 3*r.Float64()}
 		if strings.HasPrefix(t.Kind, "zone") {
 			t.Zone = &zone
 		}
@@ -75,13 +75,13 @@
 	}
 	finds = slices.DeleteFunc(finds, func(f Find) bool { return f.Result == nil })
 	slices.SortStableFunc(finds, func(a, b Find) int {
-		if x, y := len(a.Result.Breaks) > 0, len(b.Result.Breaks) > 0; x != y {
+		if x, y := len(a.Result.Violations) > 0, len(b.Result.Violations) > 0; x != y {
 			if x {
 				return -1
 			}
 			return 1
 		}
-		return int((a.Result.Service - b.Result.Service) * 1e6)
+		return int((a.Result.ServiceLevel - b.Result.ServiceLevel) * 1e6)
 	})
 	return finds[:min(len(finds), 10)], len(finds), err
 }
@@ -89,11 +89,11 @@
 // Shrink makes a day on which a rule broke as small as it can be with that rule still broken: without troubles that are not needed,
 // with smaller shares and shorter times.
 func Shrink(p Plan, f Find) (Find, int) {
-	rule, plays := f.Result.Breaks[0].Rule, 0
-	still := func(troubles []emulate.Trouble) bool {
+	rule, plays := f.Result.Violations[0].Invariant, 0
+	still := func(troubles []emulate.Fault) bool {
 		plays++
 		r, err := emulate.Run(p.play(Scenario{Troubles: troubles}, f.Seed, p.Variants[0]))
-		if err != nil || !slices.ContainsFunc(r.Breaks, func(b emulate.Break) bool { return b.Rule == rule }) {
+		if err != nil || !slices.ContainsFunc(r.Violations, func(b emulate.Violation) bool { return b.Invariant == rule }) {
 			return false
 		}
 		f.Troubles, f.Result = troubles, r
@@ -105,10 +105,10 @@
 		}
 	}
 	for i := range f.Troubles {
-		for _, smaller := range []func(*emulate.Trouble){
-			func(t *emulate.Trouble) { t.Share /= 2 },
-			func(t *emulate.Trouble) { t.Factor = 1 + (t.Factor-1)/2 },
-			func(t *emulate.Trouble) { t.For /= 2 },
+		for _, smaller := range []func(*emulate.Fault){
+			func(t *emulate.Fault) { t.Share /= 2 },
+			func(t *emulate.Fault) { t.Factor = 1 + (t.Factor-1)/2 },
+			func(t *emulate.Fault) { t.Duration /= 2 },
 		} {
 			for range 4 {
 				troubles := slices.Clone(f.Troubles)
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -83,7 +83,7 @@
 // Scenario is a day.
 type Scenario struct {
 	Name     string
-	Troubles []emulate.Trouble
+	Troubles []emulate.Fault
 }
 
 // Variant is what steers it.
@@ -181,9 +181,9 @@
 			return Plan{}, fmt.Errorf("scenario %d: name is missing", i+1)
 		}
 		for j, t := range s.Troubles {
-			one := emulate.Trouble{Kind: t.Kind, Name: t.Name, When: t.When, At: time.Duration(t.At), For: time.Duration(t.For), Back: time.Duration(t.Back),
+			one := emulate.Fault{Kind: t.Kind, Name: t.Name, Trigger: t.When, At: time.Duration(t.At), Duration: time.Duration(t.For), RecoverAfter: time.Duration(t.Back),
 				Share: t.Share, Factor: t.Factor, Zone: t.Zone}
-			if err := one.Check(&p.Fleet); err != nil {
+			if err := one.Validate(&p.Fleet); err != nil {
 				return Plan{}, fmt.Errorf("scenario %s: trouble %d: %w", s.Name, j+1, err)
 			}
 			out.Troubles = append(out.Troubles, one)
@@ -217,30 +217,30 @@
 
 func (in *file) fleet(p *Plan) error {
 	f := &in.Fleet
-	p.Fleet = emulate.Small()
+	p.Fleet = emulate.SmallFleet()
 	set(&p.Fleet.Proxies, f.Proxies)
 	set(&p.Fleet.Replicas, f.Replicas)
 	switch f.Base {
 	case "", "small":
 	case "large":
-		p.Fleet = emulate.Large(p.Fleet.Proxies, p.Fleet.Replicas)
+		p.Fleet = emulate.LargeFleet(p.Fleet.Proxies, p.Fleet.Replicas)
 	default:
 		return fmt.Errorf("base: want small or large, got %q", f.Base)
 	}
 	set(&p.Fleet.Governors, f.Governors)
 	set(&p.Fleet.Zones, f.Zones)
 	set(&p.Fleet.Load, f.Load)
-	set(&p.Fleet.ProxyCV, f.ProxyCV)
-	set(&p.Fleet.Hears, f.Hears)
-	set(&p.Fleet.Retries, f.Retries)
-	set(&p.Fleet.TryShare, f.TryShare)
-	set(&p.Fleet.Levels, f.Levels)
-	set(&p.Fleet.Met, f.Met)
-	set(&p.Fleet.Pace, f.Pace)
-	setSpan(&p.Fleet.Length, f.Length)
+	set(&p.Fleet.ProxyRateCV, f.ProxyCV)
+	set(&p.Fleet.MaxReportsPerSecond, f.Hears)
+	set(&p.Fleet.ClientRetries, f.Retries)
+	set(&p.Fleet.ClientTimeoutShare, f.TryShare)
+	set(&p.Fleet.AdmissionLevels, f.Levels)
+	set(&p.Fleet.ProxyReports, f.Met)
+	set(&p.Fleet.ChannelRate, f.Pace)
+	setSpan(&p.Fleet.Duration, f.Length)
 	setSpan(&p.Fleet.DrainGrace, f.Grace)
-	setSpan(&p.Fleet.WarmAfter, f.WarmAfter)
-	return p.Fleet.Check()
+	setSpan(&p.Fleet.WarmupDuration, f.WarmAfter)
+	return p.Fleet.Validate()
 }
 
 func set[T any](to *T, from *T) {
@@ -256,16 +256,16 @@
 }
 
 // play is one run of a plan.
-func (p *Plan) play(s Scenario, seed uint64, v Variant) emulate.Play {
-	out := emulate.Play{Fleet: p.Fleet, Troubles: s.Troubles, Seed: seed, Settings: v.Settings}
+func (p *Plan) play(s Scenario, seed uint64, v Variant) emulate.Config {
+	out := emulate.Config{Fleet: p.Fleet, Faults: s.Troubles, Seed: seed, AdjustSettings: v.Settings}
 	if v.Fleet != nil {
 		out.Fleet = *v.Fleet
 	}
 	if v.Decider != Zincloft {
-		out.New, out.FreeChannel = emulate.NewBaseline(v.Decider), true
+		out.NewDecider, out.FreeChannel = emulate.NewBaseline(v.Decider), true
 	}
 	if v.Decider == emulate.TwoChoices {
-		out.Picking = emulate.OfTwo
+		out.PickPolicy = emulate.PickTwoChoices
 	}
 	return out
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -57,11 +57,11 @@
 }
 
 var charted = []series{
-	{"Delivered utility", "share of what is asked for", func(s emulate.Second) float64 { return s.Served / max(s.Asked, 1e-9) }},
-	{"Tries without a good answer", "share of the tries", func(s emulate.Second) float64 { return float64(s.Bad) / max(float64(s.Tries), 1) }},
-	{"Load of the replicas", "share of cores busy", func(s emulate.Second) float64 { return s.Load }},
-	{"Lines waiting in the fullest channel", "share of its cap", func(s emulate.Second) float64 { return s.Waiting }},
-	{"Tries that go to cold replicas", "share of the tries", func(s emulate.Second) float64 { return float64(s.Cold) / max(float64(s.Tries), 1) }},
+	{"Delivered utility", "share of what is asked for", func(s emulate.Second) float64 { return s.DeliveredUtility / max(s.RequestedUtility, 1e-9) }},
+	{"Tries without a good answer", "share of the tries", func(s emulate.Second) float64 { return float64(s.FailedAttempts) / max(float64(s.Attempts), 1) }},
+	{"Load of the replicas", "share of cores busy", func(s emulate.Second) float64 { return s.Utilization }},
+	{"Lines waiting in the fullest channel", "share of its cap", func(s emulate.Second) float64 { return s.ChannelFill }},
+	{"Tries that go to cold replicas", "share of the tries", func(s emulate.Second) float64 { return float64(s.WarmupAttempts) / max(float64(s.Attempts), 1) }},
 }
 
 // chart draws a series of a scenario, a line a variant: the mean over the seeds.
@@ -161,7 +161,7 @@
 	for _, s := range p.Scenarios {
 		one := scenario{Name: s.Name}
 		for _, c := range charted {
-			plotted, err := chart(rows, s.Name, c, p.Fleet.Length)
+			plotted, err := chart(rows, s.Name, c, p.Fleet.Duration)
 			if err != nil {
 				return err
 			}
