--- a/cmd/zinclab/experiment.go
+++ b/cmd/zinclab/experiment.go
@@ -27,14 +27,14 @@
 		if err != nil {
 			return err
 		}
-		experiment.Table(c.OutOrStdout(), experiment.Compare(rows, p.Variants[0].Name), p.Variants[0].Name)
+		experiment.WriteTable(c.OutOrStdout(), experiment.Compare(rows, p.Variants[0].Name), p.Variants[0].Name)
 		if page == "" {
 			return nil
 		}
 		return writePage(page, p, rows)
 	}
 	run.RunE = func(c *cobra.Command, args []string) error {
-		p, err := experiment.Read(args[0])
+		p, err := experiment.ReadPlan(args[0])
 		if err != nil {
 			return err
 		}
@@ -55,11 +55,11 @@
 	}
 	report := &cobra.Command{Use: "report FILE", Short: "Writes the page with charts of an experiment that was played", Args: cobra.ExactArgs(1)}
 	report.RunE = func(_ *cobra.Command, args []string) error {
-		p, err := experiment.Read(args[0])
+		p, err := experiment.ReadPlan(args[0])
 		if err != nil {
 			return err
 		}
-		rows, err := experiment.Load(folder)
+		rows, err := experiment.LoadRecords(folder)
 		if err != nil {
 			return err
 		}
@@ -76,14 +76,14 @@
 	var first string
 	compare := &cobra.Command{Use: "compare FOLDER", Short: "Compares the variants whose results a folder keeps, paired by seed", Args: cobra.ExactArgs(1)}
 	compare.RunE = func(c *cobra.Command, args []string) error {
-		rows, err := experiment.Load(args[0])
+		rows, err := experiment.LoadRecords(args[0])
 		if err != nil {
 			return err
 		}
 		if first == "" {
 			first = rows[0].Variant
 		}
-		experiment.Table(c.OutOrStdout(), experiment.Compare(rows, first), first)
+		experiment.WriteTable(c.OutOrStdout(), experiment.Compare(rows, first), first)
 		return nil
 	}
 	compare.Flags().StringVar(&first, "against", "", "the variant that others are compared with; the first by name if left out")
@@ -91,11 +91,11 @@
 	hunt := &cobra.Command{Use: "hunt FILE", Short: "Searches for days that go badly, and shrinks those on which a rule breaks", Args: cobra.ExactArgs(1),
 		Long: "Draws days of one to three troubles for the fleet and the first variant of an experiment, and prints the worst as lines of JSON: those on\nwhich a rule broke first, made as small as they can be with it still broken."}
 	hunt.RunE = func(c *cobra.Command, args []string) error {
-		p, err := experiment.Read(args[0])
+		p, err := experiment.ReadPlan(args[0])
 		if err != nil {
 			return err
 		}
-		found, played, err := experiment.Hunt(c.Context(), p, days, cores)
+		found, played, err := experiment.Search(c.Context(), p, days, cores)
 		if err != nil {
 			return err
 		}
@@ -104,7 +104,7 @@
 			if shrink && len(f.Result.Violations) > 0 {
 				f, _ = experiment.Shrink(p, f)
 			}
-			if err := out.Encode(map[string]any{"seed": f.Seed, "service": f.Result.ServiceLevel, "breaks": f.Result.Violations, "troubles": f.Troubles}); err != nil {
+			if err := out.Encode(map[string]any{"seed": f.Seed, "service": f.Result.ServiceLevel, "breaks": f.Result.Violations, "troubles": f.Faults}); err != nil {
 				return fmt.Errorf("writing a day: %w", err)
 			}
 		}
@@ -117,12 +117,12 @@
 	return []*cobra.Command{run, sweep, compare, report, hunt}
 }
 
-func writePage(path string, p experiment.Plan, rows []experiment.Row) error {
+func writePage(path string, p experiment.Plan, rows []experiment.Record) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("--page: %w", err)
 	}
-	if err := experiment.Page(f, p, rows); err != nil {
+	if err := experiment.WritePage(f, p, rows); err != nil {
 		f.Close()
 		return err
 	}
--- a/internal/compatibility/encoding_test.go
+++ b/internal/compatibility/encoding_test.go
@@ -114,7 +114,7 @@
 	{"exports/governor-state", inJSON, reflect.TypeFor[recovery.Kept]()},
 
 	// Files of experiments and of simulated days.
-	{"files/experiment-row", inJSON, reflect.TypeFor[experiment.Row]()},
+	{"files/experiment-row", inJSON, reflect.TypeFor[experiment.Record]()},
 	{"files/emulation-result", inJSON, reflect.TypeFor[emulate.Result]()},
 	{"files/simulation-schedule", inJSON, reflect.TypeFor[simulation.Schedule]()},
 }
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -8,85 +8,103 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Measure is one figure of a run.
-type Measure struct {
-	Name string
-	Of   func(Row) float64
+// upperQuantile is the quantile of Student's t that bounds a two-sided 95% interval.
+const upperQuantile = 0.975
+
+// Metric is a figure of a run.
+type Metric struct {
+	Name  string
+	Value func(Record) float64
 }
 
-// Measures are those that are compared.
-func Measures() []Measure {
-	return []Measure{
-		{"service", func(r Row) float64 { return r.Result.ServiceLevel }},
-		{"worst 10 s", func(r Row) float64 { return r.Result.WorstServiceLevel }},
-		{"p99 s", func(r Row) float64 { return r.Result.P99.Seconds() }},
-		{"rules broken", func(r Row) float64 { return float64(len(r.Result.Violations)) }},
-		{"crossing zones", func(r Row) float64 { return r.Result.CrossZoneShare }},
+// Metrics returns the figures that variants are compared by. The first one, the service level, is what tables give differences
+// of.
+func Metrics() []Metric {
+	return []Metric{
+		{"service", func(r Record) float64 { return r.Result.ServiceLevel }},
+		{"worst 10 s", func(r Record) float64 { return r.Result.WorstServiceLevel }},
+		{"p99 s", func(r Record) float64 { return r.Result.P99.Seconds() }},
+		{"rules broken", func(r Record) float64 { return float64(len(r.Result.Violations)) }},
+		{"crossing zones", func(r Record) float64 { return r.Result.CrossZoneShare }},
 	}
 }
 
-// Interval is a mean with the half width of its 95% confidence interval, by Student's t. Half is infinite for fewer than two.
+// Interval is a mean with its 95% confidence interval by Student's t.
 type Interval struct {
-	Mean, Half float64
-	N          int
+	Mean      float64
+	HalfWidth float64 // infinite for fewer than two values
+	Count     int     // of values
 }
 
-// Differs tells whether an interval leaves out 0.
-func (i Interval) Differs() bool { return math.Abs(i.Mean) > i.Half }
+// ExcludesZero reports whether the mean differs from 0 significantly.
+func (i Interval) ExcludesZero() bool { return math.Abs(i.Mean) > i.HalfWidth }
 
-func interval(x []float64) Interval {
-	if len(x) < 2 {
-		return Interval{Mean: stat.Mean(x, nil), Half: math.Inf(1), N: len(x)}
+func newInterval(values []float64) Interval {
+	n := len(values)
+	if n < 2 {
+		return Interval{Mean: stat.Mean(values, nil), HalfWidth: math.Inf(1), Count: n}
 	}
-	mean, dev := stat.MeanStdDev(x, nil)
-	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(x) - 1)}.Quantile(0.975)
-	return Interval{Mean: mean, Half: t * dev / math.Sqrt(float64(len(x))), N: len(x)}
+	mean, deviation := stat.MeanStdDev(values, nil)
+	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(n - 1)}.Quantile(upperQuantile)
+	return Interval{Mean: mean, HalfWidth: t * deviation / math.Sqrt(float64(n)), Count: n}
 }
 
-// Summary is what a variant did on a scenario.
+// Summary sums up the runs of a variant in a scenario.
 type Summary struct {
 	Scenario, Variant string
-	Figures           []Interval // by measure
-	Against           []Interval // less the first variant's, paired by seed; nil for the first
+	Metrics           []Interval // in the order of Metrics
+	Differences       []Interval // from the reference variant, paired by seed; nil for the reference itself
 }
 
-// Compare sums up all rows: each variant against the first that a scenario has, paired by seed, so that what two have in common,
-// their day, falls out.
-func Compare(rows []Row, first string) (out []Summary) {
-	type cell struct{ scenario, variant string }
-	cells := map[cell]map[uint64]Row{}
+// cell is what a summary is about.
+type cell struct{ scenario, variant string }
+
+// Compare sums up records, in the order in which scenarios and variants first appear. Each variant is compared with a reference
+// variant, paired by seed, so that what the runs of a seed have in common cancels out.
+func Compare(records []Record, reference string) []Summary {
+	bySeed := map[cell]map[uint64]Record{}
 	var order []cell
-	for _, r := range rows {
-		c := cell{r.Scenario, r.Variant}
-		if cells[c] == nil {
-			cells[c] = map[uint64]Row{}
+	for _, record := range records {
+		c := cell{record.Scenario, record.Variant}
+		if bySeed[c] == nil {
+			bySeed[c] = map[uint64]Record{}
 			order = append(order, c)
 		}
-		cells[c][r.Seed] = r
+		bySeed[c][record.Seed] = record
 	}
+	var summaries []Summary
 	for _, c := range order {
-		s := Summary{Scenario: c.scenario, Variant: c.variant}
-		base := cells[cell{c.scenario, first}]
-		var seeds []uint64
-		for seed := range cells[c] {
-			seeds = append(seeds, seed)
+		summary := Summary{Scenario: c.scenario, Variant: c.variant}
+		var referenceRuns map[uint64]Record
+		if c.variant != reference {
+			referenceRuns = bySeed[cell{c.scenario, reference}]
 		}
-		slices.Sort(seeds)
-		for _, m := range Measures() {
-			var own, less []float64
-			for _, seed := range seeds {
-				x := m.Of(cells[c][seed])
-				own = append(own, x)
-				if b, is := base[seed]; is && c.variant != first {
-					less = append(less, x-m.Of(b))
-				}
-			}
-			s.Figures = append(s.Figures, interval(own))
-			if c.variant != first && len(less) > 0 {
-				s.Against = append(s.Against, interval(less))
+		for _, metric := range Metrics() {
+			values, differences := pairedValues(metric, bySeed[c], referenceRuns)
+			summary.Metrics = append(summary.Metrics, newInterval(values))
+			if len(differences) > 0 {
+				summary.Differences = append(summary.Differences, newInterval(differences))
 			}
 		}
-		out = append(out, s)
+		summaries = append(summaries, summary)
+	}
+	return summaries
+}
+
+// pairedValues returns a metric of runs in the order of their seeds, and the differences from the reference runs of the same
+// seeds.
+func pairedValues(metric Metric, runs, referenceRuns map[uint64]Record) (values, differences []float64) {
+	seeds := make([]uint64, 0, len(runs))
+	for seed := range runs {
+		seeds = append(seeds, seed)
+	}
+	slices.Sort(seeds)
+	for _, seed := range seeds {
+		value := metric.Value(runs[seed])
+		values = append(values, value)
+		if paired, is := referenceRuns[seed]; is {
+			differences = append(differences, value-metric.Value(paired))
+		}
 	}
-	return out
+	return values, differences
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -12,7 +12,7 @@
 	"zincloft.example/zincloft/internal/emulate"
 )
 
-const small = `
+const smallPlan = `
 name = "x"
 seeds = 3
 [fleet]
@@ -37,16 +37,16 @@
 decider = "even"
 `
 
-func parsed(t *testing.T, text string) Plan {
+func mustParse(t *testing.T, text string) Plan {
 	t.Helper()
-	p, err := Parse([]byte(text))
+	p, err := ParsePlan([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-func files(t *testing.T, folder string) map[string]string {
+func readResults(t *testing.T, folder string) map[string]string {
 	t.Helper()
 	out := map[string]string{}
 	paths, _ := filepath.Glob(filepath.Join(folder, "*.json"))
@@ -60,10 +60,10 @@
 	return out
 }
 
-// TestResumedEqualsUncut cuts a run off after some results, damages one of them, and lets it go on: all files are then the same
+// TestResumedRunEqualsUninterrupted cuts a run off after some results, damages one of them, and lets it go on: all files are then the same
 // bytes as those of a run that was never cut, on one core or on four.
-func TestResumedEqualsUncut(t *testing.T) {
-	p := parsed(t, small)
+func TestResumedRunEqualsUninterrupted(t *testing.T) {
+	p := mustParse(t, smallPlan)
 	whole, cut := t.TempDir(), t.TempDir()
 	if _, err := Run(t.Context(), p, whole, 1, func(int, int) {}); err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 	}); err == nil {
 		t.Fatal("a run that was cut off tells of no error")
 	}
-	before := files(t, cut)
+	before := readResults(t, cut)
 	if len(before) < 5 || len(before) >= 18 {
 		t.Fatalf("%d files after the cut", len(before))
 	}
@@ -89,7 +89,7 @@
 	if _, err := Run(t.Context(), p, cut, 4, func(int, int) {}); err != nil {
 		t.Fatal(err)
 	}
-	a, b := files(t, whole), files(t, cut)
+	a, b := readResults(t, whole), readResults(t, cut)
 	if len(a) != 18 || len(b) != 18 {
 		t.Fatalf("%d and %d files", len(a), len(b))
 	}
@@ -100,49 +100,49 @@
 	}
 }
 
-// TestCompare has two variants that are the same in truth: no difference is told; and one that ignores what hangs.
-func TestCompare(t *testing.T) {
-	p := parsed(t, small)
+// TestCompareVariants has two variants that are the same in truth: no difference is told; and one that ignores what hangs.
+func TestCompareVariants(t *testing.T) {
+	p := mustParse(t, smallPlan)
 	folder := t.TempDir()
 	if _, err := Run(t.Context(), p, folder, 4, func(int, int) {}); err != nil {
 		t.Fatal(err)
 	}
-	rows, err := Load(folder)
+	rows, err := LoadRecords(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range Compare(rows, "zincloft") {
 		switch {
-		case s.Variant == "again" && s.Against[0].Differs():
-			t.Errorf("%s: the same variant differs by %v", s.Scenario, s.Against[0])
-		case s.Variant == "again" && !strings.HasPrefix(verdict(s), "no difference"):
-			t.Errorf("%s: %s", s.Scenario, verdict(s))
-		case s.Variant == "even" && s.Scenario == "hang" && s.Against[0].Mean >= 0:
-			t.Errorf("even weights do no worse while a replica hangs: %v", s.Against[0])
+		case s.Variant == "again" && s.Differences[0].ExcludesZero():
+			t.Errorf("%s: the same variant differs by %v", s.Scenario, s.Differences[0])
+		case s.Variant == "again" && !strings.HasPrefix(formatDifference(s), "no difference"):
+			t.Errorf("%s: %s", s.Scenario, formatDifference(s))
+		case s.Variant == "even" && s.Scenario == "hang" && s.Differences[0].Mean >= 0:
+			t.Errorf("even weights do no worse while a replica hangs: %v", s.Differences[0])
 		}
 	}
 	var out bytes.Buffer
-	if err := Page(&out, p, rows); err != nil {
+	if err := WritePage(&out, p, rows); err != nil {
 		t.Fatal(err)
 	}
-	if n := strings.Count(out.String(), "<svg"); n != 2*len(charted) {
+	if n := strings.Count(out.String(), "<svg"); n != 2*len(charts) {
 		t.Errorf("%d charts", n)
 	}
-	Table(&out, Compare(rows, "zincloft"), "zincloft")
+	WriteTable(&out, Compare(rows, "zincloft"), "zincloft")
 }
 
-// TestIntervals holds the interval against one worked by hand: 1, 2, 3 have a deviation of 1, t is 4.303 at two degrees of freedom.
-func TestIntervals(t *testing.T) {
-	if i := interval([]float64{1, 2, 3}); i.Mean != 2 || i.Half < 2.484 || i.Half > 2.485 || !(Interval{Mean: 2.5, Half: i.Half}).Differs() || i.Differs() {
+// TestConfidenceInterval holds the interval against one worked by hand: 1, 2, 3 have a deviation of 1, t is 4.303 at two degrees of freedom.
+func TestConfidenceInterval(t *testing.T) {
+	if i := newInterval([]float64{1, 2, 3}); i.Mean != 2 || i.HalfWidth < 2.484 || i.HalfWidth > 2.485 || !(Interval{Mean: 2.5, HalfWidth: i.HalfWidth}).ExcludesZero() || i.ExcludesZero() {
 		t.Errorf("%+v", i)
 	}
-	if interval([]float64{5}).Differs() {
+	if newInterval([]float64{5}).ExcludesZero() {
 		t.Error("a single day tells a difference")
 	}
 }
 
-// TestBadFiles has each fault named by its key, and its line where the text is at fault.
-func TestBadFiles(t *testing.T) {
+// TestInvalidPlans has each fault named by its key, and its line where the text is at fault.
+func TestInvalidPlans(t *testing.T) {
 	for _, x := range []struct{ old, new, want string }{
 		{"seeds = 3", "seeds = \"3\"", "line 3"},
 		{"proxies = 10", "proxys = 10", "line 5: there is no key fleet.proxys"},
@@ -153,35 +153,35 @@
 		{"decider = \"even\"", "decider = \"odd\"", "variant even: decider"},
 		{"name = \"calm\"", "", "scenario 1: name is missing"},
 	} {
-		if _, err := Parse([]byte(strings.Replace(small, x.old, x.new, 1))); err == nil || !strings.Contains(err.Error(), x.want) {
+		if _, err := ParsePlan([]byte(strings.Replace(smallPlan, x.old, x.new, 1))); err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%s: %v, want %s", x.new, err, x.want)
 		}
 	}
 }
 
-// TestShrink has a day of two troubles break a rule for one of them alone: what is left is that one, shorter or smaller.
-func TestShrink(t *testing.T) {
-	p := parsed(t, strings.Replace(small, "length = \"8s\"", "length = \"25s\"\ndrain_grace = \"100ms\"", 1))
+// TestShrinkKeepsViolation has a day of two troubles break a rule for one of them alone: what is left is that one, shorter or smaller.
+func TestShrinkKeepsViolation(t *testing.T) {
+	p := mustParse(t, strings.Replace(smallPlan, "length = \"8s\"", "length = \"25s\"\ndrain_grace = \"100ms\"", 1))
 	p.Fleet.MaxMessageDelay = 4 * time.Second // no governor can keep that grace
-	f := Find{Seed: 2, Troubles: []emulate.Fault{{Kind: "hang", At: 3 * time.Second, Duration: 2 * time.Second, Share: 0.1},
+	f := Finding{Seed: 2, Faults: []emulate.Fault{{Kind: "hang", At: 3 * time.Second, Duration: 2 * time.Second, Share: 0.1},
 		{Kind: "deploy", At: 5 * time.Second, Duration: 8 * time.Second, Share: 0.8}}}
 	var err error
-	if f.Result, err = emulate.Run(p.play(Scenario{Troubles: f.Troubles}, f.Seed, p.Variants[0])); err != nil || len(f.Result.Violations) == 0 {
+	if f.Result, err = emulate.Run(p.config(Scenario{Faults: f.Faults}, f.Seed, p.Variants[0])); err != nil || len(f.Result.Violations) == 0 {
 		t.Fatalf("the day breaks no rule: %v", err)
 	}
 	small, plays := Shrink(p, f)
-	if len(small.Troubles) != 1 || small.Troubles[0].Kind != "deploy" || small.Troubles[0].Share >= 0.8 || len(small.Result.Violations) == 0 {
-		t.Errorf("after %d plays: %+v, %v", plays, small.Troubles, small.Result.Violations)
+	if len(small.Faults) != 1 || small.Faults[0].Kind != "deploy" || small.Faults[0].Share >= 0.8 || len(small.Result.Violations) == 0 {
+		t.Errorf("after %d plays: %+v, %v", plays, small.Faults, small.Result.Violations)
 	}
-	found, played, err := Hunt(t.Context(), p, 8, 4)
+	found, played, err := Search(t.Context(), p, 8, 4)
 	if err != nil || played != 8 || len(found) != 8 {
 		t.Errorf("%d days, %d found: %v", played, len(found), err)
 	}
 }
 
-// TestSweep has each value make a variant with a fleet of its own; a key that is unknown, or a value that is impossible, is named.
-func TestSweep(t *testing.T) {
-	p, err := Sweep([]byte(small), "load", []string{"0.3", "0.9"})
+// TestSweepMakesVariants has each value make a variant with a fleet of its own; a key that is unknown, or a value that is impossible, is named.
+func TestSweepMakesVariants(t *testing.T) {
+	p, err := Sweep([]byte(smallPlan), "load", []string{"0.3", "0.9"})
 	if err != nil || len(p.Variants) != 2 || p.Variants[1].Fleet.Load != 0.9 || p.Variants[0].Fleet.Proxies != 10 {
 		t.Fatalf("%+v, %v", p.Variants, err)
 	}
@@ -193,7 +193,7 @@
 		t.Errorf("%d flows at a load of 0.3, %d at 0.9", low, high)
 	}
 	for _, x := range [][2]string{{"loaf", "0.3"}, {"load", "-1"}, {"drain_grace", "x"}} {
-		if _, err := Sweep([]byte(small), x[0], x[1:]); err == nil || !strings.Contains(err.Error(), x[0]+" = "+x[1]) {
+		if _, err := Sweep([]byte(smallPlan), x[0], x[1:]); err == nil || !strings.Contains(err.Error(), x[0]+" = "+x[1]) {
 			t.Errorf("%v: %v", x, err)
 		}
 	}
--- /dev/null
+++ b/internal/experiment/record.go
@@ -0,0 +1,126 @@
+package experiment
+
+import (
+	"bytes"
+	"cmp"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"runtime/debug"
+	"slices"
+
+	"github.com/google/renameio/v2"
+
+	"zincloft.example/zincloft/internal/emulate"
+)
+
+const (
+	resultFolderMode = 0o755
+	resultFileMode   = 0o644
+	revisionLength   = 12 // characters of a revision that are kept
+)
+
+// errNoResult is wrapped by the error for a file without a result.
+var errNoResult = errors.New("it has none")
+
+// Record is the result of one run, with what it takes to repeat the run.
+type Record struct {
+	Experiment string
+	Scenario   string
+	Variant    string
+	Seed       uint64
+	Build      string // revision of the program, see BuildRevision
+	Result     *emulate.Result
+}
+
+// name identifies a record within a plan. Its file is named by it.
+func (r Record) name() string { return fmt.Sprintf("%s.%s.%d", r.Scenario, r.Variant, r.Seed) }
+
+func (r Record) path(folder string) string { return filepath.Join(folder, r.name()+".json") }
+
+// BuildRevision is the revision that this program was built from, with "+" appended if the sources were modified, or
+// "unknown".
+func BuildRevision() string {
+	revision := "unknown"
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return revision
+	}
+	for _, setting := range info.Settings {
+		switch setting.Key {
+		case "vcs.revision":
+			revision = setting.Value[:min(len(setting.Value), revisionLength)]
+		case "vcs.modified":
+			if setting.Value == "true" {
+				revision += "+"
+			}
+		}
+	}
+	return revision
+}
+
+// load takes the result of an earlier run from a folder. It reports false if there is none, or if it is damaged or of
+// another build, and the run has to be done.
+func (r *Record) load(folder string) (bool, error) {
+	text, err := os.ReadFile(r.path(folder))
+	if errors.Is(err, fs.ErrNotExist) {
+		return false, nil
+	}
+	if err != nil {
+		return false, fmt.Errorf("experiment: %w", err)
+	}
+	var kept Record
+	if json.Unmarshal(text, &kept) != nil || kept.Build != r.Build || kept.Result == nil {
+		return false, nil
+	}
+	*r = kept
+	return true, nil
+}
+
+// save writes a record to its file, at once or not at all.
+func (r *Record) save(folder string) error {
+	text, err := json.Marshal(r)
+	if err != nil {
+		return fmt.Errorf("%s: %w", r.name(), err)
+	}
+	if err := renameio.WriteFile(r.path(folder), append(text, '\n'), resultFileMode); err != nil {
+		return fmt.Errorf("experiment: %w", err)
+	}
+	return nil
+}
+
+// LoadRecords reads all records of a folder, in the order of scenario, variant and seed. It fails if there are none, or if one
+// is damaged.
+func LoadRecords(folder string) ([]Record, error) {
+	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
+	if err != nil || len(paths) == 0 {
+		return nil, fmt.Errorf("%s: there are no results (%w)", folder, cmp.Or(err, fs.ErrNotExist))
+	}
+	var records []Record
+	for _, path := range paths {
+		record, err := loadRecord(path)
+		if err != nil {
+			return nil, err
+		}
+		records = append(records, record)
+	}
+	slices.SortFunc(records, func(a, b Record) int {
+		return cmp.Or(cmp.Compare(a.Scenario, b.Scenario), cmp.Compare(a.Variant, b.Variant), cmp.Compare(a.Seed, b.Seed))
+	})
+	return records, nil
+}
+
+func loadRecord(path string) (Record, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return Record{}, fmt.Errorf("experiment: %w", err)
+	}
+	var record Record
+	if err := json.NewDecoder(bytes.NewReader(text)).Decode(&record); err != nil || record.Result == nil {
+		return Record{}, fmt.Errorf("%s is no result (%w)", path, cmp.Or(err, errNoResult))
+	}
+	return record, nil
+}
