--- a/internal/emulate/baseline.go
+++ b/internal/emulate/baseline.go
@@ -77,20 +77,20 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case rules.Start:
-			orders = append(orders, rules.Observe{On: true}, rules.WakeAfter{After: updateInterval, Mark: updateMark})
+			orders = append(orders, rules.Observe{On: true}, rules.WakeAfter{After: updateInterval, TimerID: updateMark})
 		case rules.List:
 			if e.Scope == rules.Failed {
 				orders = append(orders, rules.Observe{On: true})
 			}
 			b.recordList(e)
 			orders = append(orders, b.updateTables(now)...)
-		case rules.Sums:
-			if e.Report.Util >= 0 {
-				b.load[e.Replica] = e.Report.Util
+		case rules.EndpointStats:
+			if e.Report.Utilization >= 0 {
+				b.load[e.Replica] = e.Report.Utilization
 			}
 		case rules.Wake:
 			orders = append(orders, b.updateTables(now)...)
-			orders = append(orders, rules.WakeAfter{After: updateInterval, Mark: updateMark})
+			orders = append(orders, rules.WakeAfter{After: updateInterval, TimerID: updateMark})
 		case rules.Joined:
 			orders = append(orders, rules.Bind{Proxy: e.Proxy, Table: rules.TableID(int(e.Proxy) % b.tableCount())})
 		}
@@ -143,7 +143,7 @@
 	var orders []rules.Order
 	for _, id := range slices.Compact(ids) {
 		if present[id] != wanted[id] {
-			orders = append(orders, rules.Line{Table: table, Replica: id, Weight: wanted[id]})
+			orders = append(orders, rules.EndpointWeight{Table: table, Replica: id, Weight: wanted[id]})
 		}
 	}
 	b.tables[table] = wanted
--- a/internal/emulate/channel.go
+++ b/internal/emulate/channel.go
@@ -23,11 +23,11 @@
 }
 
 // publish puts one message for each proxy concerned by the step into the channel. A mark asks proxies to acknowledge theirs.
-func (g *governor) publish(mark *rules.Mark) {
+func (g *governor) publish(mark *rules.AckRequest) {
 	var messages []proxyMessage
 	for _, session := range g.sessionOrder {
 		lines := float64(g.changedLines(session))
-		if lines == 0 && (mark == nil || !mark.ToAll) {
+		if lines == 0 && (mark == nil || !mark.AllProxies) {
 			continue
 		}
 		if mark != nil {
@@ -115,7 +115,7 @@
 }
 
 // send puts a message into the channel and schedules its arrival. The messages of a session arrive in order.
-func (g *governor) send(message proxyMessage, mark *rules.Mark) {
+func (g *governor) send(message proxyMessage, mark *rules.AckRequest) {
 	sim, session := g.sim, message.session
 	g.enqueue(session, message.lines)
 	travel := rules.Time(sim.uniform(sim.fleet.MaxMessageDelay/4, sim.fleet.MaxMessageDelay))
@@ -131,7 +131,7 @@
 }
 
 // receiveMessage has a proxy apply a message, and acknowledge it where it carries a mark.
-func (g *governor) receiveMessage(message proxyMessage, mark *rules.Mark, delay time.Duration) {
+func (g *governor) receiveMessage(message proxyMessage, mark *rules.AckRequest, delay time.Duration) {
 	sim, session, p := g.sim, message.session, message.session.proxy
 	p.busyUntil = max(p.busyUntil, sim.now) + rules.Time(time.Duration(message.lines)*sim.fleet.ApplyTimePerLine)
 	p.applyMessage(message)
@@ -141,7 +141,7 @@
 	incarnation := g.incarnation
 	sim.schedule(time.Duration(p.busyUntil-sim.now)+sim.fleet.LocalDelay, func() {
 		if g.sessions[p.id] == session && g.incarnation == incarnation {
-			g.post(rules.Applied{Proxy: p.id, Version: mark.Version, Took: delay})
+			g.post(rules.Applied{Proxy: p.id, Version: mark.Version, Delay: delay})
 		}
 	})
 }
--- a/internal/emulate/discovery.go
+++ b/internal/emulate/discovery.go
@@ -73,10 +73,10 @@
 	last := d.notified[g]
 	update := rules.List{Scope: rules.Changes}
 	if last.incarnation != g.incarnation {
-		update.Scope, last.version = rules.Whole, -1
+		update.Scope, last.version = rules.Full, -1
 	}
 	for i, entry := range d.entries {
-		needless := update.Scope == rules.Whole && entry.State == rules.Gone
+		needless := update.Scope == rules.Full && entry.State == rules.Deregistered
 		if d.changeVersions[i] > last.version && !needless {
 			update.Entries = append(update.Entries, entry)
 		}
--- a/internal/emulate/faultinjection.go
+++ b/internal/emulate/faultinjection.go
@@ -160,7 +160,7 @@
 	}
 	for _, r := range targets {
 		r.crash(f.Kind == FaultVanish)
-		r.state = rules.Gone
+		r.state = rules.Deregistered
 		f.sim.discovery.update(r)
 		f.scheduleRecovery(func() {
 			r.state = rules.Ready
@@ -253,7 +253,7 @@
 	})
 	sim.schedule(sim.fleet.MaxDiscoveryDelay+sim.fleet.DrainGrace+drainExtraTime, func() {
 		r.crash(false)
-		r.state = rules.Gone
+		r.state = rules.Deregistered
 		sim.discovery.update(r)
 	})
 }
--- a/internal/emulate/fleet.go
+++ b/internal/emulate/fleet.go
@@ -191,10 +191,10 @@
 // Settings returns the settings that a governor of the fleet is started with. The fleet must be valid.
 func (f *Fleet) Settings() rules.Settings {
 	s := rules.Settings{
-		Governors: f.Governors, Proxies: f.Proxies, Zones: f.Zones, ListOnRequest: true, Period: f.ReportPeriod, LinePace: f.ChannelRate, LineCap: f.ChannelCapacity,
-		HeadLines: f.MessageOverhead, MessageCap: f.MaxMessages, TravelMost: f.MaxMessageDelay, MessageSpan: f.MessageWindow, FailsToAvoid: f.FailuresToAvoid, FirstWait: f.AttemptTimeoutFactor,
-		LinksLeast: float64(f.MaxConnectionsPerCore), LinkIdle: f.ConnectionIdleTimeout, BareMost: f.MaxUnservedTime, DrainGrace: f.DrainGrace, AskWithin: f.DiscoveryRequestTimeout,
-		WarmAfter: f.WarmupDuration, ColdFrom: f.WarmupInitialShare, FallMultiple: f.OverloadMultiple, FallAfter: f.OverloadWindow,
+		Governors: f.Governors, Proxies: f.Proxies, Zones: f.Zones, ListOnRequest: true, Period: f.ReportPeriod, EntryRate: f.ChannelRate, EntryCapacity: f.ChannelCapacity,
+		MessageEntries: f.MessageOverhead, MessageLimit: f.MaxMessages, MaxMessageDelay: f.MaxMessageDelay, MessageSpan: f.MessageWindow, FailuresToAvoid: f.FailuresToAvoid, FirstAttemptBudgets: f.AttemptTimeoutFactor,
+		MinConnections: float64(f.MaxConnectionsPerCore), ConnectionIdleTimeout: f.ConnectionIdleTimeout, MaxUnboundTime: f.MaxUnservedTime, DrainGrace: f.DrainGrace, ListRequestDeadline: f.DiscoveryRequestTimeout,
+		WarmupTime: f.WarmupDuration, ColdCapacity: f.WarmupInitialShare, OverloadMultiple: f.OverloadMultiple, OverloadTime: f.OverloadWindow,
 	}
 	if f.AdmissionLevels {
 		s.Levels = rules.LevelShare
@@ -203,7 +203,7 @@
 	for _, kind := range f.Kinds {
 		fewestCores = min(fewestCores, kind.Cores)
 	}
-	s.LinksLeast *= float64(fewestCores)
+	s.MinConnections *= float64(fewestCores)
 	for _, g := range f.Groups {
 		effect, _ := parseEffect(g.Effect) // Validate has parsed it
 		s.Groups = append(s.Groups, rules.TrafficGroup{Name: g.Name, LatencyBudget: g.LatencyBudget, Expiry: g.Expiry, Utility: g.Utility,
--- a/internal/emulate/governor.go
+++ b/internal/emulate/governor.go
@@ -41,9 +41,9 @@
 	unavailableSince  map[rules.ReplicaID]rules.Time // when discovery told it that a replica drains or is gone
 	watchingDiscovery bool
 
-	intake       *intake.Intake   // takes the proxies' own reports; nil if they send none
-	zoneStats    [][]attemptStats // by zone and replica, of the period under way
-	reportQueues []reportQueue    // by zone
+	intake       *intake.Aggregator // takes the proxies' own reports; nil if they send none
+	zoneStats    [][]attemptStats   // by zone and replica, of the period under way
+	reportQueues []reportQueue      // by zone
 }
 
 // proxySession is the stream of one proxy, as its governor sees it.
@@ -146,7 +146,7 @@
 		g.scheduleProxyReport(session, g.incarnation)
 	}
 	g.sim.monitor.updateUnserved(p, p.governor != nil)
-	g.post(rules.Joined{Proxy: p.id, Zone: rules.ZoneID(p.zone), Rate: p.rate, Fresh: p.fresh, Unsure: !p.fresh && g.intake != nil})
+	g.post(rules.Joined{Proxy: p.id, Zone: rules.ZoneID(p.zone), FlowRate: p.rate, Fresh: p.fresh, MayHoldEjections: !p.fresh && g.intake != nil})
 }
 
 // leave closes the session of a proxy. The decider hears of it after a delay, unless the proxy has come back by then.
@@ -182,7 +182,7 @@
 	orders := g.decider.Step(g.sim.now, events)
 	g.traceStep(events, orders)
 	changesProxies := false
-	var mark *rules.Mark
+	var mark *rules.AckRequest
 	for _, o := range orders {
 		switch o := o.(type) {
 		case rules.WakeAfter:
@@ -196,7 +196,7 @@
 			g.sim.discovery.refetch(g)
 		case rules.Forget:
 			g.forget(o.Replica)
-		case rules.Mark:
+		case rules.AckRequest:
 			mark = &o
 		case rules.Log:
 		default:
@@ -213,7 +213,7 @@
 	incarnation := g.incarnation
 	g.sim.schedule(order.After, func() {
 		if g.incarnation == incarnation {
-			g.post(rules.Wake{Mark: order.Mark})
+			g.post(rules.Wake{TimerID: order.TimerID})
 		}
 	})
 }
@@ -299,7 +299,7 @@
 	}
 	for _, o := range orders {
 		switch o := o.(type) {
-		case rules.Line:
+		case rules.EndpointWeight:
 			s.lines++
 			if o.Weight == 0 {
 				s.removals++
--- a/internal/emulate/monitor_test.go
+++ b/internal/emulate/monitor_test.go
@@ -23,7 +23,7 @@
 	out := b.Governor.Step(now, events)
 	for i, o := range out {
 		switch o := o.(type) {
-		case rules.Line:
+		case rules.EndpointWeight:
 			switch {
 			case b.violates == ProxiesHaveReplicas:
 				o.Weight = 0
@@ -43,7 +43,7 @@
 	}
 	if b.violates == ChannelIsBounded {
 		for r := range 40 {
-			out = append(out, rules.Line{Table: 0, Replica: rules.ReplicaID(r % 12), Weight: float64(now%1000) + 1})
+			out = append(out, rules.EndpointWeight{Table: 0, Replica: rules.ReplicaID(r % 12), Weight: float64(now%1000) + 1})
 		}
 	}
 	return out
--- a/internal/emulate/proxy.go
+++ b/internal/emulate/proxy.go
@@ -11,7 +11,7 @@
 const maxStandingReplicas = 8
 
 // defaultAdmission holds for a traffic group without an admission order.
-var defaultAdmission = rules.Admit{Level: 1, Retry: rules.RetryUnrun}
+var defaultAdmission = rules.Admit{Level: 1, Retry: rules.RetryUnprocessed}
 
 // proxy routes the flows of some clients by the tables of its governor.
 type proxy struct {
@@ -230,14 +230,14 @@
 // retriesAnyFailure reports whether the governor's retry policy allows a further attempt whatever becomes of this one.
 func (p *proxy) retriesAnyFailure(f *flow) bool {
 	policy := p.admissions[f.group].Retry
-	return policy >= rules.RetryOnce && f.retries < int(policy-rules.RetryUnrun)
+	return policy >= rules.RetryOnce && f.retries < int(policy-rules.RetryUnprocessed)
 }
 
 // retry sends a flow again if the governor's retry policy allows it, and fails it otherwise.
 func (p *proxy) retry(f *flow, outcome attemptOutcome) {
 	allowed := false
 	switch p.admissions[f.group].Retry {
-	case rules.RetryUnrun:
+	case rules.RetryUnprocessed:
 		allowed = outcome.neverRan() && f.retries < 1
 	case rules.RetryOnce:
 		allowed = f.retries < 1
--- a/internal/emulate/proxyreports.go
+++ b/internal/emulate/proxyreports.go
@@ -14,10 +14,10 @@
 	intakeMaxPairs = 2_000
 )
 
-func newIntake(sim *Simulation) *intake.Intake {
+func newIntake(sim *Simulation) *intake.Aggregator {
 	period := sim.fleet.ReportPeriod
-	return intake.New(intake.Settings{Seed: sim.config.Seed, Period: period, Budget: intakeBudget, HalfLife: 2 * period, MostAge: 10 * period,
-		Pairs: intakeMaxPairs, Zones: sim.fleet.Zones})
+	return intake.New(intake.Settings{Seed: sim.config.Seed, Period: period, Budget: intakeBudget, HalfLife: 2 * period, MaxAge: 10 * period,
+		MaxPairs: intakeMaxPairs, Zones: sim.fleet.Zones})
 }
 
 // scheduleProxyReport has a proxy report each period what it met at each replica.
@@ -30,15 +30,15 @@
 		g.scheduleProxyReport(session, incarnation)
 		batch := intake.NewBatch()
 		session.batchSequence++
-		batch.Proxy, batch.Seq, batch.Over = session.proxy.id, session.batchSequence, period
+		batch.Proxy, batch.Sequence, batch.Window = session.proxy.id, session.batchSequence, period
 		for _, id := range slices.Sorted(maps.Keys(session.replicaStats)) {
 			batch.Records = append(batch.Records, attemptRecord(id, session.replicaStats[id]))
 		}
 		clear(session.replicaStats)
 		sim.schedule(sim.fleet.LocalDelay, func() {
-			batch.Read = sim.now
+			batch.ReceivedAt = sim.now
 			if g.incarnation == incarnation && len(batch.Records) > 0 {
-				g.intake.Take(sim.now, batch)
+				g.intake.AddBatch(sim.now, batch)
 			}
 			batch.Free()
 		})
@@ -47,11 +47,11 @@
 
 func attemptRecord(id rules.ReplicaID, stats *attemptStats) intake.Record {
 	return intake.Record{
-		Replica: id,
-		Tries:   stats.attempts,
-		Dropped: stats.failures,
-		Took:    stats.meanLatency(),
-		Report:  stats.loadReport(),
+		Replica:     id,
+		Attempts:    stats.attempts,
+		Dropped:     stats.failures,
+		MeanLatency: stats.meanLatency(),
+		Report:      stats.loadReport(),
 	}
 }
 
@@ -62,10 +62,10 @@
 			return
 		}
 		g.scheduleIntakeCut(incarnation)
-		if !g.intake.Due(g.sim.now) {
+		if !g.intake.FlushDue(g.sim.now) {
 			return
 		}
-		for _, e := range g.intake.Cut(g.sim.now) {
+		for _, e := range g.intake.Flush(g.sim.now) {
 			g.post(e)
 		}
 	})
--- a/internal/emulate/replica.go
+++ b/internal/emulate/replica.go
@@ -35,7 +35,7 @@
 
 	busySeconds float64    // of cores, since busySince
 	busySince   rules.Time // of the last load report
-	report      rules.Report
+	report      rules.LoadReport
 	hasReport   bool
 
 	overloadWindow
@@ -79,7 +79,7 @@
 	incarnation := r.incarnation
 	interval := r.sim.fleet.LoadReportInterval
 	r.sim.schedule(r.sim.uniform(interval/2, interval*3/2), func() {
-		if r.incarnation != incarnation || r.state == rules.Gone {
+		if r.incarnation != incarnation || r.state == rules.Deregistered {
 			return
 		}
 		r.renewReport()
@@ -94,14 +94,14 @@
 		utilization = min(r.busySeconds/span/float64(r.cores)+r.stolenShare, 1)
 	}
 	noise := 1 + reportNoise*r.sim.randomStream.NormFloat64()
-	r.report = rules.Report{
-		Util:        min(max(utilization*noise, 0), 1),
+	r.report = rules.LoadReport{
+		Utilization: min(max(utilization*noise, 0), 1),
 		InFlight:    float64(r.busy + len(r.queue)),
 		ServiceTime: rules.Absent,
 		Rate:        rules.Absent,
 	}
 	if r.falseReports > 0 {
-		r.report.Util, r.report.InFlight = 0, 0
+		r.report.Utilization, r.report.InFlight = 0, 0
 	}
 	r.hasReport, r.busySeconds, r.busySince = true, 0, r.sim.now
 }
@@ -245,7 +245,7 @@
 
 // restart starts a replica that was down: it warms up again.
 func (r *replica) restart() {
-	if r.up || r.overloaded || r.state == rules.Gone {
+	if r.up || r.overloaded || r.state == rules.Deregistered {
 		return
 	}
 	r.up, r.startedAt = true, r.sim.now
--- a/internal/emulate/replica_test.go
+++ b/internal/emulate/replica_test.go
@@ -19,7 +19,7 @@
 		if j, is := x.(rules.Joined); is {
 			if !e.bound {
 				for r := range e.replicas {
-					out = append(out, rules.Line{Replica: rules.ReplicaID(r), Weight: 1})
+					out = append(out, rules.EndpointWeight{Replica: rules.ReplicaID(r), Weight: 1})
 				}
 			}
 			e.bound = true
--- a/internal/emulate/reportqueue.go
+++ b/internal/emulate/reportqueue.go
@@ -55,10 +55,10 @@
 // merge adds a later report about the same.
 func (r *queuedReport) merge(later rules.Event) {
 	switch earlier := r.event.(type) {
-	case rules.Sums:
-		r.event = mergeSums(earlier, later.(rules.Sums))
-	case rules.Intake:
-		usage := later.(rules.Intake)
+	case rules.EndpointStats:
+		r.event = mergeSums(earlier, later.(rules.EndpointStats))
+	case rules.GroupTraffic:
+		usage := later.(rules.GroupTraffic)
 		earlier.Flows += usage.Flows
 		earlier.Dropped += usage.Dropped
 		r.event = earlier
@@ -66,14 +66,14 @@
 }
 
 // mergeSums adds up counts, weighs mean latencies by their attempts and keeps the latest load report.
-func mergeSums(earlier, later rules.Sums) rules.Sums {
-	earlierGood, laterGood := earlier.Tries-earlier.Dropped, later.Tries-later.Dropped
+func mergeSums(earlier, later rules.EndpointStats) rules.EndpointStats {
+	earlierGood, laterGood := earlier.Attempts-earlier.Dropped, later.Attempts-later.Dropped
 	if all := earlierGood + laterGood; all > 0 {
-		earlier.Took = (earlier.Took*time.Duration(earlierGood) + later.Took*time.Duration(laterGood)) / time.Duration(all)
+		earlier.MeanLatency = (earlier.MeanLatency*time.Duration(earlierGood) + later.MeanLatency*time.Duration(laterGood)) / time.Duration(all)
 	}
-	earlier.Tries += later.Tries
+	earlier.Attempts += later.Attempts
 	earlier.Dropped += later.Dropped
-	if later.Report.Util >= 0 {
+	if later.Report.Utilization >= 0 {
 		earlier.Report = later.Report
 	}
 	return earlier
--- a/internal/emulate/reports.go
+++ b/internal/emulate/reports.go
@@ -13,8 +13,8 @@
 type attemptStats struct {
 	attempts     int
 	failures     int
-	totalLatency time.Duration // of the others
-	report       rules.Report  // the replica's latest load report
+	totalLatency time.Duration    // of the others
+	report       rules.LoadReport // the replica's latest load report
 	hasReport    bool
 }
 
@@ -39,11 +39,11 @@
 }
 
 // loadReport is the replica's latest load report, with all figures absent if there is none.
-func (s *attemptStats) loadReport() rules.Report {
+func (s *attemptStats) loadReport() rules.LoadReport {
 	if s.hasReport {
 		return s.report
 	}
-	return rules.Report{Util: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
+	return rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
 }
 
 // groupUsage counts the flows of a traffic group at a proxy since the last collection.
@@ -99,13 +99,13 @@
 		if stats.attempts == 0 {
 			continue
 		}
-		batch = append(batch, queuedReport{replicaKey(id), rules.Sums{
-			Replica: rules.ReplicaID(id),
-			Zone:    rules.ZoneID(zone),
-			Tries:   stats.attempts,
-			Dropped: stats.failures,
-			Took:    stats.meanLatency(),
-			Report:  stats.loadReport(),
+		batch = append(batch, queuedReport{replicaKey(id), rules.EndpointStats{
+			Replica:     rules.ReplicaID(id),
+			Zone:        rules.ZoneID(zone),
+			Attempts:    stats.attempts,
+			Dropped:     stats.failures,
+			MeanLatency: stats.meanLatency(),
+			Report:      stats.loadReport(),
 		}, since})
 		*stats = attemptStats{}
 	}
@@ -125,7 +125,7 @@
 			if usage.arrived == 0 {
 				continue
 			}
-			batch = append(batch, queuedReport{usageKey(p.id, group), rules.Intake{
+			batch = append(batch, queuedReport{usageKey(p.id, group), rules.GroupTraffic{
 				Proxy:   p.id,
 				Group:   rules.GroupID(group),
 				Flows:   usage.arrived,
@@ -191,18 +191,18 @@
 	age := time.Duration(sim.now-report.since) / period * period
 	covered := max(age-period, period)
 	switch e := report.event.(type) {
-	case rules.Sums:
-		e.Over = covered
+	case rules.EndpointStats:
+		e.Window = covered
 		if g.intake != nil {
-			remaining, counts := g.intake.Sums(sim.now, sim.now, e)
+			remaining, counts := g.intake.AdjustStats(sim.now, sim.now, e)
 			if !counts {
 				return false
 			}
 			e = remaining
 		}
 		g.post(e)
-	case rules.Intake:
-		e.Over = covered
+	case rules.GroupTraffic:
+		e.Window = covered
 		g.post(e)
 	}
 	return true
--- a/internal/emulate/simulation.go
+++ b/internal/emulate/simulation.go
@@ -200,7 +200,7 @@
 			continue
 		}
 		var view rules.View
-		decider.View(sim.now, &view)
+		decider.WriteView(sim.now, &view)
 		views = append(views, view)
 	}
 	return views
--- a/internal/emulate/weighttable.go
+++ b/internal/emulate/weighttable.go
@@ -95,7 +95,7 @@
 // applyOrder changes tables and sessions by an order that concerns proxies. Proxies see it with the next message.
 func (g *governor) applyOrder(o rules.Order) {
 	switch o := o.(type) {
-	case rules.Line:
+	case rules.EndpointWeight:
 		g.table(o.Table).setWeight(o.Replica, o.Weight)
 	case rules.ClearTable:
 		g.table(o.Table).clear()
@@ -108,9 +108,9 @@
 		for _, session := range g.sessionOrder {
 			session.changedEjections++
 		}
-	case rules.Shun:
+	case rules.PairEjection:
 		if session := g.sessions[o.Proxy]; session != nil {
-			session.ejected[o.Replica] = o.Out
+			session.ejected[o.Replica] = o.Ejected
 			session.changedEjections++
 		}
 	}
--- a/internal/experiment/planfile.go
+++ b/internal/experiment/planfile.go
@@ -222,12 +222,12 @@
 
 // adjust changes a governor's settings as the variant has it.
 func (v variantFile) adjust(settings *rules.Settings) {
-	override(&settings.FailsToAvoid, v.FailuresToAvoid)
-	override(&settings.MessageCap, v.MaxMessages)
-	override(&settings.LinePace, v.ChannelRate)
+	override(&settings.FailuresToAvoid, v.FailuresToAvoid)
+	override(&settings.MessageLimit, v.MaxMessages)
+	override(&settings.EntryRate, v.ChannelRate)
 	overrideDuration(&settings.DrainGrace, v.DrainGrace)
-	overrideDuration(&settings.WarmAfter, v.WarmupDuration)
-	override(&settings.ColdFrom, v.WarmupInitialShare)
+	overrideDuration(&settings.WarmupTime, v.WarmupDuration)
+	override(&settings.ColdCapacity, v.WarmupInitialShare)
 }
 
 // override sets a value to one of a file, if the file has it.
