--- a/cmd/zinclab/emulate.go
+++ b/cmd/zinclab/emulate.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"strconv"
 	"strings"
 	"time"
@@ -12,108 +13,145 @@
 	"zincloft.example/zincloft/internal/emulate"
 )
 
-// emulateCommand plays days in simulated time.
+// emulation is what the emulate command's flags describe.
+type emulation struct {
+	fleet     emulate.Fleet
+	large     bool
+	faults    []string // as parseFault reads them
+	seeds     int
+	firstSeed uint64
+	asJSON    bool
+}
+
+// emulateCommand simulates a fleet.
 func emulateCommand() *cobra.Command {
-	fleet, large := emulate.SmallFleet(), false
-	var troubles []string
-	var seeds int
-	var first uint64
-	var asJSON bool
-	var kinds strings.Builder
-	for _, k := range emulate.FaultKinds() {
-		fmt.Fprintf(&kinds, "  %-18s %s\n", k, emulate.DescribeFault(k))
-	}
-	c := &cobra.Command{Use: "emulate", Short: "Plays days of a fleet in simulated time, the rules watched", Args: cobra.NoArgs,
+	e := &emulation{fleet: emulate.SmallFleet()}
+	command := &cobra.Command{Use: "emulate", Short: "Plays days of a fleet in simulated time, the rules watched", Args: cobra.NoArgs,
 		Long: "Plays clients, proxies, replicas, discovery and governors in simulated time and prints what became of the flows, and where a rule broke.\n" +
 			"The same seed gives the same day. The exit status is 1 where a rule broke.\n\nA trouble is KIND:KEY=VALUE,... with the keys at, for and back (times), share,\n" +
-			"factor, zone, when and name. Kinds:\n\n" + kinds.String(),
+			"factor, zone, when and name. Kinds:\n\n" + describeFaults(),
 		Example: "  zinclab emulate --large --proxies 1280 --replicas 120 --trouble deploy:at=10s,for=7s,share=0.6"}
-	c.RunE = func(c *cobra.Command, _ []string) error {
-		f := fleet
-		if large {
-			f = emulate.LargeFleet(fleet.Proxies, fleet.Replicas)
-			f.Load, f.Duration = fleet.Load, fleet.Duration
+	command.RunE = func(command *cobra.Command, _ []string) error { return e.run(command.OutOrStdout()) }
+	flags := command.Flags()
+	flags.IntVar(&e.fleet.Governors, "governors", e.fleet.Governors, "governors")
+	flags.IntVar(&e.fleet.Proxies, "proxies", e.fleet.Proxies, "proxies, over all governors")
+	flags.IntVar(&e.fleet.Replicas, "replicas", e.fleet.Replicas, "replicas")
+	flags.IntVar(&e.fleet.Zones, "zones", e.fleet.Zones, "zones")
+	flags.Float64Var(&e.fleet.Load, "load", e.fleet.Load, "share of all cores that the flows would keep busy")
+	flags.DurationVar(&e.fleet.Duration, "length", e.fleet.Duration, "the day's length")
+	flags.BoolVar(&e.fleet.AdmissionLevels, "levels", false, "proxies heed levels")
+	flags.BoolVar(&e.large, "large", false, "five governors in four zones that hear of few reports, with channels of the size")
+	flags.StringArrayVar(&e.faults, "trouble", nil, "a trouble; may be given again")
+	flags.IntVar(&e.seeds, "seeds", 1, "days, of one seed after the other")
+	flags.Uint64Var(&e.firstSeed, "seed", 1, "the first seed")
+	flags.BoolVar(&e.asJSON, "json", false, "a line of JSON a day")
+	return command
+}
+
+func describeFaults() string {
+	var text strings.Builder
+	for _, kind := range emulate.FaultKinds() {
+		fmt.Fprintf(&text, "  %-18s %s\n", kind, emulate.DescribeFault(kind))
+	}
+	return text.String()
+}
+
+// run simulates each seed. It fails if an invariant was violated with any of them.
+func (e *emulation) run(out io.Writer) error {
+	config, err := e.config()
+	if err != nil {
+		return err
+	}
+	violating := 0
+	for i := range e.seeds {
+		config.Seed = e.firstSeed + uint64(i)
+		result, err := emulate.Run(config)
+		if err != nil {
+			return err
 		}
-		play := emulate.Config{Fleet: f}
-		for _, text := range troubles {
-			t, err := readTrouble(text)
-			if err == nil {
-				err = t.Validate(&f)
-			}
-			if err != nil {
-				return fmt.Errorf("--trouble %s: %w", text, err)
-			}
-			play.Faults = append(play.Faults, t)
+		if len(result.Violations) > 0 {
+			violating++
 		}
-		broken := 0
-		for n := range seeds {
-			play.Seed = first + uint64(n)
-			r, err := emulate.Run(play)
-			if err != nil {
-				return err
-			}
-			broken += min(len(r.Violations), 1)
-			if asJSON {
-				if err := json.NewEncoder(c.OutOrStdout()).Encode(r); err != nil {
-					return fmt.Errorf("writing the result: %w", err)
-				}
-				continue
-			}
-			fmt.Fprintf(c.OutOrStdout(), "seed %d\n", play.Seed)
-			r.WriteSummary(c.OutOrStdout())
+		if err := e.write(out, result); err != nil {
+			return err
 		}
-		if broken > 0 {
-			return fmt.Errorf("a rule broke on %d of %d days", broken, seeds)
+	}
+	if violating > 0 {
+		return fmt.Errorf("a rule broke on %d of %d days", violating, e.seeds)
+	}
+	return nil
+}
+
+// config is the configuration of all runs, without a seed.
+func (e *emulation) config() (emulate.Config, error) {
+	fleet := e.fleet
+	if e.large {
+		fleet = emulate.LargeFleet(e.fleet.Proxies, e.fleet.Replicas)
+		fleet.Load, fleet.Duration = e.fleet.Load, e.fleet.Duration
+	}
+	config := emulate.Config{Fleet: fleet}
+	for _, text := range e.faults {
+		fault, err := parseFault(text)
+		if err == nil {
+			err = fault.Validate(&fleet)
+		}
+		if err != nil {
+			return emulate.Config{}, fmt.Errorf("--trouble %s: %w", text, err)
+		}
+		config.Faults = append(config.Faults, fault)
+	}
+	return config, nil
+}
+
+func (e *emulation) write(out io.Writer, result *emulate.Result) error {
+	if e.asJSON {
+		if err := json.NewEncoder(out).Encode(result); err != nil {
+			return fmt.Errorf("writing the result: %w", err)
 		}
 		return nil
 	}
-	fl := c.Flags()
-	fl.IntVar(&fleet.Governors, "governors", fleet.Governors, "governors")
-	fl.IntVar(&fleet.Proxies, "proxies", fleet.Proxies, "proxies, over all governors")
-	fl.IntVar(&fleet.Replicas, "replicas", fleet.Replicas, "replicas")
-	fl.IntVar(&fleet.Zones, "zones", fleet.Zones, "zones")
-	fl.Float64Var(&fleet.Load, "load", fleet.Load, "share of all cores that the flows would keep busy")
-	fl.DurationVar(&fleet.Duration, "length", fleet.Duration, "the day's length")
-	fl.BoolVar(&fleet.AdmissionLevels, "levels", false, "proxies heed levels")
-	fl.BoolVar(&large, "large", false, "five governors in four zones that hear of few reports, with channels of the size")
-	fl.StringArrayVar(&troubles, "trouble", nil, "a trouble; may be given again")
-	fl.IntVar(&seeds, "seeds", 1, "days, of one seed after the other")
-	fl.Uint64Var(&first, "seed", 1, "the first seed")
-	fl.BoolVar(&asJSON, "json", false, "a line of JSON a day")
-	return c
+	if _, err := fmt.Fprintf(out, "seed %d\n", result.Seed); err != nil {
+		return fmt.Errorf("writing the result: %w", err)
+	}
+	return result.WriteSummary(out)
 }
 
-// readTrouble reads KIND:KEY=VALUE,...
-func readTrouble(text string) (t emulate.Fault, err error) {
-	var rest string
-	t.Kind, rest, _ = strings.Cut(text, ":")
-	for _, pair := range strings.FieldsFunc(rest, func(r rune) bool { return r == ',' }) {
+// parseFault parses KIND:KEY=VALUE,...
+func parseFault(text string) (emulate.Fault, error) {
+	var fault emulate.Fault
+	var pairs string
+	fault.Kind, pairs, _ = strings.Cut(text, ":")
+	for _, pair := range strings.FieldsFunc(pairs, func(r rune) bool { return r == ',' }) {
 		key, value, _ := strings.Cut(pair, "=")
-		switch key {
-		case "at":
-			t.At, err = time.ParseDuration(value)
-		case "for":
-			t.Duration, err = time.ParseDuration(value)
-		case "back":
-			t.RecoverAfter, err = time.ParseDuration(value)
-		case "share":
-			t.Share, err = strconv.ParseFloat(value, 64)
-		case "factor":
-			t.Factor, err = strconv.ParseFloat(value, 64)
-		case "zone":
-			var zone int
-			zone, err = strconv.Atoi(value)
-			t.Zone = &zone
-		case "when":
-			t.Trigger = value
-		case "name":
-			t.Name = value
-		default:
-			err = fmt.Errorf("there is no key %q", key)
-		}
-		if err != nil {
-			return t, fmt.Errorf("%s: %w", key, err)
+		if err := setFaultKey(&fault, key, value); err != nil {
+			return fault, fmt.Errorf("%s: %w", key, err)
 		}
 	}
-	return t, nil
+	return fault, nil
+}
+
+func setFaultKey(fault *emulate.Fault, key, value string) (err error) {
+	switch key {
+	case "at":
+		fault.At, err = time.ParseDuration(value)
+	case "for":
+		fault.Duration, err = time.ParseDuration(value)
+	case "back":
+		fault.RecoverAfter, err = time.ParseDuration(value)
+	case "share":
+		fault.Share, err = strconv.ParseFloat(value, 64)
+	case "factor":
+		fault.Factor, err = strconv.ParseFloat(value, 64)
+	case "zone":
+		var zone int
+		zone, err = strconv.Atoi(value)
+		fault.Zone = &zone
+	case "when":
+		fault.Trigger = value
+	case "name":
+		fault.Name = value
+	default:
+		err = fmt.Errorf("there is no key %q", key)
+	}
+	return err
 }
--- a/cmd/zinclab/experiment.go
+++ b/cmd/zinclab/experiment.go
@@ -1,7 +1,9 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"runtime"
@@ -9,122 +11,180 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
+	"zincloft.example/zincloft/internal/emulate"
 	"zincloft.example/zincloft/internal/experiment"
 )
 
-// experimentCommands play, compare, draw and search.
+// experimentFlags are the flags of the commands that run an experiment or write its page.
+type experimentFlags struct {
+	folder string // of the results
+	page   string // path of the page; "": none
+	cores  int
+}
+
+func (f *experimentFlags) addOutputs(command *cobra.Command) {
+	command.Flags().StringVar(&f.folder, "out", "found/experiment", "folder of the results, a file a run")
+	command.Flags().StringVar(&f.page, "page", "", "where a page with charts goes")
+}
+
+func (f *experimentFlags) addCores(command *cobra.Command) {
+	command.Flags().IntVar(&f.cores, "cores", runtime.NumCPU(), "runs at a time")
+}
+
+// experimentCommands are the commands on experiments and their results.
 func experimentCommands() []*cobra.Command {
-	var folder, page string
-	cores, days, shrink := runtime.NumCPU(), 100, true
-	run := &cobra.Command{Use: "run FILE", Short: "Plays an experiment's scenarios, seeds and variants; goes on where it was cut off", Args: cobra.ExactArgs(1),
+	return []*cobra.Command{runCommand(), sweepCommand(), compareCommand(), reportCommand(), huntCommand()}
+}
+
+func runCommand() *cobra.Command {
+	var flags experimentFlags
+	command := &cobra.Command{Use: "run FILE", Short: "Plays an experiment's scenarios, seeds and variants; goes on where it was cut off", Args: cobra.ExactArgs(1),
 		Example: "  zinclab run examples/replacement.toml --out found/replacement"}
-	play := func(c *cobra.Command, p experiment.Plan) error {
-		bar := progressbar.NewOptions(-1, progressbar.OptionSetWriter(c.ErrOrStderr()), progressbar.OptionSetDescription(p.Name), progressbar.OptionClearOnFinish())
-		rows, err := experiment.Run(c.Context(), p, folder, cores, func(done, all int) {
-			bar.ChangeMax(all)
-			_ = bar.Set(done) // a bar that can't be drawn is no reason to stop
-		})
-		if err != nil {
-			return err
-		}
-		experiment.WriteTable(c.OutOrStdout(), experiment.Compare(rows, p.Variants[0].Name), p.Variants[0].Name)
-		if page == "" {
-			return nil
-		}
-		return writePage(page, p, rows)
-	}
-	run.RunE = func(c *cobra.Command, args []string) error {
-		p, err := experiment.ReadPlan(args[0])
+	command.RunE = func(command *cobra.Command, args []string) error {
+		plan, err := experiment.ReadPlan(args[0])
 		if err != nil {
 			return err
 		}
-		return play(c, p)
+		return flags.run(command, plan)
 	}
-	sweep := &cobra.Command{Use: "sweep FILE KEY VALUE...", Short: "Plays the first variant of an experiment once for each value of a key of its fleet", Args: cobra.MinimumNArgs(3),
+	flags.addOutputs(command)
+	flags.addCores(command)
+	return command
+}
+
+func sweepCommand() *cobra.Command {
+	var flags experimentFlags
+	command := &cobra.Command{Use: "sweep FILE KEY VALUE...", Short: "Plays the first variant of an experiment once for each value of a key of its fleet", Args: cobra.MinimumNArgs(3),
 		Example: "  zinclab sweep examples/replacement.toml drain_grace 1s 3s 6s --out found/grace"}
-	sweep.RunE = func(c *cobra.Command, args []string) error {
+	command.RunE = func(command *cobra.Command, args []string) error {
 		text, err := os.ReadFile(args[0])
 		if err != nil {
 			return fmt.Errorf("experiment: %w", err)
 		}
-		p, err := experiment.Sweep(text, args[1], args[2:])
+		plan, err := experiment.Sweep(text, args[1], args[2:])
 		if err != nil {
 			return fmt.Errorf("%s: %w", args[0], err)
 		}
-		return play(c, p)
+		return flags.run(command, plan)
 	}
-	report := &cobra.Command{Use: "report FILE", Short: "Writes the page with charts of an experiment that was played", Args: cobra.ExactArgs(1)}
-	report.RunE = func(_ *cobra.Command, args []string) error {
-		p, err := experiment.ReadPlan(args[0])
+	flags.addOutputs(command)
+	flags.addCores(command)
+	return command
+}
+
+func reportCommand() *cobra.Command {
+	var flags experimentFlags
+	command := &cobra.Command{Use: "report FILE", Short: "Writes the page with charts of an experiment that was played", Args: cobra.ExactArgs(1)}
+	command.RunE = func(_ *cobra.Command, args []string) error {
+		plan, err := experiment.ReadPlan(args[0])
 		if err != nil {
 			return err
 		}
-		rows, err := experiment.LoadRecords(folder)
+		records, err := experiment.LoadRecords(flags.folder)
 		if err != nil {
 			return err
 		}
-		return writePage(page, p, rows)
-	}
-	for _, c := range []*cobra.Command{run, sweep, report} {
-		c.Flags().StringVar(&folder, "out", "found/experiment", "folder of the results, a file a run")
-		c.Flags().StringVar(&page, "page", "", "where a page with charts goes")
-	}
-	for _, c := range []*cobra.Command{run, sweep} {
-		c.Flags().IntVar(&cores, "cores", cores, "runs at a time")
+		return writePage(flags.page, plan, records)
 	}
+	flags.addOutputs(command)
+	return command
+}
 
-	var first string
-	compare := &cobra.Command{Use: "compare FOLDER", Short: "Compares the variants whose results a folder keeps, paired by seed", Args: cobra.ExactArgs(1)}
-	compare.RunE = func(c *cobra.Command, args []string) error {
-		rows, err := experiment.LoadRecords(args[0])
+func compareCommand() *cobra.Command {
+	var reference string
+	command := &cobra.Command{Use: "compare FOLDER", Short: "Compares the variants whose results a folder keeps, paired by seed", Args: cobra.ExactArgs(1)}
+	command.RunE = func(command *cobra.Command, args []string) error {
+		records, err := experiment.LoadRecords(args[0])
 		if err != nil {
 			return err
 		}
-		if first == "" {
-			first = rows[0].Variant
+		if reference == "" {
+			reference = records[0].Variant
 		}
-		experiment.WriteTable(c.OutOrStdout(), experiment.Compare(rows, first), first)
+		experiment.WriteTable(command.OutOrStdout(), experiment.Compare(records, reference), reference)
+		return nil
+	}
+	command.Flags().StringVar(&reference, "against", "", "the variant that others are compared with; the first by name if left out")
+	return command
+}
+
+// run runs a plan, shows its progress, and writes the comparison and the page.
+func (f *experimentFlags) run(command *cobra.Command, plan experiment.Plan) error {
+	bar := progressbar.NewOptions(-1, progressbar.OptionSetWriter(command.ErrOrStderr()), progressbar.OptionSetDescription(plan.Name), progressbar.OptionClearOnFinish())
+	records, err := experiment.Run(command.Context(), plan, f.folder, f.cores, func(done, all int) {
+		bar.ChangeMax(all)
+		_ = bar.Set(done) // a bar that can't be drawn is no reason to stop
+	})
+	if err != nil {
+		return err
+	}
+	reference := plan.Variants[0].Name
+	experiment.WriteTable(command.OutOrStdout(), experiment.Compare(records, reference), reference)
+	if f.page == "" {
 		return nil
 	}
-	compare.Flags().StringVar(&first, "against", "", "the variant that others are compared with; the first by name if left out")
+	return writePage(f.page, plan, records)
+}
+
+func writePage(path string, plan experiment.Plan, records []experiment.Record) (err error) {
+	file, err := os.Create(path)
+	if err != nil {
+		return fmt.Errorf("--page: %w", err)
+	}
+	defer func() { err = errors.Join(err, file.Close()) }()
+	return experiment.WritePage(file, plan, records)
+}
+
+// search is what the hunt command's flags describe.
+type search struct {
+	scenarios int
+	shrink    bool
+	cores     int
+}
+
+// huntFinding is a line of the hunt command's output.
+type huntFinding struct {
+	Violations   []emulate.Violation `json:"breaks"`
+	Seed         uint64              `json:"seed"`
+	ServiceLevel float64             `json:"service"`
+	Faults       []emulate.Fault     `json:"troubles"`
+}
 
-	hunt := &cobra.Command{Use: "hunt FILE", Short: "Searches for days that go badly, and shrinks those on which a rule breaks", Args: cobra.ExactArgs(1),
+func huntCommand() *cobra.Command {
+	var s search
+	command := &cobra.Command{Use: "hunt FILE", Short: "Searches for days that go badly, and shrinks those on which a rule breaks", Args: cobra.ExactArgs(1),
 		Long: "Draws days of one to three troubles for the fleet and the first variant of an experiment, and prints the worst as lines of JSON: those on\nwhich a rule broke first, made as small as they can be with it still broken."}
-	hunt.RunE = func(c *cobra.Command, args []string) error {
-		p, err := experiment.ReadPlan(args[0])
-		if err != nil {
-			return err
-		}
-		found, played, err := experiment.Search(c.Context(), p, days, cores)
+	command.RunE = func(command *cobra.Command, args []string) error {
+		plan, err := experiment.ReadPlan(args[0])
 		if err != nil {
 			return err
 		}
-		out := json.NewEncoder(c.OutOrStdout())
-		for _, f := range found {
-			if shrink && len(f.Result.Violations) > 0 {
-				f, _ = experiment.Shrink(p, f)
-			}
-			if err := out.Encode(map[string]any{"seed": f.Seed, "service": f.Result.ServiceLevel, "breaks": f.Result.Violations, "troubles": f.Faults}); err != nil {
-				return fmt.Errorf("writing a day: %w", err)
-			}
-		}
-		fmt.Fprintf(c.ErrOrStderr(), "%d days played\n", played)
-		return nil
+		return s.run(command.Context(), command, plan)
 	}
-	hunt.Flags().IntVar(&days, "days", days, "days to draw")
-	hunt.Flags().BoolVar(&shrink, "shrink", true, "make days on which a rule breaks smaller")
-	hunt.Flags().IntVar(&cores, "cores", cores, "runs at a time")
-	return []*cobra.Command{run, sweep, compare, report, hunt}
+	command.Flags().IntVar(&s.scenarios, "days", 100, "days to draw")
+	command.Flags().BoolVar(&s.shrink, "shrink", true, "make days on which a rule breaks smaller")
+	command.Flags().IntVar(&s.cores, "cores", runtime.NumCPU(), "runs at a time")
+	return command
 }
 
-func writePage(path string, p experiment.Plan, rows []experiment.Record) error {
-	f, err := os.Create(path)
+// run searches, and writes each finding as a line of JSON.
+func (s *search) run(ctx context.Context, command *cobra.Command, plan experiment.Plan) error {
+	findings, played, err := experiment.Search(ctx, plan, s.scenarios, s.cores)
 	if err != nil {
-		return fmt.Errorf("--page: %w", err)
-	}
-	if err := experiment.WritePage(f, p, rows); err != nil {
-		f.Close()
 		return err
 	}
-	return f.Close()
+	encoder := json.NewEncoder(command.OutOrStdout())
+	for _, finding := range findings {
+		if s.shrink && len(finding.Result.Violations) > 0 {
+			finding, _ = experiment.Shrink(plan, finding)
+		}
+		line := huntFinding{finding.Result.Violations, finding.Seed, finding.Result.ServiceLevel, finding.Faults}
+		if err := encoder.Encode(line); err != nil {
+			return fmt.Errorf("writing a day: %w", err)
+		}
+	}
+	if _, err := fmt.Fprintf(command.ErrOrStderr(), "%d days played\n", played); err != nil {
+		return fmt.Errorf("writing the number of days: %w", err)
+	}
+	return nil
 }
--- a/cmd/zinclab/scale.go
+++ b/cmd/zinclab/scale.go
@@ -1,6 +1,8 @@
 package main
 
 import (
+	"context"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -11,71 +13,65 @@
 	"zincloft.example/zincloft/internal/scalerun"
 )
 
-// scaleCommand plays the gateway at several sizes on loopback.
+// scaleRun is what the scale command's flags describe.
+type scaleRun struct {
+	options scalerun.Options
+	target  string // path of the target's file
+	csv     string // path of a file for all figures; "": none
+}
+
+// scaleCommand measures the gateway and the control plane at several sizes on loopback.
 func scaleCommand() *cobra.Command {
-	p := scalerun.Options{}
-	var target, out string
-	c := &cobra.Command{Use: "scale", Short: "Plays real combs and foragers beside hollow ones at several sizes on loopback, and carries on to a target", Args: cobra.NoArgs}
-	c.RunE = func(c *cobra.Command, _ []string) (err error) {
-		if p.Target, err = scalerun.ReadTarget(target); err != nil {
-			return err
-		}
-		p.Progress = c.ErrOrStderr()
-		rows, err := scalerun.Run(c.Context(), p)
-		if out != "" {
-			f, e := os.Create(out)
-			if e != nil {
-				return e
-			}
-			defer f.Close()
-			if e := scalerun.WriteCSV(f, rows); e != nil {
-				return e
-			}
-		}
-		fmt.Fprintf(c.OutOrStdout(), "Sizes are parts of %s, each at %d combs; the power is carried on to 1, the whole.\n\n", target, p.Members)
-		scalerun.WriteTable(c.OutOrStdout(), scalerun.GroupSeries(rows), 1, p.Target.Bounds)
-		return err
+	var s scaleRun
+	command := &cobra.Command{Use: "scale", Short: "Runs real control-plane members and gateways beside hollow ones at several sizes on loopback, and extrapolates to a target", Args: cobra.NoArgs}
+	command.RunE = func(command *cobra.Command, _ []string) error {
+		s.options.Progress = command.ErrOrStderr()
+		return s.run(command.Context(), command.OutOrStdout())
 	}
-	f := c.Flags()
-	f.StringVar(&p.BinDir, "bin", "bin", "folder of comb and forager")
-	f.StringVar(&target, "target", "examples/target.toml", "the size to carry on to, and its bounds")
-	f.StringVar(&out, "csv", "", "where all figures are written")
-	f.StringVar(&p.KeepDir, "keep", "", "folder for settings, disks and logs; without it they are removed")
-	f.Float64SliceVar(&p.Scales, "parts", []float64{0.01 / 3, 0.01, 0.03}, "sizes, as parts of the target")
-	f.IntVar(&p.Members, "combs", 3, "combs, a zone each")
-	f.IntVar(&p.RealGateways, "real", 2, "real foragers")
-	f.IntVar(&p.MaxCores, "cores", 3, "cores that all of it may use")
-	f.Float64Var(&p.MaxMemoryGB, "memory", 15, "GB that all of it may use")
-	f.DurationVar(&p.SettleTime, "settle", 10*time.Second, "from the last join until it counts as steady")
-	f.DurationVar(&p.SteadyTime, "steady", 12*time.Second, "time that is measured")
-	f.DurationVar(&p.HeartbeatInterval, "beat", 1500*time.Millisecond, "between two beats of a replica")
-	f.Float64Var(&p.JoinsPerSecond, "joins", 0, "foragers that begin a second; 0: all at once")
-	f.IntVar(&p.ConfigChanges, "changes", 3, "configurations that are given")
-	f.DurationVar(&p.Timeout, "most", 20*time.Minute, "time that all may take")
-	return c
+	options, flags := &s.options, command.Flags()
+	flags.StringVar(&options.BinDir, "bin", "bin", "folder of the control plane's and the gateway's programs")
+	flags.StringVar(&s.target, "target", "examples/target.toml", "the size to carry on to, and its bounds")
+	flags.StringVar(&s.csv, "csv", "", "where all figures are written")
+	flags.StringVar(&options.KeepDir, "keep", "", "folder for settings, disks and logs; without it they are removed")
+	flags.Float64SliceVar(&options.Scales, "parts", []float64{0.01 / 3, 0.01, 0.03}, "sizes, as parts of the target")
+	flags.IntVar(&options.Members, membersFlag, 3, "control-plane members, a zone each")
+	flags.IntVar(&options.RealGateways, "real", 2, "real gateways")
+	flags.IntVar(&options.MaxCores, "cores", 3, "cores that all of it may use")
+	flags.Float64Var(&options.MaxMemoryGB, "memory", 15, "GB that all of it may use")
+	flags.DurationVar(&options.SettleTime, "settle", 10*time.Second, "from the last join until it counts as steady")
+	flags.DurationVar(&options.SteadyTime, "steady", 12*time.Second, "time that is measured")
+	flags.DurationVar(&options.HeartbeatInterval, "beat", 1500*time.Millisecond, "between two heartbeats of a replica")
+	flags.Float64Var(&options.JoinsPerSecond, "joins", 0, "gateways that begin a second; 0: all at once")
+	flags.IntVar(&options.ConfigChanges, "changes", 3, "configurations that are given")
+	flags.DurationVar(&options.Timeout, "most", 20*time.Minute, "time that all may take")
+	return command
 }
 
-// powersCommand fits powers to benchmarks.
-func powersCommand() *cobra.Command {
-	to := 47000.0
-	c := &cobra.Command{Use: "powers [FILE]", Short: "Fits a power to each figure of `go test -bench` by the size in names that end in /n=SIZE", Args: cobra.MaximumNArgs(1)}
-	c.RunE = func(c *cobra.Command, args []string) error {
-		var in io.Reader = c.InOrStdin()
-		if len(args) > 0 {
-			f, err := os.Open(args[0])
-			if err != nil {
-				return err
-			}
-			defer f.Close()
-			in = f
-		}
-		all, err := scalerun.ReadBenchmarks(in)
-		if err != nil {
+// membersFlag keeps its name of earlier releases, which scripts use.
+const membersFlag = "combs"
+
+// run measures all sizes and writes what was measured, also if a size failed.
+func (s *scaleRun) run(ctx context.Context, out io.Writer) error {
+	var err error
+	if s.options.Target, err = scalerun.ReadTarget(s.target); err != nil {
+		return err
+	}
+	rows, runErr := scalerun.Run(ctx, s.options)
+	if s.csv != "" {
+		if err := writeCSV(s.csv, rows); err != nil {
 			return err
 		}
-		scalerun.WriteTable(c.OutOrStdout(), all, to, nil)
-		return nil
 	}
-	c.Flags().Float64Var(&to, "to", to, "size to carry on to")
-	return c
+	_, err = fmt.Fprintf(out, "Sizes are parts of %s, each at %d control-plane members; the power is carried on to 1, the whole.\n\n", s.target, s.options.Members)
+	scalerun.WriteTable(out, scalerun.GroupSeries(rows), 1, s.options.Target.Bounds)
+	return errors.Join(runErr, err)
+}
+
+func writeCSV(path string, rows []scalerun.Row) (err error) {
+	file, err := os.Create(path)
+	if err != nil {
+		return fmt.Errorf("--csv: %w", err)
+	}
+	defer func() { err = errors.Join(err, file.Close()) }()
+	return scalerun.WriteCSV(file, rows)
 }
--- /dev/null
+++ b/internal/experiment/plan_test.go
@@ -0,0 +1,59 @@
+package experiment
+
+import (
+	"strings"
+	"testing"
+)
+
+// smallPlan takes two seconds to run. Its two first variants are the same.
+const smallPlan = `
+name = "x"
+seeds = 3
+[fleet]
+proxies = 10
+replicas = 5
+length = "8s"
+[[scenario]]
+name = "calm"
+[[scenario]]
+name = "hang"
+[[scenario.trouble]]
+kind = "hang"
+at = "2s"
+for = "3s"
+share = 0.2
+[[variant]]
+name = "zincloft"
+[[variant]]
+name = "again"
+[[variant]]
+name = "even"
+decider = "even"
+`
+
+func mustParse(t *testing.T, text string) Plan {
+	t.Helper()
+	p, err := ParsePlan([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return p
+}
+
+// TestInvalidPlans has each error name its key, and its line where the text is at fault.
+func TestInvalidPlans(t *testing.T) {
+	for _, x := range []struct{ old, new, want string }{
+		{"seeds = 3", "seeds = \"3\"", "line 3"},
+		{"proxies = 10", "proxys = 10", "line 5: there is no key fleet.proxys"},
+		{"length = \"8s\"", "length = \"8\"", "line 7"},
+		{"proxies = 10", "proxies = -1", "fleet: proxies: want more than 0"},
+		{"kind = \"hang\"", "kind = \"hung\"", "scenario hang: trouble 1: kind: there is no \"hung\""},
+		{"share = 0.2", "share = 2.0", "share: want 0 to 1"},
+		{"decider = \"even\"", "decider = \"odd\"", "variant even: decider"},
+		{"name = \"calm\"", "", "scenario 1: name is missing"},
+	} {
+		if _, err := ParsePlan([]byte(strings.Replace(smallPlan, x.old, x.new, 1))); err == nil || !strings.Contains(err.Error(), x.want) {
+			t.Errorf("%s: %v, want %s", x.new, err, x.want)
+		}
+	}
+}
--- a/internal/load/proxy.go
+++ b/internal/load/proxy.go
@@ -14,221 +14,214 @@
 	"zincloft.example/zincloft/internal/resp"
 )
 
-// proxy is one stream and the flows behind it.
+// Bounds of a message to a proxy.
+const (
+	maxMessageBytes    = 64 << 20
+	maxMessageElements = 64
+)
+
+// detectedPercent is the percentage of the proxies at which the replica that hangs must have lost most of its weight.
+const detectedPercent = 99
+
+// proxy is one stream to the governor, and the flows behind it.
 type proxy struct {
-	play    *play
+	site    *site
 	id      int
 	conn    net.Conn
-	held    atomic.Int32 // 1 from its first table on
-	part    bool         // of the 1%
-	chance  *rand.Rand
-	writing sync.Mutex
-
-	mu      sync.Mutex
-	weights []float32
-	shut    map[int]bool
-	isDown  bool
-	before  float32 // weight of the replica that is to swallow, before it does
-	seq     int
-
-	tries, drops []int // since the last batch
-	late         [][2]int
+	writing sync.Mutex  // one message at a time
+	bound   atomic.Bool // has held a table
+	random  *rand.Rand  // of the goroutine that generates flows
+
+	mu           sync.Mutex // guards the fields below
+	weights      []float32  // by replica
+	ejected      map[int]bool
+	hangSeen     bool    // the replica that hangs has lost most of its weight here
+	weightBefore float32 // of the replica that is to hang, before it does
+
+	// Of the goroutine that generates flows.
+	attempts   []int // by replica, since the last batch
+	failures   []int
+	unanswered []int // replicas of the attempts that will have failed by the next second
 }
 
-func (x *proxy) write(words ...string) error {
-	x.writing.Lock()
-	defer x.writing.Unlock()
-	_, err := x.conn.Write(message(nil, words...))
+// connectProxies connects all proxies, which register with a standing table only.
+func (s *site) connectProxies(ctx context.Context) ([]*proxy, error) {
+	proxies := make([]*proxy, s.plan.Proxies)
+	for id := range proxies {
+		conn, err := dial(ctx, s.address)
+		if err != nil {
+			return nil, fmt.Errorf("proxy %d: %w", id, err)
+		}
+		p := &proxy{
+			site:     s,
+			id:       id,
+			conn:     conn,
+			random:   rand.New(rand.NewPCG(s.plan.Seed, uint64(id))),
+			weights:  make([]float32, s.plan.Replicas),
+			attempts: make([]int, s.plan.Replicas),
+			failures: make([]int, s.plan.Replicas),
+		}
+		proxies[id] = p
+		go p.readMessages()
+		err = p.write("attach", "sidecar", strconv.Itoa(id), "az", zoneName(id%s.plan.Zones), "share", fmt.Sprint(s.plan.FlowRate), "standing", "1")
+		if err != nil {
+			return nil, fmt.Errorf("proxy %d: %w", id, err)
+		}
+	}
+	return proxies, ctx.Err()
+}
+
+func (p *proxy) close() { closeQuietly(p.conn) }
+
+func (p *proxy) write(words ...string) error {
+	p.writing.Lock()
+	defer p.writing.Unlock()
+	_, err := p.conn.Write(resp.Append(nil, words...))
 	return err
 }
 
-// read does as the governor orders.
-func (x *proxy) read() {
-	in := resp.NewReader(x.conn, 64<<20, 64)
+// currentWeights is a copy of the proxy's table.
+func (p *proxy) currentWeights() []float32 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return append([]float32(nil), p.weights...)
+}
+
+// readMessages applies what the governor orders, and acknowledges it, until the stream ends.
+func (p *proxy) readMessages() {
+	reader := resp.NewReader(p.conn, maxMessageBytes, maxMessageElements)
 	for {
-		words, err := in.NextStrings()
+		words, err := reader.NextStrings()
 		if err != nil {
 			return
 		}
 		if words[0] != "assign" {
 			continue
 		}
-		f := map[string]string{}
+		fields := map[string]string{}
 		for i := 1; i+1 < len(words); i += 2 {
-			f[words[i]] = words[i+1]
+			fields[words[i]] = words[i+1]
+		}
+		p.apply(fields)
+		version, lastPart := fields["nonce_out"], fields["continued"] == ""
+		if version == "" || !lastPart {
+			continue
 		}
-		x.apply(f)
-		if f["nonce_out"] != "" && f["continued"] == "" {
-			if x.write("done", "sidecar", strconv.Itoa(x.id), "version", f["nonce_out"], "lag_ms", "1.0") != nil {
-				return
-			}
+		if p.write("done", "sidecar", strconv.Itoa(p.id), "version", version, "lag_ms", "1.0") != nil {
+			return
 		}
 	}
 }
 
-func (x *proxy) apply(f map[string]string) {
-	p, now := x.play, x.play.since()
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if f["full"] == "1" {
-		clear(x.weights)
-	}
-	cut, drained := 0, false
-	for l := range strings.SplitSeq(f["endpoints"], ",") {
-		name, text, ok := strings.Cut(l, ":")
+// tableChange is what a message has changed of a table, as far as a run measures it.
+type tableChange struct {
+	cuts         int  // weights of healthy replicas that fell below a quarter
+	drained      bool // the replica that drains was taken out
+	hangDetected bool // the replica that hangs has lost most of its weight with this message
+}
+
+// apply applies a message and measures it.
+func (p *proxy) apply(fields map[string]string) {
+	s, now := p.site, p.site.elapsed()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if fields["full"] == "1" {
+		clear(p.weights)
+	}
+	change := p.updateWeights(fields["endpoints"], now)
+	drainTold := s.drainTold.Load()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.result.Messages++
+	s.result.WeightCuts += change.cuts
+	if change.drained && drainTold > 0 {
+		delay := time.Duration(time.Now().UnixNano() - drainTold)
+		_ = s.drainDelays.RecordValue(delay.Microseconds()) // fails beyond the histogram's range only, which no run reaches
+	}
+	if change.hangDetected {
+		s.hangSeen++
+		if s.hangSeen == percentOf(s.plan.Proxies, detectedPercent) {
+			s.result.HangDetectedAfter = now - s.plan.HangAt
+		}
+	}
+	p.applyEjections(fields["eject"], true, now)
+	p.applyEjections(fields["restore"], false, now)
+}
+
+// percentOf is a percentage of a number, rounded up.
+func percentOf(n, percent int) int { return (n*percent + 99) / 100 }
+
+// updateWeights sets the weights that a message names. The proxy's mutex must be held.
+func (p *proxy) updateWeights(endpoints string, now time.Duration) tableChange {
+	plan := p.site.plan
+	var change tableChange
+	for endpoint := range strings.SplitSeq(endpoints, ",") {
+		name, text, ok := strings.Cut(endpoint, ":")
 		if !ok {
 			continue
 		}
-		r, _ := strconv.Atoi(name[2:])
-		w, _ := strconv.ParseFloat(text, 32)
-		was := x.weights[r]
-		x.weights[r] = float32(w)
-		ill := r == 0 && now > p.HangAt || r == 1 && now > p.DrainAt
-		if now > 0 && !ill && w < float64(was)/4 {
-			cut++
+		id := replicaNumber(name)
+		weight, _ := strconv.ParseFloat(text, 32)
+		before := p.weights[id]
+		p.weights[id] = float32(weight)
+		faulty := id == hangingReplica && now > plan.HangAt || id == drainingReplica && now > plan.DrainAt
+		if now > 0 && !faulty && weight < float64(before)/4 {
+			change.cuts++
 		}
-		drained = drained || r == 1 && w == 0 && was > 0 && now > p.DrainAt
-	}
-	total := float32(0)
-	for _, w := range x.weights {
-		total += w
-	}
-	if now < p.HangAt {
-		x.before = x.weights[0]
-	}
-	wasDown := x.isDown
-	x.isDown = now > p.HangAt && x.weights[0] <= x.before/4
-	if total > 0 {
-		x.held.Store(1)
-	}
-	told := p.told.Load()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.result.Messages++
-	p.result.Cut += cut
-	if drained && told > 0 {
-		_ = p.drains.RecordValue((time.Now().UnixNano() - told) / 1000) // within a minute, as all runs are
-	}
-	if x.isDown && !wasDown && now > p.HangAt {
-		if p.down++; p.down == (p.Proxies*99+99)/100 {
-			p.result.Down = now - p.HangAt
+		if id == drainingReplica && weight == 0 && before > 0 && now > plan.DrainAt {
+			change.drained = true
 		}
 	}
-	for _, kind := range []string{"eject", "restore"} {
-		for name := range strings.SplitSeq(f[kind], ",") {
-			if name == "" {
-				continue
-			}
-			r, _ := strconv.Atoi(name[2:])
-			if x.shut == nil {
-				x.shut = map[int]bool{}
-			}
-			if x.shut[r] = kind == "eject"; kind != "eject" {
-				continue
-			}
-			if r == 2 && x.part && now > p.PartAt {
-				if p.result.PartRight++; p.result.Part == 0 {
-					p.result.Part = now - p.PartAt
-				}
-			} else {
-				p.result.PartWrong++
-			}
-		}
+	if p.totalWeight() > 0 {
+		p.bound.Store(true)
 	}
-}
-
-// flows picks replicas by the table, a second's flows at a time, and tells what was met.
-func (x *proxy) flows(ctx context.Context) {
-	p := x.play
-	from := time.Duration(x.chance.Int64N(int64(time.Second)))
-	if p.Phase == 0 {
-		from = 0
-	}
-	sums := &p.met[x.id%p.Zones]
-	for n := 0; p.wait(ctx, p.until(from+time.Duration(n)*time.Second)); n++ {
-		count := int(p.Rate)
-		x.pick(sums, count)
-		if n > 0 && p.Met {
-			x.tell(n)
-		}
-		if err := x.write("client_stats", "sidecar", strconv.Itoa(x.id), "kind", []string{"look", "edit", "pay"}[n%3], "n", strconv.Itoa(count), "bad", "0", "window", "1000.0"); err != nil {
-			return
-		}
-		if now := p.since(); p.Flood && x.id == 0 && now > p.DrainAt-3*time.Second && now < p.DrainAt+3*time.Second {
-			x.flood()
-		}
+	if now < plan.HangAt {
+		p.weightBefore = p.weights[hangingReplica]
 	}
+	seenBefore := p.hangSeen
+	p.hangSeen = now > plan.HangAt && p.weights[hangingReplica] <= p.weightBefore/4
+	change.hangDetected = p.hangSeen && !seenBefore
+	return change
 }
 
-func (x *proxy) pick(sums *zoneSums, count int) {
-	now := x.play.since()
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	sums.mu.Lock()
-	defer sums.mu.Unlock()
-	for _, l := range x.late { // those that were swallowed a second ago are dropped by now
-		sums.tries[l[0]] += l[1]
-		sums.drops[l[0]] += l[1]
-		x.tries[l[0]] += l[1]
-		x.drops[l[0]] += l[1]
-	}
-	x.late = x.late[:0]
+// totalWeight is the sum of all weights, those of ejected replicas included. The mutex must be held.
+func (p *proxy) totalWeight() float32 {
 	total := float32(0)
-	for r, w := range x.weights {
-		if !x.shut[r] {
-			total += w
-		}
-	}
-	for range count {
-		at := x.chance.Float32() * total
-		for r, w := range x.weights {
-			if x.shut[r] {
-				continue
-			}
-			if at -= w; at > 0 {
-				continue
-			}
-			if r == 0 && now > x.play.HangAt || r == 2 && x.part && now > x.play.PartAt {
-				x.late = append(x.late, [2]int{r, 1})
-			} else {
-				sums.tries[r]++
-				x.tries[r]++
-			}
-			break
-		}
+	for _, weight := range p.weights {
+		total += weight
 	}
+	return total
 }
 
-func (x *proxy) tell(seq int) {
-	var records []string
-	for r, n := range x.tries {
-		if n > 0 {
-			records = append(records, fmt.Sprintf("%s:%d:%d:%.1f", x.play.names[r], n, x.drops[r], 50.0))
+// applyEjections ejects or restores the replicas of a list for this proxy, and counts ejections as right or wrong. Both the
+// proxy's and the site's mutex must be held.
+func (p *proxy) applyEjections(names string, eject bool, now time.Duration) {
+	s := p.site
+	for name := range strings.SplitSeq(names, ",") {
+		if name == "" {
+			continue
 		}
-		x.tries[r], x.drops[r] = 0, 0
-	}
-	if len(records) > 0 {
-		_ = x.write("met", "sidecar", strconv.Itoa(x.id), "seq", strconv.Itoa(seq), "sent", strconv.FormatInt(time.Now().UnixMilli(), 10),
-			"age", "0", "window", "1000", "records", strings.Join(records, ",")) // a broken stream shows at the next write
-	}
-}
-
-// flood writes reports as fast as they are taken, for a second.
-func (x *proxy) flood() {
-	var b []byte
-	for i := range 200 {
-		if x.play.Met {
-			b = message(b, "met", "sidecar", strconv.Itoa(x.id), "seq", strconv.Itoa(1000+i), "window", "1000", "records", "r-0005:1:1:0,r-0006:1:1:0")
+		id := replicaNumber(name)
+		if p.ejected == nil {
+			p.ejected = map[int]bool{}
 		}
-		b = message(b, "client_stats", "sidecar", strconv.Itoa(x.id), "kind", "look", "n", "1", "bad", "0", "window", "1000.0")
-	}
-	x.writing.Lock()
-	defer x.writing.Unlock()
-	_ = x.conn.SetWriteDeadline(time.Now().Add(900 * time.Millisecond))
-	for {
-		if _, err := x.conn.Write(b); err != nil {
-			break
+		p.ejected[id] = eject
+		if !eject {
+			continue
+		}
+		if id != partialReplica || !isPartial(p.id) || now <= s.plan.PartialAt {
+			s.result.WrongEjections++
+			continue
+		}
+		s.result.PartialEjections++
+		if s.result.PartialDetectedAfter == 0 {
+			s.result.PartialDetectedAfter = now - s.plan.PartialAt
 		}
 	}
-	_ = x.conn.SetWriteDeadline(time.Time{})
+}
+
+// replicaNumber is the number in a name of replicaName.
+func replicaNumber(name string) int {
+	id, _ := strconv.Atoi(strings.TrimPrefix(name, replicaPrefix)) // governors name only replicas that discovery listed
+	return id
 }
