--- a/internal/emulate/replica.go
+++ b/internal/emulate/replica.go
@@ -6,140 +6,151 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// outcome is what became of a try.
-type outcome int
-
 const (
-	good    outcome = iota
-	failed          // an answer, but a bad one: it ran
-	full            // no connection to be had: it never ran
-	unheard         // nobody there: it never ran
-	reset           // the connection broke: it may have run
-	silent          // no answer in time: it may have run
+	// errorResponseTime is how long a faulty replica takes to answer badly.
+	errorResponseTime = 2 * time.Millisecond
+	// reportNoise is the standard deviation of a reported utilization, relative to the true one.
+	reportNoise = 0.08
 )
 
-// try is one sending of a flow to a replica.
-type try struct {
-	flow    *flow
-	proxy   *proxy
-	replica *replica
-	sent    rules.Time
-	work    float64    // seconds of a core at speed 1
-	begun   rules.Time // of the work
-	running bool
-	waiting bool
-	over    bool // answered, given up or lost
-	fails   bool // it will be answered badly
-	life    int  // of the replica that took it
-}
-
-// replica is a machine that does work: so many cores at a speed, and one queue in the order of arrival.
+// replica is a machine that serves flows: some cores of a speed, and one queue in the order of arrival.
 type replica struct {
-	w       *World
-	id      rules.ReplicaID
-	zone    int
-	kind    int
-	cores   int
-	speed   float64
-	started rules.Time // 0: long ago
-	state   rules.State
-	up      bool
-	fallen  bool // pushed over while cold: it stays down
-	life    int
-
-	hung, errors, slow, stolen, liar float64 // by troubles: swallows; share that fails; times slower; share of cores; reports nought
-	partial                          float64 // share of proxies whose flows fail
-
-	queue []*try
-	busy  int // cores
-
-	links int // connections that are open
-
-	busyFor float64 // core seconds since the last report
-	busyAt  rules.Time
-	report  rules.LoadReport
-	told    bool // there is a report
-
-	came [fallParts]float64 // work that came, by part of FallAfter
-	can  [fallParts]float64 // work that it could do meanwhile
-	part int64
-}
-
-// fallParts is how finely the load of a cold replica is watched.
-const fallParts = 20
-
-func (w *World) add(zone, kind int, started rules.Time) *replica {
-	k := w.fleet.Kinds[kind]
-	r := &replica{w: w, id: rules.ReplicaID(len(w.replicas)), zone: zone, kind: kind, cores: k.Cores, speed: k.Speed, started: started,
-		state: rules.Ready, up: true, slow: 1, busyAt: w.now}
-	w.replicas = append(w.replicas, r)
-	r.renew()
+	sim         *Simulation
+	id          rules.ReplicaID
+	zone        int
+	kind        int // index into the fleet's kinds
+	cores       int
+	speed       float64
+	startedAt   rules.Time // 0: long ago
+	state       rules.State
+	up          bool
+	incarnation int  // changes at each crash
+	overloaded  bool // crashed by overload while it warmed up: it stays down
+
+	disturbances
+
+	queue       []*attempt
+	busy        int // cores
+	connections int // open ones, of all proxies
+
+	busySeconds float64    // of cores, since busySince
+	busySince   rules.Time // of the last load report
+	report      rules.LoadReport
+	hasReport   bool
+
+	overloadWindow
+}
+
+// disturbances are what faults do to a replica. Their rest state is undisturbed.
+type disturbances struct {
+	hung         float64 // above 0: receives attempts and answers none
+	errorShare   float64 // of the attempts, answered badly
+	slowdown     float64 // factor
+	stolenShare  float64 // of each core, used by another program
+	falseReports float64 // above 0: reports no load
+	partialShare float64 // of the proxies, whose attempts are answered badly
+}
+
+var undisturbed = disturbances{slowdown: 1}
+
+// addReplica starts a replica and returns it. Discovery does not know of it yet.
+func (sim *Simulation) addReplica(zone, kind int, startedAt rules.Time) *replica {
+	machine := sim.fleet.Kinds[kind]
+	r := &replica{
+		sim:          sim,
+		id:           rules.ReplicaID(len(sim.replicas)),
+		zone:         zone,
+		kind:         kind,
+		cores:        machine.Cores,
+		speed:        machine.Speed,
+		startedAt:    startedAt,
+		state:        rules.Ready,
+		up:           true,
+		disturbances: undisturbed,
+		busySince:    sim.now,
+	}
+	sim.replicas = append(sim.replicas, r)
+	r.scheduleReport()
 	return r
 }
 
-// renew writes a load report at intervals.
-func (r *replica) renew() {
-	life := r.life
-	r.w.in(r.w.between(r.w.fleet.ReportEach/2, r.w.fleet.ReportEach*3/2), func() {
-		if r.life != life || r.state == rules.Deregistered {
+// scheduleReport renews the replica's load report at intervals, as long as it lives.
+func (r *replica) scheduleReport() {
+	incarnation := r.incarnation
+	interval := r.sim.fleet.LoadReportInterval
+	r.sim.schedule(r.sim.uniform(interval/2, interval*3/2), func() {
+		if r.incarnation != incarnation || r.state == rules.Deregistered {
 			return
 		}
-		util := 0.0
-		if span := time.Duration(r.w.now - r.busyAt).Seconds(); span > 0 {
-			util = min(r.busyFor/span/float64(r.cores)+r.stolen, 1)
-		}
-		noise := 1 + 0.08*r.w.chance.NormFloat64()
-		r.report = rules.LoadReport{Utilization: min(max(util*noise, 0), 1), InFlight: float64(r.busy + len(r.queue)), ServiceTime: rules.Absent, Rate: rules.Absent}
-		if r.liar > 0 {
-			r.report.Utilization, r.report.InFlight = 0, 0
-		}
-		r.told, r.busyFor, r.busyAt = true, 0, r.w.now
-		r.renew()
+		r.renewReport()
+		r.scheduleReport()
 	})
 }
 
-// warmth is the share of its capacity that a replica has.
+// renewReport reports the utilization since the last report, with noise, and the attempts at the replica.
+func (r *replica) renewReport() {
+	utilization := 0.0
+	if span := time.Duration(r.sim.now - r.busySince).Seconds(); span > 0 {
+		utilization = min(r.busySeconds/span/float64(r.cores)+r.stolenShare, 1)
+	}
+	noise := 1 + reportNoise*r.sim.randomStream.NormFloat64()
+	r.report = rules.LoadReport{
+		Utilization: min(max(utilization*noise, 0), 1),
+		InFlight:    float64(r.busy + len(r.queue)),
+		ServiceTime: rules.Absent,
+		Rate:        rules.Absent,
+	}
+	if r.falseReports > 0 {
+		r.report.Utilization, r.report.InFlight = 0, 0
+	}
+	r.hasReport, r.busySeconds, r.busySince = true, 0, r.sim.now
+}
+
+// warmth is the share of its speed that a replica has: it rises linearly while it warms up.
 func (r *replica) warmth() float64 {
-	f := r.w.fleet
-	if r.started == 0 {
+	fleet := r.sim.fleet
+	if r.startedAt == 0 {
 		return 1
 	}
-	return min(f.ColdFrom+(1-f.ColdFrom)*float64(r.w.now-r.started)/float64(f.WarmAfter), 1)
+	rise := (1 - fleet.WarmupInitialShare) * float64(r.sim.now-r.startedAt) / float64(fleet.WarmupDuration)
+	return min(fleet.WarmupInitialShare+rise, 1)
 }
 
-func (r *replica) cold() bool {
-	return r.started != 0 && r.w.now-r.started < rules.Time(r.w.fleet.WarmAfter)
+func (r *replica) isWarmingUp() bool {
+	return r.startedAt != 0 && r.sim.now-r.startedAt < rules.Time(r.sim.fleet.WarmupDuration)
 }
 
-// pace is the work that one core does in a second.
-func (r *replica) pace() float64 { return r.speed * r.warmth() / r.slow * (1 - r.stolen) }
+// coreRate is the work that one core does in a second, in seconds of a core at speed 1.
+func (r *replica) coreRate() float64 {
+	return r.speed * r.warmth() / r.slowdown * (1 - r.stolenShare)
+}
 
-// take takes a try in from the network.
-func (r *replica) take(t *try) {
-	w := r.w
-	t.life = r.life
+// receive takes an attempt from the network: it is answered badly, refused, swallowed or queued.
+func (r *replica) receive(t *attempt) {
+	sim := r.sim
+	t.replicaIncarnation = r.incarnation
 	if !r.up {
-		r.answer(t, unheard)
+		r.respond(t, unreachable)
 		return
 	}
 	if r.hung > 0 {
-		return // nothing comes, ever
+		return
 	}
-	if r.errors > 0 && w.chance.Float64() < r.errors || r.partial > 0 && t.proxy.lot < r.partial {
-		w.in(2*time.Millisecond, func() { r.answer(t, failed) })
+	if r.answersBadly(t) {
+		sim.schedule(errorResponseTime, func() { r.respond(t, answeredBadly) })
 		return
 	}
-	if !t.proxy.link(r) {
-		if float64(r.links) >= float64(w.fleet.Links*r.cores) {
-			r.answer(t, full)
+	if !t.proxy.useConnection(r) {
+		if r.connections >= sim.fleet.MaxConnectionsPerCore*r.cores {
+			r.respond(t, connectionRefused)
 			return
 		}
-		t.proxy.open(r)
-		t.work += w.fleet.Handshake.Seconds() * r.speed
+		t.proxy.openConnection(r)
+		t.work += sim.fleet.HandshakeWork.Seconds() * r.speed
 	}
-	w.watch.came(r, t.work)
-	if !r.up { // that was too much
-		r.answer(t, reset)
+	sim.monitor.recordWarmupWork(r, t.work)
+	if !r.up { // that work has pushed it over
+		r.respond(t, connectionReset)
 		return
 	}
 	t.waiting = true
@@ -147,89 +158,98 @@
 	r.serve()
 }
 
-// serve begins work on what waits, as cores come free.
+// answersBadly draws whether a fault of the replica hits an attempt.
+func (r *replica) answersBadly(t *attempt) bool {
+	return r.errorShare > 0 && r.sim.randomStream.Float64() < r.errorShare || r.partialShare > 0 && t.proxy.selector < r.partialShare
+}
+
+// serve starts queued attempts while cores are free.
 func (r *replica) serve() {
 	for r.up && r.hung == 0 && r.busy < r.cores && len(r.queue) > 0 {
 		t := r.queue[0]
 		r.queue[0] = nil
 		r.queue = r.queue[1:]
-		if t.over {
-			continue
+		if !t.done {
+			r.run(t)
+		}
+	}
+}
+
+// run occupies a core with an attempt until its work is done.
+func (r *replica) run(t *attempt) {
+	t.waiting, t.running = false, true
+	t.startedAt = r.sim.now
+	r.busy++
+	incarnation := r.incarnation
+	r.sim.schedule(time.Duration(t.work/r.coreRate()*float64(time.Second)), func() {
+		if r.incarnation != incarnation || !t.running {
+			return
 		}
-		t.waiting, t.running = false, true
-		r.busy++
-		took := time.Duration(t.work / r.pace() * float64(time.Second))
-		life, from := r.life, r.w.now
-		r.w.in(took, func() {
-			if r.life != life || !t.running {
-				return
-			}
-			r.stop(t, from)
-			t.flow.ran++
-			r.w.watch.effect(t)
-			r.answer(t, good)
-		})
-		t.begun = from
-	}
-}
-
-// stop frees the core of a try.
-func (r *replica) stop(t *try, from rules.Time) {
+		r.release(t)
+		t.flow.effects++
+		r.sim.monitor.checkEffects(t)
+		r.respond(t, succeeded)
+	})
+}
+
+// release frees the core of an attempt for the next one.
+func (r *replica) release(t *attempt) {
 	t.running = false
 	r.busy--
-	r.busyFor += time.Duration(r.w.now - from).Seconds()
+	r.busySeconds += time.Duration(r.sim.now - t.startedAt).Seconds()
 	r.serve()
 }
 
-// cancel ends the work on a try that nobody waits for any more.
-func (r *replica) cancel(t *try) {
-	if t.running && r.life == t.life {
-		r.stop(t, t.begun)
+// cancel ends the work on an attempt that nobody waits for any more. The queue passes over one that has not started.
+func (r *replica) cancel(t *attempt) {
+	if t.running && r.incarnation == t.replicaIncarnation {
+		r.release(t)
 	}
-	t.waiting = false // the queue passes over it
+	t.waiting = false
 }
 
-// answer sends word of a try back.
-func (r *replica) answer(t *try, o outcome) {
-	took, cut := r.w.way(r.zone, t.proxy.zone)
-	if cut {
+// respond sends the outcome of an attempt to its proxy. If the replica crashes while an answer is under way, the connection
+// is reset instead; if a zone is partitioned, the proxy hears nothing.
+func (r *replica) respond(t *attempt, outcome attemptOutcome) {
+	delay, partitioned := r.sim.networkDelay(r.zone, t.proxy.zone)
+	if partitioned {
 		return
 	}
-	life := r.life
-	r.w.in(took, func() {
-		if o == good && r.life != life {
-			o = reset
+	incarnation := r.incarnation
+	r.sim.schedule(delay, func() {
+		if outcome == succeeded && r.incarnation != incarnation {
+			outcome = connectionReset
 		}
-		t.proxy.hear(t, o)
+		t.proxy.handleOutcome(t, outcome)
 	})
 }
 
-// die takes a replica down: what it had under way is reset, or never heard of again where it vanishes.
-func (r *replica) die(vanish bool) {
+// crash takes a replica down. Its connections are reset; where it vanishes silently, proxies hear nothing.
+func (r *replica) crash(silently bool) {
 	if !r.up {
 		return
 	}
 	r.up = false
-	r.life++
-	r.queue, r.busy, r.busyFor, r.told, r.links = nil, 0, 0, false, 0
-	for _, p := range r.w.proxies {
-		delete(p.links, r.id)
+	r.incarnation++
+	r.queue, r.busy, r.busySeconds, r.hasReport, r.connections = nil, 0, 0, false, 0
+	for _, p := range r.sim.proxies {
+		delete(p.connections, r.id)
 	}
-	if vanish {
+	if silently {
 		return
 	}
-	for _, p := range r.w.proxies {
-		p.lost(r)
+	for _, p := range r.sim.proxies {
+		p.resetAttempts(r)
 	}
 }
 
-// back starts a replica that was down, cold.
-func (r *replica) back() {
-	if r.up || r.fallen || r.state == rules.Deregistered {
+// restart starts a replica that was down: it warms up again.
+func (r *replica) restart() {
+	if r.up || r.overloaded || r.state == rules.Deregistered {
 		return
 	}
-	r.up, r.started = true, r.w.now
-	r.came, r.can = [fallParts]float64{}, [fallParts]float64{}
-	r.renew()
-	r.w.list.change(r)
+	r.up, r.startedAt = true, r.sim.now
+	r.arrivedWork, r.possibleWork = [overloadWindowParts]float64{}, [overloadWindowParts]float64{}
+	r.scheduleReport()
+	r.sim.discovery.update(r)
 }
