--- a/controlplane/coordinator/persistence.go
+++ b/controlplane/coordinator/persistence.go
@@ -23,7 +23,7 @@
 	hintsWriteInterval = time.Second
 )
 
-// What Actions.DiskHealth may hold beside the problem that StatePersisted was told.
+// Values of Actions.DiskHealth, beside the problem that was passed to StatePersisted.
 const (
 	DiskHealthy = "healthy"
 	diskSlow    = "slow"
@@ -48,7 +48,7 @@
 	Instances() []registry.Instance
 }
 
-// DecodePersistentState decodes what Actions.StateToPersist held.
+// DecodePersistentState decodes the bytes of an Actions.StateToPersist.
 func DecodePersistentState(raw []byte) (PersistentState, error) {
 	var state PersistentState
 	if err := cbor.Unmarshal(raw, &state); err != nil {
@@ -69,13 +69,13 @@
 		return
 	}
 	s.DiskID = initialDiskID(address)
-	if view := InitialView(seeds); view.HasVoter(s.DiskID) {
+	if view := initialView(seeds); view.HasVoter(s.DiskID) {
 		s.View.View = view
 	}
 }
 
-// InitialView is the view with which a system starts for the first time: its seeds, in order of their addresses.
-func InitialView(addresses []string) membership.View {
+// initialView is the view with which a system starts for the first time: its seeds, in order of their addresses.
+func initialView(addresses []string) membership.View {
 	view := membership.View{Number: 1}
 	for _, address := range slices.Compact(slices.Sorted(slices.Values(addresses))) {
 		id := initialDiskID(address)
@@ -141,7 +141,7 @@
 	return cbor.Marshal(PersistentState{
 		DiskID:     c.membership.Self().ID,
 		View:       c.membership.State(),
-		Register:   c.chain.Held(),
+		Register:   c.chain.Latest(),
 		SyncedView: c.chain.SyncedView(),
 		Instances:  c.persistence.hints.Instances(),
 	})
--- a/controlplane/coordinator/read.go
+++ b/controlplane/coordinator/read.go
@@ -36,8 +36,8 @@
 		c.reads[id] = &pendingRead{
 			confirmations: map[string]bool{},
 			viewNumber:    view.Number,
-			sequence:      c.chain.Held().Sequence,
-			deadline:      now + RequestTimeout,
+			sequence:      c.chain.Latest().Sequence,
+			deadline:      now + requestTimeout,
 		}
 	}
 	return id, c.takeActions(now)
--- a/controlplane/weighting/manager.go
+++ b/controlplane/weighting/manager.go
@@ -2,8 +2,8 @@
 // with registered instances and with the gateways' load reports, and hands their tables to the gateways. It is free of I/O and decides
 // nothing itself; it translates.
 //
-// Load is known at second hand: a gateway reports what each replica that answered it told of its load. A replica that no gateway of this
-// member has met counts as busy as the fleet, and so does one that tells no load. Members do not exchange tables or load: each serves
+// Load is known at second hand: a gateway relays the load that each replica reports in its responses. A replica that no gateway of this
+// member has met counts as busy as the fleet, and so does one that reports no load. Members do not exchange tables or load: each serves
 // the gateways of its zone, whose requests stay there while there is capacity, so its own gateways meet the replicas that matter to them;
 // where requests overflow to another zone, their reports tell of the replicas there.
 package weighting
@@ -88,7 +88,7 @@
 	m.services[name] = started
 	events := []rules.Event{
 		rules.Start{Seed: m.options.RandomSeed, Settings: m.governorSettings(config, name, gatewayCount)},
-		rules.List{Scope: rules.Whole},
+		rules.List{Scope: rules.Full},
 	}
 	for _, gateway := range slices.Sorted(maps.Keys(m.joined)) {
 		joined := m.joined[gateway]
@@ -117,7 +117,7 @@
 	}
 }
 
-// listEntry is an instance as a governor is told of it.
+// listEntry is an instance as a governor's instance list has it.
 func (m *Manager) listEntry(now time.Duration, id rules.ReplicaID, instance registry.Instance) rules.Entry {
 	entry := rules.Entry{
 		Replica: id,
@@ -127,7 +127,7 @@
 	}
 	switch {
 	case instance.Deregistered:
-		entry.State = rules.Gone
+		entry.State = rules.Deregistered
 	case instance.Draining || instance.HeartbeatTimedOut:
 		entry.State = rules.Draining
 	}
@@ -142,7 +142,7 @@
 	m.RemoveGateway(now, gateway)
 	m.nextProxyID++
 	id := m.nextProxyID
-	joined := rules.Joined{Proxy: id, Zone: m.zoneIDs[zone], Rate: 1, Fresh: true}
+	joined := rules.Joined{Proxy: id, Zone: m.zoneIDs[zone], FlowRate: 1, Fresh: true}
 	m.proxyIDs[gateway] = id
 	m.gatewayByProxy[id] = gateway
 	m.pendingWeights[gateway] = map[string]float64{}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -14,6 +14,7 @@
 	"zincloft.example/zincloft/internal/collectd"
 )
 
+// operatorFileOf writes an operator file and returns its path.
 func operatorFileOf(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.toml")
@@ -23,7 +24,7 @@
 	return path
 }
 
-// TestOperatorDefaults has the file that is kept in deploy hold each key at its default.
+// TestOperatorDefaults checks that the file in deploy has every key, at its default.
 func TestOperatorDefaults(t *testing.T) {
 	kept, err := ReadOperator("../../deploy/operator.toml")
 	if err != nil {
@@ -52,8 +53,8 @@
 	}
 }
 
-// TestOperatorFaults names key and line of whatever can't be meant.
-func TestOperatorFaults(t *testing.T) {
+// TestOperatorErrors has faults that are reported by key and line.
+func TestOperatorErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"[intake]\nreports = \"all\"":                               ":2: intake.reports: want",
 		"\n[intake]\nreprots = \"off\"":                             ":3: intake.reprots: no such key",
@@ -89,7 +90,7 @@
 	}
 }
 
-// TestIntakeSettings derives the budget from the machine, unless the file sets it.
+// TestIntakeSettings derives the budget from the limits of the machine, unless the file sets it.
 func TestIntakeSettings(t *testing.T) {
 	c := Config{Seed: 5, Limits: Limits{Cores: 1, MemoryMB: 192}}
 	c.Settings.Period = time.Second
@@ -98,7 +99,7 @@
 		t.Fatal(err)
 	}
 	got := c.IntakeSettings()
-	if got.Budget != 49152 || got.Pairs != 49152 || !got.MakeSums || got.HalfLife != time.Second || got.Seed != 5 {
+	if got.Budget != 49152 || got.MaxPairs != 49152 || !got.MakeStats || got.HalfLife != time.Second || got.Seed != 5 {
 		t.Errorf("%+v", got)
 	}
 	c.Limits.Cores, c.Settings.Period = 0.1, 2*time.Second
@@ -106,7 +107,7 @@
 		t.Errorf("a tenth of a core: %+v", got)
 	}
 	c.Operator.Intake.RecordsPerSecond, c.Operator.Intake.MaxPairs = 100, 7
-	if got := c.IntakeSettings(); got.Budget != 200 || got.Pairs != 7 {
+	if got := c.IntakeSettings(); got.Budget != 200 || got.MaxPairs != 7 {
 		t.Errorf("set: %+v", got)
 	}
 	if got := c.StreamBytesPerSecond(); got != 64<<10 {
@@ -117,7 +118,7 @@
 	}
 }
 
-// TestCollectdMapping reads hosts and figures, with what is left out at its default.
+// TestCollectdMapping reads hosts and mappings, with defaults for what is left out.
 func TestCollectdMapping(t *testing.T) {
 	o, err := ReadOperator(operatorFileOf(t, `[collectd]
 listen = "127.0.0.1:25826"
@@ -142,7 +143,7 @@
 	}
 	want := CollectdOptions{Listen: "127.0.0.1:25826", AllowedSources: []netip.Prefix{netip.MustParsePrefix("10.1.2.3/32"), netip.MustParsePrefix("10.2.0.0/16")},
 		PacketsPerSecond: 2000, ReplicaByHost: map[string]string{"web-1.example": "s-1"}, Mappings: []collectd.Mapping{
-			{Figure: intake.Util, Plugin: "cpu", Type: "percent", TypeInstance: "idle", Scale: -0.01, Offset: 1},
+			{Figure: intake.Utilization, Plugin: "cpu", Type: "percent", TypeInstance: "idle", Scale: -0.01, Offset: 1},
 			{Figure: intake.LatencyMS, Plugin: "http", Type: "response_time", Value: 2, Scale: 1}}}
 	if d := cmp.Diff(want, o.Collectd, cmp.Comparer(func(a, b netip.Prefix) bool { return a == b })); d != "" {
 		t.Error(d)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -24,20 +24,21 @@
 	"zincloft.example/zincloft/rules"
 )
 
+// conf returns a configuration of three proxies, two groups and two replicas.
 func conf() config.Config {
 	return config.Config{Name: "n0", Limits: config.Limits{Cores: 1, MemoryMB: 192}, Discovery: "127.0.0.1:0",
 		Known: []byte(`{"version":1,"full":true,"servers":[{"id":"r1","zone":"a","state":"ready"},{"id":"r2","zone":"a","state":"ready"}]}`),
 		Settings: config.Settings{Zones: []string{"a"}, Tick: 4 * time.Millisecond, Settings: rules.Settings{
 			Groups:    []rules.TrafficGroup{{Name: "look", LatencyBudget: time.Second}, {Name: "edit", LatencyBudget: 2 * time.Second}},
-			Governors: 1, Proxies: 3, Zones: 1, Period: time.Second, LinePace: 1000, LineCap: 2000, HeadLines: 6,
-			MessageSpan: 10 * time.Second, MessageCap: 20, DrainGrace: 3 * time.Second, WarmAfter: 18 * time.Second, ColdFrom: 0.2}},
+			Governors: 1, Proxies: 3, Zones: 1, Period: time.Second, EntryRate: 1000, EntryCapacity: 2000, MessageEntries: 6,
+			MessageSpan: 10 * time.Second, MessageLimit: 20, DrainGrace: 3 * time.Second, WarmupTime: 18 * time.Second, ColdCapacity: 0.2}},
 		Bounds: config.Bounds{QueueLength: 100, MaxConnections: 10, MaxFirstMessageBytes: 1 << 10, MaxMessageBytes: 1 << 20, MaxMessageElements: 64, MaxCollectorsPerZone: 2,
 			MaxReportedTime: time.Minute, JoinTimeout: 10 * time.Second, AcknowledgeTimeout: time.Minute, MaxUnsentBytes: 1 << 20, MaxTotalUnsentBytes: 1 << 20, CountLogInterval: time.Hour, WriteTimeout: time.Second, LateTimerThreshold: 50 * time.Millisecond}}
 }
 
-// TestLife goes from start to exit: a sign of life, two joinings that arrive together, their tables in one
-// message each, three signals to reload, of which one meets a faulty file, and a stop at once after them that closes
-// what is open. No reload writes to a proxy.
+// TestLife goes from start to exit: a heartbeat, two joins that arrive together, their tables in one message each, three
+// signals to reload, of which one finds a faulty file, and a stop right after them that closes all connections. No reload
+// writes to a proxy.
 func TestLife(t *testing.T) {
 	var trace, log strings.Builder
 	synctest.Test(t, func(t *testing.T) {
@@ -96,8 +97,8 @@
 	testkit.CompareTrace(t, trace.String()+regexp.MustCompile(`"time":"[^"]*",`).ReplaceAllString(log.String(), ""))
 }
 
-// TestHeldUp has a timer that is long due while words still trickle in, as after the process was stopped: they
-// come before it. A timer that is in time does not wait for more than a tick.
+// TestHeldUp has a timer that is long overdue while reports still come in, as after the process was suspended: they are taken
+// in before it. A timer that is in time waits no longer than a tick.
 func TestHeldUp(t *testing.T) {
 	var trace strings.Builder
 	for _, late := range []time.Duration{0, time.Second} {
@@ -109,13 +110,13 @@
 			time.Sleep(late) // on the bubble's clock
 			go func() {
 				for i := range 4 {
-					d.queue.Post(eventqueue.Event{Fact: rules.Sums{Tries: i}})
+					d.queue.Post(eventqueue.Event{Fact: rules.EndpointStats{Attempts: i}})
 					time.Sleep(3 * time.Millisecond)
 				}
 			}()
 			fmt.Fprintf(&trace, "%v late:", late)
 			for _, f := range d.nextFacts(t.Context(), time.NewTimer(0)) {
-				fmt.Fprintf(&trace, " %T", f)
+				fmt.Fprintf(&trace, " %s", testkit.TraceType(f))
 			}
 			fmt.Fprintln(&trace)
 			time.Sleep(time.Second)
@@ -124,6 +125,7 @@
 	testkit.CompareTrace(t, trace.String())
 }
 
+// TestStartFails has an address that can't be opened, and a known list that can't be read, which is no reason not to serve.
 func TestStartFails(t *testing.T) {
 	no := func() (net.Listener, error) { return nil, errors.New("address in use") }
 	if err := New(conf(), zerolog.Nop()).Run(t.Context(), no, nil, nil); err == nil || !strings.Contains(err.Error(), "LB_LISTEN: address in use") {
@@ -140,19 +142,19 @@
 	}
 }
 
-// TestPanicIsNotHidden orders a watch where there is no exchange.
+// TestPanicIsNotHidden has an order to watch where there is no queue.
 func TestPanicIsNotHidden(t *testing.T) {
 	var log strings.Builder
 	d, s := New(conf(), zerolog.New(&log)), conf().Settings.Settings
 	s.ListOnRequest = true
 	if err := d.step([]rules.Event{rules.Start{Settings: s}}); err == nil || !strings.Contains(err.Error(), "panic in a step") ||
-		!strings.Contains(log.String(), "daemon.go") {
+		!strings.Contains(log.String(), "step.go") {
 		t.Error(err, log.String())
 	}
 }
 
-// TestDrainDuringFlood has the lane of reports full, and filled again as fast as it is emptied, while a replica
-// drains: the very next Step orders its lines out.
+// TestDrainDuringFlood keeps the lane of reports full while a replica begins to drain: the very next step orders its
+// removal.
 func TestDrainDuringFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := conf()
@@ -175,7 +177,7 @@
 		go func() {
 			for !ended.Load() {
 				b := intake.NewBatch()
-				b.Proxy, b.Over, b.Records = 1, time.Second, append(b.Records, intake.Record{Replica: 0, Tries: 1})
+				b.Proxy, b.Window, b.Records = 1, time.Second, append(b.Records, intake.Record{Replica: 0, Attempts: 1})
 				d.queue.Post(eventqueue.Event{Connection: 1, Batch: b, ReceivedAt: time.Now()})
 			}
 		}()
@@ -183,7 +185,7 @@
 		d.queue.Post(eventqueue.Event{Fact: r(rules.Ready, rules.Draining)})
 		timer := time.NewTimer(time.Hour)
 		for _, o := range d.governor.Step(d.now(), d.nextFacts(t.Context(), timer)) {
-			if l, is := o.(rules.Line); is && l.Replica == 1 && l.Weight == 0 {
+			if l, is := o.(rules.EndpointWeight); is && l.Replica == 1 && l.Weight == 0 {
 				return
 			}
 		}
@@ -191,7 +193,7 @@
 	})
 }
 
-// anySide stands for both sides of the exchange.
+// anySide stands for both sides of the queue.
 type anySide struct{ eventqueue.Discovery }
 
 func (anySide) Accept(eventqueue.Event) bool { return true }
--- a/internal/daemon/fronts_test.go
+++ b/internal/daemon/fronts_test.go
@@ -23,9 +23,9 @@
 	"github.com/rs/zerolog"
 )
 
-// TestFrontsAreOff runs a governor without an operator file, and with one that sets nothing: there is no intake, nothing
-// is sent and nothing else is listened on.
-func TestFrontsAreOff(t *testing.T) {
+// TestFrontsOffByDefault runs a governor without an operator file, and with one that has the defaults: there is no intake,
+// nothing is sent and no further address is opened.
+func TestFrontsOffByDefault(t *testing.T) {
 	for _, path := range []string{"", "../../deploy/operator.toml"} {
 		c := conf()
 		var err error
@@ -37,42 +37,43 @@
 		listened := 0
 		stop()
 		err = d.Run(ctx, func() (net.Listener, error) { listened++; return testkit.Listen(), nil }, nil, nil)
-		if machines, _ := d.listenCollectd(); err != nil || listened != 1 || d.intake != nil || d.graphite != nil || machines != nil {
+		if machines, _ := d.listenCollectd(t.Context()); err != nil || listened != 1 || d.intake != nil || d.graphite != nil || machines != nil {
 			t.Errorf("%q: %v, %d listeners, intake %v, graphite %v, machines %v", path, err, listened, d.intake, d.graphite, machines)
 		}
 	}
 }
 
-// TestFronts runs a governor with both fronts on: a machine's packet is taken in, and what Graphite is sent tells of it.
+// TestFronts runs a governor with collectd and Graphite: a load report is taken in, and a point sent to Graphite shows it.
 func TestFronts(t *testing.T) {
 	g, err := standin.ListenGraphite("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer g.Close()
-	free, err := collectd.Listen("127.0.0.1:0")
+	free, err := collectd.Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := free.LocalAddr().String()
-	free.Close()
+	testkit.Close(t, free)
 	c := conf()
 	if c.Operator, err = config.ReadOperator(""); err != nil {
 		t.Fatal(err)
 	}
 	c.Operator.Graphite.Address, c.Operator.Graphite.Interval = g.Address(), 50*time.Millisecond
 	c.Operator.Collectd.Listen, c.Operator.Collectd.AllowedSources = address, []netip.Prefix{netip.MustParsePrefix("127.0.0.1/32")}
-	c.Operator.Collectd.Mappings = []collectd.Mapping{{Figure: intake.Util, Plugin: "cpu", Type: "percent", Scale: 0.01}}
+	c.Operator.Collectd.Mappings = []collectd.Mapping{{Figure: intake.Utilization, Plugin: "cpu", Type: "percent", Scale: 0.01}}
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
 	d := New(c, zerolog.Nop())
 	done := make(chan error)
 	go func() { done <- d.Run(ctx, func() (net.Listener, error) { return testkit.Listen(), nil }, nil, nil) }()
-	peer, err := net.Dial("udp", address)
+	var dialer net.Dialer
+	peer, err := dialer.DialContext(t.Context(), "udp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer peer.Close()
+	defer testkit.Close(t, peer)
 	heard := false
 	for ctx.Err() == nil && !heard {
 		_, _ = peer.Write(standin.CollectdPacket{}.AppendString(0, "r1").AppendTime(time.Now()).AppendString(2, "cpu").AppendString(4, "percent").AppendGauges(40)) // refused until it listens
@@ -82,7 +83,7 @@
 		}
 	}
 	if !heard {
-		t.Error("Graphite was not told of a machine's word: ", g.Lines())
+		t.Error("no point shows the load report: ", g.Lines())
 	}
 	stop()
 	if err := <-done; err != nil {
@@ -90,15 +91,15 @@
 	}
 }
 
-// BenchmarkSteps is the time from an event to its orders, of a governor of 200 proxies and 1,000 replicas, one of whose
-// proxies comes back each time and is bound: alone, with a Graphite that reads, and with one that has stopped reading.
-// Snapshots are taken each second, ten times as often as usual.
+// BenchmarkSteps measures the time from an event to its orders, of a governor of 200 proxies and 1,000 replicas, one of whose
+// proxies reconnects each time: alone, with a Graphite that reads, and with one that has stopped reading. Snapshots are taken
+// each second, ten times as often as usual.
 func BenchmarkSteps(b *testing.B) {
 	for name, manner := range map[string]standin.ConnectionBehaviour{"alone": -1, "graphite reads": standin.ReadsLines, "graphite stalls": standin.StallsReading} {
 		b.Run(name, func(b *testing.B) {
 			c := conf()
-			c.Settings.Proxies, c.Settings.LinePace, c.Settings.LineCap = 200, 1e12, 1e12
-			c.Settings.MessageSpan, c.Settings.MessageCap = time.Millisecond, 0
+			c.Settings.Proxies, c.Settings.EntryRate, c.Settings.EntryCapacity = 200, 1e12, 1e12
+			c.Settings.MessageSpan, c.Settings.MessageLimit = time.Millisecond, 0
 			c.Operator, _ = config.ReadOperator("") // nothing is read
 			if manner >= 0 {
 				g, err := standin.ListenGraphite("127.0.0.1:0")
@@ -121,7 +122,7 @@
 			}
 			first := []rules.Event{rules.Start{Settings: c.Settings.Settings}, list}
 			for p := range 200 {
-				first = append(first, rules.Joined{Proxy: rules.ProxyID(p), Rate: 10, Fresh: true})
+				first = append(first, rules.Joined{Proxy: rules.ProxyID(p), FlowRate: 10, Fresh: true})
 			}
 			if err := d.step(first); err != nil {
 				b.Fatal(err)
@@ -130,7 +131,7 @@
 			views := 0
 			for b.Loop() {
 				p := rules.ProxyID(views % 200)
-				facts := []rules.Event{rules.Left{Proxy: p}, rules.Joined{Proxy: p, Rate: 10, Fresh: true}}
+				facts := []rules.Event{rules.Left{Proxy: p}, rules.Joined{Proxy: p, FlowRate: 10, Fresh: true}}
 				from := time.Now()
 				if err := d.step(facts); err != nil {
 					b.Fatal(err)
@@ -146,26 +147,26 @@
 	}
 }
 
-// BenchmarkView is what a snapshot costs the deciding goroutine, with so many replicas.
+// BenchmarkView measures what a snapshot costs the deciding goroutine.
 func BenchmarkView(b *testing.B) {
 	for _, replicas := range []int{60, 1000, 2000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
 			var g rules.Governor
 			s := conf().Settings.Settings
-			s.Proxies, s.LinePace, s.LineCap = 200, 60_000, 120_000
+			s.Proxies, s.EntryRate, s.EntryCapacity = 200, 60_000, 120_000
 			var list rules.List
 			for r := range replicas {
 				list.Entries = append(list.Entries, rules.Entry{Replica: rules.ReplicaID(r), State: rules.Ready, Listed: 1})
 			}
 			events := []rules.Event{rules.Start{Settings: s}, list}
 			for p := range 200 {
-				events = append(events, rules.Joined{Proxy: rules.ProxyID(p), Rate: 10, Fresh: true})
+				events = append(events, rules.Joined{Proxy: rules.ProxyID(p), FlowRate: 10, Fresh: true})
 			}
 			g.Step(0, events)
 			var v rules.View
 			b.ReportAllocs()
 			for b.Loop() {
-				g.View(1, &v)
+				g.WriteView(1, &v)
 			}
 		})
 	}
--- a/internal/daemon/state_test.go
+++ b/internal/daemon/state_test.go
@@ -59,9 +59,9 @@
 	return lines.String(), told
 }
 
-// TestStartsFromDisk starts with discovery away: with a list on disk a proxy that joins has lines; with another's, or
-// none, it has not; and whatever is wrong with the disk, the governor serves and says so once.
-func TestStartsFromDisk(t *testing.T) {
+// TestStartFromDisk starts while discovery is away: with its own list on disk a proxy that joins gets weights; with that of
+// another governor, or none, it does not; and whatever is wrong with the disk, the governor serves and logs it once.
+func TestStartFromDisk(t *testing.T) {
 	keep := func(governor string) string {
 		dir := t.TempDir()
 		s, _, _, err := store.Open(dir, time.Now())
@@ -69,7 +69,7 @@
 			t.Fatal(err)
 		}
 		at := rules.Time(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano()) - rules.Time(time.Minute) // a bubble's clock begins there
-		if _, err := s.Write(recovery.Kept{Governor: governor, Discovery: "127.0.0.1:0", Version: 3, Heard: at, Written: at, Next: 9, Replicas: []recovery.Replica{
+		if _, err := s.Write(recovery.State{Governor: governor, Discovery: "127.0.0.1:0", Version: 3, ConfirmedAt: at, WrittenAt: at, NextReplicaID: 9, Replicas: []recovery.Replica{
 			{Name: "r7", Entry: rules.Entry{Replica: 7, State: rules.Ready, Listed: 1}}, {Name: "r8", Entry: rules.Entry{Replica: 8, State: rules.Ready, Listed: 1}}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer testkit.Close(t, s)
 	for _, c := range []struct {
 		what, dir, log string
 		told           bool
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestKeeps has discovery speak: what stands is kept, and a second life on another day's port of it begins with that.
-func TestKeeps(t *testing.T) {
+// TestSaveState has discovery answer: the current list is saved.
+func TestSaveState(t *testing.T) {
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("index") == "4" {
 			<-r.Context().Done()
@@ -121,7 +121,7 @@
 	dir, copied := t.TempDir(), t.TempDir()
 	c := stateConf(dir)
 	c.Discovery, c.Operator.State.SyncInterval = strings.TrimPrefix(discovery.URL, "http://"), 100*time.Millisecond
-	c.Settings.ListOnRequest, c.Settings.AskWithin = true, 10*time.Second
+	c.Settings.ListOnRequest, c.Settings.ListRequestDeadline = true, 10*time.Second
 	c.Bounds.DiscoveryWait, c.Bounds.DiscoveryCallMargin, c.Bounds.MaxDiscoveryBytes = time.Second, time.Second, 1<<20
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
@@ -129,7 +129,7 @@
 	go func() {
 		done <- New(c, zerolog.Nop()).Run(ctx, func() (net.Listener, error) { return testkit.Listen(), nil }, nil, nil)
 	}()
-	var kept recovery.Kept
+	var kept recovery.State
 	for ; ctx.Err() == nil && kept.Version != 4; time.Sleep(20 * time.Millisecond) { // a file that is open can only be looked at as a copy
 		if b, err := os.ReadFile(store.Path(dir)); err == nil && os.WriteFile(store.Path(copied), b, 0o600) == nil {
 			kept, _ = store.Read(copied) // torn while it is written
@@ -140,19 +140,19 @@
 		t.Error(err)
 	}
 	kept, err := store.Read(dir)
-	if err != nil || len(kept.Replicas) != 1 || kept.Replicas[0].Name != "r5" || kept.Replicas[0].Entry.Listed != 2.5 || kept.Discovery != c.Discovery || kept.Heard == 0 {
+	if err != nil || len(kept.Replicas) != 1 || kept.Replicas[0].Name != "r5" || kept.Replicas[0].Entry.Listed != 2.5 || kept.Discovery != c.Discovery || kept.ConfirmedAt == 0 {
 		t.Errorf("%+v, %v", kept, err)
 	}
 }
 
-// BenchmarkKeep is what gathering costs the deciding goroutine, with 10,000 replicas of which something has been learnt.
-func BenchmarkKeep(b *testing.B) {
+// BenchmarkStateToSave measures what gathering the state costs the deciding goroutine, with 10,000 replicas.
+func BenchmarkStateToSave(b *testing.B) {
 	c := stateConf(b.TempDir())
 	d := New(c, zerolog.Nop())
 	d.startedAt = time.Now()
 	d.discovery = discoveryclient.New(b.Context(), c, zerolog.Nop(), func(rules.List) {})
 	d.entries = map[rules.ReplicaID]rules.Entry{}
-	kept := recovery.Kept{Next: 10_000}
+	kept := recovery.State{NextReplicaID: 10_000}
 	var l rules.List
 	for i := range 10_000 {
 		e := rules.Entry{Replica: rules.ReplicaID(i), State: rules.Ready, Listed: 1}
@@ -167,7 +167,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if k := d.stateToSave(1, time.Now()); len(k.Replicas) != 10_000 || k.Replicas[7].Learnt.Speed == 0 {
+		if k := d.stateToSave(1, time.Now()); len(k.Replicas) != 10_000 || k.Replicas[7].Learned.Speed == 0 {
 			b.Fatal(len(k.Replicas))
 		}
 	}
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -13,47 +13,47 @@
 
 const second = rules.Time(time.Second)
 
-var set = Settings{HalfLife: 10 * time.Minute, MostAge: 24 * time.Hour}
+var set = Settings{HalfLife: 10 * time.Minute, MaxAge: 24 * time.Hour}
 
-// kept is a list of replicas that all started long ago, of which even ones are twice as fast as odd ones.
-func kept(n int, heard rules.Time) Kept {
-	k := Kept{Governor: "n1", Discovery: "d", Version: 7, Heard: heard, Written: heard + second, Next: rules.ReplicaID(n)}
+// keptState is a list of replicas that all started long ago, of which even ones are twice as fast as odd ones.
+func keptState(n int, heard rules.Time) State {
+	k := State{Governor: "n1", Discovery: "d", Version: 7, ConfirmedAt: heard, WrittenAt: heard + second, NextReplicaID: rules.ReplicaID(n)}
 	for i := range n {
 		id := rules.ReplicaID(i)
 		k.Replicas = append(k.Replicas, Replica{Name: fmt.Sprint("s", i), Entry: rules.Entry{Replica: id, State: rules.Ready, Listed: 1},
-			Learnt: rules.Recalled{Replica: id, Speed: 1.25 - 0.75*float64(i%2), Answers: 12.5 - 7.5*float64(i%2)}})
+			Learned: rules.Recalled{Replica: id, Speed: 1.25 - 0.75*float64(i%2), Answers: 12.5 - 7.5*float64(i%2)}})
 	}
 	return k
 }
 
-// TestVerdicts weighs what is kept: by its age, and told from what is another's, impossible or of the future.
-func TestVerdicts(t *testing.T) {
+// TestAssessments weighs what is kept: by its age, and told from what is another's, impossible or of the future.
+func TestAssessments(t *testing.T) {
 	now := 1_000_000 * second
 	for _, c := range []struct {
 		what  string
-		with  func(*Kept)
-		want  Verdict
+		with  func(*State)
+		want  Assessment
 		trust float64
 	}{
-		{"10 s old", func(k *Kept) { k.Heard = now - 10*second }, Used, 0.988},
-		{"5 min old", func(k *Kept) { k.Heard = now - 300*second }, Used, 0.707},
-		{"a day old", func(k *Kept) { k.Heard = now - 86_400*second }, Used, 0},
-		{"older", func(k *Kept) { k.Heard = now - 86_401*second }, TooOld, 0},
-		{"a clock that went back by an hour", func(k *Kept) { k.Heard, k.Written = now+3600*second, now+3601*second }, ClockBack, 0},
-		{"another discovery", func(k *Kept) { k.Discovery = "e" }, Another, 0},
-		{"another governor", func(k *Kept) { k.Governor = "n2" }, Another, 0},
-		{"nothing", func(k *Kept) { k.Replicas = nil }, Nothing, 0},
-		{"never heard", func(k *Kept) { k.Heard = 0 }, Impossible, 0},
-		{"written before it was heard", func(k *Kept) { k.Written = k.Heard - 3600*second }, Impossible, 0},
+		{"10 s old", func(k *State) { k.ConfirmedAt = now - 10*second }, Used, 0.988},
+		{"5 min old", func(k *State) { k.ConfirmedAt = now - 300*second }, Used, 0.707},
+		{"a day old", func(k *State) { k.ConfirmedAt = now - 86_400*second }, Used, 0},
+		{"older", func(k *State) { k.ConfirmedAt = now - 86_401*second }, TooOld, 0},
+		{"a clock that went back by an hour", func(k *State) { k.ConfirmedAt, k.WrittenAt = now+3600*second, now+3601*second }, ClockBack, 0},
+		{"another discovery", func(k *State) { k.Discovery = "e" }, Mismatch, 0},
+		{"another governor", func(k *State) { k.Governor = "n2" }, Mismatch, 0},
+		{"nothing", func(k *State) { k.Replicas = nil }, Nothing, 0},
+		{"never heard", func(k *State) { k.ConfirmedAt = 0 }, Impossible, 0},
+		{"written before it was heard", func(k *State) { k.WrittenAt = k.ConfirmedAt - 3600*second }, Impossible, 0},
 	} {
-		k := kept(4, now-60*second)
-		k.Written = now
+		k := keptState(4, now-60*second)
+		k.WrittenAt = now
 		c.with(&k)
-		p := Weigh(now, k, "n1", "d", set)
-		if p.Verdict != c.want || p.Trust < c.trust-0.001 || p.Trust > c.trust+0.001 {
+		p := NewPlan(now, k, "n1", "d", set)
+		if p.Assessment != c.want || p.Trust < c.trust-0.001 || p.Trust > c.trust+0.001 {
 			t.Errorf("%s: %v", c.what, p)
 		}
-		used := p.Verdict == Used || p.Verdict == ClockBack
+		used := p.Assessment == Used || p.Assessment == ClockBack
 		if used != (len(p.Events) == 5) {
 			t.Errorf("%s: %d events", c.what, len(p.Events))
 		}
@@ -71,9 +71,9 @@
 func TestTrust(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, n := 1_000_000*second, rapid.IntRange(1, 20).Draw(t, "replicas")
-		k := kept(n, now-rules.Time(rapid.IntRange(0, 80_000).Draw(t, "age"))*second)
-		k.Written = now
-		p := Weigh(now, k, "n1", "d", set)
+		k := keptState(n, now-rules.Time(rapid.IntRange(0, 80_000).Draw(t, "age"))*second)
+		k.WrittenAt = now
+		p := NewPlan(now, k, "n1", "d", set)
 		r := Begin(now, k, p, set)
 		trust := r.Trust(now)
 		for range rapid.IntRange(0, 40).Draw(t, "events") {
@@ -84,28 +84,28 @@
 					t.Fatalf("with time alone trust rises from %v to %v", trust, later)
 				}
 			case 1:
-				r.Hear(rules.Sums{Replica: rules.ReplicaID(rapid.IntRange(0, n-1).Draw(t, "replica")), Tries: 3})
+				r.Handle(rules.EndpointStats{Replica: rules.ReplicaID(rapid.IntRange(0, n-1).Draw(t, "replica")), Attempts: 3})
 				if later := r.Trust(now); later < trust-1e-12 {
 					t.Fatalf("a replica that answers takes trust from %v to %v", trust, later)
 				}
 			case 2:
-				r.Hear(rules.Joined{Proxy: 1})
+				r.Handle(rules.Joined{Proxy: 1})
 			default:
-				r.Hear(rules.List{Scope: rules.Failed})
+				r.Handle(rules.List{Scope: rules.Failed})
 			}
-			if trust = r.Trust(now); trust < 0 || trust > 1 || r.Step() == Confirmed {
-				t.Fatalf("trust %v at step %v", trust, r.Step())
+			if trust = r.Trust(now); trust < 0 || trust > 1 || r.Stage() == Confirmed {
+				t.Fatalf("trust %v at step %v", trust, r.Stage())
 			}
 		}
-		r.Hear(rules.List{Scope: rules.Changes})
-		if r.Trust(now) != 1 || r.Step() != Confirmed {
-			t.Fatalf("discovery has spoken: trust %v, step %v", r.Trust(now), r.Step())
+		r.Handle(rules.List{Scope: rules.Changes})
+		if r.Trust(now) != 1 || r.Stage() != Confirmed {
+			t.Fatalf("discovery has spoken: trust %v, step %v", r.Trust(now), r.Stage())
 		}
 	})
 }
 
-// life is a governor that has just started, and what its proxies hold.
-type life struct {
+// governorRun is a governor that has just started, and what its proxies hold.
+type governorRun struct {
 	gov     rules.Governor
 	rec     *Recovery
 	now     rules.Time
@@ -119,38 +119,38 @@
 func siteSettings(proxies int) rules.Settings {
 	pace := 100 * float64(proxies)
 	return rules.Settings{Groups: []rules.TrafficGroup{{Name: "look", LatencyBudget: time.Second}}, Governors: 1, Proxies: proxies, Zones: 1,
-		ListOnRequest: true, AskWithin: 10 * time.Second, Period: time.Second, LinePace: pace, LineCap: 2 * pace, HeadLines: 6, MessageCap: 20,
-		MessageSpan: 10 * time.Second, TravelMost: 400 * time.Millisecond, DrainGrace: 3 * time.Second, WarmAfter: 18 * time.Second, ColdFrom: 0.2}
+		ListOnRequest: true, ListRequestDeadline: 10 * time.Second, Period: time.Second, EntryRate: pace, EntryCapacity: 2 * pace, MessageEntries: 6, MessageLimit: 20,
+		MessageSpan: 10 * time.Second, MaxMessageDelay: 400 * time.Millisecond, DrainGrace: 3 * time.Second, WarmupTime: 18 * time.Second, ColdCapacity: 0.2}
 }
 
 // begin starts a governor from disk.
-func begin(now rules.Time, k Kept, proxies int) *life {
-	l := &life{now: now, lines: map[rules.ReplicaID]float64{}, bound: map[rules.ProxyID]bool{}}
-	p := Weigh(now, k, "n1", "d", set)
+func begin(now rules.Time, k State, proxies int) *governorRun {
+	l := &governorRun{now: now, lines: map[rules.ReplicaID]float64{}, bound: map[rules.ProxyID]bool{}}
+	p := NewPlan(now, k, "n1", "d", set)
 	l.rec = Begin(now, k, p, set)
 	l.raw(append([]rules.Event{rules.Start{Seed: 3, Settings: siteSettings(proxies)}}, p.Events...)...)
 	return l
 }
 
-func (l *life) hear(events ...rules.Event) {
+func (l *governorRun) handle(events ...rules.Event) {
 	var out []rules.Event
 	for _, e := range events {
-		out = append(out, l.rec.Hear(e)...)
+		out = append(out, l.rec.Handle(e)...)
 	}
 	l.raw(out...)
 }
 
-func (l *life) raw(events ...rules.Event) {
+func (l *governorRun) raw(events ...rules.Event) {
 	l.orders = l.gov.Step(l.now, events)
 	for _, o := range l.orders {
 		switch o := o.(type) {
 		case rules.WakeAfter:
-			l.mark = o.Mark
-		case rules.Mark:
+			l.mark = o.TimerID
+		case rules.AckRequest:
 			l.version = o.Version
 		case rules.Bind:
 			l.bound[o.Proxy] = true
-		case rules.Line:
+		case rules.EndpointWeight:
 			if l.lines[o.Replica] = o.Weight; o.Weight == 0 {
 				delete(l.lines, o.Replica)
 			}
@@ -159,34 +159,34 @@
 }
 
 // pass lets time pass, in quarters of a second, while proxies confirm.
-func (l *life) pass(quarters int, events ...rules.Event) {
+func (l *governorRun) pass(quarters int, events ...rules.Event) {
 	for range quarters {
 		l.now += second / 4
 		for p := range l.bound {
 			events = append(events, rules.Applied{Proxy: p, Version: l.version})
 		}
 		slices.SortStableFunc(events, func(a, b rules.Event) int { return 0 })
-		l.hear(append(events, rules.Wake{Mark: l.mark})...)
+		l.handle(append(events, rules.Wake{TimerID: l.mark})...)
 		events = nil
 	}
 }
 
 func joins(n int) (events []rules.Event) {
 	for p := range n {
-		events = append(events, rules.Joined{Proxy: rules.ProxyID(p), Rate: float64(p), Fresh: true})
+		events = append(events, rules.Joined{Proxy: rules.ProxyID(p), FlowRate: float64(p), Fresh: true})
 	}
 	return events
 }
 
-// TestDiscoveryAway starts with discovery down and lists of 10 s, 5 min and a day: a proxy has lines at once, what was
+// TestDiscoveryUnavailable starts with discovery down and lists of 10 s, 5 min and a day: a proxy has lines at once, what was
 // learnt shows in them by the trust in the list, and none is without any replica for long.
-func TestDiscoveryAway(t *testing.T) {
+func TestDiscoveryUnavailable(t *testing.T) {
 	last := 9.0
 	for _, age := range []int{10, 300, 86_400} {
 		now := 1_000_000 * second
-		k := kept(10, now-rules.Time(age)*second)
+		k := keptState(10, now-rules.Time(age)*second)
 		l := begin(now, k, 4)
-		l.hear(joins(4)...)
+		l.handle(joins(4)...)
 		if len(l.bound) != 4 || len(l.lines) != 10 {
 			t.Fatalf("%d s old: %d proxies are bound to %d lines", age, len(l.bound), len(l.lines))
 		}
@@ -195,8 +195,8 @@
 			t.Errorf("%d s old: the faster replica gets %.2f times as much", age, ratio)
 		}
 		last = ratio
-		if l.rec.Step() != FromProxies {
-			t.Error(l.rec.Step())
+		if l.rec.Stage() != FromProxies {
+			t.Error(l.rec.Stage())
 		}
 		l.pass(40)
 		if len(l.lines) != 10 {
@@ -205,15 +205,15 @@
 	}
 }
 
-// TestReadyOnDiskDrainingInTruth has three of ten replicas drain, and half replaced by others, while the governor was
+// TestReadyInStateDrainingAtDiscovery has three of ten replicas drain, and half replaced by others, while the governor was
 // away: with discovery's first answer their removals stand before any new line, and none gets a line again.
-func TestReadyOnDiskDrainingInTruth(t *testing.T) {
+func TestReadyInStateDrainingAtDiscovery(t *testing.T) {
 	now := 1_000_000 * second
-	k := kept(10, now-300*second)
+	k := keptState(10, now-300*second)
 	l := begin(now, k, 4)
-	l.hear(joins(4)...)
+	l.handle(joins(4)...)
 	l.pass(4)
-	truth := rules.List{Scope: rules.Whole}
+	truth := rules.List{Scope: rules.Full}
 	for i := range 20 {
 		e := rules.Entry{Replica: rules.ReplicaID(i), State: rules.Ready, Listed: 1}
 		switch {
@@ -226,10 +226,10 @@
 		}
 		truth.Entries = append(truth.Entries, e)
 	}
-	l.hear(truth)
+	l.handle(truth)
 	gone, added := 0, false
 	for _, o := range l.orders {
-		line, is := o.(rules.Line)
+		line, is := o.(rules.EndpointWeight)
 		if !is {
 			continue
 		}
@@ -258,16 +258,16 @@
 // was learnt of it holds; the one that has started anew is cold and unknown.
 func TestChangesConfirmTheRest(t *testing.T) {
 	now := 1_000_000 * second
-	l := begin(now, kept(10, now-300*second), 4)
-	l.hear(joins(4)...)
+	l := begin(now, keptState(10, now-300*second), 4)
+	l.handle(joins(4)...)
 	l.pass(2)
-	l.hear(rules.List{Scope: rules.Changes, Entries: []rules.Entry{{Replica: 4, State: rules.Ready, Listed: 1, StartedAt: l.now - second}}})
+	l.handle(rules.List{Scope: rules.Changes, Entries: []rules.Entry{{Replica: 4, State: rules.Ready, Listed: 1, StartedAt: l.now - second}}})
 	l.pass(8)
 	if ratio := l.lines[0] / l.lines[1]; ratio < 2 || ratio > 2.6 {
 		t.Errorf("the faster replica gets %.2f times as much", ratio)
 	}
 	var v rules.View
-	l.gov.View(l.now, &v)
+	l.gov.WriteView(l.now, &v)
 	for _, r := range v.Replicas {
 		if r.Cold != (r.Replica == 4) {
 			t.Errorf("replica %d: cold %v", r.Replica, r.Cold)
@@ -275,16 +275,16 @@
 	}
 }
 
-// TestHeldOutStays has a replica that was held out. From disk alone, where all may be cold, it is not, or it would draw all
+// TestEjectedStaysEjected has a replica that was held out. From disk alone, where all may be cold, it is not, or it would draw all
 // that those can't be sent; once discovery has confirmed the others it is, until it answers. Where most have started anew, it
 // is not.
-func TestHeldOutStays(t *testing.T) {
+func TestEjectedStaysEjected(t *testing.T) {
 	now := 1_000_000 * second
-	k := kept(10, now-10*second)
-	k.Replicas[3].Learnt.Out = true
+	k := keptState(10, now-10*second)
+	k.Replicas[3].Learned.Out = true
 	for _, anew := range []int{0, 8} {
 		l := begin(now, k, 4)
-		l.hear(joins(4)...)
+		l.handle(joins(4)...)
 		if l.lines[3] > 2*l.lines[1] {
 			t.Errorf("from disk it gets %.2f beside %.2f", l.lines[3], l.lines[1])
 		}
@@ -294,21 +294,21 @@
 				truth.Entries = append(truth.Entries, rules.Entry{Replica: rules.ReplicaID(i), State: rules.Ready, Listed: 1, StartedAt: l.now - second})
 			}
 		}
-		l.hear(truth)
+		l.handle(truth)
 		l.pass(8)
 		var v rules.View
-		l.gov.View(l.now, &v)
-		if out := v.Replicas[3].HeldOut; out != (anew == 0) {
+		l.gov.WriteView(l.now, &v)
+		if out := v.Replicas[3].Ejected; out != (anew == 0) {
 			t.Errorf("with %d started anew it is held out: %v", anew, out)
 		}
 		for range 12 {
 			var sums []rules.Event
 			for i := range 10 {
-				sums = append(sums, rules.Sums{Replica: rules.ReplicaID(i), Tries: 10, Over: time.Second, Took: 50 * time.Millisecond, Report: rules.Report{Util: 0.5}})
+				sums = append(sums, rules.EndpointStats{Replica: rules.ReplicaID(i), Attempts: 10, Window: time.Second, MeanLatency: 50 * time.Millisecond, Report: rules.LoadReport{Utilization: 0.5}})
 			}
 			l.pass(4, sums...)
 		}
-		if l.gov.View(l.now, &v); v.Replicas[3].HeldOut {
+		if l.gov.WriteView(l.now, &v); v.Replicas[3].Ejected {
 			t.Error("it has answered for 12 s and is still held out")
 		}
 	}
@@ -318,14 +318,14 @@
 // nobody is sent more messages than allowed, and all are bound in the time that the channel needs.
 func TestManyJoinFromDisk(t *testing.T) {
 	now := 1_000_000 * second
-	l := begin(now, kept(60, now-300*second), 1000)
-	l.hear(joins(1000)...)
+	l := begin(now, keptState(60, now-300*second), 1000)
+	l.handle(joins(1000)...)
 	var v rules.View
 	begun := l.now
 	for len(l.bound) < 1000 {
 		l.pass(1)
-		if l.gov.View(l.now, &v); v.LinesWaiting > v.LinesCap || v.Busiest > v.MessageCap {
-			t.Fatalf("%.0f lines wait of %.0f, %d messages of %d", v.LinesWaiting, v.LinesCap, v.Busiest, v.MessageCap)
+		if l.gov.WriteView(l.now, &v); v.EntriesWaiting > v.EntryCapacity || v.MostMessages > v.MessageLimit {
+			t.Fatalf("%.0f lines wait of %.0f, %d messages of %d", v.EntriesWaiting, v.EntryCapacity, v.MostMessages, v.MessageLimit)
 		}
 		if l.now-begun > 5*second {
 			t.Fatalf("%d are bound after 5 s", len(l.bound))
@@ -337,14 +337,14 @@
 // don't fit into the channel: all replicas count as cold, and yet each proxy is bound to a table that has lines.
 func TestAllColdAtSize(t *testing.T) {
 	now := 1_000_000 * second
-	l := begin(now, kept(1000, now-300*second), 200)
+	l := begin(now, keptState(1000, now-300*second), 200)
 	tables, lines := map[rules.ProxyID]rules.TableID{}, map[rules.TableID]int{}
 	note := func() {
 		for _, o := range l.orders {
 			switch o := o.(type) {
 			case rules.Bind:
 				tables[o.Proxy] = o.Table
-			case rules.Line:
+			case rules.EndpointWeight:
 				if o.Weight > 0 {
 					lines[o.Table]++
 				}
@@ -352,7 +352,7 @@
 		}
 	}
 	note()
-	l.hear(joins(200)...)
+	l.handle(joins(200)...)
 	note()
 	for range 12 {
 		l.pass(1)
