--- a/dataplane/admission/admission.go
+++ b/dataplane/admission/admission.go
@@ -65,8 +65,8 @@
 	return float64(request.TimeLeft) < returningTimeShare*float64(c.longestTimeLeft[request.Route])
 }
 
-// RecordAnswer takes in the latency of a response, and how many requests to a slot the endpoint had when it was sent.
-func (c *Controller) RecordAnswer(latency time.Duration, utilization float64) {
+// RecordResponse takes in the latency of a response, and how many requests to a slot the endpoint had when it was sent.
+func (c *Controller) RecordResponse(latency time.Duration, utilization float64) {
 	sample := latency.Seconds() / max(utilization, 1)
 	if c.serviceTime == 0 {
 		c.serviceTime = sample
--- a/dataplane/admission/admission_test.go
+++ b/dataplane/admission/admission_test.go
@@ -11,7 +11,7 @@
 	Convey("Given a service whose requests take 200 ms", t, func() {
 		controller := New()
 		for range 100 {
-			controller.RecordAnswer(200*time.Millisecond, 0.5)
+			controller.RecordResponse(200*time.Millisecond, 0.5)
 		}
 		first := Request{Route: "r", LatencyTarget: time.Second, TimeLeft: 3 * time.Second}
 		Convey("a request may queue as deep as it can still be answered in time", func() {
@@ -19,7 +19,7 @@
 		})
 		Convey("time spent in a queue is not taken for service time", func() {
 			for range 100 {
-				controller.RecordAnswer(600*time.Millisecond, 3)
+				controller.RecordResponse(600*time.Millisecond, 3)
 			}
 			So(controller.MaxQueueDepth(first), ShouldAlmostEqual, 2.5, 0.01)
 		})
@@ -53,7 +53,7 @@
 	Convey("Without a latency target or any response yet nothing is rejected", t, func() {
 		controller := New()
 		So(controller.MaxQueueDepth(Request{LatencyTarget: time.Second, TimeLeft: time.Second}), ShouldBeGreaterThan, 1e6)
-		controller.RecordAnswer(time.Second, 1)
+		controller.RecordResponse(time.Second, 1)
 		So(controller.MaxQueueDepth(Request{TimeLeft: time.Second}), ShouldBeGreaterThan, 1e6)
 	})
 }
--- a/dataplane/framing/scanner.go
+++ b/dataplane/framing/scanner.go
@@ -11,9 +11,9 @@
 	"strconv"
 )
 
-// Poison is handed on in place of what was found bad. Wherever it stands in a head, in chunks or in trailers, net/http takes
+// InvalidInput is handed on in place of what was found bad. Wherever it stands in a head, in chunks or in trailers, net/http takes
 // it for an error of that request, answers 400 in its turn and closes the connection.
-const Poison = "\x00\r\n\r\n"
+const InvalidInput = "\x00\r\n\r\n"
 
 const (
 	maxLineBytes      = 1 << 20 // the server's own limit of heads is far below
@@ -40,7 +40,7 @@
 	InvalidChunkSize Violation = "chunk_size"
 	InvalidChunkEnd  Violation = "chunk_end"
 	InvalidTrailer   Violation = "trailer"
-	BehindBadFraming Violation = "after_bad" // anything behind another violation
+	AfterViolation   Violation = "after_bad" // anything behind another violation
 	noViolation      Violation = ""
 )
 
@@ -93,7 +93,7 @@
 	for i := 0; i < len(b); {
 		switch s.state {
 		case failed:
-			return i, BehindBadFraming
+			return i, AfterViolation
 		case requestStart:
 			if b[i] == '\r' || b[i] == '\n' { // left over by old clients; net/http skips it too
 				i++
--- a/dataplane/framing/scanner_test.go
+++ b/dataplane/framing/scanner_test.go
@@ -66,7 +66,7 @@
 		n, violation := s.Feed(b)
 		out = append(out, b[:n]...)
 		if violation != noViolation {
-			return append(out, Poison...), violation
+			return append(out, InvalidInput...), violation
 		}
 	}
 	return out, noViolation
@@ -111,7 +111,7 @@
 			if !starts[at] {
 				t.Fatalf("net/http reads a request at %d of %q, the scanner none (%q)", at, out, violation)
 			}
-			if violation != noViolation && end > len(out)-len(Poison) && !strings.HasSuffix(string(out[:end]), "\n\r\n") {
+			if violation != noViolation && end > len(out)-len(InvalidInput) && !strings.HasSuffix(string(out[:end]), "\n\r\n") {
 				t.Fatalf("the poison was read as a request: %q (%q)", out, violation)
 			}
 			for next := at + 1; next < end; next++ {
--- a/dataplane/overflow/lender.go
+++ b/dataplane/overflow/lender.go
@@ -22,8 +22,8 @@
 	return &Lender{name: name, shortSince: map[string]time.Duration{}}
 }
 
-// MarkShort notes that a service is short of capacity here, or that capacity is borrowed for it.
-func (l *Lender) MarkShort(now time.Duration, service string) { l.shortSince[service] = now }
+// RecordShortage notes that a service is short of capacity here, or that capacity is borrowed for it.
+func (l *Lender) RecordShortage(now time.Duration, service string) { l.shortSince[service] = now }
 
 // Grant answers a borrower's request. Spare is this lender's part of the site's spare capacity; what is lent to others comes
 // off it. Limit bounds the rate; 0: unbounded. A lease replaces the borrower's older one of the service, as a borrower uses
--- a/dataplane/overflow/lender_test.go
+++ b/dataplane/overflow/lender_test.go
@@ -32,7 +32,7 @@
 			So(x.Rate, ShouldEqual, 90)
 		})
 		Convey("lends nothing of a service that is short here, until that has been over for a while", func() {
-			lender.MarkShort(1*time.Second, "svc")
+			lender.RecordShortage(1*time.Second, "svc")
 			_, ok := lender.Grant(2*time.Second, "b", "svc", 10, spare, 0)
 			So(ok, ShouldBeFalse)
 			_, ok = lender.Grant(2*time.Second, "b", "other", 10, spare, 0)
--- a/dataplane/router/attempt.go
+++ b/dataplane/router/attempt.go
@@ -30,7 +30,7 @@
 	Addr       string        `cbor:"3,keyasint,omitempty"`
 	RetryAfter time.Duration `cbor:"4,keyasint,omitempty"` // where there is none: when the client is to come back
 
-	NoneKnown bool `cbor:"5,keyasint,omitempty"` // there is none as no endpoint of the service is known
+	NoEndpointKnown bool `cbor:"5,keyasint,omitempty"` // there is none as no endpoint of the service is known
 }
 
 // AttemptResult is the end of an attempt.
@@ -69,7 +69,7 @@
 		endpoint = r.balancer.Pick(now, request.Service, attempted, controller.MaxQueueDepth(request.Admission), r.random)
 	}
 	if endpoint == nil {
-		return PickResult{RetryAfter: controller.Reject(request.Admission, r.random()), NoneKnown: !r.balancer.KnowsService(request.Service)}
+		return PickResult{RetryAfter: controller.Reject(request.Admission, r.random()), NoEndpointKnown: !r.balancer.KnowsService(request.Service)}
 	}
 	invariant.Check(invariant.EndpointAcceptsRequests, r.balancer.AcceptsRequests(endpoint), func() string {
 		return endpoint.ID + " in zone " + endpoint.Zone + " drains or is evacuated"
@@ -92,7 +92,7 @@
 	r.balancer.EndAttempt(now, endpoint, result.Result, result.Latency)
 	switch result.Result {
 	case loadbalancer.Success:
-		r.admission(ended.service).RecordAnswer(result.Latency, ended.utilization)
+		r.admission(ended.service).RecordResponse(result.Latency, ended.utilization)
 	case loadbalancer.NoResponse, loadbalancer.ConnectFailed:
 		effects.Observation = r.observe(now, fleet.Observation{Replica: endpoint.ID, ConnectionRefused: result.ConnectionRefused})
 	}
--- a/dataplane/router/candidates.go
+++ b/dataplane/router/candidates.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Candidates returns the addresses of control-plane members to call, best first: those of the own zone, then all others in
+// MemberCandidates returns the addresses of control-plane members to call, best first: those of the own zone, then all others in
 // random order, also those that the caller knows of besides.
-func (r *Router) Candidates(also []string) []string {
+func (r *Router) MemberCandidates(also []string) []string {
 	var local, remote []string
 	for _, member := range r.members {
 		if member.Zone == r.settings.Zone {
--- a/dataplane/router/router_test.go
+++ b/dataplane/router/router_test.go
@@ -63,10 +63,10 @@
 		// Guards a gateway that was frozen: what lay in its sockets meanwhile must not be applied, nor renew its rates.
 		Convey("updates that arrive after a silence are not applied", func() {
 			late := f.Apply(20*s, &messages.StateUpdate{WarmupRatesComplete: true, WarmupRates: []messages.EndpointWeight{{Replica: "i1", WarmupRate: 2}}, Sequence: 8, EvacuatedZones: []string{"a"}})
-			So(late.Late, ShouldBeTrue)
+			So(late.Stale, ShouldBeTrue)
 			So(f.Sequence(), ShouldEqual, 7)
 			So(f.WarmupRate(20*s, "i1"), ShouldEqual, 0)
-			So(f.Apply(21*s, fullUpdate(warmingUp)).Late, ShouldBeFalse)
+			So(f.Apply(21*s, fullUpdate(warmingUp)).Stale, ShouldBeFalse)
 		})
 	})
 	Convey("Given a gateway that follows a member", t, func() {
--- a/dataplane/router/update.go
+++ b/dataplane/router/update.go
@@ -15,7 +15,7 @@
 	Config           *gatewayconfig.Config `cbor:"-"`                    // that is in force from now on; nil: the same as before
 	ConfigError      string                `cbor:"3,keyasint,omitempty"` // why a configuration was rejected
 	FullTable        bool                  `cbor:"4,keyasint,omitempty"` // the update was a full one
-	Late             bool                  `cbor:"5,keyasint,omitempty"` // the update is stale: nothing of it was applied, and the stream must be left
+	Stale            bool                  `cbor:"5,keyasint,omitempty"` // the update is stale: nothing of it was applied, and the stream must be left
 }
 
 // Apply puts in force what a control-plane member sends. Within a process no version goes back: a register or a
@@ -29,7 +29,7 @@
 		r.streaming, r.silenceBeforeStream = true, now-r.lastUpdateAt
 	case r.streaming && now-r.lastUpdateAt > messages.WarmupRateLifetime:
 		r.StreamEnded(now)
-		return UpdateResult{Late: true}
+		return UpdateResult{Stale: true}
 	}
 	r.lastUpdateAt = now
 	r.updateCount++
--- a/internal/daemons/gateway/clientconn.go
+++ b/internal/daemons/gateway/clientconn.go
@@ -93,7 +93,7 @@
 	return func() { c.busy = false }
 }
 
-// Read reads from the client until a bad request is found, and framing.Poison from there on, which makes the server
+// Read reads from the client until a bad request is found, and framing.InvalidInput from there on, which makes the server
 // answer 400 and close the connection.
 func (c *clientConn) Read(b []byte) (int, error) {
 	if len(b) == 0 || c.readClosed.Load() && c.poison == "" {
@@ -130,7 +130,7 @@
 	if cause == "" {
 		return n, err
 	}
-	c.poison = framing.Poison
+	c.poison = framing.InvalidInput
 	c.readClosed.Store(true)
 	c.gateway.recordBadRequest(c.RemoteAddr().String(), badRequestCause(cause))
 	return good, nil
--- a/internal/daemons/gateway/controlstream.go
+++ b/internal/daemons/gateway/controlstream.go
@@ -41,7 +41,7 @@
 	for _, peer := range peers {
 		also = append(also, peer.Addr)
 	}
-	return g.router.Candidates(also)
+	return g.router.MemberCandidates(also)
 }
 
 // controlStream is one connection to a control-plane member.
@@ -173,5 +173,5 @@
 	if result.FullTable {
 		g.hasTable.Store(true)
 	}
-	return result.Late
+	return result.Stale
 }
--- a/internal/daemons/gateway/forward.go
+++ b/internal/daemons/gateway/forward.go
@@ -143,7 +143,7 @@
 		return rejection{}
 	}
 	rejected := rejection{status: http.StatusServiceUnavailable, counter: countOverloaded, retryAfter: choice.RetryAfter}
-	if choice.NoneKnown {
+	if choice.NoEndpointKnown {
 		rejected.counter = countNoEndpoint
 	}
 	return rejected
--- a/internal/testbeds/simulation/gatewaystream.go
+++ b/internal/testbeds/simulation/gatewaystream.go
@@ -48,7 +48,7 @@
 
 // nextCandidate is the member that a gateway calls next.
 func (c *cluster) nextCandidate(g *gatewayNode) *member {
-	candidates := g.router.Candidates(g.seedAddresses)
+	candidates := g.router.MemberCandidates(g.seedAddresses)
 	m := c.memberByAddress[candidates[g.nextCandidate%len(candidates)]]
 	g.nextCandidate++
 	if g.nextMember != nil {
@@ -154,9 +154,9 @@
 	}
 	applied := g.router.Apply(c.monotonicTime(&g.process), update)
 	if c.history != nil {
-		c.history.add(entryUpdate, c.now, historyGateways+g.index, c.monotonicTime(&g.process), update, applied.RemovedEndpoints, applied.FullTable, applied.Late, g.router.Sequence())
+		c.history.add(entryUpdate, c.now, historyGateways+g.index, c.monotonicTime(&g.process), update, applied.RemovedEndpoints, applied.FullTable, applied.Stale, g.router.Sequence())
 	}
-	if applied.Late {
+	if applied.Stale {
 		c.streamLost(g, g.stream)
 		return
 	}
--- a/internal/testbeds/simulation/overflowsite.go
+++ b/internal/testbeds/simulation/overflowsite.go
@@ -84,7 +84,7 @@
 	}
 	s.borrower.RecordDemand(o.now, overflowService, float64(s.rejected), float64(s.forwarded))
 	if s.rejected > 0 || len(s.borrower.Services()) > 0 {
-		s.lender.MarkShort(o.now, overflowService)
+		s.lender.RecordShortage(o.now, overflowService)
 	}
 	s.rejected, s.forwarded, s.served = 0, 0, 0
 	s.lent.SetLeases(o.now, s.lender.ActiveLeases(o.now))
