--- a/dataplane/admission/admission_test.go
+++ b/dataplane/admission/admission_test.go
@@ -14,43 +14,43 @@
 			controller.RecordResponse(200*time.Millisecond, 0.5)
 		}
 		first := Request{Route: "r", LatencyTarget: time.Second, TimeLeft: 3 * time.Second}
-		Convey("a request may queue as deep as it can still be answered in time", func() {
+		Convey("the queue depth is limited to what can be answered within the latency target", func() {
 			So(controller.MaxQueueDepth(first), ShouldAlmostEqual, 2.5, 0.01)
 		})
-		Convey("time spent in a queue is not taken for service time", func() {
+		Convey("queueing time does not count as service time", func() {
 			for range 100 {
 				controller.RecordResponse(600*time.Millisecond, 3)
 			}
 			So(controller.MaxQueueDepth(first), ShouldAlmostEqual, 2.5, 0.01)
 		})
-		Convey("lower priorities give way first, none is kept from free slots", func() {
+		Convey("lower priorities queue less deep, and every priority may use free slots", func() {
 			low := first
 			low.Priority = 2
 			So(controller.MaxQueueDepth(low), ShouldBeLessThan, controller.MaxQueueDepth(first))
 			low.Priority, low.LatencyTarget = 9, 10*time.Millisecond
 			So(controller.MaxQueueDepth(low), ShouldEqual, minQueueDepth)
 		})
-		Convey("a client that comes back after a rejection is rejected last", func() {
+		Convey("a client that retries after a rejection may queue deeper", func() {
 			depth := controller.MaxQueueDepth(first)
-			back := first
-			back.TimeLeft = 2 * time.Second
-			So(controller.MaxQueueDepth(back), ShouldBeGreaterThan, depth)
+			retry := first
+			retry.TimeLeft = 2 * time.Second
+			So(controller.MaxQueueDepth(retry), ShouldBeGreaterThan, depth)
 		})
-		Convey("the more is rejected, the later clients are told to come back, within a third of their time", func() {
-			calm := controller.Reject(first, 0.5)
+		Convey("Retry-After grows with the share of rejected requests, up to a third of the time left", func() {
+			initial := controller.Reject(first, 0.5)
 			for range 100 {
 				controller.Reject(first, 0.5)
 			}
-			So(controller.Reject(first, 0.5), ShouldBeGreaterThan, calm)
+			So(controller.Reject(first, 0.5), ShouldBeGreaterThan, initial)
 			So(controller.Reject(first, 0), ShouldBeLessThan, controller.Reject(first, 1))
 			So(controller.Reject(Request{TimeLeft: 300 * time.Millisecond}, 1), ShouldBeLessThanOrEqualTo, 100*time.Millisecond)
 			for range 200 {
 				controller.RecordAdmission()
 			}
-			So(controller.Reject(first, 0.5), ShouldAlmostEqual, calm, 50*time.Millisecond)
+			So(controller.Reject(first, 0.5), ShouldAlmostEqual, initial, 50*time.Millisecond)
 		})
 	})
-	Convey("Without a latency target or any response yet nothing is rejected", t, func() {
+	Convey("Without a latency target or a recorded response the queue depth is unlimited", t, func() {
 		controller := New()
 		So(controller.MaxQueueDepth(Request{LatencyTarget: time.Second, TimeLeft: time.Second}), ShouldBeGreaterThan, 1e6)
 		controller.RecordResponse(time.Second, 1)
--- a/dataplane/retry/budget.go
+++ b/dataplane/retry/budget.go
@@ -2,50 +2,51 @@
 
 import "time"
 
-// budgetSlots is how many parts of a window the deposits of requests are kept by.
+// budgetSlots is the number of slots into which deposits are grouped within a window.
 const budgetSlots = 10
 
-// Budget is one gateway's part of the retries that all gateways may make at a service. It begins empty: what a process may spend rests on
-// what it has seen, so that restarts, however many, add nothing. Two sources fill it.
+// Budget is one gateway's share of the retries that the fleet may make to a service. It starts empty, so that restarting
+// gateways does not add retries. It is filled from two sources:
 //
-//   - Each request of a client deposits a part of a retry, which lasts for a window. In any window the gateway spends at most what the
-//     requests of that window and of the one before it have deposited.
-//   - Its share of the slack comes in over time, at half a share a window, and up to half a share is kept. In any window it spends at most
-//     one share, and all incarnations of a gateway together do, as time passes once for all of them.
+//   - Each client request deposits a fraction of a retry, which expires after one window. The retries of a window never exceed
+//     the deposits of that window and the previous one.
+//   - The gateway's share of the slack accrues at half a share per window, up to half a share. The retries of a window thus
+//     never exceed one share, also in total over all incarnations of a gateway.
 type Budget struct {
-	ratio  float64 // deposited by each request
+	ratio  float64 // deposit per request
 	window time.Duration
 
-	slots      [budgetSlots]float64 // deposits left, by the part of the window in which they were made
-	newestSlot int64                // number of the newest part, which counts from the clock's zero
+	slots      [budgetSlots]float64 // unspent deposits, by the slot in which they were made
+	newestSlot int64                // number of the newest slot, counted from the clock's zero
 
-	slackShare float64 // of a window
-	slack      float64 // left of it
+	slackShare float64 // share of the slack per window
+	slack      float64 // accrued and unspent slack
 	accruedAt  time.Duration
 }
 
-// NewBudget makes an empty budget for bounds that hold over a window. Its share of the slack is 0 until SetSlackShare.
+// NewBudget returns an empty budget. Its share of the slack is 0 until SetSlackShare is called.
 func NewBudget(now time.Duration, ratio float64, window time.Duration) *Budget {
 	return &Budget{ratio: ratio, window: window, accruedAt: now}
 }
 
-// SetSlackShare sets how much of the slack of a window this gateway may spend.
+// SetSlackShare sets this gateway's share of the slack per window.
 func (b *Budget) SetSlackShare(now time.Duration, share float64) {
 	b.accrue(now)
 	b.slackShare = share
 	b.slack = min(b.slack, b.maxSlack())
 }
 
-// maxSlack is how much of the slack is kept at most.
+// maxSlack is the most slack that accumulates.
 func (b *Budget) maxSlack() float64 { return b.slackShare / 2 }
 
-// Deposit counts a request of a client.
+// Deposit adds the deposit of one client request.
 func (b *Budget) Deposit(now time.Duration) {
 	b.expire(now)
 	b.slots[b.newestSlot%budgetSlots] += b.ratio
 }
 
-// TryWithdraw takes one retry, if there is one: from the oldest deposits first, as they expire next, and from the slack what they lack.
+// TryWithdraw withdraws one retry if the budget covers it. It uses the oldest deposits first, as they expire next, and takes
+// the remainder from the slack.
 func (b *Budget) TryWithdraw(now time.Duration) bool {
 	b.expire(now)
 	b.accrue(now)
@@ -66,7 +67,7 @@
 	return true
 }
 
-// deposits is what requests have deposited and is left.
+// deposits returns the sum of the unspent deposits.
 func (b *Budget) deposits() (sum float64) {
 	for _, deposit := range b.slots {
 		sum += deposit
@@ -74,7 +75,7 @@
 	return sum
 }
 
-// expire empties the slots that are older than a window. A clock that seems to go back expires nothing.
+// expire clears the slots that are older than a window. It does nothing if the clock goes backwards.
 func (b *Budget) expire(now time.Duration) {
 	slot := int64(now / (b.window / budgetSlots))
 	for passed := min(slot-b.newestSlot, budgetSlots); passed > 0; passed-- {
@@ -83,7 +84,7 @@
 	b.newestSlot = max(b.newestSlot, slot)
 }
 
-// accrue adds what has come in of the slack.
+// accrue adds the slack that has accrued since the last call.
 func (b *Budget) accrue(now time.Duration) {
 	if passed := now - b.accruedAt; passed > 0 {
 		b.accruedAt = now
--- a/dataplane/retry/budget_test.go
+++ b/dataplane/retry/budget_test.go
@@ -9,7 +9,7 @@
 
 const testWindow = 10 * time.Second
 
-// withdrawAll takes all retries that there are.
+// withdrawAll withdraws until the budget is empty and returns the number of retries.
 func withdrawAll(b *Budget, now time.Duration) (count int) {
 	for b.TryWithdraw(now) {
 		count++
@@ -17,9 +17,9 @@
 	return count
 }
 
-// TestBudgetSumOverGateways has many gateways retry all they can: together they stay within the bound of a window.
+// Guards the fleet's retry limit: gateways that spend their whole budgets must together stay within it.
 func TestBudgetSumOverGateways(t *testing.T) {
-	Convey("Given gateways that share half of the ratio and of the slack", t, func() {
+	Convey("Given gateways that share half the ratio and half the slack", t, func() {
 		const n, ratio, slack, requests = 10, 0.2, 60.0, 100
 		spent := 0
 		for range n {
@@ -42,16 +42,16 @@
 		b := NewBudget(time.Hour, 0.1, testWindow)
 		b.SetSlackShare(time.Hour, 100)
 		So(withdrawAll(b, time.Hour), ShouldEqual, 0)
-		Convey("its slack comes in by half a share a window, and no more than that is kept", func() {
+		Convey("its slack accrues at half a share per window, up to half a share", func() {
 			So(withdrawAll(b, time.Hour+testWindow/2), ShouldEqual, 25)
 			So(withdrawAll(b, 2*time.Hour), ShouldEqual, 50)
 		})
-		Convey("a share that falls takes what is kept beyond it", func() {
+		Convey("reducing the share discards the slack that exceeds it", func() {
 			b.SetSlackShare(2*time.Hour, 10)
 			So(withdrawAll(b, 2*time.Hour), ShouldEqual, 5)
 		})
 	})
-	Convey("What requests deposit lasts for a window", t, func() {
+	Convey("Deposits expire after one window", t, func() {
 		b := NewBudget(0, 0.1, testWindow)
 		for range 40 {
 			b.Deposit(time.Second)
@@ -60,7 +60,7 @@
 		So(b.TryWithdraw(time.Second+testWindow*8/10), ShouldBeTrue)
 		So(b.TryWithdraw(time.Second+testWindow), ShouldBeFalse)
 	})
-	Convey("A retry may be paid for by both", t, func() {
+	Convey("A retry may be covered by deposits and slack together", t, func() {
 		b := NewBudget(0, 0.1, testWindow)
 		b.SetSlackShare(0, 1)
 		for range 6 {
--- a/dataplane/retry/retry.go
+++ b/dataplane/retry/retry.go
@@ -1,7 +1,7 @@
-// Package retry decides what follows an attempt at a replica: whether the request is sent to another one, and which status
-// its client gets where it is not. It is free of I/O.
+// Package retry decides whether a request is retried at another replica after a failed attempt, and which status its client
+// receives otherwise. The package performs no I/O.
 //
-// Invariant: a request that is not idempotent is sent again only with proof that it was not executed, and 503 is answered
+// Invariant: a request that is not idempotent is retried only with proof that it was not executed, and status 503 is returned
 // only with that proof.
 package retry
 
@@ -10,68 +10,68 @@
 	"time"
 )
 
-// Execution is what is known of whether an attempt executed its request. A greater value says more; of several attempts the
-// greatest counts.
+// Execution is what is known about whether an attempt executed its request. If a request had several attempts, the greatest
+// value applies.
 type Execution int
 
 // The values of Execution.
 const (
-	NotExecuted     Execution = iota // with proof: it was never sent, or the replica stated that it did not execute it
-	MayHaveExecuted                  // it was sent, and nothing proves that it was not executed
-	Answered                         // the replica's complete response is there
+	NotExecuted     Execution = iota // proven: the request was never sent, or the replica stated that it did not execute it
+	MayHaveExecuted                  // the request was sent, and nothing proves that it was not executed
+	Answered                         // the complete response was received
 )
 
-// String returns the value's name in logs.
+// String returns the name that is used in logs.
 func (e Execution) String() string {
 	return [...]string{"not_executed", "may_have_executed", "answered"}[e]
 }
 
-// State is the state of a request between two attempts.
+// State is the retry state of a request after an attempt.
 type State struct {
 	Idempotent      bool
 	MaxAttempts     int
-	Attempts        int // that were sent
-	ConnectFailures int // attempts for which no connection could be opened
+	Attempts        int // attempts that were sent
+	ConnectFailures int // attempts that failed to connect
 	TimeLeft        time.Duration
-	LatencyTarget   time.Duration // of the route; 0: none
-	ServerError     bool          // the last attempt was answered by a server error
+	LatencyTarget   time.Duration // latency target of the route; 0 if it has none
+	ServerError     bool          // the last response was a server error
 }
 
 const (
-	// MaxConnectFailures bounds attempts that fail before anything is sent: they reach no replica, but cost time.
+	// MaxConnectFailures bounds attempts that fail to connect. They put no load on replicas but take time.
 	MaxConnectFailures = 4
 
-	minTimeLeft             = 20 * time.Millisecond // with less, an attempt is of no use
-	minLatencyTargetShare   = 0.1                   // of the latency target: with less time than this an attempt is none
-	hedgeLatencyTargetShare = 0.55                  // of the latency target, after which a second replica can still answer within it
+	minTimeLeft             = 20 * time.Millisecond // no attempt is made with less time left
+	minLatencyTargetShare   = 0.1                   // no attempt is made with less than this share of the latency target left
+	hedgeLatencyTargetShare = 0.55                  // share of the latency target after which a request is hedged
 )
 
-// EnoughTime tells whether the time left is enough for an attempt.
+// EnoughTime reports whether the time left is enough for an attempt.
 func EnoughTime(timeLeft, latencyTarget time.Duration) bool {
 	return timeLeft >= max(minTimeLeft, time.Duration(minLatencyTargetShare*float64(latencyTarget)))
 }
 
-// HedgeDelay is how long an idempotent request waits for its response until a second attempt is made beside the first; not
-// ok: no second one is made.
+// HedgeDelay returns how long to wait for the response to an idempotent request before sending a second, concurrent attempt.
+// It returns false if there is no latency target or too little time for a second attempt.
 func HedgeDelay(latencyTarget, timeLeft time.Duration) (delay time.Duration, ok bool) {
 	delay = time.Duration(hedgeLatencyTargetShare * float64(latencyTarget))
 	return delay, latencyTarget > 0 && EnoughTime(timeLeft-delay, latencyTarget)
 }
 
-// Refusal says why a request is not sent again. It is a value of logs; empty: it may be sent.
+// Refusal is the reason why a request is not retried, as written to logs. It is empty if a retry is allowed.
 type Refusal string
 
-// The refusals.
+// The values of Refusal.
 const (
 	RefusedNoTime          Refusal = "too_little_time"
 	RefusedConnectFailures Refusal = "connect_failures"  // MaxConnectFailures is exceeded
-	RefusedAttempts        Refusal = "attempts_spent"    // the route allows no more
-	RefusedMayHaveExecuted Refusal = "may_have_executed" // and the request is not idempotent
+	RefusedAttempts        Refusal = "attempts_spent"    // the route's maximum is reached
+	RefusedMayHaveExecuted Refusal = "may_have_executed" // the request is not idempotent and may have been executed
 	RefusedAnswered        Refusal = "answered"
 )
 
-// RefusalOf tells why the request is not sent to another replica after an attempt; empty: it may be. Attempts that reach a
-// replica must be covered by a Budget besides, which is asked last so that nothing is withdrawn from it in vain.
+// RefusalOf returns why a request must not be retried, or an empty Refusal if it may be. If the last attempt was sent, the
+// retry must also be withdrawn from a Budget, after this check, so that a refused retry does not reduce the budget.
 func RefusalOf(execution Execution, state State) Refusal {
 	switch {
 	case !EnoughTime(state.TimeLeft, state.LatencyTarget):
@@ -88,11 +88,11 @@
 	return ""
 }
 
-// ShouldRetry tells whether RefusalOf finds nothing against another attempt.
+// ShouldRetry reports whether RefusalOf allows another attempt.
 func ShouldRetry(execution Execution, state State) bool { return RefusalOf(execution, state) == "" }
 
-// FinalStatus is the status that a client gets when no response of a replica can be passed on. 503 promises that the
-// request was not executed and never will be; 502 and 504 promise nothing.
+// FinalStatus returns the status for the client when there is no replica response to forward. Status 503 guarantees that the
+// request was not and will not be executed; 502 and 504 guarantee nothing.
 func FinalStatus(execution Execution, deadlineExceeded bool) int {
 	switch {
 	case execution == NotExecuted:
--- a/dataplane/retry/retry_test.go
+++ b/dataplane/retry/retry_test.go
@@ -16,26 +16,26 @@
 			r.ServerError = true
 			So(ShouldRetry(Answered, r), ShouldBeFalse)
 		})
-		Convey("an idempotent one is retried after any failure, not after a response", func() {
+		Convey("an idempotent one is retried after a failure or a server error, not after another response", func() {
 			r.Idempotent = true
 			So(ShouldRetry(MayHaveExecuted, r), ShouldBeTrue)
 			So(ShouldRetry(Answered, r), ShouldBeFalse)
 			r.ServerError = true
 			So(ShouldRetry(Answered, r), ShouldBeTrue)
 		})
-		Convey("nothing is retried without attempts or time", func() {
+		Convey("nothing is retried without attempts or time left", func() {
 			r.Idempotent = true
 			r.Attempts = 2
 			So(ShouldRetry(NotExecuted, r), ShouldBeFalse)
 			r.Attempts, r.TimeLeft = 1, time.Millisecond
 			So(ShouldRetry(NotExecuted, r), ShouldBeFalse)
 		})
-		Convey("attempts that fail before anything is sent are bounded too", func() {
+		Convey("attempts that fail to connect are bounded", func() {
 			r.Attempts, r.ConnectFailures = 0, MaxConnectFailures+1
 			So(ShouldRetry(NotExecuted, r), ShouldBeFalse)
 		})
 	})
-	Convey("503 is answered only where the request was not executed", t, func() {
+	Convey("503 is returned only if the request was not executed", t, func() {
 		So(FinalStatus(NotExecuted, false), ShouldEqual, 503)
 		So(FinalStatus(NotExecuted, true), ShouldEqual, 503)
 		So(FinalStatus(MayHaveExecuted, false), ShouldEqual, 502)
@@ -44,7 +44,7 @@
 }
 
 func TestHedgeDelay(t *testing.T) {
-	Convey("A second attempt is made while it can still be answered in time", t, func() {
+	Convey("A request is hedged only if enough time is left for the second attempt", t, func() {
 		wait, ok := HedgeDelay(time.Second, 3*time.Second)
 		So(ok, ShouldBeTrue)
 		So(wait, ShouldBeBetween, 300*time.Millisecond, 700*time.Millisecond)
@@ -55,10 +55,9 @@
 	})
 }
 
-// Guards against attempts that are none: with under a tenth of the latency target left a replica had no chance to answer,
-// so the request is rejected with the promise that it was not executed.
+// Guards against attempts that leave a replica too little time to respond. Such requests are rejected as not executed.
 func TestEnoughTime(t *testing.T) {
-	Convey("An attempt is made only with a tenth of the latency target left, and 20 ms", t, func() {
+	Convey("An attempt needs a tenth of the latency target, and at least 20 ms", t, func() {
 		So(EnoughTime(79*time.Millisecond, 800*time.Millisecond), ShouldBeFalse)
 		So(EnoughTime(80*time.Millisecond, 800*time.Millisecond), ShouldBeTrue)
 		So(EnoughTime(19*time.Millisecond, 0), ShouldBeFalse)
