--- a/dataplane/framing/scanner.go
+++ b/dataplane/framing/scanner.go
@@ -1,9 +1,9 @@
-// Package framing follows the bytes of a client's connection and finds requests whose framing is ambiguous: two readers
-// could take them for different requests, which is what request smuggling needs. It is free of I/O.
+// Package framing scans the bytes of a client connection for HTTP/1 requests with ambiguous framing. Two parsers may disagree
+// on where such a request ends, which enables request smuggling. The package performs no I/O.
 //
-// net/http takes some of these and mends them in silence (RFC 9112 has a server close the connection after them, or allows
-// to refuse them): a length beside chunks, a length given twice, chunks in HTTP/1.0, folded lines, a bare CR. Here they are
-// refused before anything of them is read as a request.
+// RFC 9112 requires a server to close the connection after some of these requests and allows it to reject the others. net/http
+// silently accepts Content-Length together with chunked encoding, repeated Content-Length fields, chunked encoding in HTTP/1.0,
+// folded lines and bare CRs. The scanner rejects them before net/http reads the request.
 package framing
 
 import (
@@ -11,36 +11,36 @@
 	"strconv"
 )
 
-// InvalidInput is handed on in place of what was found bad. Wherever it stands in a head, in chunks or in trailers, net/http takes
-// it for an error of that request, answers 400 in its turn and closes the connection.
+// InvalidInput is passed to net/http in place of rejected bytes. At any position in a head, in chunks or in trailers, it makes
+// net/http fail the request, respond with 400 and close the connection.
 const InvalidInput = "\x00\r\n\r\n"
 
 const (
-	maxLineBytes      = 1 << 20 // the server's own limit of heads is far below
-	maxChunkLineBytes = 4096    // as net/http's
-	maxLengthDigits   = 18      // of a Content-Length
-	maxChunkDigits    = 16
+	maxLineBytes      = 1 << 20 // far above the server's limit on the size of a head
+	maxChunkLineBytes = 4096    // same as in net/http
+	maxLengthDigits   = 18      // digits of a Content-Length
+	maxChunkDigits    = 16      // digits of a chunk size
 	chunkSizeBits     = 62
 )
 
-// Violation says what was found bad. It is a key of logs.
+// Violation is the reason why a request is rejected, as written to logs.
 type Violation string
 
-// The violations; the empty one is none.
+// The values of Violation.
 const (
 	LineTooLong      Violation = "line_too_long"
-	BareCR           Violation = "bare_cr"           // a CR within a line of a head
+	BareCR           Violation = "bare_cr"           // a CR within a header line
 	FoldedLine       Violation = "folded_line"       // a header field continued on the next line
-	NoColon          Violation = "no_colon"          // a header line that is no field
-	InvalidLength    Violation = "length"            // a Content-Length that is no number
+	NoColon          Violation = "no_colon"          // a header line without a colon
+	InvalidLength    Violation = "length"            // a Content-Length that is not a valid number
 	TwoLengths       Violation = "two_lengths"       // more than one Content-Length
-	LengthAndChunks  Violation = "length_and_chunks" // Content-Length beside Transfer-Encoding
-	TransferEncoding Violation = "transfer_encoding" // any but chunked, or more than one
+	LengthAndChunks  Violation = "length_and_chunks" // both Content-Length and Transfer-Encoding
+	TransferEncoding Violation = "transfer_encoding" // a coding other than chunked, or more than one coding
 	ChunksInHTTP10   Violation = "chunks_in_http10"
 	InvalidChunkSize Violation = "chunk_size"
 	InvalidChunkEnd  Violation = "chunk_end"
 	InvalidTrailer   Violation = "trailer"
-	AfterViolation   Violation = "after_bad" // anything behind another violation
+	AfterViolation   Violation = "after_bad" // data after an earlier violation
 	noViolation      Violation = ""
 )
 
@@ -52,50 +52,50 @@
 	optionalSpace    = " \t"
 )
 
-// state is what the next byte belongs to.
+// state is the part of the message that the next byte belongs to.
 type state uint8
 
 const (
-	requestStart state = iota // nothing of the next request is there
-	head                      // the lines of a request's head
-	fixedBody                 // a body of known length
-	chunkSize                 // the line before a chunk
-	chunkData                 // a chunk's bytes
-	chunkEnd                  // the CRLF behind a chunk
-	trailer                   // the lines behind the last chunk
-	failed                    // something bad was found
+	requestStart state = iota // between requests
+	head                      // request line and header fields
+	fixedBody                 // body with a Content-Length
+	chunkSize                 // line with a chunk's size
+	chunkData                 // data of a chunk
+	chunkEnd                  // CRLF after a chunk's data
+	trailer                   // trailer fields
+	failed                    // a violation was found
 )
 
-// Scanner follows one connection. The zero value is ready.
+// Scanner scans the requests of one connection. The zero value is ready to use.
 type Scanner struct {
 	state       state
-	remaining   int64  // bytes of a body or a chunk to come
-	partialLine []byte // a line's beginning, from earlier calls
+	remaining   int64  // remaining bytes of the body or chunk
+	partialLine []byte // start of the current line, from earlier calls
 	requests    int
 
-	// Of the head at hand.
-	atRequestLine  bool // its first line is still to come
+	// State of the current head.
+	atRequestLine  bool // the request line has not been read yet
 	http10         bool
 	chunked        bool
 	contentLengths int
 	violation      Violation
 }
 
-// Idle tells whether the last request is over and nothing of the next one has come.
+// Idle reports whether the connection is between requests.
 func (s *Scanner) Idle() bool { return s.state == requestStart }
 
-// Requests returns how many requests have begun.
+// Requests returns the number of requests that have started.
 func (s *Scanner) Requests() int { return s.requests }
 
-// Feed takes the next bytes. It returns how many of them may be handed on: all, or those before something bad, whose
-// violation it returns then.
-func (s *Scanner) Feed(b []byte) (good int, violation Violation) {
+// Feed scans the next bytes of the connection. It returns the number of bytes that may be passed on, which is less than len(b)
+// if it finds a violation.
+func (s *Scanner) Feed(b []byte) (accepted int, violation Violation) {
 	for i := 0; i < len(b); {
 		switch s.state {
 		case failed:
 			return i, AfterViolation
 		case requestStart:
-			if b[i] == '\r' || b[i] == '\n' { // left over by old clients; net/http skips it too
+			if b[i] == '\r' || b[i] == '\n' { // empty lines before a request are allowed and skipped by net/http
 				i++
 				continue
 			}
@@ -120,7 +120,7 @@
 	s.requests++
 }
 
-// skipBody takes what is there of a body or a chunk, n bytes at most, and returns how many that were.
+// skipBody consumes up to n bytes of the body or chunk and returns the number consumed.
 func (s *Scanner) skipBody(n int) int {
 	skipped := min(int64(n), s.remaining)
 	s.remaining -= skipped
@@ -134,7 +134,7 @@
 	return int(skipped)
 }
 
-// feedLine takes bytes up to the end of a line, or all where that has not come, and returns how many that were.
+// feedLine consumes bytes up to the end of the line, or all bytes if the line is incomplete, and returns the number consumed.
 func (s *Scanner) feedLine(b []byte) (n int, violation Violation) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
@@ -153,8 +153,8 @@
 	return end + 1, violation
 }
 
-// scanLine takes one line with its end. A violation in a head is returned at the end of that head only, so that the server
-// has read the head by then.
+// scanLine scans one line including its line ending. A violation within a head is returned only at the end of the head, so
+// that the server has read the whole head by then.
 func (s *Scanner) scanLine(line []byte) Violation {
 	crlf := len(line) > 1 && line[len(line)-2] == '\r'
 	line = line[:len(line)-1]
@@ -218,14 +218,14 @@
 	s.contentLengths++
 }
 
-// recordViolation keeps the first violation of a head.
+// recordViolation records the first violation in a head.
 func (s *Scanner) recordViolation(violation Violation) {
 	if s.violation == noViolation {
 		s.violation = violation
 	}
 }
 
-// endHead decides at the end of a head how the body is framed.
+// endHead determines the framing of the body from the complete head.
 func (s *Scanner) endHead() Violation {
 	switch {
 	case s.violation != noViolation:
--- a/dataplane/framing/scanner_test.go
+++ b/dataplane/framing/scanner_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Guards against request smuggling: each of these is taken by net/http in silence, or the connection is not closed after it.
+// Guards against request smuggling: net/http accepts each of these requests, or keeps the connection open after it.
 func TestAmbiguousFramingIsRejected(t *testing.T) {
 	for _, x := range []struct {
 		in   string
@@ -30,35 +30,35 @@
 		{"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX: y\n\r\n", "trailer"},
 		{"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0x2\r\nab\r\n", "chunk_size"},
 	} {
-		for step := 1; step <= len(x.in); step += max(1, len(x.in)-1) { // by bytes, and at once
+		for step := 1; step <= len(x.in); step += max(1, len(x.in)-1) { // byte by byte, and all at once
 			var s Scanner
 			got := noViolation
 			for i := 0; i < len(x.in) && got == noViolation; i += step {
 				_, got = s.Feed([]byte(x.in[i:min(i+step, len(x.in))]))
 			}
 			if got != x.want {
-				t.Errorf("%q by %d: %q, want %q", x.in, step, got, x.want)
+				t.Errorf("%q in steps of %d bytes: got violation %q, want %q", x.in, step, got, x.want)
 			}
 		}
 	}
 }
 
-func TestProperRequestsPass(t *testing.T) {
+func TestValidRequestsPass(t *testing.T) {
 	in := "GET /a HTTP/1.1\r\nHost: h\r\n\r\nPOST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc" +
 		"POST /c HTTP/1.1\r\nHost: h\r\ntransfer-encoding: Chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\nT: 1\r\n\r\nGET /d HTTP/1.0\r\n\r\n"
 	var s Scanner
 	for i := range in {
 		if n, violation := s.Feed([]byte{in[i]}); n != 1 || violation != noViolation {
-			t.Fatalf("at %d: %d %q", i, n, violation)
+			t.Fatalf("byte %d: accepted %d bytes with violation %q, want 1 byte and no violation", i, n, violation)
 		}
 	}
 	if s.Requests() != 4 || !s.Idle() {
-		t.Fatalf("%d requests, idle %v", s.Requests(), s.Idle())
+		t.Fatalf("got %d requests and idle %v, want 4 and true", s.Requests(), s.Idle())
 	}
 }
 
-// poisoned returns what a scanner lets through, and the poison behind it.
-func poisoned(in []byte, step int) ([]byte, Violation) {
+// filter returns the bytes that a scanner accepts, followed by InvalidInput if it finds a violation.
+func filter(in []byte, step int) ([]byte, Violation) {
 	var s Scanner
 	var out []byte
 	for i := 0; i < len(in); i += step {
@@ -72,8 +72,8 @@
 	return out, noViolation
 }
 
-// FuzzFraming has net/http read what the scanner lets through: where both agree that requests begin, nothing can be
-// smuggled; and what was found bad is never read as a request.
+// FuzzFraming parses the accepted bytes with net/http. Scanner and net/http must agree on where requests start, and
+// InvalidInput must never be read as a request.
 func FuzzFraming(f *testing.F) {
 	for _, in := range []string{
 		"GET /a HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -85,7 +85,7 @@
 		f.Add([]byte(in), uint8(7))
 	}
 	f.Fuzz(func(t *testing.T, in []byte, step uint8) {
-		out, violation := poisoned(in, 1+int(step))
+		out, violation := filter(in, 1+int(step))
 		var s Scanner
 		starts := map[int]bool{}
 		for i := range out {
@@ -109,14 +109,14 @@
 				break
 			}
 			if !starts[at] {
-				t.Fatalf("net/http reads a request at %d of %q, the scanner none (%q)", at, out, violation)
+				t.Fatalf("net/http reads a request at offset %d of %q, the scanner does not (%q)", at, out, violation)
 			}
 			if violation != noViolation && end > len(out)-len(InvalidInput) && !strings.HasSuffix(string(out[:end]), "\n\r\n") {
-				t.Fatalf("the poison was read as a request: %q (%q)", out, violation)
+				t.Fatalf("InvalidInput was read as a request: %q (%q)", out, violation)
 			}
 			for next := at + 1; next < end; next++ {
 				if starts[next] {
-					t.Fatalf("the scanner sees a request at %d of %q, within one of net/http's from %d to %d", next, out, at, end)
+					t.Fatalf("the scanner reads a request at offset %d of %q, within net/http's request from %d to %d", next, out, at, end)
 				}
 			}
 		}
