--- a/dataplane/loadbalancer/balancer.go
+++ b/dataplane/loadbalancer/balancer.go
@@ -1,11 +1,11 @@
-// Package loadbalancer chooses the endpoint that a request goes to, from the endpoint table that the control plane sends
-// and from what this gateway observes itself.
+// Package loadbalancer selects the endpoint for each attempt, based on the endpoint table from the control plane and on the
+// gateway's own observations.
 //
-// The choice prefers endpoints of the own zone while they have free slots, and the less loaded of two drawn by weight
-// among them (the power of two choices). Endpoints that are warming up get no more than their warm-up rate; ejected and
-// unhealthy ones are the last choice, as somebody must serve where all are so.
+// It prefers endpoints in the gateway's zone while they have free slots, and selects among them by weighted power of two
+// choices. Endpoints that are warming up receive at most their warm-up rate. Ejected and unhealthy endpoints are used only if
+// no others are available.
 //
-// The package is free of I/O: the time and the randomness are parameters.
+// The package performs no I/O; callers pass in the time and random numbers.
 package loadbalancer
 
 import (
@@ -18,24 +18,24 @@
 )
 
 const (
-	localConnectionShare = 0.8 // of the connections that a replica accepts, for gateways of its zone
-	minConnectionShare   = 2
+	localConnectionShare = 0.8 // share of the connections that a replica accepts which is divided among the gateways in its zone
+	minConnectionShare   = 2   // connections
 )
 
 // Balancer holds the endpoints of all services. It is not safe for concurrent use.
 type Balancer struct {
-	zone      string // of the gateway
-	endpoints map[string]*Endpoint
-	byService map[string][]*Endpoint // in the order of their IDs
+	zone      string                 // zone of the gateway
+	endpoints map[string]*Endpoint   // by ID
+	byService map[string][]*Endpoint // sorted by ID
 
 	evacuatedZones   map[string]bool
-	warmupRates      map[string]float64       // by endpoint, requests a second
-	maxInFlight      map[string]int           // at one endpoint, by service
-	minSendIntervals map[string]time.Duration // between two requests to one endpoint, by service
-	removedAt        map[string]time.Duration // endpoints that are not to come back: stale updates may still name them
+	warmupRates      map[string]float64       // requests per second, by endpoint ID
+	maxInFlight      map[string]int           // limit per endpoint, by service
+	minSendIntervals map[string]time.Duration // between requests to the same endpoint, by service
+	removedAt        map[string]time.Duration // endpoints that stale updates must not add again, by ID
 }
 
-// New makes a balancer without endpoints for a gateway in a zone.
+// New returns a balancer without endpoints for a gateway in the given zone.
 func New(zone string) *Balancer {
 	return &Balancer{
 		zone:           zone,
@@ -50,24 +50,24 @@
 // Get returns an endpoint by its ID, or nil.
 func (b *Balancer) Get(id string) *Endpoint { return b.endpoints[id] }
 
-// KnowsService tells whether any endpoint of a service is known, whatever its state.
+// KnowsService reports whether a service has any endpoint, regardless of its state.
 func (b *Balancer) KnowsService(service string) bool { return len(b.byService[service]) > 0 }
 
-// All returns the endpoints in the order of their IDs.
+// All returns all endpoints, sorted by ID.
 func (b *Balancer) All() []*Endpoint {
 	return slices.SortedFunc(maps.Values(b.endpoints), compareIDs)
 }
 
 func compareIDs(x, y *Endpoint) int { return cmp.Compare(x.ID, y.ID) }
 
-// SetWeight sets an endpoint's weight in the endpoint table; 0 makes it a last choice.
+// SetWeight sets an endpoint's weight. An endpoint with weight 0 is used only if no others are available.
 func (b *Balancer) SetWeight(id string, weight float64) {
 	if endpoint := b.endpoints[id]; endpoint != nil {
 		endpoint.Weight = weight
 	}
 }
 
-// SetPairEjections ejects endpoints for this gateway alone, or ends that. A full update begins with none ejected.
+// SetPairEjections starts or ends ejections that apply to this gateway only. A full update first ends all of them.
 func (b *Balancer) SetPairEjections(full bool, ejections []messages.PairEjection) {
 	if full {
 		for _, endpoint := range b.endpoints {
@@ -81,20 +81,20 @@
 	}
 }
 
-// SetMaxInFlight sets how many requests this gateway may have in flight at one endpoint, by service: its share of the
-// connections that a replica accepts from all gateways.
+// SetMaxInFlight sets the maximum number of this gateway's requests in flight at one endpoint, by service. The limit is the
+// gateway's share of the connections that a replica accepts.
 func (b *Balancer) SetMaxInFlight(limits map[string]int) { b.maxInFlight = limits }
 
-// ConnectionShare is a gateway's share of the connections that a replica accepts, among a number of gateways over a number
-// of zones: most of a replica's requests come from its own zone.
+// ConnectionShare returns one gateway's share of the connections that a replica accepts. It assumes that the gateways are
+// spread evenly over the zones and that most of a replica's requests come from gateways in its zone.
 func ConnectionShare(connections, gateways, zones int) int {
 	gatewaysInZone := (gateways + zones - 1) / max(zones, 1)
 	return max(int(localConnectionShare*float64(connections))/max(gatewaysInZone, 1), minConnectionShare)
 }
 
-// SetMinSendIntervals sets the time between two requests of this gateway to one endpoint, by service; nil: none. It is for
-// a gateway that hears no control-plane member: any endpoint may be warming up, and other gateways that know no more send
-// to it too.
+// SetMinSendIntervals sets the minimum time between requests of this gateway to the same endpoint, by service; nil removes the
+// limit. It is used while no control-plane member is reachable: any endpoint may be warming up, and other isolated gateways
+// may send to it as well.
 func (b *Balancer) SetMinSendIntervals(intervals map[string]time.Duration) {
 	b.minSendIntervals = intervals
 }
--- a/dataplane/loadbalancer/endpoint.go
+++ b/dataplane/loadbalancer/endpoint.go
@@ -6,23 +6,23 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// loadReportLifetime is how long a replica's report of its load counts, less with time.
+// loadReportLifetime is the time over which the weight of a replica's load report decays to zero.
 const loadReportLifetime = 1500 * time.Millisecond
 
-// Load is the load that a replica reports of itself with a response.
+// Load is the load that a replica reports with a response.
 type Load struct {
 	_ struct{} `cbor:",toarray"`
 
-	Running int // requests that it works on
-	Waiting int // requests that it has queued
-	Slots   int // requests that it can work on at once; 0: it reported no load
+	Running int // requests being processed
+	Waiting int // queued requests
+	Slots   int // maximum number of requests processed concurrently; 0 if no load was reported
 }
 
-// Endpoint is a registered instance of a replica as this gateway sees it.
+// Endpoint is this gateway's view of a registered instance.
 type Endpoint struct {
 	ID, Service, Addr, Zone string
 
-	Slots             int // requests that it works on at once
+	Slots             int // maximum number of requests processed concurrently
 	Weight            float64
 	Draining          bool
 	HeartbeatTimedOut bool
@@ -30,28 +30,28 @@
 	warmup warmup
 
 	hasSent          bool
-	lastSentAt       time.Duration // where hasSent is set
-	inFlight         int           // requests of this gateway
-	inFlightOfOthers float64       // requests of other gateways, by its report
+	lastSentAt       time.Duration // valid if hasSent is set
+	inFlight         int           // this gateway's requests
+	inFlightOfOthers float64       // other gateways' requests, from the last load report
 	loadReportedAt   time.Duration
 
 	ejectedUntil        time.Duration
-	fleetEjectedUntil   time.Duration // the part of ejectedUntil that the control plane decided
-	pairEjected         bool          // ejected for this gateway alone, by the control plane
+	fleetEjectedUntil   time.Duration // end of the last ejection by the control plane
+	pairEjected         bool          // ejected by the control plane for this gateway only
 	consecutiveFailures int
 	failureRate         float64 // moving average, from 0 to 1
 
-	// Since the last ResetStats.
-	Attempts     int // that began
+	// Statistics since the last ResetStats.
+	Attempts     int // started attempts
 	Successes    int
 	Failures     int
-	TotalLatency time.Duration // of the successes
+	TotalLatency time.Duration // sum over the successes
 
-	// By its newest report of its load; ReportedSlots is 0 where there was none since the last ResetStats.
+	// The last load report. ReportedSlots is 0 if there was none since the last ResetStats.
 	Running, Waiting, ReportedSlots int
 }
 
-// Instance returns what this gateway knows of the endpoint, as it reports it to a member.
+// Instance returns the endpoint's state in the form that is reported to control-plane members.
 func (e *Endpoint) Instance(now time.Duration) fleet.Instance {
 	return fleet.Instance{
 		ID:            e.ID,
@@ -67,22 +67,22 @@
 	}
 }
 
-// Utilization estimates how many requests to a slot the endpoint has, running and waiting.
+// Utilization estimates the endpoint's number of requests per slot, both running and queued.
 func (e *Endpoint) Utilization(now time.Duration) float64 {
 	freshness := 1 - min(float64(now-e.loadReportedAt)/float64(loadReportLifetime), 1)
 	load := float64(e.inFlight) + e.inFlightOfOthers*freshness
 	return load / float64(max(e.Slots, 1))
 }
 
-// RecordLoad takes in the load that a replica reports with a response. What this gateway has in flight there is no load of
-// others.
+// RecordLoad records a load report from a replica. The load of other gateways is the reported load less this gateway's
+// requests in flight.
 func (e *Endpoint) RecordLoad(now time.Duration, load Load) {
 	e.Running, e.Waiting, e.ReportedSlots = load.Running, load.Waiting, load.Slots
 	e.inFlightOfOthers = max(float64(load.Running+load.Waiting-e.inFlight), 0)
 	e.loadReportedAt = now
 }
 
-// ResetStats begins a new report period.
+// ResetStats resets the statistics at the start of a report period.
 func (e *Endpoint) ResetStats() {
 	e.Attempts, e.Failures, e.Successes, e.TotalLatency, e.ReportedSlots = 0, 0, 0, 0, 0
 }
--- a/dataplane/loadbalancer/instances.go
+++ b/dataplane/loadbalancer/instances.go
@@ -7,11 +7,11 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// removedRetention is how long a removed endpoint's ID is remembered, against stale updates.
+// removedRetention is how long the ID of a removed endpoint is kept, so that stale updates cannot add the endpoint again.
 const removedRetention = time.Minute
 
-// UpdateInstances takes in what an update says of instances; a full one names all that there are. It returns the endpoints
-// to which no connection is wanted any more: removed and draining ones.
+// UpdateInstances applies the instances of an update. A full update lists all instances. It returns the IDs of endpoints that
+// were removed or started draining; connections to them should be closed.
 func (b *Balancer) UpdateInstances(now time.Duration, full bool, instances []fleet.Instance) []string {
 	var missing []string
 	if full {
@@ -26,19 +26,19 @@
 	for _, id := range ended {
 		b.removedAt[id] = now
 	}
-	b.forgetRemoved(now)
+	b.expireRemoved(now)
 	return append(missing, ended...)
 }
 
-// removeMissing removes the endpoints that a full update does not name, and returns them. The member may not know them
-// yet, so they may come back.
+// removeMissing removes the endpoints that a full update does not list and returns their IDs. Later updates may add them
+// again, as the member may not have learned of them yet.
 func (b *Balancer) removeMissing(instances []fleet.Instance) (missing []string) {
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, instance := range instances {
-		named[instance.ID] = true
+		listed[instance.ID] = true
 	}
 	for id := range b.endpoints {
-		if !named[id] {
+		if !listed[id] {
 			b.remove(id)
 			missing = append(missing, id)
 		}
@@ -46,8 +46,7 @@
 	return missing
 }
 
-// updateInstance takes in what an update says of one instance. It tells whether that ended the endpoint: it was removed, or
-// has begun to drain.
+// updateInstance applies an update of one instance. It reports whether the endpoint was removed or started draining.
 func (b *Balancer) updateInstance(now time.Duration, instance fleet.Instance) (ended bool) {
 	endpoint := b.endpoints[instance.ID]
 	if instance.Deregistered {
@@ -67,7 +66,7 @@
 		b.moveToService(endpoint, instance.Service)
 	}
 	endpoint.Addr, endpoint.Zone, endpoint.Slots = instance.Addr, instance.Zone, max(instance.Slots, 1)
-	if instance.Draining && !endpoint.Draining { // draining is final
+	if instance.Draining && !endpoint.Draining { // draining cannot be undone
 		endpoint.Draining = true
 		ended = true
 	}
@@ -76,8 +75,8 @@
 	return ended
 }
 
-// forgetRemoved forgets removed endpoints after removedRetention.
-func (b *Balancer) forgetRemoved(now time.Duration) {
+// expireRemoved deletes the IDs of endpoints that were removed longer than removedRetention ago.
+func (b *Balancer) expireRemoved(now time.Duration) {
 	for id, at := range b.removedAt {
 		if b.endpoints[id] == nil && now-at > removedRetention {
 			delete(b.removedAt, id)
@@ -85,7 +84,7 @@
 	}
 }
 
-// RemoveMisdirected removes an endpoint at whose address another instance has answered. It tells whether that is new.
+// RemoveMisdirected removes an endpoint whose address is in use by another instance. It reports whether the endpoint existed.
 func (b *Balancer) RemoveMisdirected(now time.Duration, id string) bool {
 	if b.endpoints[id] == nil {
 		return false
--- a/dataplane/loadbalancer/pick.go
+++ b/dataplane/loadbalancer/pick.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	spareUtilization = 0.85 // requests to a slot below which an endpoint has free slots
-	fullUtilization  = 1.5  // requests to a slot from which an endpoint counts as full
-	maxFailureRate   = 0.5  // from which an endpoint gets only what others cannot take
-	minWeight        = 1e-3 // of an endpoint that may be picked
+	spareUtilization = 0.85 // requests per slot below which an endpoint counts as having free slots
+	fullUtilization  = 1.5  // requests per slot from which endpoints that are warming up are preferred
+	maxFailureRate   = 0.5  // failure rate above which an endpoint is degraded
+	minWeight        = 1e-3 // lower bound of the weight in random selection
 )
 
-// Pick chooses an endpoint of a service for a request, or nil. attempted tells which endpoints the request has been at.
-// None is chosen that has maxUtilization requests to a slot or more. random returns a number from 0 to 1.
+// Pick selects an endpoint of a service for a request, or nil if none is available. Endpoints for which attempted returns true
+// and endpoints with maxUtilization or more requests per slot are excluded. The random function returns a number in [0, 1).
 func (b *Balancer) Pick(now time.Duration, service string, attempted func(string) bool, maxUtilization float64, random func() float64) *Endpoint {
 	local, remote, warmingUp, degraded := b.classify(now, service, attempted)
-	// Bytes between zones cost money, so the own zone's endpoints go first while they have free slots. Once they are full,
-	// all zones share the load by weight.
+	// Traffic between zones is billed, so local endpoints are preferred while they have free slots. When all endpoints are
+	// busy, all zones share the load by weight.
 	if endpoint := powerOfTwoChoices(now, local, spareUtilization, random); endpoint != nil {
 		return endpoint
 	}
@@ -38,10 +38,10 @@
 	if len(healthy) > 0 {
 		return nil
 	}
-	return powerOfTwoChoices(now, degraded, maxUtilization, random) // nothing better is left: these may have recovered
+	return powerOfTwoChoices(now, degraded, maxUtilization, random)
 }
 
-// PickIdle chooses as Pick does, but only a healthy endpoint with free slots.
+// PickIdle is like Pick, but selects only a healthy endpoint with free slots.
 func (b *Balancer) PickIdle(now time.Duration, service string, attempted func(string) bool, random func() float64) *Endpoint {
 	local, remote, _, _ := b.classify(now, service, attempted)
 	if endpoint := powerOfTwoChoices(now, local, spareUtilization, random); endpoint != nil {
@@ -50,9 +50,9 @@
 	return powerOfTwoChoices(now, remote, spareUtilization, random)
 }
 
-// classify sorts the endpoints of a service that a request may go to: those of the gateway's zone, of other zones, those
-// that are warming up and may be sent a request by their warm-up rate, and those that are ejected, unhealthy or of weight
-// 0. It returns four slices, as the compiler keeps the first elements of these off the heap, but not those of a struct.
+// classify groups a service's available endpoints: healthy ones in the gateway's zone, healthy ones in other zones, those that
+// are warming up and have a token left, and degraded ones. It returns four slices instead of a struct, as this lets the
+// compiler keep small slices off the heap.
 func (b *Balancer) classify(now time.Duration, service string, attempted func(string) bool) (local, remote, warmingUp, degraded []*Endpoint) {
 	for _, endpoint := range b.byService[service] {
 		if attempted(endpoint.ID) || !b.isAvailable(now, endpoint) {
@@ -75,7 +75,7 @@
 	return local, remote, warmingUp, degraded
 }
 
-// isAvailable tells whether an endpoint may be sent a request at all.
+// isAvailable reports whether an endpoint may be sent a request at all.
 func (b *Balancer) isAvailable(now time.Duration, endpoint *Endpoint) bool {
 	if !b.AcceptsRequests(endpoint) {
 		return false
@@ -86,20 +86,20 @@
 	return !endpoint.hasSent || now-endpoint.lastSentAt >= b.minSendIntervals[endpoint.Service]
 }
 
-// AcceptsRequests tells whether an endpoint neither drains nor is in a zone that is evacuated.
+// AcceptsRequests reports whether an endpoint is neither draining nor in an evacuated zone.
 func (b *Balancer) AcceptsRequests(endpoint *Endpoint) bool {
 	return !endpoint.Draining && !b.evacuatedZones[endpoint.Zone]
 }
 
-// isDegraded tells whether an endpoint is a last choice.
+// isDegraded reports whether an endpoint is to be used only if no healthy ones are available.
 func (e *Endpoint) isDegraded(now time.Duration) bool {
 	return e.HeartbeatTimedOut || now < e.ejectedUntil || e.Weight <= 0 || e.failureRate > maxFailureRate || e.pairEjected
 }
 
-// powerOfTwoChoices draws two endpoints by weight and takes the less loaded one, or the least loaded of all where that is
-// too loaded; nil: none is below maxUtilization.
-func powerOfTwoChoices(now time.Duration, from []*Endpoint, maxUtilization float64, random func() float64) *Endpoint {
-	chosen, other := weightedRandom(from, random), weightedRandom(from, random)
+// powerOfTwoChoices selects two endpoints at random by weight and returns the less loaded one. If that is not below
+// maxUtilization it returns the least loaded endpoint of all, or nil if none is below maxUtilization.
+func powerOfTwoChoices(now time.Duration, endpoints []*Endpoint, maxUtilization float64, random func() float64) *Endpoint {
+	chosen, other := weightedRandom(endpoints, random), weightedRandom(endpoints, random)
 	if chosen == nil {
 		return nil
 	}
@@ -109,28 +109,28 @@
 	if chosen.Utilization(now) < maxUtilization {
 		return chosen
 	}
-	chosen = slices.MinFunc(from, func(x, y *Endpoint) int { return cmp.Compare(x.Utilization(now), y.Utilization(now)) })
+	chosen = slices.MinFunc(endpoints, func(x, y *Endpoint) int { return cmp.Compare(x.Utilization(now), y.Utilization(now)) })
 	if chosen.Utilization(now) < maxUtilization {
 		return chosen
 	}
 	return nil
 }
 
-// weightedRandom draws an endpoint with a chance in proportion to its weight; nil: there is none. It calls random once in
-// any case, so that equal calls draw equal numbers.
-func weightedRandom(from []*Endpoint, random func() float64) *Endpoint {
+// weightedRandom selects an endpoint at random with a probability proportional to its weight, or returns nil if there are no
+// endpoints. It always calls random exactly once, so that the sequence of random numbers is reproducible.
+func weightedRandom(endpoints []*Endpoint, random func() float64) *Endpoint {
 	total := 0.0
-	for _, endpoint := range from {
+	for _, endpoint := range endpoints {
 		total += max(endpoint.Weight, minWeight)
 	}
-	left := random() * total
-	for _, endpoint := range from {
-		if left -= max(endpoint.Weight, minWeight); left < 0 {
+	remaining := random() * total
+	for _, endpoint := range endpoints {
+		if remaining -= max(endpoint.Weight, minWeight); remaining < 0 {
 			return endpoint
 		}
 	}
-	if len(from) > 0 {
-		return from[len(from)-1]
+	if len(endpoints) > 0 {
+		return endpoints[len(endpoints)-1]
 	}
 	return nil
 }
--- a/dataplane/loadbalancer/result.go
+++ b/dataplane/loadbalancer/result.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	baseEjectionTime   = 400 * time.Millisecond // of an endpoint that failed; each further failure doubles it
-	maxEjectionTime    = 6 * time.Second
-	maxEjectionDoubles = 5
-	minCanceledLatency = 300 * time.Millisecond // a canceled attempt that was shorter says nothing of its endpoint
-	failureRateSamples = 8                      // a new attempt weighs one of so many in the failure rate
+	baseEjectionTime     = 400 * time.Millisecond // doubled with each further consecutive failure
+	maxEjectionTime      = 6 * time.Second
+	maxEjectionDoublings = 5
+	minCanceledLatency   = 300 * time.Millisecond // canceled attempts shorter than this are ignored
+	failureRateSamples   = 8                      // a new sample has a weight of 1/failureRateSamples in the moving average
 )
 
-// Result is what an attempt says about its endpoint.
+// Result is the outcome of an attempt.
 type Result int
 
-// The results. Their numbers are part of router.AttemptResult's encoding.
+// The values of Result, which are part of the encoding of router.AttemptResult.
 const (
-	Success       Result = iota // a complete response
-	Rejected                    // the endpoint did not execute the request, by its own statement
-	BadResponse                 // a response that cannot be used, was truncated, or is a server error
-	NoResponse                  // no response, or the connection broke
+	Success       Result = iota // complete response
+	Rejected                    // the endpoint stated that it did not execute the request
+	BadResponse                 // invalid or truncated response, or a server error
+	NoResponse                  // no response, or the connection was lost
 	ConnectFailed               // no connection could be opened
-	Canceled                    // the client left, or another attempt was faster
+	Canceled                    // the client disconnected, or another attempt completed first
 )
 
-// StartAttempt counts a request that is about to be sent to an endpoint. It must be followed by EndAttempt.
+// StartAttempt counts an attempt that is about to be sent to an endpoint. It must be followed by EndAttempt.
 func (b *Balancer) StartAttempt(now time.Duration, endpoint *Endpoint) {
 	if endpoint.WarmingUp(now) {
 		endpoint.warmup.refill(now)
@@ -34,14 +34,14 @@
 	endpoint.hasSent, endpoint.lastSentAt = true, now
 }
 
-// EndAttempt takes in an attempt's result.
+// EndAttempt records the result of an attempt.
 func (b *Balancer) EndAttempt(now time.Duration, endpoint *Endpoint, result Result, latency time.Duration) {
 	endpoint.inFlight--
 	switch result {
 	case Success:
 		endpoint.Successes++
 		endpoint.TotalLatency += latency
-		// A response from before an ejection by the control plane does not undo it.
+		// A success ends this gateway's own ejection of the endpoint, but not one by the control plane.
 		endpoint.consecutiveFailures, endpoint.ejectedUntil = 0, endpoint.fleetEjectedUntil
 		endpoint.updateFailureRate(0)
 	case Rejected:
@@ -57,7 +57,7 @@
 		}
 		endpoint.updateFailureRate(1)
 	case Canceled:
-		// A second long attempt without a success between them says that the endpoint is slow.
+		// Consecutive long attempts without a success indicate a slow endpoint.
 		if latency < minCanceledLatency {
 			return
 		}
@@ -68,7 +68,7 @@
 	}
 }
 
-// Eject makes an endpoint a last choice for a time, by decision of the control plane.
+// Eject applies the control plane's ejection of an endpoint for the given duration.
 func (b *Balancer) Eject(now time.Duration, id string, duration time.Duration) {
 	if endpoint := b.endpoints[id]; endpoint != nil {
 		endpoint.ejectedUntil = max(endpoint.ejectedUntil, now+duration)
@@ -76,12 +76,12 @@
 	}
 }
 
-// ejectionTime is how long an endpoint is ejected after a number of earlier failures.
+// ejectionTime returns the duration of an ejection, which grows exponentially with the number of earlier failures.
 func ejectionTime(earlierFailures int) time.Duration {
-	return min(baseEjectionTime<<min(earlierFailures, maxEjectionDoubles), maxEjectionTime)
+	return min(baseEjectionTime<<min(earlierFailures, maxEjectionDoublings), maxEjectionTime)
 }
 
-// updateFailureRate takes in an attempt that failed (1) or did not (0).
-func (e *Endpoint) updateFailureRate(failed float64) {
-	e.failureRate += (failed - e.failureRate) / failureRateSamples
+// updateFailureRate adds a sample to the moving average: 1 for a failure, 0 for a success.
+func (e *Endpoint) updateFailureRate(sample float64) {
+	e.failureRate += (sample - e.failureRate) / failureRateSamples
 }
--- a/dataplane/loadbalancer/warmup.go
+++ b/dataplane/loadbalancer/warmup.go
@@ -8,45 +8,46 @@
 )
 
 const (
-	// maxWarmthUnknown is how long an endpoint counts as warming up where no update settles whether it is: the members that
-	// knew may have lost it.
+	// maxWarmthUnknown is how long an endpoint of unknown warmth counts as warming up if no update resolves it. The members
+	// that knew may have lost their state.
 	maxWarmthUnknown = 10 * time.Second
 
-	// restoredZoneWarmup is how long the endpoints of a zone whose evacuation ended count as warming up: two heartbeats at
-	// the usual interval.
+	// restoredZoneWarmup is how long endpoints count as warming up after the evacuation of their zone has ended: two
+	// heartbeats at the usual interval.
 	restoredZoneWarmup = 3 * time.Second
 )
 
-// warmup is what is known of an endpoint's slow start, and the token bucket that bounds what it is sent meanwhile.
+// warmup is the slow-start state of an endpoint and the token bucket that limits its requests while it is warming up.
 //
-// Invariant: what is older than what is known takes nothing back. Updates come from members that know of different
-// heartbeats, also right after a restart from their disks; see docs/design/staleness.md.
+// Invariant: older information never overrides newer information. Members may know different heartbeats of an instance, in
+// particular after a restart from disk; see docs/design/staleness.md.
 type warmup struct {
-	until    time.Duration // it is warming up until then
-	sequence uint64        // of the newest heartbeat known; 0: none
-	stale    bool          // only a stale update is known
+	until    time.Duration // end of the warm-up
+	sequence uint64        // sequence number of the newest heartbeat; 0 if none is known
+	stale    bool          // the state comes from a stale update
 
-	unknown      bool          // it may be warming up
-	unknownSince uint64        // sequence of the last heartbeat before it became unknown: a newer heartbeat resolves it
-	unknownUntil time.Duration // when it is taken for warm if no update resolves it
+	unknown      bool          // the endpoint may be warming up
+	unknownSince uint64        // heartbeats with a greater sequence number resolve the unknown warmth
+	unknownUntil time.Duration // time at which an unresolved endpoint counts as warm
 
-	rate     float64 // requests a second that this gateway may send meanwhile
-	tokens   float64 // requests that it may send now, at most one
+	rate     float64 // requests per second that this gateway may send during the warm-up
+	tokens   float64 // available tokens, at most one
 	tokensAt time.Duration
 }
 
-// isActive tells whether the endpoint is to be sent no more than its warm-up rate.
+// isActive reports whether the endpoint is limited to its warm-up rate.
 func (w *warmup) isActive(now time.Duration) bool {
 	return now < w.until || (w.unknown || w.stale) && now < w.unknownUntil
 }
 
-// refill adds the tokens of the time since the last call.
+// refill adds the tokens that have accrued since the last call.
 func (w *warmup) refill(now time.Duration) {
 	w.tokens = min(w.tokens+w.rate*(now-w.tokensAt).Seconds(), 1)
 	w.tokensAt = now
 }
 
-// setRate sets the rate that this gateway was assigned; with 0 the endpoint is another gateway's.
+// setRate sets the rate that is assigned to this gateway. A rate of 0 also discards the available tokens, as the endpoint may
+// be assigned to another gateway.
 func (w *warmup) setRate(now time.Duration, rate float64) {
 	w.refill(now)
 	if w.rate = rate; rate == 0 {
@@ -54,25 +55,25 @@
 	}
 }
 
-// markUnknown has the endpoint count as warming up until a heartbeat newer than since, or for a time.
+// markUnknown makes the endpoint count as warming up until a heartbeat newer than since arrives, or until the given time.
 func (w *warmup) markUnknown(since uint64, until time.Duration) {
 	w.unknown, w.unknownSince, w.unknownUntil = true, since, until
 }
 
-// update takes in what an update says of the endpoint. One that is older than what is known changes nothing, one of the
-// same heartbeat takes nothing back, and a stale one counts only where nothing is known, but for unknown warmth.
+// update applies an update of the instance. An update with an older heartbeat is ignored, one with the same heartbeat can only
+// extend the warm-up, and a stale one applies only if no fresh state is known. Unknown warmth is always applied.
 func (w *warmup) update(now time.Duration, instance fleet.Instance) {
 	until := now + time.Duration(instance.WarmupMillis)*time.Millisecond
 	known := w.sequence > 0 && !w.stale
 	if known && instance.Stale {
 		w.until = max(w.until, until)
-		if instance.WarmthUnknown { // a member that has just started may be the one that ended the evacuation
+		if instance.WarmthUnknown { // the evacuation may have been ended by a member that has just started and sends stale updates
 			w.markUnknown(max(w.sequence, instance.Sequence), now+maxWarmthUnknown)
 		}
 		return
 	}
 	switch {
-	case instance.WarmthUnknown: // the evacuation of its zone ended: that is newer than any heartbeat
+	case instance.WarmthUnknown: // the evacuation of the zone ended after the last heartbeat
 		w.unknown, w.unknownSince = true, instance.Sequence
 	case !known || instance.Sequence == 0 || instance.Sequence > w.unknownSince:
 		w.unknown = false
@@ -89,11 +90,11 @@
 	}
 }
 
-// WarmingUp tells whether the endpoint is to be sent no more than its warm-up rate.
+// WarmingUp reports whether the endpoint is limited to its warm-up rate.
 func (e *Endpoint) WarmingUp(now time.Duration) bool { return e.warmup.isActive(now) }
 
-// SetWarmupRates sets what this gateway may send to endpoints that are warming up, in requests a second, in place of all
-// rates set before.
+// SetWarmupRates replaces the rates, in requests per second by endpoint ID, at which this gateway may send to endpoints that
+// are warming up.
 func (b *Balancer) SetWarmupRates(now time.Duration, rates map[string]float64) {
 	b.warmupRates = rates
 	for id, endpoint := range b.endpoints {
@@ -101,12 +102,12 @@
 	}
 }
 
-// WarmupRate returns what this gateway may send to an endpoint while it is warming up, in requests a second.
+// WarmupRate returns the rate, in requests per second, at which this gateway may send to an endpoint that is warming up.
 func (b *Balancer) WarmupRate(id string) float64 { return b.warmupRates[id] }
 
-// SetEvacuatedZones sets the zones whose endpoints get no requests. Endpoints of a zone whose evacuation has ended may have
-// turned cold; the member may not remember the evacuation, as it has just started, so their warmth is unknown here too,
-// until their second new heartbeat.
+// SetEvacuatedZones sets the zones whose endpoints receive no requests. Endpoints may have become cold during the evacuation
+// of their zone, so their warmth is unknown after its end, until their second new heartbeat. The balancer marks this itself,
+// because a restarted member may not know of the evacuation.
 func (b *Balancer) SetEvacuatedZones(now time.Duration, zones []string) {
 	for _, endpoint := range b.endpoints {
 		restored := b.evacuatedZones[endpoint.Zone] && !slices.Contains(zones, endpoint.Zone)
--- a/dataplane/loadbalancer/warmup_test.go
+++ b/dataplane/loadbalancer/warmup_test.go
@@ -10,56 +10,58 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// TestWarmthUpdates has updates of one instance come from members that know more or less of it.
+// Guards the warm-up state against updates from members with older or incomplete information.
 func TestWarmthUpdates(t *testing.T) {
 	Convey("Given a gateway that knows an instance's fifth heartbeat", t, func() {
 		balancer := New("a")
-		update := func(now time.Duration, sequence uint64, warmupMillis int64, mark string) bool {
+		// flags holds "stale", "unknown" or both.
+		update := func(now time.Duration, sequence uint64, warmupMillis int64, flags string) bool {
 			reported := instance("c1", "a")
-			reported.Sequence, reported.WarmupMillis, reported.WarmthUnknown, reported.Stale = sequence, warmupMillis, strings.Contains(mark, "unknown"), strings.Contains(mark, "stale")
-			balancer.UpdateInstances(now, mark == "stale", []fleet.Instance{reported})
+			reported.Sequence, reported.WarmupMillis = sequence, warmupMillis
+			reported.WarmthUnknown, reported.Stale = strings.Contains(flags, "unknown"), strings.Contains(flags, "stale")
+			balancer.UpdateInstances(now, flags == "stale", []fleet.Instance{reported})
 			return balancer.Get("c1").WarmingUp(now)
 		}
 		update(0, 5, 3000, "")
-		// Guards a gateway that changes members: the next one had not received the heartbeat that reported the warm-up.
+		// Guards against a warm-up that ends early when the gateway switches to a member without the newest heartbeat.
 		Convey("an older heartbeat does not end the warm-up", func() {
 			So(update(s, 4, 0, ""), ShouldBeTrue)
 			So(update(2*s, 6, 0, ""), ShouldBeFalse)
 		})
-		Convey("nor does an older heartbeat begin one", func() {
+		Convey("an older heartbeat does not start a warm-up", func() {
 			update(s, 6, 0, "")
 			So(update(s, 5, 3000, ""), ShouldBeFalse)
 		})
-		Convey("unknown warmth counts whatever heartbeat the member knows, until a newer one", func() {
+		Convey("unknown warmth applies with any heartbeat, until a newer heartbeat", func() {
 			update(s, 6, 0, "")
 			So(update(s, 5, 0, "unknown"), ShouldBeTrue)
-			So(update(s, 5, 0, ""), ShouldBeTrue) // of a member that lags
+			So(update(s, 5, 0, ""), ShouldBeTrue) // from a lagging member
 			So(update(s, 6, 0, ""), ShouldBeFalse)
 		})
-		Convey("unknown warmth that no member remembers ends", func() {
+		Convey("unknown warmth that no update resolves expires", func() {
 			update(s, 6, 0, "")
 			update(s, 6, 0, "unknown")
 			So(balancer.Get("c1").WarmingUp(s+maxWarmthUnknown-1), ShouldBeTrue)
 			So(balancer.Get("c1").WarmingUp(s+maxWarmthUnknown), ShouldBeFalse)
 		})
-		// Guards against a member that has just restarted from its disk: whoever knows the instance knows better.
-		Convey("what a member knows from its disk takes nothing back", func() {
+		// Guards against stale updates from a member that has just restarted from disk.
+		Convey("a stale update does not override fresh state", func() {
 			So(update(s, 9, 0, "stale"), ShouldBeTrue)
 			update(s, 6, 0, "")
 			So(update(s, 9, 0, "stale"), ShouldBeFalse)
 		})
-		// Guards a control plane that was killed whole, restarted from its disks and ended an evacuation at once: its updates were stale,
-		// so gateways that knew the instances passed the unknown warmth over and sent one 17 requests in a second (drawn day losses-2-2).
-		Convey("but the unknown warmth of a member that has just started counts, until a newer heartbeat", func() {
+		// Guards against cold endpoints that receive full load when the whole control plane restarts from disk and then ends an
+		// evacuation: its updates are stale, but their unknown warmth must be applied.
+		Convey("unknown warmth in a stale update applies, until a newer heartbeat", func() {
 			update(s, 6, 0, "")
 			So(update(s, 5, 0, "stale unknown"), ShouldBeTrue)
 			So(update(s, 6, 0, ""), ShouldBeTrue)
 			So(update(s, 7, 0, ""), ShouldBeFalse)
 		})
 	})
-	// Guards a control plane that was killed right after, or right before, an evacuation ended: it does not remember the evacuation, or
-	// sends its end in the same update, so that no member marks the warmth unknown. The gateway sees that the zone was evacuated just now.
-	Convey("Given a gateway for which zone a is evacuated", t, func() {
+	// Guards against cold endpoints that receive full load when the control plane restarts around the end of an evacuation, and
+	// no member marks their warmth as unknown.
+	Convey("Given a gateway for which zones a and b are evacuated", t, func() {
 		balancer := New("a")
 		heartbeat := func(now time.Duration, sequence uint64) bool {
 			reported := instance("c1", "a")
@@ -69,23 +71,23 @@
 		}
 		heartbeat(0, 5)
 		balancer.SetEvacuatedZones(0, []string{"a", "b"})
-		Convey("its endpoints count as warming up when the evacuation ends, until the second new heartbeat", func() {
+		Convey("the zone's endpoints count as warming up when the evacuation ends, until the second new heartbeat", func() {
 			balancer.SetEvacuatedZones(s, []string{"b"})
 			So(balancer.Get("c1").WarmingUp(s), ShouldBeTrue)
 			So(heartbeat(s, 5), ShouldBeTrue)
-			So(heartbeat(s, 6), ShouldBeTrue) // may have been in flight as the evacuation ended
+			So(heartbeat(s, 6), ShouldBeTrue) // may have been sent before the evacuation ended
 			So(heartbeat(2*s, 7), ShouldBeFalse)
 		})
-		Convey("or for a while, as heartbeats without news are not passed on", func() {
+		Convey("without new heartbeats they count as warming up for a limited time", func() {
 			balancer.SetEvacuatedZones(s, []string{"b"})
 			So(balancer.Get("c1").WarmingUp(s+restoredZoneWarmup-1), ShouldBeTrue)
 			So(balancer.Get("c1").WarmingUp(s+restoredZoneWarmup), ShouldBeFalse)
 		})
-		Convey("not when the evacuation of another zone ends", func() {
+		Convey("the end of another zone's evacuation has no effect", func() {
 			balancer.SetEvacuatedZones(s, []string{"a"})
 			So(balancer.Get("c1").WarmingUp(s), ShouldBeFalse)
 		})
-		Convey("a member's unknown warmth holds for longer than the gateway's own", func() {
+		Convey("unknown warmth from a member lasts longer than that from the gateway", func() {
 			reported := instance("c1", "a")
 			reported.Sequence, reported.WarmthUnknown = 5, true
 			balancer.UpdateInstances(s, false, []fleet.Instance{reported})
@@ -94,12 +96,12 @@
 			So(heartbeat(s+restoredZoneWarmup, 6), ShouldBeFalse)
 		})
 	})
-	Convey("Given a gateway that has just started and gets what a member knew before it was partitioned", t, func() {
+	Convey("Given a gateway that has just started and has received a stale update", t, func() {
 		balancer := New("a")
 		reported := instance("c1", "a")
 		reported.Sequence, reported.Stale = 5, true
 		balancer.UpdateInstances(0, true, []fleet.Instance{reported})
-		Convey("the endpoint counts as warming up until there is a fresh update", func() {
+		Convey("the endpoint counts as warming up until a fresh update", func() {
 			So(balancer.Get("c1").WarmingUp(s), ShouldBeTrue)
 			reported.Stale = false
 			balancer.UpdateInstances(s, false, []fleet.Instance{reported})
