--- a/dataplane/router/attempt.go
+++ b/dataplane/router/attempt.go
@@ -11,52 +11,52 @@
 )
 
 const (
-	observationInterval  = 400 * time.Millisecond // between two observations of the same endpoint
-	maxObservedEndpoints = 1024                   // remembered at once
+	observationInterval  = 400 * time.Millisecond // minimum time between observations of the same endpoint
+	maxObservedEndpoints = 1024                   // endpoints whose last observation is remembered
 )
 
-// PickRequest is a request that looks for an endpoint.
+// PickRequest asks for an endpoint for an attempt.
 type PickRequest struct {
 	Service   string            `cbor:"1,keyasint"`
-	Attempted []string          `cbor:"2,keyasint,omitempty"` // endpoints that it has been at
+	Attempted []string          `cbor:"2,keyasint,omitempty"` // IDs of endpoints that were already tried
 	Admission admission.Request `cbor:"3,keyasint"`
-	OnlyIdle  bool              `cbor:"4,keyasint,omitempty"` // only an endpoint with free slots will do
+	OnlyIdle  bool              `cbor:"4,keyasint,omitempty"` // pick only a healthy endpoint with free slots
 }
 
-// PickResult is the endpoint of an attempt. An attempt that has one must be ended by EndAttempt.
+// PickResult is the endpoint that was picked, if any. If there is one, the attempt must be ended with EndAttempt.
 type PickResult struct {
 	AttemptID  uint64        `cbor:"1,keyasint,omitempty"`
-	EndpointID string        `cbor:"2,keyasint,omitempty"` // empty: there is none
+	EndpointID string        `cbor:"2,keyasint,omitempty"` // empty if no endpoint was picked
 	Addr       string        `cbor:"3,keyasint,omitempty"`
-	RetryAfter time.Duration `cbor:"4,keyasint,omitempty"` // where there is none: when the client is to come back
+	RetryAfter time.Duration `cbor:"4,keyasint,omitempty"` // if no endpoint was picked: when the client should retry
 
-	NoEndpointKnown bool `cbor:"5,keyasint,omitempty"` // there is none as no endpoint of the service is known
+	NoEndpointKnown bool `cbor:"5,keyasint,omitempty"` // no endpoint was picked because the service has none
 }
 
-// AttemptResult is the end of an attempt.
+// AttemptResult is the outcome of an attempt.
 type AttemptResult struct {
-	AttemptID         uint64              `cbor:"1,keyasint"` // of the PickResult
+	AttemptID         uint64              `cbor:"1,keyasint"` // from PickResult
 	Result            loadbalancer.Result `cbor:"2,keyasint,omitempty"`
 	Latency           time.Duration       `cbor:"3,keyasint,omitempty"`
-	ConnectionRefused bool                `cbor:"4,keyasint,omitempty"` // nobody listens at the address
-	Misdirected       bool                `cbor:"5,keyasint,omitempty"` // another instance answered there
+	ConnectionRefused bool                `cbor:"4,keyasint,omitempty"` // the address refused the connection
+	Misdirected       bool                `cbor:"5,keyasint,omitempty"` // another instance responded at the address
 	Load              loadbalancer.Load   `cbor:"6,keyasint,omitempty"`
 }
 
-// AttemptEffects is what the control plane must hear of an attempt's end at once.
+// AttemptEffects holds what must be reported to the control plane immediately after an attempt.
 type AttemptEffects struct {
-	Observation         *fleet.Observation `cbor:"1,keyasint,omitempty"` // nil: none
-	MisdirectedEndpoint string             `cbor:"2,keyasint,omitempty"` // whose address is another instance's; empty: none
+	Observation         *fleet.Observation `cbor:"1,keyasint,omitempty"` // nil if there is nothing to report
+	MisdirectedEndpoint string             `cbor:"2,keyasint,omitempty"` // ID of an endpoint whose address is in use by another instance
 }
 
 // attempt is an attempt in flight.
 type attempt struct {
 	endpoint    *loadbalancer.Endpoint
 	service     string
-	utilization float64 // of the endpoint, when the attempt began
+	utilization float64 // utilization of the endpoint at the start of the attempt
 }
 
-// Pick chooses an endpoint and counts the attempt there.
+// Pick selects an endpoint and starts an attempt at it. If no endpoint can take the request, the request counts as rejected.
 func (r *Router) Pick(now time.Duration, request PickRequest) PickResult {
 	r.expireWarmupRates(now)
 	r.updateIsolation(now)
@@ -72,7 +72,7 @@
 		return PickResult{RetryAfter: controller.Reject(request.Admission, r.random()), NoEndpointKnown: !r.balancer.KnowsService(request.Service)}
 	}
 	invariant.Check(invariant.EndpointAcceptsRequests, r.balancer.AcceptsRequests(endpoint), func() string {
-		return endpoint.ID + " in zone " + endpoint.Zone + " drains or is evacuated"
+		return "endpoint " + endpoint.ID + " is draining, or its zone " + endpoint.Zone + " is evacuated"
 	})
 	controller.RecordAdmission()
 	r.lastAttemptID++
@@ -81,7 +81,7 @@
 	return PickResult{AttemptID: r.lastAttemptID, EndpointID: endpoint.ID, Addr: endpoint.Addr}
 }
 
-// EndAttempt takes an attempt's end in. The end of an attempt that is not in flight changes nothing.
+// EndAttempt records the outcome of an attempt. It ignores attempts that are not in flight.
 func (r *Router) EndAttempt(now time.Duration, result AttemptResult) (effects AttemptEffects) {
 	ended, ok := r.attempts[result.AttemptID]
 	if !ok {
@@ -105,7 +105,8 @@
 	return effects
 }
 
-// observe returns the observation where the control plane is to hear of it: not again within observationInterval.
+// observe returns the observation if it is to be reported to the control plane, or nil if one of the same endpoint was
+// reported within observationInterval.
 func (r *Router) observe(now time.Duration, observation fleet.Observation) *fleet.Observation {
 	if at, ok := r.observedAt[observation.Replica]; ok && now-at < observationInterval {
 		return nil
--- a/dataplane/router/candidates.go
+++ b/dataplane/router/candidates.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// MemberCandidates returns the addresses of control-plane members to call, best first: those of the own zone, then all others in
-// random order, also those that the caller knows of besides.
-func (r *Router) MemberCandidates(also []string) []string {
+// MemberCandidates returns the addresses of control-plane members in the order in which they should be contacted: members in
+// the gateway's zone first, then all others and the additional addresses in random order.
+func (r *Router) MemberCandidates(additional []string) []string {
 	var local, remote []string
 	for _, member := range r.members {
 		if member.Zone == r.settings.Zone {
@@ -13,7 +13,7 @@
 			remote = append(remote, member.Addr)
 		}
 	}
-	for _, addr := range also {
+	for _, addr := range additional {
 		if !slices.Contains(local, addr) && !slices.Contains(remote, addr) {
 			remote = append(remote, addr)
 		}
--- a/dataplane/router/maintenance.go
+++ b/dataplane/router/maintenance.go
@@ -7,20 +7,20 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// minStatusPeriod bounds the division by a report's period.
-const minStatusPeriod = 0.1 // seconds
+// minStatusPeriod is the shortest report period, in seconds, that rates are computed with.
+const minStatusPeriod = 0.1
 
-// IsServing tells whether no maintenance window has this gateway drain: it is ready, as far as windows go.
+// IsServing reports whether no maintenance window requires this gateway to drain.
 func (r *Router) IsServing() bool { return r.phase == fleet.PhaseServing }
 
-// RejectsRequests tells whether this gateway turns requests away for a maintenance window: once the platform has had the
-// time to send its clients elsewhere.
+// RejectsRequests reports whether this gateway rejects requests because of a maintenance window. It does so once the platform
+// has had time to redirect clients to other gateways.
 func (r *Router) RejectsRequests(now time.Duration) bool {
 	return r.phase != fleet.PhaseServing && now-r.drainingSince > ReadinessPropagation
 }
 
-// updateMaintenance applies this gateway's maintenance window. A window with an older fencing token is ignored; one that
-// is not there any more has ended.
+// updateMaintenance applies this gateway's maintenance window. A window with an older fencing token is ignored; an empty
+// window means that the last one has ended.
 func (r *Router) updateMaintenance(now time.Duration, window messages.MaintenanceWindow) {
 	switch {
 	case window.Phase == "":
@@ -35,9 +35,9 @@
 	}
 }
 
-// gatewayStatus is what this gateway reports of itself where maintenance windows are used: over a period in which it was
-// busy from 0 to 1. It is drained once no request is in flight and none has come for ReadinessPropagation.
-func (r *Router) gatewayStatus(now, period time.Duration, busy float64) *messages.GatewayStatus {
+// gatewayStatus returns the status of this gateway, which is reported if maintenance windows are enabled. The gateway is
+// drained once it has no requests in flight and has been draining for longer than ReadinessPropagation.
+func (r *Router) gatewayStatus(now, period time.Duration, cpuUtilization float64) *messages.GatewayStatus {
 	if r.phase == fleet.PhaseDraining && r.inFlight == 0 && now-r.drainingSince > ReadinessPropagation {
 		r.phase = fleet.PhaseDrained
 	}
@@ -45,7 +45,7 @@
 		Ready:           r.config != nil && r.hasTable,
 		Phase:           r.phase,
 		FencingToken:    r.fencingToken,
-		CapacityByGroup: r.meter.Sample(period, busy),
+		CapacityByGroup: r.meter.Sample(period, cpuUtilization),
 		LoadByGroup:     map[string]float64{},
 	}
 	for group, requests := range r.groupRequests {
--- a/dataplane/router/report.go
+++ b/dataplane/router/report.go
@@ -7,15 +7,15 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// staleAfter is how long a gateway that heard no member trusts what it knows of instances enough to report it as fresh.
+// staleAfter is the time without updates after which a gateway reports its instances as stale.
 const staleAfter = 3 * time.Second
 
-// Report returns what was observed since the last report, a period ago, and resets it. busy is how busy the gateway was
-// meanwhile, from 0 to 1.
-func (r *Router) Report(now, period time.Duration, busy float64) *messages.LoadReport {
+// Report returns the load report for the period since the last report and resets the statistics. The share of its CPU that the
+// gateway used in this period, cpuUtilization, is a number in [0, 1].
+func (r *Router) Report(now, period time.Duration, cpuUtilization float64) *messages.LoadReport {
 	report := &messages.LoadReport{PeriodMillis: period.Milliseconds(), Requests: r.requestCounts}
 	if r.maintenanceEnabled {
-		report.Status = r.gatewayStatus(now, period, busy)
+		report.Status = r.gatewayStatus(now, period, cpuUtilization)
 	}
 	r.requestCounts = map[string]int{}
 	for _, endpoint := range r.balancer.All() {
@@ -43,9 +43,9 @@
 	return stats
 }
 
-// InitialReport returns the report that a member gets at the beginning of a stream, as it may have lost it. That an instance is
-// warming up is part of it: a member that knows of it by this gateway alone would else have all gateways take it for warm
-// until its next heartbeat.
+// InitialReport returns the instances that this gateway knows, for a member that may have lost its state. It is sent at the
+// start of a stream. It includes warm-up states; otherwise a member that learns of an instance only from this gateway would
+// treat it as warm until its next heartbeat.
 func (r *Router) InitialReport(now time.Duration) *messages.LoadReport {
 	report := &messages.LoadReport{Sequence: r.sequence}
 	for _, endpoint := range r.balancer.All() {
--- a/dataplane/router/request.go
+++ b/dataplane/router/request.go
@@ -9,22 +9,23 @@
 	"zincloft.example/zincloft/dataplane/retry"
 )
 
-// budgetDivisor is 2 as gateways use half of the retry bounds only. The other half of the ratio is left since a deposit may be spent in the
-// window after its request's; that of the slack for gateways that do not know of one another.
+// budgetDivisor divides the retry limits of the settings, of which gateways use only half. Half the ratio is kept in reserve
+// because a deposit may be withdrawn in the window after its request, and half the slack because gateways may not know of each
+// other.
 const budgetDivisor = 2
 
-// defaultRetryWindow holds where Settings.RetryWindow is not set.
+// defaultRetryWindow is used if Settings.RetryWindow is not set.
 const defaultRetryWindow = 10 * time.Second
 
-// StartRequest counts a client's request. It must be followed by EndRequest.
+// StartRequest counts a client request. It must be followed by EndRequest.
 func (r *Router) StartRequest(now time.Duration, service string) {
 	r.requestCounts[service]++
 	r.inFlight++
 	r.retryBudget(now, service).Deposit(now)
 }
 
-// EndRequest counts the end of a client's request, of an idempotent route or not, and whether it was slow because of this
-// gateway itself.
+// EndRequest counts the end of a client request. Idempotent tells whether the route is idempotent, and slow whether this
+// gateway itself delayed the request.
 func (r *Router) EndRequest(_ time.Duration, idempotent, slow bool) {
 	r.inFlight--
 	if !r.maintenanceEnabled {
@@ -38,10 +39,10 @@
 	r.groupRequests[group]++
 }
 
-// InFlight returns how many requests of clients have not ended.
+// InFlight returns the number of client requests in flight.
 func (r *Router) InFlight() int { return r.inFlight }
 
-// TryRetry withdraws a retry from the service's budget, if it holds one.
+// TryRetry withdraws a retry from the service's retry budget. It returns false if the budget is exhausted.
 func (r *Router) TryRetry(now time.Duration, service string) bool {
 	return r.retryBudget(now, service).TryWithdraw(now)
 }
@@ -56,37 +57,37 @@
 func (r *Router) retryBudget(now time.Duration, service string) *retry.Budget {
 	budget := r.retryBudgets[service]
 	if budget == nil {
-		since := now
-		if r.mostGateways > 0 {
-			since = r.gatewaysKnownSince
+		accruesFrom := now
+		if r.maxGateways > 0 {
+			accruesFrom = r.gatewaysKnownSince
 		}
-		budget = retry.NewBudget(since, r.settings.RetryRatio/budgetDivisor, cmp.Or(r.settings.RetryWindow, defaultRetryWindow))
-		budget.SetSlackShare(since, r.retrySlackShare())
+		budget = retry.NewBudget(accruesFrom, r.settings.RetryRatio/budgetDivisor, cmp.Or(r.settings.RetryWindow, defaultRetryWindow))
+		budget.SetSlackShare(accruesFrom, r.retrySlackShare())
 		r.retryBudgets[service] = budget
 	}
 	return budget
 }
 
-// updateRetrySlack has the budgets follow the number of gateways. Their share never grows: a number that falls may only mean that some are out
-// of sight.
+// updateRetrySlack adjusts the budgets to the number of gateways. It ignores a decrease, which may only mean that some
+// gateways are unreachable.
 func (r *Router) updateRetrySlack(now time.Duration) {
-	if r.gateways <= r.mostGateways {
+	if r.gateways <= r.maxGateways {
 		return
 	}
-	if r.mostGateways == 0 {
+	if r.maxGateways == 0 {
 		r.gatewaysKnownSince = now
 	}
-	r.mostGateways = r.gateways
+	r.maxGateways = r.gateways
 	for _, budget := range r.retryBudgets {
 		budget.SetSlackShare(now, r.retrySlackShare())
 	}
 }
 
-// retrySlackShare is this gateway's share of the retry slack of a window. A gateway that was told by no member in this incarnation how many
-// share it has none: it retries by what its requests deposit alone.
+// retrySlackShare returns this gateway's share of the retry slack per window. The share is 0 until a member has sent the number
+// of gateways; until then retries are limited to the deposits of requests.
 func (r *Router) retrySlackShare() float64 {
-	if r.mostGateways == 0 {
+	if r.maxGateways == 0 {
 		return 0
 	}
-	return r.settings.RetrySlack / float64(max(r.mostGateways, minGateways)) / budgetDivisor
+	return r.settings.RetrySlack / float64(max(r.maxGateways, minGateways)) / budgetDivisor
 }
--- a/dataplane/router/budget_test.go
+++ b/dataplane/router/retrybudget_test.go
@@ -7,8 +7,8 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// TestRetryBudgetFollowsGatewayCount guards the sum of all gateways' retries: after a start of all, each gateway hears of the others one by
-// one, and kept the share of the slack that it had when few were known. Together they had several times the slack.
+// Guards the fleet's retry limit when all gateways start at once: each must reduce its share of the slack as the number of
+// gateways that it is sent grows.
 func TestRetryBudgetFollowsGatewayCount(t *testing.T) {
 	const slack, gateways = 160.0, 80
 	spent := 0
@@ -22,6 +22,6 @@
 		}
 	}
 	if float64(spent) > slack {
-		t.Errorf("%d retries by %d gateways, %g are allowed", spent, gateways, slack)
+		t.Errorf("got %d retries by %d gateways, want at most %g", spent, gateways, slack)
 	}
 }
--- a/dataplane/router/router.go
+++ b/dataplane/router/router.go
@@ -1,10 +1,10 @@
-// Package router decides everything for a gateway: which endpoint a request goes to, whether it is retried, what is
-// rejected, and which configuration and endpoint table are in force. It joins dataplane/loadbalancer, dataplane/admission
-// and dataplane/retry with what the control plane sends.
+// Package router makes the decisions of a gateway: which endpoint receives a request, whether a request is retried or
+// rejected, and which configuration and endpoint table are in force. It combines dataplane/loadbalancer, dataplane/admission
+// and dataplane/retry with the updates from the control plane.
 //
-// It is a state machine without I/O: the time is a parameter of every call, randomness comes from a seed, and the same
-// calls always have the same results. internal/daemons/gateway gives it sockets and a clock, internal/testbeds/simulation drives it with
-// neither.
+// It is a deterministic state machine without I/O: the time is a parameter of each call, random numbers come from a seeded
+// generator, and the same sequence of calls always has the same results. It is used by internal/daemons/gateway, which adds
+// sockets and a clock, and by internal/testbeds/simulation.
 package router
 
 import (
@@ -19,67 +19,67 @@
 	"zincloft.example/zincloft/gatewayconfig"
 )
 
-// ReadinessPropagation is how long after readiness has fallen the platform has noticed and sends its clients elsewhere.
+// ReadinessPropagation is the time that the platform needs to redirect clients after a gateway has become unready.
 const ReadinessPropagation = 2500 * time.Millisecond
 
-// minGateways is the least number of gateways that a share is computed with: few are known at first.
+// minGateways is the smallest number of gateways that shares are computed with, as only a few gateways are known initially.
 const minGateways = 8
 
-// Settings are what a gateway is given at its start. Bounds hold over all gateways together.
+// Settings are the fixed settings of a gateway. Limits apply to all gateways together.
 type Settings struct {
 	Zone       string  `cbor:"1,keyasint"`
-	Zones      int     `cbor:"2,keyasint"` // of the site
-	RetryRatio float64 `cbor:"3,keyasint"` // retries for each request
-	RetrySlack float64 `cbor:"4,keyasint"` // retries beyond the ratio in a window
-	Seed       uint64  `cbor:"5,keyasint"` // of the random choices
+	Zones      int     `cbor:"2,keyasint"` // number of zones in the site
+	RetryRatio float64 `cbor:"3,keyasint"` // retries per request
+	RetrySlack float64 `cbor:"4,keyasint"` // retries per window in addition to the ratio
+	Seed       uint64  `cbor:"5,keyasint"` // seed of the random number generator
 
-	WarmupOverage float64 `cbor:"6,keyasint,omitempty"` // how many times its warm-up rate a replica that is warming up may be sent in a second
-	WarmupSlack   float64 `cbor:"7,keyasint,omitempty"` // requests beyond that
+	WarmupOverage float64 `cbor:"6,keyasint,omitempty"` // maximum requests per second to a replica that is warming up, as a multiple of its warm-up rate
+	WarmupSlack   float64 `cbor:"7,keyasint,omitempty"` // requests per second in addition to that maximum
 
-	RetryWindow time.Duration `cbor:"8,keyasint,omitempty"` // in which the bounds of retries hold; 0: defaultRetryWindow
+	RetryWindow time.Duration `cbor:"8,keyasint,omitempty"` // window of the retry limits; 0 means defaultRetryWindow
 }
 
 // Router is the state of one gateway. It is not safe for concurrent use.
 type Router struct {
 	settings Settings
 	source   rand.PCG
-	random   func() float64 // from 0 to 1, of source
-
-	// What the control plane sent.
-	config              *gatewayconfig.Config // nil until the first one
-	sequence            uint64                // of the replicated register in force
-	members             []fleet.Member        // of the control plane
-	gateways            int                   // known over all members; 0: not known yet
-	mostGateways        int                   // that were ever known
-	gatewaysKnownSince  time.Duration         // when their number was first told
+	random   func() float64 // returns numbers in [0, 1) from source
+
+	// State from the control plane.
+	config              *gatewayconfig.Config // nil until one is received
+	sequence            uint64                // sequence number of the replicated register in force
+	members             []fleet.Member        // control-plane members
+	gateways            int                   // number of gateways connected to all members together; 0 if unknown
+	maxGateways         int                   // greatest value of gateways so far
+	gatewaysKnownSince  time.Duration         // when the number of gateways was first received
 	hasTable            bool                  // a full update was applied
 	lastUpdateAt        time.Duration
-	updateCount         uint64        // updates applied so far
-	streaming           bool          // a stream is held that began with a full update
-	silenceBeforeStream time.Duration // how long no member was heard before the stream at hand
-	hasWarmupRates      bool          // some warm-up rate has not expired yet
-	isolated            bool          // no member was heard for long: endpoints are sent less
+	updateCount         uint64        // number of applied updates
+	streaming           bool          // the current stream began with a full update
+	silenceBeforeStream time.Duration // time without updates before the current stream
+	hasWarmupRates      bool          // some warm-up rate has not expired
+	isolated            bool          // no member is reachable, so send rates are limited; see updateIsolation
 
 	// Requests and attempts.
 	balancer      *loadbalancer.Balancer
 	admissions    map[string]*admission.Controller // by service
 	retryBudgets  map[string]*retry.Budget         // by service
-	attempts      map[uint64]attempt               // in flight, by ID
+	attempts      map[uint64]attempt               // attempts in flight, by ID
 	lastAttemptID uint64
-	inFlight      int                      // requests of clients
-	requestCounts map[string]int           // by service, since the last report
-	observedAt    map[string]time.Duration // when an endpoint's failure was last reported to the control plane
+	inFlight      int                      // client requests
+	requestCounts map[string]int           // requests since the last report, by service
+	observedAt    map[string]time.Duration // time of the last reported observation, by endpoint ID
 
 	// Maintenance windows.
 	maintenanceEnabled bool
 	phase              fleet.Phase
-	fencingToken       uint64 // of the window last applied
+	fencingToken       uint64 // fencing token of the last applied window
 	drainingSince      time.Duration
 	meter              capacity.Meter
-	groupRequests      map[string]int // by capacity group, since the last report
+	groupRequests      map[string]int // requests since the last report, by capacity group
 }
 
-// New makes a router that holds no configuration and no endpoints.
+// New returns a router without a configuration or endpoints.
 func New(settings Settings) *Router {
 	r := &Router{
 		settings:      settings,
@@ -97,20 +97,20 @@
 	return r
 }
 
-// Members returns the control-plane members that were last sent.
+// Members returns the control-plane members from the last update that listed them.
 func (r *Router) Members() []fleet.Member { return r.members }
 
-// Sequence returns the number of the replicated register in force.
+// Sequence returns the sequence number of the replicated register in force.
 func (r *Router) Sequence() uint64 { return r.sequence }
 
-// UpdateCount returns how many updates were applied: the number of the one in force.
+// UpdateCount returns the number of updates that were applied.
 func (r *Router) UpdateCount() uint64 { return r.updateCount }
 
 // LastUpdateAt returns when the last update was applied.
 func (r *Router) LastUpdateAt() time.Duration { return r.lastUpdateAt }
 
-// Config returns the configuration in force; nil: none yet.
+// Config returns the configuration in force, or nil if none was received.
 func (r *Router) Config() *gatewayconfig.Config { return r.config }
 
-// Balancer returns the endpoints, to look at.
+// Balancer returns the load balancer, for inspection only.
 func (r *Router) Balancer() *loadbalancer.Balancer { return r.balancer }
--- a/dataplane/router/update.go
+++ b/dataplane/router/update.go
@@ -9,20 +9,20 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// UpdateResult is what follows from an update for the gateway's sockets.
+// UpdateResult tells the gateway what to do after an update.
 type UpdateResult struct {
-	RemovedEndpoints []string              `cbor:"1,keyasint,omitempty"` // to which no connection is wanted any more
-	Config           *gatewayconfig.Config `cbor:"-"`                    // that is in force from now on; nil: the same as before
-	ConfigError      string                `cbor:"3,keyasint,omitempty"` // why a configuration was rejected
-	FullTable        bool                  `cbor:"4,keyasint,omitempty"` // the update was a full one
-	Stale            bool                  `cbor:"5,keyasint,omitempty"` // the update is stale: nothing of it was applied, and the stream must be left
+	RemovedEndpoints []string              `cbor:"1,keyasint,omitempty"` // endpoints to which connections should be closed
+	Config           *gatewayconfig.Config `cbor:"-"`                    // the new configuration in force; nil if it has not changed
+	ConfigError      string                `cbor:"3,keyasint,omitempty"` // reason why a new configuration was rejected
+	FullTable        bool                  `cbor:"4,keyasint,omitempty"` // the update was a full update
+	Stale            bool                  `cbor:"5,keyasint,omitempty"` // the update may be stale and was not applied; the stream must be closed
 }
 
-// Apply puts in force what a control-plane member sends. Within a process no version goes back: a register or a
-// configuration that is older than the one in force is ignored.
+// Apply applies an update from a control-plane member. A register or configuration that is older than the one in force is
+// ignored.
 //
-// After a silence of more than WarmupRateLifetime within a stream, this gateway or the member was held up, and what still
-// arrives may be stale: the stream is left.
+// If no update arrived within the stream for more than WarmupRateLifetime, this gateway or the member was stalled and buffered
+// updates may be stale. Apply then ignores the update and ends the stream.
 func (r *Router) Apply(now time.Duration, update *messages.StateUpdate) (result UpdateResult) {
 	switch {
 	case update.Full:
@@ -52,7 +52,7 @@
 	return result
 }
 
-// applyConfig puts a newer configuration in force and returns it, or why it was rejected.
+// applyConfig applies a newer configuration and returns it, or the reason why it was rejected.
 func (r *Router) applyConfig(update *messages.StateUpdate) (applied *gatewayconfig.Config, problem string) {
 	if len(update.Config) == 0 || r.config != nil && r.config.Version >= update.ConfigVersion {
 		return nil, ""
@@ -68,7 +68,7 @@
 	return config, ""
 }
 
-// applyRegister puts the replicated register in force, unless it is older than the one that is.
+// applyRegister applies the replicated register, unless it is older than the one in force.
 func (r *Router) applyRegister(now time.Duration, update *messages.StateUpdate) {
 	if update.Sequence == 0 || update.Sequence < r.sequence {
 		return
@@ -79,13 +79,13 @@
 	r.updateMaintenance(now, update.Maintenance)
 }
 
-// applyEndpointTable puts weights, warm-up rates and ejections in force.
+// applyEndpointTable applies weights, warm-up rates and ejections.
 func (r *Router) applyEndpointTable(now time.Duration, update *messages.StateUpdate) {
 	for _, endpoint := range update.Weights {
 		r.balancer.SetWeight(endpoint.Replica, float64(endpoint.Weight))
 	}
 	r.balancer.SetPairEjections(update.Full, update.PairEjections)
-	// A full update ends what another member, or the same one before a restart, had assigned.
+	// A full update replaces the rates from another member, or from the same member before a restart.
 	if update.WarmupRatesComplete || update.Full {
 		rates := map[string]float64{}
 		for _, endpoint := range update.WarmupRates {
@@ -98,7 +98,7 @@
 	}
 }
 
-// updateMaxInFlight has this gateway use its share of the connections that replicas accept.
+// updateMaxInFlight limits this gateway to its share of the connections that replicas accept.
 func (r *Router) updateMaxInFlight() {
 	limits := map[string]int{}
 	for name, service := range r.config.Services {
@@ -109,7 +109,7 @@
 	r.balancer.SetMaxInFlight(limits)
 }
 
-// StreamEnded drops what holds only with the stream: its member assigns the warm-up rates to other gateways now.
+// StreamEnded drops the warm-up rates of the stream, as the member may now assign them to other gateways.
 func (r *Router) StreamEnded(now time.Duration) {
 	r.streaming = false
 	r.setWarmupRates(now, nil)
--- a/dataplane/router/warmup.go
+++ b/dataplane/router/warmup.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// isolatedAfter is how long a gateway that hears no member sends to endpoints at any rate: as late as any update that
-	// says that one is warming up may be.
+	// isolatedAfter is the time without updates after which a gateway limits its send rates. It is the longest that an update
+	// about an endpoint that is warming up may take.
 	isolatedAfter = 2 * time.Second
 
-	// isolatedRateShare is the part of the rate of an endpoint that is warming up which all gateways that hear no member
-	// together send to any endpoint.
+	// isolatedRateShare is the rate at which all isolated gateways together send to an endpoint, as a fraction of what an
+	// endpoint that is warming up may be sent.
 	isolatedRateShare = 0.9
 )
 
-// WarmupRate returns how many requests a second this gateway may send to an endpoint while it is warming up.
+// WarmupRate returns the rate, in requests per second, at which this gateway may send to an endpoint that is warming up.
 func (r *Router) WarmupRate(now time.Duration, endpoint string) float64 {
 	r.expireWarmupRates(now)
 	return r.balancer.WarmupRate(endpoint)
 }
 
-// expireWarmupRates drops the warm-up rates of a member that has been silent.
+// expireWarmupRates drops the warm-up rates if the member has sent no update for WarmupRateLifetime.
 func (r *Router) expireWarmupRates(now time.Duration) {
 	if r.hasWarmupRates && now-r.lastUpdateAt > messages.WarmupRateLifetime {
 		r.setWarmupRates(now, nil)
@@ -34,9 +34,9 @@
 	r.balancer.SetWarmupRates(now, rates)
 }
 
-// updateIsolation has a gateway that has heard no member for long send each endpoint no more than its share of what one
-// that is warming up may be sent: it does not learn which endpoints are. Services whose replicas need no warm-up are sent
-// at any rate on.
+// updateIsolation limits the send rates of a gateway that has received no update for longer than isolatedAfter. Such a gateway
+// does not learn which endpoints are warming up, so it sends to each endpoint at most its share of what one that is warming up
+// may be sent. Services whose replicas need no warm-up are not limited.
 func (r *Router) updateIsolation(now time.Duration) {
 	isolated := r.hasTable && r.config != nil && now-r.lastUpdateAt > isolatedAfter
 	if isolated == r.isolated {
