--- a/dataplane/overflow/borrowedquota.go
+++ b/dataplane/overflow/borrowedquota.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// orderReserve is the part of a bucket beyond the first token that must be left for an order: lookups go first, as they may
-// be repeated elsewhere.
-const orderReserve = 0.3
+// idempotentReserve is the share of a bucket's capacity beyond the first token that is reserved for idempotent requests, which
+// can be retried elsewhere.
+const idempotentReserve = 0.3
 
-// BorrowedQuota is a gateway's part of what its site has borrowed. It must not be used by several goroutines at once.
+// BorrowedQuota is a gateway's share of the capacity that its site has borrowed. It is not safe for concurrent use.
 type BorrowedQuota struct {
 	name    string
 	buckets map[string]*borrowedBucket // by lease ID
@@ -20,23 +20,23 @@
 
 type borrowedBucket struct {
 	tokenBucket
-	spent int // tokens so far, to take the lease's addresses in turn
+	spent int // number of spent tokens, for round-robin selection of the lease's addresses
 }
 
-// NewBorrowedQuota returns an empty quota. Its name must be no other quota's, also not one of the same gateway before a
-// restart.
+// NewBorrowedQuota returns a quota without leases. Its name must be unique among all quotas, including those of earlier
+// incarnations of the gateway.
 func NewBorrowedQuota(name string) *BorrowedQuota {
 	return &BorrowedQuota{name: name, buckets: map[string]*borrowedBucket{}}
 }
 
-// SetLeases sets the leases that may be used, each with this gateway's part of its rate. A lease that replaces another of the
-// same site and service takes over its tokens.
+// SetLeases sets the leases that may be used, each with this gateway's share of its rate. A new lease inherits the tokens of
+// the previous lease for the same site and service.
 func (q *BorrowedQuota) SetLeases(now time.Duration, leases []Lease) {
 	buckets := map[string]*borrowedBucket{}
 	for _, lease := range leases {
 		bucket := q.buckets[lease.ID]
 		if bucket == nil {
-			bucket = q.successor(now, lease)
+			bucket = q.newBucket(now, lease)
 		}
 		bucket.Lease = lease
 		buckets[lease.ID] = bucket
@@ -44,18 +44,19 @@
 	q.buckets = buckets
 }
 
-func (q *BorrowedQuota) successor(now time.Duration, lease Lease) *borrowedBucket {
+// newBucket returns a bucket for a new lease, with the tokens of the lease that it replaces.
+func (q *BorrowedQuota) newBucket(now time.Duration, lease Lease) *borrowedBucket {
 	bucket := &borrowedBucket{tokenBucket: tokenBucket{refilledAt: now}}
-	for _, older := range q.buckets {
-		if older.Site == lease.Site && older.Service == lease.Service {
-			bucket.tokens, bucket.refilledAt = older.tokens, older.refilledAt
+	for _, previous := range q.buckets {
+		if previous.Site == lease.Site && previous.Service == lease.Service {
+			bucket.tokens, bucket.refilledAt = previous.tokens, previous.refilledAt
 		}
 	}
 	return bucket
 }
 
-// Spend takes a token for one request of a service, of the first lease, by ID, that has one. An order gets one only where much
-// is left. It returns false where there is none.
+// Spend takes a token for a request of a service from the first lease, in the order of lease IDs, that has one available. It
+// returns false if none has. Requests that are not idempotent leave idempotentReserve in the bucket.
 func (q *BorrowedQuota) Spend(now time.Duration, service string, idempotent bool) (Token, bool) {
 	for _, id := range slices.Sorted(maps.Keys(q.buckets)) {
 		bucket := q.buckets[id]
@@ -64,7 +65,7 @@
 		}
 		capacity := max(bucket.Rate*burstSeconds, 1)
 		bucket.refill(now, capacity)
-		if bucket.tokens < 1 || !idempotent && bucket.tokens < 1+orderReserve*(capacity-1) {
+		if bucket.tokens < 1 || !idempotent && bucket.tokens < 1+idempotentReserve*(capacity-1) {
 			continue
 		}
 		bucket.tokens--
--- a/dataplane/overflow/borrower.go
+++ b/dataplane/overflow/borrower.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	demandHeadroom       = 1.3                    // requested, times what is rejected and forwarded
-	demandDecay          = 0.6                    // of the demand that is left after each second
-	quietPeriod          = 3 * time.Second        // without a rejection, after which the demand decays
-	deniedRetryDelay     = 900 * time.Millisecond // after a denial
-	renewBelow           = (LeaseDuration - leaseSafetyMargin) / 2
-	sufficientLeaseShare = 0.8 // of what is wanted; a lease of less is requested again
+	demandHeadroom       = 1.3                                     // ratio of the demand to the rate of rejected and forwarded requests
+	demandDecay          = 0.6                                     // factor by which the demand decays per second
+	demandHoldTime       = 3 * time.Second                         // time after the last rejection until the demand decays
+	deniedRetryDelay     = 900 * time.Millisecond                  // time until a site that denied a lease is asked again
+	renewBelow           = (LeaseDuration - leaseSafetyMargin) / 2 // remaining validity below which a lease is renewed
+	sufficientLeaseShare = 0.8                                     // share of the wanted rate below which a lease is requested again
 )
 
-// Borrower is the borrowing side of one control-plane member. It must not be used by several goroutines at once.
-type Borrower struct{ demands map[string]*demand }
+// Borrower requests leases on behalf of one control-plane member. It is not safe for concurrent use.
+type Borrower struct{ demands map[string]*demand } // by service
 
-// demand is what a service wants to borrow.
+// demand is the capacity that a service wants to borrow.
 type demand struct {
-	rate           float64 // requests a second
+	rate           float64 // requests per second
 	lastRejectedAt time.Duration
 	leases         map[string]Lease         // by site
 	deniedAt       map[string]time.Duration // by site
@@ -31,34 +31,35 @@
 // NewBorrower returns a borrower without demand.
 func NewBorrower() *Borrower { return &Borrower{demands: map[string]*demand{}} }
 
-// RecordDemand takes what a second brought at a service: requests rejected for want of capacity, and requests forwarded to
-// peer sites.
+// RecordDemand updates the demand of a service with the last second's requests: those rejected for lack of capacity and those
+// forwarded to peer sites.
 func (b *Borrower) RecordDemand(now time.Duration, service string, rejected, forwarded float64) {
-	wanted := b.demands[service]
-	if wanted == nil {
+	d := b.demands[service]
+	if d == nil {
 		if rejected == 0 {
 			return
 		}
-		wanted = &demand{leases: map[string]Lease{}, deniedAt: map[string]time.Duration{}}
-		b.demands[service] = wanted
+		d = &demand{leases: map[string]Lease{}, deniedAt: map[string]time.Duration{}}
+		b.demands[service] = d
 	}
 	switch {
 	case rejected > 0:
-		wanted.rate = max(wanted.rate*demandDecay, (rejected+forwarded)*demandHeadroom)
-		wanted.lastRejectedAt = now
-	case now-wanted.lastRejectedAt > quietPeriod:
-		wanted.rate = max(wanted.rate*demandDecay, 0)
+		d.rate = max(d.rate*demandDecay, (rejected+forwarded)*demandHeadroom)
+		d.lastRejectedAt = now
+	case now-d.lastRejectedAt > demandHoldTime:
+		d.rate = max(d.rate*demandDecay, 0)
 		if forwarded > 0 {
-			wanted.rate = max(wanted.rate, forwarded*demandDecay)
+			d.rate = max(d.rate, forwarded*demandDecay)
 		}
 	}
-	if wanted.rate < minLeaseRate && len(b.UsableLeases(now, service)) == 0 {
+	if d.rate < minLeaseRate && len(b.UsableLeases(now, service)) == 0 {
 		delete(b.demands, service)
 	}
 }
 
-// LeaseRequests lists what is to be requested now: from the nearest site first, from the next ones what those before have not
-// granted. A lease is renewed when half of it is over; a site that denied one is asked again after deniedRetryDelay.
+// LeaseRequests returns the lease requests that are to be sent now. The nearest site is asked first, and farther sites for what
+// the nearer ones have not granted. Leases are renewed halfway through their validity, and a site that denied a lease is asked
+// again after deniedRetryDelay.
 func (b *Borrower) LeaseRequests(now time.Duration, sites []PeerSite) []LeaseRequest {
 	nearestFirst := slices.Clone(sites)
 	slices.SortStableFunc(nearestFirst, func(x, y PeerSite) int {
@@ -92,7 +93,7 @@
 			continue
 		}
 		if !denied && !held {
-			missing -= wanted // at first nobody else is asked for it
+			missing -= wanted // farther sites are asked only after this site has responded
 		}
 		if !held || lease.ExpiresAt-now < renewBelow || lease.Rate < sufficientLeaseShare*wanted {
 			requests = append(requests, LeaseRequest{Site: site.Site, Service: service, Rate: wanted})
@@ -101,44 +102,44 @@
 	return requests
 }
 
-// HandleResponse takes a site's answer to a request that was sent at sentAt by this member's clock; the lease can't have begun
-// earlier. A lease without a rate is a denial.
+// HandleResponse handles a site's response to a lease request. The lease expires relative to sentAt, when this member sent the
+// request, as the lease cannot have started earlier. A lease with a rate of 0 is a denial.
 func (b *Borrower) HandleResponse(now, sentAt time.Duration, site string, lease Lease) {
-	wanted := b.demands[lease.Service]
-	if wanted == nil {
+	d := b.demands[lease.Service]
+	if d == nil {
 		return
 	}
 	if lease.Rate <= 0 {
-		wanted.deniedAt[site] = now
+		d.deniedAt[site] = now
 		return
 	}
 	lease.Site = site
 	lease.ExpiresAt = sentAt + LeaseDuration - leaseSafetyMargin
-	delete(wanted.deniedAt, site)
+	delete(d.deniedAt, site)
 	if lease.Rate < minLeaseRate*2 {
-		wanted.deniedAt[site] = now // it has hardly anything left
+		d.deniedAt[site] = now // the site has almost no spare capacity left
 	}
 	if now < lease.ExpiresAt {
-		wanted.leases[site] = lease
+		d.leases[site] = lease
 	}
 }
 
-// UsableLeases lists the leases of a service that have not expired, by site, and forgets the others.
+// UsableLeases returns a service's leases that have not expired, sorted by site, and deletes the others.
 func (b *Borrower) UsableLeases(now time.Duration, service string) []Lease {
-	wanted := b.demands[service]
-	if wanted == nil {
+	d := b.demands[service]
+	if d == nil {
 		return nil
 	}
 	var usable []Lease
-	for _, site := range slices.Sorted(maps.Keys(wanted.leases)) {
-		if lease := wanted.leases[site]; now < lease.ExpiresAt {
+	for _, site := range slices.Sorted(maps.Keys(d.leases)) {
+		if lease := d.leases[site]; now < lease.ExpiresAt {
 			usable = append(usable, lease)
 		} else {
-			delete(wanted.leases, site)
+			delete(d.leases, site)
 		}
 	}
 	return usable
 }
 
-// Services lists the services with a demand, sorted.
+// Services returns the services with a demand, sorted by name.
 func (b *Borrower) Services() []string { return slices.Sorted(maps.Keys(b.demands)) }
--- a/dataplane/overflow/lender.go
+++ b/dataplane/overflow/lender.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// relendDelay is how long a service must not have been short until it is lent again.
+// relendDelay is the time after the last shortage of a service until its capacity is lent again.
 const relendDelay = 3 * time.Second
 
-// Lender is the lending side of one control-plane member. It must not be used by several goroutines at once.
+// Lender grants leases on behalf of one control-plane member. It is not safe for concurrent use.
 type Lender struct {
-	name       string
-	leases     []Lease
-	granted    uint64                   // leases so far, for their IDs
-	shortSince map[string]time.Duration // when services were last short of capacity here
+	name           string
+	leases         []Lease
+	granted        uint64                   // number of granted leases, used for their IDs
+	lastShortageAt map[string]time.Duration // by service
 }
 
-// NewLender returns a lender. Its name must be no other lender's.
+// NewLender returns a lender without leases. Its name must be unique among all lenders.
 func NewLender(name string) *Lender {
-	return &Lender{name: name, shortSince: map[string]time.Duration{}}
+	return &Lender{name: name, lastShortageAt: map[string]time.Duration{}}
 }
 
-// RecordShortage notes that a service is short of capacity here, or that capacity is borrowed for it.
-func (l *Lender) RecordShortage(now time.Duration, service string) { l.shortSince[service] = now }
+// RecordShortage records that this site has too little capacity for a service, or borrows capacity for it.
+func (l *Lender) RecordShortage(now time.Duration, service string) { l.lastShortageAt[service] = now }
 
-// Grant answers a borrower's request. Spare is this lender's part of the site's spare capacity; what is lent to others comes
-// off it. Limit bounds the rate; 0: unbounded. A lease replaces the borrower's older one of the service, as a borrower uses
-// one at a time. It returns false where nothing is granted.
+// Grant grants a lease to a borrower, or returns false if there is nothing to lend. Wanted is the requested rate, spare is this
+// lender's share of the site's spare capacity before leases are deducted, and limit is the maximum rate (0 means unlimited).
+// The lease replaces the borrower's previous lease for the service.
 func (l *Lender) Grant(now time.Duration, borrower, service string, wanted, spare, limit float64) (Lease, bool) {
 	l.leases = slices.DeleteFunc(l.leases, func(lease Lease) bool { return now >= lease.ExpiresAt })
-	if at, ok := l.shortSince[service]; ok && now-at < relendDelay {
+	if at, ok := l.lastShortageAt[service]; ok && now-at < relendDelay {
 		return Lease{}, false
 	}
 	for _, lease := range l.leases {
@@ -58,8 +58,8 @@
 	return lease, true
 }
 
-// replace takes the rate off a borrower's leases of a service. Until they expire they still admit the requests that are on
-// their way.
+// replace sets the rate of a borrower's leases for a service to 0. Until they expire, the leases still admit requests in
+// transit.
 func (l *Lender) replace(borrower, service string) {
 	for i := range l.leases {
 		if lease := &l.leases[i]; lease.Service == service && lease.Site == borrower {
@@ -68,7 +68,7 @@
 	}
 }
 
-// ActiveLeases lists the leases that have not expired.
+// ActiveLeases returns the leases that have not expired.
 func (l *Lender) ActiveLeases(now time.Duration) []Lease {
 	var active []Lease
 	for _, lease := range l.leases {
--- a/dataplane/overflow/lentquota.go
+++ b/dataplane/overflow/lentquota.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// maxRememberedGuests bounds the guest requests that are remembered against duplicates that come late.
-const maxRememberedGuests = 1 << 16
+// maxSeenTokens bounds the tokens that are kept to detect duplicates.
+const maxSeenTokens = 1 << 16
 
-// Admission is the outcome of a guest request at the lending site.
+// Admission is the decision of the lending site on a forwarded request.
 type Admission int
 
-// Outcomes of a guest request.
+// The values of Admission.
 const (
-	NotExecuted Admission = iota // proof: it is not admitted and never will be
+	NotExecuted Admission = iota // proven: the request is not admitted and never will be
 	Admitted
-	Duplicate // it has been here before; its outcome is not repeated
+	Duplicate // the token was received before, so the request may have been executed
 )
 
-// LentQuota is a gateway's part of what its site has lent. It must not be used by several goroutines at once.
+// LentQuota is a gateway's share of the capacity that its site has lent. It is not safe for concurrent use.
 type LentQuota struct {
 	buckets   map[string]*tokenBucket // by lease ID
-	seen      map[string]bool         // by encoded token
-	seenOrder []string                // of seen, oldest first
+	seen      map[string]bool         // encoded tokens
+	seenOrder []string                // keys of seen, oldest first
 }
 
-// NewLentQuota returns a quota that admits nothing.
+// NewLentQuota returns a quota without leases.
 func NewLentQuota() *LentQuota {
 	return &LentQuota{buckets: map[string]*tokenBucket{}, seen: map[string]bool{}}
 }
 
-// SetLeases sets the leases under which guest requests are admitted, each with this gateway's part of its rate.
+// SetLeases sets the leases under which forwarded requests are admitted, each with this gateway's share of its rate.
 func (q *LentQuota) SetLeases(now time.Duration, leases []Lease) {
 	buckets := map[string]*tokenBucket{}
 	for _, lease := range leases {
@@ -36,7 +36,7 @@
 			bucket = &tokenBucket{tokens: max(lease.Rate*burstSeconds, 1), refilledAt: now}
 		}
 		bucket.Lease = lease
-		if lease.Rate == 0 { // replaced: what it has left is for requests that are on their way
+		if lease.Rate == 0 { // the lease was replaced; the remaining tokens are for requests in transit
 			bucket.refilledAt = now
 		}
 		buckets[lease.ID] = bucket
@@ -44,13 +44,13 @@
 	q.buckets = buckets
 }
 
-// Admit decides on a guest request for a service. A duplicate is never admitted, as the first one may have been executed.
+// Admit decides whether to admit a forwarded request for a service. Each token is admitted at most once.
 func (q *LentQuota) Admit(now time.Duration, token Token, service string) Admission {
 	key := token.String()
 	if q.seen[key] {
 		return Duplicate
 	}
-	q.remember(key)
+	q.recordSeen(key)
 	bucket := q.buckets[token.Lease]
 	if bucket == nil || now >= bucket.ExpiresAt || bucket.Service != service {
 		return NotExecuted
@@ -63,8 +63,8 @@
 	return Admitted
 }
 
-func (q *LentQuota) remember(key string) {
-	if len(q.seenOrder) >= maxRememberedGuests {
+func (q *LentQuota) recordSeen(key string) {
+	if len(q.seenOrder) >= maxSeenTokens {
 		delete(q.seen, q.seenOrder[0])
 		q.seenOrder = q.seenOrder[1:]
 	}
--- a/dataplane/overflow/token.go
+++ b/dataplane/overflow/token.go
@@ -2,18 +2,18 @@
 
 import "strings"
 
-// Token identifies one guest request.
+// Token identifies a forwarded request and the lease that covers it.
 type Token struct {
-	Lease  string // its ID
-	Serial string // unique among the guest requests of all gateways
-	Addr   string // where it is to be sent; not part of the encoding
-	Site   string // that lent the capacity; not part of the encoding
+	Lease  string // lease ID
+	Serial string // unique among the forwarded requests of all gateways
+	Addr   string // address to forward to; not encoded
+	Site   string // lending site; not encoded
 }
 
-// String encodes a token; ParseToken reads it.
+// String encodes the token in the form that ParseToken parses.
 func (t Token) String() string { return t.Lease + "/" + t.Serial }
 
-// ParseToken reads an encoded token. It returns false where the text is none.
+// ParseToken parses an encoded token. It returns false if the text is not a valid token.
 func ParseToken(text string) (Token, bool) {
 	lease, serial, ok := strings.Cut(text, "/")
 	return Token{Lease: lease, Serial: serial}, ok && lease != "" && serial != ""
