--- a/gatewayconfig/config.go
+++ b/gatewayconfig/config.go
@@ -1,8 +1,7 @@
-// Package gatewayconfig reads, checks and searches the operator's configuration of the gateway: services, limits and routes. It is free of
-// I/O.
+// Package gatewayconfig parses and validates the operator's gateway configuration of services, limits and routes, and looks up
+// routes in it. The package performs no I/O.
 //
-// A configuration is invalid where the protocol page says so, and where a field could not be read. Each error names the path at fault, so
-// that an operator finds it.
+// Errors name the path of the first invalid field.
 package gatewayconfig
 
 import (
@@ -10,50 +9,50 @@
 	"time"
 )
 
-// Config is one complete version of the configuration. It is not changed once parsed, and may be read by many goroutines.
+// Config is one complete version of the configuration. It is immutable and safe for concurrent use.
 type Config struct {
 	Version    uint64
-	Raw        []byte // the document it was parsed from
+	Raw        []byte // JSON document
 	Services   map[string]Service
 	Limits     Limits
 	RouteCount int
 
-	routesByHost map[string][]Route // by hostname in lower case
+	routesByHost map[string][]Route // by lowercase hostname
 
 	indexOnce       sync.Once
-	routesByService map[string][]Route // built when it is first asked for: gateways never do
+	routesByService map[string][]Route // built on first use, as gateways do not need it
 }
 
-// Service is what the operator says of one service.
+// Service is the configuration of one service.
 type Service struct {
 	Name            string
 	HealthCheckPath string
 	MaxConnections  int
-	WarmupDuration  time.Duration // how long a replica is taken to warm up after its start
-	WarmupRate      float64       // requests a second that a replica bears while it warms up
+	WarmupDuration  time.Duration // duration of the warm-up of a replica after its start
+	WarmupRate      float64       // requests per second that a replica can serve while it is warming up
 }
 
-// Limits bound what a client may send and how long it may take.
+// Limits are the limits on client requests and connections.
 type Limits struct {
 	MaxHeaderBytes int64
 	MaxBodyBytes   int64
-	HeaderTimeout  time.Duration // for a request's header to come
-	IdleTimeout    time.Duration // of a connection between requests
+	HeaderTimeout  time.Duration // time to receive the header of a request
+	IdleTimeout    time.Duration // time that a connection may be idle between requests
 }
 
-// Route tells how the requests under a path prefix of a host are handled.
+// Route is the configuration of the requests under a path prefix of a host.
 type Route struct {
 	Name          string
 	PathPrefix    string
-	Idempotent    bool          // requests may run more than once
-	Timeout       time.Duration // 0: none
-	LatencyTarget time.Duration // a response within it has its full value; 0: none
+	Idempotent    bool          // requests may be executed more than once
+	Timeout       time.Duration // 0 if there is none
+	LatencyTarget time.Duration // desired response time; 0 if there is none
 	Priority      int           // 0 is the highest
 	TrafficSplit  []TrafficShare
-	MaxAttempts   int // replicas that one request may be sent to, one after the other
+	MaxAttempts   int // maximum number of attempts per request
 }
 
-// TrafficShare is the part of a route's requests that goes to one service, in relation to the weights of the others.
+// TrafficShare assigns a share of a route's requests to a service, in proportion to its weight.
 type TrafficShare struct {
 	Service string
 	Weight  float64
--- a/gatewayconfig/fields.go
+++ b/gatewayconfig/fields.go
@@ -7,7 +7,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// parser collects a configuration and the first error in it. Its methods go on after an error, with a zero value for the field.
+// parser builds a configuration and records the first error. Its methods continue after an error.
 type parser struct {
 	config *Config
 	err    error
@@ -22,59 +22,61 @@
 // isAbsent reports whether a field is missing or null.
 func isAbsent(value gjson.Result) bool { return !value.Exists() || value.Type == gjson.Null }
 
-func (p *parser) listField(value gjson.Result, at, key string) []gjson.Result {
+func (p *parser) arrayField(value gjson.Result, prefix, key string) []gjson.Result {
 	field := value.Get(key)
 	if !field.IsArray() {
-		p.fail(at+key, "is not a list")
+		p.fail(prefix+key, "must be an array")
 		return nil
 	}
 	return field.Array()
 }
 
-func (p *parser) stringField(value gjson.Result, at, key string, required bool) string {
+func (p *parser) stringField(value gjson.Result, prefix, key string, required bool) string {
 	field := value.Get(key)
-	if field.Type == gjson.String && (field.Str != "" || !required) {
+	switch {
+	case field.Type == gjson.String && (field.Str != "" || !required):
 		return field.Str
-	}
-	if required || !isAbsent(field) {
-		p.fail(at+key, "is missing, empty or not a text")
+	case required:
+		p.fail(prefix+key, "must be a non-empty string")
+	case !isAbsent(field):
+		p.fail(prefix+key, "must be a string")
 	}
 	return ""
 }
 
-func (p *parser) durationField(value gjson.Result, at, key string, absent time.Duration) time.Duration {
-	text := p.stringField(value, at, key, false)
+func (p *parser) durationField(value gjson.Result, prefix, key string, defaultValue time.Duration) time.Duration {
+	text := p.stringField(value, prefix, key, false)
 	if text == "" {
-		return absent
+		return defaultValue
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil || duration < 0 {
-		p.fail(at+key, `is not a time such as "1500ms"`)
+		p.fail(prefix+key, `must be a duration such as "1500ms"`)
 	}
 	return duration
 }
 
-func (p *parser) numberField(value gjson.Result, at, key string, least, absent float64) float64 {
+func (p *parser) numberField(value gjson.Result, prefix, key string, minimum, defaultValue float64) float64 {
 	field := value.Get(key)
 	if isAbsent(field) {
-		return absent
+		return defaultValue
 	}
-	if field.Type != gjson.Number || field.Num < least {
-		p.fail(at+key, "is not a number of "+strconv.FormatFloat(least, 'g', -1, 64)+" or more")
+	if field.Type != gjson.Number || field.Num < minimum {
+		p.fail(prefix+key, "must be a number of at least "+strconv.FormatFloat(minimum, 'g', -1, 64))
 	}
 	return field.Num
 }
 
-// serviceField reads the name of a service that the configuration must have.
-func (p *parser) serviceField(value gjson.Result, at, key string) string {
-	name := p.stringField(value, at, key, true)
-	p.checkService(at+key, name)
+// serviceField parses the name of a service, which must be defined in the configuration.
+func (p *parser) serviceField(value gjson.Result, prefix, key string) string {
+	name := p.stringField(value, prefix, key, true)
+	p.checkService(prefix+key, name)
 	return name
 }
 
-// checkService fails for a service that the configuration doesn't have. An empty name has failed already.
+// checkService records an error if a service is not defined. Empty names are ignored, as stringField has recorded an error.
 func (p *parser) checkService(path, name string) {
 	if _, ok := p.config.Services[name]; !ok && name != "" {
-		p.fail(path, "names an unknown service")
+		p.fail(path, "refers to an unknown service")
 	}
 }
--- a/gatewayconfig/parse.go
+++ b/gatewayconfig/parse.go
@@ -9,7 +9,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// The limits in force where the operator sets none.
+// Default limits.
 const (
 	defaultMaxHeaderBytes = 16 << 10
 	defaultMaxBodyBytes   = 64 << 20
@@ -17,29 +17,29 @@
 	defaultIdleTimeout    = 15 * time.Second
 )
 
-// maxLatencyTargetExcess bounds how far a route's latency target may be above its timeout.
+// A route's latency target must exceed its timeout by less than maxLatencyTargetExcess.
 const maxLatencyTargetExcess = time.Minute
 
-// versionDigits is the length of a version: it is written in hexadecimal, with leading zeros.
+// versionDigits is the number of hexadecimal digits in a version, with leading zeros.
 const versionDigits = 8
 
-// ErrMalformed is returned for a document that is not complete JSON.
-var ErrMalformed = errors.New("configuration: the body is not JSON, or is cut short")
+// ErrMalformed is returned for a document that is not valid JSON.
+var ErrMalformed = errors.New("configuration: the body is not valid JSON or is truncated")
 
-// FieldError is returned for a configuration that is invalid; it names the first field at fault.
+// FieldError describes the first invalid field of a configuration.
 type FieldError struct {
-	Path   string // of the field, such as virtual_hosts.0.hostname
+	Path   string // path of the field, such as virtual_hosts.0.hostname
 	Reason string
 }
 
 func (e *FieldError) Error() string { return "configuration: " + e.Path + ": " + e.Reason }
 
-// Parse reads a complete configuration. It returns ErrMalformed or a *FieldError where it can't.
+// Parse parses and validates a configuration document. Its error is ErrMalformed or a *FieldError.
 func Parse(raw []byte) (*Config, error) {
 	if !gjson.ValidBytes(raw) {
 		return nil, ErrMalformed
 	}
-	raw = append([]byte(nil), raw...) // gjson's strings share its bytes
+	raw = append([]byte(nil), raw...) // the strings in gjson results refer to these bytes
 	document := gjson.ParseBytes(raw)
 	p := &parser{config: &Config{Raw: raw, Services: map[string]Service{}, routesByHost: map[string][]Route{}}}
 	p.parseVersion(document)
@@ -56,23 +56,23 @@
 	text := p.stringField(document, "", "version", true)
 	version, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != versionDigits {
-		p.fail("version", "is not eight hexadecimal digits")
+		p.fail("version", "must be eight hexadecimal digits")
 	}
 	p.config.Version = version
 }
 
 func (p *parser) parseServices(document gjson.Result) {
-	for i, value := range p.listField(document, "", "services") {
-		at := "services." + strconv.Itoa(i) + "."
+	for i, value := range p.arrayField(document, "", "services") {
+		prefix := "services." + strconv.Itoa(i) + "."
 		service := Service{
-			Name:            p.stringField(value, at, "name", true),
-			HealthCheckPath: p.stringField(value, at, "health_check_path", false),
-			MaxConnections:  int(p.numberField(value, at, "max_connections", 0, 0)),
-			WarmupDuration:  p.durationField(value, at, "cold_start", 0),
-			WarmupRate:      p.numberField(value, at, "cold_per_s", 0, 0),
+			Name:            p.stringField(value, prefix, "name", true),
+			HealthCheckPath: p.stringField(value, prefix, "health_check_path", false),
+			MaxConnections:  int(p.numberField(value, prefix, "max_connections", 0, 0)),
+			WarmupDuration:  p.durationField(value, prefix, "cold_start", 0),
+			WarmupRate:      p.numberField(value, prefix, "cold_per_s", 0, 0),
 		}
 		if _, exists := p.config.Services[service.Name]; exists {
-			p.fail(at+"name", "is used twice")
+			p.fail(prefix+"name", "must be unique")
 		}
 		p.config.Services[service.Name] = service
 	}
@@ -81,7 +81,7 @@
 func (p *parser) parseLimits(document gjson.Result) {
 	limits := document.Get("limits")
 	if limits.Exists() && !limits.IsObject() {
-		p.fail("limits", "is not a table")
+		p.fail("limits", "must be an object")
 	}
 	p.config.Limits = Limits{
 		MaxHeaderBytes: int64(p.numberField(limits, "limits.", "max_header_bytes", 1, defaultMaxHeaderBytes)),
@@ -92,83 +92,85 @@
 }
 
 func (p *parser) parseHosts(document gjson.Result) {
-	for i, value := range p.listField(document, "", "virtual_hosts") {
-		at := "virtual_hosts." + strconv.Itoa(i) + "."
-		host := strings.ToLower(p.stringField(value, at, "hostname", true))
-		for j, route := range p.listField(value, at, "path_routes") {
-			p.addRoute(host, p.parseRoute(route, routePath(at, j)), routePath(at, j))
+	for i, value := range p.arrayField(document, "", "virtual_hosts") {
+		hostPrefix := "virtual_hosts." + strconv.Itoa(i) + "."
+		host := strings.ToLower(p.stringField(value, hostPrefix, "hostname", true))
+		for j, route := range p.arrayField(value, hostPrefix, "path_routes") {
+			routePrefix := hostPrefix + "path_routes." + strconv.Itoa(j) + "."
+			p.addRoute(host, p.parseRoute(route, routePrefix), routePrefix)
 		}
 	}
 }
 
-func routePath(host string, i int) string { return host + "path_routes." + strconv.Itoa(i) + "." }
-
-// addRoute adds a route to a host, under which no other may have its prefix.
-func (p *parser) addRoute(host string, route Route, at string) {
+// addRoute adds a route to a host. Its path prefix must be unique within the host.
+func (p *parser) addRoute(host string, route Route, prefix string) {
 	for _, other := range p.config.routesByHost[host] {
 		if other.PathPrefix == route.PathPrefix {
-			p.fail(at+"path_prefix", "stands twice under this host")
+			p.fail(prefix+"path_prefix", "must be unique within the host")
 		}
 	}
 	p.config.routesByHost[host] = append(p.config.routesByHost[host], route)
 	p.config.RouteCount++
 }
 
-func (p *parser) parseRoute(value gjson.Result, at string) Route {
+func (p *parser) parseRoute(value gjson.Result, prefix string) Route {
 	route := Route{
-		Name:          p.stringField(value, at, "name", false),
-		PathPrefix:    p.stringField(value, at, "path_prefix", true),
-		Timeout:       p.durationField(value, at, "timeout", 0),
-		LatencyTarget: p.durationField(value, at, "target_latency", 0),
-		Priority:      int(p.numberField(value, at, "priority", 0, 0)),
-		MaxAttempts:   max(int(p.numberField(value, at, "max_attempts", 0, 1)), 1),
+		Name:          p.stringField(value, prefix, "name", false),
+		PathPrefix:    p.stringField(value, prefix, "path_prefix", true),
+		Timeout:       p.durationField(value, prefix, "timeout", 0),
+		LatencyTarget: p.durationField(value, prefix, "target_latency", 0),
+		Priority:      int(p.numberField(value, prefix, "priority", 0, 0)),
+		MaxAttempts:   max(int(p.numberField(value, prefix, "max_attempts", 0, 1)), 1),
 	}
 	if !strings.HasPrefix(route.PathPrefix, "/") {
-		p.fail(at+"path_prefix", "starts with something other than a slash")
+		p.fail(prefix+"path_prefix", "must start with a slash")
 	}
-	route.Idempotent = p.parseKind(value, at)
+	route.Idempotent = p.parseKind(value, prefix)
 	if value.Get("timeout").Exists() && route.Timeout <= 0 {
-		p.fail(at+"timeout", "is not above zero")
+		p.fail(prefix+"timeout", "must be greater than zero")
 	}
 	if route.Timeout > 0 && route.LatencyTarget-route.Timeout >= maxLatencyTargetExcess {
-		p.fail(at+"target_latency", "is a minute or more above the timeout")
+		p.fail(prefix+"target_latency", "must exceed the timeout by less than a minute")
 	}
-	route.TrafficSplit = p.parseTrafficSplit(value, at)
+	route.TrafficSplit = p.parseTrafficSplit(value, prefix)
 	return route
 }
 
-// parseKind reports whether a route's requests may run more than once.
-func (p *parser) parseKind(value gjson.Result, at string) (idempotent bool) {
-	switch p.stringField(value, at, "kind", true) {
+// parseKind parses the kind of a route and reports whether its requests are idempotent.
+func (p *parser) parseKind(value gjson.Result, prefix string) (idempotent bool) {
+	switch p.stringField(value, prefix, "kind", true) {
 	case "safe":
 		return true
 	case "unsafe":
 	default:
-		p.fail(at+"kind", "is neither safe nor unsafe")
+		p.fail(prefix+"kind", `must be "safe" or "unsafe"`)
 	}
 	return false
 }
 
-// parseTrafficSplit reads the services of a route: a list with weights, or one service that gets all.
-func (p *parser) parseTrafficSplit(value gjson.Result, at string) []TrafficShare {
+// parseTrafficSplit parses the services of a route: either an array of services with weights, or a single service.
+func (p *parser) parseTrafficSplit(value gjson.Result, prefix string) []TrafficShare {
 	split := value.Get("traffic_split")
 	if isAbsent(split) {
-		return []TrafficShare{{Service: p.serviceField(value, at, "service"), Weight: 1}}
+		return []TrafficShare{{Service: p.serviceField(value, prefix, "service"), Weight: 1}}
 	}
 	if !split.IsArray() {
-		p.fail(at+"traffic_split", "is not a list")
+		p.fail(prefix+"traffic_split", "must be an array")
 	}
 	var shares []TrafficShare
 	sum := 0.0
-	for i, part := range split.Array() {
-		at := at + "traffic_split." + strconv.Itoa(i) + "."
-		share := TrafficShare{Service: p.stringField(part, at, "service", true), Weight: p.numberField(part, at, "weight", 0, 0)}
-		p.checkService(at+"service", share.Service)
+	for i, element := range split.Array() {
+		elementPrefix := prefix + "traffic_split." + strconv.Itoa(i) + "."
+		share := TrafficShare{
+			Service: p.stringField(element, elementPrefix, "service", true),
+			Weight:  p.numberField(element, elementPrefix, "weight", 0, 0),
+		}
+		p.checkService(elementPrefix+"service", share.Service)
 		shares = append(shares, share)
 		sum += share.Weight
 	}
 	if sum <= 0 {
-		p.fail(at+"traffic_split", "has no weight")
+		p.fail(prefix+"traffic_split", "must have a total weight greater than zero")
 	}
 	return shares
 }
--- a/gatewayconfig/parse_test.go
+++ b/gatewayconfig/parse_test.go
@@ -21,7 +21,7 @@
 		So(config.Version, ShouldEqual, 12)
 		So(config.Services["a"].WarmupRate, ShouldEqual, 4.1)
 	})
-	Convey("An invalid configuration is rejected with the path at fault", t, func() {
+	Convey("An invalid configuration is rejected with the path of the invalid field", t, func() {
 		for _, change := range []struct{ old, new, message string }{
 			{`"hostname":"One.example"`, `"hostname":""`, "virtual_hosts.0.hostname"},
 			{`"path_prefix":"/x/y/"`, `"path_prefix":"x/y/"`, "virtual_hosts.0.path_routes.1.path_prefix"},
@@ -33,7 +33,7 @@
 			{`"version":"0000000c"`, `"version":12`, "version"},
 			{`"timeout":"6s"`, `"timeout":"soon"`, "virtual_hosts.0.path_routes.1.timeout"},
 			{`"weight":90`, `"weight":-1`, "traffic_split.0.weight"},
-			{`"path_prefix":"/x/y/"`, `"path_prefix":"/x/"`, "stands twice"},
+			{`"path_prefix":"/x/y/"`, `"path_prefix":"/x/"`, "virtual_hosts.0.path_routes.1.path_prefix: must be unique within the host"},
 			{`"virtual_hosts":[`, `"virtual_host":[`, "virtual_hosts"},
 		} {
 			So(strings.Contains(validConfiguration, change.old), ShouldBeTrue)
@@ -43,7 +43,7 @@
 			var fieldError *FieldError
 			So(errors.As(err, &fieldError), ShouldBeTrue)
 		}
-		for length := range len(validConfiguration) { // cut short anywhere
+		for length := range len(validConfiguration) { // truncated at any position
 			_, err := Parse([]byte(validConfiguration[:length]))
 			So(err, ShouldNotBeNil)
 			So(errors.Is(err, ErrMalformed), ShouldBeTrue)
@@ -55,7 +55,7 @@
 	})
 }
 
-// FuzzParse checks that every configuration that parses can be searched: each route is found and leads to a service.
+// FuzzParse checks that every route of a valid configuration is found and has a service.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validConfiguration))
 	f.Add([]byte(`{"version":"00000001","services":[{}],"virtual_hosts":[{"hostname":"a","path_routes":[{}]}]}`))
@@ -67,10 +67,10 @@
 		for host, routes := range config.routesByHost {
 			for _, route := range routes {
 				if found, ok := config.FindRoute(host, route.PathPrefix); !ok || found.PathPrefix != route.PathPrefix {
-					t.Fatalf("host %q: prefix %q is not found", host, route.PathPrefix)
+					t.Fatalf("host %q: route with prefix %q was not found", host, route.PathPrefix)
 				}
 				if service := route.PickService(0.5); config.Services[service].Name != service {
-					t.Fatalf("route %q leads to no service", route.Name)
+					t.Fatalf("route %q: picked unknown service %q", route.Name, service)
 				}
 			}
 		}
--- a/gatewayconfig/routing.go
+++ b/gatewayconfig/routing.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// FindRoute returns the route with the longest matching path prefix under a host, which may carry a port.
+// FindRoute returns the route of a host with the longest matching path prefix. The host may include a port.
 func (c *Config) FindRoute(host, path string) (Route, bool) {
 	routes := c.routesByHost[strings.ToLower(withoutPort(host))]
 	longest := -1
@@ -21,7 +21,7 @@
 	return routes[longest], true
 }
 
-// withoutPort cuts the port off a host. A bare IPv6 address in brackets has none.
+// withoutPort removes the port from a host. An IPv6 address must be in brackets.
 func withoutPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		return host[:i]
@@ -29,8 +29,8 @@
 	return host
 }
 
-// RoutesToService lists the routes that may send to a service, in the order of their hosts. A member of the control plane asks for each
-// service when it takes a configuration into force, so all routes are indexed by the first call.
+// RoutesToService returns the routes that may send requests to a service, sorted by host. The first call builds an index of all
+// routes, as control-plane members call it for each service of a new configuration.
 func (c *Config) RoutesToService(service string) []Route {
 	c.indexOnce.Do(c.indexRoutes)
 	return c.routesByService[service]
@@ -47,22 +47,22 @@
 	}
 }
 
-// PickService chooses a service by the weights of the route's traffic split. chance lies from 0 up to, not including, 1.
-func (r Route) PickService(chance float64) string {
+// PickService selects a service in proportion to the weights of the traffic split. Random is a random number in [0, 1).
+func (r Route) PickService(random float64) string {
 	sum := 0.0
 	for _, share := range r.TrafficSplit {
 		sum += share.Weight
 	}
-	left := chance * sum
+	remaining := random * sum
 	for _, share := range r.TrafficSplit {
-		if left -= share.Weight; left < 0 {
+		if remaining -= share.Weight; remaining < 0 {
 			return share.Service
 		}
 	}
 	return r.lastWeighted()
 }
 
-// lastWeighted is the last service with a weight: the choice where rounding leaves none.
+// lastWeighted returns the last service with a weight above zero. It is selected if rounding errors leave no other.
 func (r Route) lastWeighted() string {
 	for _, share := range slices.Backward(r.TrafficSplit) {
 		if share.Weight > 0 {
--- a/gatewayconfig/routing_test.go
+++ b/gatewayconfig/routing_test.go
@@ -23,13 +23,13 @@
 				So(route.Name, ShouldEqual, request.route)
 			}
 		})
-		Convey("the traffic split is kept, also at its ends", func() {
+		Convey("services are picked in proportion to their weights, and never with weight 0", func() {
 			route, _ := config.FindRoute("one.example", "/x/1")
-			picked := map[string]int{}
+			counts := map[string]int{}
 			for i := range 1000 {
-				picked[route.PickService(float64(i)/1000)]++
+				counts[route.PickService(float64(i)/1000)]++
 			}
-			So(picked["a"], ShouldEqual, 900)
+			So(counts["a"], ShouldEqual, 900)
 			So(route.PickService(0.9999999999), ShouldEqual, "b")
 			route.TrafficSplit[1].Weight = 0
 			So(route.PickService(1), ShouldEqual, "a")
