--- a/controlplane/chainreplication/doc.go
+++ b/controlplane/chainreplication/doc.go
@@ -1,17 +1,17 @@
-// Package chainreplication keeps the control plane's durable state by chain replication (van Renesse and Schneider, "Chain
+// Package chainreplication replicates the control plane's durable state by chain replication (van Renesse and Schneider, "Chain
 // Replication for Supporting High Throughput and Availability", 2004).
 //
-// The state is a Register that only grows: the newest configuration, the evacuations and some small records. A command
-// enters at the head, each member forwards the register as it stands after the command, and the tail announces to all
-// that it is committed. A member forwards only what is on its stable storage, so a committed register is on stable storage
-// at each member of the chain.
+// The replicated state is a Register: the latest configuration, the evacuated zones and a set of small records. Commands
+// are submitted to the head. Each member forwards the resulting register to its successor, and the tail announces the
+// commit to all members. A member forwards a register only after writing it to stable storage, so a committed register is
+// on stable storage at every member of the chain.
 //
-// A message carries the number of the view (package membership) that it belongs to and is taken from the predecessor in
-// that very view only, so a head that was replaced or cut off commits nothing. At a new view the head forwards its register
-// once more. As members keep their order in the chain, the head's register is at least as new as any other's, so what it
-// forwards replaces what a member held, including commands that an earlier head had taken and nobody had acknowledged. See
+// Every message carries the number of its view (package membership) and is accepted only from the predecessor in that
+// view, so a replaced or partitioned head cannot commit anything. When a view is installed, the head forwards its register
+// again. Members keep their relative order across views, so the head's register is at least as recent as that of any
+// other member; it overwrites whatever the others hold, including uncommitted commands accepted by an earlier head. See
 // docs/design/control-plane.md, rules 1, 4, 5, 11 and 12.
 //
-// The package is free of I/O. Replica is a deterministic state machine: the caller passes in commands, messages and the
-// time, and carries out what the returned Ready asks for.
+// The package performs no I/O. Replica is a deterministic state machine: the caller supplies commands, messages and the
+// time, and performs the work described by the returned Ready.
 package chainreplication
--- a/controlplane/chainreplication/message.go
+++ b/controlplane/chainreplication/message.go
@@ -1,35 +1,35 @@
 package chainreplication
 
-// MessageKind tells the messages between members apart.
+// MessageKind identifies the type of a Message.
 type MessageKind uint8
 
-// The kinds of messages.
+// Message kinds.
 const (
-	// Forward carries the register to the successor in the chain.
+	// Forward carries the register to the sender's successor in the chain.
 	Forward MessageKind = iota + 1
 
-	// Commit says, from the tail, that the register with the given sequence is committed. It carries the register where
-	// the receiver is not part of the chain.
+	// Commit is sent by the tail and announces that the register with the given sequence is committed. It includes the
+	// register if the receiver is not in the chain.
 	Commit
 
-	// CatchUp carries the committed register to a member that lacks it, and the view in which its commit was seen.
+	// CatchUp carries the latest committed register, and the view in which its commit was observed, to a member that lacks it.
 	CatchUp
 )
 
-// Message is what members say to one another about the register.
+// Message is a chain replication message between members.
 type Message struct {
 	Kind       MessageKind `cbor:"1,keyasint"`
-	From       string      `cbor:"2,keyasint"` // Identity of the sender.
+	From       string      `cbor:"2,keyasint"` // ID of the sender.
 	ViewNumber uint64      `cbor:"3,keyasint,omitempty"`
-	Sequence   uint64      `cbor:"4,keyasint,omitempty"` // Of the register.
+	Sequence   uint64      `cbor:"4,keyasint,omitempty"` // Sequence of the register.
 	Register   *Register   `cbor:"5,keyasint,omitempty"`
 }
 
-// Outbound is a message to send.
+// Outbound is a message to be sent.
 type Outbound struct {
-	To      string // Identity of the receiver, which may be the replica itself.
+	To      string // ID of the receiver, which may be the sending replica itself.
 	Message Message
 
-	// AfterSave says that the message must not leave before the latest register is on stable storage.
+	// AfterSave delays the message until the latest register is on stable storage.
 	AfterSave bool
 }
--- a/controlplane/chainreplication/register.go
+++ b/controlplane/chainreplication/register.go
@@ -9,74 +9,74 @@
 )
 
 const (
-	// maxAppliedCommands bounds Register.AppliedCommands. A command is proposed again for half a second at the most, and
-	// eight at once may be in flight.
+	// maxAppliedCommands bounds Register.AppliedCommands. It exceeds the number of commands that can be in flight while a
+	// command may still be retried.
 	maxAppliedCommands = 64
 
-	// maxClaims bounds Register.Claims. The highest versions are kept: a lower one that comes again cannot be told from a
-	// new one.
+	// maxClaims bounds Register.Claims. The claims with the highest versions are kept; a command whose claim was discarded
+	// is treated as new.
 	maxClaims = 64
 
 	// maxRecentChanges bounds Record.RecentChanges.
 	maxRecentChanges = 8
 )
 
-// Register is the replicated state. A register is immutable once made.
+// Register is the replicated state. It is immutable: Apply returns a new register.
 type Register struct {
-	Sequence uint64 `cbor:"1,keyasint"` // How many commands have changed the register.
+	Sequence uint64 `cbor:"1,keyasint"` // Number of commands that have changed the register.
 
-	Version uint64 `cbor:"2,keyasint"`           // Of the configuration.
-	Body    []byte `cbor:"3,keyasint,omitempty"` // The configuration, as it was sent.
+	Version uint64 `cbor:"2,keyasint"`           // Version of the configuration.
+	Body    []byte `cbor:"3,keyasint,omitempty"` // The configuration as submitted.
 
 	EvacuatedZones map[string]bool   `cbor:"4,keyasint,omitempty"`
 	Records        map[string]Record `cbor:"5,keyasint,omitempty"` // By name.
 
-	// AppliedCommands holds the identities of the commands applied last, newest last. A command that is proposed again,
-	// after a view change or late, changes nothing. The list is bounded, and part of what is replicated.
+	// AppliedCommands holds the IDs of the most recently applied commands, newest last. A command with one of these IDs
+	// has no effect, which makes retries idempotent.
 	AppliedCommands []uint64 `cbor:"6,keyasint,omitempty"`
 
-	// Claims holds the highest configuration versions that operators were confirmed under. It is bounded, and part of
-	// what is replicated.
+	// Claims records which configuration each version belongs to, for the highest accepted versions.
 	Claims []Claim `cbor:"7,keyasint,omitempty"`
 }
 
-// Claim says which configuration was the first to be confirmed under a version.
+// Claim binds a configuration version to the first configuration accepted under it.
 type Claim struct {
 	Version  uint64 `cbor:"1,keyasint"`
-	Checksum uint64 `cbor:"2,keyasint"` // Of the configuration's bytes, by xxhash.
+	Checksum uint64 `cbor:"2,keyasint"` // xxhash of the configuration's bytes.
 }
 
-// Record is a small named value that the gateway keeps for itself, such as a grant of a maintenance window or the state of
-// a roll-out. It is changed by compare-and-set: whoever changes it names the revision that it saw.
+// Record is a small named value of the control plane, such as a maintenance window grant or the state of a roll-out. It is
+// updated by compare-and-set on its revision.
 type Record struct {
 	Revision uint64 `cbor:"1,keyasint"`
 	Value    []byte `cbor:"2,keyasint,omitempty"`
 
-	// RecentChanges holds the identities of the latest changes, newest last, so that a proposer finds its own.
+	// RecentChanges holds the IDs of the latest changes, newest last, so that a proposer can detect that its own change
+	// was applied.
 	RecentChanges []string `cbor:"3,keyasint,omitempty"`
 }
 
-// HasChange reports whether a change is among the latest ones.
+// HasChange reports whether the change is among the latest changes of the record.
 func (record Record) HasChange(changeID string) bool {
 	return slices.Contains(record.RecentChanges, changeID)
 }
 
-// Command is one change of the register: of a record if Record is set, else of a zone's evacuation if Zone is set, else of
-// the configuration. Applying a command again does no harm.
+// Command is a single change of the register. It changes a record if Record is set, else the evacuation of a zone if Zone is
+// set, else the configuration.
 type Command struct {
-	// ID is given where the command came in: a command that is proposed twice is applied once. Commands with ID 0 are not
-	// recognized when they come again.
+	// ID is assigned by the member that received the command from its caller. A command with a nonzero ID is applied at
+	// most once.
 	ID uint64 `cbor:"9,keyasint,omitempty"`
 
 	Body    []byte `cbor:"1,keyasint,omitempty"` // The configuration.
-	Version uint64 `cbor:"2,keyasint,omitempty"` // Of the configuration.
+	Version uint64 `cbor:"2,keyasint,omitempty"` // Version of the configuration.
 
 	Zone      string `cbor:"3,keyasint,omitempty"`
-	Evacuated bool   `cbor:"4,keyasint,omitempty"` // Whether the zone's evacuation begins or ends.
+	Evacuated bool   `cbor:"4,keyasint,omitempty"` // True to start the evacuation, false to end it.
 
 	Record           string `cbor:"5,keyasint,omitempty"` // Name of the record to change.
-	ExpectedRevision uint64 `cbor:"6,keyasint,omitempty"` // The revision that the record must have.
-	ChangeID         string `cbor:"7,keyasint,omitempty"` // Identity of the change.
+	ExpectedRevision uint64 `cbor:"6,keyasint,omitempty"` // Current revision required for the change to apply.
+	ChangeID         string `cbor:"7,keyasint,omitempty"` // ID of the change.
 	Value            []byte `cbor:"8,keyasint,omitempty"`
 }
 
@@ -86,14 +86,13 @@
 
 func (c Command) changesConfiguration() bool { return !c.changesRecord() && c.Zone == "" }
 
-// ConflictsWith reports whether a command claims a version that another configuration was confirmed under. The two cannot
-// both be confirmed.
+// ConflictsWith reports whether the command's version is already claimed by a different configuration.
 func (r Register) ConflictsWith(c Command) bool {
 	claim, claimed := r.claimFor(c)
 	return claimed && claim.Checksum != xxhash.Sum64(c.Body)
 }
 
-// Apply returns the register after a command. A command that changes nothing leaves Sequence as it is.
+// Apply returns the register after applying the command. Sequence increases only if the command changes the register.
 func (r Register) Apply(c Command) Register {
 	if c.ID != 0 && slices.Contains(r.AppliedCommands, c.ID) {
 		return r
@@ -118,7 +117,7 @@
 	return next
 }
 
-// applyRecord changes a record if it has the expected revision; of two changes that saw the same one, the first is taken.
+// applyRecord changes a record if its revision is the expected one.
 func (r Register) applyRecord(c Command) (Register, bool) {
 	record := r.Records[c.Record]
 	if record.Revision != c.ExpectedRevision || record.HasChange(c.ChangeID) {
@@ -146,8 +145,8 @@
 	return r, true
 }
 
-// applyConfiguration claims the command's version, unless it is claimed already. A configuration older than the present
-// one was overtaken; it claims its version all the same, so that no other one is confirmed under it.
+// applyConfiguration claims the command's version unless it is already claimed. The version is claimed even if a newer
+// configuration is in effect, so that no other configuration can be accepted under it.
 func (r Register) applyConfiguration(c Command) (Register, bool) {
 	if _, claimed := r.claimFor(c); claimed || c.Version == 0 {
 		return r, false
@@ -162,7 +161,7 @@
 	return r, true
 }
 
-// claimFor returns the claim on the version of a command that changes the configuration, if there is one.
+// claimFor returns the claim on the version of a configuration command, if there is one.
 func (r Register) claimFor(c Command) (Claim, bool) {
 	if c.Version == 0 || !c.changesConfiguration() {
 		return Claim{}, false
@@ -170,23 +169,23 @@
 	if i := slices.IndexFunc(r.Claims, func(claim Claim) bool { return claim.Version == c.Version }); i >= 0 {
 		return r.Claims[i], true
 	}
-	// Registers saved by a build that did not record claims hold none for the present version.
+	// Registers written by builds without claims have none for their current version.
 	return Claim{Version: r.Version, Checksum: xxhash.Sum64(r.Body)}, c.Version == r.Version
 }
 
-// withoutLowestVersion removes the claim on the lowest version, so that many versions that were overtaken do not displace
-// the newest one. It changes the list given.
+// withoutLowestVersion removes the claim with the lowest version, so that outdated versions never evict the claim on the
+// newest one. It modifies claims in place.
 func withoutLowestVersion(claims []Claim) []Claim {
 	lowest := slices.MinFunc(claims, func(a, b Claim) int { return cmp.Compare(a.Version, b.Version) }).Version
 	return slices.DeleteFunc(claims, func(claim Claim) bool { return claim.Version == lowest })
 }
 
-// appendBounded returns a new list that ends in an element and keeps the last ones, limit of them at the most.
+// appendBounded returns a copy of list with element appended, keeping the last limit elements.
 func appendBounded[T any](list []T, element T, limit int) []T {
 	return append(slices.Clone(list[max(len(list)-limit+1, 0):]), element)
 }
 
-// cloneMap returns a copy that can be written to, also of a nil map.
+// cloneMap returns a writable copy of m, which may be nil.
 func cloneMap[V any](m map[string]V) map[string]V {
 	if m == nil {
 		return map[string]V{}
--- a/controlplane/chainreplication/replica.go
+++ b/controlplane/chainreplication/replica.go
@@ -9,73 +9,71 @@
 )
 
 const (
-	// forwardRetryInterval is how long a forwarded register may stay uncommitted before it is forwarded again: links lose
-	// what was in flight.
+	// forwardRetryInterval is how long a forwarded register may stay uncommitted before it is forwarded again.
 	forwardRetryInterval = 300 * time.Millisecond
 
-	// transferTimePerByte is how long a byte of the register takes on its way and on disk, at the slowest. A large
-	// register is not forwarded again sooner.
+	// transferTimePerByte extends the retry interval for large registers: an upper bound on the time to transmit and
+	// store one byte.
 	transferTimePerByte = 30 * time.Nanosecond
 
-	// catchUpRetryInterval is how long a member that was sent the committed register waits for the same one again.
+	// catchUpRetryInterval is the minimum time between two CatchUp messages with the same register to the same member.
 	catchUpRetryInterval = time.Second
 )
 
-// Ready is what the caller has to do after a call: save the latest register, then send the messages. A message that is not
-// marked AfterSave may be sent before.
+// Ready describes the work that the caller has to do after a call: save the latest register, then send the messages.
+// Messages without AfterSave may be sent before the register is saved.
 type Ready struct {
 	Messages         []Outbound
-	MustSave         bool // Held or SyncedView has changed.
+	MustSave         bool // Latest or SyncedView has changed.
 	CommittedChanged bool // Committed or CommittedView has changed.
 }
 
-// CommitCondition says where a command stands that was proposed at the head. The command holds once a register with at least that
-// sequence is committed in that view.
+// CommitCondition is the condition under which a proposed command is committed: a register with at least this sequence is
+// committed in this view.
 type CommitCondition struct {
 	ViewNumber uint64
 	Sequence   uint64
 
-	// Conflicts says that the command conflicts with another configuration of its version (Register.ConflictsWith). Its
-	// rejection holds once that one is committed, by the same test.
+	// Conflicts reports that the command conflicts with another configuration of the same version (Register.ConflictsWith).
+	// The rejection is final once the condition is met.
 	Conflicts bool
 }
 
-// Replica is one member's part in the chain. Create it with New. A Replica is not safe for concurrent use.
+// Replica is the chain replication state of one member. Create it with New. A Replica is not safe for concurrent use.
 type Replica struct {
 	id   string
 	view membership.View
 
 	latest     Register
-	syncedView uint64     // Last view in which a forwarded register was taken, or whose head this was.
-	pending    []Register // Forwarded in the present view and not committed yet, oldest first.
+	syncedView uint64     // Last view in which this replica was the head or accepted a forwarded register.
+	pending    []Register // Registers forwarded in the current view and not yet committed, oldest first.
 
 	committed     Register
-	hasCommitted  bool   // Whether committed holds a register.
-	committedView uint64 // Last view in which a commit was seen.
+	hasCommitted  bool   // Whether committed is set.
+	committedView uint64 // Last view in which a commit was observed.
 
 	forwardedAt time.Duration
-	catchUps    map[string]sentCatchUp // The last one sent, by the receiver's identity.
+	catchUps    map[string]sentCatchUp // Last CatchUp sent, by receiver ID.
 
 	outbound         []Outbound
 	latestChanged    bool
 	committedChanged bool
 }
 
-// sentCatchUp says which register a member was sent last, and when.
+// sentCatchUp describes the last CatchUp sent to a member.
 type sentCatchUp struct {
 	sequence uint64
 	sentAt   time.Duration
 }
 
-// New creates a replica from the register and the number of the synced view that were saved.
+// New creates a replica from the saved register and the saved number of the synced view.
 //
-// Without the synced view a member that was killed and came back would take a late Forward of the same view for the first
-// one, and fall behind what it had already forwarded.
+// The synced view lets a restarted member reject a delayed Forward of the same view that is older than its own register.
 func New(id string, latest Register, syncedView uint64) *Replica {
 	return &Replica{id: id, latest: latest, syncedView: syncedView, catchUps: map[string]sentCatchUp{}}
 }
 
-// InstallView takes in a view that was decided. At the head the register is forwarded anew.
+// InstallView installs a newer decided view. The head forwards its register again.
 func (replica *Replica) InstallView(now time.Duration, view membership.View) Ready {
 	if view.Number <= replica.view.Number {
 		return replica.ready()
@@ -89,7 +87,7 @@
 	return replica.ready()
 }
 
-// Propose applies a command at the head and forwards the register if the command has changed it.
+// Propose applies a command at the head and forwards the register if the command changed it.
 func (replica *Replica) Propose(now time.Duration, c Command) (CommitCondition, Ready) {
 	conflicts := replica.latest.ConflictsWith(c)
 	if next := replica.latest.Apply(c); next.Sequence != replica.latest.Sequence {
@@ -101,7 +99,7 @@
 	return proposed, replica.ready()
 }
 
-// Tick forwards the register again if it has stayed uncommitted for long.
+// Tick forwards the register again if it has not been committed within the retry interval.
 func (replica *Replica) Tick(now time.Duration) Ready {
 	if replica.isSynced() && len(replica.pending) > 0 && now-replica.forwardedAt >= replica.forwardTimeout() {
 		replica.forward(now)
@@ -109,7 +107,7 @@
 	return replica.ready()
 }
 
-// Step takes in a message from another member.
+// Step handles a message from another member.
 func (replica *Replica) Step(now time.Duration, m Message) Ready {
 	switch m.Kind {
 	case Forward:
@@ -122,8 +120,8 @@
 	return replica.ready()
 }
 
-// SendCatchUp answers a member that has said which register it knows to be committed, if it knows any: if that one is
-// older than this replica's, it is sent the committed register, though the same one not too often, as it may be large.
+// SendCatchUp sends the committed register to a member that reported an older committed sequence, or none (known is
+// false). Repeats of the same register are limited by catchUpRetryInterval.
 func (replica *Replica) SendCatchUp(now time.Duration, id string, sequence uint64, known bool) Ready {
 	if replica.lacksCommitted(id, sequence, known) && replica.catchUpDue(now, id) {
 		replica.catchUps[id] = sentCatchUp{sequence: replica.committed.Sequence, sentAt: now}
@@ -133,35 +131,35 @@
 	return replica.ready()
 }
 
-// Latest returns the register to be saved.
+// Latest returns the latest register, which may not be committed yet.
 func (replica *Replica) Latest() Register { return replica.latest }
 
-// SyncedView returns the number, to be saved beside the register, of the last view in which this replica was synced.
+// SyncedView returns the number of the last view in which this replica was synced. It is saved together with the register.
 func (replica *Replica) SyncedView() uint64 { return replica.syncedView }
 
-// Committed returns the newest register known to be committed, and whether any is.
+// Committed returns the latest register known to be committed, and whether there is one.
 func (replica *Replica) Committed() (Register, bool) { return replica.committed, replica.hasCommitted }
 
-// CommittedView returns the number of the last view in which this replica saw a commit.
+// CommittedView returns the number of the last view in which this replica observed a commit.
 func (replica *Replica) CommittedView() uint64 { return replica.committedView }
 
-// IsHead reports whether commands enter here.
+// IsHead reports whether this replica is the head of the chain.
 func (replica *Replica) IsHead() bool { return replica.view.Position(replica.id) == 0 }
 
-// ChainSynced reports whether this replica is synced in the present view and has seen a commit in it. Then each member of
-// the chain is synced, as a committed register is on stable storage at all of them.
+// ChainSynced reports whether this replica is synced and has observed a commit in the current view. All members of the
+// chain are synced then, because a committed register is on stable storage at each of them.
 func (replica *Replica) ChainSynced() bool {
 	return replica.isSynced() && replica.hasCommitted && replica.committedView == replica.view.Number
 }
 
-// isSynced reports whether this replica has taken a forwarded register in the present view, or is its head.
+// isSynced reports whether this replica is the head of the current view or has accepted a forwarded register in it.
 func (replica *Replica) isSynced() bool { return replica.syncedView == replica.view.Number }
 
 func (replica *Replica) forwardTimeout() time.Duration {
 	return forwardRetryInterval + time.Duration(len(replica.latest.Body))*transferTimePerByte
 }
 
-// forward sends the register to the successor or, at the tail, announces that it is committed.
+// forward sends the register to the successor or, at the tail, announces the commit.
 func (replica *Replica) forward(now time.Duration) {
 	replica.forwardedAt = now
 	position := replica.view.Position(replica.id)
@@ -175,7 +173,7 @@
 	}
 }
 
-// announceCommit tells all members of the view, this one included, that the tail's latest register is committed.
+// announceCommit sends a Commit of the tail's latest register to all members of the view, including this one.
 func (replica *Replica) announceCommit() {
 	register := replica.latest
 	for _, member := range replica.view.Members() {
@@ -187,8 +185,8 @@
 	}
 }
 
-// handleForward takes the register from the predecessor in the present view. The sender of a message of another view must
-// not commit through this replica.
+// handleForward accepts the register from the predecessor in the current view. Messages of other views are ignored, so a
+// replaced head cannot commit through this replica.
 func (replica *Replica) handleForward(now time.Duration, m Message) {
 	position := replica.view.Position(replica.id)
 	if m.ViewNumber != replica.view.Number || m.Register == nil || position < 1 || replica.view.Chain[position-1] != m.From {
@@ -196,7 +194,7 @@
 	}
 	wasSynced := replica.isSynced()
 	if wasSynced && m.Register.Sequence < replica.latest.Sequence {
-		return // Late.
+		return // Delayed message with an outdated register.
 	}
 	if !wasSynced || m.Register.Sequence > replica.latest.Sequence {
 		replica.latest, replica.latestChanged, replica.syncedView = *m.Register, true, replica.view.Number
@@ -207,8 +205,8 @@
 	replica.forward(now)
 }
 
-// handleCommit takes the tail's announcement: of a register that this replica has forwarded or, out of the chain, of the
-// one that the message carries.
+// handleCommit handles the tail's commit announcement. A member of the chain looks up the register among those it has
+// forwarded; a member outside the chain takes it from the message.
 func (replica *Replica) handleCommit(m Message) {
 	if m.ViewNumber != replica.view.Number {
 		return
@@ -226,15 +224,15 @@
 	replica.commit(register, m.ViewNumber)
 }
 
-// handleCatchUp takes a committed register. It never counts as a commit of this replica's own view, which may be an older
-// one: else commands that entered here would pass for committed.
+// handleCatchUp accepts a committed register. It does not count as a commit in this replica's own view, which may be
+// outdated: otherwise commands accepted in that view would be reported as committed.
 func (replica *Replica) handleCatchUp(m Message) {
 	if m.Register != nil {
 		replica.commit(*m.Register, max(m.ViewNumber, replica.committedView))
 	}
 }
 
-// commit takes a committed register that is not older than the one known.
+// commit records a committed register unless a newer one is known.
 func (replica *Replica) commit(register Register, viewNumber uint64) {
 	if replica.hasCommitted && register.Sequence < replica.committed.Sequence {
 		return
@@ -253,23 +251,23 @@
 	return slices.ContainsFunc(replica.pending, func(r Register) bool { return r.Sequence == sequence })
 }
 
-// isCommittedInView reports whether a register with at least that sequence is known to be committed in the present view.
+// isCommittedInView reports whether a register with at least the given sequence is known to be committed in the current view.
 func (replica *Replica) isCommittedInView(sequence uint64) bool {
 	return replica.committedView == replica.view.Number && replica.committed.Sequence >= sequence
 }
 
-// lacksCommitted reports whether another member, by what it says it knows to be committed, lacks this replica's register.
+// lacksCommitted reports whether another member, by its reported commit status, lacks this replica's committed register.
 func (replica *Replica) lacksCommitted(id string, sequence uint64, known bool) bool {
 	return replica.hasCommitted && id != replica.id && (!known || sequence < replica.committed.Sequence)
 }
 
-// catchUpDue reports whether a member was not sent the committed register lately.
+// catchUpDue reports whether a CatchUp may be sent to a member, given the last one sent to it.
 func (replica *Replica) catchUpDue(now time.Duration, id string) bool {
 	last, sent := replica.catchUps[id]
 	return !sent || last.sequence < replica.committed.Sequence || now-last.sentAt >= catchUpRetryInterval
 }
 
-// message returns a message of the present view about the latest register.
+// message returns a message of the current view about the latest register.
 func (replica *Replica) message(kind MessageKind, register *Register) Message {
 	return Message{Kind: kind, ViewNumber: replica.view.Number, Sequence: replica.latest.Sequence, Register: register}
 }
@@ -279,7 +277,7 @@
 	replica.outbound = append(replica.outbound, Outbound{To: to, Message: m, AfterSave: afterSave})
 }
 
-// ready returns what has come up since it was last called.
+// ready returns and clears the work accumulated since the previous call.
 func (replica *Replica) ready() Ready {
 	ready := Ready{Messages: replica.outbound, MustSave: replica.latestChanged, CommittedChanged: replica.committedChanged}
 	replica.outbound, replica.latestChanged, replica.committedChanged = nil, false, false
--- a/controlplane/chainreplication/replica_test.go
+++ b/controlplane/chainreplication/replica_test.go
@@ -8,7 +8,7 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// chain is replicas whose messages are delivered at once, except where the test holds them back.
+// chain connects replicas by a queue of messages, which is delivered on demand.
 type chain struct {
 	t        *testing.T
 	now      time.Duration
@@ -44,7 +44,7 @@
 	return proposed
 }
 
-// deliver delivers messages until none is left.
+// deliver delivers queued messages until the queue is empty.
 func (c *chain) deliver() {
 	for len(c.queue) > 0 {
 		next := c.queue[0]
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestReplacedHeadCommitsNothing has a head that was replaced take a command: no member of the later view takes its
-// message, and the new head's register replaces what it held.
+// TestReplacedHeadCommitsNothing submits a command to a replaced head: no member of the later view accepts its Forward, and
+// the new head's register overwrites it.
 func TestReplacedHeadCommitsNothing(t *testing.T) {
 	c := newChain(t, "a", "b", "c")
 	c.install(viewOf(1, "a", "b", "c"), "a", "b", "c")
@@ -142,8 +142,8 @@
 	}
 }
 
-// TestLateForwardIsNotTaken restarts a member that was synced in its view: an older register of the same view, which comes
-// late, must not replace what it holds.
+// TestLateForwardIsNotTaken verifies that a restarted, synced member ignores a delayed Forward of the same view with an
+// older register.
 func TestLateForwardIsNotTaken(t *testing.T) {
 	replica := New("b", Register{Sequence: 2}, 1)
 	replica.InstallView(0, viewOf(1, "a", "b"))
@@ -198,8 +198,8 @@
 	}
 }
 
-// TestCatchUpIsNoCommitOfTheOwnView guards against a command that counts as committed in an older view because a register
-// with its sequence was committed in a later one.
+// TestCatchUpIsNoCommitOfTheOwnView guards against a command being reported as committed in an older view because a register
+// with the same sequence was committed in a later view.
 func TestCatchUpIsNoCommitOfTheOwnView(t *testing.T) {
 	replica := New("a", Register{}, 0)
 	replica.InstallView(0, viewOf(1, "a", "b"))
