--- a/controlplane/chainreplication/register_test.go
+++ b/controlplane/chainreplication/register_test.go
@@ -31,16 +31,16 @@
 		{"the first configuration", Register{}, configuration(1, "one"), true},
 		{"the same configuration again", applyAll(configuration(1, "one")), configuration(1, "one"), false},
 		{"another configuration of the version", applyAll(configuration(1, "one")), configuration(1, "other"), false},
-		{"a configuration that was overtaken claims its version", applyAll(configuration(2, "two")), configuration(1, "one"), true},
+		{"an outdated configuration claims its version", applyAll(configuration(2, "two")), configuration(1, "one"), true},
 		{"a configuration without a version", Register{}, configuration(0, "none"), false},
-		{"an evacuation begins", Register{}, Command{Zone: "z1", Evacuated: true}, true},
-		{"an evacuation begins again", applyAll(Command{Zone: "z1", Evacuated: true}), Command{Zone: "z1", Evacuated: true}, false},
+		{"an evacuation starts", Register{}, Command{Zone: "z1", Evacuated: true}, true},
+		{"an evacuation starts twice", applyAll(Command{Zone: "z1", Evacuated: true}), Command{Zone: "z1", Evacuated: true}, false},
 		{"an evacuation ends", applyAll(Command{Zone: "z1", Evacuated: true}), Command{Zone: "z1"}, true},
-		{"a record of the expected revision", Register{}, change, true},
-		{"a record that has moved on", applyAll(change), Command{Record: "window", ChangeID: "b"}, false},
-		{"a record's change that was taken", applyAll(change), Command{Record: "window", ExpectedRevision: 1, ChangeID: "a"}, false},
-		{"a command that was applied", applyAll(change), Command{ID: 7, Zone: "z1", Evacuated: true}, false},
-		{"commands without an identity are not recognized", applyAll(Command{Zone: "z1", Evacuated: true}, Command{Zone: "z1"}), Command{Zone: "z1", Evacuated: true}, true},
+		{"a record at the expected revision", Register{}, change, true},
+		{"a record at another revision", applyAll(change), Command{Record: "window", ChangeID: "b"}, false},
+		{"a record change that was already applied", applyAll(change), Command{Record: "window", ExpectedRevision: 1, ChangeID: "a"}, false},
+		{"a command that was already applied", applyAll(change), Command{ID: 7, Zone: "z1", Evacuated: true}, false},
+		{"a repeated command without an ID", applyAll(Command{Zone: "z1", Evacuated: true}, Command{Zone: "z1"}), Command{Zone: "z1", Evacuated: true}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			before := fmt.Sprintf("%+v", test.register)
@@ -49,10 +49,10 @@
 				t.Errorf("changed: %v, want %v", changed, test.changes)
 			}
 			if !test.changes && !reflect.DeepEqual(next, test.register) {
-				t.Errorf("changed to %+v without a new sequence", next)
+				t.Errorf("register changed to %+v without a new sequence", next)
 			}
 			if after := fmt.Sprintf("%+v", test.register); after != before {
-				t.Errorf("the register applied to was changed from %s to %s", before, after)
+				t.Errorf("Apply modified its receiver from %s to %s", before, after)
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 func TestRegisterKeepsNewestConfiguration(t *testing.T) {
 	register := applyAll(configuration(2, "two"), configuration(1, "one"))
 	if register.Version != 2 || string(register.Body) != "two" {
-		t.Errorf("version %d, %q", register.Version, register.Body)
+		t.Errorf("version %d with body %q, want 2 with body \"two\"", register.Version, register.Body)
 	}
 }
 
@@ -76,12 +76,12 @@
 	}{
 		{"the same content", register, configuration(2, "two"), false},
 		{"other content", register, configuration(2, "other"), true},
-		{"other content of a version that was overtaken", register, configuration(1, "other"), true},
-		{"a version that nobody has claimed", register, configuration(3, "three"), false},
-		{"an evacuation", register, Command{Zone: "z1", Version: 2}, false},
-		{"a record", register, Command{Record: "window", Version: 2}, false},
-		{"other content, where claims were not recorded", withoutClaims, configuration(2, "other"), true},
-		{"the same content, where claims were not recorded", withoutClaims, configuration(2, "two"), false},
+		{"other content of an outdated version", register, configuration(1, "other"), true},
+		{"an unclaimed version", register, configuration(3, "three"), false},
+		{"an evacuation command", register, Command{Zone: "z1", Version: 2}, false},
+		{"a record command", register, Command{Record: "window", Version: 2}, false},
+		{"other content in a register without claims", withoutClaims, configuration(2, "other"), true},
+		{"the same content in a register without claims", withoutClaims, configuration(2, "two"), false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.register.ConflictsWith(test.command); got != test.conflicts {
@@ -95,18 +95,18 @@
 	var register Register
 	const commands = 100
 	for i := range uint64(commands) {
-		version := commands - i // Each but the first is overtaken.
+		version := commands - i // Descending, so that every configuration but the first is outdated.
 		register = register.Apply(Command{ID: 1000 + i, Version: version, Body: []byte{byte(version)}})
 	}
 	if len(register.AppliedCommands) != maxAppliedCommands || register.AppliedCommands[maxAppliedCommands-1] != 1000+commands-1 {
-		t.Errorf("applied commands: %v", register.AppliedCommands)
+		t.Errorf("applied commands: %v, want the last %d", register.AppliedCommands, maxAppliedCommands)
 	}
 	if len(register.Claims) != maxClaims {
-		t.Fatalf("%d claims", len(register.Claims))
+		t.Fatalf("%d claims, want %d", len(register.Claims), maxClaims)
 	}
 	for _, claim := range register.Claims {
 		if claim.Version <= commands-maxClaims || claim.Checksum != xxhash.Sum64([]byte{byte(claim.Version)}) {
-			t.Errorf("claim %+v", claim)
+			t.Errorf("unexpected claim %+v", claim)
 		}
 	}
 	for i := range uint64(commands) {
@@ -114,6 +114,6 @@
 	}
 	record := register.Records["window"]
 	if record.Revision != commands || len(record.RecentChanges) != maxRecentChanges || !record.HasChange("99") || record.HasChange("91") {
-		t.Errorf("record %+v", record)
+		t.Errorf("unexpected record %+v", record)
 	}
 }
--- a/controlplane/chainreplication/replica.go
+++ b/controlplane/chainreplication/replica.go
@@ -95,8 +95,8 @@
 		replica.pending = append(replica.pending, next)
 		replica.forward(now)
 	}
-	proposed := CommitCondition{ViewNumber: replica.view.Number, Sequence: replica.latest.Sequence, Conflicts: conflicts}
-	return proposed, replica.ready()
+	condition := CommitCondition{ViewNumber: replica.view.Number, Sequence: replica.latest.Sequence, Conflicts: conflicts}
+	return condition, replica.ready()
 }
 
 // Tick forwards the register again if it has not been committed within the retry interval.
--- a/controlplane/chainreplication/replica_test.go
+++ b/controlplane/chainreplication/replica_test.go
@@ -39,9 +39,9 @@
 }
 
 func (c *chain) propose(id string, command Command) CommitCondition {
-	proposed, ready := c.replicas[id].Propose(c.now, command)
+	condition, ready := c.replicas[id].Propose(c.now, command)
 	c.queue = append(c.queue, ready.Messages...)
-	return proposed
+	return condition
 }
 
 // deliver delivers queued messages until the queue is empty.
@@ -57,33 +57,33 @@
 	replica := c.replicas[id]
 	register, known := replica.Committed()
 	if !known || register.Sequence != sequence || replica.CommittedView() != viewNumber {
-		c.t.Errorf("%s has committed %d in view %d (%v), want %d in view %d",
+		c.t.Errorf("%s: committed sequence %d in view %d (known: %v), want %d in view %d",
 			id, register.Sequence, replica.CommittedView(), known, sequence, viewNumber)
 	}
 }
 
-func TestCommandIsCommittedByTheTail(t *testing.T) {
+func TestTailCommitsCommand(t *testing.T) {
 	c := newChain(t, "a", "b", "c")
 	c.install(viewOf(1, "a", "b", "c"), "a", "b", "c")
 	c.deliver()
-	proposed := c.propose("a", configuration(1, "one"))
-	if proposed != (CommitCondition{ViewNumber: 1, Sequence: 1}) {
-		t.Errorf("%+v", proposed)
+	condition := c.propose("a", configuration(1, "one"))
+	if condition != (CommitCondition{ViewNumber: 1, Sequence: 1}) {
+		t.Errorf("commit condition %+v", condition)
 	}
 	c.wantCommitted("a", 0, 1)
 	c.deliver()
 	for _, id := range []string{"a", "b", "c"} {
 		c.wantCommitted(id, 1, 1)
 		if !c.replicas[id].ChainSynced() {
-			t.Errorf("%s does not know that the chain is synced", id)
+			t.Errorf("%s: ChainSynced is false", id)
 		}
 	}
 	if !c.replicas["a"].IsHead() || c.replicas["b"].IsHead() {
-		t.Errorf("wrong head")
+		t.Errorf("IsHead: a %v, b %v; want true, false", c.replicas["a"].IsHead(), c.replicas["b"].IsHead())
 	}
 }
 
-func TestForwardWaitsForTheSave(t *testing.T) {
+func TestForwardIsSentAfterSave(t *testing.T) {
 	replica := New("a", Register{}, 0)
 	replica.InstallView(0, viewOf(1, "a", "b"))
 	_, ready := replica.Propose(0, configuration(1, "one"))
@@ -112,22 +112,22 @@
 	for _, id := range third.Chain {
 		c.wantCommitted(id, 1, 3)
 	}
-	if held := c.replicas["a"].Latest(); string(held.Body) != "kept" {
-		t.Errorf("a holds %q", held.Body)
+	if latest := c.replicas["a"].Latest(); string(latest.Body) != "kept" {
+		t.Errorf("a: latest body %q, want %q", latest.Body, "kept")
 	}
 }
 
-func TestForwardIsTakenFromThePredecessorOnly(t *testing.T) {
+func TestForwardIsAcceptedFromPredecessorOnly(t *testing.T) {
 	newer := &Register{Sequence: 1}
 	valid := Message{Kind: Forward, From: "a", ViewNumber: 1, Sequence: 1, Register: newer}
 	for _, test := range []struct {
-		name   string
-		change func(*Message)
-		taken  bool
+		name    string
+		change  func(*Message)
+		accepts bool
 	}{
-		{"the predecessor's", func(*Message) {}, true},
-		{"another member's", func(m *Message) { m.From = "c" }, false},
-		{"of another view", func(m *Message) { m.ViewNumber = 2 }, false},
+		{"from the predecessor", func(*Message) {}, true},
+		{"from another member", func(m *Message) { m.From = "c" }, false},
+		{"in another view", func(m *Message) { m.ViewNumber = 2 }, false},
 		{"without a register", func(m *Message) { m.Register = nil }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -135,21 +135,21 @@
 			replica.InstallView(0, viewOf(1, "a", "b", "c"))
 			message := valid
 			test.change(&message)
-			if ready := replica.Step(0, message); ready.MustSave != test.taken || (len(ready.Messages) == 1) != test.taken {
+			if ready := replica.Step(0, message); ready.MustSave != test.accepts || (len(ready.Messages) == 1) != test.accepts {
 				t.Errorf("%+v", ready)
 			}
 		})
 	}
 }
 
-// TestLateForwardIsNotTaken verifies that a restarted, synced member ignores a delayed Forward of the same view with an
+// TestOutdatedForwardIsIgnored verifies that a restarted, synced member ignores a delayed Forward of the same view with an
 // older register.
-func TestLateForwardIsNotTaken(t *testing.T) {
+func TestOutdatedForwardIsIgnored(t *testing.T) {
 	replica := New("b", Register{Sequence: 2}, 1)
 	replica.InstallView(0, viewOf(1, "a", "b"))
 	ready := replica.Step(0, Message{Kind: Forward, From: "a", ViewNumber: 1, Sequence: 1, Register: &Register{Sequence: 1}})
 	if ready.MustSave || len(ready.Messages) > 0 || replica.Latest().Sequence != 2 {
-		t.Errorf("%+v, holds %d", ready, replica.Latest().Sequence)
+		t.Errorf("%+v, latest sequence %d, want 2", ready, replica.Latest().Sequence)
 	}
 }
 
@@ -157,18 +157,18 @@
 	replica := New("a", Register{}, 0)
 	replica.InstallView(0, viewOf(1, "a", "b"))
 	if ready := replica.Tick(forwardRetryInterval - 1); len(ready.Messages) > 0 {
-		t.Errorf("forwarded again too early: %+v", ready)
+		t.Errorf("forwarded before the retry interval: %+v", ready)
 	}
 	if ready := replica.Tick(forwardRetryInterval); len(ready.Messages) != 1 || ready.Messages[0].Message.Kind != Forward {
 		t.Errorf("not forwarded again: %+v", ready)
 	}
 	replica.Step(forwardRetryInterval, Message{Kind: Commit, From: "b", ViewNumber: 1})
 	if ready := replica.Tick(10 * forwardRetryInterval); len(ready.Messages) > 0 {
-		t.Errorf("forwarded again once committed: %+v", ready)
+		t.Errorf("forwarded again after the commit: %+v", ready)
 	}
 }
 
-func TestCommitReachesMembersOutOfTheChain(t *testing.T) {
+func TestCommitReachesMembersOutsideChain(t *testing.T) {
 	c := newChain(t, "a", "b", "c")
 	v := viewOf(1, "a", "b", "c")
 	v.Chain = []string{"a", "b"}
@@ -177,7 +177,7 @@
 	c.deliver()
 	c.wantCommitted("c", 1, 1)
 	if c.replicas["c"].ChainSynced() {
-		t.Errorf("c was not synced itself")
+		t.Errorf("c is outside the chain but reports ChainSynced")
 	}
 }
 
@@ -191,23 +191,23 @@
 		return len(a.SendCatchUp(now, id, sequence, known).Messages) > 0
 	}
 	if sent(0, "a", 0, false) || sent(0, "b", 1, true) {
-		t.Error("sent to one that does not lack it")
+		t.Error("sent to the replica itself or to an up-to-date member")
 	}
 	if !sent(0, "b", 0, true) || sent(catchUpRetryInterval-1, "b", 0, true) || !sent(catchUpRetryInterval, "b", 0, false) {
-		t.Error("sent too often, or not again")
+		t.Error("the retry interval is not observed")
 	}
 }
 
-// TestCatchUpIsNoCommitOfTheOwnView guards against a command being reported as committed in an older view because a register
+// TestCatchUpDoesNotCommitOwnView guards against a command being reported as committed in an older view because a register
 // with the same sequence was committed in a later view.
-func TestCatchUpIsNoCommitOfTheOwnView(t *testing.T) {
+func TestCatchUpDoesNotCommitOwnView(t *testing.T) {
 	replica := New("a", Register{}, 0)
 	replica.InstallView(0, viewOf(1, "a", "b"))
 	ready := replica.Step(0, Message{Kind: CatchUp, From: "c", ViewNumber: 2, Register: &Register{Sequence: 5}})
 	if !ready.CommittedChanged || replica.CommittedView() != 2 || replica.ChainSynced() {
-		t.Errorf("%+v in view %d", ready, replica.CommittedView())
+		t.Errorf("%+v, committed view %d", ready, replica.CommittedView())
 	}
 	if ready := replica.Step(0, Message{Kind: CatchUp, From: "c", ViewNumber: 3, Register: &Register{Sequence: 4}}); ready.CommittedChanged {
-		t.Error("an older register was taken")
+		t.Error("an older register was committed")
 	}
 }
