--- a/controlplane/coordinator/coordinator.go
+++ b/controlplane/coordinator/coordinator.go
@@ -1,11 +1,12 @@
-// Package coordinator decides what one control-plane member does about the replicated register. It joins the agreement on
-// views (package membership), chain replication (package chainreplication), the member's disk and its callers: their
-// proposals and their linearizable reads.
+// Package coordinator implements the protocol logic of one control-plane member. It combines view agreement (package
+// membership), chain replication (package chainreplication) and the persistence of their state, and serves proposals and
+// linearizable reads.
 //
-// The package is free of I/O and of goroutines. Each call says what has happened and returns Actions that say what to do; the
-// clock and the random source are passed in. The control-plane server and the simulation drive the same code.
+// The package performs no I/O and starts no goroutines. Each call reports an event and returns the Actions that the caller
+// has to perform; the clock and the random source are passed in. The control-plane server and the simulation run the same
+// code.
 //
-// The design, and what each rule protects against, is described in docs/design/control-plane.md.
+// The design and the failures that each rule guards against are described in docs/design/control-plane.md.
 package coordinator
 
 import (
@@ -16,8 +17,8 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// Coordinator is one member's part. Make it with New. Its methods must not be called concurrently; their times are readings of
-// one monotonic clock that does not go back.
+// Coordinator is the protocol state of one member. Create it with New. A Coordinator is not safe for concurrent use. All
+// times passed to its methods are readings of one monotonic clock.
 type Coordinator struct {
 	membership  *membership.Node
 	chain       *chainreplication.Replica
@@ -26,18 +27,18 @@
 	proposals     map[uint64]*pendingProposal    // by request ID
 	reads         map[uint64]*pendingRead        // by request ID
 	replications  map[uint64]*pendingReplication // by request ID
-	lastRequestID uint64                         // begins with the incarnation, so that no two processes use the same number
-	incarnation   uint64                         // of this process; drawn at random at each start, part of its commands' IDs
+	lastRequestID uint64                         // starts at the incarnation, so that IDs are unique across restarts
+	incarnation   uint64                         // drawn at random at each start; part of the IDs of its commands
 
-	acknowledgedVersion uint64 // highest configuration version that this process has acknowledged; for the invariant only
+	acknowledgedVersion uint64 // highest configuration version acknowledged by this process; only checked by an invariant
 
-	peerCommitted map[string]uint64 // newest committed sequence that each peer reported, by member ID
-	loopback      []Message         // from this member to itself, handled before the current call returns
-	actions       Actions           // gathered for the current call
+	peerCommitted map[string]uint64 // latest committed sequence reported by each peer, by member ID
+	loopback      []Message         // messages from this member to itself, handled before the current call returns
+	actions       Actions           // collected during the current call
 }
 
-// New makes a Coordinator from the state that was on disk. Seeds are addresses of members to contact; random returns numbers
-// in [0, 1); hints provides what is kept on disk beside the durable state.
+// New creates a Coordinator from the persisted state. seeds are the addresses of members to contact, random returns numbers
+// in [0, 1), and hints provides the hints to be persisted along with the durable state.
 func New(self fleet.Member, state PersistentState, seeds []string, random func() float64, hints Hints) *Coordinator {
 	c := &Coordinator{
 		membership:    membership.New(self, state.View, seeds, random),
@@ -49,13 +50,13 @@
 		peerCommitted: map[string]uint64{},
 	}
 	c.incarnation = uint64(random() * (1 << 53))
-	// Requests are numbered from the incarnation on: an answer to a request of a former process, which waited for a disk or in a
-	// frozen machine, is then no answer to any of this one's.
+	// Request IDs start at the incarnation, so that delayed responses to requests of an earlier process are not matched
+	// with requests of this one.
 	c.lastRequestID = c.incarnation
 	return c
 }
 
-// Start installs the view that was on disk. It is called once, before any other method that returns Actions.
+// Start installs the persisted view. It is called once, before any other method that returns Actions.
 func (c *Coordinator) Start(now time.Duration) Actions {
 	if c.membership.View().Number > 0 {
 		c.installView(now)
@@ -63,7 +64,7 @@
 	return c.takeActions(now)
 }
 
-// Tick lets time pass: heartbeats, retries and deadlines. It is called every hundred milliseconds or so.
+// Tick processes heartbeats, retries and deadlines. It should be called about every 100 ms.
 func (c *Coordinator) Tick(now time.Duration) Actions {
 	if c.persistence.isWriteSlow(now) {
 		c.setDiskUnhealthy(true, diskSlow)
@@ -79,7 +80,7 @@
 	return c.takeActions(now)
 }
 
-// Step takes in a message from another member.
+// Step handles a message from another member.
 func (c *Coordinator) Step(now time.Duration, from fleet.Member, message Message) Actions {
 	c.dispatch(now, from, message)
 	return c.takeActions(now)
@@ -88,32 +89,32 @@
 // Self returns this member.
 func (c *Coordinator) Self() fleet.Member { return c.membership.Self() }
 
-// View returns the newest view known to be decided.
+// View returns the latest view known to be decided.
 func (c *Coordinator) View() membership.View { return c.membership.View() }
 
-// Register returns the newest register known to be committed, and whether there is one.
+// Register returns the latest register known to be committed, and whether there is one.
 func (c *Coordinator) Register() (chainreplication.Register, bool) { return c.chain.Committed() }
 
-// HasQuorumContact reports whether this member is a voter and in contact with a quorum. A member without must refuse its
-// callers at once.
+// HasQuorumContact reports whether this member is a voter and in contact with a quorum. A member without quorum contact
+// must reject requests immediately.
 func (c *Coordinator) HasQuorumContact(now time.Duration) bool {
 	return c.membership.HasQuorumContact(now)
 }
 
-// DiskUnhealthy reports whether this member's disk fails to take writes.
+// DiskUnhealthy reports whether this member's disk fails writes or is slow.
 func (c *Coordinator) DiskUnhealthy() bool { return c.persistence.diskUnhealthy }
 
-// Peers lists the other members, by ID.
+// Peers returns the other members, ordered by ID.
 func (c *Coordinator) Peers(now time.Duration) []fleet.Member { return c.membership.Peers(now) }
 
-// IsReachable reports whether heartbeats arrive in both directions between this member and the one of an ID.
+// IsReachable reports whether heartbeats between this member and the given one arrive in both directions.
 func (c *Coordinator) IsReachable(now time.Duration, id string) bool {
 	return c.membership.IsReachable(now, id)
 }
 
-// SetSeeds replaces the addresses at which other members may be found.
+// SetSeeds replaces the addresses of the members to contact.
 func (c *Coordinator) SetSeeds(addresses []string) { c.membership.SetSeeds(addresses) }
 
-// ResetContact makes all contact with other members be established anew. The caller calls it where this machine's monotonic
-// clock may have stopped while the machine was suspended.
+// ResetContact discards all contact with other members, which then has to be established again. It must be called when the
+// monotonic clock may have stopped because the machine was suspended.
 func (c *Coordinator) ResetContact(now time.Duration) { c.membership.ResetContact(now) }
--- a/controlplane/coordinator/dispatch.go
+++ b/controlplane/coordinator/dispatch.go
@@ -9,7 +9,7 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// dispatch hands a message to the part of the coordinator that it is for.
+// dispatch passes a message to its handler.
 func (c *Coordinator) dispatch(now time.Duration, from fleet.Member, message Message) {
 	switch {
 	case message.View != nil:
@@ -34,7 +34,7 @@
 	}
 }
 
-// applyMembershipReady does what a step of the membership node asks for.
+// applyMembershipReady performs the work requested by the membership node.
 func (c *Coordinator) applyMembershipReady(now time.Duration, ready membership.Ready) {
 	if ready.MustSave {
 		c.persistence.markChanged()
@@ -52,13 +52,13 @@
 	}
 }
 
-// installView makes the chain follow the view that is installed.
+// installView installs the current view in the chain replica.
 func (c *Coordinator) installView(now time.Duration) {
 	c.actions.ViewInstalled = true
 	c.applyChainReady(c.chain.InstallView(now, c.membership.View()))
 }
 
-// applyChainReady does what a step of the chain's replica asks for.
+// applyChainReady performs the work requested by the chain replica.
 func (c *Coordinator) applyChainReady(ready chainreplication.Ready) {
 	if ready.MustSave {
 		c.persistence.markChanged()
@@ -71,7 +71,7 @@
 	c.actions.RegisterCommitted = c.actions.RegisterCommitted || ready.CommittedChanged
 }
 
-// lookupMember finds a member of the view, or one that was heard of, by its ID.
+// lookupMember returns a member of the view, or a known peer, by ID.
 func (c *Coordinator) lookupMember(id string) (fleet.Member, bool) {
 	if id == c.membership.Self().ID {
 		return c.membership.Self(), true
@@ -84,7 +84,7 @@
 	return c.membership.KnownMember(id)
 }
 
-// send sends a message at once. One for this member itself is handled before the current call returns.
+// send sends a message. Messages to this member itself are queued and handled before the current call returns.
 func (c *Coordinator) send(to fleet.Member, message Message) {
 	if to.ID == c.membership.Self().ID {
 		c.loopback = append(c.loopback, message)
@@ -93,8 +93,8 @@
 	c.actions.Messages = append(c.actions.Messages, Outbound{to.Addr, message})
 }
 
-// sendWhenPersisted sends a message once the present state is on stable storage: nothing may be promised that a loss
-// of power would undo.
+// sendWhenPersisted sends a message once the current state is on stable storage, so that the promises in the message
+// survive a loss of power.
 func (c *Coordinator) sendWhenPersisted(to fleet.Member, message Message) {
 	if c.persistence.isPersisted() {
 		c.send(to, message)
@@ -111,7 +111,7 @@
 	}
 }
 
-// takeActions advances everything as far as it goes, starts a write of the state if one is due, and returns what is to be done.
+// takeActions advances all pending requests, starts a write of the state if one is due, and returns the collected actions.
 func (c *Coordinator) takeActions(now time.Duration) Actions {
 	for {
 		c.advance(now)
@@ -128,28 +128,28 @@
 	return actions
 }
 
-// stepState is what pending proposals and reads are judged by: one consistent reading for all of them.
+// stepState is a consistent snapshot of the state against which pending requests are evaluated.
 type stepState struct {
 	view          membership.View
 	hasQuorum     bool
 	committed     chainreplication.Register
-	hasCommitted  bool   // committed holds something
-	committedView uint64 // number of the view in which a commit was last seen
+	hasCommitted  bool   // whether committed is set
+	committedView uint64 // number of the view in which a commit was last observed
 }
 
-// isCommitted reports whether a proposed command, or its refusal, holds.
+// isCommitted reports whether a commit condition is met.
 func (s stepState) isCommitted(position chainreplication.CommitCondition) bool {
 	return s.isCommittedInView(position.ViewNumber, position.Sequence)
 }
 
-// isCommittedInView reports whether a sequence is committed in a view. A register that was committed in another one says nothing:
-// it may lack what this view's head has taken.
+// isCommittedInView reports whether a sequence is committed in a view. Commits in other views do not count: their registers
+// may lack commands accepted by this view's head.
 func (s stepState) isCommittedInView(viewNumber, sequence uint64) bool {
 	return s.hasCommitted && s.committedView == viewNumber && s.committed.Sequence >= sequence
 }
 
-// advance moves pending proposals and reads as far as they go. What the chain wants done for proposals is applied last, so that
-// all of them are judged by the same state.
+// advance advances all pending requests. Work requested by the chain replica is applied last, so that all requests are
+// evaluated against the same state.
 func (c *Coordinator) advance(now time.Duration) {
 	step := stepState{view: c.membership.View(), hasQuorum: c.membership.HasQuorumContact(now), committedView: c.chain.CommittedView()}
 	step.committed, step.hasCommitted = c.chain.Committed()
--- a/controlplane/coordinator/hints.go
+++ b/controlplane/coordinator/hints.go
@@ -9,18 +9,19 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// pendingReplication is a change of the hints whose caller waits until it is on the disks of a quorum.
+// pendingReplication is a replication of the hints to the disks of a quorum.
 type pendingReplication struct {
-	confirmations map[string]bool // IDs of voters that have it on their disks
+	confirmations map[string]bool // IDs of voters that have persisted the hints
 	deadline      time.Duration
 }
 
-// ReplicateHints starts to bring a change of the hints to the disks of a quorum and returns its request ID. The caller has made the
-// change here and sends it to the other members with the ID, again where it may have been lost; each of them calls PersistHints once
-// it has taken the change. The Response comes with these Actions or with later ones: without an error once a quorum of the voters has
-// the change on disk, else with ErrNoQuorum or ErrTimeout, and then any of them may have it.
+// ReplicateHints starts the replication of a hints change to the disks of a quorum and returns its request ID. The caller has
+// already applied the change locally; it sends the change to the other members along with the request ID, repeating messages
+// that may have been lost. Each receiver calls PersistHints after applying the change. The Response is returned with these
+// Actions or with later ones. It has no error if a quorum of the voters persisted the change, and ErrNoQuorum or ErrTimeout
+// otherwise; in that case any of the members may have persisted it.
 //
-// Hints are written once a second otherwise, and may be lost. What a caller is promised for good must not rest on them alone.
+// Without ReplicateHints, hints are only written periodically and may be lost.
 func (c *Coordinator) ReplicateHints(now time.Duration) (uint64, Actions) {
 	id := c.nextRequestID()
 	c.replications[id] = &pendingReplication{confirmations: map[string]bool{}, deadline: now + requestTimeout}
@@ -28,8 +29,8 @@
 	return id, c.takeActions(now)
 }
 
-// PersistHints writes the hints, which were changed on behalf of another member's request, and confirms to that member once they are
-// on disk.
+// PersistHints persists hints that were changed by a request of another member, and then confirms the request to that
+// member.
 func (c *Coordinator) PersistHints(now time.Duration, requester fleet.Member, requestID uint64) Actions {
 	c.confirmHintsWhenPersisted(requester, requestID)
 	return c.takeActions(now)
@@ -46,7 +47,7 @@
 	}
 }
 
-// advanceReplications answers or gives up each pending replication.
+// advanceReplications completes each pending replication that is confirmed by a quorum, has lost its quorum or has timed out.
 func (c *Coordinator) advanceReplications(now time.Duration, step stepState) {
 	for _, id := range slices.Sorted(maps.Keys(c.replications)) {
 		confirmed := 0
--- a/controlplane/coordinator/leave.go
+++ b/controlplane/coordinator/leave.go
@@ -8,12 +8,13 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// BeginLeave asks the other members to go on without this one. LeaveComplete reports when they can.
+// BeginLeave starts a graceful shutdown: the other members are asked to replace this one. LeaveComplete reports when it may
+// stop.
 func (c *Coordinator) BeginLeave() { c.membership.Leave() }
 
-// LeaveComplete reports whether this member may stop: nothing rests on it any more, or nobody is there to take over. The others
-// must be able to go on without it: a quorum of the voters, each in the chain and in contact now, was synced in this view and
-// has what is committed here. While this member's seat makes the number of voters even, it waits until that seat is dropped.
+// LeaveComplete reports whether this member may stop. It has no pending requests, and either no other member can take over or
+// the other members can continue without it: the view has replaced this member, and a quorum of the voters is in the chain, in
+// contact, synced in this view and up to date with what is committed here.
 func (c *Coordinator) LeaveComplete(now time.Duration) bool {
 	if !c.membership.IsLeaving() || len(c.proposals)+len(c.reads)+len(c.replications) > 0 {
 		return false
@@ -25,9 +26,9 @@
 	return c.isReplaced(view) && c.countSyncedVoters(now, view) >= view.Quorum()
 }
 
-// isReplaced reports whether the view does without this member, and whether its seat is somebody else's or needs nobody: a
-// learner is about to take it, and an even number of voters drops it. That goes for the seat of a disk that this machine had
-// before, too.
+// isReplaced reports whether the view has replaced this member: it is outside the chain and, if it is still a voter, knows of no
+// later view that may have been decided. A voter that remains at its address, with this or a former disk, is acceptable only if
+// the number of voters is odd and no learner is about to replace one of them.
 func (c *Coordinator) isReplaced(view membership.View) bool {
 	self := c.membership.Self()
 	if view.Position(self.ID) >= 0 || view.HasVoter(self.ID) && !c.membership.ConfirmsLatestView(view.Number) {
@@ -37,7 +38,7 @@
 	return !hasSeat || len(view.Voters)%2 != 0 && len(view.Learners) == 0
 }
 
-// countSyncedVoters counts the voters that hold, in this view, what is committed here.
+// countSyncedVoters counts the reachable chain voters that are synced in the view and have all that is committed here.
 func (c *Coordinator) countSyncedVoters(now time.Duration, view membership.View) int {
 	committed, _ := c.chain.Committed()
 	count := 0
--- a/controlplane/coordinator/message.go
+++ b/controlplane/coordinator/message.go
@@ -9,7 +9,7 @@
 	"zincloft.example/zincloft/controlplane/peermessages"
 )
 
-// Message is what members send to one another about the replicated register. Exactly one field is set, except that a
+// Message is a message between members about views and the replicated register. Exactly one field is set, except that a
 // heartbeat in View is accompanied by CommitStatus.
 type Message struct {
 	View                *membership.Message             `cbor:"1,keyasint,omitempty"`
@@ -22,59 +22,59 @@
 	HintsPersisted      *peermessages.HintsConfirmation `cbor:"8,keyasint,omitempty"`
 }
 
-// Actions are what the caller of the Coordinator has to do after a call.
+// Actions describes the work that the caller has to do after a call.
 type Actions struct {
 	// Messages are to be sent, in this order. They may be lost.
 	Messages []Outbound
 
-	// Responses end proposals, reads and replications of this member's callers.
+	// Responses complete proposals, reads and replications of this member's callers.
 	Responses []Response
 
-	// StateToPersist, if not nil, is to be brought to stable storage; then StatePersisted is to be called. No second write is
-	// asked for before that.
+	// StateToPersist, if not nil, must be written to stable storage, after which the caller calls StatePersisted. At most
+	// one write is requested at a time.
 	StateToPersist []byte
 
-	// RegisterCommitted reports that another register is committed.
+	// RegisterCommitted reports that a new register was committed.
 	RegisterCommitted bool
 
-	// ViewInstalled reports that another view was installed.
+	// ViewInstalled reports that a new view was installed.
 	ViewInstalled bool
 
-	// DiskHealth, if not empty, is what the disk's health has changed to: DiskHealthy, or what is wrong with it.
+	// DiskHealth, if not empty, is the new health of the disk: DiskHealthy or a description of the problem.
 	DiskHealth string
 
 	// ClockStallDetected reports that this machine was suspended together with its clock.
 	ClockStallDetected bool
 }
 
-// Outbound is a message for the member at an address.
+// Outbound is a message to be sent to the member at an address.
 type Outbound struct {
 	To      string
 	Message Message
 }
 
-// The reasons for which a proposal or a read is refused.
+// Errors of proposals, reads and replications.
 var (
 	// ErrNoQuorum means that this member is not in contact with a quorum of the voters.
 	ErrNoQuorum = errors.New("no contact with a quorum of the control plane")
 
-	// ErrTimeout means that no answer was found in time. A proposal that ends so may still have been committed.
+	// ErrTimeout means that the request was not answered in time. A proposal that fails with it may still be committed.
 	ErrTimeout = errors.New("the control plane did not answer in time")
 
-	// ErrViewChanged means that the view changed while a read was under way.
+	// ErrViewChanged means that the view changed during a read.
 	ErrViewChanged = errors.New("the control plane's view has changed")
 
-	// ErrNotInChain means that this member holds no replica, and knows of no member to redirect to.
+	// ErrNotInChain means that this member is not in the chain and knows no member to redirect the read to.
 	ErrNotInChain = errors.New("not a member of the replication chain")
 
-	// ErrConflict means that another configuration was confirmed under the proposed version.
+	// ErrConflict means that another configuration was committed under the proposed version.
 	ErrConflict = errors.New("another configuration holds this version")
 
 	// ErrNoConfiguration means that no configuration has been committed yet.
 	ErrNoConfiguration = errors.New("no configuration is committed")
 )
 
-// RedirectError refuses a read on a member outside the chain and names one that can answer it.
+// RedirectError rejects a read on a member outside the chain and names a member that can answer it.
 type RedirectError struct {
 	Address string // the API address of that member
 }
@@ -84,14 +84,14 @@
 // Unwrap makes errors.Is find ErrNotInChain.
 func (e *RedirectError) Unwrap() error { return ErrNotInChain }
 
-// Response ends a proposal, a read or a replication of hints.
+// Response completes a proposal, a read or a replication of hints.
 type Response struct {
 	RequestID uint64
-	Err       error  // nil: the proposal is committed, the hints are on a quorum's disks, or Body answers the read
+	Err       error  // nil: the proposal is committed, the hints are persisted by a quorum, or Body answers the read
 	Body      []byte // the committed configuration
 }
 
-// Status is the HTTP status that tells a caller of the control API about the response.
+// Status returns the HTTP status with which the control API reports the response.
 func (r Response) Status() int {
 	var redirect *RedirectError
 	switch {
@@ -108,7 +108,7 @@
 	}
 }
 
-// Reason is the text of the error, or empty.
+// Reason returns the error text, or the empty string if there is no error.
 func (r Response) Reason() string {
 	if r.Err == nil {
 		return ""
@@ -116,7 +116,7 @@
 	return r.Err.Error()
 }
 
-// RedirectTo is the API address to which the caller is redirected. It is empty if the response is no redirection.
+// RedirectTo returns the API address to redirect the caller to, or the empty string if the response is not a redirect.
 func (r Response) RedirectTo() string {
 	var redirect *RedirectError
 	if errors.As(r.Err, &redirect) {
--- a/controlplane/coordinator/persistence.go
+++ b/controlplane/coordinator/persistence.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	// slowWriteThreshold is how long a write may take before the disk counts as unhealthy.
+	// slowWriteThreshold is the duration of a write above which the disk is considered unhealthy.
 	slowWriteThreshold = 400 * time.Millisecond
 
-	// writeRetryInterval is after how long a write that failed is tried again.
+	// writeRetryInterval is the delay before a failed write is retried.
 	writeRetryInterval = 300 * time.Millisecond
 
-	// hintsWriteInterval is how often the state is written at most if only the hints have changed.
+	// hintsWriteInterval is the minimum interval between writes that are due to changed hints only.
 	hintsWriteInterval = time.Second
 )
 
-// Values of Actions.DiskHealth, beside the problem that was passed to StatePersisted.
+// Values of Actions.DiskHealth, besides the problem passed to StatePersisted.
 const (
 	DiskHealthy = "healthy"
 	diskSlow    = "slow"
 )
 
-// PersistentState is what a member keeps on disk, as one CBOR value.
+// PersistentState is the state that a member keeps on disk, encoded as one CBOR value.
 type PersistentState struct {
-	DiskID     string                    `cbor:"1,keyasint"` // the disk's identity, which is the member's ID
+	DiskID     string                    `cbor:"1,keyasint"` // identity of the disk, used as the member's ID
 	View       membership.DurableState   `cbor:"2,keyasint"`
 	Register   chainreplication.Register `cbor:"3,keyasint"`
 	SyncedView uint64                    `cbor:"4,keyasint"` // number of the last view in which the register was synced
 
-	// Instances are kept as a hint only: after a loss of all members, one that restarts would otherwise know just the few
-	// replicas whose heartbeats come first, and would have all traffic sent to them.
+	// Instances is a hint. It lets a control plane that restarts after a loss of all members route traffic to all known
+	// replicas instead of only those whose heartbeats arrive first.
 	Instances []fleet.Instance `cbor:"5,keyasint,omitempty"`
 }
 
-// Hints provides what is kept on disk beside the durable state and may be lost.
+// Hints provides state that is persisted along with the durable state but may be lost.
 type Hints interface {
-	// Revision rises when Instances changes.
+	// Revision increases whenever Instances changes.
 	Revision() uint64
 	Instances() []fleet.Instance
 }
@@ -57,9 +57,9 @@
 	return state, nil
 }
 
-// Initialize completes the state of an empty disk and leaves any other as it is. At the very first start of a system the disk
-// gets the identity that the seeds' initial view names. Otherwise its identity is made from the address and a random suffix: a
-// member that has lost its disk has lost its promises, and must not be taken for the one that made them.
+// Initialize initializes the state of an empty disk; it does nothing if the disk has an identity. On the first start of a
+// cluster, the disk gets the identity used in the seeds' initial view. Otherwise the identity consists of the address and a
+// random suffix: a member that lost its disk has lost its Paxos promises and must not be identified with its predecessor.
 func (s *PersistentState) Initialize(address string, seeds []string, firstStart bool, suffix string) {
 	if s.DiskID != "" {
 		return
@@ -74,7 +74,7 @@
 	}
 }
 
-// initialView is the view with which a system starts for the first time: its seeds, in order of their addresses.
+// initialView returns the view of the first start of a cluster: its seeds, ordered by address.
 func initialView(addresses []string) membership.View {
 	view := membership.View{Number: 1}
 	for _, address := range slices.Compact(slices.Sorted(slices.Values(addresses))) {
@@ -87,26 +87,26 @@
 
 func initialDiskID(address string) string { return address + "/0" }
 
-// persistence tracks which state is on stable storage. The state in memory has a generation, which rises with each change; one
-// write is in flight at a time.
+// persistence tracks which state is on stable storage. The generation of the in-memory state increases with each change, and at
+// most one write is in flight.
 type persistence struct {
-	generation uint64 // of the state in memory
-	persisted  uint64 // newest generation on stable storage
-	writing    uint64 // generation of the newest write
+	generation uint64 // of the in-memory state
+	persisted  uint64 // latest generation on stable storage
+	writing    uint64 // generation of the latest write
 
 	writeInFlight  bool
 	writeStartedAt time.Duration
-	writeRetryAt   time.Duration // no write before, because one has failed
+	writeRetryAt   time.Duration // earliest time of the next write after a failure
 	diskUnhealthy  bool
 
 	hints          Hints
-	hintsRevision  uint64 // at the newest write
+	hintsRevision  uint64 // at the latest write
 	hintsWrittenAt time.Duration
 
 	deferred []deferredMessage // in order of their generations
 }
 
-// deferredMessage waits until a generation is on stable storage.
+// deferredMessage is a message to be sent once a generation is on stable storage.
 type deferredMessage struct {
 	generation uint64
 	to         fleet.Member
@@ -125,7 +125,7 @@
 	p.deferred = append(p.deferred, deferredMessage{p.generation, to, message})
 }
 
-// takeReleased removes and returns the deferred messages whose state is on stable storage.
+// takeReleased removes and returns the deferred messages whose generation is on stable storage.
 func (p *persistence) takeReleased() []deferredMessage {
 	count := 0
 	for count < len(p.deferred) && p.deferred[count].generation <= p.persisted {
@@ -136,7 +136,7 @@
 	return released
 }
 
-// EncodeState encodes what must be on disk now.
+// EncodeState encodes the current state to be persisted.
 func (c *Coordinator) EncodeState() ([]byte, error) {
 	return cbor.Marshal(PersistentState{
 		DiskID:     c.membership.Self().ID,
@@ -147,8 +147,8 @@
 	})
 }
 
-// startWriteIfDue asks for a write if the state has changed, if the disk may have recovered, or if the hints have changed since
-// a while.
+// startWriteIfDue requests a write if the state has changed, if the disk is unhealthy and has to be probed, or if changed hints
+// have not been written for hintsWriteInterval.
 func (c *Coordinator) startWriteIfDue(now time.Duration) {
 	p := &c.persistence
 	revision := p.hints.Revision()
@@ -159,14 +159,14 @@
 	}
 	raw, err := c.EncodeState()
 	if err != nil {
-		return // the state stays unpersisted, so nothing that rests on it is sent
+		return // the state remains unpersisted, so no message that depends on it is sent
 	}
 	c.actions.StateToPersist = raw
 	p.writeInFlight, p.writeStartedAt, p.writing = true, now, p.generation
 	p.hintsRevision, p.hintsWrittenAt = revision, now
 }
 
-// StatePersisted says that the last Actions.StateToPersist is on stable storage, or, if problem is not empty, why it is not.
+// StatePersisted reports the completion of the last write of Actions.StateToPersist. A failed write has a non-empty problem.
 func (c *Coordinator) StatePersisted(now time.Duration, problem string) Actions {
 	p := &c.persistence
 	p.writeInFlight = false
--- a/controlplane/coordinator/proposal.go
+++ b/controlplane/coordinator/proposal.go
@@ -15,39 +15,38 @@
 )
 
 const (
-	// requestTimeout is after how long a proposal or a read that could not be answered is refused. Callers turn to another
-	// member after a second.
+	// requestTimeout is the time after which an unanswered proposal or read fails.
 	requestTimeout = 900 * time.Millisecond
 
-	// proposeForwardWindow is for how long after its arrival a proposal is sent to the head.
+	// proposeForwardWindow is the time after its arrival during which a proposal may be sent to the head.
 	proposeForwardWindow = 500 * time.Millisecond
 
-	// proposeRetryInterval is after how long a proposal without a response is sent to the head again.
+	// proposeRetryInterval is the delay before a proposal without a response is sent to the head again.
 	proposeRetryInterval = 150 * time.Millisecond
 
-	// maxProposalAge bounds how long ago the sender of a forwarded proposal may have heard the head. An older one was delayed
-	// on its way and is rejected.
+	// maxProposalAge is the maximum age of the head clock reading in a forwarded proposal. The head rejects older proposals
+	// as delayed.
 	maxProposalAge = 350 * time.Millisecond
 
-	// never stands for a time before any other.
+	// never is a time before all others.
 	never = -time.Hour
 )
 
-// pendingProposal is a caller's proposal that has no response yet.
+// pendingProposal is a proposal of a caller without a response.
 type pendingProposal struct {
 	command         chainreplication.Command
-	accepted        bool                             // by the head of the view in position
-	commitCondition chainreplication.CommitCondition // what must be committed for the command to hold
-	receivedAt      time.Duration                    // never: it must not be sent any more
-	sentAt          time.Duration                    // to another member; never: nothing of it is under way
-	retryAt         time.Duration                    // when it may be sent again
-	retriedEarly    bool                             // it was sent again before that, once
+	accepted        bool                             // accepted by the head of the view in commitCondition
+	commitCondition chainreplication.CommitCondition // condition under which the command is committed
+	receivedAt      time.Duration                    // never: the proposal must not be sent any more
+	sentAt          time.Duration                    // last sent to another member; never: not sent
+	retryAt         time.Duration                    // earliest time of the next attempt
+	retriedEarly    bool                             // whether the single retry ahead of retryAt was used
 	deadline        time.Duration
 }
 
-// Propose starts a caller's proposal and returns its request ID. The Response comes with these Actions or with later ones:
-// without an error once the command is committed; with ErrConflict once it is certain that another configuration holds its
-// version; else with ErrNoQuorum or ErrTimeout.
+// Propose starts a proposal and returns its request ID. The Response is returned with these Actions or with later ones. It has no
+// error once the command is committed, ErrConflict once another configuration is committed under the same version, and
+// ErrNoQuorum or ErrTimeout otherwise.
 func (c *Coordinator) Propose(now time.Duration, command chainreplication.Command) (uint64, Actions) {
 	id := c.nextRequestID()
 	command.ID = xxhash.Sum64String(fmt.Sprint(c.membership.Self().ID, " ", c.incarnation, " ", id))
@@ -60,14 +59,14 @@
 	return c.lastRequestID
 }
 
-// advanceProposals answers, gives up or sends each pending proposal. It returns what the chain wants done for those that this
-// member took as the head.
+// advanceProposals completes, fails or sends each pending proposal. It returns the work requested by the chain replica for the
+// proposals that this member accepted as the head.
 func (c *Coordinator) advanceProposals(now time.Duration, step stepState) []chainreplication.Ready {
 	var ready []chainreplication.Ready
 	for _, id := range slices.Sorted(maps.Keys(c.proposals)) {
 		proposal := c.proposals[id]
 		if proposal.accepted && step.view.Number != proposal.commitCondition.ViewNumber {
-			// The head of a former view cannot commit. Proposing again is safe, as a command is applied once.
+			// The head of a former view cannot commit. Proposing again is safe because a command is applied at most once.
 			proposal.accepted = false
 		}
 		switch {
@@ -78,7 +77,7 @@
 			}
 			c.finishProposal(id, err)
 		case proposal.mustGiveUp(now, step.hasQuorum) && now > proposal.sentAt+maxProposalAge:
-			// The caller is refused only now: what is under way is too old by now to take effect over something newer.
+			// Fail only after the requests that were sent have expired, so that they cannot override later commands.
 			err := ErrTimeout
 			if !step.hasQuorum {
 				err = ErrNoQuorum
@@ -126,11 +125,11 @@
 	c.send(member, Message{ProposeRequest: request})
 }
 
-// handleProposeRequest takes a command that another member forwards, if this member is the head.
+// handleProposeRequest handles a command forwarded by another member, if this member is the head.
 //
-// A request that was delayed may have been proposed again by another way, acknowledged, and undone by a later command since:
-// commands of operators carry no sequence of their own, so it must not take effect any more. Its age is judged by this member's
-// own clock, as the sender last heard it; the sender refuses its caller only once what it sent is too old to be taken.
+// A delayed request must not take effect: its caller may have retried the command elsewhere and reverted it since. The age of the
+// request is measured by the echoed reading of this member's own clock. The sender reports a failure to its caller only after
+// the requests that it sent are too old to be accepted.
 func (c *Coordinator) handleProposeRequest(now time.Duration, from fleet.Member, request *peermessages.ProposeRequest) {
 	response := &peermessages.ProposeResponse{RequestID: request.RequestID, HeadClock: c.membership.Clock(now)}
 	if !c.membership.IsRecentReading(now, request.HeadClock, maxProposalAge) || !c.mayTakeCommands(now) {
@@ -141,12 +140,12 @@
 	response.ViewNumber, response.Sequence = position.ViewNumber, position.Sequence
 	response.Conflict, response.Accepted = position.Conflicts, true
 	c.applyChainReady(ready)
-	// Not before the command is on this disk: a head that is killed and restarts within the same view would give the position
-	// to another command, by which this one would be acknowledged.
+	// Respond only once the command is on this disk. Otherwise a head that restarts within the same view could assign the
+	// sequence to another command, whose commit would acknowledge this one.
 	c.sendWhenPersisted(from, Message{ProposeResponse: response})
 }
 
-// mayTakeCommands reports whether this member may take commands as the head of the chain.
+// mayTakeCommands reports whether this member may accept commands as the head of the chain.
 func (c *Coordinator) mayTakeCommands(now time.Duration) bool {
 	return c.chain.IsHead() && c.membership.HasQuorumContact(now) && !c.persistence.diskUnhealthy
 }
@@ -160,13 +159,13 @@
 	case response.Accepted:
 		proposal.accepted = true
 		proposal.commitCondition = chainreplication.CommitCondition{ViewNumber: response.ViewNumber, Sequence: response.Sequence, Conflicts: response.Conflict}
-	case !proposal.retriedEarly: // rejected for its age, perhaps: now that the head's clock is known, try again at once
+	case !proposal.retriedEarly: // possibly rejected for its age; retry with the clock reading in this response
 		proposal.retriedEarly, proposal.retryAt = true, now
 	}
 }
 
-// expireProposalsAfterClockStall gives up the pending proposals if this machine was suspended together with its clock: they may
-// have waited in its sockets, been proposed again elsewhere and undone since. What is in the chain goes its way.
+// expireProposalsAfterClockStall stops sending the pending proposals if this machine was suspended together with its clock. They
+// may have waited in its sockets while they were retried elsewhere and reverted. Proposals already in the chain are unaffected.
 func (c *Coordinator) expireProposalsAfterClockStall() {
 	if !c.membership.TakeClockStall() {
 		return
--- a/controlplane/coordinator/read.go
+++ b/controlplane/coordinator/read.go
@@ -11,21 +11,21 @@
 	"zincloft.example/zincloft/invariant"
 )
 
-// pendingRead is a caller's linearizable read that has no response yet.
+// pendingRead is a linearizable read of a caller without a response.
 type pendingRead struct {
-	viewNumber    uint64          // of the view in which the read began
-	sequence      uint64          // what must be committed before it is answered
+	viewNumber    uint64          // view in which the read was started
+	sequence      uint64          // sequence that must be committed before the read is answered
 	confirmations map[string]bool // IDs of voters that confirmed the view
-	requested     bool            // the voters have been asked
+	requested     bool            // whether the confirmations were requested
 	deadline      time.Duration
 }
 
-// Read starts a linearizable read of the committed configuration and returns its request ID. The Response comes with these
+// Read starts a linearizable read of the committed configuration and returns its request ID. The Response is returned with these
 // Actions or with later ones.
 //
-// It is answered once a quorum of voters has confirmed that no later view may have been decided, as in Raft's ReadIndex: a
-// member that was cut off must not answer with what it last knew. A member outside the chain responds with a RedirectError that
-// names the tail.
+// The read is answered once a quorum of voters has confirmed that no later view may have been decided, as in Raft's ReadIndex, so
+// a partitioned member never returns outdated data. A member outside the chain responds with a RedirectError that names the
+// tail.
 func (c *Coordinator) Read(now time.Duration) (uint64, Actions) {
 	id := c.nextRequestID()
 	view := c.membership.View()
@@ -45,7 +45,7 @@
 	return id, c.takeActions(now)
 }
 
-// redirectToTail names the last voter of the chain that has an API address: it holds all that is committed.
+// redirectToTail returns a redirect to the last chain voter with a known API address, or ErrNotInChain if there is none.
 func (c *Coordinator) redirectToTail(now time.Duration, view membership.View) error {
 	var tail fleet.Member
 	for _, peer := range c.membership.Peers(now) {
@@ -60,7 +60,7 @@
 	return &RedirectError{Address: tail.APIAddr}
 }
 
-// advanceReads asks for confirmations, and answers or gives up each pending read.
+// advanceReads requests confirmations for each pending read, and completes or fails it.
 func (c *Coordinator) advanceReads(now time.Duration, step stepState) {
 	for _, id := range slices.Sorted(maps.Keys(c.reads)) {
 		read := c.reads[id]
@@ -92,8 +92,8 @@
 	delete(c.reads, response.RequestID)
 }
 
-// handleConfirmViewRequest answers whether this voter knows of no later view. The answer waits until the state that it rests on
-// is persisted.
+// handleConfirmViewRequest confirms the view if this voter has accepted no later one. The response is sent after the state that
+// it depends on is persisted.
 func (c *Coordinator) handleConfirmViewRequest(from fleet.Member, request *peermessages.ViewConfirmation) {
 	response := &peermessages.ViewConfirmation{
 		RequestID:  request.RequestID,
--- a/controlplane/coordinator/status.go
+++ b/controlplane/coordinator/status.go
@@ -10,46 +10,45 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// The values of Status.DiskHealth. The control API's page names them.
+// Values of Status.DiskHealth, as documented in the control API.
 const (
 	statusDiskHealthy   = "well"
 	statusDiskUnhealthy = "sick"
 )
 
-// lagUnknown is MemberStatus.Lag of a member that has not reported what it has committed.
+// lagUnknown is the MemberStatus.Lag of a member that has not reported its commit status.
 const lagUnknown = -1
 
-// Status is what an operator sees of the control plane from one member. The control API returns it as JSON, under the names
-// that its page gives.
+// Status describes the control plane as seen by one member. The control API returns it as JSON.
 type Status struct {
 	Self              string         `json:"self"`
 	HasQuorumContact  bool           `json:"in_touch"`
 	View              uint64         `json:"view"`
 	ConfigVersion     string         `json:"version"`   // of the committed configuration, in hexadecimal
-	CommittedSequence uint64         `json:"committed"` // number of commands that are committed
-	LatestSequence    uint64         `json:"held"`      // number of commands that this member holds
+	CommittedSequence uint64         `json:"committed"` // number of committed commands
+	LatestSequence    uint64         `json:"held"`      // number of commands in this member's latest register
 	EvacuatedZones    []string       `json:"evacuated"`
 	DiskHealth        string         `json:"disk"`
 	Members           []MemberStatus `json:"members"`
-	UpToDateDisks     int            `json:"disks"`             // that hold what is committed, as far as this member knows
-	FaultTolerant     bool           `json:"enough"`            // there are more of them than may be lost at once
-	Shortfall         string         `json:"missing,omitempty"` // why not
+	UpToDateDisks     int            `json:"disks"`             // number of members known to have persisted what is committed
+	FaultTolerant     bool           `json:"enough"`            // whether UpToDateDisks exceeds the tolerated number of losses
+	Shortfall         string         `json:"missing,omitempty"` // explanation if FaultTolerant is false
 }
 
-// MemberStatus is what is known about one member.
+// MemberStatus describes one member as seen by another.
 type MemberStatus struct {
 	ID            string `json:"id"`
 	Address       string `json:"address"`
 	Zone          string `json:"zone,omitempty"`
 	APIAddress    string `json:"control,omitempty"`
-	ChainPosition int    `json:"place"`  // from 0, the head; -1: not in the chain
-	Unsynced      bool   `json:"fresh"`  // it may not hold yet what its predecessors hold
-	Learner       bool   `json:"learns"` // it is being synced and does not vote yet
+	ChainPosition int    `json:"place"`  // 0 for the head, -1 outside the chain
+	Unsynced      bool   `json:"fresh"`  // whether the member may lack commands that its predecessors have
+	Learner       bool   `json:"learns"` // whether the member is a learner, which does not vote
 	Reachable     bool   `json:"heard"`
-	Lag           int64  `json:"lag"` // commands behind what is committed here, as it last reported; -1: not reported
+	Lag           int64  `json:"lag"` // number of commands behind this member's committed register; -1 if not reported
 }
 
-// Status describes the control plane as this member knows it.
+// Status returns the status of the control plane as seen by this member.
 func (c *Coordinator) Status(now time.Duration) Status {
 	view := c.membership.View()
 	committed, _ := c.chain.Committed()
@@ -84,7 +83,7 @@
 
 func (c *Coordinator) memberStatus(now time.Duration, view membership.View, member fleet.Member) MemberStatus {
 	if known, ok := c.membership.KnownMember(member.ID); ok {
-		member = known // with its zone and API address, which an initial view does not name
+		member = known // includes the zone and API address, which are missing from an initial view
 	}
 	status := MemberStatus{
 		ID:            member.ID,
@@ -106,7 +105,7 @@
 	return status
 }
 
-// isUpToDate reports whether the member's disk is known to hold what is committed.
+// isUpToDate reports whether the member is known to have persisted what is committed.
 func (s MemberStatus) isUpToDate() bool {
 	return s.ChainPosition >= 0 && s.Reachable && !s.Unsynced && !s.Learner && s.Lag == 0
 }
