--- a/controlplane/coordinator/dispatch.go
+++ b/controlplane/coordinator/dispatch.go
@@ -128,8 +128,8 @@
 	return actions
 }
 
-// stepState is a consistent snapshot of the state against which pending requests are evaluated.
-type stepState struct {
+// stateSnapshot is a consistent snapshot of the state against which pending requests are evaluated.
+type stateSnapshot struct {
 	view          membership.View
 	hasQuorum     bool
 	committed     chainreplication.Register
@@ -138,25 +138,29 @@
 }
 
 // isCommitted reports whether a commit condition is met.
-func (s stepState) isCommitted(position chainreplication.CommitCondition) bool {
-	return s.isCommittedInView(position.ViewNumber, position.Sequence)
+func (s stateSnapshot) isCommitted(condition chainreplication.CommitCondition) bool {
+	return s.isCommittedInView(condition.ViewNumber, condition.Sequence)
 }
 
 // isCommittedInView reports whether a sequence is committed in a view. Commits in other views do not count: their registers
 // may lack commands accepted by this view's head.
-func (s stepState) isCommittedInView(viewNumber, sequence uint64) bool {
+func (s stateSnapshot) isCommittedInView(viewNumber, sequence uint64) bool {
 	return s.hasCommitted && s.committedView == viewNumber && s.committed.Sequence >= sequence
 }
 
 // advance advances all pending requests. Work requested by the chain replica is applied last, so that all requests are
 // evaluated against the same state.
 func (c *Coordinator) advance(now time.Duration) {
-	step := stepState{view: c.membership.View(), hasQuorum: c.membership.HasQuorumContact(now), committedView: c.chain.CommittedView()}
-	step.committed, step.hasCommitted = c.chain.Committed()
-	proposed := c.advanceProposals(now, step)
-	c.advanceReads(now, step)
-	c.advanceReplications(now, step)
-	for _, ready := range proposed {
+	snapshot := stateSnapshot{
+		view:          c.membership.View(),
+		hasQuorum:     c.membership.HasQuorumContact(now),
+		committedView: c.chain.CommittedView(),
+	}
+	snapshot.committed, snapshot.hasCommitted = c.chain.Committed()
+	chainWork := c.advanceProposals(now, snapshot)
+	c.advanceReads(now, snapshot)
+	c.advanceReplications(now, snapshot)
+	for _, ready := range chainWork {
 		c.applyChainReady(ready)
 	}
 }
--- a/controlplane/coordinator/hints.go
+++ b/controlplane/coordinator/hints.go
@@ -48,18 +48,18 @@
 }
 
 // advanceReplications completes each pending replication that is confirmed by a quorum, has lost its quorum or has timed out.
-func (c *Coordinator) advanceReplications(now time.Duration, step stepState) {
+func (c *Coordinator) advanceReplications(now time.Duration, snapshot stateSnapshot) {
 	for _, id := range slices.Sorted(maps.Keys(c.replications)) {
 		confirmed := 0
-		for _, voter := range step.view.Voters {
+		for _, voter := range snapshot.view.Voters {
 			if c.replications[id].confirmations[voter.ID] {
 				confirmed++
 			}
 		}
 		switch {
-		case len(step.view.Voters) > 0 && confirmed >= step.view.Quorum():
+		case len(snapshot.view.Voters) > 0 && confirmed >= snapshot.view.Quorum():
 			c.finishReplication(id, nil)
-		case !step.hasQuorum:
+		case !snapshot.hasQuorum:
 			c.finishReplication(id, ErrNoQuorum)
 		case now > c.replications[id].deadline:
 			c.finishReplication(id, ErrTimeout)
--- a/controlplane/coordinator/leave.go
+++ b/controlplane/coordinator/leave.go
@@ -34,8 +34,8 @@
 	if view.Position(self.ID) >= 0 || view.HasVoter(self.ID) && !c.membership.ConfirmsLatestView(view.Number) {
 		return false
 	}
-	hasSeat := slices.ContainsFunc(view.Voters, func(voter fleet.Member) bool { return voter.Addr == self.Addr })
-	return !hasSeat || len(view.Voters)%2 != 0 && len(view.Learners) == 0
+	hasVoterAtAddress := slices.ContainsFunc(view.Voters, func(voter fleet.Member) bool { return voter.Addr == self.Addr })
+	return !hasVoterAtAddress || len(view.Voters)%2 != 0 && len(view.Learners) == 0
 }
 
 // countSyncedVoters counts the reachable chain voters that are synced in the view and have all that is committed here.
@@ -43,8 +43,8 @@
 	committed, _ := c.chain.Committed()
 	count := 0
 	for _, voter := range view.Voters {
-		inChain := view.Position(voter.ID) >= 0 && c.membership.HasContact(now, voter.ID)
-		if inChain && c.membership.IsSynced(voter.ID, view.Number) && c.peerCommitted[voter.ID] >= committed.Sequence {
+		isActive := view.Position(voter.ID) >= 0 && c.membership.HasContact(now, voter.ID)
+		if isActive && c.membership.IsSynced(voter.ID, view.Number) && c.peerCommitted[voter.ID] >= committed.Sequence {
 			count++
 		}
 	}
--- a/controlplane/coordinator/proposal.go
+++ b/controlplane/coordinator/proposal.go
@@ -61,47 +61,47 @@
 
 // advanceProposals completes, fails or sends each pending proposal. It returns the work requested by the chain replica for the
 // proposals that this member accepted as the head.
-func (c *Coordinator) advanceProposals(now time.Duration, step stepState) []chainreplication.Ready {
-	var ready []chainreplication.Ready
+func (c *Coordinator) advanceProposals(now time.Duration, snapshot stateSnapshot) []chainreplication.Ready {
+	var chainWork []chainreplication.Ready
 	for _, id := range slices.Sorted(maps.Keys(c.proposals)) {
 		proposal := c.proposals[id]
-		if proposal.accepted && step.view.Number != proposal.commitCondition.ViewNumber {
+		if proposal.accepted && snapshot.view.Number != proposal.commitCondition.ViewNumber {
 			// The head of a former view cannot commit. Proposing again is safe because a command is applied at most once.
 			proposal.accepted = false
 		}
 		switch {
-		case proposal.accepted && step.isCommitted(proposal.commitCondition):
+		case proposal.accepted && snapshot.isCommitted(proposal.commitCondition):
 			var err error
 			if proposal.commitCondition.Conflicts {
 				err = ErrConflict
 			}
 			c.finishProposal(id, err)
-		case proposal.mustGiveUp(now, step.hasQuorum) && now > proposal.sentAt+maxProposalAge:
+		case proposal.mustFail(now, snapshot.hasQuorum) && now > proposal.sentAt+maxProposalAge:
 			// Fail only after the requests that were sent have expired, so that they cannot override later commands.
 			err := ErrTimeout
-			if !step.hasQuorum {
+			if !snapshot.hasQuorum {
 				err = ErrNoQuorum
 			}
 			c.finishProposal(id, err)
-		case proposal.maySend(now, step.hasQuorum) && len(step.view.Chain) > 0:
+		case proposal.shouldSend(now, snapshot.hasQuorum) && len(snapshot.view.Chain) > 0:
 			proposal.retryAt = now + proposeRetryInterval
-			if head := step.view.Chain[0]; head != c.membership.Self().ID {
+			if head := snapshot.view.Chain[0]; head != c.membership.Self().ID {
 				c.forwardProposal(now, head, id, proposal)
 			} else if !c.persistence.diskUnhealthy {
-				position, output := c.chain.Propose(now, proposal.command)
-				proposal.accepted, proposal.commitCondition = true, position
-				ready = append(ready, output)
+				condition, chainReady := c.chain.Propose(now, proposal.command)
+				proposal.accepted, proposal.commitCondition = true, condition
+				chainWork = append(chainWork, chainReady)
 			}
 		}
 	}
-	return ready
+	return chainWork
 }
 
-func (p *pendingProposal) mustGiveUp(now time.Duration, hasQuorum bool) bool {
+func (p *pendingProposal) mustFail(now time.Duration, hasQuorum bool) bool {
 	return !hasQuorum || now > p.deadline || !p.accepted && now > p.receivedAt+proposeForwardWindow
 }
 
-func (p *pendingProposal) maySend(now time.Duration, hasQuorum bool) bool {
+func (p *pendingProposal) shouldSend(now time.Duration, hasQuorum bool) bool {
 	return hasQuorum && !p.accepted && now >= p.retryAt && now <= p.receivedAt+proposeForwardWindow
 }
 
@@ -132,21 +132,21 @@
 // the requests that it sent are too old to be accepted.
 func (c *Coordinator) handleProposeRequest(now time.Duration, from fleet.Member, request *peermessages.ProposeRequest) {
 	response := &peermessages.ProposeResponse{RequestID: request.RequestID, HeadClock: c.membership.Clock(now)}
-	if !c.membership.IsRecentReading(now, request.HeadClock, maxProposalAge) || !c.mayTakeCommands(now) {
+	if !c.membership.IsRecentReading(now, request.HeadClock, maxProposalAge) || !c.canAcceptCommands(now) {
 		c.send(from, Message{ProposeResponse: response})
 		return
 	}
-	position, ready := c.chain.Propose(now, request.Command)
-	response.ViewNumber, response.Sequence = position.ViewNumber, position.Sequence
-	response.Conflict, response.Accepted = position.Conflicts, true
+	condition, ready := c.chain.Propose(now, request.Command)
+	response.ViewNumber, response.Sequence = condition.ViewNumber, condition.Sequence
+	response.Conflict, response.Accepted = condition.Conflicts, true
 	c.applyChainReady(ready)
 	// Respond only once the command is on this disk. Otherwise a head that restarts within the same view could assign the
 	// sequence to another command, whose commit would acknowledge this one.
 	c.sendWhenPersisted(from, Message{ProposeResponse: response})
 }
 
-// mayTakeCommands reports whether this member may accept commands as the head of the chain.
-func (c *Coordinator) mayTakeCommands(now time.Duration) bool {
+// canAcceptCommands reports whether this member may accept commands as the head of the chain.
+func (c *Coordinator) canAcceptCommands(now time.Duration) bool {
 	return c.chain.IsHead() && c.membership.HasQuorumContact(now) && !c.persistence.diskUnhealthy
 }
 
--- a/controlplane/coordinator/read.go
+++ b/controlplane/coordinator/read.go
@@ -61,27 +61,27 @@
 }
 
 // advanceReads requests confirmations for each pending read, and completes or fails it.
-func (c *Coordinator) advanceReads(now time.Duration, step stepState) {
+func (c *Coordinator) advanceReads(now time.Duration, snapshot stateSnapshot) {
 	for _, id := range slices.Sorted(maps.Keys(c.reads)) {
 		read := c.reads[id]
 		switch {
-		case !step.hasQuorum:
+		case !snapshot.hasQuorum:
 			c.finishRead(Response{RequestID: id, Err: ErrNoQuorum})
 		case now > read.deadline:
 			c.finishRead(Response{RequestID: id, Err: ErrTimeout})
-		case step.view.Number != read.viewNumber:
+		case snapshot.view.Number != read.viewNumber:
 			c.finishRead(Response{RequestID: id, Err: ErrViewChanged})
-		case len(read.confirmations) >= step.view.Quorum() && step.isCommittedInView(read.viewNumber, read.sequence):
-			invariant.NotBelow(invariant.ReadCoversAcknowledged, step.committed.Version, c.acknowledgedVersion)
-			response := Response{RequestID: id, Body: step.committed.Body}
+		case len(read.confirmations) >= snapshot.view.Quorum() && snapshot.isCommittedInView(read.viewNumber, read.sequence):
+			invariant.NotBelow(invariant.ReadCoversAcknowledged, snapshot.committed.Version, c.acknowledgedVersion)
+			response := Response{RequestID: id, Body: snapshot.committed.Body}
 			if len(response.Body) == 0 {
 				response.Err = ErrNoConfiguration
 			}
 			c.finishRead(response)
 		case !read.requested:
 			read.requested = true
-			for _, voter := range step.view.Voters {
-				c.send(voter, Message{ConfirmViewRequest: &peermessages.ViewConfirmation{RequestID: id, ViewNumber: step.view.Number}})
+			for _, voter := range snapshot.view.Voters {
+				c.send(voter, Message{ConfirmViewRequest: &peermessages.ViewConfirmation{RequestID: id, ViewNumber: snapshot.view.Number}})
 			}
 		}
 	}
