--- a/controlplane/coordinator/cluster_test.go
+++ b/controlplane/coordinator/cluster_test.go
@@ -16,36 +16,36 @@
 func (noHints) Revision() uint64            { return 0 }
 func (noHints) Instances() []fleet.Instance { return nil }
 
-// testMember is one member: its coordinator, its disk, its clock, and what arrived while it was frozen.
+// testMember is one member with its coordinator, disk and clock, and the events delayed while it is suspended.
 type testMember struct {
 	addr        string
 	coordinator *Coordinator
 	disk        []byte
 	startedAt   time.Duration
-	up          bool
-	frozen      bool
-	diskFull    bool          // its disk refuses writes
-	clockLag    time.Duration // its clock stood still for so long
+	running     bool
+	suspended   bool
+	diskFull    bool          // writes to its disk fail
+	clockLag    time.Duration // total time for which its clock was stopped
 	delayed     []func()
 	incarnation int
 }
 
-// testCluster connects coordinators by links that carry every message in order, in a millisecond; a write takes as long.
+// testCluster connects coordinators by links that deliver messages in order. By default messages and writes take 1 ms.
 type testCluster struct {
 	t             *testing.T
 	now           time.Duration
 	members       map[string]*testMember
 	seeds         []string
-	cut           map[[2]string]bool // links, by sender and receiver
+	cut           map[[2]string]bool // links that drop messages, by sender and receiver
 	queue         []event
 	eventSequence int
-	responses     map[string]callerResponse    // by the request's name
+	responses     map[string]callerResponse    // by request name
 	requestNames  map[string]map[uint64]string // by member and request ID
 	messageDelay  func(from, to string, message Message) time.Duration
 	writeDelay    time.Duration
 }
 
-// callerResponse is the response that a caller got. Its zero value stands for none.
+// callerResponse is the response received by a caller. It is zero if there is none.
 type callerResponse struct {
 	Status     int
 	Body       []byte
@@ -80,7 +80,7 @@
 	n.queue = append(n.queue, event{n.now + delay, n.eventSequence, run})
 }
 
-// start begins a new incarnation of a member on the disk that is there.
+// start starts a member with the current content of its disk.
 func (n *testCluster) start(addr string, firstStart bool) *testMember {
 	member := n.members[addr]
 	if member == nil {
@@ -88,7 +88,7 @@
 		n.members[addr] = member
 	}
 	member.incarnation++
-	member.up, member.frozen, member.startedAt, member.clockLag, member.delayed = true, false, n.now, 0, nil
+	member.running, member.suspended, member.startedAt, member.clockLag, member.delayed = true, false, n.now, 0, nil
 	n.requestNames[addr] = map[uint64]string{}
 	var state PersistentState
 	if member.disk != nil {
@@ -106,21 +106,21 @@
 		n.t.Fatal(err)
 	}
 	member.disk = raw
-	n.perform(member, member.coordinator.Start(n.local(member)))
+	n.perform(member, member.coordinator.Start(n.localTime(member)))
 	n.tick(member, member.incarnation)
 	return member
 }
 
-// local is the time by a member's own clock.
-func (n *testCluster) local(member *testMember) time.Duration {
+// localTime returns the time on a member's own clock.
+func (n *testCluster) localTime(member *testMember) time.Duration {
 	return n.now - member.startedAt - member.clockLag + time.Millisecond
 }
 
-// deliver runs something on a member if it is still of an incarnation: now, or when it is thawed.
+// deliver runs an event on a member, once it is not suspended, unless the member was stopped or restarted in between.
 func (n *testCluster) deliver(member *testMember, incarnation int, run func()) {
 	switch {
-	case !member.up || member.incarnation != incarnation:
-	case member.frozen:
+	case !member.running || member.incarnation != incarnation:
+	case member.suspended:
 		member.delayed = append(member.delayed, run)
 	default:
 		run()
@@ -128,13 +128,13 @@
 }
 
 func (n *testCluster) tick(member *testMember, incarnation int) {
-	n.deliver(member, incarnation, func() { n.perform(member, member.coordinator.Tick(n.local(member))) })
-	if member.up && member.incarnation == incarnation {
+	n.deliver(member, incarnation, func() { n.perform(member, member.coordinator.Tick(n.localTime(member))) })
+	if member.running && member.incarnation == incarnation {
 		n.after(100*time.Millisecond, func() { n.tick(member, incarnation) })
 	}
 }
 
-// perform does what a member's coordinator asks for.
+// perform performs the actions requested by a member's coordinator.
 func (n *testCluster) perform(member *testMember, actions Actions) {
 	for _, outbound := range actions.Messages {
 		n.transmit(member, outbound)
@@ -161,7 +161,7 @@
 	n.after(n.messageDelay(sender.addr, outbound.To, message), func() {
 		if !n.cut[[2]string{sender.addr, receiver.addr}] {
 			n.deliver(receiver, incarnation, func() {
-				n.perform(receiver, receiver.coordinator.Step(n.local(receiver), from, message))
+				n.perform(receiver, receiver.coordinator.Step(n.localTime(receiver), from, message))
 			})
 		}
 	})
@@ -169,14 +169,14 @@
 
 func (n *testCluster) write(member *testMember, raw []byte) {
 	if member.diskFull {
-		n.perform(member, member.coordinator.StatePersisted(n.local(member), "no space"))
+		n.perform(member, member.coordinator.StatePersisted(n.localTime(member), "no space"))
 		return
 	}
 	member.disk = raw
-	n.perform(member, member.coordinator.StatePersisted(n.local(member), ""))
+	n.perform(member, member.coordinator.StatePersisted(n.localTime(member), ""))
 }
 
-// advance lets time pass and runs what falls due, in order.
+// advance advances the time and runs the events that fall due, in order.
 func (n *testCluster) advance(duration time.Duration) {
 	for end := n.now + duration; ; {
 		next := -1
@@ -196,21 +196,21 @@
 	}
 }
 
-// propose proposes a command at a member, under a name by which its response is found.
+// propose submits a command to a member. The name identifies its response.
 func (n *testCluster) propose(addr, name string, command chainreplication.Command) {
 	member := n.members[addr]
 	n.deliver(member, member.incarnation, func() {
-		id, actions := member.coordinator.Propose(n.local(member), command)
+		id, actions := member.coordinator.Propose(n.localTime(member), command)
 		n.requestNames[addr][id] = name
 		n.perform(member, actions)
 	})
 }
 
-// read reads the configuration at a member, under a name by which its response is found.
+// read submits a read to a member. The name identifies its response.
 func (n *testCluster) read(addr, name string) {
 	member := n.members[addr]
 	n.deliver(member, member.incarnation, func() {
-		id, actions := member.coordinator.Read(n.local(member))
+		id, actions := member.coordinator.Read(n.localTime(member))
 		n.requestNames[addr][id] = name
 		n.perform(member, actions)
 	})
@@ -223,24 +223,24 @@
 	}
 }
 
-// isolate cuts a member off from all others, in both directions, or connects it to them again.
+// isolate cuts or restores all links of a member, in both directions.
 func (n *testCluster) isolate(addr string, isolated bool) {
 	for other := range n.members {
 		n.cut[[2]string{addr, other}], n.cut[[2]string{other, addr}] = isolated, isolated
 	}
 }
 
-// thaw lets a frozen member go on, with all that arrived meanwhile.
-func (n *testCluster) thaw(addr string) {
+// resume resumes a suspended member and runs its delayed events.
+func (n *testCluster) resume(addr string) {
 	member := n.members[addr]
 	delayed := member.delayed
-	member.frozen, member.delayed = false, nil
+	member.suspended, member.delayed = false, nil
 	for _, run := range delayed {
 		run()
 	}
 }
 
-// voters lists the addresses of the voters in a member's view.
+// voters returns the sorted addresses of the voters in a member's view.
 func (n *testCluster) voters(addr string) []string {
 	var addresses []string
 	for _, voter := range n.members[addr].coordinator.View().Voters {
--- a/controlplane/coordinator/contact_test.go
+++ b/controlplane/coordinator/contact_test.go
@@ -7,51 +7,50 @@
 	"time"
 )
 
-// quorumLossBound is within which time a member that is cut off must know it.
+// quorumLossBound is the time within which an isolated member must detect that it has lost contact with the quorum.
 const quorumLossBound = time.Second
 
-// TestFrozenMemberHasNoQuorumOnWaking guards against contact by messages that waited in a socket: a member that was frozen for
-// 20 s, while the others went on, counted itself in contact for 0.4 s, and could answer with what it knew before, or take
-// commands that were undone since.
-func TestFrozenMemberHasNoQuorumOnWaking(t *testing.T) {
+// TestResumedMemberHasNoQuorumContact guards against a resumed member counting messages that were delayed in its sockets as
+// contact with the quorum, which would let it serve outdated reads and accept outdated commands.
+func TestResumedMemberHasNoQuorumContact(t *testing.T) {
 	for i := range 4 {
-		clockStopped, alone := i%2 == 1, i/2 == 1 // alone: nothing reaches it while it is frozen, either
+		clockStopped, isolated := i%2 == 1, i/2 == 1 // isolated: while it is suspended, the member receives nothing
 		cluster := newTestCluster(t, "a", "b", "c")
 		cluster.advance(3 * time.Second)
 		cluster.propose("a", "first", config(1, "one"))
 		cluster.advance(time.Second)
 		c := cluster.members["c"]
-		c.frozen = true
-		cluster.isolate("c", alone)
+		c.suspended = true
+		cluster.isolate("c", isolated)
 		cluster.advance(5 * time.Second)
 		cluster.propose("a", "second", config(2, "two"))
 		cluster.advance(15 * time.Second)
 		cluster.expectStatus("second", http.StatusOK)
-		cluster.isolate("c", true) // nobody answers any more
+		cluster.isolate("c", true)
 		if clockStopped {
 			c.clockLag = 20 * time.Second
 		}
-		cluster.thaw("c") // all that it was sent meanwhile arrives now
+		cluster.resume("c") // delivers the messages sent in the meantime
 		if clockStopped {
-			c.coordinator.ResetContact(cluster.local(c)) // as the server detects by the time of day
+			c.coordinator.ResetContact(cluster.localTime(c)) // the server detects this case by the wall clock
 		}
 		for step := range 20 {
-			if c.coordinator.HasQuorumContact(cluster.local(c)) {
-				t.Fatalf("clock stopped %v, alone %v: has contact with a quorum %d ms after it woke, with nobody to answer",
-					clockStopped, alone, step*50)
+			if c.coordinator.HasQuorumContact(cluster.localTime(c)) {
+				t.Fatalf("clock stopped %v, isolated %v: an unreachable member has contact with a quorum %d ms after it was resumed",
+					clockStopped, isolated, step*50)
 			}
 			cluster.advance(50 * time.Millisecond)
 		}
 		cluster.isolate("c", false)
 		cluster.advance(time.Second)
-		if !c.coordinator.HasQuorumContact(cluster.local(c)) {
-			t.Error("no contact with a quorum a second after its links are back")
+		if !c.coordinator.HasQuorumContact(cluster.localTime(c)) {
+			t.Error("no contact with a quorum 1 s after the links were restored")
 		}
 	}
 }
 
-// TestIsolatedMemberLosesQuorum bounds for how long a member that nobody hears, or that hears nobody, can believe that it is in
-// contact with a quorum.
+// TestIsolatedMemberLosesQuorum bounds how long a member believes in its quorum contact after its links were cut in one or both
+// directions.
 func TestIsolatedMemberLosesQuorum(t *testing.T) {
 	for _, direction := range []string{"both", "in", "out"} {
 		cluster := newTestCluster(t, "a", "b", "c")
@@ -62,8 +61,8 @@
 		}
 		cluster.advance(quorumLossBound)
 		c := cluster.members["c"]
-		if c.coordinator.HasQuorumContact(cluster.local(c)) {
-			t.Errorf("cut %s: still in contact with a quorum after %v", direction, quorumLossBound)
+		if c.coordinator.HasQuorumContact(cluster.localTime(c)) {
+			t.Errorf("links cut in direction %s: still in contact with a quorum after %v", direction, quorumLossBound)
 		}
 		cluster.read("c", "read")
 		cluster.propose("c", "command", config(9, "nine"))
@@ -73,8 +72,8 @@
 	}
 }
 
-// TestSingleLinkCutIsStable guards against views that follow one another without end: only the link between two members is cut,
-// one of them drops the other, and the one that hears both takes it in again, so that the chain is broken part of the time.
+// TestSingleLinkCutIsStable guards against endless view changes while the link between two members is cut and a third member
+// reaches both.
 func TestSingleLinkCutIsStable(t *testing.T) {
 	for _, link := range [][2]string{{"a", "b"}, {"b", "c"}, {"a", "c"}} {
 		cluster := newTestCluster(t, "a", "b", "c")
@@ -83,21 +82,20 @@
 		cluster.advance(3 * time.Second)
 		before, committed := cluster.members["a"].coordinator.View(), 0
 		for i := range 20 {
-			what := fmt.Sprint("command ", i)
-			cluster.propose(before.Chain[i%2][:1], what, config(uint64(i+1), what))
-			if cluster.advance(time.Second); cluster.responses[what].Status == http.StatusOK {
+			name := fmt.Sprint("command ", i)
+			cluster.propose(before.Chain[i%2][:1], name, config(uint64(i+1), name))
+			if cluster.advance(time.Second); cluster.responses[name].Status == http.StatusOK {
 				committed++
 			}
 		}
 		if views := cluster.members["a"].coordinator.View().Number - before.Number; views > 0 || committed < 20 {
-			t.Errorf("link %v is cut: %d views in 20 s, %d of 20 proposals committed", link, views, committed)
+			t.Errorf("link %v cut: %d views in 20 s, %d of 20 proposals committed", link, views, committed)
 		}
 	}
 }
 
-// TestMembersRejoinAfterLongPartition guards against members that forget each other: two that are no seeds, and did not hear
-// each other for as long as a non-member is remembered, never contacted each other again, and one stayed out for good. Found by
-// the simulation.
+// TestMembersRejoinAfterLongPartition guards against two members that are not seeds never contacting each other again after a
+// partition longer than forgetTimeout of package membership.
 func TestMembersRejoinAfterLongPartition(t *testing.T) {
 	for _, duration := range []time.Duration{10 * time.Second, 21 * time.Second, 60 * time.Second} {
 		cluster := newTestCluster(t, "a", "b", "c")
@@ -112,7 +110,7 @@
 		cluster.advance(time.Second)
 		cluster.expectStatus("command", http.StatusOK)
 		if e := cluster.members["e"].coordinator; e.View().Position(e.Self().ID) < 0 {
-			t.Errorf("isolated for %v: not in the chain 4 s after", duration)
+			t.Errorf("isolated for %v: not in the chain 4 s after the links were restored", duration)
 		}
 	}
 }
--- a/controlplane/coordinator/incarnation_test.go
+++ b/controlplane/coordinator/incarnation_test.go
@@ -6,46 +6,45 @@
 	"time"
 )
 
-// TestResponseToFormerIncarnation guards against an order that is acknowledged and that nobody has: a member is killed after it has
-// forwarded its caller's order, and its next process numbers its requests from 1 again. The head's answer, which waited for the
-// head's disk, must not be taken for one to the order that the new process has forwarded under the same number.
+// TestResponseToFormerIncarnation guards against a delayed response to a request of a member's former process being matched with
+// a request of its present process, which would acknowledge a command that was never proposed.
 func TestResponseToFormerIncarnation(t *testing.T) {
 	t.Run("numbers", requestIDsDifferBetweenIncarnations)
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.advance(3 * time.Second)
-	cluster.writeDelay = 380 * time.Millisecond // the head's disk is slow, and not yet unhealthy
+	cluster.writeDelay = 380 * time.Millisecond // just below slowWriteThreshold
 	forwarded := 0
 	cluster.messageDelay = func(from, _ string, message Message) time.Duration {
 		if from == "b" && message.ProposeRequest != nil {
 			if forwarded++; forwarded > 1 {
-				return time.Hour // the second order is lost on its way
+				return time.Hour // the second request is lost
 			}
 		}
 		return time.Millisecond
 	}
 	cluster.propose("b", "seven", config(7, "seven"))
-	cluster.advance(3 * time.Millisecond) // the head has it, and writes
+	cluster.advance(3 * time.Millisecond) // the head has received the command and is writing it
 	cluster.writeDelay = time.Millisecond
-	cluster.members["b"].up = false
+	cluster.members["b"].running = false
 	cluster.start("b", false)
-	cluster.advance(20 * time.Millisecond) // b is in contact again
+	cluster.advance(20 * time.Millisecond) // b has contact with a quorum again
 	cluster.propose("b", "nine", config(9, "nine"))
 	cluster.advance(3 * time.Second)
 	if forwarded < 2 {
-		t.Fatal("the second order was not forwarded")
+		t.Fatal("the second command was not forwarded")
 	}
 	if response := cluster.responses["nine"]; response.Status == http.StatusOK {
-		t.Error("an order is acknowledged that never left its member")
+		t.Error("a command that never reached the head was acknowledged")
 	}
 	cluster.read("a", "read")
 	cluster.advance(time.Second)
 	if body := string(cluster.responses["read"].Body); body != "seven" {
-		t.Errorf("read %q, want the first order's", body)
+		t.Errorf("read %q, want the first command's configuration", body)
 	}
 }
 
-// requestIDsDifferBetweenIncarnations guards the same for reads: a voter's confirmation that a former process asked for must not
-// confirm a read of the present one.
+// requestIDsDifferBetweenIncarnations guards against a confirmation requested by a former process being counted for a read of the
+// present one.
 func requestIDsDifferBetweenIncarnations(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.advance(3 * time.Second)
@@ -53,14 +52,14 @@
 	for range 5 {
 		member := cluster.members["b"]
 		for range 4 {
-			id, actions := member.coordinator.Read(cluster.local(member))
+			id, actions := member.coordinator.Read(cluster.localTime(member))
 			cluster.perform(member, actions)
 			if seen[id] {
-				t.Errorf("request %d was numbered so before a restart", id)
+				t.Errorf("request ID %d was used before a restart", id)
 			}
 			seen[id] = true
 		}
-		member.up = false
+		member.running = false
 		cluster.start("b", false)
 		cluster.advance(time.Second)
 	}
--- a/controlplane/coordinator/leave_test.go
+++ b/controlplane/coordinator/leave_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// TestLeaverWaitsForReplicas guards against a member that ends while too few others hold what it holds: c has lost its disk and
-// is being synced, and a is told to leave. It waits until both others hold on disk what it holds.
-func TestLeaverWaitsForReplicas(t *testing.T) {
+// TestLeavingMemberWaitsForReplicas guards against a member leaving while too few other members have persisted the committed state: c has
+// lost its disk and is being synced while a leaves.
+func TestLeavingMemberWaitsForReplicas(t *testing.T) {
 	for at := time.Duration(0); at < 2*time.Second; at += 61 * time.Millisecond {
 		cluster := newTestCluster(t, "a", "b", "c")
 		cluster.advance(3 * time.Second)
-		cluster.members["c"].up = false
+		cluster.members["c"].running = false
 		cluster.advance(2 * time.Second)
 		cluster.propose("b", "command", config(1, "one"))
 		cluster.advance(time.Second)
@@ -23,33 +23,33 @@
 		a := cluster.members["a"]
 		a.coordinator.BeginLeave()
 		for range 60 {
-			if cluster.advance(100 * time.Millisecond); a.coordinator.LeaveComplete(cluster.local(a)) {
+			if cluster.advance(100 * time.Millisecond); a.coordinator.LeaveComplete(cluster.localTime(a)) {
 				break
 			}
 		}
-		if !a.coordinator.LeaveComplete(cluster.local(a)) {
-			t.Fatalf("after %v: the others cannot go on without it", at)
+		if !a.coordinator.LeaveComplete(cluster.localTime(a)) {
+			t.Fatalf("left %v after the restart of c: not complete within 6 s", at)
 		}
-		holders := 0
+		copies := 0
 		for _, addr := range []string{"b", "c"} {
 			if state, err := DecodePersistentState(cluster.members[addr].disk); err == nil && string(state.Register.Body) == "one" {
-				holders++
+				copies++
 			}
 		}
-		if holders < 2 {
-			t.Errorf("after %v: it leaves, and %d others hold what it holds", at, holders)
+		if copies < 2 {
+			t.Errorf("left %v after the restart of c: %d other members have the committed configuration, want 2", at, copies)
 		}
-		a.up, a.disk = false, nil
+		a.running, a.disk = false, nil
 		cluster.advance(2 * time.Second)
 		cluster.read("b", "read")
 		cluster.advance(time.Second)
 		if response := cluster.responses["read"]; string(response.Body) != "one" {
-			t.Errorf("after %v: the read is answered with %d %q", at, response.Status, response.Body)
+			t.Errorf("left %v after the restart of c: the read returned %d %q", at, response.Status, response.Body)
 		}
 	}
 }
 
-// TestAllMembersLeaveAtOnce tells all members to leave at once: none waits for another.
+// TestAllMembersLeaveAtOnce guards against members waiting for each other when all of them leave.
 func TestAllMembersLeaveAtOnce(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.advance(3 * time.Second)
@@ -58,26 +58,26 @@
 	}
 	cluster.advance(time.Second)
 	for addr, member := range cluster.members {
-		if !member.coordinator.LeaveComplete(cluster.local(member)) {
-			t.Errorf("%s waits for others that leave too", addr)
+		if !member.coordinator.LeaveComplete(cluster.localTime(member)) {
+			t.Errorf("%s waits for members that are leaving too", addr)
 		}
 	}
 }
 
-// TestLeaverOfFourKeepsOddVoters guards against a member that leaves while it still makes the number of voters even: the next
-// loss left two of four. Found by internal/testbeds/modelcheck/membershipmodel.
-func TestLeaverOfFourKeepsOddVoters(t *testing.T) {
+// TestLeavingMemberKeepsOddVoters guards against a member stopping while it is still one of an even number of voters: the loss of
+// one more member would leave two of four.
+func TestLeavingMemberKeepsOddVoters(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.start("d", false)
 	cluster.advance(5 * time.Second)
 	a := cluster.members["a"]
 	a.coordinator.BeginLeave()
 	for range 600 {
-		if cluster.advance(10 * time.Millisecond); a.coordinator.LeaveComplete(cluster.local(a)) {
+		if cluster.advance(10 * time.Millisecond); a.coordinator.LeaveComplete(cluster.localTime(a)) {
 			break
 		}
 	}
-	a.up, cluster.members["b"].up = false, false
+	a.running, cluster.members["b"].running = false, false
 	cluster.advance(3 * time.Second)
 	cluster.propose("c", "command", config(1, "one"))
 	cluster.advance(time.Second)
--- a/controlplane/coordinator/message_test.go
+++ b/controlplane/coordinator/message_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestResponseStatus pins the HTTP status that stands for each outcome in the control API.
+// TestResponseStatus verifies the HTTP status and redirect of each result in the control API.
 func TestResponseStatus(t *testing.T) {
 	for _, test := range []struct {
 		err        error
@@ -23,7 +23,7 @@
 	} {
 		response := Response{Err: test.err}
 		if response.Status() != test.status || response.RedirectTo() != test.redirectTo {
-			t.Errorf("%v: %d %q, want %d %q", test.err, response.Status(), response.RedirectTo(), test.status, test.redirectTo)
+			t.Errorf("%v: status %d, redirect %q; want %d, %q", test.err, response.Status(), response.RedirectTo(), test.status, test.redirectTo)
 		}
 	}
 }
--- a/controlplane/coordinator/persistence_test.go
+++ b/controlplane/coordinator/persistence_test.go
@@ -10,8 +10,7 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// TestDiskRecovers makes writes fail, or slow, and then succeed again: the health of the disk follows, without another change of the
-// state that would cause a write.
+// TestDiskRecovers verifies that the disk health recovers after failed or slow writes without any further state change.
 func TestDiskRecovers(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -28,23 +27,23 @@
 		cluster := newTestCluster(t, "a")
 		cluster.advance(time.Second)
 		a := cluster.members["a"]
-		health := func() string { return a.coordinator.Status(cluster.local(a)).DiskHealth }
+		health := func() string { return a.coordinator.Status(cluster.localTime(a)).DiskHealth }
 		test.set(cluster)
 		cluster.propose("a", "command", config(1, "one"))
 		cluster.advance(2 * time.Second)
 		if got := health(); got != statusDiskUnhealthy {
-			t.Errorf("%s: the disk is %q", test.name, got)
+			t.Errorf("%s: disk health %q, want %q", test.name, got, statusDiskUnhealthy)
 		}
 		test.recovers(cluster)
 		cluster.advance(2 * time.Second)
 		if got := health(); got != statusDiskHealthy {
-			t.Errorf("%s: the disk is %q after it has recovered", test.name, got)
+			t.Errorf("%s: disk health %q after recovery, want %q", test.name, got, statusDiskHealthy)
 		}
 	}
 }
 
-// TestLostCommitIsCaughtUp loses every commit message to one member: it learns what is committed from the others' heartbeats.
-func TestLostCommitIsCaughtUp(t *testing.T) {
+// TestMemberCatchesUpAfterLostCommit verifies that a member that lost all Commit messages catches up through heartbeats.
+func TestMemberCatchesUpAfterLostCommit(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.advance(3 * time.Second)
 	cluster.messageDelay = func(_, to string, message Message) time.Duration {
@@ -56,19 +55,19 @@
 	cluster.propose("a", "command", config(1, "one"))
 	cluster.advance(2 * time.Second)
 	if register, known := cluster.members["b"].coordinator.Register(); !known || string(register.Body) != "one" {
-		t.Errorf("b knows %q", register.Body)
+		t.Errorf("b: committed %v, body %q; want %q", known, register.Body, "one")
 	}
 }
 
-// changingHints are hints that have changed whenever they are looked at.
+// changingHints reports a new revision on each call.
 type changingHints struct{ revision uint64 }
 
 func (h *changingHints) Revision() uint64 { h.revision++; return h.revision }
 
 func (h *changingHints) Instances() []fleet.Instance { return nil }
 
-// TestHintsAreWrittenRarely bounds the writes that nothing but hints causes.
-func TestHintsAreWrittenRarely(t *testing.T) {
+// TestHintsWriteInterval bounds the rate of writes caused by hints alone.
+func TestHintsWriteInterval(t *testing.T) {
 	var state PersistentState
 	state.Initialize("a", []string{"a"}, true, "")
 	self := fleet.Member{ID: state.DiskID, Addr: "a"}
@@ -78,7 +77,7 @@
 	perform := func(actions Actions) {
 		for actions.StateToPersist != nil {
 			if writes++; writes > 100 {
-				t.Fatal("each write causes the next one")
+				t.Fatal("writing the hints causes further writes without end")
 			}
 			actions = c.StatePersisted(now, "")
 		}
@@ -89,11 +88,11 @@
 		perform(c.Tick(now))
 	}
 	if writes < 8 || writes > 10 {
-		t.Errorf("%d writes in 10 s", writes)
+		t.Errorf("%d writes in 10 s, want 8 to 10", writes)
 	}
 }
 
-// TestInitialize gives an empty disk its identity, and the initial view where the disk is of the very first start.
+// TestInitialize verifies the identity and the view of empty and initialized disks.
 func TestInitialize(t *testing.T) {
 	seeds := []string{"b", "a", "b"}
 	initial := membership.View{
@@ -117,7 +116,7 @@
 		state := PersistentState{DiskID: test.diskID}
 		state.Initialize(test.address, seeds, test.firstStart, "x")
 		if state.DiskID != test.wantDiskID || !reflect.DeepEqual(state.View.View, test.wantView) {
-			t.Errorf("%s: %q with %+v", test.name, state.DiskID, state.View.View)
+			t.Errorf("%s: disk ID %q, view %+v", test.name, state.DiskID, state.View.View)
 		}
 	}
 }
--- a/controlplane/coordinator/proposal.go
+++ b/controlplane/coordinator/proposal.go
@@ -158,7 +158,11 @@
 	case proposal == nil:
 	case response.Accepted:
 		proposal.accepted = true
-		proposal.commitCondition = chainreplication.CommitCondition{ViewNumber: response.ViewNumber, Sequence: response.Sequence, Conflicts: response.Conflict}
+		proposal.commitCondition = chainreplication.CommitCondition{
+			ViewNumber: response.ViewNumber,
+			Sequence:   response.Sequence,
+			Conflicts:  response.Conflict,
+		}
 	case !proposal.retriedEarly: // possibly rejected for its age; retry with the clock reading in this response
 		proposal.retriedEarly, proposal.retryAt = true, now
 	}
--- a/controlplane/coordinator/proposal_test.go
+++ b/controlplane/coordinator/proposal_test.go
@@ -11,9 +11,8 @@
 	"zincloft.example/zincloft/controlplane/membership"
 )
 
-// TestConflictingConfigurationsOfOneVersion guards against two operators who are both told that their configuration holds: of
-// two contents under one version, proposed at two members in the same moment or later, one is confirmed; the other is refused,
-// once the first is certain to last. The same content again is always confirmed, by every member, also after newer versions.
+// TestConflictingConfigurationsOfOneVersion guards against two configurations being acknowledged under the same version. A repeated
+// proposal of the accepted configuration succeeds on every member, even after newer versions.
 func TestConflictingConfigurationsOfOneVersion(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.advance(3 * time.Second)
@@ -23,7 +22,7 @@
 	got := []int{cluster.responses["one"].Status, cluster.responses["two"].Status}
 	slices.Sort(got)
 	if !slices.Equal(got, []int{http.StatusOK, http.StatusConflict}) {
-		t.Fatalf("the two proposals get %v", got)
+		t.Fatalf("statuses of the two proposals: %v, want one success and one conflict", got)
 	}
 	won, lost := "one", "two"
 	if cluster.responses["two"].Status == http.StatusOK {
@@ -40,41 +39,41 @@
 		cluster.expectStatus("again "+addr, http.StatusOK)
 		cluster.expectStatus("other "+addr, http.StatusConflict)
 		if response := cluster.responses["read "+addr]; string(response.Body) != "nine" {
-			t.Errorf("%s answers the read with %q", addr, response.Body)
+			t.Errorf("%s: read %q, want %q", addr, response.Body, "nine")
 		}
 	}
-	cluster.expectStatus("eight a", http.StatusOK) // overtaken, but its version is claimed all the same
+	cluster.expectStatus("eight a", http.StatusOK) // outdated, but claims its version
 	cluster.expectStatus("eight b", http.StatusConflict)
 	cluster.expectStatus("eight c", http.StatusConflict)
 }
 
-// TestCommandAppliesOnce guards against a command that is proposed to a second head after its first had taken it: an evacuation
-// was begun again although its end had been acknowledged in between.
+// TestCommandAppliesOnce guards against a command taking effect again when it is proposed to a second head: a finished evacuation
+// would be restarted.
 func TestCommandAppliesOnce(t *testing.T) {
 	begin, end := chainreplication.Command{ID: 1, Zone: "z", Evacuated: true}, chainreplication.Command{ID: 2, Zone: "z"}
 	register := chainreplication.Register{}.Apply(begin).Apply(end)
 	if again := register.Apply(begin); again.EvacuatedZones["z"] || again.Sequence != register.Sequence {
-		t.Error("a command that was applied takes effect again")
+		t.Error("a repeated command took effect again")
 	}
 	for i := range uint64(500) {
 		register = register.Apply(chainreplication.Command{ID: 10 + i, Version: 1 + i, Body: []byte(fmt.Sprint(i))})
 	}
 	if len(register.AppliedCommands) > 64 || len(register.Claims) > 64 {
-		t.Errorf("%d commands and %d versions are remembered after 500 changes", len(register.AppliedCommands), len(register.Claims))
+		t.Errorf("%d command IDs and %d claims after 500 changes, want at most 64 each", len(register.AppliedCommands), len(register.Claims))
 	}
-	// Guards a version that many lower ones, which come after it and change nothing, would push out. Found by the simulation.
+	// Many lower versions must not evict the claim on the highest one.
 	high := chainreplication.Register{}.Apply(config(9000, "one"))
 	for i := range uint64(200) {
 		high = high.Apply(config(8000+i, fmt.Sprint(i)))
 	}
 	high = high.Apply(config(9001, "next"))
 	if !high.ConflictsWith(config(9000, "two")) || high.ConflictsWith(config(9000, "one")) || len(high.Claims) > 64 {
-		t.Errorf("the highest version is forgotten after 200 lower ones")
+		t.Errorf("the claim on the highest version was evicted by 200 lower versions")
 	}
 }
 
-// TestDelayedProposalHasNoEffect guards against a command that takes effect after its caller was refused: delayed on its way to
-// the head, it undid what was acknowledged meanwhile.
+// TestDelayedProposalHasNoEffect guards against a delayed command taking effect after its caller was told that it failed, and
+// overriding commands acknowledged since.
 func TestDelayedProposalHasNoEffect(t *testing.T) {
 	for delay := 50 * time.Millisecond; delay < 1500*time.Millisecond; delay += 50 * time.Millisecond {
 		cluster := newTestCluster(t, "a", "b", "c")
@@ -86,7 +85,7 @@
 			return time.Millisecond
 		}
 		cluster.propose("c", "start", chainreplication.Command{Zone: "z", Evacuated: true})
-		for range 20 { // once refused, the caller turns to another member, and then undoes the command
+		for range 20 { // wait until the proposal fails; the caller then retries on another member and reverts the command
 			if cluster.advance(50 * time.Millisecond); cluster.responses["start"].Status != 0 {
 				break
 			}
@@ -99,21 +98,20 @@
 		cluster.expectStatus("finish", http.StatusOK)
 		cluster.advance(2 * time.Second)
 		if register, _ := cluster.members["a"].coordinator.Register(); register.EvacuatedZones["z"] {
-			t.Errorf("a command that was %v on its way undid a newer one", delay)
+			t.Errorf("a command delayed by %v overrode a later one", delay)
 		}
 	}
 }
 
-// TestClockStallExpiresProposals guards against an operator's command that waited in the socket of a machine that was suspended
-// together with its monotonic clock and its time of day: on waking it took effect over something newer. Only the other members'
-// clocks show it. Found by the simulation.
+// TestClockStallExpiresProposals guards against a command that waited in the socket of a suspended machine overriding later ones,
+// if both clocks of the machine were stopped and only the clocks of other members reveal the suspension.
 func TestClockStallExpiresProposals(t *testing.T) {
-	for _, readOrder := range []string{"before", "after"} { // the socket's content is read before or after the other members' messages
+	for _, readOrder := range []string{"before", "after"} { // whether the socket is read before or after the messages of other members
 		cluster := newTestCluster(t, "a", "b", "c")
 		cluster.advance(3 * time.Second)
 		for _, addr := range []string{"b", "c", "a"} {
 			member := cluster.members[addr]
-			member.frozen = true
+			member.suspended = true
 			late := func() { cluster.propose(addr, "late "+addr, chainreplication.Command{Zone: "z", Evacuated: true}) }
 			if readOrder == "before" {
 				cluster.deliver(member, member.incarnation, late)
@@ -123,22 +121,21 @@
 				cluster.deliver(member, member.incarnation, late)
 			}
 			member.clockLag += 20 * time.Second
-			cluster.thaw(addr)
+			cluster.resume(addr)
 			cluster.advance(3 * time.Second)
 			if register, _ := cluster.members["a"].coordinator.Register(); register.EvacuatedZones["z"] {
-				t.Errorf("%s: a command that waited 20 s in the socket of %s takes effect", readOrder, addr)
+				t.Errorf("%s: a command delayed by 20 s in the socket of %s took effect", readOrder, addr)
 			}
 			if cluster.responses["late "+addr].Status == http.StatusOK {
-				t.Errorf("%s: a command that waited 20 s in the socket of %s is acknowledged", readOrder, addr)
+				t.Errorf("%s: a command delayed by 20 s in the socket of %s was acknowledged", readOrder, addr)
 			}
 			cluster.advance(3 * time.Second)
 		}
 	}
 }
 
-// TestHeadKilledBeforePersisting guards against a command that is acknowledged by another one's sequence: the head answered with
-// the position before it was on its disk, was killed, restarted within the same view and gave the position to another command.
-// Found by the simulation.
+// TestHeadKilledBeforePersisting guards against a head that restarts within the same view assigning the sequence of an unpersisted
+// command to another command, whose commit would then acknowledge the lost one.
 func TestHeadKilledBeforePersisting(t *testing.T) {
 	for at := 2 * time.Millisecond; at < 30*time.Millisecond; at += time.Millisecond {
 		cluster := newTestCluster(t, "a", "b", "c")
@@ -151,15 +148,14 @@
 		cluster.advance(900 * time.Millisecond)
 		register, _ := cluster.members["a"].coordinator.Register()
 		if cluster.responses["lost"].Status == http.StatusOK && !register.EvacuatedZones["z"] {
-			t.Fatalf("killed after %v: a command that no member holds is acknowledged", at)
+			t.Fatalf("head killed after %v: a command that no member has was acknowledged", at)
 		}
 	}
 }
 
-// TestRegisterLearnedBeforeViewDecided guards against a command that is acknowledged by a register of a newer view: a head that
-// was cut off took a command in its old view, caught up with the others' register before it learned of their view, and counted
-// that as its own commit. Found by the simulation.
-func TestRegisterLearnedBeforeViewDecided(t *testing.T) {
+// TestCatchUpBeforeViewIsDecided guards against a partitioned head that catches up with a later view's register, before it
+// learns of that view, treating the register as a commit of its own commands.
+func TestCatchUpBeforeViewIsDecided(t *testing.T) {
 	for after := time.Duration(0); after < 400*time.Millisecond; after += 9 * time.Millisecond {
 		cluster := newTestCluster(t, "a", "b", "c")
 		cluster.advance(3 * time.Second)
@@ -181,7 +177,7 @@
 		cluster.advance(2 * time.Second)
 		register, _ := cluster.members["b"].coordinator.Register()
 		if cluster.responses["old head's"].Status == http.StatusOK && !register.EvacuatedZones["z"] {
-			t.Fatalf("%v after the partition: a command is acknowledged that the others do not hold", after)
+			t.Fatalf("%v after the partition: a command that the other members do not have was acknowledged", after)
 		}
 	}
 }
--- a/controlplane/coordinator/read_test.go
+++ b/controlplane/coordinator/read_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestReadWithoutConfiguration reads before any configuration is committed.
+// TestReadWithoutConfiguration verifies the response to a read before any configuration is committed.
 func TestReadWithoutConfiguration(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.advance(3 * time.Second)
@@ -15,8 +15,8 @@
 	cluster.expectStatus("read", http.StatusNotFound)
 }
 
-// TestReadNeedsConfirmations guards against a member that answers with what it last knew: one that was cut off just now still
-// believes in its contact with a quorum, but nobody confirms its view.
+// TestReadNeedsConfirmations guards against outdated reads on a member that was just isolated: its contact lease is still valid,
+// but no other voter confirms its view.
 func TestReadNeedsConfirmations(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.advance(3 * time.Second)
@@ -25,20 +25,20 @@
 	cluster.expectStatus("command", http.StatusOK)
 	cluster.isolate("c", true)
 	c := cluster.members["c"]
-	if !c.coordinator.HasQuorumContact(cluster.local(c)) {
-		t.Fatal("contact is lost at once")
+	if !c.coordinator.HasQuorumContact(cluster.localTime(c)) {
+		t.Fatal("contact with the quorum was lost immediately")
 	}
 	cluster.read("c", "read")
 	cluster.advance(requestTimeout / 2)
 	if response := cluster.responses["read"]; response.Status == http.StatusOK {
-		t.Errorf("an isolated member answers the read with %q", response.Body)
+		t.Errorf("an isolated member answered the read with %q", response.Body)
 	}
 	cluster.advance(requestTimeout)
 	cluster.expectStatus("read", http.StatusServiceUnavailable)
 }
 
-// TestReadOutsideTheChainIsRedirected reads at a voter that the chain does without because its disk fails.
-func TestReadOutsideTheChainIsRedirected(t *testing.T) {
+// TestReadOutsideChainIsRedirected reads from a voter that was removed from the chain because its disk fails.
+func TestReadOutsideChainIsRedirected(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.advance(3 * time.Second)
 	cluster.members["c"].diskFull = true
@@ -47,6 +47,6 @@
 	cluster.read("c", "read")
 	cluster.expectStatus("read", http.StatusTemporaryRedirect)
 	if to := cluster.responses["read"].RedirectTo; to != "b" {
-		t.Errorf("redirected to %q, want the tail, b", to)
+		t.Errorf("redirected to %q, want the tail b", to)
 	}
 }
--- a/controlplane/coordinator/status_test.go
+++ b/controlplane/coordinator/status_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestStatusCountsDisks follows the disks that are known to hold what is committed, as members are lost.
+// TestStatusCountsDisks verifies the number of up-to-date disks in the status as members fail.
 func TestStatusCountsDisks(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.advance(3 * time.Second)
@@ -14,25 +14,25 @@
 	a := cluster.members["a"]
 	expect := func(disks int, faultTolerant bool) Status {
 		t.Helper()
-		status := a.coordinator.Status(cluster.local(a))
+		status := a.coordinator.Status(cluster.localTime(a))
 		if status.UpToDateDisks != disks || status.FaultTolerant != faultTolerant {
-			t.Errorf("%d disks, fault tolerant %v; want %d, %v", status.UpToDateDisks, status.FaultTolerant, disks, faultTolerant)
+			t.Errorf("%d up-to-date disks, fault tolerant %v; want %d, %v", status.UpToDateDisks, status.FaultTolerant, disks, faultTolerant)
 		}
 		if status.FaultTolerant != (status.Shortfall == "") {
-			t.Errorf("fault tolerant %v, shortfall %q", status.FaultTolerant, status.Shortfall)
+			t.Errorf("fault tolerant %v, but shortfall %q", status.FaultTolerant, status.Shortfall)
 		}
 		return status
 	}
 	status := expect(3, true)
 	if status.ConfigVersion != "0000002a" || status.CommittedSequence != 1 || status.LatestSequence != 1 || !status.HasQuorumContact {
-		t.Errorf("%+v", status)
+		t.Errorf("unexpected status %+v", status)
 	}
-	cluster.members["c"].up = false
+	cluster.members["c"].running = false
 	cluster.advance(3 * time.Second)
 	expect(2, true)
-	cluster.members["b"].up = false
+	cluster.members["b"].running = false
 	cluster.advance(3 * time.Second)
 	if expect(1, false).HasQuorumContact {
-		t.Error("one of three members is in contact with a quorum")
+		t.Error("one of three members has contact with a quorum")
 	}
 }
