--- a/controlplane/membership/consensus.go
+++ b/controlplane/membership/consensus.go
@@ -9,42 +9,41 @@
 	"zincloft.example/zincloft/invariant"
 )
 
-// This file is single-decree Paxos among the voters of view n, whose decision is view n+1. The state of the agreement
-// starts anew with each installed view.
+// This file implements single-decree Paxos among the voters of view n to decide view n+1. The Paxos state is reset with
+// each installed view.
 
 const (
-	// proposalTimeout is how long a proposal may stay without a decision before it is abandoned, and the longest random
-	// backoff before the next one.
+	// proposalTimeout is the time after which an undecided proposal is abandoned. It also bounds the random backoff before
+	// the next proposal.
 	proposalTimeout = 500 * time.Millisecond
 
-	// changeConfirmationDelay is how long a change must have been wanted before it is proposed.
+	// changeConfirmationDelay is how long a view change must have been necessary before it is proposed.
 	changeConfirmationDelay = 200 * time.Millisecond
 
-	// proposerStagger is how much longer each further member of the chain waits before it proposes, so that members
-	// rarely compete.
+	// proposerStagger is the additional delay per chain position before a member proposes. It reduces competing proposals.
 	proposerStagger = 300 * time.Millisecond
 )
 
-// proposal is this node's own proposal for the next view.
+// proposal is this node's own proposal of the next view.
 type proposal struct {
 	active          bool
 	startedAt       Time
 	ballot          Ballot
 	value           View
-	highestAccepted Ballot // Highest ballot under which a promising voter had accepted a view; value is that view.
-	accepting       bool   // In phase 2.
+	highestAccepted Ballot // Highest ballot of a view accepted by a promising voter; value is that view.
+	accepting       bool   // Whether phase 2 has started.
 	promisedBy      map[string]bool
 	acceptedBy      map[string]bool
 }
 
-// ConfirmsLatestView reports whether this node is a voter and knows of no view after the given one that may have been
-// decided. As each decision takes a quorum, a quorum of such answers shows that there was no later view when the first
-// of them was given.
+// ConfirmsLatestView reports whether this node is a voter and knows of no later view that may have been decided. Because a
+// decision requires a quorum, such confirmations by a quorum prove that no later view existed when the first of them was
+// made.
 func (node *Node) ConfirmsLatestView(number uint64) bool {
 	return node.state.View.Number == number && node.state.AcceptedView == nil && node.state.View.HasVoter(node.self.ID)
 }
 
-// proposeIfNeeded begins a proposal once a change has been wanted for long enough.
+// proposeIfNeeded starts a proposal once a view change has been necessary for long enough.
 func (node *Node) proposeIfNeeded(now Time) {
 	value, wanted := node.valueToPropose(now)
 	if !wanted {
@@ -61,21 +60,20 @@
 	node.beginProposal(now, value)
 }
 
-// valueToPropose returns the view to propose, if there is one.
+// valueToPropose returns the view to propose, and whether there is one.
 func (node *Node) valueToPropose(now Time) (View, bool) {
 	if next, ok := node.nextView(now); ok {
 		return next, true
 	}
-	// A view that was accepted here may have been decided, though its proposer may have failed: no voter that knows of
-	// it confirms the present view, and no linearizable read can be answered, until that agreement is finished
-	// (docs/design/control-plane.md, rule 10).
+	// An accepted view may have been decided even if its proposer failed. Voters that accepted it no longer confirm the
+	// current view, so linearizable reads fail until the agreement is completed (docs/design/control-plane.md, rule 10).
 	if node.state.AcceptedView != nil && node.HasQuorumContact(now) && !node.diskUnhealthy {
 		return *node.state.AcceptedView, true
 	}
 	return View{}, false
 }
 
-// proposalDelay returns how long a change must have been wanted before this node proposes it.
+// proposalDelay returns how long a view change must have been necessary before this node proposes it.
 func (node *Node) proposalDelay(value View) Time {
 	rank := value.Position(node.self.ID)
 	if rank < 0 {
@@ -84,7 +82,7 @@
 	return changeConfirmationDelay + Time(rank)*proposerStagger
 }
 
-// beginProposal starts phase 1 under a ballot higher than any that this node has seen.
+// beginProposal starts phase 1 with a ballot higher than any seen by this node.
 func (node *Node) beginProposal(now Time, value View) {
 	node.highestRound = max(node.highestRound, node.state.PromisedBallot.Round) + 1
 	node.proposal = proposal{
@@ -101,20 +99,20 @@
 	}
 }
 
-// abandonStaleProposal gives up a proposal that was not decided in time, and backs off.
+// abandonStaleProposal abandons a proposal that was not decided within proposalTimeout.
 func (node *Node) abandonStaleProposal(now Time) {
 	if node.proposal.active && now-node.proposal.startedAt > proposalTimeout {
 		node.abandonProposal(now, proposalTimeout)
 	}
 }
 
-// abandonProposal gives up the proposal; no other is begun for a random time up to maxBackoff.
+// abandonProposal abandons the proposal and backs off for a random time of up to maxBackoff.
 func (node *Node) abandonProposal(now, maxBackoff Time) {
 	node.proposal.active = false
 	node.backoffUntil = now + Time(node.random()*float64(maxBackoff))
 }
 
-// handlePrepare answers phase 1a. The view that the proposal builds on is decided, so it is installed first if it is newer.
+// handlePrepare handles phase 1a. The view that the proposal is based on is decided, so it is installed first if it is newer.
 func (node *Node) handlePrepare(m Message) {
 	if m.View != nil {
 		node.installView(*m.View)
@@ -138,7 +136,7 @@
 	}
 }
 
-// handleAccept answers phase 2a.
+// handleAccept handles phase 2a.
 func (node *Node) handleAccept(m Message) {
 	if m.View == nil || !node.votesOn(m.ViewNumber) || m.Ballot.Less(node.state.PromisedBallot) {
 		return
@@ -150,7 +148,7 @@
 	node.send(m.From, Message{Kind: Accepted, ViewNumber: m.ViewNumber, Ballot: m.Ballot}, true)
 }
 
-// handleReject abandons the proposal and learns the ballot that it has to exceed.
+// handleReject abandons the proposal and records the round that the next ballot has to exceed.
 func (node *Node) handleReject(now Time, m Message) {
 	if !node.proposal.active || m.Ballot != node.proposal.ballot {
 		return
@@ -159,8 +157,8 @@
 	node.abandonProposal(now, proposalTimeout/2)
 }
 
-// handlePromise counts promises; a quorum of them begins phase 2. A view that a promising voter has accepted before
-// replaces the proposed value, that of the highest ballot first: it may have been decided.
+// handlePromise counts promises and starts phase 2 once there is a quorum. The proposed value is replaced by the view with
+// the highest ballot that a promising voter has accepted, because that view may have been decided.
 func (node *Node) handlePromise(m Message) {
 	p := &node.proposal
 	if !node.countsForProposal(m) || p.accepting {
@@ -180,7 +178,7 @@
 	}
 }
 
-// handleAccepted counts acceptances; a quorum of them decides the view.
+// handleAccepted counts acceptances. The view is decided once there is a quorum.
 func (node *Node) handleAccepted(m Message) {
 	p := &node.proposal
 	if !node.countsForProposal(m) || !p.accepting {
@@ -194,7 +192,7 @@
 	node.installView(p.value)
 }
 
-// announceDecision tells a decided view to the members of the present view and of that one.
+// announceDecision sends the decided view to the members of the current view and of the decided one.
 func (node *Node) announceDecision(decided View) {
 	receivers := map[string]fleet.Member{}
 	for _, m := range append(node.state.View.Members(), decided.Members()...) {
@@ -206,7 +204,7 @@
 	}
 }
 
-// installView makes a decided view the present one, if it is newer.
+// installView installs a decided view if it is newer than the current one.
 func (node *Node) installView(view View) {
 	if view.Number <= node.state.View.Number {
 		return
@@ -219,12 +217,12 @@
 	node.stateChanged, node.viewInstalled = true, true
 }
 
-// votesOn reports whether this node votes in the agreement on the numbered view: only the voters of the view before do.
+// votesOn reports whether this node votes on the view with the given number. Only voters of the preceding view do.
 func (node *Node) votesOn(number uint64) bool {
 	return number == node.state.View.Number+1 && node.state.View.HasVoter(node.self.ID)
 }
 
-// countsForProposal reports whether an answer is a voter's to this node's present proposal.
+// countsForProposal reports whether a response was sent by a voter and belongs to this node's active proposal.
 func (node *Node) countsForProposal(m Message) bool {
 	return node.proposal.active && m.Ballot == node.proposal.ballot &&
 		m.ViewNumber == node.state.View.Number+1 && node.state.View.HasVoter(m.From.ID)
--- a/controlplane/membership/failuredetector.go
+++ b/controlplane/membership/failuredetector.go
@@ -6,23 +6,23 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// This file judges by arrivals which other members have failed. A mistake here costs a view change and nothing else.
+// This file implements failure detection. A false suspicion causes an unnecessary view change but is otherwise harmless.
 
 const (
-	// suspectTimeout is how long a peer may be silent before it is suspected to have failed.
+	// suspectTimeout is the time without heartbeats after which a peer is suspected to have failed.
 	suspectTimeout = 800 * time.Millisecond
 
-	// forgetTimeout is how long a peer that is not a member of the view may be silent before it is forgotten.
+	// forgetTimeout is the time without heartbeats after which a peer that is not a member of the view is removed.
 	forgetTimeout = 20 * time.Second
 )
 
-// peer is what this node knows of another member, or of a machine that may become one.
+// peer is the state of another member, or of a machine that may become one.
 type peer struct {
 	fleet.Member
 	lastHeard      Time
-	connectedSince Time // Reachable without a gap since.
+	connectedSince Time // Start of the current period of uninterrupted reachability.
 	hearsUs        bool
-	echoes         map[string]ClockReading // Whom it hears.
+	echoes         map[string]ClockReading // Members whose heartbeats the peer receives, by ID.
 	syncedView     uint64
 	leaving        bool
 
@@ -30,27 +30,27 @@
 	diskUnhealthySince Time
 
 	clock          clockEstimate
-	lastEchoedSend Time // When the newest reading of our clock that it has echoed was sent; 0: none was.
+	lastEchoedSend Time // When the latest echoed reading of this node's clock was sent; 0 if there is none.
 }
 
-// IsReachable reports whether a member was heard lately and hears this node.
+// IsReachable reports whether heartbeats between this node and a member arrive in both directions.
 func (node *Node) IsReachable(now Time, id string) bool {
 	p := node.peers[id]
 	return p != nil && !p.isSilent(now) && p.hearsUs
 }
 
-// IsSynced reports whether a member has said that it was synced in the numbered view, on its disk: then it holds
-// everything that was acknowledged.
+// IsSynced reports whether a member has reported that it was synced, and has persisted its register, in the view with the
+// given number. It has everything then that was acknowledged before.
 func (node *Node) IsSynced(id string, number uint64) bool { return node.syncedViewOf(id) == number }
 
-// Leave begins a graceful shutdown: the other members are asked to do without this node.
+// Leave starts a graceful shutdown: the other members are asked to replace this node.
 func (node *Node) Leave() { node.leaving = true }
 
 // IsLeaving reports whether Leave was called.
 func (node *Node) IsLeaving() bool { return node.leaving }
 
-// HasNoSuccessor reports whether there is nobody to hand over to: every other voter that is reachable is leaving too, or
-// there is no other voter.
+// HasNoSuccessor reports whether no voter can take over from this node: there is no other voter, or all reachable ones are
+// leaving too.
 func (node *Node) HasNoSuccessor(now Time) bool {
 	reachable := 0
 	for _, voter := range node.state.View.Voters {
@@ -67,7 +67,7 @@
 
 func (p *peer) isSilent(now Time) bool { return now-p.lastHeard >= suspectTimeout }
 
-// isHealthy reports whether a member, or this node, is reachable and its disk takes writes.
+// isHealthy reports whether a member, or this node, is reachable and its disk is healthy.
 func (node *Node) isHealthy(now Time, id string) bool {
 	if id == node.self.ID {
 		return !node.diskUnhealthy
@@ -75,9 +75,9 @@
 	return node.IsReachable(now, id) && !node.peers[id].diskUnhealthy
 }
 
-// isLinkedToAll reports whether a healthy member and each one of a chain hear each other, as far as they have said. Where
-// the link between two is cut, even in one direction, one of them must stay out though the others hear both: registers
-// are forwarded from neighbour to neighbour, commands go to the head, and the tail's commits to all.
+// isLinkedToAll reports whether a healthy member and each member of a chain receive each other's heartbeats, according to
+// their reports. The chain requires links between all of its members: registers are forwarded between neighbors, commands
+// are sent to the head, and the tail sends commits to all members.
 func (node *Node) isLinkedToAll(id string, chain []string) bool {
 	for _, other := range chain {
 		if !node.reportedHearing(other, id) || !node.reportedHearing(id, other) {
@@ -87,8 +87,8 @@
 	return true
 }
 
-// reportedHearing reports whether one healthy member has said that it hears another. This node's own hearing is part of
-// the other's health.
+// reportedHearing reports whether a healthy member has reported that it receives the heartbeats of another. It is always true
+// for this node as the listener, because a member whose heartbeats do not arrive is not healthy.
 func (node *Node) reportedHearing(listener, speaker string) bool {
 	if listener == node.self.ID {
 		return true
@@ -97,7 +97,7 @@
 	return hears
 }
 
-// absentFor returns how long a member has been silent, or heard with an unhealthy disk, as far as this node can tell.
+// absentFor returns how long a member has been known to be silent or to have an unhealthy disk.
 func (node *Node) absentFor(now Time, id string) Time {
 	p := node.peers[id]
 	switch {
@@ -109,7 +109,7 @@
 	return now - max(p.lastHeard, node.observingSince)
 }
 
-// isPeerLeaving reports whether a member, or this node, is shutting down gracefully.
+// isPeerLeaving reports whether a member, or this node, is leaving.
 func (node *Node) isPeerLeaving(id string) bool {
 	if id == node.self.ID {
 		return node.leaving
@@ -118,7 +118,7 @@
 	return p != nil && p.leaving
 }
 
-// syncedViewOf returns the last view in which a member, or this node, was synced, as far as is known.
+// syncedViewOf returns the last view in which a member, or this node, is known to have been synced.
 func (node *Node) syncedViewOf(id string) uint64 {
 	if p := node.peers[id]; p != nil {
 		return p.syncedView
@@ -129,12 +129,12 @@
 	return 0
 }
 
-// restartObservation disregards the silence so far: before now, this node could not have heard anybody.
+// restartObservation restarts the observation of other members, because this node could not receive messages until now.
 func (node *Node) restartObservation(now Time) {
 	node.observingSince, node.changeWantedSince = now, 0
 }
 
-// forgetSilentPeers drops peers that are not members of the view and have been silent for long.
+// forgetSilentPeers removes peers that are not members of the view and have been silent for forgetTimeout.
 func (node *Node) forgetSilentPeers(now Time) {
 	for id, p := range node.peers {
 		if now-p.lastHeard > forgetTimeout && !node.isMember(id) {
--- a/controlplane/membership/heartbeat.go
+++ b/controlplane/membership/heartbeat.go
@@ -1,6 +1,6 @@
 package membership
 
-// broadcastHeartbeat sends a heartbeat to every peer.
+// broadcastHeartbeat sends a heartbeat to all peers.
 func (node *Node) broadcastHeartbeat(now Time) {
 	heartbeat := node.heartbeat(now)
 	heartbeat.ReplyRequested = !node.HasQuorumContact(now)
@@ -9,7 +9,7 @@
 	}
 }
 
-// heartbeat returns a message that says that this node runs, and whom it hears.
+// heartbeat returns a heartbeat message with this node's current state.
 func (node *Node) heartbeat(now Time) Message {
 	echoes := map[string]ClockReading{}
 	for id, p := range node.peers {
@@ -28,7 +28,7 @@
 	}
 }
 
-// handleHeartbeat takes in what a peer says of itself.
+// handleHeartbeat updates the state of the sending peer.
 func (node *Node) handleHeartbeat(now Time, m Message) {
 	if m.From.ID == node.self.ID {
 		return
@@ -54,11 +54,12 @@
 		node.observeEcho(now, p, echo)
 	}
 
-	// Before all else: in an older view the peer may have a vote that it has no more.
+	// Bring an outdated peer up to date first: it may no longer be a voter.
 	if m.ViewNumber < node.state.View.Number {
 		node.sendDecided(m.From)
 	}
-	// The peer is notified at once that it is heard: after a restart of all members nothing can begin before.
+	// Reply immediately, so that the peer learns that its heartbeats arrive. After a restart of all members, nothing can
+	// start before.
 	if wasSilent || m.ReplyRequested {
 		node.send(m.From, node.heartbeat(now), false)
 	}
--- a/controlplane/membership/node.go
+++ b/controlplane/membership/node.go
@@ -8,23 +8,23 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// Time is a moment on the caller's monotonic clock.
+// Time is a reading of the caller's monotonic clock.
 type Time = time.Duration
 
 const (
-	// HeartbeatInterval is how often a node sends heartbeats to every peer.
+	// HeartbeatInterval is the interval between heartbeats to all peers.
 	HeartbeatInterval = 200 * time.Millisecond
 
-	// maxTickGap bounds the time between two ticks of a running node. After a longer gap it was this node that stalled, so
-	// the silence meanwhile says nothing about its peers.
+	// maxTickGap is the maximum time between two ticks of a running node. A longer gap means that this node was stalled, so
+	// missing heartbeats do not indicate failed peers.
 	maxTickGap = 400 * time.Millisecond
 )
 
-// neverTicked is the time of the last tick before there was one.
+// neverTicked is the initial value of Node.lastTick.
 const neverTicked Time = -1
 
-// DurableState is what must be on stable storage before a message that rests on it is sent. The ballots and the accepted
-// view belong to the agreement on view number View.Number+1.
+// DurableState must be on stable storage before any message that depends on it is sent. The ballots and the accepted view
+// belong to the agreement on view View.Number+1.
 type DurableState struct {
 	View           View   `cbor:"1,keyasint"`
 	PromisedBallot Ballot `cbor:"2,keyasint"`
@@ -32,49 +32,49 @@
 	AcceptedView   *View  `cbor:"4,keyasint,omitempty"`
 }
 
-// Ready is what the caller has to do after a call: save the state, then send the messages. A message that is not marked
-// AfterSave may be sent before.
+// Ready describes the work that the caller has to do after a call: save the state, then send the messages. Messages without
+// AfterSave may be sent before the state is saved.
 type Ready struct {
 	Messages      []Outbound
 	MustSave      bool // State has changed.
 	ViewInstalled bool // View has changed.
 }
 
-// Node is one member's part in the protocol. Create it with New. A Node is not safe for concurrent use.
+// Node is the membership state of one member. Create it with New. A Node is not safe for concurrent use.
 type Node struct {
 	self        fleet.Member
-	incarnation uint64 // Of this node's clock; drawn at random at each start.
+	incarnation uint64 // Incarnation of this node's clock; drawn at random at each start.
 	random      func() float64
 	seeds       []string
 
 	state         DurableState
-	peers         map[string]*peer // By identity.
+	peers         map[string]*peer // By ID.
 	diskUnhealthy bool
 	leaving       bool
-	committedView uint64 // Last view in which a commit was seen.
+	committedView uint64 // Last view in which a commit was observed.
 	syncedView    uint64 // Last view in which this node was synced.
 
 	lastTick          Time
 	nextHeartbeat     Time
-	observingSince    Time // First tick, or the first one after a stall: silence counts from there.
-	changeWantedSince Time // 0 while no change of the view is wanted.
+	observingSince    Time // First tick, or first tick after a stall. Peers are not considered silent before.
+	changeWantedSince Time // 0 if no view change is necessary.
 	clockStalled      bool
 
 	proposal     proposal
 	highestRound uint64 // Highest round used or seen in the agreement on the next view.
-	backoffUntil Time   // No proposal is begun before.
+	backoffUntil Time   // Earliest time of the next proposal.
 
 	outbound      []Outbound
 	stateChanged  bool
 	viewInstalled bool
 
-	highestInstalled uint64 // number of any view that was installed by this process; for the invariant only
+	highestInstalled uint64 // Highest view number installed by this process; only checked by an invariant.
 }
 
-// New creates a node from the state that was saved. Seeds are addresses that are sent heartbeats until a member is heard
-// from there. The source of random numbers returns values in [0, 1).
+// New creates a node from its saved state. Heartbeats are sent to the seed addresses until a member at the address is known.
+// random returns values in [0, 1).
 func New(self fleet.Member, state DurableState, seeds []string, random func() float64) *Node {
-	const incarnationBits = 53 // The precision of a float64.
+	const incarnationBits = 53 // Precision of a float64.
 	return &Node{
 		self:        self,
 		incarnation: uint64(random() * (1 << incarnationBits)),
@@ -86,7 +86,7 @@
 	}
 }
 
-// Tick lets time pass: it sends heartbeats, detects failures and begins proposals.
+// Tick sends heartbeats, detects failures and starts proposals.
 func (node *Node) Tick(now Time) Ready {
 	if node.lastTick <= neverTicked || now-node.lastTick > maxTickGap {
 		node.restartObservation(now)
@@ -102,7 +102,7 @@
 	return node.ready()
 }
 
-// Step takes in a message from another member.
+// Step handles a message from another member.
 func (node *Node) Step(now Time, m Message) Ready {
 	switch m.Kind {
 	case Heartbeat:
@@ -131,12 +131,12 @@
 // State returns the state to be saved.
 func (node *Node) State() DurableState { return node.state }
 
-// View returns the newest view that is known to be decided.
+// View returns the latest view known to be decided.
 func (node *Node) View() View { return node.state.View }
 
-// Peers returns the members to keep in contact with: those heard lately, all other members of the view, and the seeds
-// from whose address no member is known. A member of the view is included however long it has been silent: two that had
-// both forgotten each other would stay silent for ever once the link between them is back.
+// Peers returns the members to send heartbeats to: recently heard peers, all other members of the view, and seeds at whose
+// address no member is known. Members of the view are included even if they have been silent for long, so that two members
+// contact each other again after a long partition.
 func (node *Node) Peers(now Time) []fleet.Member {
 	var peers []fleet.Member
 	for _, p := range node.peers {
@@ -160,7 +160,7 @@
 	return peers
 }
 
-// KnownMember returns the member with an identity as it last described itself, if it is known.
+// KnownMember returns the member with the given ID as it last described itself, and whether it is known.
 func (node *Node) KnownMember(id string) (fleet.Member, bool) {
 	if p := node.peers[id]; p != nil {
 		return p.Member, true
@@ -168,20 +168,20 @@
 	return fleet.Member{}, false
 }
 
-// SetSeeds replaces the seeds given to New.
+// SetSeeds replaces the seeds passed to New.
 func (node *Node) SetSeeds(addrs []string) { node.seeds = addrs }
 
-// SetDiskUnhealthy sets whether the node's disk fails to take writes. An unhealthy node leaves the chain.
+// SetDiskUnhealthy sets whether the node's disk fails writes or is slow. An unhealthy node is removed from the chain.
 func (node *Node) SetDiskUnhealthy(unhealthy bool) { node.diskUnhealthy = unhealthy }
 
-// SetCommittedView sets the last view in which a commit was seen: by then each member of its chain was synced.
+// SetCommittedView sets the last view in which a commit was observed. All members of its chain are synced.
 func (node *Node) SetCommittedView(number uint64) { node.committedView = number }
 
-// SetSyncedView sets the last view in which this node was synced by its predecessor, or whose head it was, once the
-// register is on its disk.
+// SetSyncedView sets the last view in which this node was the head or was synced by its predecessor, once its register is
+// persisted.
 func (node *Node) SetSyncedView(number uint64) { node.syncedView = number }
 
-// isMember reports whether the identity belongs to a voter or a learner of the view.
+// isMember reports whether the ID belongs to a voter or a learner of the view.
 func (node *Node) isMember(id string) bool {
 	return node.state.View.HasVoter(id) || node.state.View.HasLearner(id)
 }
@@ -191,13 +191,13 @@
 	node.outbound = append(node.outbound, Outbound{To: to, Message: m, AfterSave: afterSave})
 }
 
-// sendDecided tells a member the newest view that is known to be decided.
+// sendDecided sends the current view to a member.
 func (node *Node) sendDecided(to fleet.Member) {
 	view := node.state.View
 	node.send(to, Message{Kind: Decided, ViewNumber: view.Number, View: &view}, true)
 }
 
-// ready returns what has come up since it was last called.
+// ready returns and clears the work accumulated since the previous call.
 func (node *Node) ready() Ready {
 	ready := Ready{Messages: node.outbound, MustSave: node.stateChanged, ViewInstalled: node.viewInstalled}
 	node.outbound, node.stateChanged, node.viewInstalled = nil, false, false
--- a/controlplane/membership/replacement.go
+++ b/controlplane/membership/replacement.go
@@ -8,43 +8,42 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// This file decides which view should follow the present one.
+// This file determines the next view.
 //
-// Membership changes by agreement only, by one voter at a time (by two where a pair is dropped). A new machine is first
-// synced as a learner. Once a commit has shown that it was, it takes the seat of a voter that has failed or left, in the
-// same step, so that the number of losses that can be borne does not shrink in between. A member that leaves stays in the
-// chain until the others can do without it. An even number of voters bears no more losses than one less, so a failed
-// voter is dropped from an even number. See docs/design/control-plane.md, rules 3, 6, 13 and 15.
+// The voters change one at a time, or two if a failed pair is removed. A new machine joins the chain as a learner. Once a commit
+// has shown that it is synced, it replaces a failed or departed voter in a single view change, so that the number of tolerated
+// losses is not reduced in between. A leaving member stays in the chain until the remaining members suffice. An even number of
+// voters tolerates no more losses than one voter fewer, so a failed voter is removed from an even number. See
+// docs/design/control-plane.md, rules 3, 6, 13 and 15.
 
 const (
-	// joinStabilityPeriod is how long a machine must have been reachable without a gap before it joins the chain.
+	// joinStabilityPeriod is how long a machine must have been reachable without interruption before it joins the chain.
 	joinStabilityPeriod = 300 * time.Millisecond
 
-	// replacementTimeout is how long a voter must have been absent before its seat is free for a successor.
+	// replacementTimeout is how long a voter must have been absent before it may be replaced.
 	replacementTimeout = 2 * time.Second
 
-	// pairRemovalTimeout is how long two voters must have been absent before both are dropped without successors.
+	// pairRemovalTimeout is how long two voters must have been absent before both are removed without replacement.
 	pairRemovalTimeout = 12 * time.Second
 
-	// minVoters is the number of voters from which none is dropped without a successor.
+	// minVoters is the number of voters below which none is removed without replacement.
 	minVoters = 3
 
-	// noSeat stands for the index of a voter where none is meant.
+	// noSeat is the index returned if there is no voter to replace.
 	noSeat = -1
 )
 
-// successorPlan works out the view that should follow the present one. Its methods are called in the order in which
-// nextView lists them.
+// successorPlan builds the next view. Its methods are called in the order used by nextView.
 type successorPlan struct {
 	node *Node
 	now  Time
 	next View
 
-	// viewCommitted says that a commit was seen in the present view, so that each member of its chain is synced.
+	// viewCommitted reports that a commit was observed in the current view, so all members of its chain are synced.
 	viewCommitted bool
 }
 
-// nextView returns the view that should follow the present one, and false if none should as far as this node can tell.
+// nextView returns the view that should follow the current one, and false if no change is needed or possible.
 func (node *Node) nextView(now Time) (View, bool) {
 	if !node.mayPlan(now) {
 		return View{}, false
@@ -74,14 +73,14 @@
 	return plan.next, !plan.next.hasSameMembership(current) && !plan.lacksQuorum()
 }
 
-// mayPlan reports whether this node can judge the others: it is a healthy member of the chain, in contact with a quorum,
-// and has observed the others for long enough to tell who is silent.
+// mayPlan reports whether this node can determine the next view: it is a healthy member of the chain, is in contact with a
+// quorum, and has observed the other members for at least suspectTimeout.
 func (node *Node) mayPlan(now Time) bool {
 	return node.state.View.Position(node.self.ID) >= 0 && !node.diskUnhealthy &&
 		node.HasQuorumContact(now) && now-node.observingSince >= suspectTimeout
 }
 
-// keepHealthyChain keeps, in their order, the chain members that are healthy and connected to those kept before them.
+// keepHealthyChain keeps the chain members, in order, that are healthy and linked to all members kept before them.
 func (plan *successorPlan) keepHealthyChain() {
 	for _, id := range plan.current().Chain {
 		if plan.node.isHealthy(plan.now, id) && plan.node.isLinkedToAll(id, plan.next.Chain) {
@@ -90,7 +89,7 @@
 	}
 }
 
-// releaseLeavers removes the leaving members from the chain if a quorum of synced voters remains.
+// releaseLeavers removes leaving members from the chain if a quorum of synced voters remains.
 func (plan *successorPlan) releaseLeavers() {
 	staying := slices.DeleteFunc(slices.Clone(plan.next.Chain), plan.node.isPeerLeaving)
 	synced := slices.DeleteFunc(slices.Clone(staying), plan.isUnsynced)
@@ -99,7 +98,7 @@
 	}
 }
 
-// markUnsynced carries over the marks of those that may not be synced yet.
+// markUnsynced marks the members that were unsynced in the current view and may still be.
 func (plan *successorPlan) markUnsynced() {
 	for _, id := range plan.next.Chain {
 		if plan.isUnsynced(id) {
@@ -108,13 +107,13 @@
 	}
 }
 
-// hasSyncedHead reports whether the head certainly holds what was acknowledged. Where it does not, nobody is left who
-// does, and a member that does has to be waited for.
+// hasSyncedHead reports whether the head of the next view is known to have everything that was acknowledged. If not, no view
+// is proposed until a synced member returns.
 func (plan *successorPlan) hasSyncedHead() bool {
 	return len(plan.next.Chain) > 0 && !slices.Contains(plan.next.Unsynced, plan.next.Chain[0])
 }
 
-// keepLearners keeps the learners that are still in the chain.
+// keepLearners keeps the learners that are in the chain.
 func (plan *successorPlan) keepLearners() {
 	for _, learner := range plan.current().Learners {
 		if plan.isInChain(learner) {
@@ -123,7 +122,7 @@
 	}
 }
 
-// readmitVoters appends the voters to the chain that are out of it and may join.
+// readmitVoters appends voters outside the chain that may join it.
 func (plan *successorPlan) readmitVoters() {
 	for _, voter := range plan.current().Voters {
 		if plan.current().Position(voter.ID) < 0 && plan.mayJoin(voter.ID) {
@@ -132,8 +131,8 @@
 	}
 }
 
-// promoteLearner makes the synced learner a voter: in the place of one that has failed or left or, where none is missing,
-// in addition. Else it has to wait until the missing voter is back, or can be replaced.
+// promoteLearner makes the synced learner a voter. It replaces a failed or departed voter, or is added if all voters are in
+// the chain. Otherwise it remains a learner until the missing voter returns or may be replaced.
 func (plan *successorPlan) promoteLearner() {
 	learner, next := plan.next.Learners[0], &plan.next
 	switch seat := plan.seatFor(learner); {
@@ -144,8 +143,8 @@
 	}
 }
 
-// seatFor returns the index of the voter that a learner replaces: the one at the same address, which has lost its disk;
-// else one that has left; else one that has failed.
+// seatFor returns the index of the voter to be replaced by a learner: the voter at the same address, whose disk was lost, or
+// else a departed or failed voter.
 func (plan *successorPlan) seatFor(learner fleet.Member) int {
 	if seat := indexOfAddr(plan.next.Voters, learner.Addr); seat >= 0 {
 		return seat
@@ -153,7 +152,7 @@
 	return plan.freeSeat()
 }
 
-// freeSeat returns the index of a voter that has left or, if there is none, of one that has failed.
+// freeSeat returns the index of a departed voter or else of a failed one.
 func (plan *successorPlan) freeSeat() int {
 	if seat := slices.IndexFunc(plan.next.Voters, plan.hasLeft); seat >= 0 {
 		return seat
@@ -161,8 +160,8 @@
 	return slices.IndexFunc(plan.next.Voters, plan.hasFailedFor(replacementTimeout))
 }
 
-// admitLearner appends the first machine that is no member and may join to the chain, as a learner. A machine at the
-// address of a voter that is still reachable has to wait.
+// admitLearner adds the first eligible non-member to the chain as a learner. A machine at the address of a reachable voter is
+// not eligible.
 func (plan *successorPlan) admitLearner() {
 	for _, candidate := range plan.node.nonMembers() {
 		seat := indexOfAddr(plan.next.Voters, candidate.Addr)
@@ -175,8 +174,8 @@
 	}
 }
 
-// dropFailedVoters drops one failed voter from an even number of voters, or two from an odd number, if no other change of
-// the voters is under way.
+// dropFailedVoters removes one failed voter from an even number of voters, or two from an odd number, unless another change of
+// the voters is in progress.
 func (plan *successorPlan) dropFailedVoters() {
 	next := &plan.next
 	changing := len(next.Learners) > 0 || !sameIdentities(next.Voters, plan.current().Voters)
@@ -199,20 +198,20 @@
 
 func (plan *successorPlan) isInChain(m fleet.Member) bool { return plan.next.Position(m.ID) >= 0 }
 
-// isUnsynced reports whether a member is marked as unsynced in the present view and has not been synced since.
+// isUnsynced reports whether a member was marked as unsynced in the current view and is not known to have been synced since.
 func (plan *successorPlan) isUnsynced(id string) bool {
 	current := plan.current()
 	return !plan.viewCommitted && slices.Contains(current.Unsynced, id) && !plan.node.IsSynced(id, current.Number)
 }
 
-// lacksQuorum reports whether fewer voters than a quorum are in the chain.
+// lacksQuorum reports whether the chain contains fewer voters than a quorum.
 func (plan *successorPlan) lacksQuorum() bool {
 	return plan.next.countVoters(plan.next.Chain) < plan.next.Quorum()
 }
 
-// mayJoin reports whether a machine may be appended to the chain. Out of a view in which no commit was seen nobody joins,
-// nor does a leaver, unless the chain would be too short without it: should the head be lost before it forwards the
-// register in the next view, those that joined in the last one would be marked as unsynced once more.
+// mayJoin reports whether a machine may be appended to the chain. Unless the chain lacks a quorum, no machine joins before a
+// commit in the current view, and no leaving member joins. If the head failed before forwarding its register, members that
+// joined in consecutive views would all be marked as unsynced, and none could become the head.
 func (plan *successorPlan) mayJoin(id string) bool {
 	node := plan.node
 	if !node.isHealthy(plan.now, id) || plan.now-node.peers[id].connectedSince < joinStabilityPeriod {
@@ -229,12 +228,12 @@
 	plan.next.Unsynced = append(plan.next.Unsynced, id)
 }
 
-// hasLeft reports whether a voter is out of the chain because it leaves.
+// hasLeft reports whether a voter is leaving and outside the chain.
 func (plan *successorPlan) hasLeft(voter fleet.Member) bool {
 	return !plan.isInChain(voter) && plan.node.isPeerLeaving(voter.ID)
 }
 
-// hasFailedFor returns a test for voters that are out of the chain, not healthy, and have been absent for so long.
+// hasFailedFor returns a predicate for voters that are outside the chain, unhealthy and absent for at least the timeout.
 func (plan *successorPlan) hasFailedFor(timeout Time) func(fleet.Member) bool {
 	return func(voter fleet.Member) bool {
 		return !plan.isInChain(voter) && !plan.node.isHealthy(plan.now, voter.ID) &&
@@ -242,7 +241,7 @@
 	}
 }
 
-// nonMembers returns the machines that are heard and belong neither to the voters nor to the learners, ordered by identity.
+// nonMembers returns the known peers that are neither voters nor learners, ordered by ID.
 func (node *Node) nonMembers() []fleet.Member {
 	var candidates []fleet.Member
 	for id, p := range node.peers {
--- a/controlplane/membership/view.go
+++ b/controlplane/membership/view.go
@@ -6,39 +6,39 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// View is one agreed configuration of the control plane. Its JSON keys are those of `zincloftctl store export`. A view is immutable once made.
+// View is one agreed configuration of the control plane. It is immutable. Its JSON keys are those of `zincloftctl store export`.
 type View struct {
 	Number uint64         `cbor:"1,keyasint" json:"N"`
 	Voters []fleet.Member `cbor:"2,keyasint" json:"Roster"`
-	Chain  []string       `cbor:"3,keyasint"` // Identities, head first.
+	Chain  []string       `cbor:"3,keyasint"` // Member IDs, head first.
 
-	// Unsynced lists the chain members that may not hold yet what their predecessors hold. None of them may become the
-	// head before a commit in this view has shown that it was synced (docs/design/control-plane.md, rule 6).
+	// Unsynced lists the chain members that may lack data that their predecessors have. None of them may become the head
+	// before a commit in this view shows that they were synced (docs/design/control-plane.md, rule 6).
 	Unsynced []string `cbor:"4,keyasint,omitempty" json:"Fresh"`
 
-	// Learners are part of the chain, where they are synced, but do not vote. There is at most one.
+	// Learners are members of the chain that are being synced and do not vote. There is at most one.
 	Learners []fleet.Member `cbor:"5,keyasint,omitempty"`
 }
 
-// HasVoter reports whether the identity belongs to a voter of the view.
+// HasVoter reports whether the ID belongs to a voter of the view.
 func (v View) HasVoter(id string) bool { return indexOfID(v.Voters, id) >= 0 }
 
-// HasLearner reports whether the identity belongs to a learner of the view.
+// HasLearner reports whether the ID belongs to a learner of the view.
 func (v View) HasLearner(id string) bool { return indexOfID(v.Learners, id) >= 0 }
 
 // Members returns the voters and the learners.
 func (v View) Members() []fleet.Member { return append(slices.Clone(v.Voters), v.Learners...) }
 
-// Position returns the identity's position in the chain, 0 being the head, or -1 if it is not part of it.
+// Position returns the index of the ID in the chain, 0 for the head, or -1 if it is not in the chain.
 func (v View) Position(id string) int { return slices.Index(v.Chain, id) }
 
-// Quorum returns how many voters must agree.
+// Quorum returns the number of voters that form a quorum.
 func (v View) Quorum() int { return QuorumOf(len(v.Voters)) }
 
-// QuorumOf returns the size of the smallest majority of a number of voters.
+// QuorumOf returns the size of a majority of the given number of voters.
 func QuorumOf(voters int) int { return voters/2 + 1 }
 
-// countVoters returns how many of the identities belong to voters of the view.
+// countVoters returns the number of IDs that belong to voters of the view.
 func (v View) countVoters(ids []string) int {
 	count := 0
 	for _, id := range ids {
@@ -49,12 +49,12 @@
 	return count
 }
 
-// hasSameMembership reports whether two views agree on the chain, the voters and the learners.
+// hasSameMembership reports whether two views have the same chain, voters and learners.
 func (v View) hasSameMembership(other View) bool {
 	return slices.Equal(v.Chain, other.Chain) && sameIdentities(v.Voters, other.Voters) && sameIdentities(v.Learners, other.Learners)
 }
 
-// sameIdentities reports whether two lists name the same identities in the same order.
+// sameIdentities reports whether two lists contain the same member IDs in the same order.
 func sameIdentities(a, b []fleet.Member) bool {
 	return slices.EqualFunc(a, b, func(x, y fleet.Member) bool { return x.ID == y.ID })
 }
