--- a/controlplane/controller/endings.go
+++ b/controlplane/controller/endings.go
@@ -70,5 +70,5 @@
 
 // forgetEndings drops what is known of instances that the registry has forgotten.
 func (c *Controller) forgetEndings() {
-	maps.DeleteFunc(c.replicatedEndings, func(ended ending, _ bool) bool { return !c.registry.Remembers(ended.id) })
+	maps.DeleteFunc(c.replicatedEndings, func(ended ending, _ bool) bool { return !c.registry.Contains(ended.id) })
 }
--- a/controlplane/controller/instances.go
+++ b/controlplane/controller/instances.go
@@ -36,7 +36,7 @@
 
 // hasRoomFor reports whether an instance is remembered, or may be: whoever calls by ever new names would else fill the member's memory.
 func (c *Controller) hasRoomFor(id string) bool {
-	return c.options.MaxInstances == 0 || c.registry.Len() < c.options.MaxInstances || c.registry.Remembers(id)
+	return c.options.MaxInstances == 0 || c.registry.Len() < c.options.MaxInstances || c.registry.Contains(id)
 }
 
 // heartbeatTarget is where a replica is to send its further heartbeats: a member in its own zone, as traffic between zones costs. It is empty
--- a/controlplane/controller/instances_test.go
+++ b/controlplane/controller/instances_test.go
@@ -175,7 +175,7 @@
 	if status := c.call(0, Event{Deregister: "101"}); status != http.StatusOK {
 		t.Errorf("the end of a known one is answered %d", status)
 	}
-	if remembered := c.controllers[0].Figures(c.now).RememberedInstances; remembered != limit {
+	if remembered := c.controllers[0].Metrics(c.now).TrackedInstances; remembered != limit {
 		t.Error(remembered, "are remembered")
 	}
 }
--- a/controlplane/controller/figures.go
+++ b/controlplane/controller/metrics.go
@@ -6,8 +6,8 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// Figures are what a member tells of itself for monitoring.
-type Figures struct {
+// Metrics are what a member tells of itself for monitoring.
+type Metrics struct {
 	HasQuorumContact  bool
 	DiskHealthy       bool
 	ViewNumber        uint64
@@ -21,15 +21,15 @@
 	DrainingInstances int
 	TimedOutInstances int
 
-	RememberedInstances int // with those that were deregistered lately
-	MaxInstances        int // that may be remembered; 0: there is no bound
+	TrackedInstances      int // with those that were deregistered lately
+	TrackedInstancesLimit int // that may be remembered; 0: there is no bound
 }
 
-// Figures reads the member's figures.
-func (c *Controller) Figures(now time.Duration) Figures {
+// Metrics reads the member's figures.
+func (c *Controller) Metrics(now time.Duration) Metrics {
 	view := c.coordinator.View()
 	register, _ := c.coordinator.Register()
-	figures := Figures{
+	figures := Metrics{
 		HasQuorumContact:  c.coordinator.HasQuorumContact(now),
 		DiskHealthy:       !c.coordinator.DiskUnhealthy(),
 		ViewNumber:        view.Number,
@@ -40,8 +40,8 @@
 		EvacuatedZones:    len(register.EvacuatedZones),
 		GatewayStreams:    len(c.streams),
 
-		RememberedInstances: c.registry.Len(),
-		MaxInstances:        c.options.MaxInstances,
+		TrackedInstances:      c.registry.Len(),
+		TrackedInstancesLimit: c.options.MaxInstances,
 	}
 	c.registry.Each(now, func(instance fleet.Instance) {
 		figures.Instances++
--- a/controlplane/maintenance/command.go
+++ b/controlplane/maintenance/command.go
@@ -40,10 +40,10 @@
 	return fmt.Sprintf("windows: %s has a window already: %s, %s", e.Existing.Node, e.Existing.Name, e.Existing.Phase)
 }
 
-// NotBegunError rejects finishing a window that was not granted yet.
-type NotBegunError struct{ Node string }
+// NotGrantedError rejects finishing a window that was not granted yet.
+type NotGrantedError struct{ Node string }
 
-func (e *NotBegunError) Error() string {
+func (e *NotGrantedError) Error() string {
 	return fmt.Sprintf("windows: %s has not begun; cancel it", e.Node)
 }
 
@@ -115,7 +115,7 @@
 		}
 		switch phase := s.Windows[i].Phase; {
 		case phase == fleet.PhaseRequested && command.Verb == VerbFinish:
-			return &NotBegunError{Node: node}
+			return &NotGrantedError{Node: node}
 		case phase == fleet.PhaseRequested:
 			s.Windows = slices.Delete(s.Windows, i, i+1)
 		case phase != fleet.PhaseReturning:
--- a/controlplane/maintenance/reconcile_test.go
+++ b/controlplane/maintenance/reconcile_test.go
@@ -130,7 +130,7 @@
 			So(len(x.state.Windows), ShouldEqual, 1)
 			var exists *WindowExistsError
 			So(errors.As(x.apply(Command{Verb: VerbAsk, WindowName: "b", Nodes: []string{"r0-1"}}), &exists), ShouldBeTrue)
-			var notBegun *NotBegunError
+			var notBegun *NotGrantedError
 			So(errors.As(x.apply(Command{Verb: VerbFinish, Nodes: []string{"r0-1"}}), &notBegun), ShouldBeTrue)
 			So(x.apply(Command{Verb: VerbCancel, Nodes: []string{"r0-1"}}), ShouldBeNil)
 			So(len(x.state.Windows), ShouldEqual, 0)
--- a/controlplane/registry/registry.go
+++ b/controlplane/registry/registry.go
@@ -86,8 +86,8 @@
 // Len is how many instances are remembered: those that are registered, and those that were deregistered not long ago.
 func (r *Registry) Len() int { return len(r.records) }
 
-// Remembers reports whether an instance is registered, or was deregistered not long ago.
-func (r *Registry) Remembers(id string) bool { return r.records[id] != nil }
+// Contains reports whether an instance is registered, or was deregistered not long ago.
+func (r *Registry) Contains(id string) bool { return r.records[id] != nil }
 
 // Each calls visit for every registered instance, in the order of their IDs.
 func (r *Registry) Each(now time.Duration, visit func(fleet.Instance)) {
--- a/internal/daemons/controlserver/figures.go
+++ b/internal/daemons/controlserver/figures.go
@@ -32,7 +32,7 @@
 	}
 	done := make(chan []reading, 1)
 	read := func() {
-		figures := s.controller.Figures(s.now())
+		figures := s.controller.Metrics(s.now())
 		done <- []reading{
 			{"zincloft_controlplane_quorum_contact", telemetry.Figure(figures.HasQuorumContact)},
 			{"zincloft_controlplane_disk_healthy", telemetry.Figure(figures.DiskHealthy)},
@@ -46,8 +46,8 @@
 			{"zincloft_controlplane_instances", float64(figures.Instances)},
 			{"zincloft_controlplane_instances_draining", float64(figures.DrainingInstances)},
 			{"zincloft_controlplane_instances_timed_out", float64(figures.TimedOutInstances)},
-			{"zincloft_controlplane_instances_remembered", float64(figures.RememberedInstances)},
-			{"zincloft_controlplane_instances_limit", float64(figures.MaxInstances)},
+			{"zincloft_controlplane_instances_remembered", float64(figures.TrackedInstances)},
+			{"zincloft_controlplane_instances_limit", float64(figures.TrackedInstancesLimit)},
 			{"zincloft_controlplane_call_body_bytes", float64(s.bodies.Used())},
 			{"zincloft_controlplane_pending_calls", float64(len(s.pendingCalls))},
 		}
