--- a/controlplane/controller/cluster_test.go
+++ b/controlplane/controller/cluster_test.go
@@ -14,23 +14,23 @@
 const configurationBody = `{"version":"00000002","services":[{"name":"svc","max_connections":100,"cold_start":"3s","cold_per_s":10}],"virtual_hosts":[{"hostname":"h","path_routes":[` +
 	`{"name":"r","path_prefix":"/","kind":"safe","timeout":"3s","target_latency":"1s","max_attempts":2,"service":"svc"}]}]}`
 
-// cluster is three members on perfect links and disks.
+// cluster runs three members over an in-memory network without delays or losses.
 type cluster struct {
 	controllers   []*Controller
 	addrs         []string
 	now           time.Duration
-	isolated      map[int]bool                     // by member: it reaches nobody
-	updates       map[uint64]*messages.StateUpdate // by stream: the newest, with the warm-up rates in force
+	isolated      map[int]bool                     // by member: cut off from the other members
+	updates       map[uint64]*messages.StateUpdate // by stream: the latest update, with the warm-up rates in effect
 	closedStreams map[uint64]bool
-	writes        [3][][]byte // by member: every state it wrote
+	writes        [3][][]byte // by member: all states written
 	lastToken     uint64
 	responses     map[uint64]Response // by token
-	diskFull      map[int]bool        // by member: its writes fail
+	diskFull      map[int]bool        // by member: writes fail
 
-	onSend func(from int, to string, message *Message) // is called for each message; nil: nobody looks
+	onSend func(from int, to string, message *Message) // called for each message if not nil
 }
 
-// newCluster starts a cluster and gives it a configuration.
+// newCluster starts a cluster and commits a configuration.
 func newCluster() *cluster {
 	c := &cluster{isolated: map[int]bool{}, updates: map[uint64]*messages.StateUpdate{}, closedStreams: map[uint64]bool{}, responses: map[uint64]Response{}, diskFull: map[int]bool{}}
 	for i := range 3 {
@@ -54,18 +54,18 @@
 		c.step(i, Event{Start: true})
 	}
 	c.run(4 * time.Second)
-	c.command(chainreplication.Command{Version: 2, Body: []byte(configurationBody)})
+	c.execute(chainreplication.Command{Version: 2, Body: []byte(configurationBody)})
 	return c
 }
 
-// command has the first member take an operator's command, and waits for it to be committed.
-func (c *cluster) command(command chainreplication.Command) {
+// execute submits an operator's command to the first member and waits for its commit.
+func (c *cluster) execute(command chainreplication.Command) {
 	c.lastToken++
 	c.step(0, Event{Token: c.lastToken, Command: &command})
 	c.run(2 * time.Second)
 }
 
-// step has a member take an event, and carries out its actions at once.
+// step passes an event to a member and performs the resulting actions.
 func (c *cluster) step(member int, event Event) {
 	actions := c.controllers[member].Step(c.now, event)
 	for _, publication := range actions.Publish {
@@ -97,7 +97,7 @@
 	}
 }
 
-// receive is a gateway that takes an update.
+// receive applies an update at a gateway.
 func (c *cluster) receive(stream uint64, update messages.StateUpdate) {
 	if previous := c.updates[stream]; previous != nil && !update.WarmupRatesComplete {
 		update.WarmupRates = previous.WarmupRates
@@ -105,7 +105,7 @@
 	c.updates[stream] = &update
 }
 
-// run lets time pass at all members.
+// run advances the time and ticks all members.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		c.now += TickInterval
@@ -115,8 +115,8 @@
 	}
 }
 
-// heartbeat has the replica i1 send a heartbeat to a member.
-func (c *cluster) heartbeat(member int, sequence uint64, warmupMillis int64) {
+// sendHeartbeat sends a heartbeat of replica i1 to a member.
+func (c *cluster) sendHeartbeat(member int, sequence uint64, warmupMillis int64) {
 	c.lastToken++
 	c.step(member, Event{Token: c.lastToken, Heartbeat: &fleet.Instance{
 		ID:           "i1",
@@ -129,13 +129,13 @@
 	}})
 }
 
-// join has a gateway, named after the number of its stream, join a member.
+// join connects a gateway, named after its stream ID, to a member.
 func (c *cluster) join(member int, stream uint64) {
 	c.step(member, Event{GatewayJoined: &GatewayJoined{Stream: stream, Gateway: fmt.Sprint("f", stream), Zone: "a"}})
 }
 
-// joinUntilAdmitted has a gateway join, again and again, until the member lets it in, and returns its stream. A member that was isolated lets
-// gateways in once it is in the chain again and a quorum has answered it.
+// joinUntilAdmitted reconnects a gateway until the member admits it, and returns the ID of the admitted stream. A member that was isolated admits
+// gateways once it has rejoined the chain and regained a quorum.
 func (c *cluster) joinUntilAdmitted(member int, stream uint64) uint64 {
 	for c.updates[stream] == nil {
 		c.step(member, Event{GatewayLeft: stream})
@@ -146,7 +146,7 @@
 	return stream
 }
 
-// warmupRate is the rate at which a gateway may call the replica while that is warming up.
+// warmupRate returns the rate at which a gateway may send requests to the replica while it warms up.
 func (c *cluster) warmupRate(stream uint64) float64 {
 	if update := c.updates[stream]; update != nil && len(update.WarmupRates) > 0 {
 		return float64(update.WarmupRates[0].WarmupRate)
--- a/controlplane/controller/controller.go
+++ b/controlplane/controller/controller.go
@@ -1,8 +1,8 @@
-// Package controller decides for one control-plane member. It joins the replicated state (package coordinator), the registered instances
-// (package registry), the endpoint weights (package weighting) and the streams to the gateways that are connected to this member.
+// Package controller implements the state machine of one control-plane member. It combines the replicated state (package coordinator), the
+// registered instances (package registry), the endpoint weights (package weighting) and the streams to the gateways connected to this member.
 //
-// It is free of I/O: events go in, actions come out, and the clock and the randomness are handed in. The server process and the simulation
-// drive the same code, and the same events always give the same actions.
+// The package performs no I/O: it consumes events and returns actions, and the caller supplies the time and the random seed. The server process
+// and the simulation run the same code, and the same sequence of events always yields the same actions.
 package controller
 
 import (
@@ -20,15 +20,15 @@
 	"zincloft.example/zincloft/gatewayconfig"
 )
 
-// heartbeatTimeoutIntervals is how many heartbeat intervals an instance may stay silent before its heartbeat has timed out.
+// heartbeatTimeoutIntervals is the heartbeat timeout of an instance, in heartbeat intervals.
 const heartbeatTimeoutIntervals = 3.6
 
-// Options are a member's settings, fixed at its start.
+// Options are the settings of a member. They do not change while it runs.
 type Options struct {
 	Zone              string        `cbor:"1,keyasint"`
-	ControlAddr       string        `cbor:"2,keyasint"` // where replicas and operators call it
-	Zones             []string      `cbor:"3,keyasint"` // in an order that all members share
-	Seeds             []string      `cbor:"4,keyasint"` // addresses of the members of the first start
+	ControlAddr       string        `cbor:"2,keyasint"` // API address for replicas and operators
+	Zones             []string      `cbor:"3,keyasint"` // in the same order at all members
+	Seeds             []string      `cbor:"4,keyasint"` // addresses of the initial members
 	LinkMbps          float64       `cbor:"5,keyasint"`
 	DrainDeadline     time.Duration `cbor:"6,keyasint"`
 	HeartbeatInterval time.Duration `cbor:"7,keyasint"` // of replicas
@@ -36,8 +36,8 @@
 
 	RegionByZone map[string]string `cbor:"9,keyasint,omitempty"`
 
-	// MaxInstances bounds the instances that are remembered, with those that were deregistered lately; 0: there is no bound. Calls that would add
-	// one more are refused, what other members report is not.
+	// MaxInstances limits the number of tracked instances, including recently deregistered ones; 0 means unlimited. Calls that would exceed it are
+	// rejected; instances reported by other members are always accepted.
 	MaxInstances int `cbor:"10,keyasint,omitempty"`
 }
 
@@ -51,19 +51,19 @@
 	maintenance maintenanceTracker
 
 	weights         *weighting.Manager
-	weightsRevision uint64 // of the registry, as the weights know it
+	weightsRevision uint64 // registry revision last passed to weights
 
-	config         *gatewayconfig.Config // committed; nil: none yet
+	config         *gatewayconfig.Config // committed; nil if there is none yet
 	evacuatedZones []string              // committed, sorted
 
-	callTokens map[uint64]uint64 // the tokens of calls, by the coordinator's request
+	callTokens map[uint64]uint64 // tokens of pending calls, by coordinator request ID
 
-	// Ends of instances that replicas have told: calls that wait for a quorum, by the coordinator's request, and what a quorum has on disk.
-	endingCalls       map[uint64]*endingCall
-	replicatedEndings map[ending]bool
+	// Removals requested by replicas: pending calls by coordinator request ID, and removals persisted by a quorum.
+	removalCalls       map[uint64]*removalCall
+	replicatedRemovals map[removal]bool
 
-	// Streams to gateways, in the order in which they joined. A gateway waits in pendingJoins for a read to begin, then in confirmingJoins
-	// until the read that confirmRequest names has been answered (0: none is under way).
+	// Streams to gateways, in join order. A joining gateway is in pendingJoins until a linearizable read starts, then in confirmingJoins until the
+	// read with request ID confirmRequest completes (0 if no read is in progress).
 	streams         []*gatewayStream
 	pendingJoins    []GatewayJoined
 	confirmingJoins []GatewayJoined
@@ -72,9 +72,9 @@
 
 	// Gossip with the other members.
 	nextGossipAt      time.Duration
-	gossipRevisions   []revisionAt    // of the registry, over the last gossipRepeatPeriod
-	connectedPeers    map[string]bool // by identity, at the last gossip
-	peerGatewayCounts map[string]int  // by identity
+	gossipRevisions   []revisionSample // registry revisions over the last gossipRepeatPeriod
+	connectedPeers    map[string]bool  // by member ID, as of the last gossip round
+	peerGatewayCounts map[string]int   // by member ID
 
 	isolated      bool          // no contact with a quorum
 	reconnectedAt time.Duration // when contact with a quorum was last regained
@@ -82,30 +82,30 @@
 
 	// Stall detection.
 	lastTickAt         time.Duration
-	resumedAt          time.Duration // when this member last ran again after a stall
-	wallClock          time.Duration // the time of day, as known at wallClockAt
+	resumedAt          time.Duration // when this member last resumed after a stall
+	wallClock          time.Duration // time of day observed at wallClockAt
 	wallClockAt        time.Duration
 	lastOutlierSweepAt time.Duration
 
-	actions Actions // collected for the event at hand
+	actions Actions // collected for the current event
 }
 
-// New makes a controller from what was on disk.
+// New creates a controller from a member's persistent state.
 func New(now time.Duration, options Options, self fleet.Member, persisted coordinator.PersistentState) *Controller {
 	c := &Controller{
-		options:           options,
-		random:            *rand.NewPCG(options.RandomSeed, 1),
-		registry:          registry.New(time.Duration(heartbeatTimeoutIntervals * float64(options.HeartbeatInterval))),
-		outliers:          outlier.New(),
-		maintenance:       newMaintenanceTracker(),
-		callTokens:        map[uint64]uint64{},
-		endingCalls:       map[uint64]*endingCall{},
-		replicatedEndings: map[ending]bool{},
-		connectedPeers:    map[string]bool{},
-		peerGatewayCounts: map[string]int{},
-		isolated:          true,
-		lastTickAt:        now,
-		resumedAt:         now - callRejectionPeriod,
+		options:            options,
+		random:             *rand.NewPCG(options.RandomSeed, 1),
+		registry:           registry.New(time.Duration(heartbeatTimeoutIntervals * float64(options.HeartbeatInterval))),
+		outliers:           outlier.New(),
+		maintenance:        newMaintenanceTracker(),
+		callTokens:         map[uint64]uint64{},
+		removalCalls:       map[uint64]*removalCall{},
+		replicatedRemovals: map[removal]bool{},
+		connectedPeers:     map[string]bool{},
+		peerGatewayCounts:  map[string]int{},
+		isolated:           true,
+		lastTickAt:         now,
+		resumedAt:          now - callRejectionPeriod,
 	}
 	c.weights = weighting.New(weighting.Options{
 		RandomSeed: options.RandomSeed,
@@ -116,28 +116,28 @@
 		DrainGrace: options.DrainDeadline,
 	})
 	for i := range persisted.Instances {
-		persisted.Instances[i].HeartbeatAgeMillis = 0 // alive now, as far as is known; those that are not will time out
+		persisted.Instances[i].HeartbeatAgeMillis = 0 // assume that the instance is alive; it times out otherwise
 	}
 	c.registry.Merge(now, persisted.Instances)
-	// If an evacuation finished while this member was down, the commit that it learns of then must find the zone among the evacuated ones.
+	// If an evacuation ended while this member was down, updateEvacuations detects that from the next commit.
 	c.evacuatedZones = sortedKeys(persisted.Register.EvacuatedZones)
 	c.coordinator = coordinator.New(self, persisted, options.Seeds, rand.New(&c.random).Float64, instanceHints{c})
 	return c
 }
 
-// PersistentState encodes what must be on disk now. It must be there before the process listens for anybody.
+// PersistentState encodes the current persistent state. It must be on disk before the process accepts connections.
 func (c *Controller) PersistentState() ([]byte, error) { return c.coordinator.EncodeState() }
 
-// Describe returns the status of the control plane as this member knows it.
+// Describe returns the status of the control plane as seen by this member.
 func (c *Controller) Describe(now time.Duration) coordinator.Status { return c.coordinator.Status(now) }
 
-// Coordinator is the replicated state's part, for inspection only.
+// Coordinator returns the coordinator, for inspection only.
 func (c *Controller) Coordinator() *coordinator.Coordinator { return c.coordinator }
 
-// Config is the committed configuration, or nil if there is none yet.
+// Config returns the committed configuration, or nil if there is none yet.
 func (c *Controller) Config() *gatewayconfig.Config { return c.config }
 
-// Step takes an event that happened at now, by the monotonic clock, and returns what is to be done.
+// Step processes an event that occurred at the monotonic time now and returns the resulting actions.
 func (c *Controller) Step(now time.Duration, event Event) Actions {
 	c.detectStall(now, event.WallClock)
 	if c.rejectsCalls(now) && (event.Heartbeat != nil || event.Command != nil || event.MaintenanceCommand != nil) {
@@ -190,5 +190,5 @@
 	c.logInfo("shutdown_started")
 }
 
-// sortedKeys lists a map's keys in order, so that no decision depends on the order of a map.
+// sortedKeys returns the keys of a map in sorted order, which keeps decisions deterministic.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/controlplane/controller/events.go
+++ b/controlplane/controller/events.go
@@ -11,49 +11,49 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// Event is something that happened. One of its fields is set, beside those that say with which others they go; an event with none lets time
-// pass.
+// Event is an input to the state machine. Exactly one field is set, apart from those documented as accompanying others. An event with no field
+// set is a tick.
 type Event struct {
 	Start             bool                      `cbor:"1,keyasint,omitempty"`
-	Heartbeat         *fleet.Instance           `cbor:"2,keyasint,omitempty"` // from the replica itself
-	Deregister        string                    `cbor:"3,keyasint,omitempty"` // the ID of an instance that asks for it
-	Command           *chainreplication.Command `cbor:"4,keyasint,omitempty"` // an operator's, for the replicated register
+	Heartbeat         *fleet.Instance           `cbor:"2,keyasint,omitempty"` // sent by the replica to this member
+	Deregister        string                    `cbor:"3,keyasint,omitempty"` // ID of an instance that deregisters itself
+	Command           *chainreplication.Command `cbor:"4,keyasint,omitempty"` // from an operator, for the replicated register
 	ReadConfiguration bool                      `cbor:"5,keyasint,omitempty"`
 	GatewayJoined     *GatewayJoined            `cbor:"6,keyasint,omitempty"`
-	GatewayLeft       uint64                    `cbor:"7,keyasint,omitempty"` // the stream that has ended
+	GatewayLeft       uint64                    `cbor:"7,keyasint,omitempty"` // ID of the stream that was closed
 	Report            *messages.LoadReport      `cbor:"8,keyasint,omitempty"`
 	Message           *Message                  `cbor:"9,keyasint,omitempty"`
 	WriteResult       *WriteResult              `cbor:"10,keyasint,omitempty"`
-	DiscoveredAddrs   []string                  `cbor:"11,keyasint,omitempty"` // where other members may be
-	Token             uint64                    `cbor:"12,keyasint,omitempty"` // with a call: the Response carries it
+	DiscoveredAddrs   []string                  `cbor:"11,keyasint,omitempty"` // candidate addresses of other members
+	Token             uint64                    `cbor:"12,keyasint,omitempty"` // with a call; copied to its Response
 	Stream            uint64                    `cbor:"13,keyasint,omitempty"` // with Report
 	From              *fleet.Member             `cbor:"14,keyasint,omitempty"` // with Message
 
-	MaintenanceCommand *maintenance.Command `cbor:"15,keyasint,omitempty"` // an operator's
+	MaintenanceCommand *maintenance.Command `cbor:"15,keyasint,omitempty"` // from an operator
 
-	Shutdown  bool          `cbor:"16,keyasint,omitempty"` // the process was asked to end
-	WallClock time.Duration `cbor:"17,keyasint,omitempty"` // the time of day, with any event; 0: not known
+	Shutdown  bool          `cbor:"16,keyasint,omitempty"` // graceful shutdown was requested
+	WallClock time.Duration `cbor:"17,keyasint,omitempty"` // with any event: time of day; 0 if unknown
 }
 
-// GatewayJoined is a gateway's new stream.
+// GatewayJoined reports a new stream from a gateway.
 type GatewayJoined struct {
-	Stream  uint64 `cbor:"1,keyasint"` // never used before
+	Stream  uint64 `cbor:"1,keyasint"` // stream ID; never reused
 	Gateway string `cbor:"2,keyasint"`
 	Zone    string `cbor:"3,keyasint"`
 }
 
 // WriteResult is the outcome of the latest Actions.Write.
 type WriteResult struct {
-	Error string `cbor:"1,keyasint,omitempty"` // empty: it is on stable storage
+	Error string `cbor:"1,keyasint,omitempty"` // empty if the write succeeded
 }
 
-// Message is what members of the control plane send one another.
+// Message is a message between control-plane members.
 type Message struct {
 	Coordinator *coordinator.Message         `cbor:"1,keyasint,omitempty"`
 	Instances   []fleet.Instance             `cbor:"2,keyasint,omitempty"`
 	Fleet       *peermessages.GatewaySummary `cbor:"3,keyasint,omitempty"`
 	Ejections   []fleet.Ejection             `cbor:"4,keyasint,omitempty"`
 
-	// PersistRequest, if not 0, is the sender's request to have Instances on disk; it is confirmed by coordinator.Message.HintsPersisted.
+	// PersistRequest, if not 0, asks the receiver to persist Instances and to confirm this request ID in coordinator.Message.HintsPersisted.
 	PersistRequest uint64 `cbor:"5,keyasint,omitempty"`
 }
--- a/controlplane/controller/fleet.go
+++ b/controlplane/controller/fleet.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// fleetReportTTL: what a gateway or another member has reported of nodes counts for so long.
+	// fleetReportTTL is how long a node status reported by a gateway or another member is valid.
 	fleetReportTTL = 2500 * time.Millisecond
 
-	// fleetDiscoveryPeriod: a member that has just started doesn't know all nodes for so long.
+	// fleetDiscoveryPeriod is how long after its start a member treats its view of the fleet as incomplete.
 	fleetDiscoveryPeriod = 3 * time.Second
 )
 
-// peerFleet is what another member has reported of its gateways.
-type peerFleet struct {
+// peerSummary is the latest gateway summary of another member.
+type peerSummary struct {
 	receivedAt time.Duration
-	fleet      peermessages.GatewaySummary
+	summary    peermessages.GatewaySummary
 }
 
-// localFleet lists the nodes whose gateways are connected to this member, and their load by region and group.
-func (c *Controller) localFleet(now time.Duration) peermessages.GatewaySummary {
+// localSummary returns the nodes whose gateways are connected to this member, and their load by region and group.
+func (c *Controller) localSummary(now time.Duration) peermessages.GatewaySummary {
 	type regionGroup struct{ region, group string }
 	summary := peermessages.GatewaySummary{GatewayCount: len(c.streams)}
 	load := map[regionGroup]float64{}
@@ -32,7 +32,7 @@
 		if stream.status == nil || now-stream.statusAt > fleetReportTTL {
 			continue
 		}
-		node := c.nodeOf(stream)
+		node := c.nodeFromStream(stream)
 		summary.Nodes = append(summary.Nodes, node)
 		for group, rate := range stream.status.LoadByGroup {
 			load[regionGroup{node.Region, group}] += rate
@@ -46,8 +46,8 @@
 	return summary
 }
 
-// nodeOf is the node of a gateway that has reported its status.
-func (c *Controller) nodeOf(stream *gatewayStream) maintenance.Node {
+// nodeFromStream returns the node of a gateway that has reported its status.
+func (c *Controller) nodeFromStream(stream *gatewayStream) maintenance.Node {
 	status := stream.status
 	node := maintenance.Node{
 		Serving:      status.Ready && status.Phase == fleet.PhaseServing,
@@ -61,27 +61,28 @@
 	return node
 }
 
-// knownFleet is what is known of all nodes. It is complete once this member has run for a while and every member that can be reached has
-// reported its gateways lately; the gateways of the others connect to one of these within a second.
+// knownFleet merges the local summary with those of the reachable members. The result is complete if fleetDiscoveryPeriod has passed and
+// every reachable member has a recent summary. Gateways of unreachable members reconnect to a reachable one within a second.
 func (c *Controller) knownFleet(now time.Duration) maintenance.Fleet {
 	fleet := maintenance.Fleet{Load: map[string]map[string]float64{}, Complete: now > fleetDiscoveryPeriod}
 	listed := map[string]bool{}
-	addSummary(&fleet, listed, c.localFleet(now))
+	addSummary(&fleet, listed, c.localSummary(now))
 	for _, peer := range c.coordinator.Peers(now) {
 		if peer.ID == "" || !c.coordinator.IsReachable(now, peer.ID) {
 			continue
 		}
-		reported, ok := c.maintenance.peerFleets[peer.ID]
+		reported, ok := c.maintenance.peerSummaries[peer.ID]
 		if !ok || now-reported.receivedAt > fleetReportTTL {
 			fleet.Complete = false
 			continue
 		}
-		addSummary(&fleet, listed, reported.fleet)
+		addSummary(&fleet, listed, reported.summary)
 	}
 	return fleet
 }
 
-// addSummary adds the nodes and the load of one member's gateways. A node whose gateway has just changed members may be in two summaries.
+// addSummary adds the nodes and the load of one member's gateways. A node can appear in two summaries if its gateway has just reconnected to
+// another member.
 func addSummary(fleet *maintenance.Fleet, listed map[string]bool, summary peermessages.GatewaySummary) {
 	for _, node := range summary.Nodes {
 		if !listed[node.Name] {
@@ -97,16 +98,16 @@
 	}
 }
 
-// MaintenanceStatus is what operators see of maintenance windows.
+// MaintenanceStatus is the status of maintenance windows as shown to operators.
 type MaintenanceStatus struct {
 	maintenance.State
 	Nodes         []NodeStatus                  `json:"fleet"`
 	Load          map[string]map[string]float64 `json:"load"`    // requests a second, by region and group
-	UnmetFloors   []string                      `json:"missing"` // floors of capacity that aren't kept now
-	FleetComplete bool                          `json:"sure"`    // all nodes are known
+	UnmetFloors   []string                      `json:"missing"` // capacity floors that are currently violated
+	FleetComplete bool                          `json:"sure"`    // whether all nodes are known
 }
 
-// NodeStatus is one node of the fleet.
+// NodeStatus is the status of one node of the fleet.
 type NodeStatus struct {
 	Node     string             `json:"node"`
 	Zone     string             `json:"zone"`
@@ -116,7 +117,7 @@
 	Capacity map[string]float64 `json:"carries"` // requests a second, by group
 }
 
-// DescribeMaintenance returns the status of the maintenance windows as this member knows it: a MaintenanceStatus in JSON.
+// DescribeMaintenance returns the MaintenanceStatus as seen by this member, encoded as JSON.
 func (c *Controller) DescribeMaintenance(now time.Duration) ([]byte, error) {
 	fleet := c.knownFleet(now)
 	status := MaintenanceStatus{
--- a/controlplane/controller/gossip.go
+++ b/controlplane/controller/gossip.go
@@ -13,17 +13,17 @@
 const (
 	gossipInterval = time.Second
 
-	// gossipRepeatPeriod: changes are repeated to the other members for so long, as links lose messages.
+	// gossipRepeatPeriod is how long a change is repeated in gossip rounds, as messages may be lost.
 	gossipRepeatPeriod = 3 * time.Second
 )
 
-// revisionAt is the registry's revision at a moment.
-type revisionAt struct {
+// revisionSample is the registry's revision at a point in time.
+type revisionSample struct {
 	at       time.Duration
 	revision uint64
 }
 
-// handlePeerMessage takes a message of another member.
+// handlePeerMessage processes a message from another member.
 func (c *Controller) handlePeerMessage(now time.Duration, from fleet.Member, message *Message) {
 	if message.Coordinator != nil {
 		c.applyCoordinatorActions(now, c.coordinator.Step(now, from, *message.Coordinator))
@@ -31,7 +31,7 @@
 	if message.Fleet != nil {
 		c.peerGatewayCounts[from.ID] = message.Fleet.GatewayCount
 		if len(message.Fleet.Nodes) > 0 || c.maintenanceState().Enabled() {
-			c.maintenance.peerFleets[from.ID] = peerFleet{now, *message.Fleet}
+			c.maintenance.peerSummaries[from.ID] = peerSummary{now, *message.Fleet}
 		}
 	}
 	for _, ejection := range message.Ejections {
@@ -44,15 +44,15 @@
 	}
 }
 
-// broadcastInstances sends instances to the other members at once.
+// broadcastInstances sends instances to the other members without waiting for the next gossip round.
 func (c *Controller) broadcastInstances(now time.Duration, instances []fleet.Instance) {
 	for _, peer := range c.coordinator.Peers(now) {
 		c.send(peer.Addr, Message{Instances: instances})
 	}
 }
 
-// gossip sends each other member the heartbeats that arrived here and the instances that changed lately; a member that has become reachable
-// again is sent all instances.
+// gossip periodically sends the heartbeats received directly and the recently changed instances to every other member. A member that has
+// become reachable again is sent all instances.
 func (c *Controller) gossip(now time.Duration) {
 	if now < c.nextGossipAt {
 		return
@@ -62,7 +62,7 @@
 	changes := c.recentChanges(now)
 	fleet := peermessages.GatewaySummary{GatewayCount: len(c.streams)}
 	if c.maintenanceState().Enabled() {
-		fleet = c.localFleet(now)
+		fleet = c.localSummary(now)
 	}
 	for _, peer := range c.coordinator.Peers(now) {
 		if peer.ID == "" {
@@ -79,26 +79,26 @@
 	c.forgetUnreachablePeers(now)
 }
 
-// recentChanges lists the instances that changed within the last gossipRepeatPeriod.
+// recentChanges returns the instances that changed within the last gossipRepeatPeriod.
 func (c *Controller) recentChanges(now time.Duration) []fleet.Instance {
-	c.gossipRevisions = append(c.gossipRevisions, revisionAt{now, c.registry.Revision()})
+	c.gossipRevisions = append(c.gossipRevisions, revisionSample{now, c.registry.Revision()})
 	for len(c.gossipRevisions) > 1 && now-c.gossipRevisions[0].at > gossipRepeatPeriod {
 		c.gossipRevisions = c.gossipRevisions[1:]
 	}
 	return c.registry.ChangesSince(now, c.gossipRevisions[0].revision)
 }
 
-// forgetUnreachablePeers drops what members that can't be reached have reported of their gateways, as these connect to other members.
+// forgetUnreachablePeers drops the gateway summaries of unreachable members, as their gateways reconnect to other members.
 func (c *Controller) forgetUnreachablePeers(now time.Duration) {
 	for _, id := range sortedKeys(c.peerGatewayCounts) {
 		if !c.coordinator.IsReachable(now, id) {
 			delete(c.peerGatewayCounts, id)
-			delete(c.maintenance.peerFleets, id)
+			delete(c.maintenance.peerSummaries, id)
 		}
 	}
 }
 
-// withHeartbeats adds the bare heartbeats of instances that aren't listed anyway.
+// withHeartbeats adds the heartbeats of instances that are not already listed.
 func withHeartbeats(instances, heartbeats []fleet.Instance) []fleet.Instance {
 	listed := map[string]bool{}
 	for _, instance := range instances {
--- a/controlplane/controller/instances.go
+++ b/controlplane/controller/instances.go
@@ -7,40 +7,42 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// handleHeartbeat takes a heartbeat that a replica sent to this member.
+// handleHeartbeat processes a heartbeat that a replica sent to this member.
 func (c *Controller) handleHeartbeat(now time.Duration, token uint64, heartbeat fleet.Instance) {
 	if !c.coordinator.HasQuorumContact(now) {
 		c.respond(Response{Token: token, Status: http.StatusServiceUnavailable, Reason: reasonNoQuorum})
 		return
 	}
-	if !c.hasRoomFor(heartbeat.ID) {
-		c.respond(Response{Token: token, Status: http.StatusServiceUnavailable, Reason: reasonInstancesFull})
+	if !c.canTrack(heartbeat.ID) {
+		c.respond(Response{Token: token, Status: http.StatusServiceUnavailable, Reason: reasonInstanceLimit})
 		return
 	}
 	if change := c.registry.Heartbeat(now, heartbeat); change.Changed {
 		if change.Urgent {
 			c.logInfo("draining", "instance", heartbeat.ID)
 		}
-		if !heartbeat.Draining && heartbeat.WarmupMillis > 0 { // the others may know it as warm, or as warming up for a shorter time
+		// Other members may consider the instance warm, or assume a shorter warm-up. Draining is sent by replicateRemoval.
+		if !heartbeat.Draining && heartbeat.WarmupMillis > 0 {
 			c.broadcastInstances(now, []fleet.Instance{heartbeat})
-		} // a drain is sent by acknowledgeEnding
+		}
 		c.publish(now, change.Urgent)
 	}
 	address := c.heartbeatTarget(now, heartbeat.Zone)
 	if heartbeat.Draining {
-		c.acknowledgeEnding(now, endingCall{ending: ending{id: heartbeat.ID}, instance: heartbeat, token: token, address: address})
+		c.replicateRemoval(now, removalCall{removal: removal{id: heartbeat.ID}, instance: heartbeat, token: token, address: address})
 		return
 	}
 	c.respond(Response{Token: token, Status: http.StatusOK, Address: address})
 }
 
-// hasRoomFor reports whether an instance is remembered, or may be: whoever calls by ever new names would else fill the member's memory.
-func (c *Controller) hasRoomFor(id string) bool {
+// canTrack reports whether an instance is tracked or may be added without exceeding MaxInstances. The limit bounds the memory that callers with
+// ever new instance IDs can use.
+func (c *Controller) canTrack(id string) bool {
 	return c.options.MaxInstances == 0 || c.registry.Len() < c.options.MaxInstances || c.registry.Contains(id)
 }
 
-// heartbeatTarget is where a replica is to send its further heartbeats: a member in its own zone, as traffic between zones costs. It is empty
-// where no such member can be reached.
+// heartbeatTarget returns the API address to which a replica should send further heartbeats: that of a member in the replica's zone, which
+// avoids cross-zone traffic. It is empty if no such member is reachable.
 func (c *Controller) heartbeatTarget(now time.Duration, zone string) string {
 	if zone == c.options.Zone {
 		return c.options.ControlAddr
@@ -53,33 +55,33 @@
 	return ""
 }
 
-// handleDeregister ends an instance at its own request.
+// handleDeregister deregisters an instance at its own request.
 func (c *Controller) handleDeregister(now time.Duration, token uint64, id string) {
 	if !c.coordinator.HasQuorumContact(now) {
 		c.respond(Response{Token: token, Status: http.StatusServiceUnavailable, Reason: reasonNoQuorum})
 		return
 	}
-	if !c.hasRoomFor(id) {
-		c.respond(Response{Token: token, Status: http.StatusServiceUnavailable, Reason: reasonInstancesFull})
+	if !c.canTrack(id) {
+		c.respond(Response{Token: token, Status: http.StatusServiceUnavailable, Reason: reasonInstanceLimit})
 		return
 	}
-	c.endInstance(now, id, "itself")
-	c.acknowledgeEnding(now, endingCall{
-		ending:   ending{id: id, deregistered: true},
+	c.deregisterLocally(now, id, "itself")
+	c.replicateRemoval(now, removalCall{
+		removal:  removal{id: id, deregistered: true},
 		instance: fleet.Instance{ID: id, Deregistered: true},
 		token:    token,
 	})
 }
 
-// deregister ends an instance on a gateway's proof, and notifies all members and gateways at once.
+// deregister deregisters an instance that a gateway has proven gone, and notifies all members and gateways immediately.
 func (c *Controller) deregister(now time.Duration, id, by string) {
-	if c.endInstance(now, id, by) {
+	if c.deregisterLocally(now, id, by) {
 		c.broadcastInstances(now, []fleet.Instance{{ID: id, Deregistered: true}})
 	}
 }
 
-// endInstance ends an instance and notifies this member's gateways at once. It reports whether that is new.
-func (c *Controller) endInstance(now time.Duration, id, by string) bool {
+// deregisterLocally deregisters an instance and notifies this member's gateways immediately. It reports whether the instance was registered.
+func (c *Controller) deregisterLocally(now time.Duration, id, by string) bool {
 	if !c.registry.Deregister(now, id) {
 		return false
 	}
@@ -88,7 +90,7 @@
 	return true
 }
 
-// mergeInstances takes in instances that another member or a gateway has reported.
+// mergeInstances merges instances reported by another member or a gateway.
 func (c *Controller) mergeInstances(now time.Duration, instances []fleet.Instance) {
 	if len(instances) == 0 {
 		return
@@ -98,7 +100,7 @@
 	}
 }
 
-// activeReplicas lists the instances in use of the service that one belongs to.
+// activeReplicas returns the IDs of all active instances of the service that the given instance belongs to.
 func (c *Controller) activeReplicas(now time.Duration, id string) (active []string) {
 	instance, ok := c.registry.Get(now, id)
 	if !ok {
--- a/controlplane/controller/instances_test.go
+++ b/controlplane/controller/instances_test.go
@@ -10,7 +10,7 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// call has a member take an event that is a call, and returns its status; 0: it was not answered within a second.
+// call sends a call to a member and returns the response status, or 0 if there was none within a second.
 func (c *cluster) call(member int, event Event) int {
 	c.lastToken++
 	event.Token = c.lastToken
@@ -19,8 +19,8 @@
 	return c.responses[event.Token].Status
 }
 
-// disksThat counts the disks whose newest state holds the replica i1 as a condition wants it.
-func (c *cluster) disksThat(t *testing.T, holds func(fleet.Instance) bool) (count int) {
+// countDisks counts the members whose latest persisted state has a replica i1 that satisfies the predicate.
+func (c *cluster) countDisks(t *testing.T, satisfies func(fleet.Instance) bool) (count int) {
 	t.Helper()
 	for _, writes := range c.writes {
 		if len(writes) == 0 {
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 		for _, instance := range state.Instances {
-			if instance.ID == "i1" && holds(instance) {
+			if instance.ID == "i1" && satisfies(instance) {
 				count++
 			}
 		}
@@ -43,61 +43,60 @@
 
 func isDraining(instance fleet.Instance) bool { return instance.Draining }
 
-// draining is a heartbeat of i1 that says that it drains.
-func draining(sequence uint64) Event {
+// drainHeartbeat returns a heartbeat by which i1 reports that it is draining.
+func drainHeartbeat(sequence uint64) Event {
 	return Event{Heartbeat: &fleet.Instance{ID: "i1", Service: "svc", Addr: "10.9.0.1:80", Zone: "a", Slots: 4, Sequence: sequence, Draining: true}}
 }
 
-// TestAcknowledgedEndIsOnAQuorumOfDisks guards against requests to a replica that was promised none: an acknowledged drain or
-// deregistration rested on the member that acknowledged it alone, and was lost with it, or with the power of all members within the
-// second in which the list of instances was not yet on disk. A deregistered replica sends no heartbeat that would repeat it.
-func TestAcknowledgedEndIsOnAQuorumOfDisks(t *testing.T) {
-	t.Run("alone", endIsNotAcknowledgedByOneMemberAlone)
+// TestAcknowledgedRemovalIsPersistedByQuorum guards against the loss of an acknowledged drain or deregistration when the member that
+// acknowledged it fails, or when all members lose power: the replica would receive requests again.
+func TestAcknowledgedRemovalIsPersistedByQuorum(t *testing.T) {
+	t.Run("without quorum", testRemovalNotAcknowledgedWithoutQuorum)
 	const quorum = 2
 	for _, test := range []struct {
 		name  string
 		event Event
-		holds func(fleet.Instance) bool
+		check func(fleet.Instance) bool
 	}{
 		{"deregistration", Event{Deregister: "i1"}, isDeregistered},
-		{"drain", draining(9), isDraining},
+		{"drain", drainHeartbeat(9), isDraining},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newCluster()
-			c.heartbeat(0, 1, 0)
+			c.sendHeartbeat(0, 1, 0)
 			c.run(3 * time.Second)
 			c.lastToken++
 			event := test.event
 			event.Token = c.lastToken
 			c.step(1, event)
-			if c.responses[event.Token].Status == http.StatusOK && c.disksThat(t, test.holds) < quorum {
-				t.Errorf("acknowledged with %d disks that hold it", c.disksThat(t, test.holds))
+			if c.responses[event.Token].Status == http.StatusOK && c.countDisks(t, test.check) < quorum {
+				t.Errorf("acknowledged while persisted by %d members, want at least %d", c.countDisks(t, test.check), quorum)
 			}
 			c.run(time.Second)
 			if status := c.responses[event.Token].Status; status != http.StatusOK {
-				t.Errorf("answered %d with all members in contact", status)
+				t.Errorf("status = %d with all members connected, want 200", status)
 			}
 		})
 	}
 }
 
-// endIsNotAcknowledgedByOneMemberAlone guards the same where the member was just cut off and still believes to have a quorum, where
-// the others' disks refuse writes, and where the call comes again: what was learnt but not replicated is no acknowledgement.
-func endIsNotAcknowledgedByOneMemberAlone(t *testing.T) {
-	for name, event := range map[string]Event{"deregistration": {Deregister: "i1"}, "drain": draining(9)} {
+// testRemovalNotAcknowledgedWithoutQuorum covers a member that was just cut off and has not noticed yet, a retry of the same call there, and
+// members whose disks reject writes.
+func testRemovalNotAcknowledgedWithoutQuorum(t *testing.T) {
+	for name, event := range map[string]Event{"deregistration": {Deregister: "i1"}, "drain": drainHeartbeat(9)} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster()
-			c.heartbeat(0, 1, 0)
+			c.sendHeartbeat(0, 1, 0)
 			c.run(3 * time.Second)
 			c.isolated[0] = true
 			if status := c.call(0, event); status == http.StatusOK {
-				t.Error("acknowledged by a member that reaches nobody")
+				t.Error("acknowledged by an isolated member")
 			}
 			if status := c.call(0, event); status == http.StatusOK {
-				t.Error("acknowledged when it came again")
+				t.Error("retry acknowledged by an isolated member")
 			}
 			if status := c.call(1, event); status != http.StatusOK {
-				t.Errorf("answered %d by the others, which are a quorum", status)
+				t.Errorf("status = %d from a member with a quorum, want 200", status)
 			}
 			c.diskFull[1], c.diskFull[2] = true, true
 			other := event
@@ -109,21 +108,20 @@
 				other.Heartbeat = &heartbeat
 			}
 			if status := c.call(1, other); status == http.StatusOK {
-				t.Error("acknowledged with no disk that takes it")
+				t.Error("acknowledged although no other disk accepts writes")
 			}
 		})
 	}
 }
 
-// TestEndIsSentOnce guards the messages between members: the end of an instance that asked for it was sent to each other member twice at once, as
-// news and as what it is to have on disk.
-func TestEndIsSentOnce(t *testing.T) {
+// TestRemovalIsSentOnce guards against sending a removal to each other member twice: as a change and as a request to persist it.
+func TestRemovalIsSentOnce(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		event Event
-	}{{"deregistration", Event{Deregister: "i1"}}, {"drain", draining(9)}} {
+	}{{"deregistration", Event{Deregister: "i1"}}, {"drain", drainHeartbeat(9)}} {
 		c := newCluster()
-		c.heartbeat(0, 1, 0)
+		c.sendHeartbeat(0, 1, 0)
 		c.run(3 * time.Second)
 		c.lastToken++
 		event := test.event
@@ -148,8 +146,8 @@
 	}
 }
 
-// TestRememberedInstancesAreBounded guards a member's memory against calls by ever new names: each was remembered for a minute and a half.
-func TestRememberedInstancesAreBounded(t *testing.T) {
+// TestTrackedInstancesAreBounded guards a member's memory against calls with ever new instance IDs.
+func TestTrackedInstancesAreBounded(t *testing.T) {
 	const limit = 5
 	c := newCluster()
 	for _, member := range c.controllers {
@@ -160,22 +158,22 @@
 	}
 	for i := range limit {
 		if status := heartbeat(fmt.Sprint(100 + i)); status != http.StatusOK {
-			t.Fatalf("instance %d: %d", i, status)
+			t.Fatalf("heartbeat of instance %d: status = %d, want 200", i, status)
 		}
 	}
 	if status := heartbeat("200"); status != http.StatusServiceUnavailable {
-		t.Errorf("one more is answered %d", status)
+		t.Errorf("heartbeat beyond the limit: status = %d, want 503", status)
 	}
 	if status := c.call(0, Event{Deregister: "201"}); status != http.StatusServiceUnavailable {
-		t.Errorf("the end of an unknown one is answered %d", status)
+		t.Errorf("deregistration of an unknown instance: status = %d, want 503", status)
 	}
 	if status := heartbeat("100"); status != http.StatusOK {
-		t.Errorf("a known one is answered %d", status)
+		t.Errorf("heartbeat of a known instance: status = %d, want 200", status)
 	}
 	if status := c.call(0, Event{Deregister: "101"}); status != http.StatusOK {
-		t.Errorf("the end of a known one is answered %d", status)
+		t.Errorf("deregistration of a known instance: status = %d, want 200", status)
 	}
-	if remembered := c.controllers[0].Metrics(c.now).TrackedInstances; remembered != limit {
-		t.Error(remembered, "are remembered")
+	if tracked := c.controllers[0].Metrics(c.now).TrackedInstances; tracked != limit {
+		t.Errorf("TrackedInstances = %d, want %d", tracked, limit)
 	}
 }
--- a/controlplane/controller/maintenance.go
+++ b/controlplane/controller/maintenance.go
@@ -14,46 +14,46 @@
 )
 
 const (
-	// maintenanceRecord is the register's record that holds the state of the maintenance windows.
+	// maintenanceRecord is the key of the register record that stores the maintenance state.
 	maintenanceRecord = "windows"
 
-	// maintenanceInterval is how often the head looks at the windows.
+	// maintenanceInterval is how often the head of the chain reconciles the maintenance windows.
 	maintenanceInterval = time.Second
 
-	// maxProposalRetries bounds how often an operator's command is proposed anew where others change the windows at the same moment.
+	// maxProposalRetries limits how often an operator's command is retried after a conflicting change.
 	maxProposalRetries = 4
 )
 
-// maintenanceTracker is what this member has proposed about maintenance windows, and what it knows of nodes elsewhere.
+// maintenanceTracker holds the member's decoded maintenance state, its pending proposals and the gateway summaries of other members.
 type maintenanceTracker struct {
 	state         maintenance.State // decoded from the register's record
 	revision      uint64            // of that record
 	nextAdvanceAt time.Duration
-	drainedSince  map[string]time.Duration // by node: since when this member knows it as drained, by its own clock
+	drainedSince  map[string]time.Duration // by node: when this member first saw it drained, by its own clock
 
-	proposals     map[uint64]proposal // by the coordinator's request
+	proposals     map[uint64]proposal // by coordinator request ID
 	proposalCount uint64
 
-	peerFleets map[string]peerFleet // by the identity of a member
+	peerSummaries map[string]peerSummary // by member ID
 }
 
 func newMaintenanceTracker() maintenanceTracker {
 	return maintenanceTracker{
-		drainedSince: map[string]time.Duration{},
-		proposals:    map[uint64]proposal{},
-		peerFleets:   map[string]peerFleet{},
+		drainedSince:  map[string]time.Duration{},
+		proposals:     map[uint64]proposal{},
+		peerSummaries: map[string]peerSummary{},
 	}
 }
 
-// proposal is a change of the windows that waits for its commit.
+// proposal is a change of the maintenance state that awaits its commit.
 type proposal struct {
 	changeID string
-	command  *maintenance.Command // an operator's, which must be answered; nil: this member's own change
-	token    uint64               // of the operator's call
+	command  *maintenance.Command // the operator's command to respond to; nil for a change by this member
+	token    uint64               // token of the operator's call
 	retries  int
 }
 
-// maintenanceState is the committed state of the windows.
+// maintenanceState returns the committed maintenance state.
 func (c *Controller) maintenanceState() maintenance.State {
 	register, known := c.coordinator.Register()
 	record, ok := register.Records[maintenanceRecord]
@@ -85,7 +85,7 @@
 	c.proposeMaintenance(now, next, proposal)
 }
 
-// proposeMaintenance proposes another state of the windows, which is committed only if nobody else changes them first.
+// proposeMaintenance proposes a new maintenance state with optimistic concurrency: it is committed only if the record is unchanged.
 func (c *Controller) proposeMaintenance(now time.Duration, state maintenance.State, proposal proposal) {
 	value, err := cbor.Marshal(state)
 	if err != nil {
@@ -105,8 +105,8 @@
 	c.applyCoordinatorActions(now, actions)
 }
 
-// handleProposalResult takes the coordinator's response to a proposal. An operator's command that lost against another change is applied to
-// the newer state.
+// handleProposalResult processes the coordinator's response to a proposal. An operator's command that conflicted with another change is
+// retried on the newer state.
 func (c *Controller) handleProposalResult(now time.Duration, proposal proposal, response coordinator.Response) {
 	if proposal.command == nil {
 		return
@@ -125,8 +125,8 @@
 	}
 }
 
-// advanceMaintenance has the head of the chain grant windows, revoke them, note what nodes have reported and end windows that have lasted as
-// long as was asked for. It makes one proposal at a time.
+// advanceMaintenance runs on the head of the chain. It grants and revokes windows, records the phases reported by nodes, and ends windows whose
+// duration is over. At most one proposal is pending at a time.
 func (c *Controller) advanceMaintenance(now time.Duration) {
 	if now < c.maintenance.nextAdvanceAt || len(c.maintenance.proposals) > 0 {
 		return
@@ -145,13 +145,13 @@
 	if !changed {
 		return
 	}
-	if change, ok := newestChange(state, next); ok {
+	if change, ok := newAuditEntry(state, next); ok {
 		c.logInfo("maintenance_window_changed", "change", change)
 	}
 	c.proposeMaintenance(now, next, proposal{})
 }
 
-// expireWindow ends the first window whose node has been drained for as long as was asked for.
+// expireWindow ends the first window whose node has been drained for the window's duration.
 func (c *Controller) expireWindow(now time.Duration, state maintenance.State) (next maintenance.State, changed bool) {
 	drainedSince := c.maintenance.drainedSince
 	for _, window := range state.Windows {
@@ -171,8 +171,8 @@
 	return next, false
 }
 
-// newestChange is the newest entry of a state's audit log, if the state before hasn't got it.
-func newestChange(before, after maintenance.State) (entry string, ok bool) {
+// newAuditEntry returns the newest audit log entry of after, unless before ends with the same entry.
+func newAuditEntry(before, after maintenance.State) (entry string, ok bool) {
 	if len(after.AuditLog) == 0 {
 		return "", false
 	}
--- a/controlplane/controller/metrics.go
+++ b/controlplane/controller/metrics.go
@@ -6,30 +6,30 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// Metrics are what a member tells of itself for monitoring.
+// Metrics is a snapshot of a member's state for monitoring.
 type Metrics struct {
 	HasQuorumContact  bool
 	DiskHealthy       bool
 	ViewNumber        uint64
-	ChainPosition     int // from 0, the head; -1: not in the chain
+	ChainPosition     int // 0 is the head; -1 if not in the chain
 	Voters            int
 	CommittedSequence uint64
 	ConfigVersion     uint64
 	EvacuatedZones    int
 	GatewayStreams    int
-	Instances         int // registered, of which some drain and some are timed out
+	Instances         int // registered, including draining and timed-out ones
 	DrainingInstances int
 	TimedOutInstances int
 
-	TrackedInstances      int // with those that were deregistered lately
-	TrackedInstancesLimit int // that may be remembered; 0: there is no bound
+	TrackedInstances      int // including recently deregistered ones
+	TrackedInstancesLimit int // 0 means unlimited
 }
 
-// Metrics reads the member's figures.
+// Metrics returns the member's current metrics.
 func (c *Controller) Metrics(now time.Duration) Metrics {
 	view := c.coordinator.View()
 	register, _ := c.coordinator.Register()
-	figures := Metrics{
+	metrics := Metrics{
 		HasQuorumContact:  c.coordinator.HasQuorumContact(now),
 		DiskHealthy:       !c.coordinator.DiskUnhealthy(),
 		ViewNumber:        view.Number,
@@ -44,13 +44,13 @@
 		TrackedInstancesLimit: c.options.MaxInstances,
 	}
 	c.registry.Each(now, func(instance fleet.Instance) {
-		figures.Instances++
+		metrics.Instances++
 		if instance.Draining {
-			figures.DrainingInstances++
+			metrics.DrainingInstances++
 		}
 		if instance.HeartbeatTimedOut {
-			figures.TimedOutInstances++
+			metrics.TimedOutInstances++
 		}
 	})
-	return figures
+	return metrics
 }
--- a/controlplane/controller/publication.go
+++ b/controlplane/controller/publication.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// publishInterval: changes that are not urgent are published this often.
+	// publishInterval is how often non-urgent changes are published.
 	publishInterval = 200 * time.Millisecond
 
-	// keepaliveInterval: every gateway is sent an update at least this often, also an empty one. It must stay below
-	// messages.WarmupRateLifetime and the stream timeout of package gateway.
+	// keepaliveInterval is the maximum time between two updates on a stream; an empty update is sent if nothing has changed. It must stay
+	// below messages.WarmupRateLifetime and the stream timeout of package gateway.
 	keepaliveInterval = 400 * time.Millisecond
 
-	// bootstrapIntervals is the number of heartbeat intervals after which a member that has started, or was isolated, knows all instances.
+	// bootstrapIntervals is the number of heartbeat intervals after which a member that started or was isolated is assumed to know all instances.
 	bootstrapIntervals = 2.2
 )
 
-// publicationRound is what one round publishes to all gateways alike.
+// publicationRound holds the inputs shared by all streams in one publication round.
 type publicationRound struct {
 	now          time.Duration
 	register     chainreplication.Register
-	complete     bool // everything that has changed; else only the register
+	complete     bool // publish all changes; otherwise only the register
 	gatewayCount int
-	warmupRates  map[*gatewayStream]map[string]float32 // where the round is complete
+	warmupRates  map[*gatewayStream]map[string]float32 // set if complete
 }
 
-// publish brings the gateways up to date: a snapshot first, then deltas. The register goes out at once, and so does everything if it is
-// urgent or if a gateway waits for its snapshot; other changes wait for the publish interval. An isolated member publishes nothing.
+// publish sends pending updates to the gateways: first a snapshot, then deltas. Register changes are sent immediately. Other changes are batched
+// for publishInterval, unless they are urgent or a gateway awaits its snapshot. An isolated member publishes nothing.
 func (c *Controller) publish(now time.Duration, urgent bool) {
 	register, known := c.coordinator.Register()
 	if !known || c.isolated || !c.coordinator.HasQuorumContact(now) || c.config == nil {
@@ -56,8 +56,8 @@
 	}
 }
 
-// snapshotsDue reports whether a gateway waits for its snapshot. A snapshot without the instances would say that there are none, so the round
-// that sends it must be complete.
+// snapshotsDue reports whether a gateway awaits its snapshot. The round that sends it must be complete, as a snapshot without instances would
+// mean that none exist.
 func (c *Controller) snapshotsDue() bool {
 	for _, stream := range c.streams {
 		if !stream.snapshotSent {
@@ -67,7 +67,7 @@
 	return false
 }
 
-// updateWeights hands changed instances to the weights.
+// updateWeights passes changed instances to the weighting manager.
 func (c *Controller) updateWeights(now time.Duration) {
 	revision := c.registry.Revision()
 	if revision <= c.weightsRevision {
@@ -77,7 +77,7 @@
 	c.weightsRevision = revision
 }
 
-// nextUpdate is what a round has for one gateway, and whether it must be sent.
+// nextUpdate builds the update of a round for one gateway and reports whether it must be sent.
 func (c *Controller) nextUpdate(round publicationRound, stream *gatewayStream) (update messages.StateUpdate, needed bool) {
 	needed = round.now-stream.lastSentAt >= keepaliveInterval
 	if !stream.snapshotSent {
@@ -99,7 +99,7 @@
 	return update, needed
 }
 
-// addRegister adds what is committed, and with it the gateway's maintenance window.
+// addRegister adds the committed register and the gateway's maintenance window.
 func (c *Controller) addRegister(update *messages.StateUpdate, round publicationRound, stream *gatewayStream) bool {
 	register := round.register
 	if stream.registerSent && register.Sequence <= stream.registerSequence {
@@ -156,8 +156,8 @@
 	return true
 }
 
-// addWarmupRates adds all warm-up rates of a gateway where one has changed. A snapshot carries them even if there are none, as the gateway
-// may hold rates from another member.
+// addWarmupRates adds all warm-up rates of a gateway if any has changed. A snapshot always includes them, even if empty, as the gateway may
+// hold rates from another member.
 func addWarmupRates(update *messages.StateUpdate, round publicationRound, stream *gatewayStream) bool {
 	rates := round.warmupRates[stream]
 	if !update.Full && maps.Equal(rates, stream.warmupRates) {
@@ -171,7 +171,8 @@
 	return true
 }
 
-// publishEjection notifies the gateways at once that a replica is ejected. Gateways that wait for their snapshot don't know it yet.
+// publishEjection notifies the gateways immediately of an ejected replica. Gateways that await their snapshot are skipped, as they do not know
+// the replica yet.
 func (c *Controller) publishEjection(ejection fleet.Ejection) {
 	publication := Publication{Update: messages.StateUpdate{Ejections: []fleet.Ejection{ejection}}}
 	for _, stream := range c.streams {
@@ -184,12 +185,12 @@
 	}
 }
 
-// bootstrapping reports whether this member may not know all instances, as it has just started or was isolated.
+// bootstrapping reports whether this member may not know all instances because it has just started or was isolated.
 func (c *Controller) bootstrapping(now time.Duration) bool {
 	return c.isolated || now-c.reconnectedAt < time.Duration(bootstrapIntervals*float64(c.options.HeartbeatInterval))
 }
 
-// controlPlaneMembers lists the members that a gateway may turn to, this one first.
+// controlPlaneMembers returns the members that a gateway may connect to, this one first.
 func (c *Controller) controlPlaneMembers(now time.Duration) []fleet.Member {
 	members := []fleet.Member{c.coordinator.Self()}
 	for _, peer := range c.coordinator.Peers(now) {
--- a/controlplane/controller/replication.go
+++ b/controlplane/controller/replication.go
@@ -11,14 +11,14 @@
 	"zincloft.example/zincloft/gatewayconfig"
 )
 
-// instanceHints are the instances that the coordinator keeps on disk beside the replicated state.
+// instanceHints provides the instances that the coordinator persists alongside the replicated state.
 type instanceHints struct{ controller *Controller }
 
-// Revision is the registry's.
+// Revision returns the revision of the registry.
 func (h instanceHints) Revision() uint64 { return h.controller.registry.Revision() }
 
-// Instances lists all instances. Those that have to warm up, or may have to, once the evacuation of their zone finishes are marked as stale:
-// the write that they are part of may be the one by which it finishes.
+// Instances returns all instances. Those that may have to warm up after the evacuation of their zone ends are marked as stale, because the write
+// that includes them may be the one that commits that end.
 func (h instanceHints) Instances() []fleet.Instance {
 	instances := h.controller.registry.ChangesSince(h.controller.lastTickAt, registry.AllRevisions)
 	for i, instance := range instances {
@@ -30,7 +30,7 @@
 	return instances
 }
 
-// applyCoordinatorActions carries out what the coordinator has decided.
+// applyCoordinatorActions performs the actions returned by the coordinator.
 func (c *Controller) applyCoordinatorActions(now time.Duration, actions coordinator.Actions) {
 	if actions.ClockStallDetected {
 		c.logWarning("clock_stopped")
@@ -56,7 +56,7 @@
 	}
 }
 
-// handleViewInstalled has the members of a new view published to the gateways.
+// handleViewInstalled schedules the publication of the members of a new view.
 func (c *Controller) handleViewInstalled() {
 	view := c.coordinator.View()
 	c.logInfo("view_installed", "view", view.Number, "chain", view.Chain, "voters", len(view.Voters))
@@ -65,16 +65,16 @@
 	}
 }
 
-// dispatchResponse hands the coordinator's response to whoever has asked for it: joining gateways, a replica that ends, another caller or a
-// proposal of this member.
+// dispatchResponse routes a response of the coordinator to the originator of the request: joining gateways, a replica's removal, another
+// call, or a maintenance proposal.
 func (c *Controller) dispatchResponse(now time.Duration, response coordinator.Response) {
 	if response.RequestID == c.confirmRequest {
 		c.completeJoins(now, response.Err)
 		return
 	}
-	if call, ok := c.endingCalls[response.RequestID]; ok {
-		delete(c.endingCalls, response.RequestID)
-		c.finishEnding(call, response)
+	if call, ok := c.removalCalls[response.RequestID]; ok {
+		delete(c.removalCalls, response.RequestID)
+		c.completeRemoval(call, response)
 		return
 	}
 	if token, ok := c.callTokens[response.RequestID]; ok {
@@ -88,7 +88,7 @@
 	}
 }
 
-// applyCommitted puts the committed register into force.
+// applyCommitted applies the committed register.
 func (c *Controller) applyCommitted(now time.Duration) {
 	register, _ := c.coordinator.Register()
 	if (c.config == nil || c.config.Version != register.Version) && len(register.Body) > 0 {
@@ -98,7 +98,7 @@
 	c.publish(now, true)
 }
 
-// applyConfiguration puts a committed configuration into force. Where it can't be read, the last one stays in force.
+// applyConfiguration applies a committed configuration. If it cannot be parsed, the previous one stays in effect.
 func (c *Controller) applyConfiguration(now time.Duration, register chainreplication.Register) {
 	config, err := gatewayconfig.Parse(register.Body)
 	if err != nil {
@@ -111,8 +111,8 @@
 	c.logInfo("config_committed", "version", register.Version, "sequence", register.Sequence, "routes", config.RouteCount)
 }
 
-// updateEvacuations notes which zones are evacuated. Where an evacuation has finished, the zone's instances count as warming up until their
-// next heartbeats say whether they are.
+// updateEvacuations updates the set of evacuated zones. When the evacuation of a zone ends, the zone's instances are treated as warming up until
+// their next heartbeats report their state.
 func (c *Controller) updateEvacuations(now time.Duration, register chainreplication.Register) {
 	for _, zone := range c.evacuatedZones {
 		if !register.EvacuatedZones[zone] {
--- a/controlplane/controller/replication_test.go
+++ b/controlplane/controller/replication_test.go
@@ -11,26 +11,27 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// TestInstancesOnDisk is a regression test: a member died right after an evacuation had finished, and nothing on its disk told that the zone's replicas may be cold.
-func TestInstancesOnDisk(t *testing.T) {
-	Convey("Given a member that wrote its state as an evacuation finished", t, func() {
+// TestPersistedInstancesAreStaleAfterEvacuation guards against a member that crashes right after the end of an evacuation and, after its restart,
+// treats the zone's replicas as warm.
+func TestPersistedInstancesAreStaleAfterEvacuation(t *testing.T) {
+	Convey("Given a member that persisted its state when an evacuation ended", t, func() {
 		c := newCluster()
-		c.heartbeat(0, 1, 0)
-		c.command(chainreplication.Command{Zone: "a", Evacuated: true})
-		c.command(chainreplication.Command{Zone: "a"})
+		c.sendHeartbeat(0, 1, 0)
+		c.execute(chainreplication.Command{Zone: "a", Evacuated: true})
+		c.execute(chainreplication.Command{Zone: "a"})
 		for i := range 3 {
-			var given coordinator.PersistentState
+			var evacuationEnd coordinator.PersistentState
 			for _, raw := range c.writes[i] {
 				persisted, err := coordinator.DecodePersistentState(raw)
 				So(err, ShouldBeNil)
-				if persisted.Register.Sequence == 3 && given.DiskID == "" {
-					given = persisted
+				if persisted.Register.Sequence == 3 && evacuationEnd.DiskID == "" {
+					evacuationEnd = persisted
 				}
 			}
-			So(given.Register.EvacuatedZones, ShouldBeEmpty)
-			Convey(fmt.Sprint("it starts with its instances as stale, member ", i), func() {
+			So(evacuationEnd.Register.EvacuatedZones, ShouldBeEmpty)
+			Convey(fmt.Sprint("it restarts with its instances marked as stale, member ", i), func() {
 				self := c.controllers[i].Coordinator().Self()
-				restarted := New(0, c.controllers[i].options, self, given)
+				restarted := New(0, c.controllers[i].options, self, evacuationEnd)
 				instance, ok := restarted.registry.Get(0, "i1")
 				So(ok, ShouldBeTrue)
 				So(instance.Stale, ShouldBeTrue)
--- a/controlplane/controller/streams.go
+++ b/controlplane/controller/streams.go
@@ -10,7 +10,7 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// gatewayStream is the stream to a gateway that is connected to this member, with what has been published on it.
+// gatewayStream is a stream to a connected gateway, with the state last published on it.
 type gatewayStream struct {
 	id      uint64
 	gateway string
@@ -26,11 +26,11 @@
 	warmupRates       map[string]float32 // by instance
 	lastSentAt        time.Duration
 
-	status   *messages.GatewayStatus // where maintenance windows are used; nil: none reported
+	status   *messages.GatewayStatus // reported if maintenance windows are in use; nil if not yet reported
 	statusAt time.Duration
 }
 
-// findStream returns a stream, or nil if it has ended or was never let in.
+// findStream returns an admitted stream, or nil if there is none with this ID.
 func (c *Controller) findStream(id uint64) *gatewayStream {
 	for _, stream := range c.streams {
 		if stream.id == id {
@@ -40,9 +40,9 @@
 	return nil
 }
 
-// handleGatewayJoined has a gateway wait until a quorum has confirmed, after it connected, that the register committed here is the newest:
-// else a gateway that has just started could be sent what this member knew before it was cut off or stalled. Gateways that connect while a
-// read is under way wait for the next one.
+// handleGatewayJoined queues a gateway until a linearizable read, started after it connected, has confirmed that the register committed here is
+// the newest. Otherwise a new gateway could receive state from before this member was isolated or stalled. Gateways that connect during a read
+// wait for the next one.
 func (c *Controller) handleGatewayJoined(now time.Duration, joined GatewayJoined) {
 	if c.shuttingDown {
 		c.closeStream(joined.Stream)
@@ -52,7 +52,7 @@
 	c.confirmJoins(now)
 }
 
-// confirmJoins begins a linearizable read for the gateways that wait, unless one is under way.
+// confirmJoins starts a linearizable read for the queued gateways, unless one is in progress.
 func (c *Controller) confirmJoins(now time.Duration) {
 	if c.confirmRequest != 0 || len(c.pendingJoins) == 0 {
 		return
@@ -64,7 +64,7 @@
 	c.applyCoordinatorActions(now, actions)
 }
 
-// completeJoins lets in the gateways for which a read was made, or closes their streams if it failed, so that they connect to another member.
+// completeJoins admits the gateways that awaited the read. If it failed, their streams are closed, so that they connect to another member.
 func (c *Controller) completeJoins(now time.Duration, readErr error) {
 	joins := c.confirmingJoins
 	c.confirmingJoins = nil
@@ -83,7 +83,7 @@
 	c.confirmJoins(now)
 }
 
-// handleGatewayLeft drops a stream that has ended, whether or not its gateway was let in yet.
+// handleGatewayLeft removes a closed stream, whether or not its gateway was admitted.
 func (c *Controller) handleGatewayLeft(now time.Duration, streamID uint64) {
 	isStream := func(join GatewayJoined) bool { return join.Stream == streamID }
 	c.pendingJoins = slices.DeleteFunc(c.pendingJoins, isStream)
@@ -94,13 +94,14 @@
 	}
 	c.streams = slices.DeleteFunc(c.streams, func(stream *gatewayStream) bool { return stream == left })
 	if slices.ContainsFunc(c.streams, func(stream *gatewayStream) bool { return stream.gateway == left.gateway }) {
-		return // the gateway has come again meanwhile
+		return // the gateway has reconnected on another stream
 	}
 	c.weights.RemoveGateway(now, left.gateway)
 	c.logInfo("gateway_left", "gateway", left.gateway)
 }
 
-// handleReport takes a gateway's load report. Instances that the gateway knows from another member are merged as if that member had sent them.
+// handleReport processes a gateway's load report. Instances that the gateway learned from another member are merged as if that member had sent
+// them.
 func (c *Controller) handleReport(now time.Duration, streamID uint64, report *messages.LoadReport) {
 	stream := c.findStream(streamID)
 	if stream == nil {
@@ -120,8 +121,7 @@
 	c.mergeInstances(now, report.Instances)
 }
 
-// observe takes a gateway's observation of a failing replica, and publishes the ejection that may come of it to the gateways and to the other
-// members.
+// observe records a gateway's observation of a failing replica. If it causes an ejection, the gateways and the other members are notified.
 func (c *Controller) observe(now time.Duration, gateway string, observation fleet.Observation) {
 	ejection, ok := c.outliers.Observe(now, gateway, observation, c.activeReplicas(now, observation.Replica))
 	if !ok {
@@ -134,7 +134,7 @@
 	}
 }
 
-// gatewayCount is the number of gateways over all members.
+// gatewayCount returns the number of gateways connected to all members.
 func (c *Controller) gatewayCount() int {
 	total := len(c.streams)
 	for _, count := range c.peerGatewayCounts {
--- a/controlplane/controller/streams_test.go
+++ b/controlplane/controller/streams_test.go
@@ -8,19 +8,19 @@
 )
 
 func TestJoinAfterIsolation(t *testing.T) {
-	Convey("Given a member that was isolated for long", t, func() {
+	Convey("Given a member that was isolated for longer than the deregistration timeout", t, func() {
 		c := newCluster()
-		c.heartbeat(0, 1, 0)
+		c.sendHeartbeat(0, 1, 0)
 		c.run(2 * time.Second)
 		c.isolated[2] = true
 		c.run(5 * time.Second)
-		for range 25 { // the replica sends its heartbeats elsewhere
+		for range 25 { // the replica's heartbeats reach another member
 			c.run(time.Second)
-			c.heartbeat(0, 2+uint64(c.now/time.Second), 0)
+			c.sendHeartbeat(0, 2+uint64(c.now/time.Second), 0)
 		}
 		c.isolated[2] = false
-		// Regression: the whole fleet was deregistered by a member that could not hear it, where a gateway joined first after the partition.
-		Convey("it takes nobody as deregistered or timed out when it is back, also where a gateway joins before its next tick", func() {
+		// Regression: a gateway that joined before the first tick after a partition made the member deregister all instances.
+		Convey("after reconnecting it treats no instance as deregistered or timed out, even if a gateway joins before its next tick", func() {
 			for !c.controllers[2].Coordinator().HasQuorumContact(c.now) {
 				c.now += 10 * time.Millisecond
 				c.step(0, Event{})
@@ -34,8 +34,8 @@
 			So(ok, ShouldBeTrue)
 			So(instance.HeartbeatTimedOut, ShouldBeFalse)
 		})
-		// Regression: gateways let go of replicas that had started during the partition.
-		Convey("it tells that it may not know all instances", func() {
+		// Regression: gateways removed replicas that had started during the partition.
+		Convey("its snapshot is marked as bootstrapping", func() {
 			for !c.controllers[2].Coordinator().HasQuorumContact(c.now) {
 				c.run(10 * time.Millisecond)
 			}
--- a/controlplane/controller/tick.go
+++ b/controlplane/controller/tick.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// TickInterval is how often an empty event is due.
+// TickInterval is the interval at which the caller must step an empty event.
 const TickInterval = 100 * time.Millisecond
 
 const (
-	// stallThreshold: after so long between two ticks a missing heartbeat of a replica proves nothing.
+	// stallThreshold is the gap between two ticks above which heartbeats may have been missed, so that timeouts are extended.
 	stallThreshold = time.Second
 
-	// lateTickThreshold: after so long between two ticks, what comes next may have lain in a socket meanwhile.
+	// lateTickThreshold is the gap between two ticks above which events that follow may have been delayed in socket buffers.
 	lateTickThreshold = 500 * time.Millisecond
 
-	// callRejectionPeriod: heartbeats and commands are rejected for so long after a stall, see rejectsCalls.
+	// callRejectionPeriod is how long heartbeats and commands are rejected after a stall, see rejectsCalls.
 	callRejectionPeriod = 300 * time.Millisecond
 
 	outlierSweepInterval = 2 * time.Second
 )
 
-// detectStall detects that this member has stalled: by a late tick or, where its monotonic clock stopped as well, by the time of day. If it
-// was only the time of day that was set, contact with the others is established anew without need, which takes one heartbeat.
+// detectStall detects that this member has stalled: by a late tick or, if its monotonic clock stopped as well, by a jump of the time of day. A
+// jump caused by setting the clock resets the contact with the other members needlessly, which costs one heartbeat interval.
 func (c *Controller) detectStall(now, wallClock time.Duration) {
 	if now-c.lastTickAt > lateTickThreshold {
 		c.resumedAt = now
@@ -37,15 +37,15 @@
 	c.wallClockAt = now
 }
 
-// rejectsCalls reports whether a call may have been sent before a stall: its caller may have gone on to another member since, and what it asks
-// for may have been undone. A deregistration is taken all the same, as it is final whenever it was sent.
+// rejectsCalls reports whether a call may have been sent before a stall. Its caller may have retried at another member since, and the requested
+// change may have been reverted. Deregistrations are accepted nevertheless, as they are final.
 func (c *Controller) rejectsCalls(now time.Duration) bool {
 	return c.resumedAt+callRejectionPeriod > now
 }
 
-// tick does what is due as time passes.
+// tick performs periodic work.
 func (c *Controller) tick(now time.Duration) {
-	if stalled := now - c.lastTickAt; stalled > stallThreshold { // frozen, or starved of CPU: it received nothing meanwhile
+	if stalled := now - c.lastTickAt; stalled > stallThreshold { // suspended or starved of CPU: no heartbeats were received
 		c.logWarning("stalled", "stall_duration", stalled)
 		c.registry.ExtendHeartbeats(now)
 	}
@@ -53,7 +53,7 @@
 	if now-c.lastOutlierSweepAt > outlierSweepInterval {
 		c.lastOutlierSweepAt = now
 		c.outliers.Expire(now)
-		c.forgetEndings()
+		c.pruneRemovals()
 	}
 	c.applyCoordinatorActions(now, c.coordinator.Tick(now))
 	c.updateContact(now)
@@ -62,20 +62,21 @@
 		for _, id := range c.registry.Expire(now) {
 			c.logInfo("heartbeat_timed_out", "instance", id)
 		}
-	case now-c.resumedAt > callRejectionPeriod: // the gateways should connect to another member
+	case now-c.resumedAt > callRejectionPeriod: // make the gateways connect to another member
 		for _, stream := range c.streams {
 			c.closeStream(stream.id)
 		}
 	}
 	c.gossip(now)
-	c.resendEndings(now)
+	c.resendRemovals(now)
 	c.advanceMaintenance(now)
 	c.weights.Tick(now)
 	c.publish(now, false)
 	c.actions.ShutdownComplete = c.shuttingDown && c.coordinator.LeaveComplete(now)
 }
 
-// updateContact notes that this member has lost contact with a quorum, or has regained it. While it had none it may have missed heartbeats.
+// updateContact tracks whether this member is in contact with a quorum. When contact is regained, heartbeats are extended, as some may have been
+// missed.
 func (c *Controller) updateContact(now time.Duration) {
 	isolated := !c.coordinator.HasQuorumContact(now)
 	if isolated == c.isolated {
--- a/controlplane/controller/warmup.go
+++ b/controlplane/controller/warmup.go
@@ -11,16 +11,16 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// warmupRateShare is the part of a service's warm-up rate that is given out; the rest is a reserve.
+// warmupRateShare is the fraction of a service's warm-up rate that is assigned; the rest is a safety margin.
 const warmupRateShare = 0.9
 
-// warmupRateDelay is for how long a member that has just started, or was isolated, gives out no warm-up rates: until those that it gave out
-// before have expired at the gateways.
+// warmupRateDelay is how long a member that started or was isolated assigns no warm-up rates: until the rates that it assigned earlier have
+// expired at the gateways.
 const warmupRateDelay = messages.WarmupRateLifetime + 100*time.Millisecond
 
-// allocateWarmupRates gives, for each instance that is warming up, one of this member's gateways the right to send it requests: requests a
-// second, by gateway and instance. Each voter of the view gives out an equal part of what the instance bears, whether or not the others
-// are alive, so that the sum holds while members fail and gateways change members.
+// allocateWarmupRates assigns each instance that is warming up to one of this member's gateways. It returns the allowed requests per second by
+// gateway and instance. Each voter of the view assigns an equal share of the instance's warm-up rate, whether or not the other voters are alive,
+// so that the total stays within the limit while members fail and gateways change members.
 func (c *Controller) allocateWarmupRates(now time.Duration) map[*gatewayStream]map[string]float32 {
 	rates := map[*gatewayStream]map[string]float32{}
 	view := c.coordinator.View()
@@ -36,19 +36,19 @@
 		if rates[stream] == nil {
 			rates[stream] = map[string]float32{}
 		}
-		bearable := c.config.Services[instance.Service].WarmupRate
-		rate := float32(bearable * share)
+		limit := c.config.Services[instance.Service].WarmupRate
+		rate := float32(limit * share)
 		_, granted := rates[stream][instance.ID]
-		invariant.Check(invariant.WarmupGrantsWithinBudget, !granted && float64(rate)*float64(len(view.Voters)) <= bearable, func() string {
-			return fmt.Sprintf("%s bears %g requests a second, %d members grant %g each", instance.ID, bearable, len(view.Voters), rate)
+		invariant.Check(invariant.WarmupGrantsWithinBudget, !granted && float64(rate)*float64(len(view.Voters)) <= limit, func() string {
+			return fmt.Sprintf("%s: warm-up limit is %g requests/s, but %d members assign %g each", instance.ID, limit, len(view.Voters), rate)
 		})
 		rates[stream][instance.ID] = rate
 	})
 	return rates
 }
 
-// warmupStream chooses the gateway that may call an instance while it warms up, by rendezvous hashing: one in the instance's zone where there
-// is one.
+// warmupStream selects the gateway that may send requests to an instance while it warms up, by rendezvous hashing. Gateways in the instance's
+// zone are preferred.
 func (c *Controller) warmupStream(instance fleet.Instance) *gatewayStream {
 	const sameZone = 1 << 63
 	var best *gatewayStream
@@ -66,7 +66,7 @@
 	return best
 }
 
-// warmingUp reports whether an instance takes requests at its warm-up rate only.
+// warmingUp reports whether requests to an instance are limited to its warm-up rate.
 func warmingUp(instance fleet.Instance) bool {
 	return !instance.Draining && (instance.WarmupMillis != 0 || instance.WarmthUnknown || instance.Stale)
 }
--- a/controlplane/controller/warmup_test.go
+++ b/controlplane/controller/warmup_test.go
@@ -13,13 +13,13 @@
 		for i := range 3 {
 			c.join(i, uint64(i+1))
 		}
-		c.heartbeat(0, 1, 60000)
+		c.sendHeartbeat(0, 1, 60000)
 		c.run(2 * time.Second)
-		Convey("each gives out its part of the warm-up rate, nine tenths in all", func() {
+		Convey("each assigns an equal share of the warm-up rate, 90% in total", func() {
 			So(c.warmupRate(1)+c.warmupRate(2)+c.warmupRate(3), ShouldAlmostEqual, 9, 1e-3)
 		})
-		// Regression: a warm-up rate was given out twice, by a member before it was isolated and again when it was back.
-		Convey("a member that was isolated gives out nothing until what it gave out before has lapsed", func() {
+		// Regression: a member assigned a warm-up rate again after its isolation while the earlier one was still valid.
+		Convey("a member that was isolated assigns no rates until its earlier ones have expired", func() {
 			c.isolated[2] = true
 			c.run(5 * time.Second)
 			So(c.closedStreams[3], ShouldBeTrue)
@@ -28,18 +28,18 @@
 			for !c.controllers[2].Coordinator().HasQuorumContact(c.now) {
 				c.run(10 * time.Millisecond)
 			}
-			back := c.now
+			reconnectedAt := c.now
 			stream := c.joinUntilAdmitted(2, 4)
-			So(c.now-back, ShouldBeLessThan, time.Second) // else nothing is shown
-			for c.now-back < time.Second {
+			So(c.now-reconnectedAt, ShouldBeLessThan, time.Second) // precondition of the loop below
+			for c.now-reconnectedAt < time.Second {
 				So(c.warmupRate(stream), ShouldEqual, 0)
 				c.run(10 * time.Millisecond)
 			}
 			c.run(500 * time.Millisecond)
 			So(c.warmupRate(stream), ShouldAlmostEqual, 3, 1e-3)
 		})
-		// Regression: a snapshot told nothing of warm-up rates, and a gateway that came from another member kept those it had.
-		Convey("a snapshot carries the warm-up rates, also where there are none", func() {
+		// Regression: snapshots without warm-up rates left the rates of the previous member in effect at the gateway.
+		Convey("a snapshot includes the warm-up rates even if there are none", func() {
 			c.join(0, 7)
 			So(c.updates[7].Full, ShouldBeTrue)
 			So(c.updates[7].WarmupRatesComplete, ShouldBeTrue)
