--- a/controlplane/registry/capacity_test.go
+++ b/controlplane/registry/capacity_test.go
@@ -13,26 +13,26 @@
 	"zincloft.example/zincloft/internal/testbeds/sizes"
 )
 
-var usersSize = flag.Bool("users", false, "run the capacity benchmarks at the users' size too; filling the registry takes ten minutes of a core")
+var productionSize = flag.Bool("users", false, "also run the capacity benchmarks at production size; filling the registry takes ten minutes of CPU time")
 
-// capacitySizes are numbers of instances, each three times the one before; the last one is the users'. docs/CAPACITY.md has the figures.
+// capacitySizes returns the numbers of instances to benchmark. Results are in docs/CAPACITY.md.
 func capacitySizes() []int {
-	if *usersSize {
+	if *productionSize {
 		return []int{580, 1740, 5220, 15700, 47000}
 	}
 	return []int{580, 1740, 5220, 15700}
 }
 
-func instancesOf(n int) []fleet.Instance {
+func generateInstances(n int) []fleet.Instance {
 	f := sizes.ProductionFleet()
 	f.Replicas, f.Services = n, max(n/36, 1)
 	return f.Instances()
 }
 
-var filledRegistries = map[int]*registry.Registry{} // by size: filling one costs the square of its size, so benchmarks that leave it as it is share it
+var filledRegistries = map[int]*registry.Registry{} // by size; shared by benchmarks that keep the size unchanged, as filling takes quadratic time
 
 func filledRegistry(n int) (*registry.Registry, []fleet.Instance) {
-	instances := instancesOf(n)
+	instances := generateInstances(n)
 	if filledRegistries[n] == nil {
 		filledRegistries[n] = registry.New(time.Hour)
 		filledRegistries[n].Merge(0, instances)
@@ -40,11 +40,11 @@
 	return filledRegistries[n], instances
 }
 
-// BenchmarkCapacityFill merges all instances into an empty registry, as a member that starts does.
+// BenchmarkCapacityFill merges all instances into an empty registry, as at the start of a member.
 func BenchmarkCapacityFill(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			instances := instancesOf(n)
+			instances := generateInstances(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				filledRegistries[n] = registry.New(time.Hour)
@@ -54,7 +54,7 @@
 	}
 }
 
-// BenchmarkCapacityHeartbeat is a heartbeat that tells nothing new.
+// BenchmarkCapacityHeartbeat applies heartbeats with unchanged data.
 func BenchmarkCapacityHeartbeat(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -62,14 +62,14 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				heartbeat := instances[i%n]
-				heartbeat.Sequence = uint64(i/n + 2) // in later runs an outdated one, at the same cost
+				heartbeat.Sequence = uint64(i/n + 2) // outdated in later runs, at the same cost
 				r.Heartbeat(time.Duration(i)*1500*time.Millisecond/time.Duration(n), heartbeat)
 			}
 		})
 	}
 }
 
-// BenchmarkCapacityChangesSince lists the changes of one revision, as is done for each gateway whenever something is new.
+// BenchmarkCapacityChangesSince collects the changes of one revision, as done for each gateway after every change.
 func BenchmarkCapacityChangesSince(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -77,20 +77,20 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if len(r.ChangesSince(time.Second, r.Revision()-1)) != 1 {
-					b.Fatal("want one change listed")
+					b.Fatal("ChangesSince did not return exactly one instance")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkCapacityDirectHeartbeats encodes what a member tells the others each second, where a third of the replicas send it their heartbeats.
+// BenchmarkCapacityDirectHeartbeats encodes the heartbeats of one gossip round for a member that receives those of a third of the replicas.
 func BenchmarkCapacityDirectHeartbeats(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			r, instances := filledRegistry(n)
-			for _, l := range instances[:n/3] {
-				r.Heartbeat(50*time.Minute, l)
+			for _, instance := range instances[:n/3] {
+				r.Heartbeat(50*time.Minute, instance)
 			}
 			bytes := 0
 			b.ReportAllocs()
@@ -106,7 +106,7 @@
 	}
 }
 
-// BenchmarkCapacityExpire is one sweep, ten times a second.
+// BenchmarkCapacityExpire runs one expiry sweep, which a member does ten times per second.
 func BenchmarkCapacityExpire(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -118,8 +118,8 @@
 	}
 }
 
-// BenchmarkCapacityNewInstance registers an instance at an address of its own, deregisters it and has a sweep forget it,
-// so that the registry keeps its size.
+// BenchmarkCapacityNewInstance registers an instance at a new address, deregisters it and removes it in a sweep, so that the registry
+// keeps its size.
 func BenchmarkCapacityNewInstance(b *testing.B) {
 	for _, n := range capacitySizes() {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
--- a/controlplane/registry/expiry.go
+++ b/controlplane/registry/expiry.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// deregistrationTimeout: an instance without a heartbeat for so long is deregistered.
+	// deregistrationTimeout is the time without a heartbeat after which an instance is deregistered.
 	deregistrationTimeout = 30 * time.Second
 
-	// deregisteredRetention: deregistered IDs are remembered for so long, so that late reports cannot register them anew.
+	// deregisteredRetention is how long deregistered IDs are kept, so that late reports cannot register them again.
 	deregisteredRetention = 60 * time.Second
 )
 
-// Expire marks the instances whose heartbeats have timed out and returns the IDs of those that are new among them. It also deregisters
-// those that stayed away for deregistrationTimeout and forgets those that were deregistered long ago.
+// Expire marks instances whose heartbeats have timed out and returns the IDs of those newly marked. It deregisters instances without a
+// heartbeat for deregistrationTimeout, and removes those deregistered for longer than deregisteredRetention.
 func (r *Registry) Expire(now time.Duration) (timedOut []string) {
-	forgotten := 0
+	removed := 0
 	for _, id := range r.sortedIDs {
 		known := r.records[id]
 		sinceHeartbeat := now - known.lastHeartbeat
 		switch {
 		case known.Deregistered && now-known.deregisteredAt > deregisteredRetention:
 			delete(r.records, id)
-			forgotten++
+			removed++
 		case !known.Deregistered && sinceHeartbeat > deregistrationTimeout:
 			r.markDeregistered(now, known)
 		case !known.Deregistered && !known.HeartbeatTimedOut && sinceHeartbeat > r.heartbeatTimeout:
@@ -32,14 +32,14 @@
 			timedOut = append(timedOut, id)
 		}
 	}
-	if forgotten > 0 {
+	if removed > 0 {
 		r.sortedIDs = slices.DeleteFunc(r.sortedIDs, func(id string) bool { return r.records[id] == nil })
 	}
 	return timedOut
 }
 
-// ExtendHeartbeats leaves every instance at least half of the heartbeat timeout. It is called after this process was frozen or cut off and
-// could receive no heartbeats, as etcd extends its leases after a change of leader.
+// ExtendHeartbeats gives every instance at least half of the heartbeat timeout. It is called after this process was suspended or isolated
+// and could not receive heartbeats, similar to how etcd extends leases after a leader change.
 func (r *Registry) ExtendHeartbeats(now time.Duration) {
 	for _, id := range r.sortedIDs {
 		known := r.records[id]
@@ -51,8 +51,8 @@
 	}
 }
 
-// MarkWarmthUnknown is called when the evacuation of a zone has finished: its instances may have become cold, and count as warming up until
-// a later heartbeat says whether they are.
+// MarkWarmthUnknown is called when the evacuation of a zone ends. The zone's instances may have become cold and are treated as warming up
+// until a later heartbeat reports their state.
 func (r *Registry) MarkWarmthUnknown(now time.Duration, zone string) {
 	for _, id := range r.sortedIDs {
 		if known := r.records[id]; known.Zone == zone && !known.Deregistered {
--- a/controlplane/registry/instance.go
+++ b/controlplane/registry/instance.go
@@ -6,22 +6,22 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// neverHeard is the time of a direct heartbeat that never came: it is earlier than any clock reads.
-const neverHeard = -time.Hour
+// neverReceived is the lastDirectHeartbeat of an instance that has sent none to this process. It precedes all clock readings.
+const neverReceived = -time.Hour
 
-// record is what the registry knows of one instance. Its times are readings of the local monotonic clock.
+// record is the registry's entry for one instance. Its times are readings of the local monotonic clock.
 type record struct {
 	fleet.Instance
-	revision              uint64 // of the registry, at the latest change
+	revision              uint64 // registry revision of the latest change
 	lastHeartbeat         time.Duration
-	lastDirectHeartbeat   time.Duration // sent to this process itself
+	lastDirectHeartbeat   time.Duration // sent to this process
 	warmupUntil           time.Duration
 	deregisteredAt        time.Duration
 	warmthUnknownSince    time.Duration
-	warmthUnknownSequence uint64 // the sequence known when the warmth became unknown
+	warmthUnknownSequence uint64 // sequence at the time the warmth became unknown
 }
 
-// snapshot is the instance with its durations as of now.
+// snapshot returns the instance with its relative durations computed for now.
 func (r *record) snapshot(now time.Duration) fleet.Instance {
 	instance := r.Instance
 	instance.WarmupMillis = max((r.warmupUntil - now).Milliseconds(), 0)
@@ -29,7 +29,7 @@
 	return instance
 }
 
-// markWarmthUnknown notes that the instance may have become cold after the heartbeat of that sequence.
+// markWarmthUnknown records that the instance may have become cold after the heartbeat with the given sequence.
 func (r *record) markWarmthUnknown(now time.Duration, sequence uint64) {
 	r.WarmthUnknown = true
 	r.warmthUnknownSince = now
--- a/controlplane/registry/merge.go
+++ b/controlplane/registry/merge.go
@@ -9,39 +9,40 @@
 )
 
 const (
-	// warmupEarlierThreshold: an end of the warm-up that comes that much sooner than the known one is a change. Less is the jitter of
-	// heartbeats on their way.
+	// warmupEarlierThreshold is how much earlier than the known end of the warm-up a reported one must be to count as a change. Smaller
+	// differences are heartbeat jitter.
 	warmupEarlierThreshold = 400 * time.Millisecond
 
-	// warmupLaterThreshold: so is one that comes that much later, as the instance has become cold again.
+	// warmupLaterThreshold is how much later than the known end of the warm-up a reported one must be to count as a change: the instance
+	// has become cold again.
 	warmupLaterThreshold = 20 * time.Millisecond
 
-	// warmthUnknownMergeInterval: for so long after the warmth of an instance became unknown, that it is unknown isn't taken over anew
-	// from other members, which may not know of the later heartbeat yet.
+	// warmthUnknownMergeInterval is how long after the warmth became unknown another member's report of unknown warmth is ignored, as
+	// that member may not have received the later heartbeat yet.
 	warmthUnknownMergeInterval = 10 * time.Second
 
-	// warmthUnknownGrace: a heartbeat sent so shortly after the warmth became unknown may describe the time before.
+	// warmthUnknownGrace is how long after the warmth became unknown a heartbeat may still describe the previous state.
 	warmthUnknownGrace = 50 * time.Millisecond
 
-	// warmthUnknownSequences: a heartbeat that came through another member shows the warmth only if its sequence is that much higher
-	// than the one known when the warmth became unknown.
-	warmthUnknownSequences = 2
+	// warmthUnknownSequenceGap is how much higher than warmthUnknownSequence the sequence of an indirect heartbeat must be for it to
+	// clear the unknown warmth.
+	warmthUnknownSequenceGap = 2
 )
 
-// instanceReport is what a replica, a member or a gateway says of an instance, and how it reached this process.
+// instanceReport is a report about an instance by the replica itself, another member or a gateway.
 type instanceReport struct {
 	fleet.Instance
 	receivedAt time.Duration
-	direct     bool // from the replica itself
+	direct     bool // sent by the replica to this process
 }
 
-// sentAt is when the replica sent the heartbeat that the report rests on, by the local clock.
+// sentAt returns when the replica sent the heartbeat that the report is based on, by the local clock.
 func (r *instanceReport) sentAt() time.Duration { return r.receivedAt - r.HeartbeatAge() }
 
-// warmupUntil is when the instance will be warm, by the local clock.
+// warmupUntil returns when the instance will have warmed up, by the local clock.
 func (r *instanceReport) warmupUntil() time.Duration { return r.receivedAt + r.Warmup() }
 
-// Heartbeat takes a heartbeat that a replica sent to this process itself.
+// Heartbeat applies a heartbeat that a replica sent to this process.
 func (r *Registry) Heartbeat(now time.Duration, heartbeat fleet.Instance) Change {
 	heartbeat.HeartbeatAgeMillis = 0
 	heartbeat.WarmthUnknown = false
@@ -53,17 +54,17 @@
 	return change
 }
 
-// Deregister ends an instance at its own request or on proof, and reports whether it was registered until then.
+// Deregister deregisters an instance, at its own request or because it is proven gone. It reports whether the instance was registered.
 func (r *Registry) Deregister(now time.Duration, id string) bool {
 	return r.apply(&instanceReport{Instance: fleet.Instance{ID: id, Deregistered: true}, receivedAt: now, direct: true}).Changed
 }
 
-// Merge takes in what another member or a gateway reports.
+// Merge applies reports from another member or a gateway.
 func (r *Registry) Merge(now time.Duration, instances []fleet.Instance) Change {
 	var total Change
 	for _, instance := range instances {
 		if instance.Addr == "" && !instance.Deregistered && r.records[instance.ID] == nil {
-			continue // a bare heartbeat of an instance that isn't known here yet
+			continue // a heartbeat without endpoint data of an unknown instance
 		}
 		change := r.apply(&instanceReport{Instance: instance, receivedAt: now})
 		total.Changed = total.Changed || change.Changed
@@ -72,10 +73,10 @@
 	return total
 }
 
-// apply brings one instance up to date with a report. The steps must stay in this order: deregistration is final and comes first, and what
-// a step decides rests on what the steps before it have left in the record.
+// apply updates one instance from a report. The order of the steps matters: deregistration is final and comes first, and each step depends
+// on the record as left by the previous ones.
 func (r *Registry) apply(report *instanceReport) Change {
-	report.HeartbeatTimedOut = false // the judgement of whoever sent it
+	report.HeartbeatTimedOut = false // each process decides that for itself
 	known := r.records[report.ID]
 	switch {
 	case known == nil:
@@ -89,7 +90,7 @@
 	startedDraining := known.startDraining(report)
 	refreshed := known.replaceStale(report)
 	advanced := report.Sequence > known.Sequence && known.advance(report, r.heartbeatTimeout)
-	invariant.Check(invariant.DeregistrationFinal, known.Draining || !report.Draining, func() string { return known.ID + " drains by a report and not in the registry" })
+	invariant.Check(invariant.DeregistrationFinal, known.Draining || !report.Draining, func() string { return known.ID + ": reported as draining, but not marked as draining in the registry" })
 	change := Change{Changed: startedDraining || refreshed || advanced, Urgent: startedDraining}
 	if change.Changed {
 		r.markChanged(known)
@@ -97,12 +98,12 @@
 	return change
 }
 
-// add takes in an instance that wasn't known.
+// add adds an unknown instance.
 func (r *Registry) add(report *instanceReport) Change {
 	added := &record{
 		Instance:              report.Instance,
 		lastHeartbeat:         report.sentAt(),
-		lastDirectHeartbeat:   neverHeard,
+		lastDirectHeartbeat:   neverReceived,
 		warmupUntil:           report.warmupUntil(),
 		warmthUnknownSince:    report.receivedAt,
 		warmthUnknownSequence: report.Sequence,
@@ -118,8 +119,8 @@
 	return Change{Changed: true, Urgent: report.Draining || report.Deregistered || replaced}
 }
 
-// replaceAtAddr deregisters whoever was registered at the address of a new instance, and reports whether there was one: an address belongs
-// to one instance at a time.
+// replaceAtAddr deregisters any other instance at the address of a new one, and reports whether there was one. An address belongs to one
+// instance at a time.
 func (r *Registry) replaceAtAddr(now time.Duration, added *record) bool {
 	replaced := false
 	for _, id := range r.sortedIDs {
@@ -132,7 +133,8 @@
 	return replaced
 }
 
-// startDraining marks an instance as draining and reports whether that is new. Draining is never taken back, whatever the sequence.
+// startDraining marks an instance as draining and reports whether that is a change. It applies regardless of the sequence, as draining is
+// never reverted.
 func (r *record) startDraining(report *instanceReport) bool {
 	if !report.Draining || r.Draining {
 		return false
@@ -141,7 +143,7 @@
 	return true
 }
 
-// replaceStale replaces stale knowledge by a report that rests on as late a heartbeat, and reports whether it did.
+// replaceStale updates a stale record from a report that is not stale and based on the same or a later heartbeat, and reports whether it did.
 func (r *record) replaceStale(report *instanceReport) bool {
 	if !r.Stale || report.Stale || report.Sequence < r.Sequence {
 		return false
@@ -154,7 +156,7 @@
 	return true
 }
 
-// advance takes in a report of a higher sequence than the known one, and reports whether anything but the heartbeat itself is new.
+// advance applies a report with a higher sequence, and reports whether anything other than the heartbeat has changed.
 func (r *record) advance(report *instanceReport, heartbeatTimeout time.Duration) bool {
 	changed := r.mergeWarmthUnknown(report)
 	r.Sequence = report.Sequence
@@ -175,7 +177,7 @@
 	return changed
 }
 
-// mergeWarmthUnknown takes over that the warmth is unknown: this process missed the end of the zone's evacuation.
+// mergeWarmthUnknown adopts unknown warmth from a report, if this process missed the end of the zone's evacuation.
 func (r *record) mergeWarmthUnknown(report *instanceReport) bool {
 	if !report.WarmthUnknown || r.WarmthUnknown || report.Stale || report.receivedAt-r.warmthUnknownSince <= warmthUnknownMergeInterval {
 		return false
@@ -184,20 +186,20 @@
 	return true
 }
 
-// clearWarmthUnknown ends the time in which the warmth is unknown, if the report rests on a heartbeat sent after that began. Of heartbeats that
-// came through another member the time of sending is no proof alone: where some were lost on the way, one from before may be next.
+// clearWarmthUnknown clears unknown warmth if the report is based on a heartbeat sent after the warmth became unknown. For indirect heartbeats
+// the send time alone is not reliable, so the sequence must have advanced as well.
 func (r *record) clearWarmthUnknown(report *instanceReport) bool {
 	if !r.WarmthUnknown || report.sentAt() <= r.warmthUnknownSince+warmthUnknownGrace {
 		return false
 	}
-	if !report.direct && report.Sequence < r.warmthUnknownSequence+warmthUnknownSequences {
+	if !report.direct && report.Sequence < r.warmthUnknownSequence+warmthUnknownSequenceGap {
 		return false
 	}
 	r.WarmthUnknown = false
 	return true
 }
 
-// updateWarmup moves the end of the warm-up where the report's differs by more than the jitter of heartbeats.
+// updateWarmup updates the end of the warm-up if the reported one differs by more than heartbeat jitter.
 func (r *record) updateWarmup(report *instanceReport) bool {
 	until := report.warmupUntil()
 	later := report.WarmupMillis > 0 && until > r.warmupUntil+warmupLaterThreshold
@@ -209,8 +211,8 @@
 	return true
 }
 
-// updateEndpoint takes over the service, address, capacity and zone. Bare heartbeats (DirectHeartbeats) carry none of them. A new field of
-// Instance that may change from one heartbeat to the next must be compared and copied here.
+// updateEndpoint copies the service, address, slots and zone. Reports from DirectHeartbeats have none of them. A new field of
+// fleet.Instance that may change between heartbeats must be compared and copied here.
 func (r *record) updateEndpoint(report *instanceReport) bool {
 	if report.Addr == "" || r.Addr == report.Addr && r.Slots == report.Slots && r.Service == report.Service {
 		return false
--- a/controlplane/registry/registry.go
+++ b/controlplane/registry/registry.go
@@ -1,9 +1,9 @@
-// Package registry keeps the instances of the replicas that are registered with the control plane: their heartbeats, draining and
-// deregistration. It is free of I/O; callers pass in the time.
+// Package registry tracks the replica instances that are registered with the control plane: their heartbeats, draining and
+// deregistration. It performs no I/O; callers pass in the time.
 //
-// The registry is soft state. A member that lost it learns it again from the replicas' heartbeats, from the other members and from the
-// gateways. Three invariants make reports from any of them mergeable in any order: of one instance only a higher sequence brings
-// something new; draining is never taken back; and a deregistered ID never returns.
+// The registry is soft state. A member that loses it rebuilds it from the replicas' heartbeats, the other members and the gateways.
+// Reports from any of them can be merged in any order because of three invariants: a report updates an instance only if its sequence
+// is higher; draining is never reverted; and a deregistered ID is never registered again.
 package registry
 
 import (
@@ -17,29 +17,29 @@
 // Registry is a set of instances. The zero value is not ready; use New. Its methods must not be called concurrently.
 type Registry struct {
 	records          map[string]*record
-	sortedIDs        []string // every walk that has effects goes in this order, so that the same events give the same results
+	sortedIDs        []string // iteration order wherever it affects results, which keeps them deterministic
 	revision         uint64
 	heartbeatTimeout time.Duration
 }
 
-// Change is what a report changed in the registry.
+// Change describes the effect of a report on the registry.
 type Change struct {
-	Changed bool // something is new, and others are to be notified
-	Urgent  bool // it must not wait: an instance drains or was deregistered
+	Changed bool // the registry has changed, and others must be notified
+	Urgent  bool // an instance is draining or was deregistered: notify without delay
 }
 
-// New makes an empty registry. An instance without a heartbeat for heartbeatTimeout is marked as timed out.
+// New creates an empty registry. An instance without a heartbeat for heartbeatTimeout is marked as timed out.
 func New(heartbeatTimeout time.Duration) *Registry {
 	return &Registry{records: map[string]*record{}, heartbeatTimeout: heartbeatTimeout}
 }
 
-// AllRevisions is before the first revision: everything has changed since.
+// AllRevisions precedes the first revision. ChangesSince returns all instances for it.
 const AllRevisions = 0
 
-// Revision is the number of the latest change.
+// Revision returns the revision of the latest change.
 func (r *Registry) Revision() uint64 { return r.revision }
 
-// ChangesSince lists the instances that changed after a revision, the oldest change first. Deregistered ones are among them.
+// ChangesSince returns the instances that changed after a revision, oldest change first, including deregistered ones.
 func (r *Registry) ChangesSince(now time.Duration, since uint64) []fleet.Instance {
 	var changed []*record
 	for _, known := range r.records {
@@ -55,8 +55,8 @@
 	return instances
 }
 
-// DirectHeartbeats lists the instances whose heartbeats reached this process itself since a moment. Only what changes with each
-// heartbeat is set in them.
+// DirectHeartbeats returns the instances whose latest heartbeat was sent to this process at or after since. Only the fields that change
+// with each heartbeat are set.
 func (r *Registry) DirectHeartbeats(now, since time.Duration) []fleet.Instance {
 	var instances []fleet.Instance
 	for id, known := range r.records {
@@ -75,7 +75,7 @@
 	return instances
 }
 
-// Get returns an instance, and whether it is registered.
+// Get returns an instance and whether it is registered.
 func (r *Registry) Get(now time.Duration, id string) (fleet.Instance, bool) {
 	if known := r.records[id]; known != nil && !known.Deregistered {
 		return known.snapshot(now), true
@@ -83,13 +83,13 @@
 	return fleet.Instance{}, false
 }
 
-// Len is how many instances are remembered: those that are registered, and those that were deregistered not long ago.
+// Len returns the number of tracked instances: those registered and those deregistered within deregisteredRetention.
 func (r *Registry) Len() int { return len(r.records) }
 
-// Contains reports whether an instance is registered, or was deregistered not long ago.
+// Contains reports whether an instance is tracked: registered, or deregistered within deregisteredRetention.
 func (r *Registry) Contains(id string) bool { return r.records[id] != nil }
 
-// Each calls visit for every registered instance, in the order of their IDs.
+// Each calls visit for every registered instance, ordered by ID.
 func (r *Registry) Each(now time.Duration, visit func(fleet.Instance)) {
 	for _, id := range r.sortedIDs {
 		if known := r.records[id]; !known.Deregistered {
@@ -98,15 +98,15 @@
 	}
 }
 
-// markChanged gives a record the next revision.
+// markChanged assigns the next revision to a record.
 func (r *Registry) markChanged(changed *record) {
 	r.revision++
 	changed.revision = r.revision
 }
 
-// markDeregistered ends an instance for good.
-func (r *Registry) markDeregistered(now time.Duration, ended *record) {
-	ended.Deregistered = true
-	ended.deregisteredAt = now
-	r.markChanged(ended)
+// markDeregistered deregisters an instance permanently.
+func (r *Registry) markDeregistered(now time.Duration, known *record) {
+	known.Deregistered = true
+	known.deregisteredAt = now
+	r.markChanged(known)
 }
