--- a/internal/daemons/bodybuffer/budget.go
+++ b/internal/daemons/bodybuffer/budget.go
@@ -37,11 +37,11 @@
 	return true
 }
 
-// Return gives n bytes back.
-func (b *Budget) Return(n int64) { b.used.Add(-n) }
+// Release gives n bytes back.
+func (b *Budget) Release(n int64) { b.used.Add(-n) }
 
-// Release gives back what a body that Read returned holds.
-func (b *Budget) Release(body []byte) { b.Return(int64(cap(body))) }
+// ReleaseBody gives back what a body that Read returned holds.
+func (b *Budget) ReleaseBody(body []byte) { b.Release(int64(cap(body))) }
 
 // Read reads a body completely. length is -1 where it is not known; a body beyond limit is an *http.MaxBytesError. What it returns must be
 // released, also beside an error, and must not be appended to.
@@ -85,6 +85,6 @@
 	}
 	grown := make([]byte, len(body), size)
 	copy(grown, body)
-	b.Release(body)
+	b.ReleaseBody(body)
 	return grown, nil
 }
--- a/internal/daemons/bodybuffer/budget_test.go
+++ b/internal/daemons/bodybuffer/budget_test.go
@@ -17,7 +17,7 @@
 	done := make(chan error, 1)
 	go func() {
 		body, err := budget.Read(reader, 1<<30, 1<<30)
-		budget.Release(body)
+		budget.ReleaseBody(body)
 		done <- err
 	}()
 	if _, err := writer.Write([]byte("some")); err != nil {
@@ -62,7 +62,7 @@
 		if test.err == nil && (err != nil || !bytes.Equal(body, test.want)) || test.err != nil && !test.err(err) {
 			t.Errorf("%s: %d bytes, %v", test.name, len(body), err)
 		}
-		if budget.Release(body); budget.Used() != 0 {
+		if budget.ReleaseBody(body); budget.Used() != 0 {
 			t.Errorf("%s: %d bytes stay reserved", test.name, budget.Used())
 		}
 	}
@@ -71,7 +71,7 @@
 	if !errors.Is(err, ErrFull) {
 		t.Error(err)
 	}
-	if full.Release(body); full.Used() != 0 {
+	if full.ReleaseBody(body); full.Used() != 0 {
 		t.Error(full.Used(), "bytes stay reserved after the budget was full")
 	}
 }
--- a/internal/daemons/connlimit/conn.go
+++ b/internal/daemons/connlimit/conn.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// AwaitBody says that the request at hand is not complete yet. On a nil Conn, as of a request that came by no limited listener, it does nothing.
-func (c *Conn) AwaitBody() {
+// BeginBody says that the request at hand is not complete yet. On a nil Conn, as of a request that came by no limited listener, it does nothing.
+func (c *Conn) BeginBody() {
 	if c == nil {
 		return
 	}
--- a/internal/daemons/connlimit/figures.go
+++ b/internal/daemons/connlimit/figures.go
@@ -7,8 +7,8 @@
 	figures "github.com/VictoriaMetrics/metrics"
 )
 
-// WriteFigures writes the listener's figures in the text exposition format.
-func (l *Limiter) WriteFigures(w io.Writer) {
+// WriteMetrics writes the listener's figures in the text exposition format.
+func (l *Limiter) WriteMetrics(w io.Writer) {
 	label := fmt.Sprintf("{listener=%q}", l.name)
 	figures.WriteGaugeUint64(w, "zincloft_connections"+label, uint64(l.OpenCount()))
 	figures.WriteGaugeUint64(w, "zincloft_connections_used"+label, uint64(max(l.used.Load(), 0)))
--- a/internal/daemons/connlimit/limiter.go
+++ b/internal/daemons/connlimit/limiter.go
@@ -85,8 +85,8 @@
 	return float64(l.used.Load()) >= crowdedShare*float64(l.limit)
 }
 
-// CloseUntouched closes the connections on which not even a byte has come.
-func (l *Limiter) CloseUntouched() {
+// CloseNew closes the connections on which not even a byte has come.
+func (l *Limiter) CloseNew() {
 	for _, c := range l.open() {
 		if state := c.state.Load(); state.phase() == phaseNew && c.state.CompareAndSwap(state, newState(phaseReclaimed)) {
 			_ = c.Close() // it is given up, whatever has become of it
--- a/internal/daemons/connlimit/server.go
+++ b/internal/daemons/connlimit/server.go
@@ -9,7 +9,7 @@
 type connKey struct{}
 
 // limited is a connection that is, or embeds, a Conn.
-type limited interface{ Limited() *Conn }
+type limited interface{ LimitedConn() *Conn }
 
 // FromContext returns the connection of a request whose server was attached to a limiter; nil: there is none.
 func FromContext(ctx context.Context) *Conn {
@@ -32,7 +32,7 @@
 			ctx = connContext(ctx, conn)
 		}
 		if c, ok := conn.(limited); ok {
-			ctx = context.WithValue(ctx, connKey{}, c.Limited())
+			ctx = context.WithValue(ctx, connKey{}, c.LimitedConn())
 		}
 		return ctx
 	}
@@ -55,9 +55,9 @@
 	}
 	switch state {
 	case http.StateActive:
-		c.Limited().BeginRequest()
+		c.LimitedConn().BeginRequest()
 	case http.StateIdle:
-		c.Limited().EndRequest()
+		c.LimitedConn().EndRequest()
 	case http.StateNew, http.StateHijacked, http.StateClosed: // Listen and Close count these
 	}
 }
--- a/internal/daemons/controlserver/calls.go
+++ b/internal/daemons/controlserver/calls.go
@@ -83,7 +83,7 @@
 	if err == nil {
 		return body, true
 	}
-	s.bodies.Release(body)
+	s.bodies.ReleaseBody(body)
 	w.Header().Set("Connection", "close") // what is left of the body must not be taken for another call
 	switch {
 	case errors.Is(err, bodybuffer.ErrFull):
--- a/internal/daemons/controlserver/figures.go
+++ b/internal/daemons/controlserver/figures.go
@@ -15,10 +15,10 @@
 
 // newFigures makes the member's set of figures.
 func (s *Server) newFigures() *metrics.Set {
-	set := telemetry.NewFigures()
+	set := telemetry.NewMetrics()
 	set.RegisterMetricsWriter(s.writeFigures)
 	for _, conns := range []*connlimit.Limiter{s.callerConns, s.peerConns, s.figureConns} {
-		set.RegisterMetricsWriter(conns.WriteFigures)
+		set.RegisterMetricsWriter(conns.WriteMetrics)
 	}
 	return set
 }
@@ -34,8 +34,8 @@
 	read := func() {
 		figures := s.controller.Figures(s.now())
 		done <- []reading{
-			{"zincloft_controlplane_quorum_contact", telemetry.Figure(figures.HasQuorumContact)},
-			{"zincloft_controlplane_disk_healthy", telemetry.Figure(figures.DiskHealthy)},
+			{"zincloft_controlplane_quorum_contact", telemetry.BoolGauge(figures.HasQuorumContact)},
+			{"zincloft_controlplane_disk_healthy", telemetry.BoolGauge(figures.DiskHealthy)},
 			{"zincloft_controlplane_view_number", float64(figures.ViewNumber)},
 			{"zincloft_controlplane_chain_position", float64(figures.ChainPosition)},
 			{"zincloft_controlplane_voters", float64(figures.Voters)},
--- a/internal/daemons/controlserver/instancecalls.go
+++ b/internal/daemons/controlserver/instancecalls.go
@@ -37,7 +37,7 @@
 	if !ok {
 		return
 	}
-	defer s.bodies.Release(body)
+	defer s.bodies.ReleaseBody(body)
 	id := target(r)
 	if !gjson.ValidBytes(body) || id == "" || len(id) > maxInstanceIDBytes {
 		s.writeResult(w, http.StatusBadRequest, "heartbeat: the body is not JSON, or the replica is not named, or by too long a name")
--- a/internal/daemons/controlserver/operatorcalls.go
+++ b/internal/daemons/controlserver/operatorcalls.go
@@ -16,7 +16,7 @@
 	if !ok {
 		return
 	}
-	defer s.bodies.Release(body)
+	defer s.bodies.ReleaseBody(body)
 	config, err := gatewayconfig.Parse(body)
 	if err != nil {
 		s.logger.Info().Str("event", "config_rejected").Err(err).Msg("")
@@ -67,7 +67,7 @@
 	if !ok {
 		return
 	}
-	defer s.bodies.Release(body)
+	defer s.bodies.ReleaseBody(body)
 	var command maintenance.Command
 	if json.Unmarshal(body, &command) != nil {
 		s.writeResult(w, http.StatusBadRequest, "windows: the command cannot be read")
--- a/internal/daemons/controlserver/server.go
+++ b/internal/daemons/controlserver/server.go
@@ -153,7 +153,7 @@
 	if s.gossip, err = gossip.Start(ctx, self, s.settings.SeedPeerAddresses(), s.settings.DialAddress); err != nil {
 		return err
 	}
-	if err := telemetry.Serve(ctx, s.settings.IP, s.settings.Metrics, telemetry.Source{Figures: s.figures, Connections: s.figureConns}); err != nil {
+	if err := telemetry.Serve(ctx, s.settings.IP, s.settings.Metrics, telemetry.Source{Metrics: s.figures, Connections: s.figureConns}); err != nil {
 		return err
 	}
 	s.step(controller.Event{Start: true})
--- a/internal/daemons/gateway/attempt_test.go
+++ b/internal/daemons/gateway/attempt_test.go
@@ -28,13 +28,13 @@
 		{"no connection by the deadline", replica.Outcome{Execution: retry.NotExecuted, Cause: replica.CauseDial, NotSent: true, DeadlineExceeded: true}, false, loadbalancer.Canceled},
 		{"no connection for a client that left", replica.Outcome{Execution: retry.NotExecuted, Cause: replica.CauseDial, NotSent: true}, true, loadbalancer.Canceled},
 		{"silence", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseDeadline, DeadlineExceeded: true}, false, loadbalancer.NoResponse},
-		{"a broken connection", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseBroken}, false, loadbalancer.NoResponse},
+		{"a broken connection", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseConnectionLost}, false, loadbalancer.NoResponse},
 		{"an attempt that was canceled", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseDeadline}, true, loadbalancer.Canceled},
 		{"a truncated response", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseTruncated}, false, loadbalancer.BadResponse},
 		{"an invalid response", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseInvalid}, false, loadbalancer.BadResponse},
-		{"surplus responses", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseSurplus}, false, loadbalancer.BadResponse},
-		{"a rejection without proof", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseUnproven}, false, loadbalancer.BadResponse},
-		{"a rejection that names nobody", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseNameless}, false, loadbalancer.BadResponse},
+		{"surplus responses", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseUnsolicited}, false, loadbalancer.BadResponse},
+		{"a rejection without proof", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseUnconfirmedRejection}, false, loadbalancer.BadResponse},
+		{"a rejection that names nobody", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseMissingAttemptID}, false, loadbalancer.BadResponse},
 		{"no HTTP", replica.Outcome{Execution: retry.MayHaveExecuted, Cause: replica.CauseNotHTTP}, false, loadbalancer.BadResponse},
 	} {
 		if got := endpointResult(test.outcome, test.canceled); got != test.want {
--- a/internal/daemons/gateway/clientconn.go
+++ b/internal/daemons/gateway/clientconn.go
@@ -153,7 +153,7 @@
 // releaseHead gives back what the last head held.
 func (c *clientConn) releaseHead() {
 	if held := c.headHeld.Swap(0); held > 0 {
-		c.gateway.heads.Return(held)
+		c.gateway.heads.Release(held)
 	}
 }
 
--- a/internal/daemons/gateway/failures.go
+++ b/internal/daemons/gateway/failures.go
@@ -52,7 +52,7 @@
 	Cause       replica.Cause `json:"cause,omitempty"`
 	Status      int           `json:"status,omitempty"` // of the replica's response
 	ConnID      uint64        `json:"conn,omitempty"`
-	ConnUse     int           `json:"conn_use,omitempty"`
+	ConnRequestCount     int           `json:"conn_use,omitempty"`
 }
 
 // executionPending is the Execution of an attempt that had not ended with its request.
--- a/internal/daemons/gateway/figures.go
+++ b/internal/daemons/gateway/figures.go
@@ -19,11 +19,11 @@
 
 func newGatewayFigures(set *figures.Set, g *Gateway) *gatewayFigures {
 	for _, conns := range []*connlimit.Limiter{g.frontConns, g.readinessConns, g.figureConns} {
-		set.RegisterMetricsWriter(conns.WriteFigures)
+		set.RegisterMetricsWriter(conns.WriteMetrics)
 	}
 	figure := func(name string, read func() float64) { set.NewGauge(name, read) }
-	figure("zincloft_gateway_ready", func() float64 { return telemetry.Figure(g.isReady()) })
-	figure("zincloft_gateway_stopping", func() float64 { return telemetry.Figure(g.stopping.Load()) })
+	figure("zincloft_gateway_ready", func() float64 { return telemetry.BoolGauge(g.isReady()) })
+	figure("zincloft_gateway_stopping", func() float64 { return telemetry.BoolGauge(g.stopping.Load()) })
 	figure("zincloft_gateway_body_bytes", func() float64 { return float64(g.bodies.Used()) })
 	figure("zincloft_gateway_head_bytes", func() float64 { return float64(g.heads.Used()) })
 	figure("zincloft_gateway_replica_connections", func() float64 { return float64(g.pool.OpenCount()) })
--- a/internal/daemons/gateway/forwardfailure.go
+++ b/internal/daemons/gateway/forwardfailure.go
@@ -81,7 +81,7 @@
 		Execution:   end.Execution.String(),
 		Cause:       end.Cause,
 		ConnID:      end.ConnID,
-		ConnUse:     end.ConnUse,
+		ConnRequestCount:     end.ConnRequestCount,
 	}
 	if end.Response != nil {
 		record.Status = end.Response.Status
--- a/internal/daemons/gateway/gateway.go
+++ b/internal/daemons/gateway/gateway.go
@@ -95,7 +95,7 @@
 	if settings.FrontAddress == "" || settings.ReadinessAddress == "" {
 		return nil, ErrMissingListener
 	}
-	set := telemetry.NewFigures()
+	set := telemetry.NewMetrics()
 	g := &Gateway{
 		settings:    settings,
 		logger:      logger,
--- a/internal/daemons/gateway/handler.go
+++ b/internal/daemons/gateway/handler.go
@@ -52,7 +52,7 @@
 	}
 	timeout := requestTimeout(request.route, r.Header)
 	body, err := g.receiveBody(w, r, config.Limits.MaxBodyBytes, arrivedAt.Add(timeout))
-	defer g.bodies.Release(body)
+	defer g.bodies.ReleaseBody(body)
 	if err != nil {
 		g.reject(w, r, bodyRejection(err))
 		return
--- a/internal/daemons/gateway/lifecycle.go
+++ b/internal/daemons/gateway/lifecycle.go
@@ -46,7 +46,7 @@
 	// The control stream outlives ctx: while the process shuts down, drains still count.
 	streamContext, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	source := telemetry.Source{Figures: g.figures.set, Connections: g.figureConns, Failures: func() any { return g.failures.newest() }}
+	source := telemetry.Source{Metrics: g.figures.set, Connections: g.figureConns, Failures: func() any { return g.failures.newest() }}
 	if err := telemetry.Serve(streamContext, g.settings.IP, g.settings.Metrics, source); err != nil {
 		return err
 	}
@@ -194,7 +194,7 @@
 	ticker := time.NewTicker(closeUnusedInterval)
 	defer ticker.Stop()
 	for {
-		g.frontConns.CloseUntouched()
+		g.frontConns.CloseNew()
 		select {
 		case err := <-done:
 			return err
--- a/internal/daemons/gateway/requestbody.go
+++ b/internal/daemons/gateway/requestbody.go
@@ -28,7 +28,7 @@
 		return nil, nil
 	}
 	conn := connlimit.FromContext(r.Context())
-	conn.AwaitBody()
+	conn.BeginBody()
 	body, err := g.bodies.Read(r.Body, r.ContentLength, limit)
 	if !conn.EndBody() && err == nil { // completed in the moment in which the request was given up, to make room for others
 		err = os.ErrDeadlineExceeded
--- a/internal/daemons/replica/pool.go
+++ b/internal/daemons/replica/pool.go
@@ -115,7 +115,7 @@
 	}
 	sentAt := time.Now()
 	outcome := c.roundTrip(request)
-	outcome.ConnID, outcome.ConnUse = c.id, c.requests
+	outcome.ConnID, outcome.ConnRequestCount = c.id, c.requests
 	// A connection that the replica had forgotten answers with a reset at once; what ends later was broken off at work.
 	if c.idleBefore > 0 && time.Since(sentAt) < immediateResetWindow && outcome.Cause.isConnectionLoss() && request.Service != "" {
 		p.learnIdleLimit(request.Service, c.idleBefore)
--- a/internal/daemons/replica/replica.go
+++ b/internal/daemons/replica/replica.go
@@ -58,7 +58,7 @@
 	Rejected          bool // NotExecuted, by the replica's own statement
 
 	ConnID           uint64 // the connection's number in its pool; 0: there was none
-	ConnUse          int    // how many requests the connection had carried by then, this one included
+	ConnRequestCount          int    // how many requests the connection had carried by then, this one included
 	SkippedResponses int    // responses to other requests that came in the place of this one's
 }
 
@@ -80,21 +80,21 @@
 	CausePoolFull    Cause = "pool_full"   // no connection may be opened, as all that there may be are in use
 	CauseWrite       Cause = "write"       // the connection failed while the request was written
 	CauseClosed      Cause = "closed"      // the replica closed the connection before its response
-	CauseBroken      Cause = "broken"      // the connection failed before the response
+	CauseConnectionLost      Cause = "broken"      // the connection failed before the response
 	CauseDeadline    Cause = "deadline"    // no response by the deadline
 	CauseTruncated   Cause = "truncated"   // a response that ended before its end
 	CauseNotHTTP     Cause = "not_http"    // bytes that are no response, or can be read as two
 	CauseInvalid     Cause = "invalid"     // a response that lacks its seal, its identity or its length, or has a status that is none
-	CauseSurplus     Cause = "surplus"     // responses to other requests, behind which this one's cannot be found
-	CauseNameless    Cause = "nameless"    // a rejection that does not name the request
-	CauseUnproven    Cause = "unproven"    // 408, 429 or 503 without the statement that the request was not executed
+	CauseUnsolicited     Cause = "surplus"     // responses to other requests, behind which this one's cannot be found
+	CauseMissingAttemptID    Cause = "nameless"    // a rejection that does not name the request
+	CauseUnconfirmedRejection    Cause = "unproven"    // 408, 429 or 503 without the statement that the request was not executed
 	causeRejectedFor       = "rejected_"
 )
 
 // IsBadResponse tells whether the replica did send something, but no response that can be used.
 func (c Cause) IsBadResponse() bool {
 	switch c {
-	case CauseInvalid, CauseTruncated, CauseSurplus, CauseUnproven, CauseNameless, CauseNotHTTP:
+	case CauseInvalid, CauseTruncated, CauseUnsolicited, CauseUnconfirmedRejection, CauseMissingAttemptID, CauseNotHTTP:
 		return true
 	}
 	return false
@@ -102,7 +102,7 @@
 
 // isConnectionLoss tells whether the connection failed under the request.
 func (c Cause) isConnectionLoss() bool {
-	return c == CauseBroken || c == CauseClosed || c == CauseWrite
+	return c == CauseConnectionLost || c == CauseClosed || c == CauseWrite
 }
 
 func rejectedWith(status int) Cause { return Cause(causeRejectedFor + strconv.Itoa(status)) }
--- a/internal/daemons/replica/response.go
+++ b/internal/daemons/replica/response.go
@@ -31,7 +31,7 @@
 		}
 		c.tainted = true
 		if skipped >= maxSkippedResponses {
-			return Outcome{Execution: retry.MayHaveExecuted, Cause: CauseSurplus, SkippedResponses: skipped}
+			return Outcome{Execution: retry.MayHaveExecuted, Cause: CauseUnsolicited, SkippedResponses: skipped}
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	if id != "" && id != request.AttemptID {
 		n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSkippedBytes))
 		if err != nil || n >= maxSkippedBytes || !delimited || response.Close || request.Method == http.MethodHead {
-			return connectionFailed(err, CauseSurplus), false // where the next response begins isn't known
+			return connectionFailed(err, CauseUnsolicited), false // where the next response begins isn't known
 		}
 		return Outcome{}, true
 	}
@@ -85,7 +85,7 @@
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return connectionFailed(err, CauseClosed)
 	case errors.As(err, &netError):
-		return connectionFailed(err, CauseBroken)
+		return connectionFailed(err, CauseConnectionLost)
 	}
 	return connectionFailed(err, CauseNotHTTP)
 }
@@ -137,11 +137,11 @@
 	case rejected && response.Status >= 400 && belongs:
 		return Outcome{Execution: retry.NotExecuted, Response: response, Cause: rejectedWith(response.Status), Rejected: true}
 	case rejected && !belongs:
-		return Outcome{Execution: retry.MayHaveExecuted, Cause: CauseNameless}
+		return Outcome{Execution: retry.MayHaveExecuted, Cause: CauseMissingAttemptID}
 	case rejected, !belongs, !delimited, response.Header.Get("Content-Encoding") != "", response.Status/100 == 2 && response.Header.Get("X-Response-Seal") == "":
 		return invalidResponse()
 	case response.Status == http.StatusRequestTimeout, response.Status == http.StatusTooManyRequests, response.Status == http.StatusServiceUnavailable:
-		return Outcome{Execution: retry.MayHaveExecuted, Cause: CauseUnproven}
+		return Outcome{Execution: retry.MayHaveExecuted, Cause: CauseUnconfirmedRejection}
 	}
 	return Outcome{Execution: retry.Answered, Response: response}
 }
--- a/internal/daemons/telemetry/telemetry.go
+++ b/internal/daemons/telemetry/telemetry.go
@@ -36,13 +36,13 @@
 
 // Source is what a daemon has to tell.
 type Source struct {
-	Figures     *figures.Set
+	Metrics     *figures.Set
 	Connections *connlimit.Limiter // bounds those of the readers
 	Failures    func() any         // the newest failures, to be encoded as JSON; nil: none are kept
 }
 
-// NewFigures makes a set of figures that begins with those of every process: goroutines, heap, and violations of invariants.
-func NewFigures() *figures.Set {
+// NewMetrics makes a set of figures that begins with those of every process: goroutines, heap, and violations of invariants.
+func NewMetrics() *figures.Set {
 	set := figures.NewSet()
 	set.NewGauge("zincloft_goroutines", func() float64 { return float64(runtime.NumGoroutine()) })
 	set.NewGauge("zincloft_heap_bytes", heapBytes)
@@ -50,8 +50,8 @@
 	return set
 }
 
-// Figure is 1 for a condition that holds, else 0.
-func Figure(condition bool) float64 {
+// BoolGauge is 1 for a condition that holds, else 0.
+func BoolGauge(condition bool) float64 {
 	if condition {
 		return 1
 	}
@@ -97,7 +97,7 @@
 	router := chi.NewRouter()
 	router.Get(path, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-		s.Figures.WritePrometheus(w)
+		s.Metrics.WritePrometheus(w)
 	})
 	if s.Failures != nil {
 		router.Get(FailuresPath, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/daemons/telemetry/telemetry_test.go
+++ b/internal/daemons/telemetry/telemetry_test.go
@@ -28,12 +28,12 @@
 		t.Fatal(err)
 	}
 	port := netip.MustParseAddrPort(address).Port()
-	set := NewFigures()
+	set := NewMetrics()
 	conns := connlimit.New("figures", connlimit.MinLimit, &log.Logger{Writer: log.IOWriter{Writer: io.Discard}})
-	set.RegisterMetricsWriter(conns.WriteFigures)
+	set.RegisterMetricsWriter(conns.WriteMetrics)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	if err := Serve(ctx, netip.MustParseAddr("127.0.0.1"), nodesettings.MetricsEndpoint{Port: port, Path: "/metrics"}, Source{Figures: set, Connections: conns}); err != nil {
+	if err := Serve(ctx, netip.MustParseAddr("127.0.0.1"), nodesettings.MetricsEndpoint{Port: port, Path: "/metrics"}, Source{Metrics: set, Connections: conns}); err != nil {
 		t.Fatal(err)
 	}
 	for range 4 * connlimit.MinLimit {
