--- a/cmd/zincloft/state.go
+++ b/cmd/zincloft/state.go
@@ -83,7 +83,7 @@
 
 func showReplica(out io.Writer, r recovery.Replica) error {
 	heldOut := ""
-	if r.Learned.Out {
+	if r.Learned.Ejected {
 		heldOut = "\theld out"
 	}
 	_, err := fmt.Fprintf(out, "%s\t%d\t%s\tweight %g\tspeed %.2f%s\n", r.Name, r.Entry.Replica, stateNames[r.Entry.State], r.Entry.Listed,
--- a/intake/aggregator.go
+++ b/intake/aggregator.go
@@ -18,14 +18,14 @@
 
 // Settings configure an Aggregator.
 type Settings struct {
-	Seed      uint64
-	Period    time.Duration // reports are gathered, and flushed, at this interval
-	Budget    int           // records kept in a period, over all senders
-	HalfLife  time.Duration // a record of this age counts for half of a fresh one
-	MaxAge    time.Duration // an older one counts for nothing
-	MaxPairs  int           // failing pairs that are kept
-	Zones     int
-	MakeStats bool // records make the fleet's statistics, and those of collectors are ignored
+	Seed             uint64
+	Period           time.Duration // reports are gathered, and flushed, at this interval
+	Budget           int           // records kept in a period, over all senders
+	HalfLife         time.Duration // a record of this age counts for half of a fresh one
+	MaxAge           time.Duration // an older one counts for nothing
+	MaxPairs         int           // failing pairs that are kept
+	Zones            int
+	StatsFromRecords bool // records make the fleet's statistics, and those of collectors are ignored
 }
 
 // Aggregator holds the reports of the present period and what is kept of earlier ones. New makes one.
@@ -85,7 +85,7 @@
 	}
 	n := min(len(b.Records), s.quota, in.senderQuota()*burstPeriods) // its quota was larger before others joined
 	s.quota = min(s.quota, in.senderQuota()*burstPeriods) - n
-	in.counts[Flooded] += len(b.Records) - n
+	in.counts[OverQuota] += len(b.Records) - n
 	for i := range b.Records[:n] {
 		r := &b.Records[i]
 		if r.Attempts <= 0 || r.Dropped < 0 || r.Dropped > r.Attempts {
@@ -107,7 +107,7 @@
 // AdjustStats weights a collector's statistics by the time since they were read, puts in what machines reported, and
 // reports whether anything of them is left.
 func (in *Aggregator) AdjustStats(now, read rules.Time, s rules.EndpointStats) (rules.EndpointStats, bool) {
-	if in.settings.MakeStats {
+	if in.settings.StatsFromRecords {
 		in.counts[Superseded]++
 		return s, false
 	}
@@ -130,7 +130,7 @@
 	in.flushAt = now + rules.Time(in.settings.Period)
 	in.pairs.advance(now)
 	var out []rules.Event
-	if in.settings.MakeStats {
+	if in.settings.StatsFromRecords {
 		out = in.makeStats(now)
 	}
 	in.byReplica.each(func(_ uint32, it *sampledRecord, stands float64) {
--- a/intake/aggregator_test.go
+++ b/intake/aggregator_test.go
@@ -108,7 +108,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := settings()
 		s.Budget = rapid.IntRange(8, 300).Draw(t, "budget")
-		s.MakeStats = rapid.Bool().Draw(t, "sums")
+		s.StatsFromRecords = rapid.Bool().Draw(t, "sums")
 		proxies := rapid.IntRange(1, 40).Draw(t, "proxies")
 		var batches []*Batch
 		for range rapid.IntRange(1, 120).Draw(t, "batches") {
@@ -146,7 +146,7 @@
 			events = in.Flush(2 * second)
 			counts = in.Counts()
 			told := 0
-			for _, c := range []Cause{Kept, SampledOut, Repeated, TooLate, TooOld, Flooded, NotJoined} {
+			for _, c := range []Cause{Kept, SampledOut, Repeated, TooLate, TooOld, OverQuota, NotJoined} {
 				told += counts[c]
 			}
 			if told != came {
@@ -283,8 +283,8 @@
 	if want := 10 * 19 * 20 / 2.0; math.Abs(calm[0]-want) > 1e-6 || flooded != calm {
 		t.Errorf("without the flood %v of %v, with it %v", calm, want, flooded)
 	}
-	if counts[Flooded] < 15_000 {
-		t.Errorf("of 19,000 records %d are counted as flooding", counts[Flooded])
+	if counts[OverQuota] < 15_000 {
+		t.Errorf("of 19,000 records %d are counted as flooding", counts[OverQuota])
 	}
 }
 
@@ -292,7 +292,7 @@
 // less and less, and in the end for nothing. A word that it is busier counts at once.
 func TestOldLoadDoesNotLookIdle(t *testing.T) {
 	s := settings()
-	s.MakeStats = true
+	s.StatsFromRecords = true
 	in := New(s)
 	in.Join(1, 0)
 	util := func(at rules.Time, records ...Record) float64 {
--- a/intake/cause.go
+++ b/intake/cause.go
@@ -14,7 +14,7 @@
 	Repeated             // received before
 	TooLate              // so far behind later ones that it is unknown whether it was received before
 	TooOld               // older than Settings.MaxAge
-	Flooded              // over the sender's quota
+	OverQuota            // over the sender's quota
 	NotJoined            // of a proxy that has left, or never joined
 	Superseded           // statistics of collectors, where records make the statistics
 	PairsEvicted         // pairs evicted for ones with more evidence
--- a/intake/fleet_test.go
+++ b/intake/fleet_test.go
@@ -48,7 +48,7 @@
 	clear(f.weights)
 	f.everEjected = map[int]bool{}
 	f.in = intake.New(intake.Settings{Seed: 5, Period: time.Second, Budget: 20_000, HalfLife: 2 * time.Second, MaxAge: 10 * time.Second,
-		MaxPairs: 2000, Zones: 1, MakeStats: true})
+		MaxPairs: 2000, Zones: 1, StatsFromRecords: true})
 	pace := 200 * float64(len(f.ejected))
 	f.step(rules.Start{Seed: 7, Settings: rules.Settings{Groups: []rules.TrafficGroup{{Name: "look", LatencyBudget: time.Second}},
 		Governors: 1, Proxies: len(f.ejected), Zones: 1, Period: time.Second, EntryRate: pace, EntryCapacity: 2 * pace, MessageEntries: 6, MessageLimit: 20,
--- a/internal/governor/clients/routingstate.go
+++ b/internal/governor/clients/routingstate.go
@@ -119,9 +119,9 @@
 		}
 	case rules.Bind:
 		s.bind(order)
-	case rules.Withdraw:
+	case rules.ReplicaEjection:
 		s.withdrawalsChanged = true
-		setMember(s.withdrawn, order.Replica, order.Out)
+		setMember(s.withdrawn, order.Replica, order.Ejected)
 	case rules.PairEjection:
 		s.eject(order)
 	case rules.AckRequest:
--- a/internal/governor/config/derived.go
+++ b/internal/governor/config/derived.go
@@ -36,14 +36,14 @@
 		recordsPerSecond = float64(o.RecordsPerSecond)
 	}
 	return intake.Settings{
-		Seed:      c.Seed,
-		Period:    s.Period,
-		Budget:    max(int(recordsPerSecond*s.Period.Seconds()), 4),
-		HalfLife:  o.HalfLife,
-		MaxAge:    o.MaxAge,
-		MaxPairs:  cmp.Or(o.MaxPairs, int(c.intakeBytes()/keptPairBytes)),
-		Zones:     s.Zones,
-		MakeStats: o.Reports == ReportsSums,
+		Seed:             c.Seed,
+		Period:           s.Period,
+		Budget:           max(int(recordsPerSecond*s.Period.Seconds()), 4),
+		HalfLife:         o.HalfLife,
+		MaxAge:           o.MaxAge,
+		MaxPairs:         cmp.Or(o.MaxPairs, int(c.intakeBytes()/keptPairBytes)),
+		Zones:            s.Zones,
+		StatsFromRecords: o.Reports == ReportsSums,
 	}
 }
 
--- a/internal/governor/config/operator_test.go
+++ b/internal/governor/config/operator_test.go
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	got := c.IntakeSettings()
-	if got.Budget != 49152 || got.MaxPairs != 49152 || !got.MakeStats || got.HalfLife != time.Second || got.Seed != 5 {
+	if got.Budget != 49152 || got.MaxPairs != 49152 || !got.StatsFromRecords || got.HalfLife != time.Second || got.Seed != 5 {
 		t.Errorf("%+v", got)
 	}
 	c.Limits.Cores, c.Settings.Period = 0.1, 2*time.Second
--- a/internal/governor/daemon/state.go
+++ b/internal/governor/daemon/state.go
@@ -104,8 +104,8 @@
 		WrittenAt:     d.now(),
 		NextReplicaID: d.discovery.Next(),
 	}
-	learnt := map[rules.ReplicaID]rules.Recalled{}
-	for _, m := range d.governor.AppendRecalled(nil) {
+	learnt := map[rules.ReplicaID]rules.PriorMeasurement{}
+	for _, m := range d.governor.AppendMeasurements(nil) {
 		learnt[m.Replica] = m
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
--- a/internal/governor/daemon/state_test.go
+++ b/internal/governor/daemon/state_test.go
@@ -163,7 +163,7 @@
 	d.discovery.Restore(kept)
 	d.governor.Step(0, []rules.Event{rules.Start{Settings: c.Settings.Settings}, l})
 	for r := range 10_000 {
-		d.governor.Step(1, []rules.Event{rules.Recalled{Replica: rules.ReplicaID(r), Speed: 1.5, Answers: 3, Trust: 1}})
+		d.governor.Step(1, []rules.Event{rules.PriorMeasurement{Replica: rules.ReplicaID(r), Speed: 1.5, Throughput: 3, Trust: 1}})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/governor/eventqueue/queue.go
+++ b/internal/governor/eventqueue/queue.go
@@ -135,7 +135,7 @@
 	var forgotten []rules.ReplicaID
 	for _, order := range orders {
 		switch order := order.(type) {
-		case rules.Observe:
+		case rules.WatchList:
 			q.discovery.Watch(order.On)
 		case rules.FetchList:
 			q.discovery.Fetch()
--- a/internal/governor/eventqueue/queue_test.go
+++ b/internal/governor/eventqueue/queue_test.go
@@ -29,7 +29,7 @@
 func TestDispatch(t *testing.T) {
 	q, sides := New(1), &recorder{}
 	q.Connect(sides, sides)
-	own := q.Dispatch([]rules.Order{rules.Observe{On: true}, rules.EndpointWeight{Replica: 4}, rules.Forget{Replica: 4}, rules.WakeAfter{TimerID: 1}, rules.FetchList{}})
+	own := q.Dispatch([]rules.Order{rules.WatchList{On: true}, rules.EndpointWeight{Replica: 4}, rules.Forget{Replica: 4}, rules.WakeAfter{TimerID: 1}, rules.FetchList{}})
 	want := []string{"watch true", "fetch", "execute [{Table:0 Replica:4 Weight:0}]", "forget 4", "forget 4"}
 	if d := cmp.Diff(want, sides.calls); d != "" || len(own) != 2 {
 		t.Error(d, own)
--- a/internal/governor/store/benchmark_test.go
+++ b/internal/governor/store/benchmark_test.go
@@ -59,7 +59,7 @@
 	k.Governor, k.Discovery, k.ConfirmedAt, k.WrittenAt = "n1", "d", 1, 1
 	for i := range n {
 		k.Replicas = append(k.Replicas, recovery.Replica{Name: fmt.Sprintf("s-%08x", i), Entry: rules.Entry{Replica: rules.ReplicaID(i), State: rules.Ready, Listed: 1},
-			Learned: rules.Recalled{Replica: rules.ReplicaID(i), Speed: 1.25, Answers: 7.5}})
+			Learned: rules.PriorMeasurement{Replica: rules.ReplicaID(i), Speed: 1.25, Throughput: 7.5}})
 	}
 	return k
 }
--- a/internal/governor/store/schema.go
+++ b/internal/governor/store/schema.go
@@ -87,8 +87,8 @@
 		Listed:  r.Entry.Listed,
 		Started: r.Entry.StartedAt,
 		Speed:   r.Learned.Speed,
-		Answers: r.Learned.Answers,
-		Out:     r.Learned.Out,
+		Answers: r.Learned.Throughput,
+		Out:     r.Learned.Ejected,
 	}
 }
 
@@ -105,7 +105,7 @@
 			Listed:    r.Listed,
 			StartedAt: r.Started,
 		},
-		Learned: rules.Recalled{Replica: r.Number, Speed: r.Speed, Answers: r.Answers, Out: r.Out},
+		Learned: rules.PriorMeasurement{Replica: r.Number, Speed: r.Speed, Throughput: r.Answers, Ejected: r.Out},
 	}
 }
 
--- a/internal/governor/store/store_test.go
+++ b/internal/governor/store/store_test.go
@@ -27,7 +27,7 @@
 	for i := range 20 + chance.IntN(60) {
 		id := rules.ReplicaID(i)
 		k.Replicas = append(k.Replicas, recovery.Replica{Name: fmt.Sprintf("s-%03d", i), Entry: rules.Entry{Replica: id, State: rules.Ready, Listed: chance.Float64(),
-			StartedAt: rules.Time(n)}, Learned: rules.Recalled{Replica: id, Speed: chance.Float64(), Answers: 3, Out: i%7 == 0}})
+			StartedAt: rules.Time(n)}, Learned: rules.PriorMeasurement{Replica: id, Speed: chance.Float64(), Throughput: 3, Ejected: i%7 == 0}})
 	}
 	return k
 }
@@ -96,7 +96,7 @@
 		All: map[string]replicaRecord{}}
 	for _, r := range want.Replicas {
 		w.All[r.Name] = replicaRecord{Number: r.Entry.Replica, State: r.Entry.State, Listed: r.Entry.Listed, Started: r.Entry.StartedAt,
-			Speed: r.Learned.Speed, Answers: r.Learned.Answers, Out: r.Learned.Out}
+			Speed: r.Learned.Speed, Answers: r.Learned.Throughput, Out: r.Learned.Ejected}
 	}
 	db, err := bbolt.Open(Path(dir), 0o600, nil)
 	if err != nil {
--- a/internal/tools/emulate/baseline.go
+++ b/internal/tools/emulate/baseline.go
@@ -77,10 +77,10 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case rules.Start:
-			orders = append(orders, rules.Observe{On: true}, rules.WakeAfter{After: updateInterval, TimerID: updateMark})
+			orders = append(orders, rules.WatchList{On: true}, rules.WakeAfter{After: updateInterval, TimerID: updateMark})
 		case rules.List:
 			if e.Scope == rules.Failed {
-				orders = append(orders, rules.Observe{On: true})
+				orders = append(orders, rules.WatchList{On: true})
 			}
 			b.recordList(e)
 			orders = append(orders, b.updateTables(now)...)
--- a/internal/tools/emulate/governor.go
+++ b/internal/tools/emulate/governor.go
@@ -187,7 +187,7 @@
 		switch o := o.(type) {
 		case rules.WakeAfter:
 			g.scheduleWake(o)
-		case rules.Observe:
+		case rules.WatchList:
 			g.watchingDiscovery = o.On
 			if o.On {
 				g.sim.discovery.watch(g)
--- a/internal/tools/emulate/largefleet_test.go
+++ b/internal/tools/emulate/largefleet_test.go
@@ -86,7 +86,7 @@
 					}
 				}
 				for _, o := range orders {
-					if o, is := o.(rules.Observe); is && o.On && at > 7*time.Second {
+					if o, is := o.(rules.WatchList); is && o.On && at > 7*time.Second {
 						calls[int(at/(100*time.Millisecond))]++
 					}
 				}
--- a/internal/tools/emulate/weighttable.go
+++ b/internal/tools/emulate/weighttable.go
@@ -103,8 +103,8 @@
 		g.setAdmission(o)
 	case rules.Bind:
 		g.bind(o)
-	case rules.Withdraw:
-		g.withdrawn[o.Replica] = o.Out
+	case rules.ReplicaEjection:
+		g.withdrawn[o.Replica] = o.Ejected
 		for _, session := range g.sessionOrder {
 			session.changedEjections++
 		}
--- a/internal/tools/simadapter/reply.go
+++ b/internal/tools/simadapter/reply.go
@@ -64,10 +64,10 @@
 		record.putUint16(5, uint16(o.Proxy))
 	case rules.ClearTable:
 		r.addRecord(orderResetTable).putUint16(1, uint16(o.Table))
-	case rules.Withdraw:
+	case rules.ReplicaEjection:
 		record := r.addRecord(orderBench)
 		record.putUint32(1, uint32(o.Replica))
-		record.putBool(5, o.Out)
+		record.putBool(5, o.Ejected)
 	case rules.AckRequest:
 		record := r.addRecord(orderNonce)
 		record.putUint64(1, uint64(o.Version))
@@ -76,7 +76,7 @@
 		record := r.addRecord(orderDefer)
 		record.putUint64(1, uint64(o.After))
 		record.putUint64(9, o.TimerID)
-	case rules.Observe:
+	case rules.WatchList:
 		r.addRecord(orderObserve).putBool(1, o.On)
 	case rules.FetchList:
 		r.addRecord(orderRefresh)
--- a/internal/tools/simadapter/reply_test.go
+++ b/internal/tools/simadapter/reply_test.go
@@ -17,7 +17,7 @@
 		rules.EndpointWeight{Table: 117, Replica: 0x2c9011f2, Weight: 0.75},
 		rules.WakeAfter{After: 500 * time.Millisecond, TimerID: 77},
 		rules.Admit{Table: 117, Groups: 2, Level: 0.75, Retry: rules.RetryUnprocessed},
-		rules.Bind{Proxy: 41, Table: 117}, rules.Withdraw{Replica: 9, Out: true}, rules.Observe{On: true},
+		rules.Bind{Proxy: 41, Table: 117}, rules.ReplicaEjection{Replica: 9, Ejected: true}, rules.WatchList{On: true},
 		rules.ClearTable{Table: 117}, rules.FetchList{}, rules.Probe{Replica: 9}, rules.AckRequest{Version: 2, AllProxies: true},
 		rules.SendToPeer{To: 65535, Data: []byte("hi 7")},
 	} {
--- a/recovery/plan.go
+++ b/recovery/plan.go
@@ -22,9 +22,9 @@
 
 // Replica is the kept state of one replica.
 type Replica struct {
-	Name    string         // its name at discovery
-	Entry   rules.Entry    // its entry in the kept list
-	Learned rules.Recalled `json:"Learnt"` // what was measured of it; Speed 0: nothing
+	Name    string                 // its name at discovery
+	Entry   rules.Entry            // its entry in the kept list
+	Learned rules.PriorMeasurement `json:"Learnt"` // what was measured of it; Speed 0: nothing
 }
 
 // Settings are how much a kept list is trusted by its age.
@@ -38,12 +38,12 @@
 
 // The assessments.
 const (
-	Used       Assessment = "used"
-	Nothing    Assessment = "nothing is kept"
-	TooOld     Assessment = "older than it may be"
-	Mismatch   Assessment = "of another governor or discovery"
-	ClockBack  Assessment = "of the future: the clock went back; used without trust"
-	Impossible Assessment = "impossible"
+	Used         Assessment = "used"
+	NoState      Assessment = "nothing is kept"
+	TooOld       Assessment = "older than it may be"
+	Mismatch     Assessment = "of another governor or discovery"
+	ClockSetBack Assessment = "of the future: the clock went back; used without trust"
+	Inconsistent Assessment = "impossible"
 )
 
 // Plan is how a governor starts from its kept state.
@@ -69,19 +69,19 @@
 	p := Plan{Age: time.Duration(now - k.ConfirmedAt)}
 	switch {
 	case len(k.Replicas) == 0:
-		p.Assessment = Nothing
+		p.Assessment = NoState
 	case k.ConfirmedAt <= 0 || k.WrittenAt < k.ConfirmedAt-rules.Time(maxClockSkew):
-		p.Assessment = Impossible
+		p.Assessment = Inconsistent
 	case k.Governor != governor || k.Discovery != discovery:
 		p.Assessment = Mismatch
 	case p.Age < -maxClockSkew:
-		p.Assessment = ClockBack
+		p.Assessment = ClockSetBack
 	case p.Age > s.MaxAge:
 		p.Assessment = TooOld
 	default:
 		p.Assessment, p.Trust = Used, s.trustAt(p.Age)
 	}
-	if p.Assessment != Used && p.Assessment != ClockBack {
+	if p.Assessment != Used && p.Assessment != ClockSetBack {
 		return p
 	}
 	list := rules.List{Scope: rules.Cached}
@@ -95,7 +95,7 @@
 		list.Entries = append(list.Entries, e)
 		if r.Learned.Speed > 0 {
 			l := r.Learned
-			l.Replica, l.Trust, l.Out = e.Replica, p.Trust, false // among cold ones an ejected one would draw all flows
+			l.Replica, l.Trust, l.Ejected = e.Replica, p.Trust, false // among cold ones an ejected one would draw all flows
 			recalled = append(recalled, l)
 		}
 	}
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -37,7 +37,7 @@
 	if len(p.Events) > 0 {
 		r.replicas, r.kept = len(p.Events[0].(rules.List).Entries), k.Replicas
 	}
-	if p.Assessment == ClockBack {
+	if p.Assessment == ClockSetBack {
 		r.confirmedAt = now - rules.Time(s.MaxAge)
 	}
 	return r
@@ -73,7 +73,7 @@
 		told[n.Replica] = n
 	}
 	asKept := rules.List{Scope: rules.Changes}
-	var recalled []rules.Recalled
+	var recalled []rules.PriorMeasurement
 	same := 0 // replicas that have not restarted since
 	for _, k := range r.kept {
 		n, is := told[k.Entry.Replica]
@@ -95,7 +95,7 @@
 	}
 	out = append(out, e)
 	for _, l := range recalled {
-		l.Out = l.Out && float64(same) >= minUnrestartedShare*float64(max(len(e.Entries), r.replicas))
+		l.Ejected = l.Ejected && float64(same) >= minUnrestartedShare*float64(max(len(e.Entries), r.replicas))
 		out = append(out, l)
 	}
 	return out
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -21,7 +21,7 @@
 	for i := range n {
 		id := rules.ReplicaID(i)
 		k.Replicas = append(k.Replicas, Replica{Name: fmt.Sprint("s", i), Entry: rules.Entry{Replica: id, State: rules.Ready, Listed: 1},
-			Learned: rules.Recalled{Replica: id, Speed: 1.25 - 0.75*float64(i%2), Answers: 12.5 - 7.5*float64(i%2)}})
+			Learned: rules.PriorMeasurement{Replica: id, Speed: 1.25 - 0.75*float64(i%2), Throughput: 12.5 - 7.5*float64(i%2)}})
 	}
 	return k
 }
@@ -39,12 +39,12 @@
 		{"5 min old", func(k *State) { k.ConfirmedAt = now - 300*second }, Used, 0.707},
 		{"a day old", func(k *State) { k.ConfirmedAt = now - 86_400*second }, Used, 0},
 		{"older", func(k *State) { k.ConfirmedAt = now - 86_401*second }, TooOld, 0},
-		{"a clock that went back by an hour", func(k *State) { k.ConfirmedAt, k.WrittenAt = now+3600*second, now+3601*second }, ClockBack, 0},
+		{"a clock that went back by an hour", func(k *State) { k.ConfirmedAt, k.WrittenAt = now+3600*second, now+3601*second }, ClockSetBack, 0},
 		{"another discovery", func(k *State) { k.Discovery = "e" }, Mismatch, 0},
 		{"another governor", func(k *State) { k.Governor = "n2" }, Mismatch, 0},
-		{"nothing", func(k *State) { k.Replicas = nil }, Nothing, 0},
-		{"never heard", func(k *State) { k.ConfirmedAt = 0 }, Impossible, 0},
-		{"written before it was heard", func(k *State) { k.WrittenAt = k.ConfirmedAt - 3600*second }, Impossible, 0},
+		{"nothing", func(k *State) { k.Replicas = nil }, NoState, 0},
+		{"never heard", func(k *State) { k.ConfirmedAt = 0 }, Inconsistent, 0},
+		{"written before it was heard", func(k *State) { k.WrittenAt = k.ConfirmedAt - 3600*second }, Inconsistent, 0},
 	} {
 		k := keptState(4, now-60*second)
 		k.WrittenAt = now
@@ -53,7 +53,7 @@
 		if p.Assessment != c.want || p.Trust < c.trust-0.001 || p.Trust > c.trust+0.001 {
 			t.Errorf("%s: %v", c.what, p)
 		}
-		used := p.Assessment == Used || p.Assessment == ClockBack
+		used := p.Assessment == Used || p.Assessment == ClockSetBack
 		if used != (len(p.Events) == 5) {
 			t.Errorf("%s: %d events", c.what, len(p.Events))
 		}
@@ -281,7 +281,7 @@
 func TestEjectedStaysEjected(t *testing.T) {
 	now := 1_000_000 * second
 	k := keptState(10, now-10*second)
-	k.Replicas[3].Learned.Out = true
+	k.Replicas[3].Learned.Ejected = true
 	for _, anew := range []int{0, 8} {
 		l := begin(now, k, 4)
 		l.handle(joins(4)...)
--- a/rules/events.go
+++ b/rules/events.go
@@ -112,13 +112,13 @@
 		// of drops by chance few are followed by another, while of a pair that fails nearly all are.
 		RetriedAttempts, RetriedDropped float64
 	}
-	// Recalled is what an earlier run had measured of a replica, and how far that is trusted.
-	Recalled struct {
-		Replica ReplicaID
-		Speed   float64 // as a multiple of its listed weight
-		Answers float64 // flows that it answers in a period of full utilization
-		Out     bool    // it was ejected
-		Trust   float64 // from 0 (none) to 1
+	// PriorMeasurement is what an earlier run measured of a replica, and how far that is trusted.
+	PriorMeasurement struct {
+		Replica    ReplicaID
+		Speed      float64 // as a multiple of its listed weight
+		Throughput float64 `json:"Answers"` // flows answered in a period of full utilization
+		Ejected    bool    `json:"Out"`     // at the end of that run
+		Trust      float64 // from 0 (none) to 1
 	}
 	// Probed is the result of a Probe order.
 	Probed struct {
@@ -153,19 +153,19 @@
 	}
 )
 
-func (Start) event()         {}
-func (Killed) event()        {}
-func (List) event()          {}
-func (Wake) event()          {}
-func (Joined) event()        {}
-func (Left) event()          {}
-func (Applied) event()       {}
-func (EndpointStats) event() {}
-func (GroupTraffic) event()  {}
-func (PairStats) event()     {}
-func (Recalled) event()      {}
-func (Probed) event()        {}
-func (PeerMessage) event()   {}
-func (SliceAssigned) event() {}
-func (SliceWeight) event()   {}
-func (SliceTraffic) event()  {}
+func (Start) event()            {}
+func (Killed) event()           {}
+func (List) event()             {}
+func (Wake) event()             {}
+func (Joined) event()           {}
+func (Left) event()             {}
+func (Applied) event()          {}
+func (EndpointStats) event()    {}
+func (GroupTraffic) event()     {}
+func (PairStats) event()        {}
+func (PriorMeasurement) event() {}
+func (Probed) event()           {}
+func (PeerMessage) event()      {}
+func (SliceAssigned) event()    {}
+func (SliceWeight) event()      {}
+func (SliceTraffic) event()     {}
--- a/rules/governor.go
+++ b/rules/governor.go
@@ -56,14 +56,14 @@
 	stepEntries, stepMessages float64 // entries and messages put into it by this Step
 }
 
-// AppendRecalled appends to m what is worth keeping of each replica over a restart, and sorts it by replica.
-func (g *Governor) AppendRecalled(m []Recalled) []Recalled {
+// AppendMeasurements appends to m what is worth keeping of each replica over a restart, and sorts it by replica.
+func (g *Governor) AppendMeasurements(m []PriorMeasurement) []PriorMeasurement {
 	for _, r := range g.replicas {
 		if g.byID[r.id] == r && r.size > 0 && r.listed > 0 && r.served > 0 && r.busy > 0 {
-			m = append(m, Recalled{Replica: r.id, Speed: r.size / r.listed, Answers: r.served / r.busy, Out: r.ejected})
+			m = append(m, PriorMeasurement{Replica: r.id, Speed: r.size / r.listed, Throughput: r.served / r.busy, Ejected: r.ejected})
 		}
 	}
-	slices.SortFunc(m, func(a, b Recalled) int { return cmp.Compare(a.Replica, b.Replica) })
+	slices.SortFunc(m, func(a, b PriorMeasurement) int { return cmp.Compare(a.Replica, b.Replica) })
 	return m
 }
 
--- a/rules/health.go
+++ b/rules/health.go
@@ -117,14 +117,14 @@
 // restore takes on what an earlier run had measured of a replica, as far as it is trusted and nothing is
 // heard yet. One ejected before is ejected again; successful responses bring it back. Protects against tables of which nothing is
 // learnt after a restart. Harm: one that has recovered meanwhile gets a trial share at first.
-func (g *Governor) restore(e Recalled) {
+func (g *Governor) restore(e PriorMeasurement) {
 	r := g.byID[e.Replica]
-	if r == nil || r.loadKnown || r.served > 0 || !(e.Speed > 0 && e.Answers > 0 && e.Trust >= 0 && e.Trust <= 1) {
+	if r == nil || r.loadKnown || r.served > 0 || !(e.Speed > 0 && e.Throughput > 0 && e.Trust >= 0 && e.Trust <= 1) {
 		return
 	}
 	r.size = r.listed * math.Pow(min(max(e.Speed, 1/outlierFactor), outlierFactor), e.Trust)
-	r.served, r.busy = speedPeriods*speedPriorFlows*e.Trust, speedPeriods*speedPriorFlows*e.Trust/e.Answers
-	r.ejected = e.Out && r.state == Ready
+	r.served, r.busy = speedPeriods*speedPriorFlows*e.Trust, speedPeriods*speedPriorFlows*e.Trust/e.Throughput
+	r.ejected = e.Ejected && r.state == Ready
 }
 
 // health ejects replicas that drop flows though less busy than the fleet, and those silent though flows
--- a/rules/orders.go
+++ b/rules/orders.go
@@ -42,10 +42,10 @@
 	}
 	// ClearTable removes all entries and levels of a table.
 	ClearTable struct{ Table TableID }
-	// Withdraw ejects a replica from all tables that the joined proxies hold, or readmits it.
-	Withdraw struct {
+	// ReplicaEjection ejects a replica from all tables that the joined proxies hold, or readmits it.
+	ReplicaEjection struct {
 		Replica ReplicaID
-		Out     bool
+		Ejected bool
 	}
 	// PairEjection ejects a replica at one proxy alone, or readmits it there.
 	PairEjection struct {
@@ -63,8 +63,8 @@
 		After   time.Duration
 		TimerID uint64
 	}
-	// Observe starts or ends the subscription to the list's changes.
-	Observe struct{ On bool }
+	// WatchList starts or ends the subscription to the list's changes.
+	WatchList struct{ On bool }
 	// FetchList requests the whole list, once.
 	FetchList struct{}
 	// Forget says that a replica is deregistered and that no table holds it: no later order names it, and its ID may be
@@ -81,17 +81,17 @@
 	Log struct{ Text string }
 )
 
-func (EndpointWeight) order() {}
-func (Admit) order()          {}
-func (Bind) order()           {}
-func (ClearTable) order()     {}
-func (Withdraw) order()       {}
-func (PairEjection) order()   {}
-func (AckRequest) order()     {}
-func (WakeAfter) order()      {}
-func (Observe) order()        {}
-func (FetchList) order()      {}
-func (Forget) order()         {}
-func (Probe) order()          {}
-func (SendToPeer) order()     {}
-func (Log) order()            {}
+func (EndpointWeight) order()  {}
+func (Admit) order()           {}
+func (Bind) order()            {}
+func (ClearTable) order()      {}
+func (ReplicaEjection) order() {}
+func (PairEjection) order()    {}
+func (AckRequest) order()      {}
+func (WakeAfter) order()       {}
+func (WatchList) order()       {}
+func (FetchList) order()       {}
+func (Forget) order()          {}
+func (Probe) order()           {}
+func (SendToPeer) order()      {}
+func (Log) order()             {}
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -64,7 +64,7 @@
 			g.countTraffic(e)
 		case PairStats:
 			g.judgePair(now, e)
-		case Recalled:
+		case PriorMeasurement:
 			g.restore(e)
 		}
 	}
@@ -197,7 +197,7 @@
 // drawn by chance so that governors do not all ask at once.
 func (g *Governor) requestList(now Time) {
 	if g.cfg.listOnRequest && !g.observing && now >= g.listRetryAt {
-		g.orders = append(g.orders, Observe{On: true})
+		g.orders = append(g.orders, WatchList{On: true})
 		g.listRetryAt = now + g.randomDuration(4*g.cfg.listRetryWait, 6*g.cfg.listRetryWait)
 	}
 }
