--- a/peersampling/view.go
+++ b/peersampling/view.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// MaxViewSize bounds the peers of each role.
+	// MaxViewSize is the maximum number of peers per role in a view.
 	MaxViewSize = 10
 
-	shuffleLength = 4  // peers of each role in one offer or reply
-	maxAge        = 60 // rounds after which a descriptor is dropped and not passed on
-	seedInterval  = 3  // rounds from one contact of a seed to the next, where no control-plane member is known
+	shuffleLength = 4  // maximum number of peers per role in an offer or reply
+	maxAge        = 60 // rounds after which a descriptor is dropped
+	seedInterval  = 3  // rounds between contacts of seeds while gateways but no control-plane members are known
 )
 
-// PartialView is what one process knows of its peers. It must not be used by several goroutines at once.
+// PartialView is a process's partial view of its peers. It is not safe for concurrent use.
 type PartialView struct {
 	self       Descriptor
 	seeds      []string
-	peers      [roleCount][]Descriptor // by role, see indexOf
+	peers      [roleCount][]Descriptor // by role, see roleIndex
 	randomIntN func(n int) int
 	round      int
-	lastOffer  []string // addresses
+	lastOffer  []string // addresses in the last offer
 }
 
-// Shuffle is an offer and the peer that it is to be sent to.
+// Shuffle is an offer and its recipient.
 type Shuffle struct {
 	To    string
 	Offer []Descriptor
 }
 
-// New returns an empty view. Seeds are addresses of control-plane members; they are contacted while no member is known.
-// RandomIntN returns a random number of [0, n).
+// New returns an empty view. Seeds are the addresses of control-plane members that are contacted while no member is known.
+// RandomIntN returns a random number in [0, n).
 func New(self Descriptor, seeds []string, randomIntN func(n int) int) *PartialView {
 	view := &PartialView{self: self, randomIntN: randomIntN}
 	for _, seed := range seeds {
@@ -42,9 +42,9 @@
 	return view
 }
 
-func indexOf(role Role) int { return int(role - RoleControlPlane) }
+func roleIndex(role Role) int { return int(role - RoleControlPlane) }
 
-// BeginRound begins the next round. It returns false where there is nobody to contact.
+// BeginRound starts the next round and returns the offer to send. It returns false if there is no peer to contact.
 func (v *PartialView) BeginRound() (Shuffle, bool) {
 	v.agePeers()
 	v.round++
@@ -57,7 +57,7 @@
 	return Shuffle{To: to, Offer: offer}, true
 }
 
-// HandleOffer merges a peer's offer and returns the reply to it.
+// HandleOffer merges an offer from a peer and returns the reply.
 func (v *PartialView) HandleOffer(offer []Descriptor) []Descriptor {
 	from := ""
 	if len(offer) > 0 {
@@ -68,12 +68,12 @@
 	return reply
 }
 
-// HandleReply merges the reply to this process's own last offer.
+// HandleReply merges the reply to the last offer.
 func (v *PartialView) HandleReply(reply []Descriptor) { v.merge(reply, v.lastOffer) }
 
-// Peers lists the known peers of a role, those most recently heard of first.
+// Peers returns the known peers of a role, sorted by age and address.
 func (v *PartialView) Peers(role Role) []Descriptor {
-	peers := slices.Clone(v.peers[indexOf(role)])
+	peers := slices.Clone(v.peers[roleIndex(role)])
 	slices.SortStableFunc(peers, func(a, b Descriptor) int {
 		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Addr, b.Addr))
 	})
@@ -89,10 +89,11 @@
 	}
 }
 
-// nextContact chooses the peer to contact: the oldest of one role, the roles taking turns. The peer is removed, and comes
-// back with its reply. While no control-plane member is known a seed is contacted now and then.
+// nextContact removes the oldest peer of a role from the view and returns its address; the roles alternate. The peer's reply
+// adds it to the view again. While no control-plane member is known, it returns a seed every seedInterval rounds, or in each
+// round if no gateway is known either.
 func (v *PartialView) nextContact() (string, bool) {
-	members, gateways := v.peers[indexOf(RoleControlPlane)], v.peers[indexOf(RoleGateway)]
+	members, gateways := v.peers[roleIndex(RoleControlPlane)], v.peers[roleIndex(RoleGateway)]
 	if len(members) == 0 && (len(gateways) == 0 || v.round%seedInterval == 0) {
 		if len(v.seeds) == 0 {
 			return "", false
@@ -111,15 +112,15 @@
 
 func (v *PartialView) remove(addr string) {
 	for role := range v.peers {
-		v.peers[role] = slices.DeleteFunc(v.peers[role], withAddress(addr))
+		v.peers[role] = slices.DeleteFunc(v.peers[role], hasAddress(addr))
 	}
 }
 
-// sample draws the peers that are passed on to another one, which need not learn of itself.
+// sample returns a random sample of the view for a recipient, without the recipient itself.
 func (v *PartialView) sample(recipient string) []Descriptor {
 	var sampled []Descriptor
 	for role := range v.peers {
-		candidates := slices.DeleteFunc(slices.Clone(v.peers[role]), withAddress(recipient))
+		candidates := slices.DeleteFunc(slices.Clone(v.peers[role]), hasAddress(recipient))
 		for i := range candidates { // Fisher-Yates
 			j := i + v.randomIntN(len(candidates)-i)
 			candidates[i], candidates[j] = candidates[j], candidates[i]
@@ -129,19 +130,19 @@
 	return sampled
 }
 
-// merge takes received descriptors in. Where the view is full they replace the peers that were just passed on to the other
-// side, which thereby stay known to somebody.
-func (v *PartialView) merge(received []Descriptor, passedOn []string) {
+// merge adds received descriptors to the view. If the view is full they replace the peers that were just sent to the other
+// side, so that these remain known to at least one process.
+func (v *PartialView) merge(received []Descriptor, sent []string) {
 	for _, descriptor := range received {
 		if descriptor.Addr != v.self.Addr && descriptor.valid() {
-			v.insert(descriptor, passedOn)
+			v.insert(descriptor, sent)
 		}
 	}
 }
 
-func (v *PartialView) insert(descriptor Descriptor, passedOn []string) {
-	peers := &v.peers[indexOf(descriptor.Role)]
-	if known := slices.IndexFunc(*peers, withAddress(descriptor.Addr)); known >= 0 {
+func (v *PartialView) insert(descriptor Descriptor, sent []string) {
+	peers := &v.peers[roleIndex(descriptor.Role)]
+	if known := slices.IndexFunc(*peers, hasAddress(descriptor.Addr)); known >= 0 {
 		if descriptor.Age < (*peers)[known].Age {
 			(*peers)[known] = descriptor
 		}
@@ -151,8 +152,8 @@
 		*peers = append(*peers, descriptor)
 		return
 	}
-	wasPassedOn := func(peer Descriptor) bool { return slices.Contains(passedOn, peer.Addr) }
-	if replaced := slices.IndexFunc(*peers, wasPassedOn); replaced >= 0 {
+	wasSent := func(peer Descriptor) bool { return slices.Contains(sent, peer.Addr) }
+	if replaced := slices.IndexFunc(*peers, wasSent); replaced >= 0 {
 		(*peers)[replaced] = descriptor
 		return
 	}
