--- a/dataplane/framing/scanner_test.go
+++ b/dataplane/framing/scanner_test.go
@@ -11,7 +11,7 @@
 
 // Guards against request smuggling: net/http accepts each of these requests, or keeps the connection open after it.
 func TestAmbiguousFramingIsRejected(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		in   string
 		want Violation
 	}{
@@ -30,14 +30,14 @@
 		{"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX: y\n\r\n", "trailer"},
 		{"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0x2\r\nab\r\n", "chunk_size"},
 	} {
-		for step := 1; step <= len(x.in); step += max(1, len(x.in)-1) { // byte by byte, and all at once
+		for step := 1; step <= len(test.in); step += max(1, len(test.in)-1) { // byte by byte, and all at once
 			var s Scanner
 			got := noViolation
-			for i := 0; i < len(x.in) && got == noViolation; i += step {
-				_, got = s.Feed([]byte(x.in[i:min(i+step, len(x.in))]))
+			for i := 0; i < len(test.in) && got == noViolation; i += step {
+				_, got = s.Feed([]byte(test.in[i:min(i+step, len(test.in))]))
 			}
-			if got != x.want {
-				t.Errorf("%q in steps of %d bytes: got violation %q, want %q", x.in, step, got, x.want)
+			if got != test.want {
+				t.Errorf("%q in steps of %d bytes: got violation %q, want %q", test.in, step, got, test.want)
 			}
 		}
 	}
--- a/dataplane/loadbalancer/balancer.go
+++ b/dataplane/loadbalancer/balancer.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	localConnectionShare = 0.8 // share of the connections that a replica accepts which is divided among the gateways in its zone
+	localConnectionShare = 0.8 // share of a replica's connections that is divided among the gateways in its zone
 	minConnectionShare   = 2   // connections
 )
 
--- a/dataplane/loadbalancer/warmup.go
+++ b/dataplane/loadbalancer/warmup.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maxWarmthUnknown is how long an endpoint of unknown warmth counts as warming up if no update resolves it. The members
+	// unknownWarmthTimeout is how long an endpoint of unknown warmth counts as warming up if no update resolves it. The members
 	// that knew may have lost their state.
-	maxWarmthUnknown = 10 * time.Second
+	unknownWarmthTimeout = 10 * time.Second
 
 	// restoredZoneWarmup is how long endpoints count as warming up after the evacuation of their zone has ended: two
 	// heartbeats at the usual interval.
@@ -68,7 +68,7 @@
 	if known && instance.Stale {
 		w.until = max(w.until, until)
 		if instance.WarmthUnknown { // the evacuation may have been ended by a member that has just started and sends stale updates
-			w.markUnknown(max(w.sequence, instance.Sequence), now+maxWarmthUnknown)
+			w.markUnknown(max(w.sequence, instance.Sequence), now+unknownWarmthTimeout)
 		}
 		return
 	}
@@ -79,7 +79,7 @@
 		w.unknown = false
 	}
 	if instance.WarmthUnknown || instance.Stale {
-		w.unknownUntil = now + maxWarmthUnknown
+		w.unknownUntil = now + unknownWarmthTimeout
 	}
 	switch {
 	case known && instance.Sequence > 0 && instance.Sequence < w.sequence:
--- a/dataplane/loadbalancer/warmup_test.go
+++ b/dataplane/loadbalancer/warmup_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards the warm-up state against updates from members with older or incomplete information.
-func TestWarmthUpdates(t *testing.T) {
+func TestWarmupUpdates(t *testing.T) {
 	Convey("Given a gateway that knows an instance's fifth heartbeat", t, func() {
 		balancer := New("a")
 		// flags holds "stale", "unknown" or both.
@@ -41,8 +41,8 @@
 		Convey("unknown warmth that no update resolves expires", func() {
 			update(s, 6, 0, "")
 			update(s, 6, 0, "unknown")
-			So(balancer.Get("c1").WarmingUp(s+maxWarmthUnknown-1), ShouldBeTrue)
-			So(balancer.Get("c1").WarmingUp(s+maxWarmthUnknown), ShouldBeFalse)
+			So(balancer.Get("c1").WarmingUp(s+unknownWarmthTimeout-1), ShouldBeTrue)
+			So(balancer.Get("c1").WarmingUp(s+unknownWarmthTimeout), ShouldBeFalse)
 		})
 		// Guards against stale updates from a member that has just restarted from disk.
 		Convey("a stale update does not override fresh state", func() {
--- a/dataplane/retry/budget.go
+++ b/dataplane/retry/budget.go
@@ -53,17 +53,17 @@
 	if b.slack+b.deposits() < 1 {
 		return false
 	}
-	due := 1.0
+	remaining := 1.0
 	for age := int64(budgetSlots - 1); age >= 0; age-- {
 		if b.newestSlot < age {
 			continue // before the clock's zero
 		}
 		slot := &b.slots[(b.newestSlot-age)%budgetSlots]
-		taken := min(*slot, due)
+		taken := min(*slot, remaining)
 		*slot -= taken
-		due -= taken
+		remaining -= taken
 	}
-	b.slack = max(b.slack-due, 0)
+	b.slack = max(b.slack-remaining, 0)
 	return true
 }
 
@@ -78,16 +78,16 @@
 // expire clears the slots that are older than a window. It does nothing if the clock goes backwards.
 func (b *Budget) expire(now time.Duration) {
 	slot := int64(now / (b.window / budgetSlots))
-	for passed := min(slot-b.newestSlot, budgetSlots); passed > 0; passed-- {
-		b.slots[(slot-passed+1)%budgetSlots] = 0
+	for elapsed := min(slot-b.newestSlot, budgetSlots); elapsed > 0; elapsed-- {
+		b.slots[(slot-elapsed+1)%budgetSlots] = 0
 	}
 	b.newestSlot = max(b.newestSlot, slot)
 }
 
 // accrue adds the slack that has accrued since the last call.
 func (b *Budget) accrue(now time.Duration) {
-	if passed := now - b.accruedAt; passed > 0 {
+	if elapsed := now - b.accruedAt; elapsed > 0 {
 		b.accruedAt = now
-		b.slack = min(b.slack+b.slackShare/2*passed.Seconds()/b.window.Seconds(), b.maxSlack())
+		b.slack = min(b.slack+b.slackShare/2*elapsed.Seconds()/b.window.Seconds(), b.maxSlack())
 	}
 }
