--- a/controlplane/membership/cluster_test.go
+++ b/controlplane/membership/cluster_test.go
@@ -19,19 +19,19 @@
 // cluster runs nodes over simulated links in virtual time. Each node's commits are simulated too: a chain whose members
 // have all installed a view is synced in it a little later.
 type cluster struct {
-	t       *testing.T
-	now     Time
-	random  *rand.Rand
-	nodes   map[string]*Node // By identity; those that run.
-	saved   map[string]DurableState
-	cut     map[[2]string]bool // Directed links, by address.
-	flights []flight
-	decided map[uint64]View
-	delay   func() Time
-	loses   func() bool
+	t            *testing.T
+	now          Time
+	random       *rand.Rand
+	nodes        map[string]*Node // By identity; those that run.
+	saved        map[string]DurableState
+	cut          map[[2]string]bool // Directed links, by address.
+	inFlight     []inFlightMessage
+	decided      map[uint64]View
+	delay        func() Time
+	dropsMessage func() bool
 }
 
-type flight struct {
+type inFlightMessage struct {
 	at      Time
 	from    string // Address.
 	to      fleet.Member
@@ -41,14 +41,14 @@
 // newCluster starts as many members, named a, b, c, ..., in a first view.
 func newCluster(t *testing.T, members int) *cluster {
 	c := &cluster{
-		t:       t,
-		random:  rand.New(rand.NewPCG(1, 2)),
-		nodes:   map[string]*Node{},
-		saved:   map[string]DurableState{},
-		cut:     map[[2]string]bool{},
-		decided: map[uint64]View{},
-		delay:   func() Time { return linkDelay },
-		loses:   func() bool { return false },
+		t:            t,
+		random:       rand.New(rand.NewPCG(1, 2)),
+		nodes:        map[string]*Node{},
+		saved:        map[string]DurableState{},
+		cut:          map[[2]string]bool{},
+		decided:      map[uint64]View{},
+		delay:        func() Time { return linkDelay },
+		dropsMessage: func() bool { return false },
 	}
 	first := View{Number: 1}
 	for i := range members {
@@ -90,8 +90,8 @@
 // cutLink cuts the link between two addresses in one direction.
 func (c *cluster) cutLink(from, to string) { c.cut[[2]string{from, to}] = true }
 
-func (c *cluster) run(span time.Duration) {
-	for end := c.now + span; c.now < end; {
+func (c *cluster) run(duration time.Duration) {
+	for end := c.now + duration; c.now < end; {
 		c.now += linkDelay
 		c.deliver()
 		if c.now%tickInterval == 0 {
@@ -130,10 +130,10 @@
 }
 
 func (c *cluster) deliver() {
-	slices.SortStableFunc(c.flights, func(a, b flight) int { return int(a.at - b.at) })
-	for len(c.flights) > 0 && c.flights[0].at <= c.now {
-		next := c.flights[0]
-		c.flights = c.flights[1:]
+	slices.SortStableFunc(c.inFlight, func(a, b inFlightMessage) int { return int(a.at - b.at) })
+	for len(c.inFlight) > 0 && c.inFlight[0].at <= c.now {
+		next := c.inFlight[0]
+		c.inFlight = c.inFlight[1:]
 		for _, id := range c.running() {
 			node := c.nodes[id]
 			addressed := next.to.ID == id || next.to.ID == "" && next.to.Addr == node.Self().Addr
@@ -160,8 +160,8 @@
 		c.decided[v.Number] = v
 	}
 	for _, out := range ready.Messages {
-		if !c.loses() {
-			c.flights = append(c.flights, flight{c.now + c.delay(), node.Self().Addr, out.To, out.Message})
+		if !c.dropsMessage() {
+			c.inFlight = append(c.inFlight, inFlightMessage{c.now + c.delay(), node.Self().Addr, out.To, out.Message})
 		}
 	}
 }
@@ -191,7 +191,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			c := newCluster(t, 5)
 			c.random = rand.New(rand.NewPCG(seed, 1))
-			c.loses = func() bool { return c.random.IntN(10) == 0 }
+			c.dropsMessage = func() bool { return c.random.IntN(10) == 0 }
 			c.delay = func() Time { return linkDelay + Time(c.random.IntN(int(200*time.Millisecond))) }
 			for range 40 {
 				addr := string(rune('a' + c.random.IntN(5)))
@@ -209,7 +209,7 @@
 				}
 			}
 			clear(c.cut)
-			c.loses = func() bool { return false }
+			c.dropsMessage = func() bool { return false }
 			for _, addr := range []string{"a", "b", "c", "d", "e"} {
 				if c.nodes[testMember(addr).ID] == nil {
 					c.restart(addr)
--- a/controlplane/membership/consensus.go
+++ b/controlplane/membership/consensus.go
@@ -45,16 +45,16 @@
 
 // proposeIfNeeded starts a proposal once a view change has been necessary for long enough.
 func (node *Node) proposeIfNeeded(now Time) {
-	value, wanted := node.valueToPropose(now)
-	if !wanted {
-		node.changeWantedSince = 0
+	value, needed := node.valueToPropose(now)
+	if !needed {
+		node.changeNeededSince = 0
 		return
 	}
-	if node.changeWantedSince == 0 {
-		node.changeWantedSince = now
+	if node.changeNeededSince == 0 {
+		node.changeNeededSince = now
 	}
-	wantedFor := now - node.changeWantedSince
-	if node.proposal.active || now < node.backoffUntil || wantedFor < node.proposalDelay(value) {
+	neededFor := now - node.changeNeededSince
+	if node.proposal.active || now < node.backoffUntil || neededFor < node.proposalDelay(value) {
 		return
 	}
 	node.beginProposal(now, value)
@@ -213,7 +213,7 @@
 	invariant.NotBelow(invariant.ViewNumberMonotonic, view.Number, node.highestInstalled)
 	node.state = DurableState{View: view}
 	node.proposal.active, node.highestRound = false, 0
-	node.changeWantedSince = 0
+	node.changeNeededSince = 0
 	node.stateChanged, node.viewInstalled = true, true
 }
 
--- a/controlplane/membership/consensus_test.go
+++ b/controlplane/membership/consensus_test.go
@@ -7,14 +7,14 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// voterOf returns a node that is the given member of a first view of three.
-func voterOf(t *testing.T, addr string) *Node {
+// newVoter returns a node that is the given member of a first view of three.
+func newVoter(t *testing.T, addr string) *Node {
 	t.Helper()
 	return newCluster(t, 3).node(addr)
 }
 
-// nextViewOf returns a view that may follow a node's.
-func nextViewOf(node *Node, chain ...string) View {
+// successorView returns a view that may follow a node's.
+func successorView(node *Node, chain ...string) View {
 	v := node.View()
 	v.Number++
 	v.Chain = chain
@@ -30,8 +30,8 @@
 	return Message{Kind: Accept, From: testMember(ballot.Proposer[:1]), ViewNumber: v.Number, Ballot: ballot, View: &v}
 }
 
-// wantAnswer checks that a step brought one message of a kind and returns it.
-func wantAnswer(t *testing.T, ready Ready, kind MessageKind, afterSave bool) Message {
+// expectMessage checks that a step brought one message of a kind and returns it.
+func expectMessage(t *testing.T, ready Ready, kind MessageKind, afterSave bool) Message {
 	t.Helper()
 	if len(ready.Messages) != 1 || ready.Messages[0].Message.Kind != kind || ready.Messages[0].AfterSave != afterSave {
 		t.Fatalf("got %+v, want one message of kind %d", ready, kind)
@@ -39,31 +39,31 @@
 	return ready.Messages[0].Message
 }
 
-func TestVoterKeepsItsPromise(t *testing.T) {
-	node := voterOf(t, "a")
+func TestVoterKeepsPromise(t *testing.T) {
+	node := newVoter(t, "a")
 	low, high := Ballot{1, "b/0"}, Ballot{2, "c/0"}
 	ready := node.Step(0, prepareFor(node, high))
-	if promise := wantAnswer(t, ready, Promise, true); promise.View != nil || !ready.MustSave {
+	if promise := expectMessage(t, ready, Promise, true); promise.View != nil || !ready.MustSave {
 		t.Errorf("%+v", ready)
 	}
-	rejection := wantAnswer(t, node.Step(0, prepareFor(node, low)), Reject, false)
+	rejection := expectMessage(t, node.Step(0, prepareFor(node, low)), Reject, false)
 	if rejection.Ballot != low || rejection.PriorBallot != high {
 		t.Errorf("%+v", rejection)
 	}
-	wantAnswer(t, node.Step(0, prepareFor(node, high)), Reject, false) // A ballot is promised once.
-	if ready := node.Step(0, acceptFor(low, nextViewOf(node, "a/0"))); len(ready.Messages) > 0 || ready.MustSave {
+	expectMessage(t, node.Step(0, prepareFor(node, high)), Reject, false) // A ballot is promised once.
+	if ready := node.Step(0, acceptFor(low, successorView(node, "a/0"))); len(ready.Messages) > 0 || ready.MustSave {
 		t.Errorf("accepted a ballot lower than the one promised: %+v", ready)
 	}
-	wantAnswer(t, node.Step(0, acceptFor(high, nextViewOf(node, "a/0"))), Accepted, true)
+	expectMessage(t, node.Step(0, acceptFor(high, successorView(node, "a/0"))), Accepted, true)
 }
 
-// TestPromiseNamesTheAcceptedView shows the invariant of phase 1: whoever has accepted a view says so in each later promise.
-func TestPromiseNamesTheAcceptedView(t *testing.T) {
-	node := voterOf(t, "a")
+// TestPromiseIncludesAcceptedView shows the invariant of phase 1: whoever has accepted a view says so in each later promise.
+func TestPromiseIncludesAcceptedView(t *testing.T) {
+	node := newVoter(t, "a")
 	first, second := Ballot{1, "b/0"}, Ballot{2, "c/0"}
-	accepted := nextViewOf(node, "a/0", "b/0")
+	accepted := successorView(node, "a/0", "b/0")
 	node.Step(0, acceptFor(first, accepted))
-	promise := wantAnswer(t, node.Step(0, prepareFor(node, second)), Promise, true)
+	promise := expectMessage(t, node.Step(0, prepareFor(node, second)), Promise, true)
 	if promise.PriorBallot != first || promise.View == nil || !reflect.DeepEqual(*promise.View, accepted) {
 		t.Errorf("%+v", promise)
 	}
@@ -72,15 +72,15 @@
 	}
 }
 
-// TestProposerTakesUpTheAcceptedView has a voter report a view that it accepted: it may have been decided, so it must
+// TestProposerAdoptsAcceptedView has a voter report a view that it accepted: it may have been decided, so it must
 // replace the proposer's own.
-func TestProposerTakesUpTheAcceptedView(t *testing.T) {
-	node := voterOf(t, "a")
-	node.beginProposal(0, nextViewOf(node, "a/0", "b/0"))
+func TestProposerAdoptsAcceptedView(t *testing.T) {
+	node := newVoter(t, "a")
+	node.beginProposal(0, successorView(node, "a/0", "b/0"))
 	ballot := node.proposal.ballot
 	node.ready()
-	accepted := nextViewOf(node, "a/0", "c/0")
-	older := nextViewOf(node, "a/0")
+	accepted := successorView(node, "a/0", "c/0")
+	older := successorView(node, "a/0")
 	promise := func(addr string, prior Ballot, v *View) Ready {
 		return node.Step(0, Message{Kind: Promise, From: testMember(addr), ViewNumber: 2, Ballot: ballot, PriorBallot: prior, View: v})
 	}
@@ -96,9 +96,9 @@
 	}
 }
 
-func TestViewIsDecidedByAQuorum(t *testing.T) {
-	node := voterOf(t, "a")
-	next := nextViewOf(node, "a/0", "b/0")
+func TestViewIsDecidedByQuorum(t *testing.T) {
+	node := newVoter(t, "a")
+	next := successorView(node, "a/0", "b/0")
 	node.beginProposal(0, next)
 	node.ready()
 	ballot := node.proposal.ballot
@@ -131,24 +131,24 @@
 	}
 }
 
-func TestRejectedProposerExceedsTheBallot(t *testing.T) {
-	node := voterOf(t, "a")
-	node.beginProposal(0, nextViewOf(node, "a/0", "b/0"))
+func TestRejectedProposerUsesHigherBallot(t *testing.T) {
+	node := newVoter(t, "a")
+	node.beginProposal(0, successorView(node, "a/0", "b/0"))
 	ballot := node.proposal.ballot
 	node.Step(0, Message{Kind: Reject, From: testMember("b"), ViewNumber: 2, Ballot: ballot, PriorBallot: Ballot{7, "c/0"}})
 	if node.proposal.active {
 		t.Fatal("the proposal goes on")
 	}
-	node.beginProposal(0, nextViewOf(node, "a/0", "b/0"))
+	node.beginProposal(0, successorView(node, "a/0", "b/0"))
 	if got := node.proposal.ballot; got != (Ballot{8, "a/0"}) {
 		t.Errorf("ballot %v", got)
 	}
 }
 
 func TestNonVoterDoesNotVote(t *testing.T) {
-	voter := voterOf(t, "a")
+	voter := newVoter(t, "a")
 	outsider := New(testMember("z"), voter.State(), nil, func() float64 { return 0 })
-	for _, m := range []Message{prepareFor(voter, Ballot{1, "b/0"}), acceptFor(Ballot{1, "b/0"}, nextViewOf(voter, "a/0"))} {
+	for _, m := range []Message{prepareFor(voter, Ballot{1, "b/0"}), acceptFor(Ballot{1, "b/0"}, successorView(voter, "a/0"))} {
 		if ready := outsider.Step(0, m); len(ready.Messages) > 0 || ready.MustSave {
 			t.Errorf("%+v", ready)
 		}
@@ -158,11 +158,11 @@
 	}
 }
 
-// TestInstallationResetsTheAgreement: promises and accepted views belong to the agreement on one view.
-func TestInstallationResetsTheAgreement(t *testing.T) {
-	node := voterOf(t, "a")
-	node.Step(0, acceptFor(Ballot{3, "b/0"}, nextViewOf(node, "a/0")))
-	decided := nextViewOf(node, "a/0", "b/0")
+// TestInstalledViewResetsAgreement: promises and accepted views belong to the agreement on one view.
+func TestInstalledViewResetsAgreement(t *testing.T) {
+	node := newVoter(t, "a")
+	node.Step(0, acceptFor(Ballot{3, "b/0"}, successorView(node, "a/0")))
+	decided := successorView(node, "a/0", "b/0")
 	ready := node.Step(0, Message{Kind: Decided, From: testMember("b"), ViewNumber: 2, View: &decided})
 	if !ready.ViewInstalled || !reflect.DeepEqual(node.State(), DurableState{View: decided}) {
 		t.Errorf("%+v", node.State())
@@ -172,8 +172,8 @@
 		t.Error("an older view was installed")
 	}
 	// A proposer that has missed the decision is notified of it.
-	late := prepareFor(voterOf(t, "b"), Ballot{1, "b/0"})
-	if answer := wantAnswer(t, node.Step(0, late), Decided, true); !reflect.DeepEqual(*answer.View, decided) {
+	late := prepareFor(newVoter(t, "b"), Ballot{1, "b/0"})
+	if answer := expectMessage(t, node.Step(0, late), Decided, true); !reflect.DeepEqual(*answer.View, decided) {
 		t.Errorf("%+v", answer)
 	}
 }
--- a/controlplane/membership/contact_test.go
+++ b/controlplane/membership/contact_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestContactEndsWithItsLease(t *testing.T) {
+func TestContactLeaseExpires(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
 	node := c.node("a")
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestResetContactVoidsEarlierEchoes(t *testing.T) {
+func TestResetContactInvalidatesEchoes(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
 	node, before := c.node("a"), c.node("a").Clock(c.now)
@@ -51,7 +51,7 @@
 }
 
 func TestIsRecentReading(t *testing.T) {
-	node := voterOf(t, "a")
+	node := newVoter(t, "a")
 	now := 10 * time.Second
 	own := node.Clock(now)
 	for _, test := range []struct {
@@ -71,15 +71,15 @@
 	}
 }
 
-// TestClockStallIsFoundByPeersClocks freezes a machine together with its clock.
-func TestClockStallIsFoundByPeersClocks(t *testing.T) {
+// TestClockStallIsDetectedByPeerClocks freezes a machine together with its clock.
+func TestClockStallIsDetectedByPeerClocks(t *testing.T) {
 	heartbeatAt := func(peer ClockReading) Message {
 		return Message{Kind: Heartbeat, From: testMember("b"), ViewNumber: 1, Clock: peer}
 	}
 	for _, test := range []struct {
-		name   string
-		gained Time // By the peer's clock on ours, between two heartbeats.
-		stood  bool
+		name    string
+		advance Time // By the peer's clock on ours, between two heartbeats.
+		stalled bool
 	}{
 		{"same rate", 0, false},
 		{"up to the threshold", clockStallThreshold, false},
@@ -87,14 +87,14 @@
 		{"late messages", -10 * time.Second, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			node := voterOf(t, "a")
+			node := newVoter(t, "a")
 			node.Step(0, heartbeatAt(ClockReading{5, 20 * time.Second}))
 			incarnation := node.incarnation
-			node.Step(time.Second, heartbeatAt(ClockReading{5, 21*time.Second + test.gained}))
-			if got := node.TakeClockStall(); got != test.stood || node.TakeClockStall() {
+			node.Step(time.Second, heartbeatAt(ClockReading{5, 21*time.Second + test.advance}))
+			if got := node.TakeClockStall(); got != test.stalled || node.TakeClockStall() {
 				t.Errorf("clock stall: %v", got)
 			}
-			if reset := node.incarnation != incarnation; reset != test.stood {
+			if reset := node.incarnation != incarnation; reset != test.stalled {
 				t.Errorf("contact reset: %v", reset)
 			}
 		})
@@ -102,7 +102,7 @@
 }
 
 func TestObserveClock(t *testing.T) {
-	node := voterOf(t, "a")
+	node := newVoter(t, "a")
 	id := testMember("b").ID
 	node.ObserveClock(0, id, ClockReading{5, time.Second})
 	if got := node.PeerClock(id); got != (ClockReading{}) {
--- a/controlplane/membership/failuredetector.go
+++ b/controlplane/membership/failuredetector.go
@@ -19,9 +19,9 @@
 // peer is the state of another member, or of a machine that may become one.
 type peer struct {
 	fleet.Member
-	lastHeard      Time
+	lastHeartbeat  Time
 	connectedSince Time // Start of the current period of uninterrupted reachability.
-	hearsUs        bool
+	receivesFromUs bool
 	echoes         map[string]ClockReading // Members whose heartbeats the peer receives, by ID.
 	syncedView     uint64
 	leaving        bool
@@ -36,11 +36,11 @@
 // IsReachable reports whether heartbeats between this node and a member arrive in both directions.
 func (node *Node) IsReachable(now Time, id string) bool {
 	p := node.peers[id]
-	return p != nil && !p.isSilent(now) && p.hearsUs
+	return p != nil && !p.isSilent(now) && p.receivesFromUs
 }
 
 // IsSynced reports whether a member has reported that it was synced, and has persisted its register, in the view with the
-// given number. It has everything then that was acknowledged before.
+// given number. Such a member has all acknowledged commands.
 func (node *Node) IsSynced(id string, number uint64) bool { return node.syncedViewOf(id) == number }
 
 // Leave starts a graceful shutdown: the other members are asked to replace this node.
@@ -65,7 +65,7 @@
 	return reachable > 0 || len(node.state.View.Voters) <= 1
 }
 
-func (p *peer) isSilent(now Time) bool { return now-p.lastHeard >= suspectTimeout }
+func (p *peer) isSilent(now Time) bool { return now-p.lastHeartbeat >= suspectTimeout }
 
 // isHealthy reports whether a member, or this node, is reachable and its disk is healthy.
 func (node *Node) isHealthy(now Time, id string) bool {
@@ -80,25 +80,25 @@
 // are sent to the head, and the tail sends commits to all members.
 func (node *Node) isLinkedToAll(id string, chain []string) bool {
 	for _, other := range chain {
-		if !node.reportedHearing(other, id) || !node.reportedHearing(id, other) {
+		if !node.reportsReceiving(other, id) || !node.reportsReceiving(id, other) {
 			return false
 		}
 	}
 	return true
 }
 
-// reportedHearing reports whether a healthy member has reported that it receives the heartbeats of another. It is always true
+// reportsReceiving reports whether a healthy member has reported that it receives the heartbeats of another. It is always true
 // for this node as the listener, because a member whose heartbeats do not arrive is not healthy.
-func (node *Node) reportedHearing(listener, speaker string) bool {
-	if listener == node.self.ID {
+func (node *Node) reportsReceiving(receiver, sender string) bool {
+	if receiver == node.self.ID {
 		return true
 	}
-	_, hears := node.peers[listener].echoes[speaker]
-	return hears
+	_, receives := node.peers[receiver].echoes[sender]
+	return receives
 }
 
-// absentFor returns how long a member has been known to be silent or to have an unhealthy disk.
-func (node *Node) absentFor(now Time, id string) Time {
+// unavailableFor returns how long a member has been known to be silent or to have an unhealthy disk.
+func (node *Node) unavailableFor(now Time, id string) Time {
 	p := node.peers[id]
 	switch {
 	case p == nil:
@@ -106,7 +106,7 @@
 	case p.diskUnhealthy && node.IsReachable(now, id):
 		return now - max(p.diskUnhealthySince, node.observingSince)
 	}
-	return now - max(p.lastHeard, node.observingSince)
+	return now - max(p.lastHeartbeat, node.observingSince)
 }
 
 // isPeerLeaving reports whether a member, or this node, is leaving.
@@ -131,13 +131,13 @@
 
 // restartObservation restarts the observation of other members, because this node could not receive messages until now.
 func (node *Node) restartObservation(now Time) {
-	node.observingSince, node.changeWantedSince = now, 0
+	node.observingSince, node.changeNeededSince = now, 0
 }
 
 // forgetSilentPeers removes peers that are not members of the view and have been silent for forgetTimeout.
 func (node *Node) forgetSilentPeers(now Time) {
 	for id, p := range node.peers {
-		if now-p.lastHeard > forgetTimeout && !node.isMember(id) {
+		if now-p.lastHeartbeat > forgetTimeout && !node.isMember(id) {
 			delete(node.peers, id)
 		}
 	}
--- a/controlplane/membership/failuredetector_test.go
+++ b/controlplane/membership/failuredetector_test.go
@@ -22,8 +22,8 @@
 	c.wantView("abc", "acb", "abc")
 }
 
-// TestOneWayCutCounts: who does not hear another, or is not heard by it, leaves the chain, and only one of the two does.
-func TestOneWayCutCounts(t *testing.T) {
+// TestOneWayCutRemovesOneMember: who does not hear another, or is not heard by it, leaves the chain, and only one of the two does.
+func TestOneWayCutRemovesOneMember(t *testing.T) {
 	for _, link := range [][2]string{{"b", "c"}, {"c", "b"}} {
 		c := newCluster(t, 3)
 		c.run(2 * time.Second)
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestUnhealthyDiskLeavesTheChain(t *testing.T) {
+func TestMemberWithUnhealthyDiskLeavesChain(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
 	c.node("a").SetDiskUnhealthy(true)
@@ -44,14 +44,14 @@
 	c.wantView("abc", "bca", "abc")
 }
 
-// TestHeldUpNodeSuspectsNobody: after a gap between ticks the silence meanwhile says nothing of the others.
-func TestHeldUpNodeSuspectsNobody(t *testing.T) {
+// TestStalledNodeSuspectsNoPeers: after a gap between ticks the silence meanwhile says nothing of the others.
+func TestStalledNodeSuspectsNoPeers(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
 	node := c.node("a")
-	heldUp := c.now + 10*time.Second
-	node.Tick(heldUp)
-	if node.mayPlan(heldUp) || node.absentFor(heldUp, testMember("b").ID) != 0 {
+	resumedAt := c.now + 10*time.Second
+	node.Tick(resumedAt)
+	if node.canProposeView(resumedAt) || node.unavailableFor(resumedAt, testMember("b").ID) != 0 {
 		t.Error("the silence of others counts although this node was held up")
 	}
 }
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestMembersAreNotForgotten: members that were cut off from each other for longer than others are remembered find each
+// TestMembersReconnectAfterLongPartition: members that were cut off from each other for longer than others are remembered find each
 // other again, also where neither is a seed.
-func TestMembersAreNotForgotten(t *testing.T) {
+func TestMembersReconnectAfterLongPartition(t *testing.T) {
 	c := newCluster(t, 3)
 	for _, addr := range []string{"d", "e"} {
 		c.start(testMember(addr), DurableState{})
--- a/controlplane/membership/heartbeat.go
+++ b/controlplane/membership/heartbeat.go
@@ -39,18 +39,18 @@
 		p = &peer{}
 		node.peers[m.From.ID] = p
 	}
-	echo, hearsUs := m.Echoes[node.self.ID]
-	if wasSilent || hearsUs && !p.hearsUs {
+	echo, receivesFromUs := m.Echoes[node.self.ID]
+	if wasSilent || receivesFromUs && !p.receivesFromUs {
 		p.connectedSince = now
 	}
 	if m.DiskUnhealthy && !p.diskUnhealthy {
 		p.diskUnhealthySince = now
 	}
 	node.observeClock(now, p, m.Clock)
-	p.Member, p.lastHeard = m.From, now
-	p.hearsUs, p.echoes = hearsUs, m.Echoes
+	p.Member, p.lastHeartbeat = m.From, now
+	p.receivesFromUs, p.echoes = receivesFromUs, m.Echoes
 	p.diskUnhealthy, p.leaving, p.syncedView = m.DiskUnhealthy, m.Leaving, m.SyncedView
-	if hearsUs {
+	if receivesFromUs {
 		node.observeEcho(now, p, echo)
 	}
 
--- a/controlplane/membership/node.go
+++ b/controlplane/membership/node.go
@@ -57,7 +57,7 @@
 	lastTick          Time
 	nextHeartbeat     Time
 	observingSince    Time // First tick, or first tick after a stall. Peers are not considered silent before.
-	changeWantedSince Time // 0 if no view change is necessary.
+	changeNeededSince Time // 0 if no view change is necessary.
 	clockStalled      bool
 
 	proposal     proposal
@@ -140,7 +140,7 @@
 func (node *Node) Peers(now Time) []fleet.Member {
 	var peers []fleet.Member
 	for _, p := range node.peers {
-		if now-p.lastHeard < forgetTimeout || node.isMember(p.ID) {
+		if now-p.lastHeartbeat < forgetTimeout || node.isMember(p.ID) {
 			peers = append(peers, p.Member)
 		}
 	}
--- a/controlplane/membership/replacement.go
+++ b/controlplane/membership/replacement.go
@@ -26,11 +26,11 @@
 	// pairRemovalTimeout is how long two voters must have been absent before both are removed without replacement.
 	pairRemovalTimeout = 12 * time.Second
 
-	// minVoters is the number of voters below which none is removed without replacement.
+	// minVoters is the minimum number of voters that remain when voters are removed without replacement.
 	minVoters = 3
 
-	// noSeat is the index returned if there is no voter to replace.
-	noSeat = -1
+	// noVoter is the index returned if there is no voter to replace.
+	noVoter = -1
 )
 
 // successorPlan builds the next view. Its methods are called in the order used by nextView.
@@ -45,7 +45,7 @@
 
 // nextView returns the view that should follow the current one, and false if no change is needed or possible.
 func (node *Node) nextView(now Time) (View, bool) {
-	if !node.mayPlan(now) {
+	if !node.canProposeView(now) {
 		return View{}, false
 	}
 	current := node.state.View
@@ -56,7 +56,7 @@
 		viewCommitted: node.committedView == current.Number,
 	}
 	plan.keepHealthyChain()
-	plan.releaseLeavers()
+	plan.removeLeavingMembers()
 	plan.markUnsynced()
 	if !plan.hasSyncedHead() {
 		return View{}, false
@@ -69,13 +69,13 @@
 	case len(current.Learners) == 0:
 		plan.admitLearner()
 	}
-	plan.dropFailedVoters()
+	plan.removeFailedVoters()
 	return plan.next, !plan.next.hasSameMembership(current) && !plan.lacksQuorum()
 }
 
-// mayPlan reports whether this node can determine the next view: it is a healthy member of the chain, is in contact with a
-// quorum, and has observed the other members for at least suspectTimeout.
-func (node *Node) mayPlan(now Time) bool {
+// canProposeView reports whether this node can determine the next view: it is a healthy member of the chain, is in contact
+// with a quorum, and has observed the other members for at least suspectTimeout.
+func (node *Node) canProposeView(now Time) bool {
 	return node.state.View.Position(node.self.ID) >= 0 && !node.diskUnhealthy &&
 		node.HasQuorumContact(now) && now-node.observingSince >= suspectTimeout
 }
@@ -89,8 +89,8 @@
 	}
 }
 
-// releaseLeavers removes leaving members from the chain if a quorum of synced voters remains.
-func (plan *successorPlan) releaseLeavers() {
+// removeLeavingMembers removes leaving members from the chain if a quorum of synced voters remains.
+func (plan *successorPlan) removeLeavingMembers() {
 	staying := slices.DeleteFunc(slices.Clone(plan.next.Chain), plan.node.isPeerLeaving)
 	synced := slices.DeleteFunc(slices.Clone(staying), plan.isUnsynced)
 	if plan.next.countVoters(synced) >= plan.next.Quorum() {
@@ -125,7 +125,7 @@
 // readmitVoters appends voters outside the chain that may join it.
 func (plan *successorPlan) readmitVoters() {
 	for _, voter := range plan.current().Voters {
-		if plan.current().Position(voter.ID) < 0 && plan.mayJoin(voter.ID) {
+		if plan.current().Position(voter.ID) < 0 && plan.canJoin(voter.ID) {
 			plan.appendUnsynced(voter.ID)
 		}
 	}
@@ -135,27 +135,27 @@
 // the chain. Otherwise it remains a learner until the missing voter returns or may be replaced.
 func (plan *successorPlan) promoteLearner() {
 	learner, next := plan.next.Learners[0], &plan.next
-	switch seat := plan.seatFor(learner); {
-	case seat != noSeat:
-		next.Voters[seat], next.Learners = learner, nil
+	switch index := plan.voterToReplace(learner); {
+	case index != noVoter:
+		next.Voters[index], next.Learners = learner, nil
 	case next.countVoters(next.Chain) == len(next.Voters):
 		next.Voters, next.Learners = append(next.Voters, learner), nil
 	}
 }
 
-// seatFor returns the index of the voter to be replaced by a learner: the voter at the same address, whose disk was lost, or
-// else a departed or failed voter.
-func (plan *successorPlan) seatFor(learner fleet.Member) int {
-	if seat := indexOfAddr(plan.next.Voters, learner.Addr); seat >= 0 {
-		return seat
+// voterToReplace returns the index of the voter to be replaced by a learner: the voter at the same address, whose disk was
+// lost, or else a departed or failed voter.
+func (plan *successorPlan) voterToReplace(learner fleet.Member) int {
+	if index := indexOfAddr(plan.next.Voters, learner.Addr); index >= 0 {
+		return index
 	}
-	return plan.freeSeat()
+	return plan.replaceableVoter()
 }
 
-// freeSeat returns the index of a departed voter or else of a failed one.
-func (plan *successorPlan) freeSeat() int {
-	if seat := slices.IndexFunc(plan.next.Voters, plan.hasLeft); seat >= 0 {
-		return seat
+// replaceableVoter returns the index of a departed voter or else of a failed one.
+func (plan *successorPlan) replaceableVoter() int {
+	if index := slices.IndexFunc(plan.next.Voters, plan.hasLeft); index >= 0 {
+		return index
 	}
 	return slices.IndexFunc(plan.next.Voters, plan.hasFailedFor(replacementTimeout))
 }
@@ -164,8 +164,8 @@
 // not eligible.
 func (plan *successorPlan) admitLearner() {
 	for _, candidate := range plan.node.nonMembers() {
-		seat := indexOfAddr(plan.next.Voters, candidate.Addr)
-		if !plan.mayJoin(candidate.ID) || seat >= 0 && plan.node.IsReachable(plan.now, plan.next.Voters[seat].ID) {
+		index := indexOfAddr(plan.next.Voters, candidate.Addr)
+		if !plan.canJoin(candidate.ID) || index >= 0 && plan.node.IsReachable(plan.now, plan.next.Voters[index].ID) {
 			continue
 		}
 		plan.next.Learners = []fleet.Member{candidate}
@@ -174,17 +174,17 @@
 	}
 }
 
-// dropFailedVoters removes one failed voter from an even number of voters, or two from an odd number, unless another change of
-// the voters is in progress.
-func (plan *successorPlan) dropFailedVoters() {
+// removeFailedVoters removes one failed voter from an even number of voters, or two from an odd number, unless another
+// change of the voters is in progress.
+func (plan *successorPlan) removeFailedVoters() {
 	next := &plan.next
 	changing := len(next.Learners) > 0 || !sameIdentities(next.Voters, plan.current().Voters)
 	if !plan.viewCommitted || changing || len(next.Voters) <= minVoters {
 		return
 	}
 	if len(next.Voters)%2 == 0 {
-		if seat := plan.freeSeat(); seat != noSeat {
-			next.Voters = slices.Delete(next.Voters, seat, seat+1)
+		if index := plan.replaceableVoter(); index != noVoter {
+			next.Voters = slices.Delete(next.Voters, index, index+1)
 		}
 		return
 	}
@@ -209,10 +209,10 @@
 	return plan.next.countVoters(plan.next.Chain) < plan.next.Quorum()
 }
 
-// mayJoin reports whether a machine may be appended to the chain. Unless the chain lacks a quorum, no machine joins before a
+// canJoin reports whether a machine may be appended to the chain. Unless the chain lacks a quorum, no machine joins before a
 // commit in the current view, and no leaving member joins. If the head failed before forwarding its register, members that
 // joined in consecutive views would all be marked as unsynced, and none could become the head.
-func (plan *successorPlan) mayJoin(id string) bool {
+func (plan *successorPlan) canJoin(id string) bool {
 	node := plan.node
 	if !node.isHealthy(plan.now, id) || plan.now-node.peers[id].connectedSince < joinStabilityPeriod {
 		return false
@@ -237,7 +237,7 @@
 func (plan *successorPlan) hasFailedFor(timeout Time) func(fleet.Member) bool {
 	return func(voter fleet.Member) bool {
 		return !plan.isInChain(voter) && !plan.node.isHealthy(plan.now, voter.ID) &&
-			plan.node.absentFor(plan.now, voter.ID) >= timeout
+			plan.node.unavailableFor(plan.now, voter.ID) >= timeout
 	}
 }
 
--- a/controlplane/membership/replacement_test.go
+++ b/controlplane/membership/replacement_test.go
@@ -7,10 +7,10 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// learnersSeen runs the cluster and returns how many views had a learner that did not vote.
-func (c *cluster) learnersSeen(t *testing.T, span time.Duration) int {
+// runAndCountLearnerViews runs the cluster and returns how many views had a learner that did not vote.
+func (c *cluster) runAndCountLearnerViews(t *testing.T, duration time.Duration) int {
 	t.Helper()
-	c.run(span)
+	c.run(duration)
 	views := 0
 	for _, v := range c.decided {
 		if len(v.Learners) == 0 {
@@ -25,17 +25,17 @@
 	return views
 }
 
-func TestNewcomerIsALearnerFirst(t *testing.T) {
+func TestNewMemberStartsAsLearner(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
 	c.start(testMember("d"), DurableState{})
-	if c.learnersSeen(t, 5*time.Second) == 0 {
+	if c.runAndCountLearnerViews(t, 5*time.Second) == 0 {
 		t.Error("d was never a learner")
 	}
 	c.wantView("abcd", "abcd", "abcd")
 }
 
-func TestNewcomerReplacesAFailedVoter(t *testing.T) {
+func TestNewMemberReplacesFailedVoter(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
 	c.kill("b")
@@ -47,8 +47,8 @@
 	c.wantView("acd", "acd", "adc")
 }
 
-// TestWipedMemberReplacesItself has a machine lose its disk: its new identity takes the seat of the old one.
-func TestWipedMemberReplacesItself(t *testing.T) {
+// TestMemberWithNewDiskReplacesItself has a machine lose its disk: its new identity takes the seat of the old one.
+func TestMemberWithNewDiskReplacesItself(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
 	c.kill("b")
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestWipedMemberTakesItsOwnSeat has another voter's seat free for longer when a machine loses its disk.
-func TestWipedMemberTakesItsOwnSeat(t *testing.T) {
+// TestMemberWithNewDiskReplacesNoOtherVoter has another voter's seat free for longer when a machine loses its disk.
+func TestMemberWithNewDiskReplacesNoOtherVoter(t *testing.T) {
 	c := newCluster(t, 5)
 	c.run(2 * time.Second)
 	c.kill("b")
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestLeaverStaysWhileItIsNeeded(t *testing.T) {
+func TestLeavingMemberStaysUntilReplaceable(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
 	c.kill("c")
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestEvenNumberOfVotersShrinks(t *testing.T) {
+func TestFailedVoterIsRemovedFromEvenNumber(t *testing.T) {
 	c := newCluster(t, 4)
 	c.run(2 * time.Second)
 	c.kill("d")
@@ -102,7 +102,7 @@
 	c.wantView("abc", "abc", "abc")
 }
 
-func TestPairOfFailedVotersIsDropped(t *testing.T) {
+func TestPairOfFailedVotersIsRemoved(t *testing.T) {
 	c := newCluster(t, 5)
 	c.run(2 * time.Second)
 	c.kill("d")
@@ -113,7 +113,7 @@
 	c.wantView("abc", "abc", "abc")
 }
 
-func TestVotersAreNotDroppedBelowTheMinimum(t *testing.T) {
+func TestVotersAreNotRemovedBelowMinimum(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
 	c.kill("c")
@@ -121,8 +121,8 @@
 	c.wantView("ab", "ab", "abc")
 }
 
-// TestNoViewWithoutAQuorum: a node that has lost contact with a quorum changes nothing.
-func TestNoViewWithoutAQuorum(t *testing.T) {
+// TestNoViewChangeWithoutQuorum: a node that has lost contact with a quorum changes nothing.
+func TestNoViewChangeWithoutQuorum(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
 	c.kill("b")
