--- a/controlplane/membership/cluster_test.go
+++ b/controlplane/membership/cluster_test.go
@@ -16,15 +16,15 @@
 	linkDelay    = 5 * time.Millisecond
 )
 
-// cluster runs nodes over simulated links in virtual time. Each node's commits are simulated too: a chain whose members
-// have all installed a view is synced in it a little later.
+// cluster runs nodes connected by simulated links in virtual time. Replication is simulated too: a view is committed once all
+// members of its chain have installed it.
 type cluster struct {
 	t            *testing.T
 	now          Time
 	random       *rand.Rand
-	nodes        map[string]*Node // By identity; those that run.
+	nodes        map[string]*Node // Running nodes, by ID.
 	saved        map[string]DurableState
-	cut          map[[2]string]bool // Directed links, by address.
+	cut          map[[2]string]bool // Links that drop messages, by the addresses of sender and receiver.
 	inFlight     []inFlightMessage
 	decided      map[uint64]View
 	delay        func() Time
@@ -33,12 +33,12 @@
 
 type inFlightMessage struct {
 	at      Time
-	from    string // Address.
+	from    string // Address of the sender.
 	to      fleet.Member
 	message Message
 }
 
-// newCluster starts as many members, named a, b, c, ..., in a first view.
+// newCluster starts the given number of members, named a, b, c, ..., in an initial view.
 func newCluster(t *testing.T, members int) *cluster {
 	c := &cluster{
 		t:            t,
@@ -62,10 +62,10 @@
 	return c
 }
 
-// testMember returns the member that runs at an address with the disk that it started with.
+// testMember returns the member at an address with its initial disk.
 func testMember(addr string) fleet.Member { return fleet.Member{ID: addr + "/0", Addr: addr} }
 
-// start starts a node. Its seeds are the first members' addresses.
+// start starts a node with the seeds a, b and c.
 func (c *cluster) start(m fleet.Member, state DurableState) *Node {
 	node := New(m, state, []string{"a", "b", "c"}, c.random.Float64)
 	c.nodes[m.ID], c.saved[m.ID] = node, state
@@ -76,7 +76,7 @@
 	c.t.Helper()
 	node := c.nodes[testMember(addr).ID]
 	if node == nil {
-		c.t.Fatalf("%s does not run", addr)
+		c.t.Fatalf("%s is not running", addr)
 	}
 	return node
 }
@@ -107,7 +107,7 @@
 	}
 }
 
-// running returns the identities of the nodes that run, sorted.
+// running returns the sorted IDs of the running nodes.
 func (c *cluster) running() []string {
 	ids := make([]string, 0, len(c.nodes))
 	for id := range c.nodes {
@@ -117,7 +117,7 @@
 	return ids
 }
 
-// markSynced simulates the chain: a view is committed once all members of its chain have installed it.
+// markSynced marks a node's view as committed and synced once all members of its chain have installed it.
 func (c *cluster) markSynced(node *Node) {
 	v := node.View()
 	for _, id := range v.Chain {
@@ -144,18 +144,18 @@
 	}
 }
 
-// handle saves the node's state, sends its messages and checks agreement.
+// handle saves the node's state, sends its messages, and verifies that each view number has a single decision.
 func (c *cluster) handle(node *Node, ready Ready) {
 	id := node.Self().ID
 	if ready.MustSave {
 		c.saved[id] = node.State()
 	} else if !reflect.DeepEqual(c.saved[id], node.State()) {
-		c.t.Fatalf("%s changed its state without asking to save it", id)
+		c.t.Fatalf("%s changed its state without setting MustSave", id)
 	}
 	if ready.ViewInstalled {
 		v := node.View()
 		if other, known := c.decided[v.Number]; known && !reflect.DeepEqual(other, v) {
-			c.t.Fatalf("view %d is decided as %+v and as %+v", v.Number, other, v)
+			c.t.Fatalf("view %d was decided both as %+v and as %+v", v.Number, other, v)
 		}
 		c.decided[v.Number] = v
 	}
@@ -166,10 +166,10 @@
 	}
 }
 
-// wantView checks that some nodes hold a view with the given chain and voters, by address.
-func (c *cluster) wantView(holders, chain, voters string) {
+// wantView verifies the chain and the voters in the current views of some nodes. All are given as concatenated addresses.
+func (c *cluster) wantView(addresses, chain, voters string) {
 	c.t.Helper()
-	for _, addr := range holders {
+	for _, addr := range addresses {
 		v := c.node(string(addr)).View()
 		var gotChain, gotVoters string
 		for _, id := range v.Chain {
@@ -179,13 +179,13 @@
 			gotVoters += m.Addr
 		}
 		if gotChain != chain || gotVoters != voters {
-			c.t.Errorf("%c holds view %d with chain %s and voters %s, want %s and %s", addr, v.Number, gotChain, gotVoters, chain, voters)
+			c.t.Errorf("%c: view %d has chain %s and voters %s, want %s and %s", addr, v.Number, gotChain, gotVoters, chain, voters)
 		}
 	}
 }
 
-// TestAgreement runs clusters over links that lose and delay messages, with restarts and cuts: no two nodes may hold
-// different views under one number (cluster.handle), and once all is well every member is in the chain again.
+// TestAgreement runs clusters with message loss, delays, restarts and link cuts. No two nodes may install different views with
+// the same number (checked by cluster.handle), and all members must rejoin the chain after the faults have ended.
 func TestAgreement(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -218,7 +218,7 @@
 			c.run(10 * time.Second)
 			for _, id := range c.running() {
 				if v := c.nodes[id].View(); len(v.Chain) != len(v.Voters) || !reflect.DeepEqual(v, c.node("a").View()) {
-					t.Errorf("%s holds %+v", id, v)
+					t.Errorf("%s: view %+v, want the view of a with all voters in the chain", id, v)
 				}
 			}
 		})
--- a/controlplane/membership/consensus_test.go
+++ b/controlplane/membership/consensus_test.go
@@ -7,13 +7,13 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// newVoter returns a node that is the given member of a first view of three.
+// newVoter returns the node at an address in an initial view of three members.
 func newVoter(t *testing.T, addr string) *Node {
 	t.Helper()
 	return newCluster(t, 3).node(addr)
 }
 
-// successorView returns a view that may follow a node's.
+// successorView returns a view that may follow the node's current one.
 func successorView(node *Node, chain ...string) View {
 	v := node.View()
 	v.Number++
@@ -30,11 +30,11 @@
 	return Message{Kind: Accept, From: testMember(ballot.Proposer[:1]), ViewNumber: v.Number, Ballot: ballot, View: &v}
 }
 
-// expectMessage checks that a step brought one message of a kind and returns it.
+// expectMessage verifies that a step sent a single message of the given kind, and returns the message.
 func expectMessage(t *testing.T, ready Ready, kind MessageKind, afterSave bool) Message {
 	t.Helper()
 	if len(ready.Messages) != 1 || ready.Messages[0].Message.Kind != kind || ready.Messages[0].AfterSave != afterSave {
-		t.Fatalf("got %+v, want one message of kind %d", ready, kind)
+		t.Fatalf("got %+v, want one message of kind %d with AfterSave %v", ready, kind, afterSave)
 	}
 	return ready.Messages[0].Message
 }
@@ -44,20 +44,20 @@
 	low, high := Ballot{1, "b/0"}, Ballot{2, "c/0"}
 	ready := node.Step(0, prepareFor(node, high))
 	if promise := expectMessage(t, ready, Promise, true); promise.View != nil || !ready.MustSave {
-		t.Errorf("%+v", ready)
+		t.Errorf("unexpected promise: %+v", ready)
 	}
 	rejection := expectMessage(t, node.Step(0, prepareFor(node, low)), Reject, false)
 	if rejection.Ballot != low || rejection.PriorBallot != high {
-		t.Errorf("%+v", rejection)
+		t.Errorf("unexpected rejection: %+v", rejection)
 	}
-	expectMessage(t, node.Step(0, prepareFor(node, high)), Reject, false) // A ballot is promised once.
+	expectMessage(t, node.Step(0, prepareFor(node, high)), Reject, false) // A ballot is promised only once.
 	if ready := node.Step(0, acceptFor(low, successorView(node, "a/0"))); len(ready.Messages) > 0 || ready.MustSave {
-		t.Errorf("accepted a ballot lower than the one promised: %+v", ready)
+		t.Errorf("accepted a ballot lower than the promised one: %+v", ready)
 	}
 	expectMessage(t, node.Step(0, acceptFor(high, successorView(node, "a/0"))), Accepted, true)
 }
 
-// TestPromiseIncludesAcceptedView shows the invariant of phase 1: whoever has accepted a view says so in each later promise.
+// TestPromiseIncludesAcceptedView guards against a promise that omits the accepted view, which may have been decided.
 func TestPromiseIncludesAcceptedView(t *testing.T) {
 	node := newVoter(t, "a")
 	first, second := Ballot{1, "b/0"}, Ballot{2, "c/0"}
@@ -65,15 +65,15 @@
 	node.Step(0, acceptFor(first, accepted))
 	promise := expectMessage(t, node.Step(0, prepareFor(node, second)), Promise, true)
 	if promise.PriorBallot != first || promise.View == nil || !reflect.DeepEqual(*promise.View, accepted) {
-		t.Errorf("%+v", promise)
+		t.Errorf("promise %+v does not include the accepted view", promise)
 	}
 	if node.ConfirmsLatestView(1) {
-		t.Errorf("a voter that has accepted view 2 confirms that there is none after view 1")
+		t.Errorf("a voter that has accepted view 2 confirms view 1 as the latest")
 	}
 }
 
-// TestProposerAdoptsAcceptedView has a voter report a view that it accepted: it may have been decided, so it must
-// replace the proposer's own.
+// TestProposerAdoptsAcceptedView guards against a proposer replacing a view that a voter has accepted, and that may have been
+// decided, with its own.
 func TestProposerAdoptsAcceptedView(t *testing.T) {
 	node := newVoter(t, "a")
 	node.beginProposal(0, successorView(node, "a/0", "b/0"))
@@ -87,11 +87,11 @@
 	promise("c", Ballot{1, "c/0"}, &accepted)
 	ready := promise("b", Ballot{1, "b/0"}, &older)
 	if len(ready.Messages) != 3 {
-		t.Fatalf("%+v", ready)
+		t.Fatalf("got %+v, want three Accept messages", ready)
 	}
 	for _, out := range ready.Messages {
 		if out.Message.Kind != Accept || !reflect.DeepEqual(*out.Message.View, accepted) {
-			t.Errorf("%+v", out)
+			t.Errorf("got %+v, want an Accept of the view with the highest ballot", out)
 		}
 	}
 }
@@ -105,20 +105,20 @@
 	answer := func(kind MessageKind, id string) Ready {
 		return node.Step(0, Message{Kind: kind, From: fleet.Member{ID: id, Addr: id[:1]}, ViewNumber: 2, Ballot: ballot})
 	}
-	for _, id := range []string{"a/0", "a/0", "b/1", "z/0"} { // The same voter twice, another disk, and a non-member.
+	for _, id := range []string{"a/0", "a/0", "b/1", "z/0"} { // A duplicate, a former disk of a voter, and a non-member.
 		if ready := answer(Promise, id); len(ready.Messages) > 0 {
-			t.Fatalf("phase 2 began without a quorum: %+v", ready)
+			t.Fatalf("phase 2 started without a quorum: %+v", ready)
 		}
 	}
 	answer(Promise, "b/0")
 	for _, id := range []string{"a/0", "b/1"} {
 		if ready := answer(Accepted, id); ready.ViewInstalled {
-			t.Fatalf("decided without a quorum: %+v", ready)
+			t.Fatalf("view decided without a quorum: %+v", ready)
 		}
 	}
 	ready := answer(Accepted, "c/0")
 	if !ready.ViewInstalled || !ready.MustSave || !reflect.DeepEqual(node.View(), next) {
-		t.Fatalf("not decided: %+v", ready)
+		t.Fatalf("view not decided: %+v", ready)
 	}
 	var notified []string
 	for _, out := range ready.Messages {
@@ -127,7 +127,7 @@
 		}
 	}
 	if !reflect.DeepEqual(notified, []string{"b/0", "c/0"}) {
-		t.Errorf("notified %v", notified)
+		t.Errorf("Decided sent to %v, want b/0 and c/0", notified)
 	}
 }
 
@@ -137,11 +137,11 @@
 	ballot := node.proposal.ballot
 	node.Step(0, Message{Kind: Reject, From: testMember("b"), ViewNumber: 2, Ballot: ballot, PriorBallot: Ballot{7, "c/0"}})
 	if node.proposal.active {
-		t.Fatal("the proposal goes on")
+		t.Fatal("the rejected proposal is still active")
 	}
 	node.beginProposal(0, successorView(node, "a/0", "b/0"))
 	if got := node.proposal.ballot; got != (Ballot{8, "a/0"}) {
-		t.Errorf("ballot %v", got)
+		t.Errorf("ballot %v, want round 8", got)
 	}
 }
 
@@ -150,7 +150,7 @@
 	outsider := New(testMember("z"), voter.State(), nil, func() float64 { return 0 })
 	for _, m := range []Message{prepareFor(voter, Ballot{1, "b/0"}), acceptFor(Ballot{1, "b/0"}, successorView(voter, "a/0"))} {
 		if ready := outsider.Step(0, m); len(ready.Messages) > 0 || ready.MustSave {
-			t.Errorf("%+v", ready)
+			t.Errorf("a non-voter responded or changed its state: %+v", ready)
 		}
 	}
 	if outsider.ConfirmsLatestView(1) {
@@ -158,22 +158,22 @@
 	}
 }
 
-// TestInstalledViewResetsAgreement: promises and accepted views belong to the agreement on one view.
+// TestInstalledViewResetsAgreement guards against promises and accepted views being carried over to the agreement on another view.
 func TestInstalledViewResetsAgreement(t *testing.T) {
 	node := newVoter(t, "a")
 	node.Step(0, acceptFor(Ballot{3, "b/0"}, successorView(node, "a/0")))
 	decided := successorView(node, "a/0", "b/0")
 	ready := node.Step(0, Message{Kind: Decided, From: testMember("b"), ViewNumber: 2, View: &decided})
 	if !ready.ViewInstalled || !reflect.DeepEqual(node.State(), DurableState{View: decided}) {
-		t.Errorf("%+v", node.State())
+		t.Errorf("state after the installation: %+v", node.State())
 	}
 	older := View{Number: 1}
 	if ready := node.Step(0, Message{Kind: Decided, From: testMember("b"), ViewNumber: 1, View: &older}); ready.ViewInstalled {
 		t.Error("an older view was installed")
 	}
-	// A proposer that has missed the decision is notified of it.
-	late := prepareFor(newVoter(t, "b"), Ballot{1, "b/0"})
-	if answer := expectMessage(t, node.Step(0, late), Decided, true); !reflect.DeepEqual(*answer.View, decided) {
-		t.Errorf("%+v", answer)
+	// A proposer that missed the decision receives the decided view.
+	outdated := prepareFor(newVoter(t, "b"), Ballot{1, "b/0"})
+	if answer := expectMessage(t, node.Step(0, outdated), Decided, true); !reflect.DeepEqual(*answer.View, decided) {
+		t.Errorf("got %+v, want the decided view", answer)
 	}
 }
--- a/controlplane/membership/contact_test.go
+++ b/controlplane/membership/contact_test.go
@@ -10,18 +10,18 @@
 	c.run(2 * time.Second)
 	node := c.node("a")
 	if !node.HasQuorumContact(c.now) {
-		t.Fatal("no contact though all links are up")
+		t.Fatal("no contact with a quorum although all links are up")
 	}
 	c.kill("b")
 	c.kill("c")
-	// The newest echo belongs to a heartbeat that was sent before the kill, so that the lease is over a second later.
+	// The latest echoed heartbeat was sent before the kill, so the lease has expired after contactLease.
 	c.run(contactLease)
 	if node.HasQuorumContact(c.now) || node.HasContact(c.now, testMember("b").ID) {
-		t.Error("contact outlives its lease")
+		t.Error("contact exceeds its lease")
 	}
 }
 
-// TestContactNeedsEchoes cuts the links from a node in one direction: it hears the others but none of them hears it.
+// TestContactNeedsEchoes verifies that a node whose outbound links are cut loses contact although it still receives messages.
 func TestContactNeedsEchoes(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
@@ -29,10 +29,10 @@
 	c.cutLink("a", "c")
 	c.run(contactLease + 100*time.Millisecond)
 	if c.node("a").HasQuorumContact(c.now) {
-		t.Error("contact by messages that only arrive")
+		t.Error("received messages count as contact without echoes")
 	}
 	if !c.node("b").HasQuorumContact(c.now) {
-		t.Error("b and c have lost contact with each other")
+		t.Error("b has lost contact with the quorum of b and c")
 	}
 }
 
@@ -42,11 +42,11 @@
 	node, before := c.node("a"), c.node("a").Clock(c.now)
 	node.ResetContact(c.now)
 	if node.HasQuorumContact(c.now) || node.IsRecentReading(c.now, before, contactLease) {
-		t.Error("an echo of an earlier incarnation counts")
+		t.Error("a reading of an earlier incarnation is accepted")
 	}
 	c.run(time.Second)
 	if !node.HasQuorumContact(c.now) {
-		t.Error("no contact since")
+		t.Error("no contact with a quorum 1 s after the reset")
 	}
 }
 
@@ -62,23 +62,23 @@
 		{"now", own, true},
 		{"as old as allowed", ClockReading{own.Incarnation, now - time.Second}, true},
 		{"too old", ClockReading{own.Incarnation, now - time.Second - 1}, false},
-		{"of the future", ClockReading{own.Incarnation, now + 1}, false},
+		{"in the future", ClockReading{own.Incarnation, now + 1}, false},
 		{"of another incarnation", ClockReading{own.Incarnation + 1, now}, false},
 	} {
 		if got := node.IsRecentReading(now, test.reading, time.Second); got != test.recent {
-			t.Errorf("%s: %v", test.name, got)
+			t.Errorf("%s: got %v, want %v", test.name, got, test.recent)
 		}
 	}
 }
 
-// TestClockStallIsDetectedByPeerClocks freezes a machine together with its clock.
+// TestClockStallIsDetectedByPeerClocks simulates a machine that is suspended together with its clock.
 func TestClockStallIsDetectedByPeerClocks(t *testing.T) {
 	heartbeatAt := func(peer ClockReading) Message {
 		return Message{Kind: Heartbeat, From: testMember("b"), ViewNumber: 1, Clock: peer}
 	}
 	for _, test := range []struct {
 		name    string
-		advance Time // By the peer's clock on ours, between two heartbeats.
+		advance Time // Of the peer's clock over this node's clock between two heartbeats.
 		stalled bool
 	}{
 		{"same rate", 0, false},
@@ -92,10 +92,10 @@
 			incarnation := node.incarnation
 			node.Step(time.Second, heartbeatAt(ClockReading{5, 21*time.Second + test.advance}))
 			if got := node.TakeClockStall(); got != test.stalled || node.TakeClockStall() {
-				t.Errorf("clock stall: %v", got)
+				t.Errorf("clock stall: got %v, want %v, reported once", got, test.stalled)
 			}
 			if reset := node.incarnation != incarnation; reset != test.stalled {
-				t.Errorf("contact reset: %v", reset)
+				t.Errorf("contact reset: got %v, want %v", reset, test.stalled)
 			}
 		})
 	}
@@ -106,12 +106,12 @@
 	id := testMember("b").ID
 	node.ObserveClock(0, id, ClockReading{5, time.Second})
 	if got := node.PeerClock(id); got != (ClockReading{}) {
-		t.Errorf("the clock of a member that is not known: %v", got)
+		t.Errorf("clock of an unknown member: got %v, want the zero reading", got)
 	}
 	node.Step(0, Message{Kind: Heartbeat, From: testMember("b"), ViewNumber: 1, Clock: ClockReading{5, time.Second}})
 	newer := ClockReading{5, 2 * time.Second}
 	node.ObserveClock(time.Second, id, newer)
 	if got := node.PeerClock(id); got != newer {
-		t.Errorf("clock %v", got)
+		t.Errorf("clock: got %v, want %v", got, newer)
 	}
 }
--- a/controlplane/membership/failuredetector_test.go
+++ b/controlplane/membership/failuredetector_test.go
@@ -15,14 +15,14 @@
 	c.run(2 * time.Second)
 	c.wantView("ac", "ac", "abc")
 	if c.node("a").IsReachable(c.now, testMember("b").ID) {
-		t.Error("b is reachable")
+		t.Error("the stopped member b is reachable")
 	}
 	c.restart("b")
 	c.run(3 * time.Second)
 	c.wantView("abc", "acb", "abc")
 }
 
-// TestOneWayCutRemovesOneMember: who does not hear another, or is not heard by it, leaves the chain, and only one of the two does.
+// TestOneWayCutRemovesOneMember verifies that a link cut in one direction removes exactly one of the two members from the chain.
 func TestOneWayCutRemovesOneMember(t *testing.T) {
 	for _, link := range [][2]string{{"b", "c"}, {"c", "b"}} {
 		c := newCluster(t, 3)
@@ -44,7 +44,7 @@
 	c.wantView("abc", "bca", "abc")
 }
 
-// TestStalledNodeSuspectsNoPeers: after a gap between ticks the silence meanwhile says nothing of the others.
+// TestStalledNodeSuspectsNoPeers guards against a node suspecting its peers after a stall of its own.
 func TestStalledNodeSuspectsNoPeers(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
@@ -52,7 +52,7 @@
 	resumedAt := c.now + 10*time.Second
 	node.Tick(resumedAt)
 	if node.canProposeView(resumedAt) || node.unavailableFor(resumedAt, testMember("b").ID) != 0 {
-		t.Error("the silence of others counts although this node was held up")
+		t.Error("peers are considered silent during the node's own stall")
 	}
 }
 
@@ -62,22 +62,22 @@
 	node := c.node("a")
 	node.Leave()
 	if !node.IsLeaving() || node.HasNoSuccessor(c.now) {
-		t.Error("b and c stay")
+		t.Error("b and c can take over, but HasNoSuccessor is true or IsLeaving is false")
 	}
 	c.node("b").Leave()
 	c.node("c").Leave()
 	c.run(time.Second)
 	if !node.HasNoSuccessor(c.now) {
-		t.Error("all others leave")
+		t.Error("all other voters are leaving, but HasNoSuccessor is false")
 	}
 	alone := newCluster(t, 1).node("a")
 	if !alone.HasNoSuccessor(0) {
-		t.Error("there is no other voter")
+		t.Error("there is no other voter, but HasNoSuccessor is false")
 	}
 }
 
-// TestMembersReconnectAfterLongPartition: members that were cut off from each other for longer than others are remembered find each
-// other again, also where neither is a seed.
+// TestMembersReconnectAfterLongPartition guards against two members that are not seeds never contacting each other again after a
+// partition longer than forgetTimeout.
 func TestMembersReconnectAfterLongPartition(t *testing.T) {
 	c := newCluster(t, 3)
 	for _, addr := range []string{"d", "e"} {
@@ -101,18 +101,18 @@
 	want := []fleet.Member{{Addr: "x"}, testMember("b"), testMember("c")}
 	got := node.Peers(0)
 	if len(got) != len(want) {
-		t.Fatalf("%v", got)
+		t.Fatalf("peers %v, want %v", got, want)
 	}
 	for i := range want {
 		if got[i] != want[i] {
-			t.Errorf("%v, want %v", got[i], want[i])
+			t.Errorf("peer %d: got %v, want %v", i, got[i], want[i])
 		}
 	}
 	if _, known := node.KnownMember(testMember("b").ID); known {
-		t.Error("b has not been heard")
+		t.Error("b is known before its first heartbeat")
 	}
 	c.run(time.Second)
 	if m, known := node.KnownMember(testMember("b").ID); !known || m != testMember("b") {
-		t.Errorf("b is known as %v", m)
+		t.Errorf("known member b: got %v (%v)", m, known)
 	}
 }
--- a/controlplane/membership/replacement_test.go
+++ b/controlplane/membership/replacement_test.go
@@ -7,7 +7,7 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// runAndCountLearnerViews runs the cluster and returns how many views had a learner that did not vote.
+// runAndCountLearnerViews runs the cluster and returns the number of decided views with a learner.
 func (c *cluster) runAndCountLearnerViews(t *testing.T, duration time.Duration) int {
 	t.Helper()
 	c.run(duration)
@@ -19,7 +19,7 @@
 		views++
 		learner := v.Learners[0]
 		if len(v.Learners) > 1 || v.HasVoter(learner.ID) || v.Position(learner.ID) < 1 {
-			t.Errorf("view %+v", v)
+			t.Errorf("invalid learners in view %+v", v)
 		}
 	}
 	return views
@@ -42,26 +42,26 @@
 	c.run(time.Second)
 	c.start(testMember("d"), DurableState{})
 	c.run(replacementTimeout / 2)
-	c.wantView("ac", "acd", "abc") // The voter may come back.
+	c.wantView("ac", "acd", "abc") // The failed voter may still return.
 	c.run(replacementTimeout + time.Second)
 	c.wantView("acd", "acd", "adc")
 }
 
-// TestMemberWithNewDiskReplacesItself has a machine lose its disk: its new identity takes the seat of the old one.
+// TestMemberWithNewDiskReplacesItself verifies that a machine that lost its disk replaces the voter of its former disk.
 func TestMemberWithNewDiskReplacesItself(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
 	c.kill("b")
-	wiped := fleet.Member{ID: "b/1", Addr: "b"}
-	c.start(wiped, DurableState{})
+	newDisk := fleet.Member{ID: "b/1", Addr: "b"}
+	c.start(newDisk, DurableState{})
 	c.run(5 * time.Second)
 	v := c.node("a").View()
-	if !v.HasVoter(wiped.ID) || v.HasVoter("b/0") || len(v.Voters) != 3 || v.Position(wiped.ID) != 2 {
-		t.Errorf("%+v", v)
+	if !v.HasVoter(newDisk.ID) || v.HasVoter("b/0") || len(v.Voters) != 3 || v.Position(newDisk.ID) != 2 {
+		t.Errorf("view %+v, want b/1 as a voter and at the end of the chain in place of b/0", v)
 	}
 }
 
-// TestMemberWithNewDiskReplacesNoOtherVoter has another voter's seat free for longer when a machine loses its disk.
+// TestMemberWithNewDiskReplacesNoOtherVoter verifies the same while another voter could be replaced as well.
 func TestMemberWithNewDiskReplacesNoOtherVoter(t *testing.T) {
 	c := newCluster(t, 5)
 	c.run(2 * time.Second)
@@ -72,7 +72,7 @@
 	c.run(3 * time.Second)
 	v := c.node("a").View()
 	if !v.HasVoter("d/1") || v.HasVoter("d/0") || !v.HasVoter("b/0") || len(v.Voters) != 5 {
-		t.Errorf("%+v", v)
+		t.Errorf("view %+v, want voter d/1 in place of d/0, and b/0 kept", v)
 	}
 }
 
@@ -90,7 +90,7 @@
 	before := c.node("a").View().Number
 	c.run(5 * time.Second)
 	if number := c.node("a").View().Number; number != before {
-		t.Errorf("%d more views, though nothing happens", number-before)
+		t.Errorf("%d further views without any failure", number-before)
 	}
 }
 
@@ -121,7 +121,7 @@
 	c.wantView("ab", "ab", "abc")
 }
 
-// TestNoViewChangeWithoutQuorum: a node that has lost contact with a quorum changes nothing.
+// TestNoViewChangeWithoutQuorum guards against a view change by a node without quorum contact.
 func TestNoViewChangeWithoutQuorum(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
@@ -131,8 +131,8 @@
 	c.wantView("a", "abc", "abc")
 }
 
-// TestUnsyncedMemberDoesNotBecomeHead: where only members are left that may not hold what was acknowledged, a member that
-// does has to be waited for.
+// TestUnsyncedMemberDoesNotBecomeHead guards against losing acknowledged commands: if only unsynced members are left, the view
+// must not change until a synced member returns.
 func TestUnsyncedMemberDoesNotBecomeHead(t *testing.T) {
 	c := newCluster(t, 3)
 	c.run(2 * time.Second)
@@ -149,6 +149,6 @@
 	c.restart("a")
 	c.run(5 * time.Second)
 	if got := node.View(); got.Chain[0] != "a/0" || len(got.Chain) != 3 {
-		t.Errorf("%+v", got)
+		t.Errorf("view %+v, want head a/0 and three members in the chain", got)
 	}
 }
