--- a/controlplane/coordinator/incarnation_test.go
+++ b/controlplane/coordinator/incarnation_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestResponseToFormerIncarnation guards against a delayed response to a request of a member's former process being matched with
-// a request of its present process, which would acknowledge a command that was never proposed.
+// TestResponseToFormerIncarnation guards against a delayed response to a request of a member's former process being matched
+// with a request of its current process, which would acknowledge a command that was never proposed.
 func TestResponseToFormerIncarnation(t *testing.T) {
 	t.Run("numbers", requestIDsDifferBetweenIncarnations)
 	cluster := newTestCluster(t, "a", "b", "c")
@@ -43,8 +43,8 @@
 	}
 }
 
-// requestIDsDifferBetweenIncarnations guards against a confirmation requested by a former process being counted for a read of the
-// present one.
+// requestIDsDifferBetweenIncarnations guards against a confirmation requested by a former process being counted for a read of
+// the current one.
 func requestIDsDifferBetweenIncarnations(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.advance(3 * time.Second)
--- a/controlplane/coordinator/leave.go
+++ b/controlplane/coordinator/leave.go
@@ -12,9 +12,9 @@
 // stop.
 func (c *Coordinator) BeginLeave() { c.membership.Leave() }
 
-// LeaveComplete reports whether this member may stop. It has no pending requests, and either no other member can take over or
-// the other members can continue without it: the view has replaced this member, and a quorum of the voters is in the chain, in
-// contact, synced in this view and up to date with what is committed here.
+// LeaveComplete reports whether this member may stop after BeginLeave: no requests are pending, and either no other member can
+// take over or the other members can continue without it. They can if the view has replaced this member and a quorum of the
+// voters is in the chain, in contact, synced in this view and up to date with what is committed here.
 func (c *Coordinator) LeaveComplete(now time.Duration) bool {
 	if !c.membership.IsLeaving() || len(c.proposals)+len(c.reads)+len(c.replications) > 0 {
 		return false
@@ -26,9 +26,9 @@
 	return c.isReplaced(view) && c.countSyncedVoters(now, view) >= view.Quorum()
 }
 
-// isReplaced reports whether the view has replaced this member: it is outside the chain and, if it is still a voter, knows of no
-// later view that may have been decided. A voter that remains at its address, with this or a former disk, is acceptable only if
-// the number of voters is odd and no learner is about to replace one of them.
+// isReplaced reports whether the view has replaced this member: it is outside the chain and, if it is still a voter, knows of
+// no later view that may have been decided. A voter that remains at its address, with this or a former disk, is acceptable only
+// if the number of voters is odd and no learner is about to replace one of them.
 func (c *Coordinator) isReplaced(view membership.View) bool {
 	self := c.membership.Self()
 	if view.Position(self.ID) >= 0 || view.HasVoter(self.ID) && !c.membership.ConfirmsLatestView(view.Number) {
--- a/controlplane/coordinator/leave_test.go
+++ b/controlplane/coordinator/leave_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestLeavingMemberWaitsForReplicas guards against a member leaving while too few other members have persisted the committed state: c has
-// lost its disk and is being synced while a leaves.
+// TestLeavingMemberWaitsForReplicas guards against a member leaving while too few other members have persisted the committed
+// state: c has lost its disk and is being synced while a leaves.
 func TestLeavingMemberWaitsForReplicas(t *testing.T) {
 	for at := time.Duration(0); at < 2*time.Second; at += 61 * time.Millisecond {
 		cluster := newTestCluster(t, "a", "b", "c")
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestLeavingMemberKeepsOddVoters guards against a member stopping while it is still one of an even number of voters: the loss of
-// one more member would leave two of four.
+// TestLeavingMemberKeepsOddVoters guards against a member stopping while it is still one of an even number of voters: the loss
+// of one more member would leave two of four.
 func TestLeavingMemberKeepsOddVoters(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.start("d", false)
--- a/controlplane/coordinator/proposal.go
+++ b/controlplane/coordinator/proposal.go
@@ -28,7 +28,7 @@
 	// as delayed.
 	maxProposalAge = 350 * time.Millisecond
 
-	// never is a time before all others.
+	// never is a time before all others. It marks proposals that were not sent, or must not be sent.
 	never = -time.Hour
 )
 
@@ -44,8 +44,8 @@
 	deadline        time.Duration
 }
 
-// Propose starts a proposal and returns its request ID. The Response is returned with these Actions or with later ones. It has no
-// error once the command is committed, ErrConflict once another configuration is committed under the same version, and
+// Propose starts a proposal and returns its request ID. The Response is returned with these Actions or with later ones. It has
+// no error once the command is committed, ErrConflict once another configuration is committed under the same version, and
 // ErrNoQuorum or ErrTimeout otherwise.
 func (c *Coordinator) Propose(now time.Duration, command chainreplication.Command) (uint64, Actions) {
 	id := c.nextRequestID()
@@ -127,9 +127,9 @@
 
 // handleProposeRequest handles a command forwarded by another member, if this member is the head.
 //
-// A delayed request must not take effect: its caller may have retried the command elsewhere and reverted it since. The age of the
-// request is measured by the echoed reading of this member's own clock. The sender reports a failure to its caller only after
-// the requests that it sent are too old to be accepted.
+// A delayed request must not take effect: its caller may have retried the command elsewhere and reverted it since. The age of
+// the request is measured by the echoed reading of this member's own clock. The sender reports a failure to its caller only
+// after the requests that it sent are too old to be accepted.
 func (c *Coordinator) handleProposeRequest(now time.Duration, from fleet.Member, request *peermessages.ProposeRequest) {
 	response := &peermessages.ProposeResponse{RequestID: request.RequestID, HeadClock: c.membership.Clock(now)}
 	if !c.membership.IsRecentReading(now, request.HeadClock, maxProposalAge) || !c.canAcceptCommands(now) {
@@ -168,8 +168,9 @@
 	}
 }
 
-// expireProposalsAfterClockStall stops sending the pending proposals if this machine was suspended together with its clock. They
-// may have waited in its sockets while they were retried elsewhere and reverted. Proposals already in the chain are unaffected.
+// expireProposalsAfterClockStall stops sending the pending proposals if this machine was suspended together with its clock.
+// They may have waited in its sockets while they were retried elsewhere and reverted. Proposals already in the chain are
+// unaffected.
 func (c *Coordinator) expireProposalsAfterClockStall() {
 	if !c.membership.TakeClockStall() {
 		return
--- a/controlplane/coordinator/proposal_test.go
+++ b/controlplane/coordinator/proposal_test.go
@@ -11,8 +11,8 @@
 	"zincloft.example/zincloft/controlplane/membership"
 )
 
-// TestConflictingConfigurationsOfOneVersion guards against two configurations being acknowledged under the same version. A repeated
-// proposal of the accepted configuration succeeds on every member, even after newer versions.
+// TestConflictingConfigurationsOfOneVersion guards against two configurations being acknowledged under the same version. A
+// repeated proposal of the accepted configuration succeeds on every member, even after newer versions.
 func TestConflictingConfigurationsOfOneVersion(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.advance(3 * time.Second)
@@ -47,8 +47,8 @@
 	cluster.expectStatus("eight c", http.StatusConflict)
 }
 
-// TestCommandAppliesOnce guards against a command taking effect again when it is proposed to a second head: a finished evacuation
-// would be restarted.
+// TestCommandAppliesOnce guards against a command taking effect again when it is proposed to a second head: a finished
+// evacuation would be restarted.
 func TestCommandAppliesOnce(t *testing.T) {
 	begin, end := chainreplication.Command{ID: 1, Zone: "z", Evacuated: true}, chainreplication.Command{ID: 2, Zone: "z"}
 	register := chainreplication.Register{}.Apply(begin).Apply(end)
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestClockStallExpiresProposals guards against a command that waited in the socket of a suspended machine overriding later ones,
-// if both clocks of the machine were stopped and only the clocks of other members reveal the suspension.
+// TestClockStallExpiresProposals guards against a command that waited in the socket of a suspended machine overriding later
+// ones, if both clocks of the machine were stopped and only the clocks of other members reveal the suspension.
 func TestClockStallExpiresProposals(t *testing.T) {
 	for _, readOrder := range []string{"before", "after"} { // whether the socket is read before or after the messages of other members
 		cluster := newTestCluster(t, "a", "b", "c")
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestHeadKilledBeforePersisting guards against a head that restarts within the same view assigning the sequence of an unpersisted
-// command to another command, whose commit would then acknowledge the lost one.
+// TestHeadKilledBeforePersisting guards against a head that restarts within the same view assigning the sequence of an
+// unpersisted command to another command, whose commit would then acknowledge the lost one.
 func TestHeadKilledBeforePersisting(t *testing.T) {
 	for at := 2 * time.Millisecond; at < 30*time.Millisecond; at += time.Millisecond {
 		cluster := newTestCluster(t, "a", "b", "c")
--- a/controlplane/coordinator/read.go
+++ b/controlplane/coordinator/read.go
@@ -20,11 +20,11 @@
 	deadline      time.Duration
 }
 
-// Read starts a linearizable read of the committed configuration and returns its request ID. The Response is returned with these
-// Actions or with later ones.
+// Read starts a linearizable read of the committed configuration and returns its request ID. The Response is returned with
+// these Actions or with later ones.
 //
-// The read is answered once a quorum of voters has confirmed that no later view may have been decided, as in Raft's ReadIndex, so
-// a partitioned member never returns outdated data. A member outside the chain responds with a RedirectError that names the
+// The read is answered once a quorum of voters has confirmed that no later view may have been decided, as in Raft's ReadIndex,
+// so a partitioned member never returns outdated data. A member outside the chain responds with a RedirectError that names the
 // tail.
 func (c *Coordinator) Read(now time.Duration) (uint64, Actions) {
 	id := c.nextRequestID()
--- a/controlplane/coordinator/read_test.go
+++ b/controlplane/coordinator/read_test.go
@@ -15,8 +15,8 @@
 	cluster.expectStatus("read", http.StatusNotFound)
 }
 
-// TestReadNeedsConfirmations guards against outdated reads on a member that was just isolated: its contact lease is still valid,
-// but no other voter confirms its view.
+// TestReadNeedsConfirmations guards against outdated reads on a member that was just isolated: its contact lease is still
+// valid, but no other voter confirms its view.
 func TestReadNeedsConfirmations(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.advance(3 * time.Second)
--- a/controlplane/coordinator/replacement_test.go
+++ b/controlplane/coordinator/replacement_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestManyReplacements replaces each member by one at a new address, one after the other. A former voter that returns with its disk
-// has no quorum contact until it has joined again as a new member.
+// TestManyReplacements replaces each member by one at a new address, one after the other. A former voter that returns with its
+// disk has no quorum contact until it has joined again as a new member.
 func TestManyReplacements(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.advance(3 * time.Second)
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestTwoFailedVotersAreRemoved guards against permanently failed voters reducing the number of tolerated losses: two of five fail
-// without replacement, and then a third.
+// TestTwoFailedVotersAreRemoved guards against permanently failed voters reducing the number of tolerated losses: two of five
+// fail without replacement, and then a third.
 func TestTwoFailedVotersAreRemoved(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.start("d", false)
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestMemberWithFullDiskIsReplaced guards against a member whose writes fail remaining a voter because it still sends heartbeats,
-// which would leave no quorum after the next loss.
+// TestMemberWithFullDiskIsReplaced guards against a member whose writes fail remaining a voter because it still sends
+// heartbeats, which would leave no quorum after the next loss.
 func TestMemberWithFullDiskIsReplaced(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.advance(3 * time.Second)
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestRemovedVoterHasNoQuorum restarts a member that was removed while it was stopped. It is a voter in its outdated view, but must
-// not gain quorum contact before it learns of the latest one.
+// TestRemovedVoterHasNoQuorum restarts a member that was removed while it was stopped. It is a voter in its outdated view, but
+// must not gain quorum contact before it learns of the latest one.
 func TestRemovedVoterHasNoQuorum(t *testing.T) {
 	cluster := newTestCluster(t, "a", "b", "c")
 	cluster.start("d", false)
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestNoViewWithoutMajorityOfDisks documents a limit: after a loss of a majority of the disks, no view is formed automatically and
-// the remaining members reject requests.
+// TestNoViewWithoutMajorityOfDisks documents a limit: after a loss of a majority of the disks, no view is formed automatically
+// and the remaining members reject requests.
 func TestNoViewWithoutMajorityOfDisks(t *testing.T) {
 	for lost := 1; lost <= 3; lost++ {
 		cluster := newTestCluster(t, "a", "b", "c")
@@ -203,8 +203,8 @@
 	}
 }
 
-// TestHeadLostBeforeFirstCommitOfView guards against consecutive view changes before the head has forwarded its register. Members that had
-// already synced would be marked as unsynced again, and none of them could become the head.
+// TestHeadLostBeforeFirstCommitOfView guards against consecutive view changes before the head has forwarded its register.
+// Members that had already synced would be marked as unsynced again, and none of them could become the head.
 func TestHeadLostBeforeFirstCommitOfView(t *testing.T) {
 	for at := time.Duration(0); at < 1200*time.Millisecond; at += 7 * time.Millisecond {
 		cluster := newTestCluster(t, "a", "b", "c")
--- a/controlplane/membership/consensus_test.go
+++ b/controlplane/membership/consensus_test.go
@@ -158,7 +158,8 @@
 	}
 }
 
-// TestInstalledViewResetsAgreement guards against promises and accepted views being carried over to the agreement on another view.
+// TestInstalledViewResetsAgreement guards against promises and accepted views being carried over to the agreement on another
+// view.
 func TestInstalledViewResetsAgreement(t *testing.T) {
 	node := newVoter(t, "a")
 	node.Step(0, acceptFor(Ballot{3, "b/0"}, successorView(node, "a/0")))
--- a/controlplane/membership/contact.go
+++ b/controlplane/membership/contact.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// IsRecentReading reports whether a reading of this node's own clock, echoed by another member, belongs to the present
+// IsRecentReading reports whether a reading of this node's own clock, echoed by another member, belongs to the current
 // incarnation and is no older than maxAge.
 func (node *Node) IsRecentReading(now Time, reading ClockReading, maxAge Time) bool {
 	return reading.Incarnation == node.incarnation && reading.Elapsed <= now && now-reading.Elapsed <= maxAge
--- a/controlplane/membership/failuredetector.go
+++ b/controlplane/membership/failuredetector.go
@@ -49,8 +49,8 @@
 // IsLeaving reports whether Leave was called.
 func (node *Node) IsLeaving() bool { return node.leaving }
 
-// HasNoSuccessor reports whether no voter can take over from this node: there is no other voter, or all reachable ones are
-// leaving too.
+// HasNoSuccessor reports whether no voter can take over from this node: there is no other voter, or at least one is reachable
+// and all reachable ones are leaving too.
 func (node *Node) HasNoSuccessor(now Time) bool {
 	reachable := 0
 	for _, voter := range node.state.View.Voters {
--- a/controlplane/membership/failuredetector_test.go
+++ b/controlplane/membership/failuredetector_test.go
@@ -22,7 +22,8 @@
 	c.wantView("abc", "acb", "abc")
 }
 
-// TestOneWayCutRemovesOneMember verifies that a link cut in one direction removes exactly one of the two members from the chain.
+// TestOneWayCutRemovesOneMember verifies that a link cut in one direction removes exactly one of the two members from the
+// chain.
 func TestOneWayCutRemovesOneMember(t *testing.T) {
 	for _, link := range [][2]string{{"b", "c"}, {"c", "b"}} {
 		c := newCluster(t, 3)
@@ -76,8 +77,8 @@
 	}
 }
 
-// TestMembersReconnectAfterLongPartition guards against two members that are not seeds never contacting each other again after a
-// partition longer than forgetTimeout.
+// TestMembersReconnectAfterLongPartition guards against two members that are not seeds never contacting each other again after
+// a partition longer than forgetTimeout.
 func TestMembersReconnectAfterLongPartition(t *testing.T) {
 	c := newCluster(t, 3)
 	for _, addr := range []string{"d", "e"} {
--- a/controlplane/membership/replacement.go
+++ b/controlplane/membership/replacement.go
@@ -10,20 +10,20 @@
 
 // This file determines the next view.
 //
-// The voters change one at a time, or two if a failed pair is removed. A new machine joins the chain as a learner. Once a commit
-// has shown that it is synced, it replaces a failed or departed voter in a single view change, so that the number of tolerated
-// losses is not reduced in between. A leaving member stays in the chain until the remaining members suffice. An even number of
-// voters tolerates no more losses than one voter fewer, so a failed voter is removed from an even number. See
+// The voters change one at a time, or two if a failed pair is removed. A new machine joins the chain as a learner. Once a
+// commit has shown that it is synced, it replaces a failed or departed voter in a single view change, so that the number of
+// tolerated losses is not reduced in between. A leaving member stays in the chain until the remaining members suffice. An even
+// number of voters tolerates no more losses than one voter fewer, so a failed voter is removed from an even number. See
 // docs/design/control-plane.md, rules 3, 6, 13 and 15.
 
 const (
 	// joinStabilityPeriod is how long a machine must have been reachable without interruption before it joins the chain.
 	joinStabilityPeriod = 300 * time.Millisecond
 
-	// replacementTimeout is how long a voter must have been absent before it may be replaced.
+	// replacementTimeout is how long a voter must have been unavailable before it may be replaced.
 	replacementTimeout = 2 * time.Second
 
-	// pairRemovalTimeout is how long two voters must have been absent before both are removed without replacement.
+	// pairRemovalTimeout is how long two voters must have been unavailable before both are removed without replacement.
 	pairRemovalTimeout = 12 * time.Second
 
 	// minVoters is the minimum number of voters that remain when voters are removed without replacement.
@@ -233,7 +233,7 @@
 	return !plan.isInChain(voter) && plan.node.isPeerLeaving(voter.ID)
 }
 
-// hasFailedFor returns a predicate for voters that are outside the chain, unhealthy and absent for at least the timeout.
+// hasFailedFor returns a predicate for voters that are outside the chain, unhealthy and unavailable for at least the timeout.
 func (plan *successorPlan) hasFailedFor(timeout Time) func(fleet.Member) bool {
 	return func(voter fleet.Member) bool {
 		return !plan.isInChain(voter) && !plan.node.isHealthy(plan.now, voter.ID) &&
--- a/controlplane/membership/view.go
+++ b/controlplane/membership/view.go
@@ -6,7 +6,8 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// View is one agreed configuration of the control plane. It is immutable. Its JSON keys are those of `zincloftctl store export`.
+// View is one agreed configuration of the control plane. It is immutable. Its JSON keys are those of `zincloftctl store
+// export`.
 type View struct {
 	Number uint64         `cbor:"1,keyasint" json:"N"`
 	Voters []fleet.Member `cbor:"2,keyasint" json:"Roster"`
