--- a/controlplane/outlier/detector.go
+++ b/controlplane/outlier/detector.go
@@ -1,6 +1,6 @@
-// Package outlier is outlier detection over all gateways: where one gateway sees a replica fail, the control plane ejects it
-// for all of them, so that not each must find out by a request of its own. A replica that comes and goes is ejected for
-// longer each time. The package is free of I/O; the time is a parameter.
+// Package outlier implements outlier detection across all gateways: when a gateway observes a failing replica, the control plane
+// ejects it at all gateways, so that the others need not detect the failure with requests of their own. The ejection time doubles
+// with each repeated ejection. The package performs no I/O; callers pass in the time.
 package outlier
 
 import (
@@ -12,37 +12,37 @@
 )
 
 const (
-	baseEjectionTime   = 800 * time.Millisecond // of the first ejection; each further one doubles it
-	maxEjectionTime    = 8 * time.Second
-	maxEjectionDoubles = 10
-	ejectionMemory     = 20 * time.Second // without an ejection, the next one counts as the first
-	observationWindow  = time.Second      // observations of several gateways within this are of one failure
-	minObservers       = 2                // gateways that must see a broken connection; a refused one is enough by itself
-	maxEjectedShare    = 0.4              // of a service's replicas that may be ejected at once
-	expiryMemories     = 2                // ejection memories until a replica is forgotten
+	baseEjectionTime     = 800 * time.Millisecond // doubled by each repeated ejection
+	maxEjectionTime      = 8 * time.Second
+	maxEjectionDoublings = 10
+	ejectionResetTime    = 20 * time.Second // without an ejection, after which the ejection time starts over
+	observationWindow    = time.Second      // within which observations count as one failure
+	minObservers         = 2                // gateways that must observe a broken connection; one suffices for a refused one
+	maxEjectedShare      = 0.4              // of a service's replicas
+	expiryResetTimes     = 2                // multiple of ejectionResetTime after which a replica's state is removed
 )
 
-// ejectionState is what is known of one replica.
+// ejectionState is the failure and ejection history of one replica.
 type ejectionState struct {
-	observers     map[string]bool // gateways that saw the failure at hand
-	observedSince time.Duration   // when the failure at hand was first seen
-	ejections     int             // within ejectionMemory of one another
+	observers     map[string]bool // gateways that observed the current failure
+	observedSince time.Duration   // when the current failure was first observed
+	ejections     int             // number of successive ejections
 	ejectedUntil  time.Duration
 	lastEjectedAt time.Duration
 }
 
-// Detector is the part of one control-plane member. It is not safe for concurrent use.
+// Detector decides ejections at one control-plane member. It is not safe for concurrent use.
 type Detector struct{ replicas map[string]*ejectionState }
 
-// New makes a detector that knows of no failure.
+// New creates a detector without recorded failures.
 func New() *Detector { return &Detector{replicas: map[string]*ejectionState{}} }
 
-// Observe takes in what a gateway saw. peers are the replicas of the same service that are in use, this one included. It
-// returns the ejection that all gateways are to hear of; not ok: none.
+// Observe records a gateway's observation of a failing replica. peers are all active replicas of the same service, including
+// this one. If the observation causes an ejection, it returns the ejection and true.
 func (d *Detector) Observe(now time.Duration, gateway string, observation fleet.Observation, peers []string) (ejection fleet.Ejection, ok bool) {
 	state := d.replicas[observation.Replica]
 	if state == nil {
-		state = &ejectionState{observers: map[string]bool{}, lastEjectedAt: -ejectionMemory}
+		state = &ejectionState{observers: map[string]bool{}, lastEjectedAt: -ejectionResetTime}
 		d.replicas[observation.Replica] = state
 	}
 	if now-state.observedSince > observationWindow {
@@ -53,7 +53,7 @@
 	if now < state.ejectedUntil || !observation.ConnectionRefused && len(state.observers) < minObservers {
 		return fleet.Ejection{}, false
 	}
-	// Where many replicas fail the cause may be elsewhere, and somebody must serve.
+	// Many failing replicas may have another common cause, and some replicas must remain.
 	if float64(d.ejectedAmong(now, peers)+1) > maxEjectedShare*float64(len(peers)) {
 		return fleet.Ejection{}, false
 	}
@@ -61,7 +61,7 @@
 	return fleet.Ejection{Replica: observation.Replica, Milliseconds: duration.Milliseconds()}, true
 }
 
-// ejectedAmong counts the replicas that are ejected.
+// ejectedAmong returns the number of ejected replicas among those given.
 func (d *Detector) ejectedAmong(now time.Duration, replicas []string) (ejected int) {
 	for _, id := range replicas {
 		if state := d.replicas[id]; state != nil && now < state.ejectedUntil {
@@ -71,18 +71,18 @@
 	return ejected
 }
 
-// eject ejects the replica and returns for how long.
+// eject ejects the replica and returns the ejection time.
 func (s *ejectionState) eject(now time.Duration) time.Duration {
-	if now-s.lastEjectedAt > ejectionMemory {
+	if now-s.lastEjectedAt > ejectionResetTime {
 		s.ejections = 0
 	}
-	duration := min(baseEjectionTime<<min(s.ejections, maxEjectionDoubles), maxEjectionTime)
+	duration := min(baseEjectionTime<<min(s.ejections, maxEjectionDoublings), maxEjectionTime)
 	s.ejections++
 	s.lastEjectedAt, s.ejectedUntil = now, now+duration
 	return duration
 }
 
-// RecordRemote takes in another member's ejection, so that the next one counts on from it.
+// RecordRemote records an ejection by another member, so that a following ejection lasts longer.
 func (d *Detector) RecordRemote(now time.Duration, ejection fleet.Ejection) {
 	state := d.replicas[ejection.Replica]
 	if state == nil {
@@ -94,10 +94,10 @@
 	state.ejections++
 }
 
-// Expire forgets replicas that have not failed for long.
+// Expire removes the state of replicas without recent failures.
 func (d *Detector) Expire(now time.Duration) {
 	for _, id := range slices.Collect(maps.Keys(d.replicas)) {
-		if state := d.replicas[id]; now-max(state.lastEjectedAt, state.observedSince) > expiryMemories*ejectionMemory {
+		if state := d.replicas[id]; now-max(state.lastEjectedAt, state.observedSince) > expiryResetTimes*ejectionResetTime {
 			delete(d.replicas, id)
 		}
 	}
--- a/controlplane/weighting/capacity_test.go
+++ b/controlplane/weighting/capacity_test.go
@@ -20,26 +20,26 @@
 	return m.HeapAlloc
 }
 
-// fleetPart is the part of the users' fleet that one of ten members serves: all replicas and services, a tenth of the gateways.
-func fleetPart(x float64) sizes.Fleet {
+// memberFleet returns the production fleet, scaled by x, as served by one of ten members: all replicas and services, a tenth of the gateways.
+func memberFleet(x float64) sizes.Fleet {
 	f := sizes.ProductionFleet().Scale(x)
 	f.Gateways = max(f.Gateways/10, 1)
 	return f
 }
 
-type filledTable struct {
+type benchmarkMember struct {
 	*weighting.Manager
 	instances []fleet.Instance
-	f         sizes.Fleet
+	fleet     sizes.Fleet
 }
 
-func newFilledTable(b *testing.B, f sizes.Fleet) *filledTable {
+func newBenchmarkMember(b *testing.B, f sizes.Fleet) *benchmarkMember {
 	c, err := gatewayconfig.Parse(f.Configuration(1, 8))
 	if err != nil {
 		b.Fatal(err)
 	}
 	zones := []string{sizes.ZoneName(0), sizes.ZoneName(1), sizes.ZoneName(2)}
-	t := &filledTable{weighting.New(weighting.Options{RandomSeed: 1, Zone: zones[0], Zones: zones, Members: 10, LinkMbps: 1000, DrainGrace: 2 * time.Second}), f.Instances(), f}
+	t := &benchmarkMember{weighting.New(weighting.Options{RandomSeed: 1, Zone: zones[0], Zones: zones, Members: 10, LinkMbps: 1000, DrainGrace: 2 * time.Second}), f.Instances(), f}
 	t.Configure(time.Second, c, f.Gateways*10)
 	t.UpdateInstances(time.Second, t.instances)
 	for i := range f.Gateways {
@@ -48,8 +48,8 @@
 	return t
 }
 
-// report is a gateway's load report of a second: 70 requests, each to another replica.
-func (t *filledTable) report(i int) *messages.LoadReport {
+// report returns a gateway's load report for one second: 70 requests, each to a different replica.
+func (t *benchmarkMember) report(i int) *messages.LoadReport {
 	r := &messages.LoadReport{PeriodMillis: 1000, Requests: map[string]int{}}
 	for j := range min(70, len(t.instances)) {
 		instance := t.instances[(i*70+j*7919)%len(t.instances)]
@@ -59,16 +59,16 @@
 	return r
 }
 
-// capacityParts go up to what the memory of the machine they were measured on allows; n is the number of replicas.
-var capacityParts = []float64{1.0 / 81, 1.0 / 27, 1.0 / 9, 1.0 / 3}
+// fleetScales are fractions of the production fleet.
+var fleetScales = []float64{1.0 / 81, 1.0 / 27, 1.0 / 9, 1.0 / 3}
 
-// BenchmarkCapacitySecond is a second of a member's manager: ten ticks, a report of each gateway, and the weights taken for each.
+// BenchmarkCapacitySecond simulates one second of a member: a report of each gateway, ten ticks, and publishing weights to each gateway.
 func BenchmarkCapacitySecond(b *testing.B) {
-	for _, x := range capacityParts {
-		f := fleetPart(x)
+	for _, x := range fleetScales {
+		f := memberFleet(x)
 		b.Run(fmt.Sprintf("n=%d", f.Replicas), func(b *testing.B) {
 			before := heapBytes()
-			t := newFilledTable(b, f)
+			t := newBenchmarkMember(b, f)
 			now, lines, seconds := time.Second, 0, 0
 			second := func() {
 				for i := range f.Gateways {
@@ -83,16 +83,16 @@
 				}
 				seconds++
 			}
-			for range 3 { // the first tables go out
+			for range 3 { // publish the initial tables
 				second()
 			}
-			held := float64(heapBytes()) - float64(before)
+			heapGrowth := float64(heapBytes()) - float64(before)
 			lines, seconds = 0, 0
 			b.ReportAllocs()
 			for b.Loop() {
 				second()
 			}
-			b.ReportMetric(held, "heap-B")
+			b.ReportMetric(heapGrowth, "heap-B")
 			b.ReportMetric(float64(lines)/float64(seconds), "lines/s")
 			b.ReportMetric(float64(f.Gateways), "gateways")
 			runtime.KeepAlive(t)
@@ -100,16 +100,16 @@
 	}
 }
 
-// BenchmarkCapacityReport takes one gateway's report.
+// BenchmarkCapacityReport records one gateway's report.
 func BenchmarkCapacityReport(b *testing.B) {
-	for _, x := range capacityParts {
-		f := fleetPart(x)
+	for _, x := range fleetScales {
+		f := memberFleet(x)
 		b.Run(fmt.Sprintf("n=%d", f.Replicas), func(b *testing.B) {
-			t := newFilledTable(b, f)
+			t := newBenchmarkMember(b, f)
 			r := t.report(0)
 			for i := 0; b.Loop(); i++ {
 				t.RecordReport(time.Second, "f0000", r)
-				if i%64 == 63 { // what waits for a tick is kept small
+				if i%64 == 63 { // bound the number of pending events
 					b.StopTimer()
 					t.Tick(time.Second)
 					b.StartTimer()
@@ -121,8 +121,8 @@
 
 // BenchmarkCapacityConfigure starts the governors of all services.
 func BenchmarkCapacityConfigure(b *testing.B) {
-	for _, x := range capacityParts {
-		f := fleetPart(x)
+	for _, x := range fleetScales {
+		f := memberFleet(x)
 		b.Run(fmt.Sprintf("n=%d", f.Replicas), func(b *testing.B) {
 			c, err := gatewayconfig.Parse(f.Configuration(1, 8))
 			if err != nil {
--- a/controlplane/weighting/loadreport.go
+++ b/controlplane/weighting/loadreport.go
@@ -8,8 +8,8 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// RecordReport takes a gateway's load report, which the governors learn of at the next tick. The report also acknowledges that the gateway
-// has applied what was published to it before.
+// RecordReport records a gateway's load report, which is passed to the governors at the next tick. The report also acknowledges that the gateway
+// has applied all earlier updates.
 func (m *Manager) RecordReport(now time.Duration, gateway string, report *messages.LoadReport) {
 	proxy, ok := m.proxyIDs[gateway]
 	if !ok || report.PeriodMillis <= 0 {
@@ -20,12 +20,12 @@
 	}
 }
 
-// recordReport takes the part of a load report that is about one service.
+// recordReport records the part of a load report that concerns one service.
 func (s *service) recordReport(now time.Duration, zone rules.ZoneID, proxy rules.ProxyID, name string, report *messages.LoadReport) {
 	period := time.Duration(report.PeriodMillis) * time.Millisecond
-	s.pending = append(s.pending, rules.Applied{Proxy: proxy, Version: s.version})
+	s.pendingEvents = append(s.pendingEvents, rules.Applied{Proxy: proxy, Version: s.publishedVersion})
 	if requests := report.Requests[name]; requests > 0 {
-		s.pending = append(s.pending, rules.GroupTraffic{Proxy: proxy, Flows: requests, Window: period})
+		s.pendingEvents = append(s.pendingEvents, rules.GroupTraffic{Proxy: proxy, Flows: requests, Window: period})
 	}
 	batch := &intake.Batch{Proxy: proxy, Window: period, ReceivedAt: governorTime(now)}
 	for _, stats := range report.Endpoints {
@@ -34,7 +34,7 @@
 			continue
 		}
 		record := endpointRecord(id, stats)
-		s.pending = append(s.pending, rules.EndpointStats{
+		s.pendingEvents = append(s.pendingEvents, rules.EndpointStats{
 			Replica:     id,
 			Zone:        zone,
 			Attempts:    record.Attempts,
@@ -50,7 +50,7 @@
 	}
 }
 
-// endpointRecord translates a gateway's statistics of one replica. What a replica doesn't tell of its load is absent.
+// endpointRecord converts a gateway's statistics of one replica. Load values that the replica does not report are set to rules.Absent.
 func endpointRecord(id rules.ReplicaID, stats messages.EndpointStats) intake.Record {
 	load := rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
 	if stats.Slots > 0 {
--- a/controlplane/weighting/manager.go
+++ b/controlplane/weighting/manager.go
@@ -1,11 +1,11 @@
-// Package weighting publishes endpoint weights: it runs the governors of the decision module (package rules), one a service, feeds them
-// with registered instances and with the gateways' load reports, and hands their tables to the gateways. It is free of I/O and decides
-// nothing itself; it translates.
+// Package weighting computes the endpoint weights that are published to gateways. It runs one governor of package rules per service, feeds
+// it the registered instances and the gateways' load reports, and translates its output into weights and ejections per gateway. It performs
+// no I/O and makes no decisions of its own.
 //
-// Load is known at second hand: a gateway relays the load that each replica reports in its responses. A replica that no gateway of this
-// member has met counts as busy as the fleet, and so does one that reports no load. Members do not exchange tables or load: each serves
-// the gateways of its zone, whose requests stay there while there is capacity, so its own gateways meet the replicas that matter to them;
-// where requests overflow to another zone, their reports tell of the replicas there.
+// Load is reported indirectly: a gateway relays the load that each replica includes in its responses. A replica without reported load is
+// assumed to have the average load of its service. Members do not exchange weights or load. Each member serves the gateways of its zone,
+// whose requests stay in the zone while it has capacity, so their reports cover the replicas that they use; when requests overflow to
+// another zone, the reports cover the replicas there as well.
 package weighting
 
 import (
@@ -18,12 +18,12 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Options are what all services of a member share.
+// Options are the settings shared by all services of a member.
 type Options struct {
 	RandomSeed uint64
-	Zone       string   // the member's own
-	Zones      []string // in an order that all members share
-	Members    int      // of the control plane
+	Zone       string   // zone of the member
+	Zones      []string // in the same order at all members
+	Members    int      // number of control-plane members
 	LinkMbps   float64
 	DrainGrace time.Duration
 }
@@ -37,13 +37,13 @@
 	nextProxyID    rules.ProxyID
 	proxyIDs       map[string]rules.ProxyID // by gateway
 	gatewayByProxy map[rules.ProxyID]string
-	joined         map[string]rules.Joined // by gateway: as it was introduced to the governors
+	joined         map[string]rules.Joined // by gateway: the event passed to the governors
 
-	pendingWeights   map[string]map[string]float64 // by gateway and replica: not yet published
-	pendingEjections map[string]map[string]bool    // by gateway and replica: ejected there, or readmitted; not yet published
+	pendingWeights   map[string]map[string]float64 // unpublished changes, by gateway and replica
+	pendingEjections map[string]map[string]bool    // unpublished changes, by gateway and replica; false readmits the replica
 }
 
-// New makes a manager without services.
+// New creates a manager without services.
 func New(options Options) *Manager {
 	m := &Manager{
 		options:          options,
@@ -61,14 +61,14 @@
 	return m
 }
 
-// clockOffset is added to a governor's clock, which must not start at zero.
+// clockOffset is added to the monotonic time, as a governor's clock must not start at zero.
 const clockOffset = time.Hour
 
-// governorTime is a moment on a governor's clock.
+// governorTime converts a monotonic time to a governor's clock.
 func governorTime(now time.Duration) rules.Time { return rules.Time(now + clockOffset) }
 
-// Configure starts a governor for each service that has none, and drops those of services that the configuration no longer has.
-// gatewayCount is the number of gateways over all members.
+// Configure starts a governor for each new service and removes those of deleted services. gatewayCount is the number of gateways connected
+// to all members.
 func (m *Manager) Configure(now time.Duration, config *gatewayconfig.Config, gatewayCount int) {
 	for name := range m.services {
 		if _, ok := config.Services[name]; !ok {
@@ -82,7 +82,7 @@
 	}
 }
 
-// startService starts the governor of a service and introduces the gateways to it.
+// startService starts the governor of a service and adds the connected gateways to it.
 func (m *Manager) startService(now time.Duration, config *gatewayconfig.Config, name string, gatewayCount int) {
 	started := newService(m.options)
 	m.services[name] = started
@@ -98,7 +98,7 @@
 	m.step(now, started, events)
 }
 
-// UpdateInstances takes in what changed of the instances.
+// UpdateInstances passes changed instances to the governors of their services.
 func (m *Manager) UpdateInstances(now time.Duration, instances []fleet.Instance) {
 	entries := map[string][]rules.Entry{}
 	for _, instance := range instances {
@@ -117,7 +117,7 @@
 	}
 }
 
-// listEntry is an instance as a governor's instance list has it.
+// listEntry converts an instance to an entry of a governor's instance list.
 func (m *Manager) listEntry(now time.Duration, id rules.ReplicaID, instance fleet.Instance) rules.Entry {
 	entry := rules.Entry{
 		Replica: id,
@@ -132,12 +132,12 @@
 		entry.State = rules.Draining
 	}
 	if instance.WarmupMillis > 0 || instance.WarmthUnknown {
-		entry.StartedAt = governorTime(now) // the warm-up rate protects it; its weight only ramps up
+		entry.StartedAt = governorTime(now) // ramp up its weight; the warm-up rate limits requests separately
 	}
 	return entry
 }
 
-// AddGateway takes in a gateway, which holds no weights yet.
+// AddGateway adds a gateway that holds no weights yet.
 func (m *Manager) AddGateway(now time.Duration, gateway, zone string) {
 	m.RemoveGateway(now, gateway)
 	m.nextProxyID++
@@ -153,7 +153,7 @@
 	})
 }
 
-// RemoveGateway drops a gateway and whatever was still to be published to it.
+// RemoveGateway removes a gateway and its unpublished changes.
 func (m *Manager) RemoveGateway(now time.Duration, gateway string) {
 	id, ok := m.proxyIDs[gateway]
 	if !ok {
@@ -171,12 +171,12 @@
 	})
 }
 
-// Tick lets time pass: reports recorded since the last tick reach the governors.
+// Tick passes the reports recorded since the last tick, and expired timers, to the governors.
 func (m *Manager) Tick(now time.Duration) {
-	m.stepAll(now, func(service *service) []rules.Event { return service.takePending(now) })
+	m.stepAll(now, func(service *service) []rules.Event { return service.takeEvents(now) })
 }
 
-// stepAll steps each service that has events, in the order of their names.
+// stepAll steps each service that has events, ordered by name.
 func (m *Manager) stepAll(now time.Duration, eventsFor func(*service) []rules.Event) {
 	for _, name := range slices.Sorted(maps.Keys(m.services)) {
 		service := m.services[name]
--- a/controlplane/weighting/manager_test.go
+++ b/controlplane/weighting/manager_test.go
@@ -15,7 +15,7 @@
 
 const second = time.Second
 
-func configuration() *gatewayconfig.Config {
+func testConfig() *gatewayconfig.Config {
 	c, err := gatewayconfig.Parse([]byte(`{"version":"00000001","services":[{"name":"svc","max_connections":100,"cold_start":"3s","cold_per_s":4}],
 "virtual_hosts":[{"hostname":"h","path_routes":[{"path_prefix":"/","kind":"safe","timeout":"3s","target_latency":"800ms","service":"svc"}]}]}`))
 	if err != nil {
@@ -24,19 +24,19 @@
 	return c
 }
 
-// testMember is a manager with gateways that report to it and apply what it publishes.
+// testMember is a manager with simulated gateways that report to it and apply its updates.
 type testMember struct {
 	*Manager
 	now             time.Duration
 	gateways        []string
 	receivedWeights map[string]map[string]float64 // by gateway and replica
-	receivedCount   int                           // weights published
-	load            map[string]int                // by replica: running requests, of 4 slots; absent: it tells no load
-	failingReplica  map[string]string             // by gateway: the replica that fails for it alone
-	ejected         map[string]map[string]bool    // by gateway: replicas ejected there
+	receivedCount   int                           // number of weights published
+	load            map[string]int                // by replica: running requests of 4 slots; replicas without an entry report no load
+	failingReplica  map[string]string             // by gateway: the replica that fails for this gateway only
+	ejected         map[string]map[string]bool    // by gateway and replica
 }
 
-// newTestMember makes a member of one zone's gateways; the replicas alternate between two zones.
+// newTestMember creates a member whose gateways are in one zone; the replicas alternate between two zones.
 func newTestMember(replicas, gateways int) *testMember {
 	member := &testMember{
 		Manager:         New(Options{RandomSeed: 1, Zone: "a", Zones: []string{"a", "b"}, Members: 1, LinkMbps: 1000, DrainGrace: 2 * second}),
@@ -46,7 +46,7 @@
 		failingReplica:  map[string]string{},
 		ejected:         map[string]map[string]bool{},
 	}
-	member.Configure(member.now, configuration(), gateways)
+	member.Configure(member.now, testConfig(), gateways)
 	var instances []fleet.Instance
 	for i := range replicas {
 		instances = append(instances, fleet.Instance{ID: fmt.Sprintf("i%03d", i), Service: "svc", Addr: "x", Zone: string(rune('a' + i%2)), Slots: 4})
@@ -64,7 +64,7 @@
 	m.AddGateway(m.now, gateway, "a")
 }
 
-// run lets time pass: every gateway reports once a second on each replica that it has a weight for.
+// run advances the time; every gateway reports once per second on each replica for which it has a weight.
 func (m *testMember) run(seconds int) {
 	for range seconds * 4 {
 		m.now += second / 4
@@ -80,7 +80,7 @@
 	}
 }
 
-// report is a gateway's load report of a second.
+// report returns a gateway's load report for one second.
 func (m *testMember) report(gateway string) *messages.LoadReport {
 	report := &messages.LoadReport{PeriodMillis: 1000, Requests: map[string]int{"svc": 100}}
 	for id := range m.Weights("svc", gateway) {
@@ -90,7 +90,7 @@
 		}
 		if m.failingReplica[gateway] == id {
 			if m.ejected[gateway][id] {
-				continue // it is the last choice there
+				continue // an ejected replica receives no requests
 			}
 			stats.Dropped, stats.MeanLatencyMicros = stats.Attempts, 0
 		}
@@ -99,7 +99,7 @@
 	return report
 }
 
-// receive applies at a gateway what is published to it.
+// receive applies the published changes at a gateway.
 func (m *testMember) receive(gateway string) {
 	for _, change := range m.TakeWeightChanges(gateway) {
 		m.receivedCount++
@@ -120,23 +120,23 @@
 	return sum
 }
 
-func TestTables(t *testing.T) {
+func TestWeightTables(t *testing.T) {
 	Convey("Given a member with four replicas and three gateways", t, func() {
 		member := newTestMember(4, 3)
 		for i := range 4 {
 			member.load[fmt.Sprintf("i%03d", i)] = 1
 		}
 		member.run(5)
-		Convey("all gateways hold one table, whose weights are normalised", func() {
-			for _, f := range member.gateways {
-				So(member.receivedWeights[f], ShouldResemble, member.receivedWeights["f000"])
-				So(member.totalWeight(f), ShouldAlmostEqual, 100, 1)
+		Convey("all gateways receive the same normalised weights", func() {
+			for _, gateway := range member.gateways {
+				So(member.receivedWeights[gateway], ShouldResemble, member.receivedWeights["f000"])
+				So(member.totalWeight(gateway), ShouldAlmostEqual, 100, 1)
 			}
 		})
-		Convey("spare capacity from reported load makes the weight", func() {
+		Convey("weights follow the spare capacity computed from reported load", func() {
 			member.load["i000"] = 3
 			member.run(40)
-			// It is 0.75 busy where others that answer as much are 0.25 busy: a third of their size, and less of it spare.
+			// Utilization is 0.75 instead of 0.25 at the same throughput: a third of the others' capacity, less of which is spare.
 			So(member.receivedWeights["f000"]["i000"]/member.receivedWeights["f000"]["i001"], ShouldBeBetween, 0.08, 0.34)
 			So(member.totalWeight("f000"), ShouldAlmostEqual, 100, 10)
 		})
@@ -153,8 +153,8 @@
 			So(len(member.receivedWeights["late"]), ShouldEqual, 4)
 			So(member.receivedWeights["late"], ShouldResemble, member.receivedWeights["f000"])
 		})
-		// Regression: a gateway came from another member and kept that one's weight for a replica that ours had taken out.
-		Convey("a gateway that joins later receives weights of 0 too", func() {
+		// Regression: a gateway from another member kept that member's weight of a replica that this member had removed.
+		Convey("a gateway that joins later also receives zero weights", func() {
 			member.UpdateInstances(member.now, []fleet.Instance{{ID: "i000", Service: "svc", Zone: "a", Slots: 4, HeartbeatTimedOut: true}})
 			member.run(1)
 			So(member.receivedWeights["f000"]["i000"], ShouldEqual, 0)
@@ -163,7 +163,7 @@
 			member.run(2)
 			So(member.receivedWeights["late"]["i000"], ShouldEqual, 0)
 		})
-		Convey("a draining replica leaves the table at once, and a new one ramps up", func() {
+		Convey("a draining replica is removed immediately, and a new one ramps up", func() {
 			member.UpdateInstances(member.now, []fleet.Instance{{ID: "i000", Service: "svc", Zone: "a", Slots: 4, Draining: true}})
 			member.run(1)
 			So(member.receivedWeights["f000"]["i000"], ShouldEqual, 0)
@@ -174,7 +174,7 @@
 			member.run(15)
 			So(member.receivedWeights["f000"]["new"], ShouldBeGreaterThan, early)
 		})
-		Convey("replicas that tell no load have the mean weight", func() {
+		Convey("replicas without reported load have the mean weight", func() {
 			delete(member.load, "i003")
 			member.run(30)
 			So(math.Abs(member.receivedWeights["f000"]["i003"]-member.receivedWeights["f000"]["i001"]), ShouldBeLessThan, 5)
@@ -182,9 +182,9 @@
 	})
 }
 
-// TestPairEjections guards a replica that fails for one gateway alone, which the totals over all gateways hide.
+// TestPairEjections guards against an undetected failure between a single gateway and a replica, which the totals over all gateways hide.
 func TestPairEjections(t *testing.T) {
-	Convey("Given twelve replicas and ten gateways, for one of which a replica fails that serves the others", t, func() {
+	Convey("Given twelve replicas and ten gateways, and a replica that fails for one gateway only", t, func() {
 		member := newTestMember(12, 10)
 		for i := range 12 {
 			member.load[fmt.Sprintf("i%03d", i)] = 1
@@ -192,38 +192,38 @@
 		member.run(5)
 		member.failingReplica["f003"] = "i002"
 		member.run(6)
-		Convey("it is ejected there and nowhere else, and keeps its weight in the table", func() {
+		Convey("it is ejected at that gateway only and keeps its weight in the table", func() {
 			So(member.ejected["f003"], ShouldResemble, map[string]bool{"i002": true})
 			So(len(member.ejected), ShouldEqual, 1)
 			So(member.receivedWeights["f000"]["i002"], ShouldBeGreaterThan, 4)
 		})
-		Convey("it is readmitted after a while, and for good once it serves", func() {
+		Convey("it is readmitted after it recovers and is not ejected again", func() {
 			member.failingReplica = map[string]string{}
 			member.run(15)
 			So(member.ejected["f003"]["i002"], ShouldBeFalse)
 			member.run(10)
 			So(member.ejected["f003"]["i002"], ShouldBeFalse)
 		})
-		Convey("while it goes on failing, it is ejected for longer each time", func() {
-			trials := 0
+		Convey("while it keeps failing, growing ejection times limit its readmissions", func() {
+			readmissions := 0
 			for range 60 {
-				was := member.ejected["f003"]["i002"]
+				wasEjected := member.ejected["f003"]["i002"]
 				member.run(1)
-				if was && !member.ejected["f003"]["i002"] {
-					trials++
+				if wasEjected && !member.ejected["f003"]["i002"] {
+					readmissions++
 				}
 			}
-			So(trials, ShouldBeBetweenOrEqual, 1, 3)
+			So(readmissions, ShouldBeBetweenOrEqual, 1, 3)
 		})
-		Convey("a replica that fails for all gateways is no pair ejection", func() {
-			for _, f := range member.gateways {
-				member.failingReplica[f] = "i005"
+		Convey("a replica that fails for all gateways causes no pair ejections", func() {
+			for _, gateway := range member.gateways {
+				member.failingReplica[gateway] = "i005"
 			}
 			member.run(8)
 			So(member.ejected["f000"]["i005"], ShouldBeFalse)
 			So(member.receivedWeights["f000"]["i005"], ShouldBeLessThan, 4)
 		})
-		Convey("a gateway that joins anew has no ejections", func() {
+		Convey("a gateway that rejoins has no ejections", func() {
 			member.RemoveGateway(member.now, "f003")
 			member.join("f003")
 			So(member.TakePairEjections("f003"), ShouldBeEmpty)
@@ -231,7 +231,7 @@
 	})
 }
 
-// BenchmarkPeriod is a report period of one member at three sizes; of three or five members each has its part of the gateways.
+// BenchmarkPeriod simulates one report period of a member at three sizes.
 func BenchmarkPeriod(b *testing.B) {
 	for _, size := range []struct{ replicas, gateways int }{{260, 30}, {1000, 100}, {2000, 333}} {
 		b.Run(fmt.Sprintf("%d_replicas_%d_gateways", size.replicas, size.gateways), func(b *testing.B) {
--- a/controlplane/weighting/publication.go
+++ b/controlplane/weighting/publication.go
@@ -9,7 +9,7 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// queueWeight queues a changed weight for the gateways on its table.
+// queueWeight queues a changed weight for the gateways bound to its table.
 func (m *Manager) queueWeight(service *service, table rules.TableID, id rules.ReplicaID, weight float64) {
 	name, ok := service.replicaNames[id]
 	if !ok {
@@ -22,7 +22,7 @@
 	}
 }
 
-// queueTable queues a complete table for a gateway that was bound to it.
+// queueTable queues a complete table for a newly bound gateway.
 func (m *Manager) queueTable(service *service, proxy rules.ProxyID) {
 	pending := m.pendingWeights[m.gatewayByProxy[proxy]]
 	if pending == nil {
@@ -36,20 +36,20 @@
 	}
 }
 
-// queueEjection queues for one gateway that a replica is ejected or readmitted there.
-func (m *Manager) queueEjection(service *service, shun rules.PairEjection) {
-	name := service.replicaNames[shun.Replica]
-	gateway := m.gatewayByProxy[shun.Proxy]
+// queueEjection queues the ejection or readmission of a replica at one gateway.
+func (m *Manager) queueEjection(service *service, ejection rules.PairEjection) {
+	name := service.replicaNames[ejection.Replica]
+	gateway := m.gatewayByProxy[ejection.Proxy]
 	if name == "" || gateway == "" {
 		return
 	}
 	if m.pendingEjections[gateway] == nil {
 		m.pendingEjections[gateway] = map[string]bool{}
 	}
-	m.pendingEjections[gateway][name] = shun.Ejected
+	m.pendingEjections[gateway][name] = ejection.Ejected
 }
 
-// TakeWeightChanges returns and clears the weights that are to be published to a gateway, in the order of the replicas' names.
+// TakeWeightChanges returns and clears a gateway's unpublished weights, ordered by replica.
 func (m *Manager) TakeWeightChanges(gateway string) []messages.EndpointWeight {
 	pending := m.pendingWeights[gateway]
 	if len(pending) == 0 {
@@ -64,7 +64,7 @@
 	return changes
 }
 
-// TakePairEjections returns and clears which replicas are to be ejected, or readmitted, at a gateway alone, in the order of their names.
+// TakePairEjections returns and clears a gateway's unpublished pair ejections and readmissions, ordered by replica.
 func (m *Manager) TakePairEjections(gateway string) []messages.PairEjection {
 	pending := m.pendingEjections[gateway]
 	if len(pending) == 0 {
@@ -78,7 +78,7 @@
 	return ejections
 }
 
-// Weights returns the weights above 0 of the table that a gateway is on, by instance.
+// Weights returns the positive weights of the table that a gateway is bound to, by instance.
 func (m *Manager) Weights(serviceName, gateway string) map[string]float64 {
 	weights := map[string]float64{}
 	service := m.services[serviceName]
--- a/controlplane/weighting/service.go
+++ b/controlplane/weighting/service.go
@@ -8,12 +8,13 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// service is a governor with what it knows by numbers: the decision module numbers replicas, gateways ("proxies") and tables.
+// service is the governor of one service, with the mapping between names and the numeric IDs that package rules uses for replicas,
+// gateways (proxies) and tables.
 type service struct {
-	governor rules.Governor
-	version  uint16 // that gateways have applied once they report
-	pending  []rules.Event
-	intake   *intake.Aggregator // finds pairs of a gateway and a replica between which attempts fail
+	governor         rules.Governor
+	publishedVersion uint16 // acknowledged by the next report of each gateway
+	pendingEvents    []rules.Event
+	intake           *intake.Aggregator // detects gateway-replica pairs with failing attempts
 
 	nextReplicaID rules.ReplicaID
 	replicaIDs    map[string]rules.ReplicaID // by instance
@@ -22,9 +23,9 @@
 	tables       map[rules.TableID]map[rules.ReplicaID]float64
 	tableByProxy map[rules.ProxyID]rules.TableID
 
-	wakePending bool
-	wakeAt      time.Duration
-	wakeMark    uint64
+	timerSet       bool
+	timerExpiresAt time.Duration
+	timerID        uint64
 }
 
 func newService(options Options) *service {
@@ -46,7 +47,7 @@
 	}
 }
 
-// replicaID is the number of an instance, which gets one unless it has ended before it was known.
+// replicaID returns the numeric ID of an instance. It assigns one to an unknown instance, unless that is already deregistered.
 func (s *service) replicaID(instance fleet.Instance) (rules.ReplicaID, bool) {
 	if id, known := s.replicaIDs[instance.ID]; known {
 		return id, true
@@ -61,7 +62,7 @@
 	return id, true
 }
 
-// forgetReplica gives up the number of an instance.
+// forgetReplica releases a numeric ID and removes its replica from all tables.
 func (s *service) forgetReplica(id rules.ReplicaID) {
 	s.intake.Forget(id)
 	for _, table := range s.tables {
@@ -71,8 +72,7 @@
 	delete(s.replicaNames, id)
 }
 
-// setWeight puts a weight into a table. A weight of 0 is kept too: a gateway that comes later may still hold the weight that another
-// member gave it.
+// setWeight sets a weight in a table. Zero weights are stored too, because a gateway that joins later may hold a weight from another member.
 func (s *service) setWeight(table rules.TableID, id rules.ReplicaID, weight float64) {
 	if s.tables[table] == nil {
 		s.tables[table] = map[rules.ReplicaID]float64{}
@@ -80,13 +80,13 @@
 	s.tables[table][id] = weight
 }
 
-// takePending returns and clears the events that the governor is to take at a tick.
-func (s *service) takePending(now time.Duration) []rules.Event {
-	events := s.pending
-	s.pending = nil
-	if s.wakePending && now >= s.wakeAt {
-		s.wakePending = false
-		events = append(events, rules.Wake{TimerID: s.wakeMark})
+// takeEvents returns and clears the events for the governor's next step.
+func (s *service) takeEvents(now time.Duration) []rules.Event {
+	events := s.pendingEvents
+	s.pendingEvents = nil
+	if s.timerSet && now >= s.timerExpiresAt {
+		s.timerSet = false
+		events = append(events, rules.Wake{TimerID: s.timerID})
 	}
 	if s.intake.FlushDue(governorTime(now)) {
 		events = append(events, s.intake.Flush(governorTime(now))...)
@@ -94,16 +94,16 @@
 	return events
 }
 
-// step has a governor decide and queues for the gateways what comes of it.
+// step steps the governor of a service and queues the resulting changes for the gateways.
 func (m *Manager) step(now time.Duration, service *service, events []rules.Event) {
 	for _, output := range service.governor.Step(governorTime(now), events) {
 		switch output := output.(type) {
 		case rules.WakeAfter:
-			service.wakePending = true
-			service.wakeAt = now + output.After
-			service.wakeMark = output.TimerID
+			service.timerSet = true
+			service.timerExpiresAt = now + output.After
+			service.timerID = output.TimerID
 		case rules.AckRequest:
-			service.version = output.Version
+			service.publishedVersion = output.Version
 		case rules.EndpointWeight:
 			service.setWeight(output.Table, output.Replica, output.Weight)
 			m.queueWeight(service, output.Table, output.Replica, output.Weight)
--- a/controlplane/weighting/settings.go
+++ b/controlplane/weighting/settings.go
@@ -7,49 +7,49 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// ReportPeriod is how often a gateway reports.
+// ReportPeriod is the interval between two load reports of a gateway.
 const ReportPeriod = time.Second
 
-// Bounds of what publishing weights may cost.
+// Limits on the cost of publishing weights.
 const (
-	endpointWeightBytes    = 40      // one weight on the wire, with its part of the frame
-	linkShare              = 0.1     // of a gateway's link, for weights
-	maxWeightsPerSecond    = 20000.0 // the most that a gateway is taken to receive
-	messageOverheadWeights = 2       // what a message costs besides its weights, in weights
+	endpointWeightBytes    = 40      // encoded size of a weight, including its share of the frame
+	weightBandwidthShare   = 0.1     // fraction of a gateway's link used for weights
+	maxWeightsPerSecond    = 20000.0 // per gateway
+	messageOverheadWeights = 2       // fixed cost of a message, in weights
 	maxPropagationDelay    = 300 * time.Millisecond
 	messageSpan            = 10 * time.Second
 )
 
-// Bounds of how long a governor waits.
+// Time limits of a governor.
 const (
-	maxEmptyTableDuration  = 5 * time.Second
-	instanceListTTL        = time.Hour // the list of instances is pushed, never asked for
+	maxUnboundDuration     = 5 * time.Second
+	instanceListTTL        = time.Hour // never requested: the instance list is pushed
 	idleConnectionLifetime = 10 * time.Second
 )
 
-// The slow start of a replica, and when it counts as overloaded.
+// Slow start and overload of a replica.
 const (
 	maxWarmupDuration  = 10 * time.Second
-	warmupInitialShare = 0.3 // of its capacity, with which a replica starts
-	overloadMultiple   = 2.0 // of its present capacity, under which a replica collapses
-	overloadTimeout    = time.Second
+	warmupInitialShare = 0.3 // fraction of its capacity at the start
+	overloadMultiple   = 2.0 // load that overloads a replica, as a multiple of its current capacity
+	overloadDuration   = time.Second
 )
 
-// The latency and expiry that a service's requests get where no route says less.
+// Upper limits of the latency budget and the expiry of a service's requests. Its routes may set lower values.
 const (
 	defaultLatencyBudget = 2 * time.Second
 	defaultExpiry        = 10 * time.Second
 )
 
-// Bounds of the search for pairs of a gateway and a replica between which attempts fail.
+// Limits on the detection of gateway-replica pairs with failing attempts.
 const (
-	maxRecordsPerPeriod = 4096 // endpoint statistics that are searched, a service and period
-	maxFailingPairs     = 512  // pairs that are remembered, a service
+	maxRecordsPerPeriod = 4096 // endpoint statistics evaluated per service and period
+	maxFailingPairs     = 512  // pairs tracked per service
 	recordHalfLife      = 2 * ReportPeriod
 	maxRecordAge        = 10 * ReportPeriod
 )
 
-// governorSettings are the decision module's settings for one service.
+// governorSettings returns the governor settings of one service.
 func (m *Manager) governorSettings(config *gatewayconfig.Config, name string, gatewayCount int) rules.Settings {
 	service := config.Services[name]
 	budget, expiry := defaultLatencyBudget, defaultExpiry
@@ -61,7 +61,7 @@
 			expiry = min(expiry, route.Timeout)
 		}
 	}
-	weightsPerSecond := min(m.options.LinkMbps*1e6/8*linkShare/endpointWeightBytes, maxWeightsPerSecond)
+	weightsPerSecond := min(m.options.LinkMbps*1e6/8*weightBandwidthShare/endpointWeightBytes, maxWeightsPerSecond)
 	return rules.Settings{
 		Groups:                []rules.TrafficGroup{{Name: name, LatencyBudget: budget, Expiry: expiry, Utility: 1, Effect: rules.Retriable}},
 		Governors:             m.options.Members,
@@ -78,12 +78,12 @@
 		FirstAttemptBudgets:   1,
 		MinConnections:        float64(service.MaxConnections),
 		ConnectionIdleTimeout: idleConnectionLifetime,
-		MaxUnboundTime:        maxEmptyTableDuration,
+		MaxUnboundTime:        maxUnboundDuration,
 		DrainGrace:            m.options.DrainGrace,
 		ListRequestDeadline:   instanceListTTL,
 		WarmupTime:            max(min(service.WarmupDuration, maxWarmupDuration), ReportPeriod),
 		ColdCapacity:          warmupInitialShare,
 		OverloadMultiple:      overloadMultiple,
-		OverloadTime:          overloadTimeout,
+		OverloadTime:          overloadDuration,
 	}
 }
