--- a/messages/messages.go
+++ b/messages/messages.go
@@ -1,9 +1,9 @@
-// Package messages defines the typed messages that control-plane members and gateways exchange, beside those that the
-// membership and chainreplication packages define for their own protocols.
+// Package messages defines the messages exchanged between control-plane members and gateways. Messages between members are
+// defined in packages peermessages, membership and chainreplication.
 //
-// The files are split by sender: handshake.go (whoever dials), controlplane.go (member to member), stateupdate.go (member to
-// gateway) and gateway.go (gateway to member).
+// The files are organized by sender: handshake.go (the dialing side), stateupdate.go (control-plane member) and gateway.go
+// (gateway).
 //
-// Messages are encoded as CBOR maps with integer keys. A key is never given another meaning and a field's type never
-// changes, because members of different builds talk to one another; new fields take new keys and are omitted when empty.
+// Messages are encoded as CBOR maps with integer keys. For compatibility between builds, keys are never reused and field
+// types never change; new fields get new keys and are omitted when empty.
 package messages
