--- a/controlplane/maintenance/command.go
+++ b/controlplane/maintenance/command.go
@@ -13,13 +13,13 @@
 const (
 	VerbAgree  = "agree"  // set the agreed floors, the fault tolerance and the declared nodes
 	VerbAsk    = "ask"    // request windows
-	VerbFinish = "finish" // have nodes serve again
-	VerbCancel = "cancel" // drop requests; have nodes serve again
-	VerbPause  = "pause"  // grant nothing more
-	VerbResume = "resume" // grant again
+	VerbFinish = "finish" // return nodes to service
+	VerbCancel = "cancel" // remove requested windows; return nodes of granted ones to service
+	VerbPause  = "pause"  // stop granting windows
+	VerbResume = "resume" // continue granting windows
 )
 
-// Command is an operator's command. Which fields it uses depends on its verb.
+// Command is an operator's command. The fields in use depend on the verb.
 type Command struct {
 	Verb            string                  `json:"verb" cbor:"1,keyasint"`
 	Nodes           []string                `json:"nodes,omitempty" cbor:"2,keyasint,omitempty"`
@@ -30,42 +30,42 @@
 	DurationSeconds int64                   `json:"takes_s,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
-// ErrNoAgreedFloors rejects requests for windows while no capacity is agreed.
-var ErrNoAgreedFloors = errors.New("windows: no capacity has been agreed, so none can be kept")
+// ErrNoAgreedFloors rejects window requests while no capacity floors are agreed.
+var ErrNoAgreedFloors = errors.New("windows: no capacity floors have been agreed")
 
-// WindowExistsError rejects a request for a window of a node that has another one already.
+// WindowExistsError rejects a window request for a node that already has a different window.
 type WindowExistsError struct{ Existing Window }
 
 func (e *WindowExistsError) Error() string {
-	return fmt.Sprintf("windows: %s has a window already: %s, %s", e.Existing.Node, e.Existing.Name, e.Existing.Phase)
+	return fmt.Sprintf("windows: node %s already has window %s in phase %s", e.Existing.Node, e.Existing.Name, e.Existing.Phase)
 }
 
-// NotGrantedError rejects finishing a window that was not granted yet.
+// NotGrantedError rejects finishing a window that has not been granted yet.
 type NotGrantedError struct{ Node string }
 
 func (e *NotGrantedError) Error() string {
-	return fmt.Sprintf("windows: %s has not begun; cancel it", e.Node)
+	return fmt.Sprintf("windows: the window of node %s has not been granted; cancel it instead", e.Node)
 }
 
-// UnknownVerbError rejects a command whose verb is none.
+// UnknownVerbError rejects a command with an unknown verb.
 type UnknownVerbError struct{ Verb string }
 
 func (e *UnknownVerbError) Error() string {
-	return fmt.Sprintf("windows: verb: %q is none of agree, ask, finish, cancel, pause, resume", e.Verb)
+	return fmt.Sprintf("windows: verb: unknown verb %q, must be one of agree, ask, finish, cancel, pause, resume", e.Verb)
 }
 
-// Apply returns the state after a command. It is idempotent. A command that is rejected changes nothing; the error is
-// ErrNoAgreedFloors, a *WindowExistsError, a *NotBegunError or an *UnknownVerbError.
+// Apply returns the state after a command. It is idempotent. If a command is rejected, the state is unchanged and the error is
+// ErrNoAgreedFloors, a *WindowExistsError, a *NotGrantedError or an *UnknownVerbError.
 func (s State) Apply(command Command) (State, error) {
 	next := s.clone()
 	var err error
 	switch command.Verb {
 	case VerbAgree:
-		next.agree(command)
+		next.setAgreement(command)
 	case VerbAsk:
-		err = next.request(command)
+		err = next.requestWindows(command)
 	case VerbFinish, VerbCancel:
-		err = next.end(command)
+		err = next.endWindows(command)
 	case VerbPause, VerbResume:
 		next.Paused = command.Verb == VerbPause
 		next.appendAudit("%sd by an operator", command.Verb)
@@ -78,13 +78,13 @@
 	return next, nil
 }
 
-func (s *State) agree(command Command) {
+func (s *State) setAgreement(command Command) {
 	s.AgreedFloors, s.FaultTolerance, s.DeclaredNodes = command.AgreedFloors, command.FaultTolerance, command.DeclaredNodes
 	s.appendAudit("%d floors agreed, %d machines and %d zones may be lost meanwhile",
 		len(command.AgreedFloors), command.FaultTolerance.Machines, command.FaultTolerance.Zones)
 }
 
-func (s *State) request(command Command) error {
+func (s *State) requestWindows(command Command) error {
 	if len(s.AgreedFloors) == 0 {
 		return ErrNoAgreedFloors
 	}
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// end finishes or cancels the windows of nodes. Nodes without one are skipped: theirs has ended.
-func (s *State) end(command Command) error {
+// endWindows finishes or cancels the windows of nodes. Nodes without a window are skipped, which makes retries idempotent.
+func (s *State) endWindows(command Command) error {
 	for _, node := range command.Nodes {
 		i := s.indexOf(node)
 		if i < 0 {
--- a/controlplane/maintenance/reconcile.go
+++ b/controlplane/maintenance/reconcile.go
@@ -8,19 +8,19 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// Reconcile returns the state that should be proposed next, and whether it differs. It makes one change at a time: first what
-// nodes have reported is taken in, then a window is revoked where a floor is not kept, else the next one is granted.
+// Reconcile returns the next state to propose and whether it differs. It makes one change at a time, in this order: record a
+// phase reported by a node, revoke a window if a floor is violated, or grant the next window.
 func (s State) Reconcile(current Fleet) (State, bool) {
 	next := s.clone()
 	nodes := map[string]Node{}
 	for _, node := range current.Nodes {
 		nodes[node.Name] = node
 	}
-	if next.observe(nodes) {
+	if next.recordReported(nodes) {
 		return next, true
 	}
 	if !current.Complete {
-		return s, false // the nodes that are not known may be the ones that a floor lacks
+		return s, false // an apparent shortfall may be due to unknown nodes
 	}
 	if shortfalls := next.Shortfalls(current, next.IsOut); len(shortfalls) > 0 {
 		return next, next.revoke(current, shortfalls)
@@ -31,9 +31,9 @@
 	return next, next.grant(current, nodes)
 }
 
-// observe takes in the first report of a node that has reached its window's phase. What a node reports under an older fencing
-// token is ignored.
-func (s *State) observe(nodes map[string]Node) bool {
+// recordReported applies the first report of a node that has reached its window's phase. Reports with a different fencing token
+// are ignored.
+func (s *State) recordReported(nodes map[string]Node) bool {
 	for i := range s.Windows {
 		window := &s.Windows[i]
 		node, known := nodes[window.Node]
@@ -54,8 +54,8 @@
 	return false
 }
 
-// revoke takes one grant back, in a region with a shortfall: first of a node that has not drained yet, as it is back at once;
-// the newest first.
+// revoke revokes one grant in a region with a shortfall. Nodes that have not drained yet come first, as they return immediately;
+// among equals the newest grant comes first.
 func (s *State) revoke(current Fleet, shortfalls []Shortfall) bool {
 	short, regions := map[string]bool{}, map[string]string{}
 	for _, shortfall := range shortfalls {
@@ -66,7 +66,7 @@
 	}
 	chosen := -1
 	for i, window := range s.Windows {
-		region := regions[window.Node] // "" where the node is not known: it may be in any
+		region := regions[window.Node] // "" if the node is unknown: it may be in any region
 		granted := window.Phase == fleet.PhaseDraining || window.Phase == fleet.PhaseDrained
 		if !granted || region != "" && !short[region] {
 			continue
@@ -82,7 +82,7 @@
 	return true
 }
 
-// compareForRevocation is above 0 where a is to be revoked before b.
+// compareForRevocation returns a positive number if a should be revoked before b.
 func compareForRevocation(a, b Window) int {
 	draining := func(window Window) int {
 		if window.Phase == fleet.PhaseDraining {
@@ -93,8 +93,8 @@
 	return cmp.Or(cmp.Compare(draining(a), draining(b)), cmp.Compare(a.FencingToken, b.FencingToken))
 }
 
-// grant grants the first requested window that leaves every floor kept. Where there is none it updates the reasons for which
-// windows wait. It returns whether anything changed.
+// grant grants the first requested window that violates no floor. If there is none, it updates the reasons why windows are
+// waiting. It reports whether anything changed.
 func (s *State) grant(current Fleet, nodes map[string]Node) bool {
 	changed := false
 	for i := range s.Windows {
@@ -102,23 +102,23 @@
 		if window.Phase != fleet.PhaseRequested {
 			continue
 		}
-		obstacle := s.obstacle(current, nodes, window.Node)
-		if obstacle == "" {
+		reason := s.blockingReason(current, nodes, window.Node)
+		if reason == "" {
 			s.FencingToken++
 			window.Phase, window.FencingToken = fleet.PhaseDraining, s.FencingToken
 			window.Reason = "granted: " + s.describeRemaining(current, window.Node)
 			s.appendAudit("%s %s", window.Node, window.Reason)
 			return true
 		}
-		if withoutFigures(window.Reason) != withoutFigures(obstacle) {
-			window.Reason, changed = obstacle, true
+		if reasonKind(window.Reason) != reasonKind(reason) {
+			window.Reason, changed = reason, true
 		}
 	}
 	return changed
 }
 
-// obstacle is why a node can't be taken out now; empty where it can.
-func (s *State) obstacle(current Fleet, nodes map[string]Node, node string) string {
+// blockingReason returns why a node cannot be taken out of service now, or "" if it can.
+func (s *State) blockingReason(current Fleet, nodes map[string]Node, node string) string {
 	if !nodes[node].Serving {
 		return "it is not serving"
 	}
@@ -129,8 +129,8 @@
 	return ""
 }
 
-// withoutFigures cuts the figures off a reason: they change all the time, and each change would be a proposal.
-func withoutFigures(reason string) string {
+// reasonKind strips the numbers from a reason. They change constantly, and each change would cause a proposal.
+func reasonKind(reason string) string {
 	kind, _, _ := strings.Cut(reason, ":")
 	return kind
 }
--- a/controlplane/maintenance/shortfall.go
+++ b/controlplane/maintenance/shortfall.go
@@ -7,10 +7,10 @@
 	"zincloft.example/zincloft/capacity"
 )
 
-// loadMargin is how many times the present load must be carried, where that is above the agreed floor.
+// loadMargin is the factor by which the remaining capacity must exceed the current load.
 const loadMargin = 1.15
 
-// Shortfall is a floor that is not kept. Figures are requests a second.
+// Shortfall is a violated floor. Required and Remaining are in requests per second.
 type Shortfall struct {
 	capacity.Floor
 	Required, Remaining float64
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("%s of %s: %.1f a second are needed, %.1f are left", s.Group, s.Region, s.Required, s.Remaining)
 }
 
-// Shortfalls lists the floors that are not kept while some nodes are out.
+// Shortfalls returns the floors that are violated while the given nodes are out of service.
 func (s State) Shortfalls(current Fleet, out func(node string) bool) []Shortfall {
 	var shortfalls []Shortfall
 	nodes := s.servingNodes(current)
@@ -34,7 +34,7 @@
 	return shortfalls
 }
 
-// servingNodes lists the nodes that serve, with the declared capacity of those that have none measured.
+// servingNodes returns the serving nodes. Nodes without a measured capacity get the declared one.
 func (s State) servingNodes(current Fleet) []capacity.Node {
 	var serving []capacity.Node
 	for _, node := range current.Nodes {
@@ -54,7 +54,7 @@
 	return serving
 }
 
-// describeRemaining writes down what each floor keeps with a node out, by measured capacities alone.
+// describeRemaining describes the remaining capacity for each floor with a node out of service, based on measured capacities only.
 func (s State) describeRemaining(current Fleet, node string) string {
 	out := func(other string) bool { return other == node || s.IsOut(other) }
 	var measured []capacity.Node
