--- a/internal/daemons/connlimit/conn.go
+++ b/internal/daemons/connlimit/conn.go
@@ -67,8 +67,8 @@
 	bodyBytes int // of a body, since the last progress; used by the reader only
 }
 
-// Limited returns the connection itself. Types that embed it are known by this method.
-func (c *Conn) Limited() *Conn { return c }
+// LimitedConn returns the connection itself. Package-internal code uses it to find the Conn that another type embeds.
+func (c *Conn) LimitedConn() *Conn { return c }
 
 // Close closes the connection and makes room for another one.
 func (c *Conn) Close() error {
--- a/internal/daemons/connlimit/server.go
+++ b/internal/daemons/connlimit/server.go
@@ -11,6 +11,8 @@
 // limited is a connection that is, or embeds, a Conn.
 type limited interface{ LimitedConn() *Conn }
 
+var _ limited = (*Conn)(nil)
+
 // FromContext returns the connection of a request whose server was attached to a limiter; nil: there is none.
 func FromContext(ctx context.Context) *Conn {
 	c, _ := ctx.Value(connKey{}).(*Conn)
--- a/internal/daemons/replica/replica.go
+++ b/internal/daemons/replica/replica.go
@@ -58,7 +58,7 @@
 	Rejected          bool // NotExecuted, by the replica's own statement
 
 	ConnID           uint64 // the connection's number in its pool; 0: there was none
-	ConnRequestCount          int    // how many requests the connection had carried by then, this one included
+	ConnRequestCount int    // how many requests the connection had carried by then, this one included
 	SkippedResponses int    // responses to other requests that came in the place of this one's
 }
 
@@ -74,21 +74,21 @@
 
 // The causes. A rejection by the replica is rejected_ and its status.
 const (
-	CauseClientGone  Cause = "client_gone" // the client left before anything was sent
-	CauseExpired     Cause = "expired"     // the deadline passed before anything was sent
-	CauseDial        Cause = "dial"        // no connection could be opened
-	CausePoolFull    Cause = "pool_full"   // no connection may be opened, as all that there may be are in use
-	CauseWrite       Cause = "write"       // the connection failed while the request was written
-	CauseClosed      Cause = "closed"      // the replica closed the connection before its response
-	CauseConnectionLost      Cause = "broken"      // the connection failed before the response
-	CauseDeadline    Cause = "deadline"    // no response by the deadline
-	CauseTruncated   Cause = "truncated"   // a response that ended before its end
-	CauseNotHTTP     Cause = "not_http"    // bytes that are no response, or can be read as two
-	CauseInvalid     Cause = "invalid"     // a response that lacks its seal, its identity or its length, or has a status that is none
-	CauseUnsolicited     Cause = "surplus"     // responses to other requests, behind which this one's cannot be found
-	CauseMissingAttemptID    Cause = "nameless"    // a rejection that does not name the request
-	CauseUnconfirmedRejection    Cause = "unproven"    // 408, 429 or 503 without the statement that the request was not executed
-	causeRejectedFor       = "rejected_"
+	CauseClientGone           Cause = "client_gone" // the client left before anything was sent
+	CauseExpired              Cause = "expired"     // the deadline passed before anything was sent
+	CauseDial                 Cause = "dial"        // no connection could be opened
+	CausePoolFull             Cause = "pool_full"   // no connection may be opened, as all that there may be are in use
+	CauseWrite                Cause = "write"       // the connection failed while the request was written
+	CauseClosed               Cause = "closed"      // the replica closed the connection before its response
+	CauseConnectionLost       Cause = "broken"      // the connection failed before the response
+	CauseDeadline             Cause = "deadline"    // no response by the deadline
+	CauseTruncated            Cause = "truncated"   // a response that ended before its end
+	CauseNotHTTP              Cause = "not_http"    // bytes that are no response, or can be read as two
+	CauseInvalid              Cause = "invalid"     // a response that lacks its seal, its identity or its length, or has a status that is none
+	CauseUnsolicited          Cause = "surplus"     // responses to other requests, behind which this one's cannot be found
+	CauseMissingAttemptID     Cause = "nameless"    // a rejection that does not name the request
+	CauseUnconfirmedRejection Cause = "unproven"    // 408, 429 or 503 without the statement that the request was not executed
+	causeRejectedFor                = "rejected_"
 )
 
 // IsBadResponse tells whether the replica did send something, but no response that can be used.
