--- a/internal/daemons/gateway/attempt.go
+++ b/internal/daemons/gateway/attempt.go
@@ -15,22 +15,22 @@
 // maxReportedLoad bounds the requests and slots that a replica reports; more is not believed.
 const maxReportedLoad = 1 << 20
 
-// attemptEnd is the end of one attempt.
-type attemptEnd struct {
+// attemptResult is the end of one attempt.
+type attemptResult struct {
 	replica.Outcome
-	endpoint pickedEndpoint
-	sentAt   time.Time
-	latency  time.Duration
+	picked  pickedEndpoint
+	sentAt  time.Time
+	latency time.Duration
 }
 
 // runAttempt sends a request to the chosen endpoint, has the router know the outcome and sends it to ends.
-func (g *Gateway) runAttempt(choice pickedEndpoint, request *replica.Request, ends chan<- attemptEnd) {
-	g.figures.attempts.Inc()
+func (g *Gateway) runAttempt(choice pickedEndpoint, request *replica.Request, results chan<- attemptResult) {
+	g.metrics.attempts.Inc()
 	sentAt := time.Now()
 	outcome := g.pool.Do(choice.EndpointID, g.settings.DialAddress(choice.Addr), request)
 	canceled := request.Cancel != nil && request.Cancel.Err() != nil
 	g.recordAttempt(choice.PickResult, request.AttemptID, outcome, time.Since(sentAt), canceled)
-	ends <- attemptEnd{Outcome: outcome, endpoint: choice, sentAt: sentAt, latency: time.Since(sentAt)}
+	results <- attemptResult{Outcome: outcome, picked: choice, sentAt: sentAt, latency: time.Since(sentAt)}
 }
 
 // recordAttempt has the router and the log know an attempt's outcome, and queues what the control plane must hear at once.
--- a/internal/daemons/gateway/bench_test.go
+++ b/internal/daemons/gateway/bench_test.go
@@ -15,8 +15,8 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// plain is a forwarder on net/http alone, to measure against.
-func plain(to string) http.Handler {
+// plainProxy is a forwarder on net/http alone, to measure against.
+func plainProxy(to string) http.Handler {
 	client := &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: 5 * time.Second, DisableCompression: true}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		q, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+to+r.RequestURI, r.Body)
@@ -55,19 +55,19 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	f.frontOnce.Do(func() {})
-	update := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: configured(1, "safe"),
+	f.frontServerOnce.Do(func() {})
+	update := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: testConfig(1, "safe"),
 		Instances: []fleet.Instance{{ID: up.ID, Service: "svc", Addr: up.Addr(), Zone: "a", Slots: 4}}}
 	for _, x := range []struct {
 		name string
 		h    http.Handler
-	}{{"gateway", http.HandlerFunc(f.handleRequest)}, {"plain", plain(up.Addr())}, {"direct", nil}} {
+	}{{"gateway", http.HandlerFunc(f.handleRequest)}, {"plain", plainProxy(up.Addr())}, {"direct", nil}} {
 		b.Run(x.name, func(b *testing.B) {
 			f.applyUpdate(update) // two seconds without one, the gateway sends replicas less
 			ln := listen(b)
 			srv := &http.Server{Handler: x.h}
 			if x.name == "gateway" { // as in service: with what watches its clients' bytes
-				srv.ConnContext, srv.ConnState = withClientConn, followState
+				srv.ConnContext, srv.ConnState = withClientConn, onConnState
 				f.frontConns.Attach(srv)
 				go func() { _ = srv.Serve(clientListener{f.frontConns.Listen(ln), f}) }() // ends with srv.Close
 			} else {
--- a/internal/daemons/gateway/clientconn.go
+++ b/internal/daemons/gateway/clientconn.go
@@ -36,25 +36,25 @@
 	*connlimit.Conn
 	gateway *Gateway
 
-	scanner    framing.Scanner
-	poison     string      // what is still to be read in place of a bad request
-	readClosed atomic.Bool // a bad request was found: nothing further is read from the client
+	scanner        framing.Scanner
+	malformedInput string      // what is still to be read in place of a bad request
+	readClosed     atomic.Bool // a bad request was found: nothing further is read from the client
 
 	// idle is set while nothing of the next request has come as far as the server knows. The header timeout runs from the
 	// first byte of a head on.
 	idle      atomic.Bool
 	idleSince time.Time
 
-	headBytes int          // of the head at hand; used on the server's goroutine only
-	headHeld  atomic.Int64 // bytes reserved for it
+	headBytes    int          // of the head at hand; used on the server's goroutine only
+	headReserved atomic.Int64 // bytes reserved for it
 
 	busy       bool // with a request, which sets deadlines of its own; used on the server's goroutine only
-	usedBefore bool // a request has come; used on the server's goroutine only
+	hadRequest bool // a request has come; used on the server's goroutine only
 }
 
 const (
-	// freeHeadBytes of each head are not counted: they fit the buffer that its connection has in any case.
-	freeHeadBytes = 4 << 10
+	// uncountedHeadBytes of each head are not counted: they fit the buffer that its connection has in any case.
+	uncountedHeadBytes = 4 << 10
 
 	headMemoryFullResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.300\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
@@ -66,8 +66,8 @@
 	return context.WithValue(ctx, clientConnKey{}, conn)
 }
 
-// followState follows the states that the server reports of a connection.
-func followState(conn net.Conn, state http.ConnState) {
+// onConnState follows the states that the server reports of a connection.
+func onConnState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok {
 		return
@@ -79,7 +79,7 @@
 		c.headBytes = 0
 		c.releaseHead()
 	}
-	c.usedBefore = state != http.StateNew
+	c.hadRequest = state != http.StateNew
 }
 
 // markBusy marks the connection of a request as busy until the returned function is called.
@@ -96,17 +96,17 @@
 // Read reads from the client until a bad request is found, and framing.Poison from there on, which makes the server
 // answer 400 and close the connection.
 func (c *clientConn) Read(b []byte) (int, error) {
-	if len(b) == 0 || c.readClosed.Load() && c.poison == "" {
+	if len(b) == 0 || c.readClosed.Load() && c.malformedInput == "" {
 		return 0, io.EOF
 	}
-	if c.poison == "" {
+	if c.malformedInput == "" {
 		n, err := c.readClient(b)
-		if n > 0 || err != nil || c.poison == "" {
+		if n > 0 || err != nil || c.malformedInput == "" {
 			return n, err
 		}
 	}
-	n := copy(b, c.poison)
-	c.poison = c.poison[n:]
+	n := copy(b, c.malformedInput)
+	c.malformedInput = c.malformedInput[n:]
 	return n, nil
 }
 
@@ -124,13 +124,13 @@
 		return 0, os.ErrDeadlineExceeded // upon which net/http answers nothing of its own
 	}
 	good, cause := c.scanner.Feed(b[:n])
-	if c.idle.Swap(false) && !c.usedBefore { // behind an earlier request the server sets the header timeout itself
+	if c.idle.Swap(false) && !c.hadRequest { // behind an earlier request the server sets the header timeout itself
 		c.startHeaderTimeout()
 	}
 	if cause == "" {
 		return n, err
 	}
-	c.poison = framing.Poison
+	c.malformedInput = framing.Poison
 	c.readClosed.Store(true)
 	c.gateway.recordBadRequest(c.RemoteAddr().String(), badRequestCause(cause))
 	return good, nil
@@ -139,21 +139,21 @@
 // reserveHead reserves memory for n further bytes of a head, if there is as much. Heads of the usual length are free.
 func (c *clientConn) reserveHead(n int) bool {
 	c.headBytes += n
-	missing := int64(c.headBytes-freeHeadBytes) - c.headHeld.Load()
+	missing := int64(c.headBytes-uncountedHeadBytes) - c.headReserved.Load()
 	if missing <= 0 {
 		return true
 	}
-	if !c.gateway.heads.Reserve(missing) {
+	if !c.gateway.headBudget.Reserve(missing) {
 		return false
 	}
-	c.headHeld.Add(missing)
+	c.headReserved.Add(missing)
 	return true
 }
 
 // releaseHead gives back what the last head held.
 func (c *clientConn) releaseHead() {
-	if held := c.headHeld.Swap(0); held > 0 {
-		c.gateway.heads.Release(held)
+	if held := c.headReserved.Swap(0); held > 0 {
+		c.gateway.headBudget.Release(held)
 	}
 }
 
@@ -161,8 +161,8 @@
 func (c *clientConn) rejectHead() {
 	c.gateway.count(countHeadMemoryFull)
 	c.readClosed.Store(true)
-	_ = c.SetWriteDeadline(time.Now().Add(writeGrace))    // fails on a closed connection only, as the write does then
-	_, _ = io.WriteString(c.Conn, headMemoryFullResponse) // the connection ends in any case
+	_ = c.SetWriteDeadline(time.Now().Add(responseWriteGrace)) // fails on a closed connection only, as the write does then
+	_, _ = io.WriteString(c.Conn, headMemoryFullResponse)      // the connection ends in any case
 }
 
 // Close implements net.Conn.
--- a/internal/daemons/gateway/clientconn_test.go
+++ b/internal/daemons/gateway/clientconn_test.go
@@ -56,13 +56,13 @@
 	if ran := up.Executions(); ran["bad"]+ran["smuggled"] > 0 || ran["good"] != 3 {
 		t.Error(ran)
 	}
-	if n := f.bodies.Used(); n != 0 {
+	if n := f.bodyBudget.Used(); n != 0 {
 		t.Errorf("%d bytes of bodies are still reserved", n)
 	}
 }
 
 // Guards clients that send too slowly: what is not complete was not executed, and 408 says so.
-func TestLateBodyIs408(t *testing.T) {
+func TestSlowBodyGets408(t *testing.T) {
 	up := startReplica(t, "i0")
 	addr, _, _ := startGateway(t, `"max_body_bytes":1000`, up)
 	statuses := sendRaw(t, addr, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: 1\r\nX-Deadline-Ms: 100\r\nContent-Length: 10\r\n\r\nhalf")
@@ -73,7 +73,7 @@
 
 // Guards header limits and idle timeouts of a later configuration: what it allows holds also for a connection that was
 // idle when it came.
-func TestLimitsOfALaterConfiguration(t *testing.T) {
+func TestNewConfigurationLimitsApplyToIdleConnection(t *testing.T) {
 	up := startReplica(t, "i0")
 	addr, f, _ := startGateway(t, `"max_header_bytes":1000,"idle_timeout":"150ms"`, up)
 	c := dial(t, addr)
@@ -81,7 +81,7 @@
 	br := bufio.NewReader(c)
 	readWithin(t, c, 50*time.Millisecond)
 	_, _ = br.Peek(1) // it is idle until the deadline
-	f.applyUpdate(&messages.StateUpdate{Sequence: 2, ConfigVersion: 2, Config: limited(2, `"max_header_bytes":30000,"idle_timeout":"30s"`)})
+	f.applyUpdate(&messages.StateUpdate{Sequence: 2, ConfigVersion: 2, Config: testConfigWithLimits(2, `"max_header_bytes":30000,"idle_timeout":"30s"`)})
 	readWithin(t, c, 400*time.Millisecond)
 	if _, err := br.Peek(1); err == nil || errors.Is(err, io.EOF) {
 		t.Fatal("an idle connection ended by an earlier configuration:", err)
@@ -98,7 +98,7 @@
 func TestIdleTimeoutOfConfigurationInForce(t *testing.T) {
 	up := startReplica(t, "i0")
 	addr, f, _ := startGateway(t, `"header_timeout":"100ms","idle_timeout":"100ms"`, up)
-	f.applyUpdate(&messages.StateUpdate{Sequence: 2, ConfigVersion: 2, Config: limited(2, `"header_timeout":"150ms","idle_timeout":"30s"`)})
+	f.applyUpdate(&messages.StateUpdate{Sequence: 2, ConfigVersion: 2, Config: testConfigWithLimits(2, `"header_timeout":"150ms","idle_timeout":"30s"`)})
 	c := dial(t, addr)
 	defer closeQuietly(c)
 	br := bufio.NewReader(c)
--- a/internal/daemons/gateway/crowd_test.go
+++ b/internal/daemons/gateway/connectionhogs_test.go
@@ -19,37 +19,37 @@
 )
 
 const (
-	crowdDescriptors = 200 // of the gateway, by its settings
-	crowdSize        = 160 // callers that hold connections: more than there is room for
+	exhaustionDescriptors = 200 // of the gateway, by its settings
+	hogCount              = 160 // callers that hold connections: more than there is room for
 )
 
-// crowd holds connections of a gateway in one way until stop is closed.
-type crowd struct {
+// connectionHog holds connections of a gateway in one way until stop is closed.
+type connectionHog struct {
 	name string
 	hold func(conn net.Conn, stop <-chan struct{})
 }
 
-// crowds are the ways in which callers take up a gateway's connections. Ordinary clients do some of it too.
-var crowds = []crowd{
+// connectionHogs are the ways in which callers take up a gateway's connections. Ordinary clients do some of it too.
+var connectionHogs = []connectionHog{
 	{"silent", func(_ net.Conn, stop <-chan struct{}) { <-stop }},
 	{"half a head", func(conn net.Conn, stop <-chan struct{}) {
 		_, _ = io.WriteString(conn, "POST /x/1 HTTP/1.1\r\nHost: h.exa") // the gateway may have closed it
 		<-stop
 	}},
 	{"a head byte by byte", func(conn net.Conn, stop <-chan struct{}) {
-		drip(conn, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\n", stop)
+		sendSlowly(conn, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\n", stop)
 	}},
 	{"a body byte by byte", func(conn net.Conn, stop <-chan struct{}) {
 		_, _ = io.WriteString(conn, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: drip\r\nContent-Length: 900\r\n\r\n") // as above
-		drip(conn, strings.Repeat("b", 900), stop)
+		sendSlowly(conn, strings.Repeat("b", 900), stop)
 	}},
 	{"at rest after a response", func(conn net.Conn, stop <-chan struct{}) {
-		_, _ = io.WriteString(conn, crowdRequest("rest", "2")) // as above
+		_, _ = io.WriteString(conn, rawPost("rest", "2")) // as above
 		_, _, _ = readResponse(bufio.NewReader(conn))
 		<-stop
 	}},
 	{"a response left unread", func(conn net.Conn, stop <-chan struct{}) {
-		_, _ = io.WriteString(conn, crowdRequest("unread", "2")) // as above
+		_, _ = io.WriteString(conn, rawPost("unread", "2")) // as above
 		<-stop
 	}},
 	{"connect and reset", func(conn net.Conn, stop <-chan struct{}) {
@@ -70,12 +70,12 @@
 	}},
 }
 
-func crowdRequest(id, body string) string {
+func rawPost(id, body string) string {
 	return fmt.Sprintf("POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// drip sends a text at five bytes a second.
-func drip(conn net.Conn, text string, stop <-chan struct{}) {
+// sendSlowly sends a text at five bytes a second.
+func sendSlowly(conn net.Conn, text string, stop <-chan struct{}) {
 	for _, b := range []byte(text) {
 		if _, err := conn.Write([]byte{b}); err != nil {
 			break
@@ -89,20 +89,20 @@
 	<-stop
 }
 
-// crowdedGateway is a gateway with few descriptors before one replica.
-func crowdedGateway(t testing.TB) (address string, gateway *Gateway) {
+// startSmallGateway is a gateway with few descriptors before one replica.
+func startSmallGateway(t testing.TB) (address string, gateway *Gateway) {
 	t.Helper()
 	replica := startReplica(t, "i0")
 	parsed, err := nodesettings.Parse([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	parsed.FileDescriptors = crowdDescriptors
+	parsed.FileDescriptors = exhaustionDescriptors
 	if gateway, err = New(parsed, program.NewLogger(io.Discard, "gateway")); err != nil {
 		t.Fatal(err)
 	}
 	gateway.frontListener = listen(t)
-	gateway.applyUpdate(crowdedUpdate(replica))
+	gateway.applyUpdate(smallGatewayUpdate(replica))
 	t.Cleanup(func() { closeQuietly(gateway.server.Load()) })
 	stopUpdates := make(chan struct{})
 	go func() { // two seconds without an update, a gateway sends replicas less
@@ -119,25 +119,25 @@
 	return gateway.frontListener.Addr().String(), gateway
 }
 
-func crowdedUpdate(replica *upstream.Replica) *messages.StateUpdate {
+func smallGatewayUpdate(replica *upstream.Replica) *messages.StateUpdate {
 	update := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, GatewayCount: 1,
-		Config: limited(1, `"header_timeout":"3s","idle_timeout":"15s","max_body_bytes":1000`)}
+		Config: testConfigWithLimits(1, `"header_timeout":"3s","idle_timeout":"15s","max_body_bytes":1000`)}
 	instance := instanceOf(replica)
 	instance.Slots = 1000
 	update.Instances = append(update.Instances, instance)
 	return update
 }
 
-// gather has a crowd take all connections that the gateway has to give.
-func gather(t testing.TB, crowd crowd, address string, gateway *Gateway) (disperse func()) {
+// occupyConnections has a crowd take all connections that the gateway has to give.
+func occupyConnections(t testing.TB, crowd connectionHog, address string, gateway *Gateway) (disperse func()) {
 	t.Helper()
 	stop := make(chan struct{})
-	conns := make([]net.Conn, crowdSize)
+	conns := make([]net.Conn, hogCount)
 	for i := range conns {
 		conns[i] = dial(t, address)
 		go crowd.hold(conns[i], stop)
 	}
-	if crowd.name != "connect and reset" && !until(func() bool { return gateway.frontConns.OpenCount() >= gateway.frontConns.Limit()*7/8 }) {
+	if crowd.name != "connect and reset" && !waitUntil(func() bool { return gateway.frontConns.OpenCount() >= gateway.frontConns.Limit()*7/8 }) {
 		t.Fatalf("%s: %d connections are open", crowd.name, gateway.frontConns.OpenCount())
 	}
 	return func() {
@@ -148,22 +148,22 @@
 	}
 }
 
-// keptClient sends its requests on one connection for as long as the gateway keeps it.
-type keptClient struct {
+// persistentClient sends its requests on one connection for as long as the gateway keeps it.
+type persistentClient struct {
 	t       testing.TB
 	address string
 	conn    net.Conn
 }
 
-func newKeptClient(t testing.TB, address string) *keptClient {
-	client := &keptClient{t: t, address: address, conn: dial(t, address)}
-	client.ask("first")
+func newPersistentClient(t testing.TB, address string) *persistentClient {
+	client := &persistentClient{t: t, address: address, conn: dial(t, address)}
+	client.expectOK("first")
 	return client
 }
 
-// ask sends a request, which must be answered: a connection in use is not closed but with a response that says so.
-func (c *keptClient) ask(id string) {
-	if _, err := io.WriteString(c.conn, crowdRequest(id, "ab")); err != nil {
+// expectOK sends a request, which must be answered: a connection in use is not closed but with a response that says so.
+func (c *persistentClient) expectOK(id string) {
+	if _, err := io.WriteString(c.conn, rawPost(id, "ab")); err != nil {
 		c.t.Errorf("%s: %v", id, err)
 	}
 	readWithin(c.t, c.conn, time.Second)
@@ -177,10 +177,10 @@
 	}
 }
 
-// firstByte sends a request on a connection and returns how long its response took to begin; not ok: it did not within a second, or was none.
-func firstByte(conn net.Conn, id string) (took time.Duration, ok bool) {
+// timeRequest sends a request on a connection and returns how long its response took to begin; not ok: it did not within a second, or was none.
+func timeRequest(conn net.Conn, id string) (took time.Duration, ok bool) {
 	began := time.Now()
-	if _, err := io.WriteString(conn, crowdRequest(id, "ab")); err != nil {
+	if _, err := io.WriteString(conn, rawPost(id, "ab")); err != nil {
 		return 0, false
 	}
 	if conn.SetReadDeadline(began.Add(time.Second)) != nil {
@@ -199,54 +199,54 @@
 	return len(files)
 }
 
-// TestCrowdsDoNotShutOthersOut guards clients against others that hold the gateway's connections, in whatever way: each sound request, on a new
+// TestConnectionHogsDoNotBlockOtherClients guards clients against others that hold the gateway's connections, in whatever way: each sound request, on a new
 // connection or on a kept one in use, is answered within the second that its client waits. Once the crowd has left, so have its connections.
-func TestCrowdsDoNotShutOthersOut(t *testing.T) {
-	for _, crowd := range crowds {
+func TestConnectionHogsDoNotBlockOtherClients(t *testing.T) {
+	for _, crowd := range connectionHogs {
 		t.Run(crowd.name, func(t *testing.T) {
-			address, gateway := crowdedGateway(t)
+			address, gateway := startSmallGateway(t)
 			before := openFiles(t)
-			disperse := gather(t, crowd, address, gateway)
-			kept := newKeptClient(t, address) // one that rested before may be closed by the crowd that rests after it
+			disperse := occupyConnections(t, crowd, address, gateway)
+			kept := newPersistentClient(t, address) // one that rested before may be closed by the crowd that rests after it
 			for i := range 30 {
 				fresh := dial(t, address)
-				if _, ok := firstByte(fresh, fmt.Sprint("new", i)); !ok {
+				if _, ok := timeRequest(fresh, fmt.Sprint("new", i)); !ok {
 					t.Errorf("request %d on a new connection is not answered", i)
 				}
 				closeQuietly(fresh)
-				kept.ask(fmt.Sprint("kept", i))
+				kept.expectOK(fmt.Sprint("kept", i))
 			}
 			disperse()
 			closeQuietly(kept.conn)
-			if !until(func() bool { return gateway.frontConns.OpenCount() == 0 }) {
+			if !waitUntil(func() bool { return gateway.frontConns.OpenCount() == 0 }) {
 				t.Errorf("%d connections stay", gateway.frontConns.OpenCount())
 			}
 			gateway.pool.CloseIdle("i0")
-			if !until(func() bool { return openFiles(t) <= before }) {
+			if !waitUntil(func() bool { return openFiles(t) <= before }) {
 				t.Errorf("%d files are open, %d before", openFiles(t), before)
 			}
-			if gateway.heads.Used()+gateway.bodies.Used() != 0 {
-				t.Error("memory of heads and bodies stays reserved:", gateway.heads.Used(), gateway.bodies.Used())
+			if gateway.headBudget.Used()+gateway.bodyBudget.Used() != 0 {
+				t.Error("memory of heads and bodies stays reserved:", gateway.headBudget.Used(), gateway.bodyBudget.Used())
 			}
 		})
 	}
 }
 
-// BenchmarkCrowds compares the time until the first byte of sound requests, each on a new connection, without a crowd and beside one: the ninety-ninth
+// BenchmarkConnectionHogs compares the time until the first byte of sound requests, each on a new connection, without a crowd and beside one: the ninety-ninth
 // hundredth in milliseconds, and how many were not answered within a second.
-func BenchmarkCrowds(b *testing.B) {
-	for _, crowd := range append([]crowd{{name: "none"}}, crowds...) {
+func BenchmarkConnectionHogs(b *testing.B) {
+	for _, crowd := range append([]connectionHog{{name: "none"}}, connectionHogs...) {
 		b.Run(crowd.name, func(b *testing.B) {
-			address, gateway := crowdedGateway(b)
+			address, gateway := startSmallGateway(b)
 			if crowd.hold != nil {
-				defer gather(b, crowd, address, gateway)()
+				defer occupyConnections(b, crowd, address, gateway)()
 			}
 			var times []time.Duration
 			failed := 0
 			for i := range b.N {
 				conn := dial(b, address)
 				began := time.Now()
-				if _, ok := firstByte(conn, fmt.Sprint(i)); ok {
+				if _, ok := timeRequest(conn, fmt.Sprint(i)); ok {
 					times = append(times, time.Since(began))
 				} else {
 					failed++
@@ -262,9 +262,9 @@
 	}
 }
 
-// TestHeadsHoldBoundedMemory guards the gateway's memory against many callers with long heads that never end.
-func TestHeadsHoldBoundedMemory(t *testing.T) {
-	address, gateway := crowdedGateway(t)
+// TestHeadMemoryIsBounded guards the gateway's memory against many callers with long heads that never end.
+func TestHeadMemoryIsBounded(t *testing.T) {
+	address, gateway := startSmallGateway(t)
 	long := "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Long: " + strings.Repeat("z", 60<<10)
 	memory := float64(int64(64) << 20)
 	limit := int64(memory * headMemoryShare)
@@ -273,23 +273,23 @@
 		defer closeQuietly(conn)
 		send(t, conn, "%s", long)
 	}
-	if !until(func() bool { return strings.Contains(gateway.counters.String(), string(countHeadMemoryFull)) }) {
-		t.Fatal("no head was turned away:", gateway.heads.Used(), "bytes")
+	if !waitUntil(func() bool { return strings.Contains(gateway.counters.String(), string(countHeadMemoryFull)) }) {
+		t.Fatal("no head was turned away:", gateway.headBudget.Used(), "bytes")
 	}
-	if used := gateway.heads.Used(); used > limit {
+	if used := gateway.headBudget.Used(); used > limit {
 		t.Errorf("heads hold %d bytes of %d", used, limit)
 	}
 	conn := dial(t, address)
 	defer closeQuietly(conn)
-	if _, ok := firstByte(conn, "sound"); !ok {
+	if _, ok := timeRequest(conn, "sound"); !ok {
 		t.Error("a short head is not served beside them")
 	}
 }
 
-// TestReadinessIsServedBesideSilentCallers guards the platform's view of the gateway: its readiness port had no bound on connections.
-func TestReadinessIsServedBesideSilentCallers(t *testing.T) {
+// TestReadinessWithSilentConnections guards the platform's view of the gateway: its readiness port had no bound on connections.
+func TestReadinessWithSilentConnections(t *testing.T) {
 	readiness := freeAddress(t).String()
-	parsed, err := nodesettings.Parse(fmt.Appendf(nil, settingsOfCutOffGateway, freeAddress(t).String(), readiness, 7000, 7001))
+	parsed, err := nodesettings.Parse(fmt.Appendf(nil, isolatedGatewaySettings, freeAddress(t).String(), readiness, 7000, 7001))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemons/gateway/controlstream.go
+++ b/internal/daemons/gateway/controlstream.go
@@ -20,11 +20,11 @@
 	reconnectDelay      = 100 * time.Millisecond
 )
 
-// followControlPlane holds a stream from one control-plane member after the other until ctx ends.
-func (g *Gateway) followControlPlane(ctx context.Context) {
+// maintainControlStream holds a stream from one control-plane member after the other until ctx ends.
+func (g *Gateway) maintainControlStream(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, member := range g.candidates() {
-			if g.followMember(ctx, member) {
+			if g.runStream(ctx, member) {
 				break // it was established: begin again with the best candidate
 			}
 		}
@@ -46,27 +46,27 @@
 
 // controlStream is one connection to a control-plane member.
 type controlStream struct {
-	gateway     *Gateway
-	member      string // its address
-	conn        *peertransport.Conn
-	established bool // the member sent a full state
-	checkedAt   time.Time
+	gateway      *Gateway
+	member       string // its address
+	conn         *peertransport.Conn
+	established  bool // the member sent a full state
+	localCheckAt time.Time
 }
 
-// followMember holds a stream from a member until it breaks or a better member is there. It tells whether the stream was
+// runStream holds a stream from a member until it breaks or a better member is there. It tells whether the stream was
 // established: whether the member sent a full state.
-func (g *Gateway) followMember(ctx context.Context, member string) (established bool) {
+func (g *Gateway) runStream(ctx context.Context, member string) (established bool) {
 	netConn, err := peertransport.NewDialer(controlDialTimeout, streamTimeout).DialContext(ctx, "tcp", g.settings.DialAddress(member))
 	if err != nil {
 		return false
 	}
-	stream := &controlStream{gateway: g, member: member, conn: peertransport.NewConn(netConn), checkedAt: time.Now()}
+	stream := &controlStream{gateway: g, member: member, conn: peertransport.NewConn(netConn), localCheckAt: time.Now()}
 	defer stream.conn.Shutdown()
 	self := fleet.Member{Addr: g.settings.IP.String(), Zone: g.settings.Zone}
 	stream.send(&peertransport.Frame{Hello: &messages.Hello{Gateway: g.settings.Name, Member: self}})
 	done := make(chan struct{})
 	defer close(done)
-	defer g.streamEnded()
+	defer g.onStreamEnd()
 	for {
 		_ = netConn.SetReadDeadline(time.Now().Add(streamTimeout)) // fails on a closed connection only, as the read does then
 		frame, err := peertransport.ReadFrame(netConn)
@@ -86,7 +86,7 @@
 		if !stream.established && frame.StateUpdate.Full {
 			stream.establish(frame.StateUpdate.Sequence, done)
 		}
-		if stream.shouldMoveHome(ctx) {
+		if stream.shouldSwitchToLocalZone(ctx) {
 			return true
 		}
 	}
@@ -107,24 +107,24 @@
 	}
 }
 
-// shouldMoveHome tells whether the stream comes from a member of another zone though one of the own zone can be called.
+// shouldSwitchToLocalZone tells whether the stream comes from a member of another zone though one of the own zone can be called.
 // The call is tried every localMemberInterval.
-func (s *controlStream) shouldMoveHome(ctx context.Context) bool {
-	if !s.gateway.hasBetterZoneThan(s.member) || time.Since(s.checkedAt) <= localMemberInterval {
+func (s *controlStream) shouldSwitchToLocalZone(ctx context.Context) bool {
+	if !s.gateway.hasLocalAlternativeTo(s.member) || time.Since(s.localCheckAt) <= localMemberInterval {
 		return false
 	}
 	dialer := net.Dialer{Timeout: controlDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", s.gateway.settings.DialAddress(s.gateway.candidates()[0]))
 	if err != nil {
-		s.checkedAt = time.Now()
+		s.localCheckAt = time.Now()
 		return false
 	}
 	closeQuietly(conn)
 	return true
 }
 
-// hasBetterZoneThan tells whether members of the gateway's own zone are known and member is none of them.
-func (g *Gateway) hasBetterZoneThan(member string) bool {
+// hasLocalAlternativeTo tells whether members of the gateway's own zone are known and member is none of them.
+func (g *Gateway) hasLocalAlternativeTo(member string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	known := false
@@ -140,8 +140,8 @@
 	return known
 }
 
-// streamEnded drops what holds only while the stream does.
-func (g *Gateway) streamEnded() {
+// onStreamEnd drops what holds only while the stream does.
+func (g *Gateway) onStreamEnd() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.router.StreamEnded(g.now())
@@ -168,7 +168,7 @@
 			invariant.NotBelow(invariant.ConfigVersionMonotonic, config.Version, previous.Version)
 		}
 		g.logger.Info().Str("event", "config_applied").Uint64("version", config.Version).Int("routes", config.RouteCount).Msg("")
-		g.openFront(config.Limits)
+		g.startFrontServer(config.Limits)
 	}
 	if result.FullTable {
 		g.hasTable.Store(true)
--- a/internal/daemons/gateway/counters.go
+++ b/internal/daemons/gateway/counters.go
@@ -59,8 +59,8 @@
 	known.(*figures.Counter).Inc()
 }
 
-// takeSinceLogged returns what was counted since the last call.
-func (e *eventCounters) takeSinceLogged() map[counter]uint64 {
+// deltaSinceLogged returns what was counted since the last call.
+func (e *eventCounters) deltaSinceLogged() map[counter]uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	counts := map[counter]uint64{}
@@ -90,7 +90,7 @@
 
 // logCounters logs what was counted since the last call.
 func (g *Gateway) logCounters() {
-	counts := g.counters.takeSinceLogged()
+	counts := g.counters.deltaSinceLogged()
 	if len(counts) == 0 {
 		return
 	}
--- a/internal/daemons/gateway/failures.go
+++ b/internal/daemons/gateway/failures.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	maxKeptFailures   = 256 // newest failed requests that are kept in memory
-	maxLoggedIDBytes  = 64  // of an attempt's identity, which the client chose
-	maxLoggedAttempts = 8   // more cannot be made of one request: route limit, failed connections
+	maxRecordedFailures = 256 // newest failed requests that are kept in memory
+	maxLoggedIDBytes    = 64  // of an attempt's identity, which the client chose
+	maxLoggedAttempts   = 8   // more cannot be made of one request: route limit, failed connections
 )
 
 // endedBy says who ended a request without success.
@@ -42,17 +42,17 @@
 
 // AttemptRecord is one attempt of a failed request.
 type AttemptRecord struct {
-	Endpoint    string        `json:"endpoint"`
-	Address     string        `json:"address"`
-	TableUpdate uint64        `json:"table_update"` // number of the control plane's update in force when the endpoint was picked
-	SentAfter   time.Duration `json:"sent_after_ns"`
-	Duration    time.Duration `json:"duration_ns"`
-	Deadline    time.Duration `json:"deadline_ns"` // left when it was sent
-	Execution   string        `json:"execution"`   // pending while its end, which the request did not wait for, has not come
-	Cause       replica.Cause `json:"cause,omitempty"`
-	Status      int           `json:"status,omitempty"` // of the replica's response
-	ConnID      uint64        `json:"conn,omitempty"`
-	ConnRequestCount     int           `json:"conn_use,omitempty"`
+	Endpoint         string        `json:"endpoint"`
+	Address          string        `json:"address"`
+	TableUpdate      uint64        `json:"table_update"` // number of the control plane's update in force when the endpoint was picked
+	SentAfter        time.Duration `json:"sent_after_ns"`
+	Duration         time.Duration `json:"duration_ns"`
+	Deadline         time.Duration `json:"deadline_ns"` // left when it was sent
+	Execution        string        `json:"execution"`   // pending while its end, which the request did not wait for, has not come
+	Cause            replica.Cause `json:"cause,omitempty"`
+	Status           int           `json:"status,omitempty"` // of the replica's response
+	ConnID           uint64        `json:"conn,omitempty"`
+	ConnRequestCount int           `json:"conn_use,omitempty"`
 }
 
 // executionPending is the Execution of an attempt that had not ended with its request.
@@ -61,7 +61,7 @@
 // failureLog keeps the newest failed requests. The zero value is ready; it is safe for concurrent use.
 type failureLog struct {
 	mu    sync.Mutex
-	ring  [maxKeptFailures]FailedRequest
+	ring  [maxRecordedFailures]FailedRequest
 	count uint64 // of all so far; the next one goes to ring[count % maxKeptFailures]
 }
 
@@ -69,7 +69,7 @@
 func (l *failureLog) add(failed FailedRequest) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ring[l.count%maxKeptFailures] = failed
+	l.ring[l.count%maxRecordedFailures] = failed
 	l.count++
 	return l.count
 }
@@ -79,10 +79,10 @@
 func (l *failureLog) complete(number uint64, attempt AttemptRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.count-number >= maxKeptFailures {
+	if l.count-number >= maxRecordedFailures {
 		return
 	}
-	kept := &l.ring[(number-1)%maxKeptFailures]
+	kept := &l.ring[(number-1)%maxRecordedFailures]
 	kept.Attempts = slices.Clone(kept.Attempts) // readers may still have the one that was there
 	for i, known := range kept.Attempts {
 		if known.Endpoint == attempt.Endpoint && known.Execution == executionPending {
@@ -96,10 +96,10 @@
 func (l *failureLog) newest() []FailedRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept := min(l.count, maxKeptFailures)
+	kept := min(l.count, maxRecordedFailures)
 	failures := make([]FailedRequest, 0, kept)
 	for i := range kept {
-		failures = append(failures, l.ring[(l.count-1-i)%maxKeptFailures])
+		failures = append(failures, l.ring[(l.count-1-i)%maxRecordedFailures])
 	}
 	return failures
 }
--- a/internal/daemons/gateway/failures_test.go
+++ b/internal/daemons/gateway/failures_test.go
@@ -12,9 +12,9 @@
 	"zincloft.example/zincloft/internal/testbeds/standin/upstream"
 )
 
-// TestFailedRequestIsExplained asks what is kept of requests that failed: whom they were sent to, what came of it and why there was
+// TestFailedRequestRecord asks what is kept of requests that failed: whom they were sent to, what came of it and why there was
 // no further attempt.
-func TestFailedRequestIsExplained(t *testing.T) {
+func TestFailedRequestRecord(t *testing.T) {
 	Convey("Given an unsafe route and a replica that executes a request and closes", t, func() {
 		f := newFixture("unsafe", 1)
 		f.replicas[0].SetBehaviours(upstream.ClosesWithoutResponse)
@@ -45,7 +45,7 @@
 		So(kept, ShouldHaveLength, 1)
 		So(kept[0].Reason, ShouldEqual, string(countNoRoute))
 		var figures strings.Builder
-		f.gateway.figures.set.WritePrometheus(&figures)
+		f.gateway.metrics.set.WritePrometheus(&figures)
 		So(figures.String(), ShouldContainSubstring, `zincloft_gateway_requests_total{outcome="answered"} 1`)
 		So(figures.String(), ShouldContainSubstring, `zincloft_gateway_requests_total{outcome="rejected"} 1`)
 		So(figures.String(), ShouldContainSubstring, `zincloft_invariant_violations_total{name="unsafe_request_executed_once"} 0`)
@@ -53,13 +53,13 @@
 	})
 }
 
-func TestFailureLogKeepsTheNewest(t *testing.T) {
+func TestFailureLogKeepsNewest(t *testing.T) {
 	var kept failureLog
-	for i := range maxKeptFailures + 3 {
+	for i := range maxRecordedFailures + 3 {
 		kept.add(FailedRequest{AttemptID: fmt.Sprint(i)})
 	}
 	newest := kept.newest()
-	if len(newest) != maxKeptFailures || newest[0].AttemptID != fmt.Sprint(maxKeptFailures+2) || newest[maxKeptFailures-1].AttemptID != "3" {
+	if len(newest) != maxRecordedFailures || newest[0].AttemptID != fmt.Sprint(maxRecordedFailures+2) || newest[maxRecordedFailures-1].AttemptID != "3" {
 		t.Errorf("%d kept, from %s to %s", len(newest), newest[0].AttemptID, newest[len(newest)-1].AttemptID)
 	}
 }
--- a/internal/daemons/gateway/fixture_test.go
+++ b/internal/daemons/gateway/fixture_test.go
@@ -29,15 +29,15 @@
 rule_terms: {bounds: {retry_budget_slack: 200}}
 `
 
-// configured is a configuration with one route of a kind, and a limit of 100 bytes for bodies.
-func configured(version int, kind string) []byte {
+// testConfig is a configuration with one route of a kind, and a limit of 100 bytes for bodies.
+func testConfig(version int, kind string) []byte {
 	return []byte(fmt.Sprintf(`{"version":"%08x","services":[{"name":"svc","cold_per_s":4}],"limits":{"max_body_bytes":100},
 "virtual_hosts":[{"hostname":"h.example","path_routes":[{"name":"r","path_prefix":"/x/","kind":%q,"timeout":"3s","target_latency":"1s","max_attempts":2,"service":"svc"}]}]}`, version, kind))
 }
 
-// limited is a configuration with one unsafe route and other limits.
-func limited(version int, limits string) []byte {
-	return bytes.Replace(configured(version, "unsafe"), []byte(`"max_body_bytes":100`), []byte(limits), 1)
+// testConfigWithLimits is a configuration with one unsafe route and other limits.
+func testConfigWithLimits(version int, limits string) []byte {
+	return bytes.Replace(testConfig(version, "unsafe"), []byte(`"max_body_bytes":100`), []byte(limits), 1)
 }
 
 // fixture is a gateway whose handler is called without a listener, and its replicas.
@@ -52,9 +52,9 @@
 	So(err, ShouldBeNil)
 	gateway, err := New(parsed, program.NewLogger(io.Discard, "gateway"))
 	So(err, ShouldBeNil)
-	gateway.frontOnce.Do(func() {}) // requests come by the handler here, not by a listener
+	gateway.frontServerOnce.Do(func() {}) // requests come by the handler here, not by a listener
 	f := &fixture{gateway: gateway}
-	update := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: configured(1, kind)}
+	update := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: testConfig(1, kind)}
 	for i := range replicas {
 		replica, err := upstream.Start(fmt.Sprintf("i%d", i))
 		So(err, ShouldBeNil)
@@ -62,7 +62,7 @@
 		update.Instances = append(update.Instances, instanceOf(replica))
 	}
 	gateway.applyUpdate(update)
-	earnRetries(gateway)
+	fillRetryBudget(gateway)
 	Reset(func() {
 		for _, replica := range f.replicas {
 			replica.Close()
@@ -71,8 +71,8 @@
 	return f
 }
 
-// earnRetries has a gateway's retry budget hold what it earns by some traffic: it begins empty.
-func earnRetries(gateway *Gateway) {
+// fillRetryBudget has a gateway's retry budget hold what it earns by some traffic: it begins empty.
+func fillRetryBudget(gateway *Gateway) {
 	const requests = 200
 	for range requests {
 		gateway.startRequest("svc")
@@ -101,15 +101,15 @@
 	return w
 }
 
-// all sets what every replica does next.
-func (f *fixture) all(behaviours ...upstream.Behaviour) {
+// setBehaviours sets what every replica does next.
+func (f *fixture) setBehaviours(behaviours ...upstream.Behaviour) {
 	for _, replica := range f.replicas {
 		replica.SetBehaviours(behaviours...)
 	}
 }
 
-// executions counts how often the last request was executed.
-func (f *fixture) executions() (n int) {
+// lastRequestExecutions counts how often the last request was executed.
+func (f *fixture) lastRequestExecutions() (n int) {
 	for _, replica := range f.replicas {
 		n += replica.Executions()[fmt.Sprint(f.requests)]
 	}
@@ -146,12 +146,12 @@
 		t.Fatal(err)
 	}
 	gateway.frontListener = listen(t)
-	update := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: limited(1, limits)}
+	update := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: testConfigWithLimits(1, limits)}
 	for _, replica := range replicas {
 		update.Instances = append(update.Instances, instanceOf(replica))
 	}
 	gateway.applyUpdate(update)
-	earnRetries(gateway)
+	fillRetryBudget(gateway)
 	t.Cleanup(func() { closeQuietly(gateway.server.Load()) })
 	return gateway.frontListener.Addr().String(), gateway, log
 }
--- a/internal/daemons/gateway/forward.go
+++ b/internal/daemons/gateway/forward.go
@@ -21,19 +21,19 @@
 	route   gatewayconfig.Route
 	service string
 
-	request   replica.Request // of each attempt, but for the instance
-	attempted []string        // endpoints that an attempt was made at
-	ends      chan attemptEnd // has room for every attempt, so that none blocks on a request that is over
-	pending   int             // attempts that have not ended
+	request   replica.Request    // of each attempt, but for the instance
+	attempted []string           // endpoints that an attempt was made at
+	results   chan attemptResult // has room for every attempt, so that none blocks on a request that is over
+	pending   int                // attempts that have not ended
 
-	progress   retry.State
-	atReplicas time.Duration // the time of the ended attempts, summed
+	progress    retry.State
+	attemptTime time.Duration // the time of the ended attempts, summed
 
-	arrivedAt     time.Time
-	configVersion uint64
-	failedEnds    []attemptEnd // attempts that ended without a response to pass on, to explain the request if it fails
-	reason        string       // why no further attempt was made
-	failure       uint64       // the number of the record of this request's failure; 0: there is none
+	arrivedAt      time.Time
+	configVersion  uint64
+	failedAttempts []attemptResult // attempts that ended without a response to pass on, to explain the request if it fails
+	reason         string          // why no further attempt was made
+	failureNumber  uint64          // the number of the record of this request's failure; 0: there is none
 
 	// strongest is the outcome so far that says most about execution: that a later attempt was not executed says nothing
 	// of an earlier one.
@@ -44,10 +44,10 @@
 type decision int
 
 const (
-	awaitPending    decision = iota // wait for the attempts still pending; without any the request is over
-	passResponse                    // pass the attempt's response on
-	attemptAgain                    // make another attempt
-	abortConnection                 // end the client's connection: nobody waits for a response
+	waitForPending decision = iota // wait for the attempts still pending; without any the request is over
+	returnResponse                 // pass the attempt's response on
+	retryRequest                   // make another attempt
+	abortClient                    // end the client's connection: nobody waits for a response
 )
 
 // forward makes attempts at replicas until one of them has answered or no retry is allowed.
@@ -70,8 +70,8 @@
 	}
 	g.startRequest(f.service)
 	startedAt := time.Now()
-	defer func() { g.endRequest(f.route.Idempotent, time.Since(startedAt), f.atReplicas) }()
-	defer f.discard()
+	defer func() { g.endRequest(f.route.Idempotent, time.Since(startedAt), f.attemptTime) }()
+	defer f.discardResponses()
 	if rejected := f.firstAttempt(r.Context()); rejected.isRejection() {
 		f.reject(w, r, rejected)
 		return
@@ -80,26 +80,26 @@
 		select {
 		case <-hedge:
 			hedge = nil
-			f.hedge()
-		case end := <-f.ends:
-			f.record(end)
+			f.startHedge()
+		case end := <-f.results:
+			f.recordResult(end)
 			switch f.decide(r.Context(), end.Outcome) {
-			case passResponse:
-				f.pass(w, r, end.Response)
+			case returnResponse:
+				f.writeReplicaResponse(w, r, end.Response)
 				return
-			case attemptAgain:
-				if !f.attempt(f.choose(false)) {
+			case retryRequest:
+				if !f.startAttempt(f.pickEndpoint(false)) {
 					f.reason = reasonNoEndpoint
 				}
-			case abortConnection:
-				f.gateway.figures.failed.Inc()
-				f.fail(0, endedByClient)
+			case abortClient:
+				f.gateway.metrics.failed.Inc()
+				f.recordFailure(0, endedByClient)
 				panic(http.ErrAbortHandler)
-			case awaitPending:
+			case waitForPending:
 			}
 		}
 	}
-	f.answer(w, r)
+	f.finish(w, r)
 }
 
 func newForwarding(g *Gateway, r *http.Request, request clientRequest) forwarding {
@@ -120,7 +120,7 @@
 			Service:         service,
 			WaitForDeadline: !route.Idempotent,
 		},
-		ends:          make(chan attemptEnd, route.MaxAttempts+retry.MaxConnectFailures+1),
+		results:       make(chan attemptResult, route.MaxAttempts+retry.MaxConnectFailures+1),
 		progress:      retry.State{Idempotent: route.Idempotent, MaxAttempts: route.MaxAttempts, LatencyTarget: route.LatencyTarget},
 		strongest:     replica.Outcome{Execution: retry.NotExecuted},
 		arrivedAt:     request.arrivedAt,
@@ -138,8 +138,8 @@
 	if !retry.EnoughTime(f.timeLeft(), f.route.LatencyTarget) {
 		return rejection{status: http.StatusServiceUnavailable, counter: countDeadlineTooClose, retryAfter: defaultRetryAfter}
 	}
-	choice := f.choose(false)
-	if f.attempt(choice) {
+	choice := f.pickEndpoint(false)
+	if f.startAttempt(choice) {
 		return rejection{}
 	}
 	rejected := rejection{status: http.StatusServiceUnavailable, counter: countOverloaded, retryAfter: choice.RetryAfter}
@@ -149,8 +149,8 @@
 	return rejected
 }
 
-// choose picks an endpoint that the request has not been at; where onlyIdle is set, one with free slots.
-func (f *forwarding) choose(onlyIdle bool) pickedEndpoint {
+// pickEndpoint picks an endpoint that the request has not been at; where onlyIdle is set, one with free slots.
+func (f *forwarding) pickEndpoint(onlyIdle bool) pickedEndpoint {
 	return f.gateway.pick(router.PickRequest{
 		Service:   f.service,
 		Attempted: f.attempted,
@@ -164,8 +164,8 @@
 	})
 }
 
-// attempt sends the request to the chosen endpoint, on a goroutine of its own. It tells whether there was one.
-func (f *forwarding) attempt(choice pickedEndpoint) bool {
+// startAttempt sends the request to the chosen endpoint, on a goroutine of its own. It tells whether there was one.
+func (f *forwarding) startAttempt(choice pickedEndpoint) bool {
 	if choice.EndpointID == "" {
 		return false
 	}
@@ -175,23 +175,23 @@
 	f.progress.Attempts++
 	request := f.request
 	request.InstanceID = choice.EndpointID
-	go f.gateway.runAttempt(choice, &request, f.ends)
+	go f.gateway.runAttempt(choice, &request, f.results)
 	return true
 }
 
-// hedge makes a second attempt beside the only pending one, where the retry budget and an idle endpoint allow it.
-func (f *forwarding) hedge() {
+// startHedge makes a second attempt beside the only pending one, where the retry budget and an idle endpoint allow it.
+func (f *forwarding) startHedge() {
 	if f.progress.Attempts < f.progress.MaxAttempts && f.pending == 1 && f.gateway.tryRetry(f.service) {
-		if f.attempt(f.choose(true)) {
+		if f.startAttempt(f.pickEndpoint(true)) {
 			f.gateway.count(countHedged)
 		}
 	}
 }
 
-// record takes an attempt's end in, and lets go of the response that does not matter any more.
-func (f *forwarding) record(end attemptEnd) {
+// recordResult takes an attempt's end in, and lets go of the response that does not matter any more.
+func (f *forwarding) recordResult(end attemptResult) {
 	f.pending--
-	f.atReplicas += end.latency
+	f.attemptTime += end.latency
 	if end.NotSent {
 		f.progress.Attempts--
 		f.progress.ConnectFailures++
@@ -199,7 +199,7 @@
 	f.progress.TimeLeft = f.timeLeft()
 	f.progress.ServerError = end.Response != nil && end.Response.Status >= http.StatusInternalServerError
 	if end.Execution != retry.Answered || f.progress.ServerError {
-		f.failedEnds = append(f.failedEnds, end)
+		f.failedAttempts = append(f.failedAttempts, end)
 	}
 	weaker := end.Outcome
 	if end.Execution >= f.strongest.Execution {
@@ -212,45 +212,45 @@
 // withdrawn from it in vain.
 func (f *forwarding) decide(client context.Context, outcome replica.Outcome) decision {
 	if outcome.Execution == retry.Answered && !f.progress.ServerError {
-		return passResponse
+		return returnResponse
 	}
 	if client.Err() != nil {
 		f.reason = string(countClientGone)
 		if f.route.Idempotent {
-			return abortConnection
+			return abortClient
 		}
-		return awaitPending // what has not been executed is not sent again, as nobody waits for it
+		return waitForPending // what has not been executed is not sent again, as nobody waits for it
 	}
 	refusal := retry.RefusalOf(outcome.Execution, f.progress)
 	f.reason = string(refusal)
 	if refusal != "" || f.pending > 0 {
-		return awaitPending
+		return waitForPending
 	}
 	if !outcome.NotSent && !f.gateway.tryRetry(f.service) {
 		f.reason = string(countRetryBudgetExhausted)
 		f.gateway.count(countRetryBudgetExhausted)
-		return awaitPending
+		return waitForPending
 	}
-	return attemptAgain
+	return retryRequest
 }
 
-// pass passes a replica's response on. A long one whose rest fails to come ends the client's connection.
-func (f *forwarding) pass(w http.ResponseWriter, r *http.Request, response *replica.Response) {
+// writeReplicaResponse passes a replica's response on. A long one whose rest fails to come ends the client's connection.
+func (f *forwarding) writeReplicaResponse(w http.ResponseWriter, r *http.Request, response *replica.Response) {
 	f.checkResponse(response)
 	if err := writeResponse(w, r, response); err != nil {
 		f.reason = string(replica.CauseTruncated)
-		f.gateway.figures.failed.Inc()
-		f.fail(0, endedByReplica)
+		f.gateway.metrics.failed.Inc()
+		f.recordFailure(0, endedByReplica)
 		panic(http.ErrAbortHandler)
 	}
-	f.gateway.figures.answered.Inc()
+	f.gateway.metrics.answered.Inc()
 }
 
-// answer ends a request whose attempts have all ended without a successful response.
-func (f *forwarding) answer(w http.ResponseWriter, r *http.Request) {
+// finish ends a request whose attempts have all ended without a successful response.
+func (f *forwarding) finish(w http.ResponseWriter, r *http.Request) {
 	if f.strongest.Execution == retry.Answered {
-		f.fail(f.strongest.Response.Status, endedByReplica)
-		f.pass(w, r, f.strongest.Response)
+		f.recordFailure(f.strongest.Response.Status, endedByReplica)
+		f.writeReplicaResponse(w, r, f.strongest.Response)
 		return
 	}
 	status := retry.FinalStatus(f.strongest.Execution, f.strongest.DeadlineExceeded)
@@ -258,38 +258,38 @@
 		f.reject(w, r, rejection{status: status, retryAfter: defaultRetryAfter})
 		return
 	}
-	f.gateway.figures.failed.Inc()
+	f.gateway.metrics.failed.Inc()
 	f.gateway.count(countFinalPrefix + counter(strconv.Itoa(status)))
-	f.fail(status, f.endedBy(r))
+	f.recordFailure(status, f.endedBy(r))
 	writeEmptyResponse(w, status)
 }
 
-// discard lets go of responses that are not passed on, also of those that pending attempts still bring.
-func (f *forwarding) discard() {
+// discardResponses lets go of responses that are not passed on, also of those that pending attempts still bring.
+func (f *forwarding) discardResponses() {
 	f.strongest.Discard()
 	if f.pending > 0 {
-		go pendingAttempts{f.gateway, f.ends, f.pending, f.failure, f.request.AttemptID, f.arrivedAt, f.request.Deadline}.discard()
+		go pendingAttempts{f.gateway, f.results, f.pending, f.failureNumber, f.request.AttemptID, f.arrivedAt, f.request.Deadline}.discard()
 	}
 }
 
 // pendingAttempts are attempts that outlast their request. They have a copy of what they need of it: a request without any costs nothing.
 type pendingAttempts struct {
-	gateway   *Gateway
-	ends      <-chan attemptEnd
-	count     int
-	failure   uint64 // the number of the request's record; 0: it did not fail
-	attemptID string
-	arrivedAt time.Time
-	deadline  time.Time
+	gateway       *Gateway
+	results       <-chan attemptResult
+	count         int
+	failureNumber uint64 // the number of the request's record; 0: it did not fail
+	attemptID     string
+	arrivedAt     time.Time
+	deadline      time.Time
 }
 
 // discard waits for the attempts' ends, and completes the record of the request's failure where there is one.
 func (p pendingAttempts) discard() {
 	for range p.count {
-		end := <-p.ends
+		end := <-p.results
 		end.Discard()
-		if p.failure != 0 {
-			p.gateway.completeFailure(p.failure, p.attemptID, newAttemptRecord(end, p.arrivedAt, p.deadline))
+		if p.failureNumber != 0 {
+			p.gateway.completeFailure(p.failureNumber, p.attemptID, newAttemptRecord(end, p.arrivedAt, p.deadline))
 		}
 	}
 }
--- a/internal/daemons/gateway/forward_test.go
+++ b/internal/daemons/gateway/forward_test.go
@@ -11,27 +11,27 @@
 	"zincloft.example/zincloft/internal/testbeds/standin/upstream"
 )
 
-func TestExecutionPromises(t *testing.T) {
+func TestExecutionGuarantees(t *testing.T) {
 	Convey("An unknown execution stays unknown, also where a later attempt is proven not to be executed", t, func() {
 		// Guards the promise of 503: the proof of a later attempt once hid the unknown execution of the first.
 		r := newFixture("safe", 2)
-		r.all(upstream.ClosesWithoutResponse)
+		r.setBehaviours(upstream.ClosesWithoutResponse)
 		r.replicas[0].SetBehaviours(upstream.ClosesWithoutResponse)
 		r.replicas[1].SetBehaviours(upstream.ClosesWithoutResponse)
 		for range 12 {
 			r.replicas[0].SetBehaviours(upstream.ClosesWithoutResponse)
 			r.replicas[1].SetBehaviours(upstream.RejectsNotExecuted)
 			w := r.do("GET", "/x/1", "")
-			if r.executions() > 0 {
+			if r.lastRequestExecutions() > 0 {
 				So(w.Code, ShouldNotEqual, http.StatusServiceUnavailable)
 			}
 		}
 	})
 	Convey("A replica's own 503 promises nothing where it does not state that it did not execute the request", t, func() {
 		r := newFixture("unsafe", 2)
-		r.all(upstream.OmitsNotExecuted)
+		r.setBehaviours(upstream.OmitsNotExecuted)
 		So(r.do("POST", "/x/1", "order").Code, ShouldEqual, http.StatusBadGateway)
-		So(r.executions(), ShouldEqual, 1)
+		So(r.lastRequestExecutions(), ShouldEqual, 1)
 	})
 	Convey("A request whose client is gone is not sent, nor sent again", t, func() {
 		r := newFixture("unsafe", 2)
--- a/internal/daemons/gateway/forwardchecks.go
+++ b/internal/daemons/gateway/forwardchecks.go
@@ -23,7 +23,7 @@
 
 // checkRejection checks the promise of a status that says that the request was not executed and never will be.
 func (f *forwarding) checkRejection(status int) {
-	kept := !promisesNotExecuted(status) || f.pending == 0 && f.strongest.Execution == retry.NotExecuted
+	kept := !statesNotExecuted(status) || f.pending == 0 && f.strongest.Execution == retry.NotExecuted
 	invariant.Check(invariant.RejectionNotExecuted, kept, func() string {
 		return fmt.Sprintf("%s is answered %d: %d attempts pending, %s", f.request.AttemptID, status, f.pending, f.strongest.Execution)
 	})
@@ -31,7 +31,7 @@
 
 // checkResponse checks a replica's response before it is passed on.
 func (f *forwarding) checkResponse(response *replica.Response) {
-	invariant.Check(invariant.RejectionNotExecuted, !promisesNotExecuted(response.Status), func() string {
+	invariant.Check(invariant.RejectionNotExecuted, !statesNotExecuted(response.Status), func() string {
 		return fmt.Sprintf("%s, which was executed, is answered %d", f.request.AttemptID, response.Status)
 	})
 	named := response.Header.Get("X-Attempt-Id")
@@ -40,8 +40,8 @@
 	})
 }
 
-// promisesNotExecuted tells whether a status promises the client that its request was not executed and never will be.
-func promisesNotExecuted(status int) bool {
+// statesNotExecuted tells whether a status promises the client that its request was not executed and never will be.
+func statesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
--- a/internal/daemons/gateway/forwardfailure.go
+++ b/internal/daemons/gateway/forwardfailure.go
@@ -17,9 +17,9 @@
 		f.reason = reason
 	}
 	if rejected.aborts {
-		f.fail(rejected.status, endedByClient)
+		f.recordFailure(rejected.status, endedByClient)
 	} else {
-		f.fail(rejected.status, endedByGateway)
+		f.recordFailure(rejected.status, endedByGateway)
 	}
 	f.gateway.writeRejection(w, r, rejected)
 }
@@ -35,9 +35,9 @@
 	return endedByGateway
 }
 
-// fail records that the request ends without success, with a status; 0: its connection is closed.
-func (f *forwarding) fail(status int, by endedBy) {
-	f.failure = f.gateway.recordFailure(FailedRequest{
+// recordFailure records that the request ends without success, with a status; 0: its connection is closed.
+func (f *forwarding) recordFailure(status int, by endedBy) {
+	f.failureNumber = f.gateway.recordFailure(FailedRequest{
 		At:            time.Now(),
 		AttemptID:     f.request.AttemptID,
 		Route:         f.route.Name,
@@ -56,9 +56,9 @@
 // attemptRecords lists the attempts that failed, then those that have not ended.
 func (f *forwarding) attemptRecords() []AttemptRecord {
 	records := make([]AttemptRecord, 0, len(f.attempted))
-	ended := make([]string, 0, len(f.failedEnds))
-	for _, end := range f.failedEnds {
-		ended = append(ended, end.endpoint.EndpointID)
+	ended := make([]string, 0, len(f.failedAttempts))
+	for _, end := range f.failedAttempts {
+		ended = append(ended, end.picked.EndpointID)
 		records = append(records, newAttemptRecord(end, f.arrivedAt, f.request.Deadline))
 	}
 	for _, endpoint := range f.attempted {
@@ -70,18 +70,18 @@
 }
 
 // newAttemptRecord is the record of an attempt of a request, by when that arrived and until when it had time.
-func newAttemptRecord(end attemptEnd, arrivedAt, deadline time.Time) AttemptRecord {
+func newAttemptRecord(end attemptResult, arrivedAt, deadline time.Time) AttemptRecord {
 	record := AttemptRecord{
-		Endpoint:    end.endpoint.EndpointID,
-		Address:     end.endpoint.Addr,
-		TableUpdate: end.endpoint.tableUpdate,
-		SentAfter:   end.sentAt.Sub(arrivedAt),
-		Duration:    end.latency,
-		Deadline:    deadline.Sub(end.sentAt),
-		Execution:   end.Execution.String(),
-		Cause:       end.Cause,
-		ConnID:      end.ConnID,
-		ConnRequestCount:     end.ConnRequestCount,
+		Endpoint:         end.picked.EndpointID,
+		Address:          end.picked.Addr,
+		TableUpdate:      end.picked.tableUpdate,
+		SentAfter:        end.sentAt.Sub(arrivedAt),
+		Duration:         end.latency,
+		Deadline:         deadline.Sub(end.sentAt),
+		Execution:        end.Execution.String(),
+		Cause:            end.Cause,
+		ConnID:           end.ConnID,
+		ConnRequestCount: end.ConnRequestCount,
 	}
 	if end.Response != nil {
 		record.Status = end.Response.Status
--- a/internal/daemons/gateway/gateway.go
+++ b/internal/daemons/gateway/gateway.go
@@ -30,13 +30,13 @@
 )
 
 const (
-	bodyMemoryShare   = 0.25                  // of the memory limit, for buffered request bodies
-	headMemoryShare   = 0.02                  // of the memory limit, for bytes of incomplete heads, which take several times as much
-	logRate           = 10                    // log lines a second that clients and replicas may cause
-	logBurst          = 100                   // log lines that clients and replicas may cause at once
-	slowOverhead      = 50 * time.Millisecond // time of a request spent outside replicas, from which the gateway counts as slow
-	maxQueuedReports  = 64                    // observations, and misdirected endpoints, that wait for the control stream
-	maxPendingFailure = 4                     // listeners that may fail at once
+	bodyMemoryShare     = 0.25                  // of the memory limit, for buffered request bodies
+	headMemoryShare     = 0.02                  // of the memory limit, for bytes of incomplete heads, which take several times as much
+	logRate             = 10                    // log lines a second that clients and replicas may cause
+	logBurst            = 100                   // log lines that clients and replicas may cause at once
+	slowRequestOverhead = 50 * time.Millisecond // time of a request spent outside replicas, from which the gateway counts as slow
+	maxQueuedReports    = 64                    // observations, and misdirected endpoints, that wait for the control stream
+	maxServeErrors      = 4                     // listeners that may fail at once
 )
 
 // Parts of the process's file descriptors. What is left is for the control stream, the gossip and files.
@@ -44,7 +44,7 @@
 	frontDescriptorShare     = 0.6
 	replicaDescriptorShare   = 0.3
 	readinessDescriptorShare = 0.02
-	figureDescriptorShare    = 0.01
+	metricsDescriptorShare   = 0.01
 )
 
 // ErrMissingListener says that the settings name no address for clients or none for readiness checks.
@@ -61,28 +61,28 @@
 	draining atomic.Bool                          // for a maintenance window
 	stopping atomic.Bool                          // the process is shutting down
 
-	frontOnce     sync.Once // guards the start of server
-	frontListener net.Listener
-	server        atomic.Pointer[http.Server] // nil until clients are served
-	serveErrors   chan error
-	bodies        *bodybuffer.Budget // bodies wait here until they are complete: a slow client keeps no replica busy, and a retry sends the same bytes
-	heads         *bodybuffer.Budget // what incomplete heads hold beyond freeHeadBytes
+	frontServerOnce sync.Once // guards the start of server
+	frontListener   net.Listener
+	server          atomic.Pointer[http.Server] // nil until clients are served
+	serveErrors     chan error
+	bodyBudget      *bodybuffer.Budget // bodies wait here until they are complete: a slow client keeps no replica busy, and a retry sends the same bytes
+	headBudget      *bodybuffer.Budget // what incomplete heads hold beyond freeHeadBytes
 
 	// Connections by purpose, each with a share of the file descriptors.
 	frontConns     *connlimit.Limiter // of clients
 	readinessConns *connlimit.Limiter
-	figureConns    *connlimit.Limiter
+	metricsConns   *connlimit.Limiter
 
 	pool   *replica.Pool
 	gossip *gossip.Shuffler
 
-	observations  chan fleet.Observation // failures that the control plane is to hear of at once
-	misdirected   chan string            // endpoints whose address belongs to another instance
-	processorTime time.Duration          // used by the process until the last report; owned by the report loop
+	observations chan fleet.Observation // failures that the control plane is to hear of at once
+	misdirected  chan string            // endpoints whose address belongs to another instance
+	cpuTime      time.Duration          // used by the process until the last report; owned by the report loop
 
 	logLimiter *rate.Limiter // bounds log lines that clients and replicas cause
 
-	figures  *gatewayFigures
+	metrics  *gatewayMetrics
 	counters *eventCounters
 	failures failureLog
 
@@ -100,14 +100,14 @@
 		settings:    settings,
 		logger:      logger,
 		startedAt:   time.Now(),
-		serveErrors: make(chan error, maxPendingFailure),
-		bodies:      bodybuffer.New(int64(float64(settings.MemoryMB<<20) * bodyMemoryShare)),
-		heads:       bodybuffer.New(int64(float64(settings.MemoryMB<<20) * headMemoryShare)),
+		serveErrors: make(chan error, maxServeErrors),
+		bodyBudget:  bodybuffer.New(int64(float64(settings.MemoryMB<<20) * bodyMemoryShare)),
+		headBudget:  bodybuffer.New(int64(float64(settings.MemoryMB<<20) * headMemoryShare)),
 		pool:        replica.NewPool(connlimit.Share(settings.FileDescriptors, replicaDescriptorShare)),
 
 		frontConns:     connlimit.New("front", connlimit.Share(settings.FileDescriptors, frontDescriptorShare), logger),
 		readinessConns: connlimit.New("readiness", connlimit.Share(settings.FileDescriptors, readinessDescriptorShare), logger),
-		figureConns:    connlimit.New("figures", connlimit.Share(settings.FileDescriptors, figureDescriptorShare), logger),
+		metricsConns:   connlimit.New("figures", connlimit.Share(settings.FileDescriptors, metricsDescriptorShare), logger),
 
 		observations: make(chan fleet.Observation, maxQueuedReports),
 		misdirected:  make(chan string, maxQueuedReports),
@@ -124,7 +124,7 @@
 		}),
 		counters: newEventCounters(set),
 	}
-	g.figures = newGatewayFigures(set, g)
+	g.metrics = newGatewayMetrics(set, g)
 	return g, nil
 }
 
@@ -153,10 +153,10 @@
 
 // endRequest counts the end of a client's request, and whether the gateway itself delayed it: atReplicas is the part of
 // its total time that attempts took.
-func (g *Gateway) endRequest(idempotent bool, total, atReplicas time.Duration) {
+func (g *Gateway) endRequest(idempotent bool, total, attemptTime time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.router.EndRequest(g.now(), idempotent, total-atReplicas > slowOverhead)
+	g.router.EndRequest(g.now(), idempotent, total-attemptTime > slowRequestOverhead)
 }
 
 // rejectsRequests tells whether a draining gateway turns requests away by now.
--- a/internal/daemons/gateway/handler.go
+++ b/internal/daemons/gateway/handler.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	defaultTimeout     = 30 * time.Second       // of a request where neither its client nor its route sets one
-	responseTravelTime = 10 * time.Millisecond  // kept from the deadline, for the response's way to the client
-	responseTravelPart = 10                     // of the timeout: no more than this part of it is kept
-	defaultRetryAfter  = 300 * time.Millisecond // where nothing better is known
-	notReadyRetryAfter = time.Second
-	drainingRetryAfter = 20 * time.Millisecond // another gateway has room at once
-	headerSlack        = 4096                  // bytes of a head beyond the limit that are let pass, as net/http does
-	headLineOverhead   = 32                    // bytes of a request line beside its method, target and host
-	fieldOverhead      = 4                     // bytes of a header field beside its name and value
+	defaultTimeout         = 30 * time.Second       // of a request where neither its client nor its route sets one
+	responseReserve        = 10 * time.Millisecond  // kept from the deadline, for the response's way to the client
+	responseReserveDivisor = 10                     // of the timeout: no more than this part of it is kept
+	defaultRetryAfter      = 300 * time.Millisecond // where nothing better is known
+	notReadyRetryAfter     = time.Second
+	drainingRetryAfter     = 20 * time.Millisecond // another gateway has room at once
+	headerLimitSlack       = 4096                  // bytes of a head beyond the limit that are let pass, as net/http does
+	headLineOverhead       = 32                    // bytes of a request line beside its method, target and host
+	fieldOverhead          = 4                     // bytes of a header field beside its name and value
 )
 
 // clientRequest is a request that was routed and whose body is complete.
@@ -36,7 +36,7 @@
 func (g *Gateway) handleRequest(w http.ResponseWriter, r *http.Request) {
 	defer markBusy(r)()
 	arrivedAt := time.Now()
-	if rejected := g.admitWhileEnding(w); rejected.isRejection() {
+	if rejected := g.admitDuringShutdown(w); rejected.isRejection() {
 		g.reject(w, r, rejected)
 		return
 	}
@@ -52,7 +52,7 @@
 	}
 	timeout := requestTimeout(request.route, r.Header)
 	body, err := g.receiveBody(w, r, config.Limits.MaxBodyBytes, arrivedAt.Add(timeout))
-	defer g.bodies.ReleaseBody(body)
+	defer g.bodyBudget.ReleaseBody(body)
 	if err != nil {
 		g.reject(w, r, bodyRejection(err))
 		return
@@ -65,13 +65,13 @@
 		timeout = requestTimeout(request.route, r.Header)
 	}
 	request.body, request.arrivedAt = body, arrivedAt
-	request.deadline = arrivedAt.Add(timeout - min(responseTravelTime, timeout/responseTravelPart))
+	request.deadline = arrivedAt.Add(timeout - min(responseReserve, timeout/responseReserveDivisor))
 	g.forward(w, r, request)
 }
 
-// admitWhileEnding has connections closed with their response while the gateway shuts down or drains, and rejects
+// admitDuringShutdown has connections closed with their response while the gateway shuts down or drains, and rejects
 // requests once a draining gateway's readiness was seen to have fallen.
-func (g *Gateway) admitWhileEnding(w http.ResponseWriter) rejection {
+func (g *Gateway) admitDuringShutdown(w http.ResponseWriter) rejection {
 	if !g.stopping.Load() && !g.draining.Load() {
 		return rejection{}
 	}
@@ -88,7 +88,7 @@
 	if !ok || len(r.Header["X-Attempt-Id"]) > 1 {
 		return request, rejection{status: http.StatusBadRequest, badRequest: causeTargetOrIdentity, closesConn: true}
 	}
-	if headerSize(r) > config.Limits.MaxHeaderBytes+headerSlack {
+	if estimateHeadSize(r) > config.Limits.MaxHeaderBytes+headerLimitSlack {
 		return request, rejection{status: http.StatusRequestHeaderFieldsTooLarge, badRequest: causeHeadTooLarge, closesConn: true}
 	}
 	path, _, _ := strings.Cut(target, "?")
@@ -114,8 +114,8 @@
 	return target, strings.HasPrefix(target, "/")
 }
 
-// headerSize estimates how many bytes a request's head had.
-func headerSize(r *http.Request) int64 {
+// estimateHeadSize estimates how many bytes a request's head had.
+func estimateHeadSize(r *http.Request) int64 {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + headLineOverhead
 	for name, values := range r.Header {
 		for _, value := range values {
--- a/internal/daemons/gateway/handler_test.go
+++ b/internal/daemons/gateway/handler_test.go
@@ -26,23 +26,23 @@
 			w := r.do("POST", "/x/1", "order")
 			So(w.Code, ShouldEqual, 200)
 			So(w.Header().Get("X-Response-Seal"), ShouldEqual, "seal-1")
-			So(r.executions(), ShouldEqual, 1)
+			So(r.lastRequestExecutions(), ShouldEqual, 1)
 		})
 		for _, b := range []upstream.Behaviour{upstream.TruncatesResponse, upstream.ClosesWithoutResponse, upstream.SendsGarbage, upstream.OmitsSeal, upstream.OmitsAttemptID} {
 			Convey("is executed once and answered 502 where the replica "+string(b), func() {
-				r.all(b)
+				r.setBehaviours(b)
 				w := r.do("POST", "/x/1", "order")
 				So(w.Code, ShouldEqual, http.StatusBadGateway)
 				So(w.Header().Get("Retry-After"), ShouldEqual, "")
-				So(r.executions(), ShouldEqual, 1)
+				So(r.lastRequestExecutions(), ShouldEqual, 1)
 			})
 		}
 		Convey("is retried after proof that it was not executed, and rejected with Retry-After behind the last", func() {
-			r.all(upstream.RejectsNotExecuted)
+			r.setBehaviours(upstream.RejectsNotExecuted)
 			w := r.do("POST", "/x/1", "order")
 			So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(w.Header().Get("Retry-After"), ShouldNotEqual, "")
-			So(r.executions(), ShouldEqual, 0)
+			So(r.lastRequestExecutions(), ShouldEqual, 0)
 			So(r.do("POST", "/x/1", "order").Code, ShouldEqual, 200)
 		})
 		Convey("is rejected at once where no replica may take it", func() {
@@ -53,16 +53,16 @@
 		})
 		Convey("with a body over the limit is 413, and reaches no replica", func() {
 			So(r.do("POST", "/x/1", strings.Repeat("x", 101)).Code, ShouldEqual, http.StatusRequestEntityTooLarge)
-			So(r.executions(), ShouldEqual, 0)
+			So(r.lastRequestExecutions(), ShouldEqual, 0)
 		})
 		Convey("is rejected while the bodies of others hold all memory, and its own memory is released", func() {
-			r.gateway.bodies = bodybuffer.New(10)
+			r.gateway.bodyBudget = bodybuffer.New(10)
 			w := r.do("POST", "/x/1", "more than ten bytes")
 			So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(w.Header().Get("Retry-After"), ShouldNotEqual, "")
-			So(r.executions(), ShouldEqual, 0)
+			So(r.lastRequestExecutions(), ShouldEqual, 0)
 			So(r.do("POST", "/x/1", "few").Code, ShouldEqual, 200)
-			So(r.gateway.bodies.Used(), ShouldEqual, 0)
+			So(r.gateway.bodyBudget.Used(), ShouldEqual, 0)
 		})
 		Convey("without a route is 404", func() {
 			So(r.do("POST", "/y/1", "").Code, ShouldEqual, http.StatusNotFound)
@@ -103,8 +103,8 @@
 func TestConfigurationVersions(t *testing.T) {
 	Convey("Within a process no older configuration is applied", t, func() {
 		r := newFixture("safe", 1)
-		r.gateway.applyUpdate(&messages.StateUpdate{Sequence: 5, ConfigVersion: 9, Config: configured(9, "unsafe"), EvacuatedZones: []string{"a"}})
-		r.gateway.applyUpdate(&messages.StateUpdate{Full: true, Bootstrapping: true, Sequence: 3, ConfigVersion: 4, Config: configured(4, "safe")})
+		r.gateway.applyUpdate(&messages.StateUpdate{Sequence: 5, ConfigVersion: 9, Config: testConfig(9, "unsafe"), EvacuatedZones: []string{"a"}})
+		r.gateway.applyUpdate(&messages.StateUpdate{Full: true, Bootstrapping: true, Sequence: 3, ConfigVersion: 4, Config: testConfig(4, "safe")})
 		So(r.gateway.config.Load().Version, ShouldEqual, 9)
 		So(r.do("GET", "/x/1", "").Code, ShouldEqual, http.StatusServiceUnavailable)
 		Convey("nor is an invalid one", func() {
@@ -115,14 +115,14 @@
 	Convey("The gateway is ready only with a configuration and an endpoint table", t, func() {
 		set, _ := nodesettings.Parse([]byte(settings))
 		f, _ := New(set, program.NewLogger(io.Discard, "gateway"))
-		f.frontOnce.Do(func() {})
+		f.frontServerOnce.Do(func() {})
 		code := func() int {
 			w := httptest.NewRecorder()
 			f.handleReadiness(w, nil)
 			return w.Code
 		}
 		So(code(), ShouldEqual, 503)
-		f.applyUpdate(&messages.StateUpdate{Sequence: 1, ConfigVersion: 1, Config: configured(1, "safe")})
+		f.applyUpdate(&messages.StateUpdate{Sequence: 1, ConfigVersion: 1, Config: testConfig(1, "safe")})
 		So(code(), ShouldEqual, 503)
 		f.applyUpdate(&messages.StateUpdate{Full: true})
 		So(code(), ShouldEqual, 200)
--- a/internal/daemons/gateway/hostile_test.go
+++ b/internal/daemons/gateway/hostile_test.go
@@ -32,13 +32,13 @@
 {"name":"s","path_prefix":"/s/","kind":"safe","timeout":"2s","target_latency":"100ms","max_attempts":3,"service":"svc"},
 {"name":"u","path_prefix":"/u/","kind":"unsafe","timeout":"2s","target_latency":"100ms","max_attempts":3,"service":"svc"}]}]}`
 
-func descriptors() int {
+func countDescriptors() int {
 	names, _ := os.ReadDir("/proc/self/fd")
 	return len(names)
 }
 
-// until waits for a state that comes by itself; it ends after ten seconds at the latest.
-func until(ok func() bool) bool {
+// waitUntil waits for a state that comes by itself; it ends after ten seconds at the latest.
+func waitUntil(ok func() bool) bool {
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); runtime.Gosched() {
 		if ok() {
 			return true
@@ -137,26 +137,26 @@
 		f.pool.Sweep(time.Now().Add(time.Hour))
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.router.InFlight() == 0 && f.bodies.Used() == 0
+		return f.router.InFlight() == 0 && f.bodyBudget.Used() == 0
 	}
 	level := func() (int, int, uint64) {
-		if !until(quiet) {
-			t.Error("requests are still in flight, or bytes of bodies still reserved:", f.bodies.Used())
+		if !waitUntil(quiet) {
+			t.Error("requests are still in flight, or bytes of bodies still reserved:", f.bodyBudget.Used())
 		}
 		debug.FreeOSMemory()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
-		return descriptors(), runtime.NumGoroutine(), m.HeapAlloc
+		return countDescriptors(), runtime.NumGoroutine(), m.HeapAlloc
 	}
-	bare := descriptors()
+	bare := countDescriptors()
 	work(0, int64(most/4)) // warm
 	fds, goroutines, heapBefore := level()
-	until(func() bool { fds, goroutines, heapBefore = level(); return fds <= bare+hostileClients })
+	waitUntil(func() bool { fds, goroutines, heapBefore = level(); return fds <= bare+hostileClients })
 	start := time.Now()
 	work(int64(most/4), int64(most))
 	took := time.Since(start)
 	var fdsAfter, goroutinesAfter int
-	if !until(func() bool {
+	if !waitUntil(func() bool {
 		fdsAfter, goroutinesAfter, _ = level()
 		return fdsAfter <= max(fds, bare+8) && goroutinesAfter <= goroutines+8
 	}) {
--- a/internal/daemons/gateway/lifecycle.go
+++ b/internal/daemons/gateway/lifecycle.go
@@ -27,10 +27,10 @@
 	readinessReadHeaderTimeout = 3 * time.Second // of the readiness server
 	readinessIdleTimeout       = 2 * time.Minute // longer than between two checks: most come on a kept connection
 	readinessMaxHeaderBytes    = 8 << 10
-	exitReserve                = 300 * time.Millisecond // of the grace period, kept for the end of the process itself
+	exitTimeReserve            = 300 * time.Millisecond // of the grace period, kept for the end of the process itself
 	closeUnusedInterval        = 20 * time.Millisecond
 	minServerHeaderBytes       = 64 << 10               // that the server reads of a head; the configuration in force allows less
-	unconfiguredDelay          = 500 * time.Millisecond // after the start, without a configuration: clients give up after a second
+	unconfiguredServeDelay     = 500 * time.Millisecond // after the start, without a configuration: clients give up after a second
 	gcMemoryShare              = 0.6                    // of the memory limit, the garbage collector's goal
 )
 
@@ -46,15 +46,15 @@
 	// The control stream outlives ctx: while the process shuts down, drains still count.
 	streamContext, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	source := telemetry.Source{Metrics: g.figures.set, Connections: g.figureConns, Failures: func() any { return g.failures.newest() }}
+	source := telemetry.Source{Metrics: g.metrics.set, Connections: g.metricsConns, Failures: func() any { return g.failures.newest() }}
 	if err := telemetry.Serve(streamContext, g.settings.IP, g.settings.Metrics, source); err != nil {
 		return err
 	}
 	if err := g.startGossip(streamContext); err != nil {
 		return err
 	}
-	go g.followControlPlane(streamContext)
-	openUnconfigured := time.AfterFunc(unconfiguredDelay, func() { g.openFront(unconfiguredLimits) })
+	go g.maintainControlStream(streamContext)
+	openUnconfigured := time.AfterFunc(unconfiguredServeDelay, func() { g.startFrontServer(unconfiguredLimits) })
 	defer openUnconfigured.Stop()
 	g.logger.Info().Str("event", "started").Str("name", g.settings.Name).Str("zone", g.settings.Zone).Str("front", g.settings.FrontAddress).Msg("")
 	return g.loop(ctx, reload)
@@ -131,11 +131,11 @@
 // configuration is likely to allow; handleRequest holds it to the one in force.
 var unconfiguredLimits = gatewayconfig.Limits{MaxHeaderBytes: http.DefaultMaxHeaderBytes, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
-// openFront starts to serve clients: when the first configuration arrives, or after unconfiguredDelay without one, so that
+// startFrontServer starts to serve clients: when the first configuration arrives, or after unconfiguredDelay without one, so that
 // clients which come all the same are told to go elsewhere. The server's own limits stay as they are; those of the
 // configuration in force are applied by clientConn and handleRequest.
-func (g *Gateway) openFront(limits gatewayconfig.Limits) {
-	g.frontOnce.Do(func() {
+func (g *Gateway) startFrontServer(limits gatewayconfig.Limits) {
+	g.frontServerOnce.Do(func() {
 		mux := chi.NewRouter()
 		mux.Handle("/*", http.HandlerFunc(g.handleRequest))
 		mux.NotFound(g.handleRequest)
@@ -147,7 +147,7 @@
 			MaxHeaderBytes:    max(int(limits.MaxHeaderBytes), minServerHeaderBytes),
 			ErrorLog:          g.logger.Std("", 0),
 			ConnContext:       withClientConn,
-			ConnState:         followState,
+			ConnState:         onConnState,
 		}
 		g.frontConns.Attach(server)
 		g.server.Store(server)
@@ -176,8 +176,8 @@
 // end last, all within the grace period.
 func (g *Gateway) shutdown() {
 	g.stopping.Store(true)
-	end := time.Now().Add(g.settings.Bounds.GracePeriod - exitReserve)
-	g.openFront(unconfiguredLimits) // where it is not open yet: callers that wait in the kernel are told to go elsewhere
+	end := time.Now().Add(g.settings.Bounds.GracePeriod - exitTimeReserve)
+	g.startFrontServer(unconfiguredLimits) // where it is not open yet: callers that wait in the kernel are told to go elsewhere
 	time.Sleep(min(router.ReadinessPropagation, g.settings.Bounds.GracePeriod/2))
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
--- a/internal/daemons/gateway/lifecycle_test.go
+++ b/internal/daemons/gateway/lifecycle_test.go
@@ -30,7 +30,7 @@
 	if _, err := unused.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Error("the unused connection:", err)
 	}
-	if !until(func() bool { return f.frontConns.OpenCount() == 0 }) {
+	if !waitUntil(func() bool { return f.frontConns.OpenCount() == 0 }) {
 		t.Error("connections that ended are kept")
 	}
 }
--- a/internal/daemons/gateway/figures.go
+++ b/internal/daemons/gateway/metrics.go
@@ -7,9 +7,9 @@
 	"zincloft.example/zincloft/internal/daemons/telemetry"
 )
 
-// gatewayFigures are the figures that the gateway tells of itself. What is counted on the way of every request has a counter here;
+// gatewayMetrics are the figures that the gateway tells of itself. What is counted on the way of every request has a counter here;
 // rarer events are in eventCounters.
-type gatewayFigures struct {
+type gatewayMetrics struct {
 	set      *figures.Set
 	answered *figures.Counter // requests whose client got a replica's response
 	rejected *figures.Counter // requests that reached no replica, or were proven not executed
@@ -17,15 +17,15 @@
 	attempts *figures.Counter
 }
 
-func newGatewayFigures(set *figures.Set, g *Gateway) *gatewayFigures {
-	for _, conns := range []*connlimit.Limiter{g.frontConns, g.readinessConns, g.figureConns} {
+func newGatewayMetrics(set *figures.Set, g *Gateway) *gatewayMetrics {
+	for _, conns := range []*connlimit.Limiter{g.frontConns, g.readinessConns, g.metricsConns} {
 		set.RegisterMetricsWriter(conns.WriteMetrics)
 	}
 	figure := func(name string, read func() float64) { set.NewGauge(name, read) }
 	figure("zincloft_gateway_ready", func() float64 { return telemetry.BoolGauge(g.isReady()) })
 	figure("zincloft_gateway_stopping", func() float64 { return telemetry.BoolGauge(g.stopping.Load()) })
-	figure("zincloft_gateway_body_bytes", func() float64 { return float64(g.bodies.Used()) })
-	figure("zincloft_gateway_head_bytes", func() float64 { return float64(g.heads.Used()) })
+	figure("zincloft_gateway_body_bytes", func() float64 { return float64(g.bodyBudget.Used()) })
+	figure("zincloft_gateway_head_bytes", func() float64 { return float64(g.headBudget.Used()) })
 	figure("zincloft_gateway_replica_connections", func() float64 { return float64(g.pool.OpenCount()) })
 	figure("zincloft_gateway_replica_connections_opened", func() float64 { return float64(g.pool.OpenedCount()) })
 	figure("zincloft_gateway_config_version", func() float64 {
@@ -49,7 +49,7 @@
 	outcome := func(name string) *figures.Counter {
 		return set.NewCounter(`zincloft_gateway_requests_total{outcome="` + name + `"}`)
 	}
-	return &gatewayFigures{
+	return &gatewayMetrics{
 		set:      set,
 		answered: outcome("answered"),
 		rejected: outcome("rejected"),
--- a/internal/daemons/gateway/promises_test.go
+++ b/internal/daemons/gateway/regression_test.go
@@ -21,16 +21,16 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// TestPendingAttemptGetsItsOutcome guards the record of a failed request: an attempt that was still under way when the request ended stayed pending
+// TestPendingAttemptIsCompletedInRecord guards the record of a failed request: an attempt that was still under way when the request ended stayed pending
 // there for good, and what became of it stood in the counters only.
-func TestPendingAttemptGetsItsOutcome(t *testing.T) {
+func TestPendingAttemptIsCompletedInRecord(t *testing.T) {
 	up := startReplica(t, "i0")
 	addr, gateway, log := startGateway(t, `"max_body_bytes":1000`, up)
 	answer := make(chan struct{})
 	up.SetResponseHook(func(string) { <-answer })
 	conn := dial(t, addr)
 	send(t, conn, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: left\r\nContent-Length: 2\r\n\r\nab")
-	if !until(func() bool { return up.Executions()["left"] == 1 }) {
+	if !waitUntil(func() bool { return up.Executions()["left"] == 1 }) {
 		t.Fatal("the request does not arrive")
 	}
 	number := gateway.failures.add(FailedRequest{AttemptID: "left", Attempts: []AttemptRecord{{Endpoint: "i0", Execution: executionPending}}})
@@ -47,7 +47,7 @@
 	if !strings.Contains(log.String(), "event=pending_attempt_ended") {
 		t.Error(log.String())
 	}
-	for range maxKeptFailures {
+	for range maxRecordedFailures {
 		gateway.failures.add(FailedRequest{AttemptID: "later", Attempts: []AttemptRecord{{Endpoint: "i0", Execution: executionPending}}})
 	}
 	gateway.failures.complete(number, AttemptRecord{Endpoint: "i0", Execution: "answered"})
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestFailedRequestKnowsItsLastAttempt is the same over the whole path: a safe request ends while its second attempt is under way.
-func TestFailedRequestKnowsItsLastAttempt(t *testing.T) {
+// TestFailedRequestRecordsHedgedAttempt is the same over the whole path: a safe request ends while its second attempt is under way.
+func TestFailedRequestRecordsHedgedAttempt(t *testing.T) {
 	Convey("A request that ends with a response of one replica while another still works", t, func() {
 		f := newFixture("safe", 2)
 		release := make(chan struct{})
@@ -75,11 +75,11 @@
 			f.gateway.handleRequest(httptest.NewRecorder(), request(ctx, "GET", "/x/1", "", "leaver"))
 		}()
 		executed := func() int { return f.replicas[0].Executions()["leaver"] + f.replicas[1].Executions()["leaver"] }
-		So(until(func() bool { return executed() == 2 }), ShouldBeTrue) // hedged
+		So(waitUntil(func() bool { return executed() == 2 }), ShouldBeTrue) // hedged
 		cancel()
 		<-ended
 		close(release)
-		So(until(func() bool {
+		So(waitUntil(func() bool {
 			kept := f.gateway.failures.newest()
 			if len(kept) != 1 || len(kept[0].Attempts) != 2 {
 				return false
@@ -89,11 +89,11 @@
 	})
 }
 
-// TestStopBeforeFrontOpens guards callers that wait in the kernel when a gateway is stopped before it has a configuration: their connections were
+// TestStopBeforeFrontServerStarts guards callers that wait in the kernel when a gateway is stopped before it has a configuration: their connections were
 // reset. They are told to go elsewhere.
-func TestStopBeforeFrontOpens(t *testing.T) {
+func TestStopBeforeFrontServerStarts(t *testing.T) {
 	front, internal := freeAddress(t).String(), min(freeAddress(t).Port, 65000)
-	parsed, err := nodesettings.Parse(fmt.Appendf(nil, settingsOfCutOffGateway, front, freeAddress(t).String(), internal, internal+9))
+	parsed, err := nodesettings.Parse(fmt.Appendf(nil, isolatedGatewaySettings, front, freeAddress(t).String(), internal, internal+9))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,21 +128,21 @@
 	}
 }
 
-// TestSlowBodyMeetsANewConfiguration guards requests whose body takes longer than a configuration: they were routed by the one in force at their
+// TestConfigurationChangeDuringBody guards requests whose body takes longer than a configuration: they were routed by the one in force at their
 // head. A body that ends within an older one is no reason to go to a service that its route has left, however the moment of sending is read.
-func TestSlowBodyMeetsANewConfiguration(t *testing.T) {
+func TestConfigurationChangeDuringBody(t *testing.T) {
 	old, replacement := startReplica(t, "i0"), startReplica(t, "i1")
 	addr, gateway, _ := startGateway(t, `"max_body_bytes":1000`, old)
 	conn := dial(t, addr)
 	defer closeQuietly(conn)
 	send(t, conn, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: slow\r\nContent-Length: 4\r\n\r\nab")
-	if !until(func() bool { return gateway.bodies.Used() > 0 }) {
+	if !waitUntil(func() bool { return gateway.bodyBudget.Used() > 0 }) {
 		t.Fatal("the head is not read")
 	}
 	instance := instanceOf(replacement)
 	instance.Service = "other"
 	config := strings.NewReplacer(`"service":"svc"`, `"service":"other"`, `{"name":"svc","cold_per_s":4}`, `{"name":"svc","cold_per_s":4},{"name":"other","cold_per_s":4}`).
-		Replace(string(limited(2, `"max_body_bytes":1000`)))
+		Replace(string(testConfigWithLimits(2, `"max_body_bytes":1000`)))
 	gateway.applyUpdate(&messages.StateUpdate{Sequence: 2, ConfigVersion: 2, Config: []byte(config), Instances: []fleet.Instance{instance}})
 	send(t, conn, "cd")
 	readWithin(t, conn, 5*time.Second)
@@ -182,8 +182,8 @@
 	})
 }
 
-// TestUnknownEndpointsAreNoOverload guards the reason of a rejection: until the first endpoint update had come it was "overloaded", where nothing was.
-func TestUnknownEndpointsAreNoOverload(t *testing.T) {
+// TestNoKnownEndpointIsNotOverload guards the reason of a rejection: until the first endpoint update had come it was "overloaded", where nothing was.
+func TestNoKnownEndpointIsNotOverload(t *testing.T) {
 	Convey("A request for a service of which no endpoint is known", t, func() {
 		f := newFixture("safe", 0)
 		So(f.do("GET", "/x/1", "").Code, ShouldEqual, http.StatusServiceUnavailable)
--- a/internal/daemons/gateway/reports.go
+++ b/internal/daemons/gateway/reports.go
@@ -46,21 +46,21 @@
 
 // loadReport is what was observed since the last report, a period ago.
 func (g *Gateway) loadReport(period time.Duration) *messages.LoadReport {
-	busy := g.processorShare(period)
+	busy := g.cpuUsage(period)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.router.Report(g.now(), period, busy)
 }
 
-// processorShare is the part of its processor cores that the process used since the last call, a period ago; 0 where the
+// cpuUsage is the part of its processor cores that the process used since the last call, a period ago; 0 where the
 // system does not say.
-func (g *Gateway) processorShare(period time.Duration) float64 {
+func (g *Gateway) cpuUsage(period time.Duration) float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
 	}
 	used := time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
-	share := (used - g.processorTime).Seconds() / max(period.Seconds(), minReportPeriod) / g.settings.CPUCores
-	g.processorTime = used
+	share := (used - g.cpuTime).Seconds() / max(period.Seconds(), minReportPeriod) / g.settings.CPUCores
+	g.cpuTime = used
 	return share
 }
--- a/internal/daemons/gateway/requestbody.go
+++ b/internal/daemons/gateway/requestbody.go
@@ -23,13 +23,13 @@
 	if hasBody {
 		_ = control.SetReadDeadline(deadline) // fails on a closed connection only, as the read does then
 	}
-	_ = control.SetWriteDeadline(deadline.Add(writeGrace)) // fails on a closed connection only, as the write does then
+	_ = control.SetWriteDeadline(deadline.Add(responseWriteGrace)) // fails on a closed connection only, as the write does then
 	if !hasBody {
 		return nil, nil
 	}
 	conn := connlimit.FromContext(r.Context())
 	conn.BeginBody()
-	body, err := g.bodies.Read(r.Body, r.ContentLength, limit)
+	body, err := g.bodyBudget.Read(r.Body, r.ContentLength, limit)
 	if !conn.EndBody() && err == nil { // completed in the moment in which the request was given up, to make room for others
 		err = os.ErrDeadlineExceeded
 	}
--- a/internal/daemons/gateway/response.go
+++ b/internal/daemons/gateway/response.go
@@ -8,8 +8,8 @@
 	"zincloft.example/zincloft/internal/daemons/replica"
 )
 
-// writeGrace is how long beyond its deadline a client may take to read its response.
-const writeGrace = 5 * time.Second
+// responseWriteGrace is how long beyond its deadline a client may take to read its response.
+const responseWriteGrace = 5 * time.Second
 
 // rejection is a response that the gateway gives by itself, before a request reached any replica. The zero value is none:
 // the request goes on.
@@ -54,7 +54,7 @@
 
 // writeRejection counts a rejection and answers with it, or ends the connection.
 func (g *Gateway) writeRejection(w http.ResponseWriter, r *http.Request, rejected rejection) {
-	g.figures.rejected.Inc()
+	g.metrics.rejected.Inc()
 	if rejected.counter != "" {
 		g.count(rejected.counter)
 	}
@@ -75,7 +75,7 @@
 
 // writeEmptyResponse answers with a status alone.
 func writeEmptyResponse(w http.ResponseWriter, status int) {
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeGrace)) // fails on a closed connection only, as the write does then
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteGrace)) // fails on a closed connection only, as the write does then
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
 }
--- a/internal/daemons/gateway/silentclients_test.go
+++ b/internal/daemons/gateway/silentclients_test.go
@@ -11,10 +11,10 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// TestSilentClientsDoNotShutOthersOut guards against silence at a gateway whose connections are all held by clients that send nothing:
+// TestSilentClientsDoNotBlockOtherClients guards against silence at a gateway whose connections are all held by clients that send nothing:
 // further ones wait in the kernel, unread, for as long as an idle connection may last. They must be answered within the second that
 // they wait for a request to be read, whoever makes room for them.
-func TestSilentClientsDoNotShutOthersOut(t *testing.T) {
+func TestSilentClientsDoNotBlockOtherClients(t *testing.T) {
 	const descriptors = 100 // by the settings; a part of them is for clients
 	replica := startReplica(t, "i0")
 	parsed, err := nodesettings.Parse([]byte(settings))
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	gateway.frontListener = listen(t)
-	update := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: limited(1, `"header_timeout":"3s","idle_timeout":"15s"`)}
+	update := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: testConfigWithLimits(1, `"header_timeout":"3s","idle_timeout":"15s"`)}
 	update.Instances = append(update.Instances, instanceOf(replica))
 	gateway.applyUpdate(update)
 	t.Cleanup(func() { closeQuietly(gateway.server.Load()) })
@@ -36,7 +36,7 @@
 		silent := dial(t, address)
 		t.Cleanup(func() { closeQuietly(silent) })
 	}
-	if !until(func() bool { return gateway.frontConns.OpenCount() >= gateway.frontConns.Limit() }) {
+	if !waitUntil(func() bool { return gateway.frontConns.OpenCount() >= gateway.frontConns.Limit() }) {
 		t.Fatal("the silent clients are not accepted")
 	}
 	client, err := new(net.Dialer).DialContext(t.Context(), "tcp", address)
--- a/internal/daemons/gateway/start_test.go
+++ b/internal/daemons/gateway/start_test.go
@@ -15,7 +15,7 @@
 	"zincloft.example/zincloft/internal/daemons/program"
 )
 
-const settingsOfCutOffGateway = `
+const isolatedGatewaySettings = `
 self_settings: {node_name: f1, zone: a, ip_address: 127.0.0.1, limits: {memory_mb: 64}}
 network_settings: {listen_addresses: {front: %q, readiness: %q}, internal_port_range: [%d, %d], seed_nodes: ["127.0.0.1:3"], zones: {a: r}}
 rule_terms: {bounds: {grace_period: 100ms}}
@@ -34,7 +34,7 @@
 // tell them within the second that they wait for a request to be read.
 func TestGatewayWithoutConfigurationRejects(t *testing.T) {
 	front, internal := freeAddress(t).String(), min(freeAddress(t).Port, 65000)
-	parsed, err := nodesettings.Parse(fmt.Appendf(nil, settingsOfCutOffGateway, front, freeAddress(t).String(), internal, internal+9))
+	parsed, err := nodesettings.Parse(fmt.Appendf(nil, isolatedGatewaySettings, front, freeAddress(t).String(), internal, internal+9))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- gateway.Run(ctx, make(chan os.Signal)) }()
 	var conn net.Conn
-	if !until(func() bool {
+	if !waitUntil(func() bool {
 		conn, err = new(net.Dialer).DialContext(ctx, "tcp", front)
 		return err == nil
 	}) {
