--- a/rules/ejection.go
+++ b/rules/ejection.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// pairEjection is a replica that is ejected at one proxy, or was until recently.
+// pairEjection is a current or recent ejection of a replica at one proxy.
 type pairEjection struct {
 	replica   *replica
 	active    bool
 	expiresAt Time
-	duration  Time // from the order on; doubles with each renewal
+	duration  Time // doubles with each renewal
 }
 
 // ejectionOf returns a proxy's record of a replica's ejection, or nil.
@@ -22,34 +22,34 @@
 	return &p.ejections[i]
 }
 
-// ejectedShare is the share of weight that is ejected in a proxy's table, the larger of its tables, or would be with r.
+// ejectedShare is the largest share of weight that is ejected in any of a proxy's tables, counting r, if given, as ejected.
 func (g *Governor) ejectedShare(p *proxy, r *replica) (most float64) {
 	for _, t := range p.table {
 		if t == nil {
 			continue
 		}
-		shut, all := 0.0, 0.0
+		ejected, total := 0.0, 0.0
 		if r != nil {
-			shut = r.sent[t.id]
+			ejected = r.sent[t.id]
 		}
 		for _, s := range p.ejections {
 			if s.active && s.replica != r {
-				shut += s.replica.sent[t.id]
+				ejected += s.replica.sent[t.id]
 			}
 		}
-		if shut == 0 {
+		if ejected == 0 {
 			continue
 		}
 		for _, other := range g.replicas {
-			all += other.sent[t.id]
+			total += other.sent[t.id]
 		}
-		most = max(most, shut/max(all, math.SmallestNonzeroFloat32))
+		most = max(most, ejected/max(total, math.SmallestNonzeroFloat32))
 	}
 	return most
 }
 
-// ejectPair ejects a replica at one proxy for a time.
-func (g *Governor) ejectPair(now Time, p *proxy, r *replica, span Time) {
+// ejectPair ejects a replica at one proxy for a limited time.
+func (g *Governor) ejectPair(now Time, p *proxy, r *replica, duration Time) {
 	s := p.ejectionOf(r)
 	if s == nil {
 		if len(p.ejections) == 0 {
@@ -58,7 +58,7 @@
 		p.ejections = append(p.ejections, pairEjection{replica: r})
 		s = &p.ejections[len(p.ejections)-1]
 	}
-	s.active, s.duration, s.expiresAt = true, span, now+span
+	s.active, s.duration, s.expiresAt = true, duration, now+duration
 	g.orders = append(g.orders, PairEjection{p.id, r.id, true})
 }
 
@@ -68,8 +68,8 @@
 	g.orders = append(g.orders, PairEjection{p.id, s.replica.id, false})
 }
 
-// dropStaleEjections drops the records of deregistered replicas, and of ejections that ended at least as long ago as they
-// had lasted.
+// dropStaleEjections deletes ejections of forgotten replicas, and those that ended at least one duration ago. Until then a
+// renewed ejection takes twice as long.
 func (g *Governor) dropStaleEjections(now Time) {
 	g.ejecting = slices.DeleteFunc(g.ejecting, func(p *proxy) bool {
 		p.ejections = slices.DeleteFunc(p.ejections, func(s pairEjection) bool {
--- a/rules/events.go
+++ b/rules/events.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Event is something that happened. Events of one Step happen at its time, in their order.
+// Event is an input of Governor.Step. The events of one Step occur at its time, in order.
 type Event interface{ event() }
 
-// State is a replica's state by the list.
+// State is a replica's state in discovery's list.
 type State int
 
 // The states of a replica.
 const (
-	Deregistered State = iota // not, or no longer, in the list
-	Ready                     // takes flows
-	Draining                  // finishes what it has and takes no new flows
+	Deregistered State = iota // not in the list, or no longer
+	Ready                     // accepts flows
+	Draining                  // finishes its flows and accepts no new ones
 )
 
 // Entry is one replica's entry in discovery's list.
@@ -22,40 +22,40 @@
 	Kind      KindID
 	Cell      CellID
 	State     State
-	Listed    float64 // listed weight
-	StartedAt Time    // last start; 0: long ago
+	Listed    float64 // weight that discovery lists
+	StartedAt Time    // last start; 0: before any warm-up that could still be running
 }
 
-// Scope is how the entries of a List event relate to the whole list.
+// Scope is how the entries of a List event relate to the complete list.
 type Scope int
 
 // The scopes of a List event.
 const (
 	Changes Scope = iota // changed entries only
-	Full                 // the whole list
-	Cached               // the list as last known, possibly stale
-	Failed               // a call failed or the subscription broke; the last list stands
+	Full                 // the complete list
+	Cached               // the last known list, possibly stale
+	Failed               // a call failed or the subscription broke; the last list remains in force
 )
 
-// LoadReport is a replica's load as it reports it itself. A value that it does not report is Absent.
+// LoadReport is the load that a replica reports of itself. Values that it does not report are Absent.
 type LoadReport struct {
-	Utilization float64 // share of its cores that is busy
-	InFlight    float64 // flows that it holds
-	ServiceTime float64 // milliseconds, without waiting
-	Rate        float64 // flows a second
+	Utilization float64 // busy share of its cores
+	InFlight    float64 // flows in progress
+	ServiceTime float64 // milliseconds for a flow, without queueing
+	Rate        float64 // flows per second
 }
 
-// Absent stands for a value that was not reported.
+// Absent marks a value that was not reported.
 const Absent = -1
 
 // The events.
 type (
-	// Start gives a governor its settings; whatever it held before is void.
+	// Start resets a governor and gives it its settings.
 	Start struct {
 		Seed     uint64
 		Settings Settings
 	}
-	// Killed ends the governor's run until the next Start.
+	// Killed stops the governor until the next Start.
 	Killed struct{}
 	// List is an update from discovery.
 	List struct {
@@ -64,15 +64,15 @@
 	}
 	// Wake reports that the timer of a WakeAfter order has expired.
 	Wake struct{ TimerID uint64 }
-	// Joined reports that a proxy's stream is established. It is bound to none of this governor's tables yet.
+	// Joined reports that a proxy's stream is established. The proxy is not bound to any table of this governor yet.
 	Joined struct {
 		Proxy    ProxyID
 		Zone     ZoneID
-		FlowRate float64 // flows a second that it usually gets
-		Fresh    bool    // it holds only its standing tables
+		FlowRate float64 // flows per second that it usually receives
+		Fresh    bool    // it holds no tables but its default ones
 
-		// MayHoldEjections: it may have replicas ejected that this governor does not know of. Binding it then readmits each
-		// replica, at the cost of a further entry for each entry of its tables.
+		// MayHoldEjections is set if the proxy may have ejected replicas that this governor does not know of. Binding it then
+		// also readmits each replica, which doubles the channel entries that the binding costs.
 		MayHoldEjections bool
 	}
 	// Left reports that a proxy's stream has ended.
@@ -81,16 +81,16 @@
 	Applied struct {
 		Proxy   ProxyID
 		Version uint16
-		Delay   time.Duration // from the sending of the message on
+		Delay   time.Duration // since the message was sent
 	}
-	// EndpointStats sum up the attempts of a zone's joined proxies at a replica.
+	// EndpointStats aggregates the attempts of a zone's joined proxies at a replica.
 	EndpointStats struct {
 		Replica     ReplicaID
 		Zone        ZoneID
 		Attempts    int
 		Dropped     int           // attempts without a successful response
-		MeanLatency time.Duration // of the successful ones; 0: none
-		Window      time.Duration // that the counts cover
+		MeanLatency time.Duration // of the successful attempts; 0: none
+		Window      time.Duration // time span that the counts cover
 		Report      LoadReport
 	}
 	// GroupTraffic counts the flows of a traffic group that arrived at a proxy.
@@ -98,27 +98,28 @@
 		Proxy   ProxyID
 		Group   GroupID
 		Flows   int
-		Dropped int // admitted, but not answered
+		Dropped int // admitted but not answered
 		Window  time.Duration
 	}
-	// PairStats report dropped attempts of one proxy at one replica, as package intake keeps them: counts decay with time.
+	// PairStats reports dropped attempts of one proxy at one replica. Package intake keeps the counts, which decay over time.
 	PairStats struct {
 		Proxy             ProxyID
 		Replica           ReplicaID
 		Attempts, Dropped float64
-		ReplicaDropShare  float64 // share of attempts that the replica drops at all other proxies
-		ProxyDropShare    float64 // share of attempts that the proxy drops at all other replicas
-		// RetriedAttempts and RetriedDropped count later attempts at all pairs of the replica that had dropped one before:
-		// of drops by chance few are followed by another, while of a pair that fails nearly all are.
+		ReplicaDropShare  float64 // share of the other proxies' attempts at the replica that are dropped
+		ProxyDropShare    float64 // share of the proxy's attempts at other replicas that are dropped
+
+		// RetriedAttempts and RetriedDropped count, over all pairs of the replica, the attempts that followed a first drop.
+		// A pair that dropped one attempt by chance drops few of these, a faulty pair nearly all.
 		RetriedAttempts, RetriedDropped float64
 	}
-	// PriorMeasurement is what an earlier run measured of a replica, and how far that is trusted.
+	// PriorMeasurement is what an earlier run measured of a replica.
 	PriorMeasurement struct {
 		Replica    ReplicaID
 		Speed      float64 // as a multiple of its listed weight
 		Throughput float64 `json:"Answers"` // flows answered in a period of full utilization
 		Ejected    bool    `json:"Out"`     // at the end of that run
-		Trust      float64 // from 0 (none) to 1
+		Trust      float64 // confidence in the measurement, 0 to 1
 	}
 	// Probed is the result of a Probe order.
 	Probed struct {
@@ -132,18 +133,18 @@
 		From PeerID
 		Data []byte
 	}
-	// SliceAssigned gives a slice to this governor, or takes it away; at sites with slices only.
+	// SliceAssigned assigns a slice to this governor, or revokes it; only at sites with slices.
 	SliceAssigned struct {
 		Slice    SliceID
 		Assigned bool
 	}
-	// SliceWeight is a replica's weight for a slice; at sites with slices only.
+	// SliceWeight is a replica's weight for a slice; only at sites with slices.
 	SliceWeight struct {
 		Slice   SliceID
 		Replica ReplicaID
 		Weight  float64
 	}
-	// SliceTraffic counts the flows of a slice by traffic group; at sites with slices only.
+	// SliceTraffic counts the flows of a slice by traffic group; only at sites with slices.
 	SliceTraffic struct {
 		Slice   SliceID
 		Group   GroupID
--- a/rules/governor.go
+++ b/rules/governor.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Governor decides for the proxies that are joined to it. The zero value is ready for a Start event. It is not safe for
-// concurrent use.
+// Governor makes the decisions for the proxies that have joined it. The zero value is ready for a Start event. It is not
+// safe for concurrent use.
 type Governor struct {
 	started  bool
 	cfg      config
@@ -20,43 +20,43 @@
 	replicas []*replica
 	byID     map[ReplicaID]*replica
 	proxies  map[ProxyID]*proxy
-	unbound  []*proxy // joined and not yet bound, most flows first
+	unbound  []*proxy // joined but not yet bound, highest rate first
 	ejecting []*proxy // proxies with pair ejections
 	tables   []*table
-	groups   []group // least utility by latency budget first
+	groups   []group // lowest utility per latency budget first
 
 	listRevision int  // List events so far
-	listedAt     Time // when the last one came
+	listedAt     Time // time of the last one
 	observing    bool
 	listRetryAt  Time
 
 	reviewedAt                 Time
-	statsPending, hasStats     bool          // statistics came since the last review; have ever been reviewed
-	longestWindow, statsWindow time.Duration // what statistics cover: the longest since the last review, and smoothed
+	statsPending, hasStats     bool          // statistics arrived since the last review; have ever been reviewed
+	longestWindow, statsWindow time.Duration // windows of statistics: longest since the last review, and smoothed
 	zones                      []zoneRounds
 	ejectionsLeft              int     // replicas that may still be ejected
-	timerAt                    Time    // when the pending Wake is due
-	bindAfter                  Time    // until then, or the first statistics, proxies keep the tables of an earlier run
-	newFlows                   float64 // that came to proxies since the last review
+	timerAt                    Time    // due time of the pending Wake
+	bindAfter                  Time    // until then, proxies that hold tables of an earlier run are not bound
+	newFlows                   float64 // received by proxies since the last review
 
 	meanLoad, dropShare float64 // of the replicas in service
-	demand              float64 // attempts by what the fleet can answer, or its load if that is more
-	speed               float64 // flows that a replica of size 1 answers in a period of full utilization
+	demand              float64 // attempts relative to the fleet's capacity, or its load if higher
+	speed               float64 // flows that a replica of size 1 answers in a fully utilized period
 	saturated           bool
-	admitted            []float64 // admitted part of the requested work, latest first
+	admittedShares      []float64 // admitted shares of the offered work, latest first
 
-	reviews                   int  // reviews so far
+	reviews                   int
 	orderCount                int  // orders of earlier Steps
-	removalsSentAt            Time // when removals were last sent to tables that have the replica outside their subset
+	removalsSentAt            Time // last removal of replicas from tables that hold them outside their subset
 	orders                    []Order
-	step, nextTable           int // Steps so far; the table that is completed next
+	step, nextTable           int // number of Steps; table that addOutsideReplicas handles next
 	channel                   []channelBatch
-	channelVersion            uint16  // of the channel's last batch
-	queuedEntries             float64 // entries that may wait in the channel
-	stepEntries, stepMessages float64 // entries and messages put into it by this Step
+	channelVersion            uint16  // version of the channel's last batch
+	queuedEntries             float64 // entries not known to have left the channel
+	stepEntries, stepMessages float64 // entries and messages queued by this Step
 }
 
-// AppendMeasurements appends to m what is worth keeping of each replica over a restart, and sorts it by replica.
+// AppendMeasurements appends the measurements of each replica that are kept across restarts, and sorts m by replica.
 func (g *Governor) AppendMeasurements(m []PriorMeasurement) []PriorMeasurement {
 	for _, r := range g.replicas {
 		if g.byID[r.id] == r && r.size > 0 && r.listed > 0 && r.served > 0 && r.busy > 0 {
@@ -67,12 +67,12 @@
 	return m
 }
 
-// anyLeaving reports whether some replica is draining, or deregistered and not yet forgotten.
+// anyLeaving reports whether any replica is draining, or deregistered and not yet forgotten.
 func (g *Governor) anyLeaving() bool {
 	return slices.ContainsFunc(g.replicas, func(r *replica) bool { return r.state != Ready })
 }
 
-// randomDuration draws a duration between least and most, from the seed.
+// randomDuration returns a pseudorandom duration between least and most that depends on the seed and the number of draws.
 func (g *Governor) randomDuration(least, most time.Duration) Time {
 	g.draws++
 	b := binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint64(nil, g.seed), g.draws)
@@ -80,7 +80,7 @@
 	return Time(least) + Time(part*float64(most-least))
 }
 
-// indicator is 1 if a condition holds, else 0.
+// indicator returns 1 for true and 0 for false.
 func indicator(is bool) float64 {
 	if is {
 		return 1
@@ -88,5 +88,5 @@
 	return 0
 }
 
-// decay is the factor by which an exponentially decaying sum over a window shrinks in some periods.
+// decay is the factor by which an exponentially decaying sum with the given window shrinks over a number of periods.
 func decay(periods, window float64) float64 { return math.Exp(-periods / window) }
--- a/rules/health.go
+++ b/rules/health.go
@@ -1,4 +1,4 @@
-package rules // Which replicas are ejected, and which return.
+package rules
 
 import (
 	"math"
@@ -6,30 +6,29 @@
 )
 
 const (
-	smoothPeriods       = 12.0  // load is smoothed over so many report periods (design: 5)
-	speedPriorFlows     = 8.0   // flows after which a replica's own speed counts as much as its kind's
-	maxSpeedRatio       = 1.5   // a measured speed is believed up to so many times what answer times tell
-	maxLearningDrops    = 0.2   // share of dropped attempts above which a replica's answers do not tell its speed
-	healthPeriods       = 4.0   // answers count in a replica's health for about so many periods
-	minDropsToEject     = 3.0   // no judgement on fewer dropped attempts than this
-	ejectDropShare      = 0.35  // share of dropped attempts from which a replica may be ejected
-	overdueToEject      = 8.0   // responses owed after which silence counts
-	successesToReturn   = 2     // successful responses in a row after which it returns
-	maxEjectedShare     = 0.4   // part of the fleet, or of one proxy's table, that may be ejected at once
-	pairDropShare       = 0.5   // share of dropped attempts from which a pair of proxy and replica may be bad
-	minPairDrops        = 2.0   // no judgement on a pair by fewer drops of its own than this
-	maxChancePairs      = 0.1   // nor where chance alone would bring so many such pairs
-	minDropRate         = 0.001 // share of attempts that any pair is taken to drop by chance
-	pairPriorAttempts   = 2.0   // retries at pairs of a replica are judged with so many successful ones added
-	ejectionPeriods     = 12.0  // a proxy ejects a replica for so long, twice as long each time that it fails on
-	maxEjectionMultiple = 16.0  // and so many times as long at the most
+	smoothPeriods       = 12.0  // window over which load is smoothed, in periods
+	speedPriorFlows     = 8.0   // flows after which a replica's own speed has the same weight as that of its kind
+	maxSpeedRatio       = 1.5   // limit of the measured speed, as a multiple of the speed that the latency suggests
+	maxLearningDrops    = 0.2   // share of dropped attempts above which no speed is measured
+	healthPeriods       = 4.0   // window of the health counts, in periods
+	minDropsToEject     = 3.0   // fewest dropped attempts that eject a replica
+	ejectDropShare      = 0.35  // lowest share of dropped attempts that ejects a replica
+	missingToEject      = 8.0   // missing responses after which a silent replica is ejected
+	successesToReturn   = 2     // consecutive successful responses that end an ejection
+	maxEjectedShare     = 0.4   // largest share of the fleet, or of a proxy's table, that is ejected at once
+	pairDropShare       = 0.5   // lowest share of dropped attempts that ejects a replica at one proxy
+	minPairDrops        = 2.0   // fewest drops of a pair that count as evidence by themselves
+	maxChancePairs      = 0.1   // largest number of such pairs expected by chance
+	minDropRate         = 0.001 // assumed lowest share of attempts dropped by chance
+	pairPriorAttempts   = 2.0   // successful retries added to those of a replica's pairs
+	ejectionPeriods     = 12.0  // first ejection of a replica at one proxy, in periods; doubles with each renewal
+	maxEjectionMultiple = 16.0  // longest such ejection, as a multiple of the first
 )
 
-// review takes in the statistics that came since the last one: health first, then speeds, then how much to let
-// in. Statistics come capped, so a replica may be heard of less than once a period; what is heard is judged by
-// the time that it covers.
+// review evaluates the statistics since the last review: health, then speeds, then admission levels. The rate of statistics
+// is limited, so a replica may be reported less than once per period; statistics count by the time that they cover.
 func (g *Governor) review(now Time, since time.Duration) { //nolint:gocognit // one pass over the replicas; a split would exceed the policy's line bound
-	if !g.hasStats && g.statsPending { // the first statistics may reach back to before our start
+	if !g.hasStats && g.statsPending { // the first statistics may cover time before the start
 		since, g.hasStats = min(max(since, g.longestWindow), speedPeriods*g.cfg.period), true
 	}
 	periods := float64(since) / float64(g.cfg.period)
@@ -37,18 +36,18 @@
 	f := fleetStats{kinds: map[KindID]speedSample{}}
 	for _, r := range g.replicas {
 		if r.newAttempts > 0 { //nolint:nestif // as above: a split costs lines over the policy's bound
-			heard := float64(min(now-r.lastStatsAt, Time(r.newWindow))) / float64(g.cfg.period)
+			covered := float64(min(now-r.lastStatsAt, Time(r.newWindow))) / float64(g.cfg.period)
 			r.lastStatsAt = now
 			if r.newReports > 0 {
 				if !r.loadKnown {
 					r.load, r.loadKnown = max(r.reportedLoad(), g.meanLoad), true
 				}
-				r.load += (r.reportedLoad() - r.load) * (1 - decay(heard, smoothPeriods))
+				r.load += (r.reportedLoad() - r.load) * (1 - decay(covered, smoothPeriods))
 				if r.newDrops <= maxLearningDrops*r.newAttempts {
-					kept := decay(heard, speedPeriods)
+					kept := decay(covered, speedPeriods)
 					r.latency = r.latency*kept + r.newLatency
 					r.served = r.served*kept + r.newAttempts - r.newDrops
-					r.busy = r.busy*kept + r.reportedLoad()*heard
+					r.busy = r.busy*kept + r.reportedLoad()*covered
 				}
 			}
 		}
@@ -66,21 +65,21 @@
 	if f.attempts > 0 {
 		g.statsWindow += (max(time.Duration(f.windows/f.attempts), g.cfg.period) - g.statsWindow) / 2
 	}
-	g.health(now, &f)
+	g.updateHealth(now, &f)
 	g.speed = f.served / max(f.busy, math.SmallestNonzeroFloat32)
 	for _, r := range g.replicas {
 		r.size = r.listed
 		if g.speed > 0 {
-			own := speedSample{r.served, r.busy * r.listed}.relativeSpeed(g.speed, f.kinds[r.kind].relativeSpeed(g.speed, 1))
-			r.size *= min(max(own, 1/outlierFactor), outlierFactor)
-			// A replica that answers too slowly for its measured speed shows less load than it has.
-			usual := f.latency / f.served
-			most := maxSpeedRatio * f.listed / f.served * usual * (r.served + speedPriorFlows) / (r.latency + speedPriorFlows*usual)
-			if r.size > most {
-				r.size, r.load = most, max(r.load, g.meanLoad)
+			speed := speedSample{r.served, r.busy * r.listed}.relativeSpeed(g.speed, f.kinds[r.kind].relativeSpeed(g.speed, 1))
+			r.size *= min(max(speed, 1/outlierFactor), outlierFactor)
+			// A replica whose latency contradicts its measured speed reports less load than it has.
+			meanLatency := f.latency / f.served
+			maxSize := maxSpeedRatio * f.listed / f.served * meanLatency * (r.served + speedPriorFlows) / (r.latency + speedPriorFlows*meanLatency)
+			if r.size > maxSize {
+				r.size, r.load = maxSize, max(r.load, g.meanLoad)
 			}
 		}
-		if r.queueDelay = max(r.queueDelay-since.Seconds(), 0); r.newReports > 0 && g.speed > 0 { // else it works off what it has
+		if r.queueDelay = max(r.queueDelay-since.Seconds(), 0); r.newReports > 0 && g.speed > 0 { // without reports, its queue is assumed to shrink
 			r.queueDelay = r.newInFlight / r.newReports / (r.size * g.speed) * g.cfg.period.Seconds()
 		}
 		if r.loadKnown && r.state == Ready && !r.ejected {
@@ -97,7 +96,7 @@
 		g.demand = max(g.meanLoad, f.attempts/periods/max(f.size*g.speed, math.SmallestNonzeroFloat32))
 	}
 	if f.reported > 0 {
-		g.setLevel(now, &f)
+		g.updateAdmission(now, &f)
 	}
 	g.reviews, g.reviewedAt, g.statsPending, g.newFlows, g.longestWindow = g.reviews+1, now, false, 0, 0
 	for i := range g.groups {
@@ -108,15 +107,15 @@
 	}
 }
 
-// relativeSpeed is a speed as a multiple of the fleet's. Where few flows tell, what is alike does: for a replica its
-// kind, for a kind the fleet.
-func (p speedSample) relativeSpeed(fleet, alike float64) float64 {
-	return (p.served + speedPriorFlows) / (p.busy*fleet + speedPriorFlows/alike)
+// relativeSpeed is a speed as a multiple of the fleet's. With few flows it tends to the prior: the speed of a replica's kind,
+// or of the fleet for a kind.
+func (p speedSample) relativeSpeed(fleet, prior float64) float64 {
+	return (p.served + speedPriorFlows) / (p.busy*fleet + speedPriorFlows/prior)
 }
 
-// restore takes on what an earlier run had measured of a replica, as far as it is trusted and nothing is
-// heard yet. One ejected before is ejected again; successful responses bring it back. Protects against tables of which nothing is
-// learnt after a restart. Harm: one that has recovered meanwhile gets a trial share at first.
+// restore adopts measurements of an earlier run in proportion to their trust, unless the replica has been measured since. A
+// replica that was ejected is ejected again until it responds. Guards against uniform weights after a restart. Side effect:
+// a replica that has recovered in the meantime starts with the trial share.
 func (g *Governor) restore(e PriorMeasurement) {
 	r := g.byID[e.Replica]
 	if r == nil || r.loadKnown || r.served > 0 || !(e.Speed > 0 && e.Throughput > 0 && e.Trust >= 0 && e.Trust <= 1) {
@@ -127,20 +126,20 @@
 	r.ejected = e.Ejected && r.state == Ready
 }
 
-// health ejects replicas that drop flows though less busy than the fleet, and those silent though flows
-// go there: against fast drops and hangs; it also catches a crash before the list tells, a cut path, and a
-// false report of zero load. The load of full ones has lowered their weight already. When all others drop as
-// much, the fault is shared. One that answers, though proxies keep more connections to it than replicas must
-// accept, refuses some: it gets less, else the fastest would be ejected first. One ejected keeps a trial share
-// and returns by its successful responses. Harm: a few drops by chance on a quiet day eject one for some seconds.
-func (g *Governor) health(now Time, f *fleetStats) {
+// updateHealth ejects replicas that drop attempts while no busier than the fleet, and counts missing responses. Guards
+// against fast failures: a crash before discovery reports it, a cut path, a false report of zero load. Overloaded replicas
+// are exempt, as their load lowers their weight already, and so is a replica if the others drop a similar share. If proxies
+// hold more connections than a replica must accept, its drops count as refused connections and only reduce its share. An
+// ejected replica keeps a trial share and returns by successful responses. Side effect: at low traffic, chance drops may
+// eject a replica.
+func (g *Governor) updateHealth(now Time, f *fleetStats) {
 	for _, r := range g.replicas {
-		good := r.newAttempts - r.newDrops
-		if good <= 0 && f.sent > 0 && now-r.lastStatsAt > Time(2*g.statsWindow-g.cfg.period*5/4) { // or its statistics may wait
-			r.overdue += f.attempts * r.sentWeight(common) / f.sent
+		succeeded := r.newAttempts - r.newDrops
+		if succeeded <= 0 && f.sent > 0 && now-r.lastStatsAt > Time(2*g.statsWindow-g.cfg.period*5/4) { // or its statistics may be delayed
+			r.missingResponses += f.attempts * r.sentWeight(common) / f.sent
 		}
 		if r.ejected {
-			if r.successes += good; r.newDrops > 0 {
+			if r.successes += succeeded; r.newDrops > 0 {
 				r.successes = 0
 			}
 			if r.successes >= successesToReturn {
@@ -148,11 +147,11 @@
 			}
 			continue
 		}
-		rest := (f.windowDrops - r.drops) / max(f.windowAttempts-r.attempts, 1)
-		full := r.newReports > 0 && r.reportedLoad() > g.meanLoad
-		dropping := !full && r.drops >= minDropsToEject && r.drops > r.attempts*max(ejectDropShare, outlierFactor*rest)
-		links := g.cfg.allProxies * (1 - math.Exp(-r.recentAttempts/float64(len(g.proxies)+1)))
-		if r.refusedShare = 0; dropping && r.drops < r.attempts-1 && links > g.cfg.minConnections {
+		othersDropShare := (f.windowDrops - r.drops) / max(f.windowAttempts-r.attempts, 1)
+		busy := r.newReports > 0 && r.reportedLoad() > g.meanLoad
+		dropping := !busy && r.drops >= minDropsToEject && r.drops > r.attempts*max(ejectDropShare, outlierFactor*othersDropShare)
+		connections := g.cfg.allProxies * (1 - math.Exp(-r.recentAttempts/float64(len(g.proxies)+1)))
+		if r.refusedShare = 0; dropping && r.drops < r.attempts-1 && connections > g.cfg.minConnections {
 			dropping, r.refusedShare = false, r.drops/r.attempts
 		}
 		if r.state == Ready && dropping && f.ejected < f.ready*maxEjectedShare {
@@ -163,43 +162,39 @@
 	g.ejectionsLeft = int(f.ready*maxEjectedShare - f.ejected)
 }
 
-// ejectSilent ejects replicas that owe responses, once every zone that has reported one, and still reports, has
-// gone a whole round without a report of it. So both must tell: the traffic, by responses owed, and the time, by
-// what was heard meanwhile. A review is due when a round begins and hears the head of it alone; what it
-// missed comes a moment later, and at much traffic one missed review is owed hundreds of answers. A round is
-// over when the next has begun, or when its collector is quiet after about as many replicas as last time.
-// Protects against hangs; it also catches a path that is cut for all. Not judged on a wake-up that comes late: then it
-// is the governor that was stalled. Harm: a governor that is always late leaves a hung replica in until attempts there are
-// dropped.
-func (g *Governor) ejectSilent(now Time) (marked bool) {
+// ejectUnresponsive ejects replicas with missing responses, once every zone that has reported the replica and still reports
+// others has completed a round without it. Missing responses alone are not sufficient, as a review may run when only part of a
+// round has arrived. A round is complete when the next one has begun, or when the collector pauses after about as many
+// replicas as in the previous round. Guards against hung replicas and paths that are cut for all proxies. Skipped on late
+// wake-ups, when the governor itself was stalled. Side effect: a governor that is always late ejects a hung replica only
+// when attempts at it are dropped.
+func (g *Governor) ejectUnresponsive(now Time) (changed bool) {
 	for _, r := range g.replicas {
-		if r.ejected || r.state != Ready || r.overdue < overdueToEject || g.ejectionsLeft <= 0 {
+		if r.ejected || r.state != Ready || r.missingResponses < missingToEject || g.ejectionsLeft <= 0 {
 			continue
 		}
-		spoke, still := false, false
+		reported, pending := false, false
 		for i, z := range g.zones {
-			if r.rounds[i] == 0 || now-z.lastStatsAt > Time(2*g.statsWindow) {
+			if r.lastRounds[i] == 0 || now-z.lastStatsAt > Time(2*g.statsWindow) {
 				continue
 			}
-			gap, quiet := z.round-r.rounds[i], now-z.lastStatsAt >= Time(g.cfg.period/8)
-			spoke, still = true, still || gap == 0 || gap == 1 && (!quiet || !z.complete())
+			gap, quiet := z.round-r.lastRounds[i], now-z.lastStatsAt >= Time(g.cfg.period/8)
+			reported, pending = true, pending || gap == 0 || gap == 1 && (!quiet || !z.complete())
 		}
-		if spoke && !still {
-			r.ejected, r.successes, marked = true, 0, true
+		if reported && !pending {
+			r.ejected, r.successes, changed = true, 0, true
 			g.ejectionsLeft--
 		}
 	}
-	return marked
+	return changed
 }
 
-// judgePair ejects a replica at one proxy, where attempts between the two are dropped that neither drops
-// elsewhere: against a replica that fails for a few proxies only, whose drops the statistics of a zone hide; it
-// also catches a path cut between the two. A proxy that drops attempts at many replicas has a bad path of its
-// own, and a replica that drops them for many is for health to judge. Drops must be more than chance brings
-// all pairs together, or those that dropped one there must drop further ones. Nothing is heard of a pair shut
-// out, so it ends by time. A proxy keeps most of its table, and cold replicas are left alone. Harm: drops by
-// chance cost a proxy one entry for a while.
-func (g *Governor) judgePair(now Time, e PairStats) {
+// evaluatePair ejects a replica at one proxy if attempts between the two are dropped far more often than at other replicas or
+// other proxies. Guards against replicas that fail for a few proxies only, and paths cut between the two, which the
+// statistics of a zone do not show. The drops must exceed what chance causes over all pairs, or pairs of the replica that
+// dropped an attempt must keep dropping them. The ejection ends by time, as the pair yields no further evidence. A proxy keeps
+// most of its table, and cold replicas are exempt. Side effect: chance drops cost a proxy one entry for a while.
+func (g *Governor) evaluatePair(now Time, e PairStats) {
 	p, r := g.proxies[e.Proxy], g.byID[e.Replica]
 	if p == nil || r == nil || r.state != Ready || r.ejected || !g.warm(now, r) || !(e.Attempts >= e.Dropped) {
 		return
@@ -212,15 +207,15 @@
 		g.reserve(now, []*proxy{p}, 1, 1, g.cfg.pacedEntries, g.cfg.messageLimit/2) == 0 {
 		return
 	}
-	span := Time(ejectionPeriods * float64(g.cfg.period))
+	duration := Time(ejectionPeriods * float64(g.cfg.period))
 	if s != nil {
-		span = min(2*s.duration, span*maxEjectionMultiple)
+		duration = min(2*s.duration, duration*maxEjectionMultiple)
 	}
-	g.ejectPair(now, p, r, span)
+	g.ejectPair(now, p, r, duration)
 }
 
-// releaseEjections lets replicas in again at single proxies, when their time is over or too little else is left.
-func (g *Governor) releaseEjections(now Time) {
+// endPairEjections ends ejections at single proxies that have expired or that leave the proxy too little of its table.
+func (g *Governor) endPairEjections(now Time) {
 	for _, p := range g.ejecting {
 		for i := range p.ejections {
 			s := &p.ejections[i]
--- a/rules/orders.go
+++ b/rules/orders.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Order is an action for the caller to carry out. Orders of one Step take effect in their order.
+// Order is an action for the caller to carry out. The orders of one Step take effect in sequence.
 type Order interface{ order() }
 
 // Retry is a retry policy.
@@ -11,12 +11,12 @@
 // The retry policies.
 const (
 	RetryNever       Retry = iota
-	RetryUnprocessed       // once, at another replica, after proof that the first attempt was not processed
+	RetryUnprocessed       // once, at another replica, if the first attempt was provably not processed
 	RetryOnce              // once after any failure
 	RetryTwice             // twice after any failure
 )
 
-// AllTables stands for all tables in an Admit order.
+// AllTables addresses all tables in an Admit order.
 const AllTables TableID = 65535
 
 // The orders.
@@ -27,20 +27,20 @@
 		Replica ReplicaID
 		Weight  float64
 	}
-	// Admit sets a table's admission level and retry policy for some traffic groups.
+	// Admit sets a table's admission level and retry policy for a set of traffic groups.
 	Admit struct {
 		Table  TableID
 		Groups GroupSet
 		Level  float64
 		Retry  Retry
 	}
-	// Bind puts a proxy on a table for some traffic groups.
+	// Bind assigns a proxy to a table for a set of traffic groups.
 	Bind struct {
 		Proxy  ProxyID
 		Table  TableID
 		Groups GroupSet
 	}
-	// ClearTable removes all entries and levels of a table.
+	// ClearTable removes all entries and admission levels of a table.
 	ClearTable struct{ Table TableID }
 	// ReplicaEjection ejects a replica from all tables that the joined proxies hold, or readmits it.
 	ReplicaEjection struct {
@@ -58,26 +58,26 @@
 		Version    uint16
 		AllProxies bool
 	}
-	// WakeAfter starts a timer, which ends with a Wake event.
+	// WakeAfter starts a timer that ends with a Wake event.
 	WakeAfter struct {
 		After   time.Duration
 		TimerID uint64
 	}
 	// WatchList starts or ends the subscription to the list's changes.
 	WatchList struct{ On bool }
-	// FetchList requests the whole list, once.
+	// FetchList requests the complete list once.
 	FetchList struct{}
-	// Forget says that a replica is deregistered and that no table holds it: no later order names it, and its ID may be
-	// released. If it is listed again, it is a new replica.
+	// Forget reports that a replica is deregistered and that no table holds it. No later order refers to it, and its ID may be
+	// released. If it is listed again, it counts as a new replica.
 	Forget struct{ Replica ReplicaID }
-	// Probe requests a health check of a replica, which costs the replica work.
+	// Probe requests a health check of a replica. A health check adds to the replica's load.
 	Probe struct{ Replica ReplicaID }
 	// SendToPeer sends a message to another governor.
 	SendToPeer struct {
 		To   PeerID
 		Data []byte
 	}
-	// Log is a line for the operators' log.
+	// Log writes a line to the operators' log.
 	Log struct{ Text string }
 )
 
--- a/rules/proxy.go
+++ b/rules/proxy.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// proxy is the record of a joined proxy.
+// proxy is the state of a joined proxy.
 type proxy struct {
 	id        ProxyID
 	zone      ZoneID
-	rate      float64
-	fresh     bool    // it held only its standing tables when it joined
-	entryCost float64 // channel entries for each entry of its tables when it is bound
+	rate      float64 // flows per second at the time of joining
+	fresh     bool    // held only its default tables when it joined
+	entryCost float64 // channel entries per table entry when it is bound
 	table     [2]*table
-	messages  []Time         // when messages were written to it, within the message span
-	lastStep  int            // the last Step that wrote to it
+	messages  []Time         // send times of messages within the message span
+	lastStep  int            // last Step that sent to it
 	ejections []pairEjection // oldest first
 }
 
-// join adds a proxy, in place of an earlier stream of its own.
+// join adds a proxy and replaces an earlier stream of it.
 func (g *Governor) join(e Joined) {
 	if g.leave(e.Proxy); !g.started {
 		return
@@ -35,7 +35,6 @@
 	g.unbound = append(g.unbound, p)
 }
 
-// leave removes a proxy.
 func (g *Governor) leave(id ProxyID) {
 	p := g.proxies[id]
 	if p == nil {
@@ -44,7 +43,7 @@
 	is := func(q *proxy) bool { return q == p }
 	for _, t := range p.table {
 		if t != nil {
-			t.proxies, t.flows = slices.DeleteFunc(t.proxies, is), max(t.flows-g.expected(p, t), 0)
+			t.proxies, t.flows = slices.DeleteFunc(t.proxies, is), max(t.flows-g.expectedFlows(p, t), 0)
 		}
 	}
 	g.unbound = slices.DeleteFunc(g.unbound, is)
@@ -54,13 +53,13 @@
 	delete(g.proxies, id)
 }
 
-// expected is the flows that a proxy will bring a table within the speed window, by the rate it joined with.
-func (g *Governor) expected(p *proxy, t *table) float64 {
+// expectedFlows estimates a proxy's flows for a table over the speed window, from the rate that it joined with.
+func (g *Governor) expectedFlows(p *proxy, t *table) float64 {
 	groups := float64(bits.OnesCount16(uint16(g.cfg.groups[t.kind]))) / float64(len(g.groups))
 	return p.rate * groups * speedPeriods * g.cfg.period.Seconds()
 }
 
-// countTraffic adds a proxy's flows to those of its traffic group and of its tables.
+// countTraffic adds a proxy's flows to the counts of the traffic group and of the proxy's tables.
 func (g *Governor) countTraffic(e GroupTraffic) {
 	i := slices.IndexFunc(g.groups, func(tg group) bool { return tg.id == e.Group })
 	p := g.proxies[e.Proxy]
--- a/rules/replica.go
+++ b/rules/replica.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// replica is the record of one replica.
+// replica is the state of one replica.
 type replica struct {
 	id       ReplicaID
 	zone     ZoneID
 	kind     KindID
 	state    State
-	listed   float64
+	listed   float64 // listed weight
 	started  Time
-	listedIn int // the last list that named it
+	listedIn int // list revision that last contained it
 
 	newAttempts, newDrops, newLoad, newReports float64 // since the last review
-	newInFlight, queueDelay                    float64 // flows in flight, by its reports; seconds that they take
-	newLatency, latency                        float64 // seconds that successful attempts took: new, over the speed window
+	newInFlight, queueDelay                    float64 // reported flows in flight; seconds that it needs to answer them
+	newLatency, latency                        float64 // total seconds of successful attempts: since the last review, over the speed window
 	newWindow                                  time.Duration
-	lastStatsAt                                Time  // the last review with statistics of it
-	rounds                                     []int // by zone, the last with statistics of it; 0: none
+	lastStatsAt                                Time  // last review with statistics of it
+	lastRounds                                 []int // by zone, last round with statistics of it; 0: none
 
-	cold         bool    // its warm-up may not be over, when last weighed
+	cold         bool    // may have been warming up when weights were last computed
 	loadKnown    bool    // its load has been reported
 	load         float64 // smoothed
-	served, busy float64 // flows answered, and periods spent busy, over the speed window
-	size         float64 // listed weight x measured speed
+	served, busy float64 // flows answered and busy periods, over the speed window
+	size         float64 // listed weight times measured speed
 
-	attempts, drops float64 // over the health window
-	overdue         float64 // responses expected since the last successful one
-	ejected         bool    // by the health rules
-	recentAttempts  float64 // attempts while a connection stays open
-	refusedShare    float64 // share of attempts dropped, if by refused connections
-	successes       float64 // successful responses in a row while ejected
-	returnedAt      Time    // end of the last ejection
+	attempts, drops  float64 // over the health window
+	missingResponses float64 // expected responses that are missing since the last successful one
+	ejected          bool    // by updateHealth, ejectUnresponsive or a prior measurement
+	recentAttempts   float64 // attempts within the idle timeout of a connection
+	refusedShare     float64 // share of attempts dropped, if attributed to refused connections
+	successes        float64 // consecutive successful responses while ejected
+	returnedAt       Time    // end of the last ejection
 
-	spare, maxShare float64    // spare capacity; limit of its share, by its fair share
-	table           [2]*table  // whose subset it is in, by kind
-	wanted          [2]float64 // wanted weight there
-	sent            []float64  // weight as last ordered, by table
-	tables          int        // tables that hold it
+	spare, maxShare float64    // spare capacity; limit of its traffic share, as a multiple of its fair share
+	table           [2]*table  // table whose subset contains it, by kind
+	wanted          [2]float64 // target weight in that table
+	sent            []float64  // last ordered weight, by table
+	tables          int        // number of tables that hold it
 }
 
-// usable is the part of a replica's spare capacity that its limit leaves. It is never 0: else, where all limits are 0, all
-// replicas would go to one table's subset, and the other tables would be empty.
-func (r *replica) usable() float64 {
+// usableSpare is the part of a replica's spare capacity that its share limit permits. It is never 0: if all limits were 0, all
+// replicas would be assigned to one table's subset and the other subsets would be empty.
+func (r *replica) usableSpare() float64 {
 	return r.spare * max(min(r.maxShare, 1), math.SmallestNonzeroFloat32)
 }
 
-// sentWeight is a replica's weight as last ordered in the table whose subset it is in.
+// sentWeight is a replica's last ordered weight in the table whose subset contains it.
 func (r *replica) sentWeight(kind int) float64 {
 	if r.table[kind] == nil {
 		return 0
@@ -57,10 +57,10 @@
 	return r.sent[r.table[kind].id]
 }
 
-// reportedLoad is the mean load of the reports since the last review.
+// reportedLoad is the mean utilization in the reports since the last review.
 func (r *replica) reportedLoad() float64 { return r.newLoad / r.newReports }
 
-// warm reports whether a replica's warm-up is certainly over.
+// warm reports whether a replica has been running for at least the longest warm-up time.
 func (g *Governor) warm(now Time, r *replica) bool {
 	return r.started == 0 || now-r.started >= Time(g.cfg.warmupTime)
 }
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -1,16 +1,12 @@
 package rules
 
-// The decisions of a governor stand in this file (Step and its input), health.go, weigh.go and publish.go. A caller
-// keeps one Governor for each instance, whose zero value is ready, and hands it what happened, in order:
+// This file has Step and the handling of its events. The decisions are in health.go (ejection), weigh.go (weights) and
+// publish.go (what is sent, and when). Step is deterministic: the same events always give the same orders. It makes no
+// decisions before a Start event, nor for sites with slices.
 //
-//	orders := g.Step(now, events)
-//
-// The orders take effect at now, in order; the same events always give the same orders. Nothing is decided
-// before a Start event has brought the settings. Sites with slices are left undecided: Step orders nothing.
-//
-// The ordinary path: each replica's reported load is smoothed, its spare capacity (its size x the share not
-// busy) sets its weight, and once a report period the changed weights are sent, largest change first. The
-// guards around it say what they protect against, what else they should catch, and when they could do harm.
+// The reported load of each replica is smoothed, the spare capacity (size times idle share) determines its weight, and
+// once per period the changed weights are sent, largest change first. The comments on the exceptions to this state which
+// failure they guard against and which side effects they have.
 
 import (
 	"cmp"
@@ -19,24 +15,23 @@
 	"time"
 )
 
-// "design" marks what the design page names, with its value where ours differs.
 const (
-	pacedShare         = 1.0 / 3 // part of a second of channel that a period's changes may fill (design)
-	coldOverloadPart   = 0.75    // of what pushes a cold replica over, it may be sent where others can't take theirs
-	minRoundPeriods    = 0.75    // periods that a zone's round takes at the least
-	completeRoundShare = 0.8     // with so many replicas by those of the round before, a quiet zone has said all
-	maxChannelFill     = 0.9     // part of the entries that may wait, by our count of them
-	maxSlowdown        = 10.0    // a channel so many times slower is still counted right
-	removeShare        = 0.25    // part of the drain grace that removals may wait for others, or for naming
-	listRetryParts     = 20      // a failed call for the list is made again after one or two such parts of the time
-	fillShare          = 2.0 / 3 // the same as pacedShare for naming replicas in tables that prefer others
+	pacedShare         = 1.0 / 3 // seconds of channel throughput that periodic changes may occupy
+	coldOverloadShare  = 0.75    // share of a cold replica's overload limit that it may receive when other replicas are at their limit
+	minRoundPeriods    = 0.75    // shortest reporting round of a zone, in periods
+	completeRoundShare = 0.8     // a round is complete with this share of the previous round's replicas
+	maxChannelFill     = 0.9     // share of the channel capacity that is used
+	maxSlowdown        = 10.0    // slowdown of the channel up to which queued entries are counted correctly
+	removeDelayShare   = 0.25    // share of the drain grace for which removals may be delayed
+	listRetryDivisor   = 20      // a failed list request is repeated after 1/20 to 2/20 of the deadline
+	fillShare          = 2.0 / 3 // like pacedShare, for replicas outside a table's subset
 )
 
-// Step takes what happened at now and returns what is to be done.
+// Step handles the events that occurred at now and returns the resulting orders.
 func (g *Governor) Step(now Time, events []Event) []Order {
 	g.orderCount, g.orders, g.stepEntries, g.stepMessages = g.orderCount+len(g.orders), nil, 0, 0
 	g.step++
-	var listed, woken, joined, held bool
+	var listed, woken, joined, lateWake bool
 	for _, e := range events {
 		switch e := e.(type) {
 		case Start:
@@ -48,7 +43,7 @@
 			g.updateList(now, e)
 		case Wake:
 			if g.started && e.TimerID == g.timerID {
-				woken, held = true, now-g.timerAt > Time(g.cfg.period/4)
+				woken, lateWake = true, now-g.timerAt > Time(g.cfg.period/4)
 				g.setTimer(now)
 			}
 		case Joined:
@@ -63,7 +58,7 @@
 		case GroupTraffic:
 			g.countTraffic(e)
 		case PairStats:
-			g.judgePair(now, e)
+			g.evaluatePair(now, e)
 		case PriorMeasurement:
 			g.restore(e)
 		}
@@ -75,16 +70,16 @@
 	due := g.statsPending && since >= g.cfg.period*3/4 || since >= g.cfg.period*3/2
 	if due {
 		g.review(now, since)
-		g.releaseEjections(now)
+		g.endPairEjections(now)
 	}
-	marked := woken && !held && g.ejectSilent(now)
-	if g.listRevision > 0 && (due || listed || marked) {
-		g.weigh(now)
+	ejected := woken && !lateWake && g.ejectUnresponsive(now)
+	if g.listRevision > 0 && (due || listed || ejected) {
+		g.updateWeights(now)
 	}
 	if g.listRevision > 0 && (due || listed || woken || joined && !g.hasStats) {
 		g.publish(now, due)
 	} else if g.listRevision > 0 && joined {
-		g.bind(now)
+		g.bindProxies(now)
 	}
 	g.recordBatch(now)
 	g.requestList(now)
@@ -99,20 +94,20 @@
 		g.orders = append(g.orders, Log{"a site with slices: this module leaves it undecided"})
 		return
 	}
-	span := s.EntryCapacity / s.EntryRate * maxSlowdown * float64(time.Second)
+	queueTime := s.EntryCapacity / s.EntryRate * maxSlowdown * float64(time.Second)
 	g.cfg = config{
 		proxies: float64(s.Proxies) / float64(max(s.Governors, 1)), warmupTime: s.WarmupTime, coldCapacity: s.ColdCapacity,
 		listOnRequest: s.ListOnRequest, canShed: s.Levels == LevelShare, avoidAfter: float64(s.FailuresToAvoid),
-		openLevel: 1 + indicator(s.Levels == LevelRate)*(math.MaxInt32-1), // a rate: more than any proxy gets
+		openLevel: 1 + indicator(s.Levels == LevelRate)*(math.MaxInt32-1), // a rate above that of any proxy
 		period:    s.Period, entryCapacity: s.EntryCapacity * maxChannelFill, pacedEntries: s.EntryRate * pacedShare,
 		drainEntries: min(s.EntryRate*s.DrainGrace.Seconds()/2, s.EntryCapacity*maxChannelFill),
-		fillEntries:  s.EntryRate * min(fillShare, s.DrainGrace.Seconds()*removeShare), messageEntries: s.MessageEntries + 1,
-		batchLifetime: time.Duration(span) + s.MaxMessageDelay, messageLimit: cmp.Or(s.MessageLimit, math.MaxInt32),
-		messageSpan: s.MessageSpan, listRetryWait: s.ListRequestDeadline / listRetryParts,
-		removeWait: Time(float64(s.DrainGrace) * removeShare), allProxies: float64(s.Proxies),
+		fillEntries:  s.EntryRate * min(fillShare, s.DrainGrace.Seconds()*removeDelayShare), messageEntries: s.MessageEntries + 1,
+		batchLifetime: time.Duration(queueTime) + s.MaxMessageDelay, messageLimit: cmp.Or(s.MessageLimit, math.MaxInt32),
+		messageSpan: s.MessageSpan, listRetryWait: s.ListRequestDeadline / listRetryDivisor,
+		removeWait: Time(float64(s.DrainGrace) * removeDelayShare), allProxies: float64(s.Proxies),
 		idlePeriods: float64(s.ConnectionIdleTimeout) / float64(s.Period), minConnections: cmp.Or(s.MinConnections, math.MaxFloat64),
-		coldEntries: s.EntryRate * s.OverloadTime.Seconds() * removeShare,
-		coldMargin:  max(math.Sqrt(s.OverloadMultiple*coldOverloadPart/coldLoadShare), 1),
+		coldEntries: s.EntryRate * s.OverloadTime.Seconds() * removeDelayShare,
+		coldMargin:  max(math.Sqrt(s.OverloadMultiple*coldOverloadShare/coldLoadShare), 1),
 	}
 	for i, tg := range s.Groups {
 		kind := common
@@ -125,9 +120,9 @@
 		g.groups = append(g.groups, group{id: GroupID(i), budget: budget, utilityRate: tg.Utility / budget})
 	}
 	slices.SortStableFunc(g.groups, func(a, b group) int { return cmp.Compare(a.utilityRate, b.utilityRate) })
-	g.meanLoad, g.statsWindow = 0.5, s.Period // guesses until the first statistics
+	g.meanLoad, g.statsWindow = 0.5, s.Period // assumptions until the first statistics
 	g.bindAfter = now + Time(s.Period*levelDelay)
-	g.admitted = slices.Repeat([]float64{1}, 4*levelDelay)
+	g.admittedShares = slices.Repeat([]float64{1}, 4*levelDelay)
 	g.zones = make([]zoneRounds, s.Zones)
 	g.setTimer(now)
 }
@@ -137,9 +132,9 @@
 	g.orders = append(g.orders, WakeAfter{g.cfg.period / 4, g.timerID})
 }
 
-// updateList takes in an update from discovery. A replica that started anew begins as an unknown one.
+// updateList applies an update from discovery. The state of a replica that has restarted is reset.
 func (g *Governor) updateList(now Time, e List) {
-	if !g.started || g.tables == nil && len(e.Entries) == 0 { // nothing to go by yet
+	if !g.started || g.tables == nil && len(e.Entries) == 0 { // no tables can be created yet
 		return
 	}
 	if e.Scope == Failed {
@@ -153,21 +148,21 @@
 	for _, n := range e.Entries {
 		r := g.byID[n.Replica]
 		if r == nil {
-			r = &replica{id: n.Replica, sent: make([]float64, len(g.tables)), rounds: make([]int, len(g.zones))}
+			r = &replica{id: n.Replica, sent: make([]float64, len(g.tables)), lastRounds: make([]int, len(g.zones))}
 			g.byID[r.id] = r
 			g.replicas = append(g.replicas, r)
 		}
 		if n.StartedAt != r.started || n.State == Ready && r.state == Deregistered {
-			clear(r.rounds)
+			clear(r.lastRounds)
 			*r = replica{id: r.id, started: n.StartedAt, lastStatsAt: now, table: r.table, sent: r.sent, tables: r.tables,
-				rounds: r.rounds}
+				lastRounds: r.lastRounds}
 		}
 		r.zone, r.kind, r.state, r.listed, r.listedIn = n.Zone, n.Kind, n.State, n.Listed, g.listRevision
 		if !(r.listed > 0) || math.IsInf(r.listed, 0) {
 			r.listed = 1
 		}
 		if r.state != Ready {
-			g.bindAfter = now // what proxies hold may still send there
+			g.bindAfter = now // tables of an earlier run may still contain it
 		}
 	}
 	for _, r := range g.replicas {
@@ -183,7 +178,7 @@
 		return
 	}
 	if g.trackRound(now, r, e.Zone); e.Dropped < e.Attempts {
-		r.overdue = 0
+		r.missingResponses = 0
 	}
 	g.statsPending, g.longestWindow, r.newWindow = true, max(g.longestWindow, e.Window), max(r.newWindow, e.Window)
 	r.newAttempts, r.newDrops = r.newAttempts+float64(e.Attempts), r.newDrops+float64(e.Dropped)
@@ -193,8 +188,8 @@
 	r.newInFlight += known * max(e.Report.InFlight, 0)
 }
 
-// requestList keeps the list coming where it must be asked for: again after a failure or no answer, after a wait
-// drawn by chance so that governors do not all ask at once.
+// requestList subscribes to the list if it must be requested, and repeats the request after a failure or a timeout. The
+// delay is random, so that governors do not all send requests at the same time.
 func (g *Governor) requestList(now Time) {
 	if g.cfg.listOnRequest && !g.observing && now >= g.listRetryAt {
 		g.orders = append(g.orders, WatchList{On: true})
--- a/rules/table.go
+++ b/rules/table.go
@@ -2,19 +2,19 @@
 
 import "cmp"
 
-// table is a weight table of all replicas that its traffic groups may use. Where there are several of a kind, each
-// prefers a subset of the replicas.
+// table is a weight table of the replicas that its traffic groups may use. Where there are several tables of a kind, each
+// gives most of its weight to a subset of the replicas.
 type table struct {
 	id               TableID
 	kind             int
 	zone             ZoneID // home tables only
-	paired           *table // home tables only, where there are several: the common one of the same proxies
+	paired           *table // home tables only, if there are several: common table of the same proxies
 	proxies          []*proxy
-	flows            float64 // that came to its proxies, over the speed window
-	entries          float64 // that it holds
-	admits           []Admit // as last ordered, by place in groups
+	flows            float64 // received by its proxies, over the speed window
+	entries          float64 // number of entries that it holds
+	admits           []Admit // last ordered, by index in Governor.groups
 	subset           []*replica
-	spare, totalSize float64 // spare capacity of its subset; size of all replicas it accepts
+	spare, totalSize float64 // usable spare capacity of its subset; size of all replicas it accepts
 	attempts, drops  float64 // of its subset, over the health window
 	urgent, changes  []change
 	movedFlows       float64 // flows that its pending changes move
@@ -26,7 +26,7 @@
 	weight, delta float64
 }
 
-// spareCapacity is the spare capacity of a table's subset, regardless of limits.
+// spareCapacity is the spare capacity of a table's subset, without share limits.
 func (t *table) spareCapacity() (sum float64) {
 	for _, r := range t.subset {
 		sum += r.spare
@@ -34,8 +34,8 @@
 	return sum
 }
 
-// warmRatio is 1 for a warm replica. For a cold one it is the ratio of the ordered to the wanted weights of the table's warm
-// replicas: proxies see shares, so a weight among others that have yet to rise draws more than is wanted.
+// warmRatio is 1 for a warm replica. For a cold one it is the ratio of ordered to wanted weights of the table's warm replicas.
+// Proxies use relative weights, so a cold replica would exceed its wanted share while the others' weights are too low.
 func (t *table) warmRatio(r *replica) float64 {
 	if !r.cold {
 		return 1
@@ -52,14 +52,14 @@
 	return min(sent/want, 1)
 }
 
-// accepts reports whether a table is for replicas and proxies of a zone.
+// accepts reports whether a table serves the replicas and proxies of a zone.
 func (t *table) accepts(z ZoneID) bool { return t.kind == common || t.zone == z }
 
-// byMovedFlows compares tables by the flows that their changes move, most first.
+// byMovedFlows sorts tables by the flows that their pending changes move, in descending order.
 func byMovedFlows(a, b *table) int { return cmp.Compare(b.movedFlows, a.movedFlows) }
 
-// coldExcess is the flows of a table's proxies in a period beyond what its ordered warm replicas can answer, for each cold
-// replica of its subset; 0 where at least minWarm warm replicas weigh as much as the cold one.
+// coldExcess is the number of flows per period beyond the capacity of a table's warm replicas, per cold replica of its subset.
+// It is 0 if at least minWarm warm replicas have an ordered weight no lower than r's wanted weight.
 func (g *Governor) coldExcess(now Time, t *table, r *replica, minWarm int) float64 {
 	flows, cold := t.flows/speedPeriods*(1+g.dropShare), 0.0
 	for _, o := range t.subset {
@@ -86,7 +86,7 @@
 	g.orders = append(g.orders, EndpointWeight{t.id, r.id, weight})
 }
 
-// resend clears a table and sends its subset and levels again.
+// resend clears a table and orders its subset and admission levels again.
 func (g *Governor) resend(t *table) {
 	g.orders = append(g.orders, ClearTable{t.id})
 	for _, r := range g.replicas {
