--- a/rules/trace_test.go
+++ b/rules/trace_test.go
@@ -10,31 +10,31 @@
 	"zincloft.example/zincloft/internal/testbeds/testkit"
 )
 
-// play hands events to one governor and keeps a trace of what it orders, wake-ups left out.
-type play struct {
-	g       Governor
-	now     Time
-	mark    uint64
-	list    []Entry
-	proxies []Joined
-	silent  bool // proxies do not confirm what they applied
-	failing map[ReplicaID]float64
-	hung    map[ReplicaID]bool
-	load    map[ReplicaID]float64
-	held    map[ReplicaID]float64
-	flows   int // a period, over all replicas
-	took    time.Duration
-	slow    ReplicaID // takes three times as long
-	turns   int       // a replica is heard of once in so many periods
-	busy    ProxyID   // gets three times the flows of the others, if not 0
-	version uint16
-	trace   strings.Builder
+// harness drives one governor and records its orders as a trace, except for timers and acknowledgement requests.
+type harness struct {
+	g            Governor
+	now          Time
+	timerID      uint64
+	list         []Entry
+	proxies      []Joined
+	noAcks       bool // proxies do not acknowledge messages
+	dropShares   map[ReplicaID]float64
+	unresponsive map[ReplicaID]bool // replicas without statistics
+	loads        map[ReplicaID]float64
+	inFlight     map[ReplicaID]float64
+	flows        int // per period, over all replicas
+	latency      time.Duration
+	slowReplica  ReplicaID // has three times the latency
+	reportEvery  int       // periods between the statistics of a replica
+	busyProxy    ProxyID   // receives three times the flows of the others; 0: none
+	version      uint16
+	trace        strings.Builder
 }
 
 const ms = Time(time.Millisecond)
 
-// site is a small deployment: two zones, a retriable, a deduped and a non-retriable traffic group.
-func site() Settings {
+// testSettings describe a site of two zones with a retriable, a deduped and a non-retriable traffic group.
+func testSettings() Settings {
 	return Settings{
 		Groups: []TrafficGroup{
 			{Name: "look", LatencyBudget: time.Second, Expiry: 3 * time.Second, Utility: 1, Effect: Retriable},
@@ -49,23 +49,23 @@
 	}
 }
 
-// newPlay starts a governor with n replicas of alternating zones, and m proxies that join at once.
-func newPlay(s Settings, n, m int) *play {
-	p := &play{now: 1000 * Time(time.Second), turns: 1, took: 200 * time.Millisecond, failing: map[ReplicaID]float64{}, hung: map[ReplicaID]bool{},
-		load: map[ReplicaID]float64{}, flows: 10 * n}
-	for i := range n {
+// newHarness starts a governor with replicas in alternating zones and with proxies that join at once.
+func newHarness(s Settings, replicas, proxies int) *harness {
+	h := &harness{now: 1000 * Time(time.Second), reportEvery: 1, latency: 200 * time.Millisecond, dropShares: map[ReplicaID]float64{},
+		unresponsive: map[ReplicaID]bool{}, loads: map[ReplicaID]float64{}, flows: 10 * replicas}
+	for i := range replicas {
 		id := ReplicaID(i + 1)
-		p.list = append(p.list, Entry{Replica: id, Zone: ZoneID(i % 2), State: Ready, Listed: 1})
-		p.load[id] = 0.5
+		h.list = append(h.list, Entry{Replica: id, Zone: ZoneID(i % 2), State: Ready, Listed: 1})
+		h.loads[id] = 0.5
 	}
-	p.step(Start{Seed: 7, Settings: s}, List{Scope: Cached, Entries: p.list})
-	for i := range m {
-		p.proxies = append(p.proxies, Joined{Proxy: ProxyID(i), Zone: ZoneID(i % 2), FlowRate: 5, Fresh: true})
+	h.step(Start{Seed: 7, Settings: s}, List{Scope: Cached, Entries: h.list})
+	for i := range proxies {
+		h.proxies = append(h.proxies, Joined{Proxy: ProxyID(i), Zone: ZoneID(i % 2), FlowRate: 5, Fresh: true})
 	}
-	if m > 0 {
-		p.step(events(p.proxies)...)
+	if proxies > 0 {
+		h.step(events(h.proxies)...)
 	}
-	return p
+	return h
 }
 
 func events[E Event](list []E) []Event {
@@ -76,76 +76,76 @@
 	return out
 }
 
-// step hands over events, writes down the orders, and lets the proxies confirm them.
-func (p *play) step(events ...Event) {
-	var shown []string
-	for _, o := range p.g.Step(p.now, events) {
+// step passes events to the governor and adds the resulting orders to the trace.
+func (h *harness) step(events ...Event) {
+	var printed []string
+	for _, o := range h.g.Step(h.now, events) {
 		switch o := o.(type) {
 		case WakeAfter:
-			p.mark = o.TimerID
+			h.timerID = o.TimerID
 		case AckRequest:
-			p.version = o.Version
+			h.version = o.Version
 		case EndpointWeight:
-			shown = append(shown, fmt.Sprintf("t%d r%d %.1f", o.Table, o.Replica, o.Weight))
+			printed = append(printed, fmt.Sprintf("t%d r%d %.1f", o.Table, o.Replica, o.Weight))
 		case Admit:
-			shown = append(shown, fmt.Sprintf("admit t%d g%b %.2f retry %d", o.Table, o.Groups, o.Level, o.Retry))
+			printed = append(printed, fmt.Sprintf("admit t%d g%b %.2f retry %d", o.Table, o.Groups, o.Level, o.Retry))
 		case Bind:
-			shown = append(shown, fmt.Sprintf("bind p%d t%d g%b", o.Proxy, o.Table, o.Groups))
+			printed = append(printed, fmt.Sprintf("bind p%d t%d g%b", o.Proxy, o.Table, o.Groups))
 		default:
-			shown = append(shown, testkit.TraceType(o)+testkit.TraceValue(o))
+			printed = append(printed, testkit.TraceType(o)+testkit.TraceValue(o))
 		}
 	}
-	if len(shown) > 0 {
-		fmt.Fprintf(&p.trace, "%7.2f  %s\n", float64(p.now-1000*Time(time.Second))/float64(time.Second),
-			strings.Join(shown, "; "))
+	if len(printed) > 0 {
+		fmt.Fprintf(&h.trace, "%7.2f  %s\n", float64(h.now-1000*Time(time.Second))/float64(time.Second),
+			strings.Join(printed, "; "))
 	}
 }
 
-// note writes a line for the reader.
-func (p *play) note(text string) { fmt.Fprintf(&p.trace, "# %s\n", text) }
+// note adds a comment to the trace.
+func (h *harness) note(text string) { fmt.Fprintf(&h.trace, "# %s\n", text) }
 
-// run lets time pass, with a wake each quarter of a second and sums each second.
-func (p *play) run(seconds int) {
+// run advances time, with a timer each quarter of a second and statistics each second.
+func (h *harness) run(seconds int) {
 	for range seconds {
 		for q := range 4 {
-			p.now += 250 * ms
-			var in []Event
-			if q == 0 && !p.silent {
-				for _, j := range p.proxies {
-					in = append(in, Applied{Proxy: j.Proxy, Version: p.version})
+			h.now += 250 * ms
+			var events []Event
+			if q == 0 && !h.noAcks {
+				for _, j := range h.proxies {
+					events = append(events, Applied{Proxy: j.Proxy, Version: h.version})
 				}
 			}
-			if q == 3 && len(p.proxies) > 0 {
-				in = append(in, p.sums()...)
+			if q == 3 && len(h.proxies) > 0 {
+				events = append(events, h.stats()...)
 			}
-			p.step(append(in, Wake{TimerID: p.mark})...)
+			h.step(append(events, Wake{TimerID: h.timerID})...)
 		}
 	}
 }
 
-// sums spreads the flows over the replicas by the governor's own lines.
-func (p *play) sums() []Event {
+// stats distributes the flows over the replicas by their ordered weights and returns the statistics.
+func (h *harness) stats() []Event {
 	var out []Event
 	total := 0.0
-	for _, r := range p.g.replicas {
+	for _, r := range h.g.replicas {
 		total += r.sentWeight(common)
 	}
-	for _, r := range p.g.replicas {
-		tries := int(float64(p.flows)*r.sentWeight(common)/max(total, 1) + 0.5)
-		s := EndpointStats{Replica: r.id, Attempts: tries * p.turns, Window: time.Second * time.Duration(p.turns),
-			Dropped: int(float64(tries*p.turns)*p.failing[r.id] + 0.5), MeanLatency: p.took, Report: LoadReport{Utilization: p.load[r.id], InFlight: p.held[r.id]}}
-		if r.id == p.slow {
+	for _, r := range h.g.replicas {
+		attempts := int(float64(h.flows)*r.sentWeight(common)/max(total, 1) + 0.5)
+		s := EndpointStats{Replica: r.id, Attempts: attempts * h.reportEvery, Window: time.Second * time.Duration(h.reportEvery),
+			Dropped: int(float64(attempts*h.reportEvery)*h.dropShares[r.id] + 0.5), MeanLatency: h.latency, Report: LoadReport{Utilization: h.loads[r.id], InFlight: h.inFlight[r.id]}}
+		if r.id == h.slowReplica {
 			s.MeanLatency *= 3
 		}
-		turn := (int(r.id)+int(p.now/1000/ms))%p.turns == 0
-		if tries > 0 && !p.hung[r.id] && turn {
+		due := (int(r.id)+int(h.now/1000/ms))%h.reportEvery == 0
+		if attempts > 0 && !h.unresponsive[r.id] && due {
 			out = append(out, s)
 		}
 	}
-	for _, j := range p.proxies {
+	for _, j := range h.proxies {
 		for g := range 3 {
-			n := p.flows / len(p.proxies) / 3
-			if p.busy != 0 && j.Proxy == p.busy {
+			n := h.flows / len(h.proxies) / 3
+			if h.busyProxy != 0 && j.Proxy == h.busyProxy {
 				n *= 3
 			}
 			out = append(out, GroupTraffic{Proxy: j.Proxy, Group: GroupID(g), Flows: n, Window: time.Second})
@@ -154,15 +154,15 @@
 	return out
 }
 
-// change tells the governor of one replica's new state.
-func (p *play) change(id ReplicaID, s State, started Time) {
-	at := slices.IndexFunc(p.list, func(e Entry) bool { return e.Replica == id })
-	p.list[at].State, p.list[at].StartedAt = s, started
-	p.step(List{Scope: Changes, Entries: p.list[at : at+1]})
+// setState sends the governor a list update with a replica's new state.
+func (h *harness) setState(id ReplicaID, s State, started Time) {
+	i := slices.IndexFunc(h.list, func(e Entry) bool { return e.Replica == id })
+	h.list[i].State, h.list[i].StartedAt = s, started
+	h.step(List{Scope: Changes, Entries: h.list[i : i+1]})
 }
 
-// check compares the trace with the one that is kept.
-func (p *play) check(t *testing.T) {
+// compareTrace compares the trace with the recorded one of this test.
+func (h *harness) compareTrace(t *testing.T) {
 	t.Helper()
-	testkit.CompareTrace(t, p.trace.String())
+	testkit.CompareTrace(t, h.trace.String())
 }
