--- a/controlplane/maintenanceplanner/capacitytable.go
+++ b/controlplane/maintenanceplanner/capacitytable.go
@@ -6,24 +6,24 @@
 	"zincloft.example/zincloft/capacity"
 )
 
-// tolerance absorbs rounding where capacities are compared, in requests a second.
+// tolerance absorbs rounding errors in comparisons of capacities, in requests per second.
 const tolerance = 1e-9
 
-// usualZoneCount bounds the zones whose sums are kept on the stack.
-const usualZoneCount = 8
+// stackZoneCount is the number of zones up to which worstZoneLoss needs no heap allocation.
+const stackZoneCount = 8
 
-// capacityTable holds what is left of each demand's region in each slot while windows are placed.
+// capacityTable tracks the remaining capacity for each demand in each slot while windows are placed.
 type capacityTable struct {
 	request    *Request
 	nodeIndex  map[string]int // by name
 	zones      []string
 	zoneOfNode []int // index in zones
 
-	capacity     [][]float64   // [demand][slot], of all nodes that are not out
+	capacity     [][]float64   // [demand][slot], of all nodes in service
 	zoneCapacity [][][]float64 // [demand][zone][slot]
-	machineLoss  []float64     // [demand], of the strongest machines that may be lost
-	zoneCount    []int         // [demand], zones of its region
-	concurrent   [][]int       // [window][slot], nodes that are out
+	machineLoss  []float64     // [demand], of the largest machines that may fail
+	zoneCount    []int         // [demand], number of zones in its region
+	outCount     [][]int       // [window][slot], number of nodes that are out
 }
 
 func newCapacityTable(r *Request) *capacityTable {
@@ -41,12 +41,12 @@
 		t.addDemand(demand)
 	}
 	for range r.Windows {
-		t.concurrent = append(t.concurrent, make([]int, r.SlotCount))
+		t.outCount = append(t.outCount, make([]int, r.SlotCount))
 	}
 	return t
 }
 
-// addDemand adds a row for a demand, with no node out.
+// addDemand adds a demand, with all nodes in service.
 func (t *capacityTable) addDemand(demand Demand) {
 	r := t.request
 	total, byZone, zones := 0.0, make([]float64, len(t.zones)), map[string]bool{}
@@ -71,10 +71,11 @@
 	t.zoneCount = append(t.zoneCount, len(zones))
 }
 
-// noNode is the index for no further node being out.
+// noNode is the node index that stands for no additional node being out.
 const noNode = -1
 
-// remaining is what is left of a demand's capacity in a slot after the worst loss, with one more node out, or noNode.
+// remaining returns a demand's remaining capacity in a slot after the worst tolerated failure, with one additional node out (or
+// noNode).
 func (t *capacityTable) remaining(demand, slot, node int) float64 {
 	required := t.request.Demands[demand]
 	out, zone := 0.0, noNode
@@ -84,14 +85,14 @@
 	return t.capacity[demand][slot] - out - max(t.machineLoss[demand], t.worstZoneLoss(demand, slot, zone, out))
 }
 
-// worstZoneLoss is the capacity of the strongest zones that may be lost, where the region has several; out of one zone's capacity
-// is out.
+// worstZoneLoss returns the capacity of the largest zones that may fail, or 0 if the region has only one. The capacity of the given
+// zone is reduced by out.
 func (t *capacityTable) worstZoneLoss(demand, slot, zone int, out float64) float64 {
 	zones := t.request.FaultTolerance.Zones
 	if t.zoneCount[demand] < 2 || zones == 0 {
 		return 0
 	}
-	var buffer [usualZoneCount]float64
+	var buffer [stackZoneCount]float64
 	sums := buffer[:0]
 	for z := range t.zones {
 		sum := t.zoneCapacity[demand][z][slot]
@@ -106,7 +107,7 @@
 	return capacity.SumOfLargest(sums, min(zones, t.zoneCount[demand]-1))
 }
 
-// shortfall is a demand that is not met, and by how much; demand is noDemand where all are met.
+// shortfall is the amount by which a demand is not met. demand is noDemand if all demands are met.
 type shortfall struct {
 	demand int // index
 	amount float64
@@ -114,7 +115,7 @@
 
 const noDemand = -1
 
-// shortfall returns the first demand that is not met in a slot with one more node out.
+// shortfall returns the first demand that is not met in a slot with an additional node out.
 func (t *capacityTable) shortfall(slot, node int) shortfall {
 	for i, demand := range t.request.Demands {
 		if demand.Region != t.request.Nodes[node].Region {
@@ -127,11 +128,11 @@
 	return shortfall{demand: noDemand}
 }
 
-// place takes a node out from a start on.
+// place marks a node as out from a start slot for its duration.
 func (t *capacityTable) place(placed placement, start int) {
 	node := t.request.Nodes[placed.node]
 	for slot := start; slot < start+placed.duration; slot++ {
-		t.concurrent[placed.window][slot]++
+		t.outCount[placed.window][slot]++
 		for i, demand := range t.request.Demands {
 			if demand.Region == node.Region {
 				t.capacity[i][slot] -= node.Capacity[demand.Group]
@@ -144,18 +145,18 @@
 // fits reports whether a node may be out in a slot.
 func (t *capacityTable) fits(placed placement, slot int) bool {
 	window := t.request.Windows[placed.window]
-	if window.MaxConcurrent > 0 && t.concurrent[placed.window][slot] >= window.MaxConcurrent {
+	if window.MaxConcurrent > 0 && t.outCount[placed.window][slot] >= window.MaxConcurrent {
 		return false
 	}
 	for i, other := range t.request.Windows {
-		if i != placed.window && t.concurrent[i][slot] > 0 && window.conflictsWith(other) {
+		if i != placed.window && t.outCount[i][slot] > 0 && window.conflictsWith(other) {
 			return false
 		}
 	}
 	return t.shortfall(slot, placed.node).demand == noDemand
 }
 
-// earliestFit returns the earliest start of [first, latest-duration] at which a node may be out for its duration.
+// earliestFit returns the earliest start in [first, latest-duration] at which a node may be out for its duration.
 func (t *capacityTable) earliestFit(placed placement, first, latest int) (start int, ok bool) {
 	run := 0
 	for slot := first; slot < latest; slot++ {
@@ -170,7 +171,7 @@
 	return 0, false
 }
 
-// longestFit returns the longest run of slots of [first, latest) in which a node may be out.
+// longestFit returns the length of the longest run of slots in [first, latest) in which a node may be out.
 func (t *capacityTable) longestFit(placed placement, first, latest int) int {
 	run, longest := 0, 0
 	for slot := first; slot < latest; slot++ {
--- a/controlplane/maintenanceplanner/exhaustive_test.go
+++ b/controlplane/maintenanceplanner/exhaustive_test.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// exhaustiveMakespan tries every schedule of a small request and returns the makespan of the shortest one, or -1 where there is
-// none. Plan is measured by it.
+// exhaustiveMakespan returns the makespan of the shortest schedule of a small request, found by exhaustive search, or -1 if there is
+// none.
 func exhaustiveMakespan(r *Request) int {
 	search := &exhaustiveSearch{request: r, shortest: -1}
 	table := newCapacityTable(r)
@@ -21,7 +21,7 @@
 	shortest   int
 }
 
-// assign tries all starts of the placements from index i on.
+// assign tries all start slots of the placements with index i and above.
 func (s *exhaustiveSearch) assign(i int) {
 	if i == len(s.placements) {
 		schedule := Schedule{Assignments: slices.Clone(s.assigned)}.finish(s.request)
--- a/controlplane/maintenanceplanner/greedy.go
+++ b/controlplane/maintenanceplanner/greedy.go
@@ -1,6 +1,7 @@
 package maintenanceplanner
 
-// Greedy places one window after the other at the earliest time at which it fits. The error is an *InfeasibleError.
+// Greedy makes a schedule by placing one window after another at the earliest time at which it fits. The error is an
+// *InfeasibleError.
 func Greedy(r *Request) (Schedule, error) {
 	schedule, infeasible := greedy(r)
 	if infeasible != nil {
@@ -12,7 +13,7 @@
 func greedy(r *Request) (Schedule, *InfeasibleError) {
 	table := newCapacityTable(r)
 	order, _ := r.topologicalOrder()
-	ends := map[string]int{} // of windows
+	ends := map[string]int{} // by window name
 	var schedule Schedule
 	for _, i := range order {
 		window := r.Windows[i]
--- a/controlplane/maintenanceplanner/infeasible.go
+++ b/controlplane/maintenanceplanner/infeasible.go
@@ -5,16 +5,16 @@
 	"math"
 )
 
-// infeasible explains why a node's window cannot be placed from first on, beside those that were placed before.
+// infeasible returns the error for a node's window that cannot be placed at or after first in addition to those already placed.
 func (t *capacityTable) infeasible(placed placement, first int) *InfeasibleError {
 	window := t.request.Windows[placed.window]
 	failure := &InfeasibleError{Window: window.Name, Node: t.request.Nodes[placed.node].Name}
 	empty := newCapacityTable(t.request)
 	if _, fitsAlone := empty.earliestFit(placed, window.Earliest, window.Latest); !fitsAlone {
 		failure.Proven = true
-		failure.Reason = empty.closestMiss(placed, window.Earliest, window.Latest)
+		failure.Reason = empty.describeSmallestShortfall(placed, window.Earliest, window.Latest)
 	} else {
-		failure.Reason = "beside the others, " + t.closestMiss(placed, first, window.Latest)
+		failure.Reason = "together with the other windows: " + t.describeSmallestShortfall(placed, first, window.Latest)
 		if reason := t.capacityExceeded(placed.window); reason != "" {
 			failure.Proven, failure.Reason = true, reason
 		}
@@ -23,37 +23,37 @@
 	return failure
 }
 
-// suggestion names the nearest change with which the window would fit; empty where there is none.
+// suggestion describes a change of the request that would make the window fit, or returns "" if none was found.
 func (t *capacityTable) suggestion(placed placement, first int) string {
 	window := t.request.Windows[placed.window]
 	if start, ok := t.earliestFit(placed, first, t.request.SlotCount); ok {
-		return fmt.Sprintf("it would fit if its latest were slot %d in place of %d", start+placed.duration, window.Latest)
+		return fmt.Sprintf("it would fit with latest slot %d instead of %d", start+placed.duration, window.Latest)
 	}
 	if longest := t.longestFit(placed, first, window.Latest); longest > 0 {
-		return fmt.Sprintf("it would fit if it took %d slots in place of %d", longest, window.DurationSlots)
+		return fmt.Sprintf("it would fit with a duration of %d slots instead of %d", longest, window.DurationSlots)
 	}
 	return ""
 }
 
-// closestMiss describes the shortfall at the start of [first, latest-duration] at which least is missing.
-func (t *capacityTable) closestMiss(placed placement, first, latest int) string {
-	closest, atSlot := shortfall{demand: noDemand, amount: math.Inf(1)}, noDemand
+// describeSmallestShortfall describes the shortfall at the start slot in [first, latest-duration] with the smallest one.
+func (t *capacityTable) describeSmallestShortfall(placed placement, first, latest int) string {
+	smallest, atSlot := shortfall{demand: noDemand, amount: math.Inf(1)}, noDemand
 	for start := first; start+placed.duration <= latest; start++ {
 		worst, slot := t.worstShortfall(placed, start)
-		if worst.demand != noDemand && worst.amount < closest.amount {
-			closest, atSlot = worst, slot
+		if worst.demand != noDemand && worst.amount < smallest.amount {
+			smallest, atSlot = worst, slot
 		}
 	}
-	if closest.demand == noDemand {
-		return "the windows that it must be apart from, or its own nodes together, leave no time for it"
+	if smallest.demand == noDemand {
+		return "conflicting windows or the limit of concurrent nodes leave no slot for it"
 	}
-	demand := t.request.Demands[closest.demand]
+	demand := t.request.Demands[smallest.demand]
 	required := demand.at(atSlot)
-	return fmt.Sprintf("%s of %s in slot %d: %.1f a second are needed, %.1f would be left",
-		demand.Group, demand.Region, atSlot, required, required-closest.amount)
+	return fmt.Sprintf("%s in region %s in slot %d: %.1f requests/s required, %.1f remaining",
+		demand.Group, demand.Region, atSlot, required, required-smallest.amount)
 }
 
-// worstShortfall returns the greatest shortfall of a window that begins at a slot, and its slot.
+// worstShortfall returns the largest shortfall of a window with the given start, and the slot in which it occurs.
 func (t *capacityTable) worstShortfall(placed placement, start int) (worst shortfall, atSlot int) {
 	worst, atSlot = shortfall{demand: noDemand}, start
 	for slot := start; slot < start+placed.duration; slot++ {
@@ -64,10 +64,11 @@
 	return worst, atSlot
 }
 
-// capacityExceeded compares, for each demand, the capacity that can be given up between a window's earliest and latest with what
-// the windows that must lie there take. Where they take more there is no schedule, in whatever order; it then says so.
+// capacityExceeded compares, for each demand, the spare capacity between a window's earliest and latest slot with the capacity that
+// the windows confined to that interval need. If they need more, no schedule exists, and it returns the reason; otherwise "".
 //
-// Where a zone may be lost it proves nothing: a node that is out in the strongest zone costs nothing at first.
+// The comparison does not apply if zone failures are to be tolerated, because nodes that are out in the largest zone reduce the
+// remaining capacity only after that zone is no longer the largest.
 func (t *capacityTable) capacityExceeded(window int) string {
 	r := t.request
 	if r.FaultTolerance.Zones != 0 {
@@ -80,26 +81,26 @@
 		for slot := from; slot < to; slot++ {
 			available += max(empty.remaining(i, slot, noNode)-demand.at(slot), 0)
 		}
-		if taken := t.takenWithin(demand, from, to); taken > available+tolerance {
-			return fmt.Sprintf("between slots %d and %d, %s of %s can give up %.0f requests a second times slots, and the windows that must lie there take %.0f",
-				from, to, demand.Group, demand.Region, available, taken)
+		if required := t.requiredWithin(demand, from, to); required > available+tolerance {
+			return fmt.Sprintf("between slots %d and %d, %s in region %s has a spare capacity of %.0f requests/s x slots, but the windows in that interval need %.0f",
+				from, to, demand.Group, demand.Region, available, required)
 		}
 	}
 	return ""
 }
 
-// takenWithin is the capacity times slots that the windows take that must lie between two slots.
-func (t *capacityTable) takenWithin(demand Demand, from, to int) float64 {
-	taken := 0.0
+// requiredWithin returns the capacity, in requests/s x slots, that the windows confined to [from, to) take out of service.
+func (t *capacityTable) requiredWithin(demand Demand, from, to int) float64 {
+	required := 0.0
 	for _, window := range t.request.Windows {
 		if window.Earliest < from || window.Latest > to {
 			continue
 		}
 		for _, name := range window.Nodes {
 			if node := t.request.Nodes[t.nodeIndex[name]]; node.Region == demand.Region {
-				taken += node.Capacity[demand.Group] * float64(window.DurationSlots)
+				required += node.Capacity[demand.Group] * float64(window.DurationSlots)
 			}
 		}
 	}
-	return taken
+	return required
 }
--- a/controlplane/maintenanceplanner/plan.go
+++ b/controlplane/maintenanceplanner/plan.go
@@ -1,10 +1,10 @@
 package maintenanceplanner
 
-// maxSolverStarts bounds the requests that are given to the solver, by their open starts over all nodes.
-const maxSolverStarts = 1200
+// maxSolverCandidates is the number of candidates up to which requests are passed to the solver.
+const maxSolverCandidates = 1200
 
-// Plan makes a schedule: by Greedy first; then, where the request is small enough, the shortest one, by a solver for
-// pseudo-Boolean constraints. The request must be valid. The error is an *InfeasibleError.
+// Plan makes a schedule with Greedy. If the request is small enough, it then searches for the shortest schedule with a
+// pseudo-Boolean solver. The request must be valid. The error is an *InfeasibleError.
 func Plan(r *Request) (Schedule, error) {
 	schedule, infeasible := plan(r)
 	if infeasible != nil {
@@ -19,7 +19,7 @@
 	if infeasible == nil {
 		last = schedule.end()
 	}
-	if len(r.Windows) == 0 || r.openStarts(last) > maxSolverStarts || r.FaultTolerance.Zones > 1 {
+	if len(r.Windows) == 0 || r.candidateCount(last) > maxSolverCandidates || r.FaultTolerance.Zones > 1 {
 		return schedule, infeasible
 	}
 	if infeasible != nil {
@@ -36,7 +36,7 @@
 	return r.shorten(schedule, first+r.minMakespan(), last), nil
 }
 
-// shorten searches the earliest end for which there is a schedule, between a lower bound and the given schedule's end.
+// shorten performs a binary search for the earliest end of a schedule, between the lower bound low and the given schedule's end.
 func (r *Request) shorten(schedule Schedule, low, high int) Schedule {
 	for low < high {
 		middle := (low + high) / 2
@@ -50,8 +50,8 @@
 	return schedule
 }
 
-// openStarts counts the starts that are open over all nodes where all must end by a slot.
-func (r *Request) openStarts(end int) int {
+// candidateCount returns the number of possible start slots over all nodes if all windows must be over by end.
+func (r *Request) candidateCount(end int) int {
 	count := 0
 	for _, window := range r.Windows {
 		count += len(window.Nodes) * max(min(window.Latest, end)-window.DurationSlots-window.Earliest+1, 0)
--- a/controlplane/maintenanceplanner/plan_test.go
+++ b/controlplane/maintenanceplanner/plan_test.go
@@ -11,8 +11,8 @@
 	"zincloft.example/zincloft/capacity"
 )
 
-// fleet is n nodes over zones of one region, each of which can serve 10 lookups and 3 orders a second.
-func fleet(n, zones int) (nodes []capacity.Node) {
+// testNodes returns n nodes spread over the zones of one region. Each can serve 10 lookups and 3 orders per second.
+func testNodes(n, zones int) (nodes []capacity.Node) {
 	for i := range n {
 		nodes = append(nodes, capacity.Node{Name: fmt.Sprintf("e%d", i), Zone: string(rune('a' + i%zones)), Region: "r",
 			Capacity: map[string]float64{capacity.Lookups: 10, capacity.Orders: 3}})
@@ -20,34 +20,34 @@
 	return nodes
 }
 
-// names lists the names of nodes [from, to).
-func names(from, to int) (all []string) {
+// nodeNames returns the names of nodes [from, to).
+func nodeNames(from, to int) (all []string) {
 	for i := from; i < to; i++ {
 		all = append(all, fmt.Sprintf("e%d", i))
 	}
 	return all
 }
 
-// provenInfeasible reports whether an error says that no schedule exists.
-func provenInfeasible(err error) bool {
+// isProvenInfeasible reports whether an error states that no schedule exists.
+func isProvenInfeasible(err error) bool {
 	var infeasible *InfeasibleError
 	return errors.As(err, &infeasible) && infeasible.Proven
 }
 
 func TestPlan(t *testing.T) {
-	Convey("Given nine nodes in three zones, of which one zone may be lost, and a floor of 40 lookups a second", t, func() {
-		r := &Request{Nodes: fleet(9, 3), FaultTolerance: capacity.FaultTolerance{Zones: 1, Machines: 1}, SlotCount: 24, Demands: []Demand{{Region: "r", Group: capacity.Lookups, Floor: 40}},
-			Windows: []WindowRequest{{Name: "kernel", Nodes: names(0, 9), Latest: 24, DurationSlots: 2}}}
+	Convey("Given nine nodes in three zones, one of which may fail, and a floor of 40 lookups per second", t, func() {
+		r := &Request{Nodes: testNodes(9, 3), FaultTolerance: capacity.FaultTolerance{Zones: 1, Machines: 1}, SlotCount: 24, Demands: []Demand{{Region: "r", Group: capacity.Lookups, Floor: 40}},
+			Windows: []WindowRequest{{Name: "kernel", Nodes: nodeNames(0, 9), Latest: 24, DurationSlots: 2}}}
 		So(r.Validate(), ShouldBeNil)
-		Convey("all nodes of a zone may be out at once, as its loss costs nothing more, and others two at a time", func() {
+		Convey("all nodes are scheduled in less time than one after another", func() {
 			schedule, err := Plan(r)
 			So(err, ShouldBeNil)
 			So(r.Verify(schedule), ShouldBeNil)
 			So(schedule.Makespan, ShouldBeLessThan, 18)
 		})
-		Convey("a limit of concurrent nodes, an order of windows and a conflict are kept", func() {
-			r.Windows = []WindowRequest{{Name: "x", Nodes: names(0, 2), Latest: 24, DurationSlots: 2, MaxConcurrent: 1}, {Name: "y", Nodes: names(2, 4), Latest: 24, DurationSlots: 2, After: []string{"x"}},
-				{Name: "z", Nodes: names(4, 5), Latest: 24, DurationSlots: 3, Conflicts: []string{"y"}}}
+		Convey("limits of concurrent nodes, the order of windows and conflicts are respected", func() {
+			r.Windows = []WindowRequest{{Name: "x", Nodes: nodeNames(0, 2), Latest: 24, DurationSlots: 2, MaxConcurrent: 1}, {Name: "y", Nodes: nodeNames(2, 4), Latest: 24, DurationSlots: 2, After: []string{"x"}},
+				{Name: "z", Nodes: nodeNames(4, 5), Latest: 24, DurationSlots: 3, Conflicts: []string{"y"}}}
 			So(r.Validate(), ShouldBeNil)
 			schedule, err := Plan(r)
 			So(err, ShouldBeNil)
@@ -57,49 +57,49 @@
 		})
 		Convey("a forecast above the floor delays windows until it is over", func() {
 			r.Demands[0].Forecast = []float64{60, 60, 60, 60, 60, 45}
-			r.Windows[0].Nodes = names(0, 1)
+			r.Windows[0].Nodes = nodeNames(0, 1)
 			schedule, err := Plan(r)
 			So(err, ShouldBeNil)
 			So(schedule.Assignments[0].Start, ShouldEqual, 5)
 		})
-		Convey("where no node can ever be spared, the error names the demand, the slot, what is missing and what would do", func() {
+		Convey("if no node can ever be out, the error names the demand, the slot, the shortfall and a solution", func() {
 			r.Demands[0].Forecast = []float64{55, 55, 55, 55}
-			r.Windows = []WindowRequest{{Name: "kernel", Nodes: names(0, 1), Latest: 4, DurationSlots: 2}}
+			r.Windows = []WindowRequest{{Name: "kernel", Nodes: nodeNames(0, 1), Latest: 4, DurationSlots: 2}}
 			_, err := Plan(r)
 			So(err, ShouldNotBeNil)
-			So(provenInfeasible(err), ShouldBeTrue)
-			So(err.Error(), ShouldEqual, "kernel of e0 cannot be placed: lookups of r in slot 0: 55.0 a second are needed, 50.0 would be left; it would fit if its latest were slot 6 in place of 4")
+			So(isProvenInfeasible(err), ShouldBeTrue)
+			So(err.Error(), ShouldEqual, "window kernel of node e0 cannot be scheduled: lookups in region r in slot 0: 55.0 requests/s required, 50.0 remaining; it would fit with latest slot 6 instead of 4")
 		})
-		Convey("where windows do not fit together, the error says whether that is proven", func() {
+		Convey("if the windows do not fit together, the error states whether that is proven", func() {
 			r.Windows[0].Latest = 4
 			r.Demands[0].Floor = 50
 			_, err := Plan(r)
 			So(err, ShouldNotBeNil)
-			So(provenInfeasible(err), ShouldBeTrue)
-			So(exhaustiveMakespan(&Request{Nodes: r.Nodes, FaultTolerance: r.FaultTolerance, SlotCount: 4, Demands: r.Demands, Windows: []WindowRequest{{Name: "kernel", Nodes: names(0, 4), Latest: 4, DurationSlots: 2}}}), ShouldEqual, -1)
+			So(isProvenInfeasible(err), ShouldBeTrue)
+			So(exhaustiveMakespan(&Request{Nodes: r.Nodes, FaultTolerance: r.FaultTolerance, SlotCount: 4, Demands: r.Demands, Windows: []WindowRequest{{Name: "kernel", Nodes: nodeNames(0, 4), Latest: 4, DurationSlots: 2}}}), ShouldEqual, -1)
 		})
 	})
-	Convey("Requests that make no sense are rejected", t, func() {
+	Convey("Invalid requests are rejected", t, func() {
 		for _, test := range []struct {
 			windows []WindowRequest
 			want    string
 		}{
 			{[]WindowRequest{{Name: "a", Nodes: []string{"nobody"}, Latest: 9, DurationSlots: 1}}, "nobody is not known"},
-			{[]WindowRequest{{Name: "a", Nodes: names(0, 1), Earliest: 8, Latest: 9, DurationSlots: 2}}, "no time between"},
-			{[]WindowRequest{{Name: "a", Nodes: names(0, 1), Latest: 9, DurationSlots: 1}, {Name: "b", Nodes: names(0, 1), Latest: 9, DurationSlots: 1}}, "asked for by a too"},
-			{[]WindowRequest{{Name: "a", Nodes: names(0, 1), Latest: 9, DurationSlots: 1, After: []string{"b"}}, {Name: "b", Nodes: names(1, 2), Latest: 9, DurationSlots: 1, After: []string{"a"}}}, "circle"},
+			{[]WindowRequest{{Name: "a", Nodes: nodeNames(0, 1), Earliest: 8, Latest: 9, DurationSlots: 2}}, "no room between"},
+			{[]WindowRequest{{Name: "a", Nodes: nodeNames(0, 1), Latest: 9, DurationSlots: 1}, {Name: "b", Nodes: nodeNames(0, 1), Latest: 9, DurationSlots: 1}}, "already listed in window a"},
+			{[]WindowRequest{{Name: "a", Nodes: nodeNames(0, 1), Latest: 9, DurationSlots: 1, After: []string{"b"}}, {Name: "b", Nodes: nodeNames(1, 2), Latest: 9, DurationSlots: 1, After: []string{"a"}}}, "dependencies form a cycle"},
 		} {
-			r := &Request{Nodes: fleet(3, 3), SlotCount: 9, Windows: test.windows}
+			r := &Request{Nodes: testNodes(3, 3), SlotCount: 9, Windows: test.windows}
 			So(r.Validate(), ShouldNotBeNil)
 			So(r.Validate().Error(), ShouldContainSubstring, test.want)
 		}
 	})
 }
 
-// randomRequest is a small request by chance.
+// randomRequest generates a small random request.
 func randomRequest(seed uint64, nodes, slots int) *Request {
 	random := rand.New(rand.NewPCG(seed, 1))
-	r := &Request{Nodes: fleet(nodes, 3), SlotCount: slots, FaultTolerance: capacity.FaultTolerance{Zones: random.IntN(2)}}
+	r := &Request{Nodes: testNodes(nodes, 3), SlotCount: slots, FaultTolerance: capacity.FaultTolerance{Zones: random.IntN(2)}}
 	for i := range r.Nodes {
 		r.Nodes[i].Capacity[capacity.Lookups] = 5 + 10*random.Float64()
 	}
@@ -110,7 +110,7 @@
 	r.Demands = append(r.Demands, demand)
 	for at := 0; at < nodes-1; {
 		count := 1 + random.IntN(2)
-		window := WindowRequest{Name: fmt.Sprintf("w%d", len(r.Windows)), Nodes: names(at, min(at+count, nodes-1)), DurationSlots: 1 + random.IntN(2), Earliest: random.IntN(2), MaxConcurrent: random.IntN(2)}
+		window := WindowRequest{Name: fmt.Sprintf("w%d", len(r.Windows)), Nodes: nodeNames(at, min(at+count, nodes-1)), DurationSlots: 1 + random.IntN(2), Earliest: random.IntN(2), MaxConcurrent: random.IntN(2)}
 		window.Latest = slots - random.IntN(2)
 		if len(r.Windows) > 0 && random.IntN(3) == 0 {
 			window.Conflicts = []string{"w0"}
@@ -121,7 +121,7 @@
 	return r
 }
 
-// TestPlanAgainstExhaustiveSearch compares the schedules of small requests with every schedule that there is.
+// TestPlanAgainstExhaustiveSearch guards against schedules that are invalid or not the shortest, and against false claims of infeasibility.
 func TestPlanAgainstExhaustiveSearch(t *testing.T) {
 	planned, infeasible, greedyOptimal, greedyLonger := 0, 0, 0, 0
 	for seed := range uint64(150) {
@@ -132,8 +132,8 @@
 		best := exhaustiveMakespan(r)
 		schedule, err := Plan(r)
 		if err != nil {
-			if best >= 0 && provenInfeasible(err) {
-				t.Fatalf("seed %d: said to be infeasible, %d slots are enough: %v", seed, best, err)
+			if best >= 0 && isProvenInfeasible(err) {
+				t.Fatalf("seed %d: reported as infeasible, but a schedule with makespan %d exists: %v", seed, best, err)
 			}
 			infeasible++
 			continue
@@ -142,7 +142,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if planned++; schedule.Makespan != best {
-			t.Errorf("seed %d: %d slots, the best is %d", seed, schedule.Makespan, best)
+			t.Errorf("seed %d: makespan = %d, want %d", seed, schedule.Makespan, best)
 		}
 		if g, err := Greedy(r); err == nil && g.Makespan == best {
 			greedyOptimal++
@@ -150,13 +150,13 @@
 			greedyLonger++
 		}
 	}
-	t.Logf("%d requests have a schedule, each found as short as can be; greedy finds as short a one for %d, a longer one or none for %d; %d are infeasible", planned, greedyOptimal, greedyLonger, infeasible)
+	t.Logf("%d requests planned (greedy optimal for %d, longer or none for %d), %d infeasible", planned, greedyOptimal, greedyLonger, infeasible)
 	if planned < 40 || infeasible < 5 || greedyLonger == 0 {
-		t.Error("the requests cover too little")
+		t.Error("the random requests do not cover enough cases")
 	}
 }
 
-// BenchmarkPlan is a week in slots of half an hour, 1,000 nodes over three regions of four zones, 200 windows.
+// BenchmarkPlan plans one week in half-hour slots with 1,000 nodes and 200 windows.
 func BenchmarkPlan(b *testing.B) {
 	r := generateWeek(1, 1000, 200)
 	for b.Loop() {
--- a/controlplane/maintenanceplanner/request.go
+++ b/controlplane/maintenanceplanner/request.go
@@ -1,9 +1,9 @@
-// Package maintenanceplanner schedules maintenance windows: it chooses when each node is to be out, so that the demand is met in
-// every slot, also after the worst loss that must be survived, and that all windows are over as early as possible. It is free of I/O and
-// of clocks; time is counted in slots.
+// Package maintenanceplanner schedules maintenance windows. It chooses when each node is out of service such that the demand is met
+// in every slot, even after the worst failure to be tolerated, and that all windows are over as early as possible. It performs no
+// I/O and reads no clocks; time is counted in slots.
 //
-// Machines that may be lost are counted as the strongest of their region, whether or not one of them is out at the time. So a
-// schedule never assumes more capacity than the grant will find (controlplane/maintenance).
+// The machines that may fail are assumed to be the largest of their region, whether or not they are out at the time. A schedule
+// therefore never assumes more capacity than the check before a grant (controlplane/maintenance).
 package maintenanceplanner
 
 import (
@@ -15,7 +15,7 @@
 	"zincloft.example/zincloft/capacity"
 )
 
-// Request is what a schedule is made for.
+// Request is the input of the planner.
 type Request struct {
 	Nodes          []capacity.Node
 	FaultTolerance capacity.FaultTolerance
@@ -24,27 +24,27 @@
 	SlotCount      int
 }
 
-// WindowRequest asks for windows of some nodes, one for each.
+// WindowRequest requests one window for each of a set of nodes.
 type WindowRequest struct {
 	Name          string   `json:"window"`
 	Nodes         []string `json:"nodes"`
-	Earliest      int      `json:"earliest"` // slot in which the first may begin
-	Latest        int      `json:"latest"`   // slot by whose begin the last must be back
-	DurationSlots int      `json:"takes"`    // of each node
-	MaxConcurrent int      `json:"together"` // nodes that may be out at once; 0: any number
-	After         []string `json:"after"`    // window requests that must be over before
-	Conflicts     []string `json:"apart"`    // window requests that must not overlap with it
+	Earliest      int      `json:"earliest"` // first slot in which a window may begin
+	Latest        int      `json:"latest"`   // slot before which all windows must be over
+	DurationSlots int      `json:"takes"`    // per node
+	MaxConcurrent int      `json:"together"` // maximum number of nodes out at once; 0: unlimited
+	After         []string `json:"after"`    // window requests that must be over first
+	Conflicts     []string `json:"apart"`    // window requests that must not overlap with this one
 }
 
 func (w WindowRequest) conflictsWith(other WindowRequest) bool {
 	return slices.Contains(w.Conflicts, other.Name) || slices.Contains(other.Conflicts, w.Name)
 }
 
-// Demand is what must be served of a group in a region: the floor, or the forecast where that is more.
+// Demand is the request rate of a traffic group that a region must be able to serve: the maximum of floor and forecast.
 type Demand struct {
 	Region, Group string
-	Floor         float64   // requests a second
-	Forecast      []float64 // requests a second by slot, as far as it goes
+	Floor         float64   // requests per second
+	Forecast      []float64 // requests per second by slot; may cover fewer slots than the request
 }
 
 func (d Demand) at(slot int) float64 {
@@ -54,10 +54,10 @@
 	return d.Floor
 }
 
-// ErrDependencyCycle rejects window requests that wait for one another.
-var ErrDependencyCycle = errors.New("windows: after: they wait for one another in a circle")
+// ErrDependencyCycle rejects window requests that depend on one another.
+var ErrDependencyCycle = errors.New("windows: after: the dependencies form a cycle")
 
-// Validate returns an error that names the first field of a request that is invalid.
+// Validate returns an error that names the first invalid field of a request.
 func (r *Request) Validate() error {
 	nodes := map[string]bool{}
 	for _, node := range r.Nodes {
@@ -81,7 +81,7 @@
 				return fmt.Errorf("%s.nodes: %s is not known", path, node)
 			}
 			if other, twice := windowOfNode[node]; twice {
-				return fmt.Errorf("%s.nodes: %s is asked for by %s too", path, node, other)
+				return fmt.Errorf("%s.nodes: %s is already listed in window %s", path, node, other)
 			}
 			windowOfNode[node] = window.Name
 		}
@@ -98,7 +98,7 @@
 	case window.DurationSlots <= 0:
 		return fmt.Errorf("%s.takes: is not above zero", path)
 	case window.Earliest < 0 || window.Latest > r.SlotCount || window.Earliest+window.DurationSlots > window.Latest:
-		return fmt.Errorf("%s.latest: there is no time between earliest and latest for one window", path)
+		return fmt.Errorf("%s.latest: there is no room between earliest and latest for one window", path)
 	}
 	return nil
 }
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// topologicalOrder lists the indices of the window requests so that each follows those that it comes after, the most urgent
-// first. It returns false where they wait for one another.
+// topologicalOrder returns the indices of the window requests in an order that respects After, with the most urgent first. It
+// returns false if the dependencies form a cycle.
 func (r *Request) topologicalOrder() (order []int, ok bool) {
 	done := map[string]bool{}
 	slack := func(window WindowRequest) int {
@@ -147,7 +147,7 @@
 	return order, true
 }
 
-// bounds returns the first start and the last end that the window requests allow.
+// bounds returns the earliest start and the latest end allowed by the window requests.
 func (r *Request) bounds() (first, last int) {
 	first = r.SlotCount
 	for _, window := range r.Windows {
@@ -156,7 +156,7 @@
 	return first, last
 }
 
-// minMakespan is a lower bound of every schedule's makespan.
+// minMakespan returns a lower bound on the makespan of any schedule.
 func (r *Request) minMakespan() int {
 	longest := 0
 	for _, window := range r.Windows {
@@ -169,14 +169,14 @@
 	return longest
 }
 
-// placement is one node of a window request, which is to be given a start.
+// placement is one node of a window request that needs a start slot.
 type placement struct {
 	window   int // index in Request.Windows
 	node     int // index in Request.Nodes
 	duration int // slots
 }
 
-// placements lists the nodes of a window request, the strongest first: what is left for them is least.
+// placements returns the nodes of a window request, largest capacity first, as these are hardest to place.
 func (r *Request) placements(window int, nodeIndex map[string]int) []placement {
 	requested := r.Windows[window]
 	var all []placement
--- a/controlplane/maintenanceplanner/schedule.go
+++ b/controlplane/maintenanceplanner/schedule.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// Schedule gives each node of the window requests its window.
+// Schedule assigns a window to each node of the window requests.
 type Schedule struct {
-	Assignments []Assignment // by start
-	Makespan    int          // slots from the earliest start that is allowed to the last end
-	Optimal     bool         // no shorter schedule exists
+	Assignments []Assignment // sorted by start
+	Makespan    int          // slots from the earliest allowed start to the last end
+	Optimal     bool         // proven to be the shortest schedule
 }
 
-// Assignment is one node's window.
+// Assignment is the scheduled window of one node.
 type Assignment struct {
 	Window string `json:"window"`
 	Node   string `json:"node"`
-	Start  int    `json:"from"` // slot
-	End    int    `json:"to"`   // the first slot after it
+	Start  int    `json:"from"` // first slot
+	End    int    `json:"to"`   // first slot after the window
 }
 
 // covers reports whether the node is out in a slot.
@@ -34,7 +34,7 @@
 	}
 }
 
-// finish sorts the assignments and calculates the makespan.
+// finish sorts the assignments and computes the makespan.
 func (s Schedule) finish(r *Request) Schedule {
 	slices.SortStableFunc(s.Assignments, func(a, b Assignment) int {
 		return cmp.Or(cmp.Compare(a.Start, b.Start), strings.Compare(a.Node, b.Node))
@@ -44,7 +44,7 @@
 	return s
 }
 
-// end is the first slot after all assignments.
+// end returns the first slot after all assignments.
 func (s Schedule) end() int {
 	end := 0
 	for _, assignment := range s.Assignments {
@@ -53,18 +53,18 @@
 	return end
 }
 
-// InfeasibleError tells why there is no schedule: a node's window that cannot be placed.
+// InfeasibleError reports a node's window that cannot be scheduled.
 type InfeasibleError struct {
 	Window, Node string
-	Reason       string // which demand, when, by how much
-	Suggestion   string // the nearest change that would do; may be empty
-	Proven       bool   // no schedule exists; else none was found
+	Reason       string
+	Suggestion   string // a change that would make the window fit; may be empty
+	Proven       bool   // no schedule exists; otherwise the search was not exhaustive
 }
 
 func (e *InfeasibleError) Error() string {
-	text := fmt.Sprintf("%s of %s cannot be placed: %s", e.Window, e.Node, e.Reason)
+	text := fmt.Sprintf("window %s of node %s cannot be scheduled: %s", e.Window, e.Node, e.Reason)
 	if !e.Proven {
-		text += " (none was found; not all ways were tried)"
+		text += " (the search was not exhaustive)"
 	}
 	if e.Suggestion != "" {
 		text += "; " + e.Suggestion
--- a/controlplane/maintenanceplanner/solver.go
+++ b/controlplane/maintenanceplanner/solver.go
@@ -8,47 +8,47 @@
 )
 
 const (
-	// solverScale turns requests a second into the solver's integers.
+	// solverScale converts requests per second to the solver's integers.
 	solverScale = 1000
 
 	// roundingSlack absorbs rounding errors of scaled capacities.
 	roundingSlack = 1e-6
 )
 
-// start is a placement with one of its open starts. Each is a variable of the solver.
-type start struct {
+// candidate is a placement at one of its possible start slots. Each candidate is a variable of the solver.
+type candidate struct {
 	placement
 	slot int
 }
 
-func (s start) covers(slot int) bool { return s.slot <= slot && slot < s.slot+s.duration }
+func (s candidate) covers(slot int) bool { return s.slot <= slot && slot < s.slot+s.duration }
 
-// solverModel is a request as pseudo-Boolean constraints. Each node begins at one of its open starts; for each slot, demand and
-// loss that must be survived, the nodes that are out may have no more capacity than can be given up.
+// solverModel is a request expressed as pseudo-Boolean constraints. Exactly one candidate is chosen per placement. For each slot,
+// demand and tolerated failure, the capacity of the nodes that are out is limited to the spare capacity.
 type solverModel struct {
 	request     *Request
 	table       *capacityTable
-	end         int // slot by which all must be over
-	starts      []start
-	variables   map[start]int // index in starts, from 1
-	byWindow    map[string][]start
+	deadline    int // slot by which all windows must be over
+	candidates  []candidate
+	variables   map[candidate]int // index in candidates, from 1
+	byWindow    map[string][]candidate
 	constraints []solver.PBConstr
 }
 
-// solve looks for a schedule that is over by a slot.
-func (r *Request) solve(end int) (Schedule, bool) {
+// solve searches for a schedule that ends by the deadline.
+func (r *Request) solve(deadline int) (Schedule, bool) {
 	model := &solverModel{
 		request:   r,
 		table:     newCapacityTable(r),
-		end:       end,
-		variables: map[start]int{},
-		byWindow:  map[string][]start{},
+		deadline:  deadline,
+		variables: map[candidate]int{},
+		byWindow:  map[string][]candidate{},
 	}
-	if !model.addStarts() {
+	if !model.addCandidates() {
 		return Schedule{}, false
 	}
 	first, last := r.bounds()
-	for slot := first; slot < min(last, end); slot++ {
+	for slot := first; slot < min(last, deadline); slot++ {
 		model.limitCapacity(slot)
 		model.limitWindows(slot)
 	}
@@ -60,17 +60,17 @@
 	return model.schedule(s.Model()), true
 }
 
-// addStarts adds the open starts of each node, of which it must take one. It returns false where a node has none.
-func (m *solverModel) addStarts() bool {
+// addCandidates adds the candidates of each node, exactly one of which must be chosen. It returns false if a node has none.
+func (m *solverModel) addCandidates() bool {
 	for i, window := range m.request.Windows {
 		for _, placed := range m.request.placements(i, m.table.nodeIndex) {
 			var literals []int
-			for slot := window.Earliest; slot+window.DurationSlots <= min(window.Latest, m.end); slot++ {
-				open := start{placement: placed, slot: slot}
-				m.starts = append(m.starts, open)
-				m.variables[open] = len(m.starts)
-				m.byWindow[window.Name] = append(m.byWindow[window.Name], open)
-				literals = append(literals, len(m.starts))
+			for slot := window.Earliest; slot+window.DurationSlots <= min(window.Latest, m.deadline); slot++ {
+				c := candidate{placement: placed, slot: slot}
+				m.candidates = append(m.candidates, c)
+				m.variables[c] = len(m.candidates)
+				m.byWindow[window.Name] = append(m.byWindow[window.Name], c)
+				literals = append(literals, len(m.candidates))
 			}
 			if len(literals) == 0 {
 				return false
@@ -82,7 +82,7 @@
 	return true
 }
 
-// limitCapacity bounds the capacity that is out in a slot, for each demand.
+// limitCapacity limits the capacity that is out in a slot, for each demand.
 func (m *solverModel) limitCapacity(slot int) {
 	for i, demand := range m.request.Demands {
 		capacity := func(placed placement) float64 {
@@ -92,7 +92,7 @@
 			return m.request.Nodes[placed.node].Capacity[demand.Group]
 		}
 		total := m.table.capacity[i][slot]
-		m.limitOut(total-m.table.machineLoss[i]-demand.at(slot), slot, capacity)
+		m.limitSum(total-m.table.machineLoss[i]-demand.at(slot), slot, capacity)
 		if m.request.FaultTolerance.Zones != 1 || m.table.zoneCount[i] < 2 {
 			continue
 		}
@@ -101,7 +101,7 @@
 			if lost <= 0 {
 				continue
 			}
-			m.limitOut(total-lost-demand.at(slot), slot, func(placed placement) float64 {
+			m.limitSum(total-lost-demand.at(slot), slot, func(placed placement) float64 {
 				if m.table.zoneOfNode[placed.node] == zone {
 					return 0
 				}
@@ -111,16 +111,16 @@
 	}
 }
 
-// limitOut bounds the sum of a figure over the nodes that are out in a slot.
-func (m *solverModel) limitOut(limit float64, slot int, figure func(placement) float64) {
+// limitSum limits the sum of a value over the nodes that are out in a slot.
+func (m *solverModel) limitSum(limit float64, slot int, value func(placement) float64) {
 	var literals, weights []int
 	sum := 0
-	for _, open := range m.starts {
-		if !open.covers(slot) {
+	for _, c := range m.candidates {
+		if !c.covers(slot) {
 			continue
 		}
-		if weight := int(math.Ceil(figure(open.placement) * solverScale)); weight > 0 {
-			literals, weights = append(literals, m.variables[open]), append(weights, weight)
+		if weight := int(math.Ceil(value(c.placement) * solverScale)); weight > 0 {
+			literals, weights = append(literals, m.variables[c]), append(weights, weight)
 			sum += weight
 		}
 	}
@@ -130,43 +130,43 @@
 	}
 }
 
-// limitWindows bounds the nodes of each window that are out at once, and excludes conflicting windows, in a slot.
+// limitWindows limits the nodes of each window that are out in a slot, and excludes conflicting windows.
 func (m *solverModel) limitWindows(slot int) {
 	for i, window := range m.request.Windows {
 		if window.MaxConcurrent > 0 {
-			m.limitOut(float64(window.MaxConcurrent), slot, func(placed placement) float64 {
+			m.limitSum(float64(window.MaxConcurrent), slot, func(placed placement) float64 {
 				if placed.window == i {
 					return 1
 				}
 				return 0
 			})
 		}
-		for _, open := range m.byWindow[window.Name] {
-			if open.covers(slot) {
-				m.excludeConflicts(window, open, slot)
+		for _, c := range m.byWindow[window.Name] {
+			if c.covers(slot) {
+				m.excludeConflicts(window, c, slot)
 			}
 		}
 	}
 }
 
-func (m *solverModel) excludeConflicts(window WindowRequest, open start, slot int) {
+func (m *solverModel) excludeConflicts(window WindowRequest, c candidate, slot int) {
 	for _, name := range window.Conflicts {
 		for _, other := range m.byWindow[name] {
 			if other.covers(slot) {
-				m.exclude(open, other)
+				m.exclude(c, other)
 			}
 		}
 	}
 }
 
-// orderWindows excludes starts before the end of a window that comes first.
+// orderWindows excludes candidates that start before the windows that they must follow are over.
 func (m *solverModel) orderWindows() {
 	for _, window := range m.request.Windows {
 		for _, name := range window.After {
-			for _, open := range m.byWindow[window.Name] {
+			for _, c := range m.byWindow[window.Name] {
 				for _, other := range m.byWindow[name] {
-					if other.slot+other.duration > open.slot {
-						m.exclude(open, other)
+					if other.slot+other.duration > c.slot {
+						m.exclude(c, other)
 					}
 				}
 			}
@@ -174,17 +174,17 @@
 	}
 }
 
-// exclude forbids two starts together.
-func (m *solverModel) exclude(a, b start) {
+// exclude forbids choosing both candidates.
+func (m *solverModel) exclude(a, b candidate) {
 	m.constraints = append(m.constraints, solver.PropClause(-m.variables[a], -m.variables[b]))
 }
 
-// schedule reads the chosen starts from a solution.
+// schedule converts a solution to a schedule.
 func (m *solverModel) schedule(solution []bool) Schedule {
 	var schedule Schedule
-	for i, open := range m.starts {
+	for i, c := range m.candidates {
 		if solution[i] {
-			schedule.Assignments = append(schedule.Assignments, m.request.assignment(open.placement, open.slot))
+			schedule.Assignments = append(schedule.Assignments, m.request.assignment(c.placement, c.slot))
 		}
 	}
 	return schedule.finish(m.request)
--- a/controlplane/maintenanceplanner/week_test.go
+++ b/controlplane/maintenanceplanner/week_test.go
@@ -8,7 +8,7 @@
 	"zincloft.example/zincloft/capacity"
 )
 
-// slotsPerDay is how many slots a day of a generated week has: of half an hour each.
+// slotsPerDay is the number of half-hour slots per day.
 const slotsPerDay = 48
 
 const (
@@ -16,8 +16,8 @@
 	weekZonesPerRegion = 4
 )
 
-// generateWeek generates a week's request for measurements: nodes over three regions of four zones, windows of one to eight nodes,
-// load by the time of the day with its uncertainty. The same arguments give the same request.
+// generateWeek generates a deterministic benchmark request for one week: nodes in three regions of four zones, windows of one to eight
+// nodes, and a daily load curve with random variation.
 func generateWeek(seed uint64, nodes, windows int) *Request {
 	random := rand.New(rand.NewPCG(seed, 1))
 	r := &Request{SlotCount: 7 * slotsPerDay, FaultTolerance: capacity.FaultTolerance{Machines: 1, Zones: 1}}
@@ -27,7 +27,7 @@
 	return r
 }
 
-// generateNodes returns the nodes' capacity by region and group.
+// generateNodes adds nodes and returns their total capacity by region and group.
 func (r *Request) generateNodes(random *rand.Rand, count int) map[string]map[string]float64 {
 	total := map[string]map[string]float64{}
 	for i := range count {
@@ -54,7 +54,7 @@
 
 func weekRegion(i int) string { return fmt.Sprintf("region-%d", i) }
 
-// generateDemands has each region's load follow its own time of the day.
+// generateDemands adds demands that follow a daily load curve, shifted by region.
 func (r *Request) generateDemands(random *rand.Rand, total map[string]map[string]float64) {
 	for i := range weekRegions {
 		region := weekRegion(i)
@@ -70,7 +70,7 @@
 	}
 }
 
-// generateWindows draws windows until their number is reached or no node is left.
+// generateWindows adds random windows until the count is reached or no nodes are left.
 func (r *Request) generateWindows(random *rand.Rand, count int) {
 	unused := random.Perm(len(r.Nodes))
 	for i := range count {
