--- a/controlplane/controller/fleet.go
+++ b/controlplane/controller/fleet.go
@@ -61,9 +61,9 @@
 	return node
 }
 
-// knownFleet merges the local summary with those of the reachable members. The result is complete if fleetDiscoveryPeriod has passed and
+// mergedFleet merges the local summary with those of the reachable members. The result is complete if fleetDiscoveryPeriod has passed and
 // every reachable member has a recent summary. Gateways of unreachable members reconnect to a reachable one within a second.
-func (c *Controller) knownFleet(now time.Duration) maintenance.Fleet {
+func (c *Controller) mergedFleet(now time.Duration) maintenance.Fleet {
 	fleet := maintenance.Fleet{Load: map[string]map[string]float64{}, Complete: now > fleetDiscoveryPeriod}
 	listed := map[string]bool{}
 	addSummary(&fleet, listed, c.localSummary(now))
@@ -102,7 +102,7 @@
 type MaintenanceStatus struct {
 	maintenance.State
 	Nodes         []NodeStatus                  `json:"fleet"`
-	Load          map[string]map[string]float64 `json:"load"`    // requests a second, by region and group
+	Load          map[string]map[string]float64 `json:"load"`    // requests per second, by region and group
 	UnmetFloors   []string                      `json:"missing"` // capacity floors that are currently violated
 	FleetComplete bool                          `json:"sure"`    // whether all nodes are known
 }
@@ -114,12 +114,12 @@
 	Region   string             `json:"region"`
 	Serving  bool               `json:"serving"`
 	Phase    fleet.Phase        `json:"phase"`
-	Capacity map[string]float64 `json:"carries"` // requests a second, by group
+	Capacity map[string]float64 `json:"carries"` // requests per second, by group
 }
 
 // DescribeMaintenance returns the MaintenanceStatus as seen by this member, encoded as JSON.
 func (c *Controller) DescribeMaintenance(now time.Duration) ([]byte, error) {
-	fleet := c.knownFleet(now)
+	fleet := c.mergedFleet(now)
 	status := MaintenanceStatus{
 		State:         c.maintenanceState(),
 		Nodes:         []NodeStatus{},
--- a/controlplane/controller/gossip.go
+++ b/controlplane/controller/gossip.go
@@ -60,9 +60,9 @@
 	heartbeats := c.registry.DirectHeartbeats(now, c.nextGossipAt-gossipInterval)
 	c.nextGossipAt = now + gossipInterval
 	changes := c.recentChanges(now)
-	fleet := peermessages.GatewaySummary{GatewayCount: len(c.streams)}
+	summary := peermessages.GatewaySummary{GatewayCount: len(c.streams)}
 	if c.maintenanceState().Enabled() {
-		fleet = c.localSummary(now)
+		summary = c.localSummary(now)
 	}
 	for _, peer := range c.coordinator.Peers(now) {
 		if peer.ID == "" {
@@ -74,9 +74,9 @@
 			instances = c.registry.ChangesSince(now, registry.AllRevisions)
 		}
 		c.connectedPeers[peer.ID] = reachable
-		c.send(peer.Addr, Message{Instances: withHeartbeats(instances, heartbeats), Fleet: &fleet})
+		c.send(peer.Addr, Message{Instances: appendHeartbeats(instances, heartbeats), Fleet: &summary})
 	}
-	c.forgetUnreachablePeers(now)
+	c.removeUnreachablePeers(now)
 }
 
 // recentChanges returns the instances that changed within the last gossipRepeatPeriod.
@@ -88,8 +88,8 @@
 	return c.registry.ChangesSince(now, c.gossipRevisions[0].revision)
 }
 
-// forgetUnreachablePeers drops the gateway summaries of unreachable members, as their gateways reconnect to other members.
-func (c *Controller) forgetUnreachablePeers(now time.Duration) {
+// removeUnreachablePeers drops the gateway summaries of unreachable members, as their gateways reconnect to other members.
+func (c *Controller) removeUnreachablePeers(now time.Duration) {
 	for _, id := range sortedKeys(c.peerGatewayCounts) {
 		if !c.coordinator.IsReachable(now, id) {
 			delete(c.peerGatewayCounts, id)
@@ -98,8 +98,8 @@
 	}
 }
 
-// withHeartbeats adds the heartbeats of instances that are not already listed.
-func withHeartbeats(instances, heartbeats []fleet.Instance) []fleet.Instance {
+// appendHeartbeats adds the heartbeats of instances that are not already listed.
+func appendHeartbeats(instances, heartbeats []fleet.Instance) []fleet.Instance {
 	listed := map[string]bool{}
 	for _, instance := range instances {
 		listed[instance.ID] = true
--- a/controlplane/controller/maintenance.go
+++ b/controlplane/controller/maintenance.go
@@ -138,7 +138,7 @@
 		clear(c.maintenance.drainedSince)
 		return
 	}
-	next, changed := state.Reconcile(c.knownFleet(now))
+	next, changed := state.Reconcile(c.mergedFleet(now))
 	if !changed {
 		next, changed = c.expireWindow(now, state)
 	}
--- a/controlplane/maintenance/reconcile_test.go
+++ b/controlplane/maintenance/reconcile_test.go
@@ -60,10 +60,10 @@
 	instructions := f.state.Instructions()
 	for i := range f.fleet.Nodes {
 		n := &f.fleet.Nodes[i]
-		window, told := instructions[n.Name]
+		window, instructed := instructions[n.Name]
 		switch {
 		case slices.Contains(except, n.Name):
-		case !told:
+		case !instructed:
 			n.Serving, n.Phase, n.FencingToken = true, fleet.PhaseServing, 0
 		case window.Phase == fleet.PhaseReturning:
 			n.Serving, n.Phase, n.FencingToken = true, fleet.PhaseServing, window.FencingToken
@@ -130,8 +130,8 @@
 			So(len(f.state.Windows), ShouldEqual, 1)
 			var exists *WindowExistsError
 			So(errors.As(f.apply(Command{Verb: VerbAsk, WindowName: "b", Nodes: []string{"r0-1"}}), &exists), ShouldBeTrue)
-			var notBegun *NotGrantedError
-			So(errors.As(f.apply(Command{Verb: VerbFinish, Nodes: []string{"r0-1"}}), &notBegun), ShouldBeTrue)
+			var notGranted *NotGrantedError
+			So(errors.As(f.apply(Command{Verb: VerbFinish, Nodes: []string{"r0-1"}}), &notGranted), ShouldBeTrue)
 			So(f.apply(Command{Verb: VerbCancel, Nodes: []string{"r0-1"}}), ShouldBeNil)
 			So(len(f.state.Windows), ShouldEqual, 0)
 		})
--- a/controlplane/maintenanceplanner/infeasible.go
+++ b/controlplane/maintenanceplanner/infeasible.go
@@ -35,7 +35,7 @@
 	return ""
 }
 
-// describeSmallestShortfall describes the shortfall at the start slot in [first, latest-duration] with the smallest one.
+// describeSmallestShortfall describes the shortfall that remains with the most favorable start in [first, latest-duration].
 func (t *capacityTable) describeSmallestShortfall(placed placement, first, latest int) string {
 	smallest, atSlot := shortfall{demand: noDemand, amount: math.Inf(1)}, noDemand
 	for start := first; start+placed.duration <= latest; start++ {
--- a/controlplane/maintenanceplanner/solver.go
+++ b/controlplane/maintenanceplanner/solver.go
@@ -21,7 +21,7 @@
 	slot int
 }
 
-func (s candidate) covers(slot int) bool { return s.slot <= slot && slot < s.slot+s.duration }
+func (c candidate) covers(slot int) bool { return c.slot <= slot && slot < c.slot+c.duration }
 
 // solverModel is a request expressed as pseudo-Boolean constraints. Exactly one candidate is chosen per placement. For each slot,
 // demand and tolerated failure, the capacity of the nodes that are out is limited to the spare capacity.
--- a/controlplane/registry/registry.go
+++ b/controlplane/registry/registry.go
@@ -55,8 +55,8 @@
 	return instances
 }
 
-// DirectHeartbeats returns the instances whose latest heartbeat was sent to this process at or after since. Only the fields that change
-// with each heartbeat are set.
+// DirectHeartbeats returns the instances from which this process has received a direct heartbeat at or after since. Only the fields that
+// change with each heartbeat are set.
 func (r *Registry) DirectHeartbeats(now, since time.Duration) []fleet.Instance {
 	var instances []fleet.Instance
 	for id, known := range r.records {
--- a/controlplane/weighting/service.go
+++ b/controlplane/weighting/service.go
@@ -62,8 +62,8 @@
 	return id, true
 }
 
-// forgetReplica releases a numeric ID and removes its replica from all tables.
-func (s *service) forgetReplica(id rules.ReplicaID) {
+// removeReplica releases a numeric ID and removes its replica from all tables.
+func (s *service) removeReplica(id rules.ReplicaID) {
 	s.intake.Forget(id)
 	for _, table := range s.tables {
 		delete(table, id)
@@ -118,7 +118,7 @@
 		case rules.PairEjection:
 			m.queueEjection(service, output)
 		case rules.Forget:
-			service.forgetReplica(output.Replica)
+			service.removeReplica(output.Replica)
 		}
 	}
 }
