--- a/internal/daemons/gateway/attempt.go
+++ b/internal/daemons/gateway/attempt.go
@@ -12,10 +12,10 @@
 	"zincloft.example/zincloft/internal/daemons/replica"
 )
 
-// maxReportedLoad bounds the requests and slots that a replica reports; more is not believed.
+// maxReportedLoad is the highest value accepted for each field of a load header.
 const maxReportedLoad = 1 << 20
 
-// attemptResult is the end of one attempt.
+// attemptResult is the outcome and timing of one attempt.
 type attemptResult struct {
 	replica.Outcome
 	picked  pickedEndpoint
@@ -23,7 +23,7 @@
 	latency time.Duration
 }
 
-// runAttempt sends a request to the chosen endpoint, has the router know the outcome and sends it to ends.
+// runAttempt sends a request to the chosen endpoint, records the outcome in the router and sends it to results.
 func (g *Gateway) runAttempt(choice pickedEndpoint, request *replica.Request, results chan<- attemptResult) {
 	g.metrics.attempts.Inc()
 	sentAt := time.Now()
@@ -33,7 +33,7 @@
 	results <- attemptResult{Outcome: outcome, picked: choice, sentAt: sentAt, latency: time.Since(sentAt)}
 }
 
-// recordAttempt has the router and the log know an attempt's outcome, and queues what the control plane must hear at once.
+// recordAttempt records an attempt's outcome in the router and the log, and queues effects to report immediately.
 func (g *Gateway) recordAttempt(choice router.PickResult, attemptID string, outcome replica.Outcome, latency time.Duration, canceled bool) {
 	result := router.AttemptResult{
 		AttemptID:         choice.AttemptID,
@@ -58,8 +58,8 @@
 	g.queueEffects(effects)
 }
 
-// endpointResult is what an attempt's outcome says about its endpoint. Canceled attempts were ended by the client or by
-// the deadline before anything could be learned.
+// endpointResult maps an attempt's outcome to a load-balancer result. Attempts ended by the client, or by the deadline
+// before the request was sent, are Canceled: they say nothing about the endpoint.
 func endpointResult(outcome replica.Outcome, canceled bool) loadbalancer.Result {
 	switch {
 	case outcome.NotSent && (outcome.DeadlineExceeded || canceled), outcome.Cause == replica.CausePoolFull:
@@ -86,8 +86,8 @@
 		Str("cause", string(outcome.Cause)).Int("skipped", outcome.SkippedResponses).Msg("")
 }
 
-// queueEffects hands what the control plane must hear at once to the report loop. Where the queue is full it is dropped:
-// the same failure is soon met again.
+// queueEffects passes effects to the report loop without blocking. Effects are dropped when the queue is full, as a
+// persistent failure is observed again.
 func (g *Gateway) queueEffects(effects router.AttemptEffects) {
 	if effects.Observation != nil {
 		select {
@@ -103,8 +103,8 @@
 	}
 }
 
-// parseLoad reads the load that a replica reports: running, waiting, slots. All are zero where it reports none that is
-// well-formed.
+// parseLoad parses the X-Instance-Load header (running, waiting, slots). It returns the zero value if the header is
+// missing or malformed.
 func parseLoad(header http.Header) loadbalancer.Load {
 	value := header.Get("X-Instance-Load")
 	if value == "" {
--- a/internal/daemons/gateway/badrequest.go
+++ b/internal/daemons/gateway/badrequest.go
@@ -1,20 +1,20 @@
 package gateway
 
-// badRequestCause says in the log why a client's request was not taken for one: a cause of this list, one of package
-// framing, or what net/http answered.
+// badRequestCause is the logged reason for rejecting a client request: one of the constants below, a cause of package
+// framing, or an error response of net/http.
 type badRequestCause string
 
 const (
-	causeTargetOrIdentity badRequestCause = "target_or_identity" // no path to route, or more than one attempt identity
+	causeTargetOrIdentity badRequestCause = "target_or_identity" // no path in the request target, or more than one attempt ID
 	causeHeadTooLarge     badRequestCause = "head_too_large"
-	causeBodyLate         badRequestCause = "body_late"    // not complete by the deadline
-	causeBodyFraming      badRequestCause = "body_framing" // a body that net/http cannot read
+	causeBodyLate         badRequestCause = "body_late"    // body incomplete at the deadline
+	causeBodyFraming      badRequestCause = "body_framing" // body rejected by net/http
 )
 
-// maxServerCauseBytes bounds what is logged of a refusal by net/http.
+// maxServerCauseBytes limits the logged part of an error response of net/http.
 const maxServerCauseBytes = 100
 
-// recordBadRequest counts a bad request and logs it, at a bounded rate.
+// recordBadRequest counts a bad request and logs it subject to the rate limit.
 func (g *Gateway) recordBadRequest(client string, cause badRequestCause) {
 	g.count(countBadRequest)
 	if g.logLimiter.Allow() {
--- a/internal/daemons/gateway/clientconn.go
+++ b/internal/daemons/gateway/clientconn.go
@@ -15,9 +15,9 @@
 	"zincloft.example/zincloft/internal/daemons/connlimit"
 )
 
-// clientListener wraps the connections that it accepts, which the front's limiter bounds, as clientConn.
+// clientListener wraps accepted connections in clientConn.
 type clientListener struct {
-	net.Listener // of the limiter
+	net.Listener // created by frontConns.Listen
 	gateway      *Gateway
 }
 
@@ -29,31 +29,31 @@
 	return &clientConn{Conn: conn.(*connlimit.Conn), gateway: l.gateway}, nil
 }
 
-// clientConn is a client's connection. It keeps requests with ambiguous framing from the server, and applies the idle and
-// header timeouts of the configuration in force: the server by itself would keep to those of the first configuration, and
-// give a connection before its first request the time of a header.
+// clientConn is a client connection. It rejects requests with ambiguous framing before http.Server parses them, and
+// applies the idle and header timeouts of the current configuration: http.Server would use those of the first
+// configuration, and would apply the header timeout to an idle connection before its first request.
 type clientConn struct {
 	*connlimit.Conn
 	gateway *Gateway
 
 	scanner        framing.Scanner
-	malformedInput string      // what is still to be read in place of a bad request
-	readClosed     atomic.Bool // a bad request was found: nothing further is read from the client
+	malformedInput string      // unread part of the input that replaces a bad request
+	readClosed     atomic.Bool // a bad request was found; no more input is read from the client
 
-	// idle is set while nothing of the next request has come as far as the server knows. The header timeout runs from the
-	// first byte of a head on.
+	// idle is set while http.Server has seen no byte of the next request. The header timeout starts with the first byte of a
+	// head.
 	idle      atomic.Bool
 	idleSince time.Time
 
-	headBytes    int          // of the head at hand; used on the server's goroutine only
-	headReserved atomic.Int64 // bytes reserved for it
+	headBytes    int          // read of the current head; used only by the server's goroutine
+	headReserved atomic.Int64 // bytes reserved for it in headBudget
 
-	busy       bool // with a request, which sets deadlines of its own; used on the server's goroutine only
-	hadRequest bool // a request has come; used on the server's goroutine only
+	busy       bool // a handler is running and sets the deadlines; used only by the server's goroutine
+	hadRequest bool // a request has been received; used only by the server's goroutine
 }
 
 const (
-	// uncountedHeadBytes of each head are not counted: they fit the buffer that its connection has in any case.
+	// uncountedHeadBytes of each head fit the connection's read buffer and are not charged to headBudget.
 	uncountedHeadBytes = 4 << 10
 
 	headMemoryFullResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.300\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -61,12 +61,12 @@
 
 type clientConnKey struct{}
 
-// withClientConn makes a connection known to the handlers of its requests.
+// withClientConn stores a connection in the context of its requests.
 func withClientConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, conn)
 }
 
-// onConnState follows the states that the server reports of a connection.
+// onConnState handles the connection states reported by http.Server.
 func onConnState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok {
@@ -82,18 +82,18 @@
 	c.hadRequest = state != http.StateNew
 }
 
-// markBusy marks the connection of a request as busy until the returned function is called.
+// markBusy marks a request's connection as busy until the returned function is called.
 func markBusy(r *http.Request) (done func()) {
 	c, _ := r.Context().Value(clientConnKey{}).(*clientConn)
 	if c == nil {
 		return func() {}
 	}
 	c.busy = true
-	c.idle.Store(false) // also where the request lay in the server's buffer: its background read must end with the deadline then
+	c.idle.Store(false) // a pipelined request is served without a Read that clears idle, and the server's background read must end at the deadline
 	return func() { c.busy = false }
 }
 
-// Read reads from the client until a bad request is found, and framing.Poison from there on, which makes the server
+// Read returns the client's input up to a bad request. From there on it returns framing.Poison, which makes http.Server
 // answer 400 and close the connection.
 func (c *clientConn) Read(b []byte) (int, error) {
 	if len(b) == 0 || c.readClosed.Load() && c.malformedInput == "" {
@@ -110,7 +110,7 @@
 	return n, nil
 }
 
-// readClient reads what the client sent, up to a bad request, and sets poison where there is one.
+// readClient reads the client's input up to a bad request, and sets malformedInput if it finds one.
 func (c *clientConn) readClient(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extendIdle() {
@@ -121,10 +121,10 @@
 	}
 	if c.IsReadingHead() && !c.reserveHead(n) {
 		c.rejectHead()
-		return 0, os.ErrDeadlineExceeded // upon which net/http answers nothing of its own
+		return 0, os.ErrDeadlineExceeded // net/http sends no response after this error
 	}
 	good, cause := c.scanner.Feed(b[:n])
-	if c.idle.Swap(false) && !c.hadRequest { // behind an earlier request the server sets the header timeout itself
+	if c.idle.Swap(false) && !c.hadRequest { // after the first request http.Server sets the header timeout itself
 		c.startHeaderTimeout()
 	}
 	if cause == "" {
@@ -136,7 +136,7 @@
 	return good, nil
 }
 
-// reserveHead reserves memory for n further bytes of a head, if there is as much. Heads of the usual length are free.
+// reserveHead reserves memory for n more bytes of a head and reports whether the budget allowed it.
 func (c *clientConn) reserveHead(n int) bool {
 	c.headBytes += n
 	missing := int64(c.headBytes-uncountedHeadBytes) - c.headReserved.Load()
@@ -150,14 +150,14 @@
 	return true
 }
 
-// releaseHead gives back what the last head held.
+// releaseHead releases the memory reserved for the last head.
 func (c *clientConn) releaseHead() {
 	if held := c.headReserved.Swap(0); held > 0 {
 		c.gateway.headBudget.Release(held)
 	}
 }
 
-// rejectHead ends a connection whose head has no room, and says when to come back: nothing of the request has been read as one.
+// rejectHead answers 503 and stops reading when the head memory is exhausted. The request has not been parsed.
 func (c *clientConn) rejectHead() {
 	c.gateway.count(countHeadMemoryFull)
 	c.readClosed.Store(true)
@@ -171,7 +171,7 @@
 	return c.Conn.Close()
 }
 
-// startHeaderTimeout gives the head that has begun the time of the configuration in force.
+// startHeaderTimeout applies the header timeout of the current configuration to a head that has begun.
 func (c *clientConn) startHeaderTimeout() {
 	config := c.gateway.config.Load()
 	if config == nil || config.Limits.HeaderTimeout <= 0 {
@@ -180,7 +180,7 @@
 	_ = c.Conn.SetReadDeadline(time.Now().Add(config.Limits.HeaderTimeout)) // fails on a closed connection only, as the next read does
 }
 
-// extendIdle tells whether an idle time that is over goes on by a configuration that came meanwhile.
+// extendIdle extends an expired idle deadline if the current configuration allows more time, and reports whether it did.
 func (c *clientConn) extendIdle() bool {
 	config := c.gateway.config.Load()
 	if !c.idle.Load() || config == nil {
@@ -190,7 +190,7 @@
 	return time.Now().Before(end) && c.Conn.SetReadDeadline(end) == nil
 }
 
-// SetReadDeadline replaces the server's deadlines between requests by those of the configuration in force.
+// SetReadDeadline replaces the server's deadlines between requests with those of the current configuration.
 func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	if c.busy || deadline.IsZero() {
 		return c.Conn.SetReadDeadline(deadline)
@@ -208,11 +208,11 @@
 
 var (
 	clientErrorPrefix = []byte("HTTP/1.1 4")
-	// serverErrorHead ends the head of a refusal by net/http itself; its body begins with the status.
+	// serverErrorHead ends the head of an error response generated by net/http; the body begins with the status.
 	serverErrorHead = []byte("\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n4")
 )
 
-// Write records requests that net/http refuses by itself.
+// Write records error responses generated by net/http as bad requests.
 func (c *clientConn) Write(b []byte) (int, error) {
 	if bytes.HasPrefix(b, clientErrorPrefix) && !c.readClosed.Load() {
 		if _, cause, ok := bytes.Cut(b, serverErrorHead); ok {
--- a/internal/daemons/gateway/controlstream.go
+++ b/internal/daemons/gateway/controlstream.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	streamTimeout       = time.Second // a member that is silent for so long is left; messages.WarmupRateLifetime has the same length on purpose
+	streamTimeout       = time.Second // without a frame; must equal messages.WarmupRateLifetime
 	controlDialTimeout  = 300 * time.Millisecond
-	localMemberInterval = 4 * time.Second // after so long with a member of another zone, one of the own zone is tried again
+	localMemberInterval = 4 * time.Second // between attempts to return to a member of the local zone
 	reconnectDelay      = 100 * time.Millisecond
 )
 
-// maintainControlStream holds a stream from one control-plane member after the other until ctx ends.
+// maintainControlStream keeps a stream open to one control-plane member at a time until ctx ends.
 func (g *Gateway) maintainControlStream(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, member := range g.candidates() {
 			if g.runStream(ctx, member) {
-				break // it was established: begin again with the best candidate
+				break // the stream was established: restart with the best candidate
 			}
 		}
 		time.Sleep(reconnectDelay/2 + rand.N(reconnectDelay))
 	}
 }
 
-// candidates returns the addresses of members to call, best first: those of the own zone, then the others at random.
+// candidates returns member addresses in order of preference: the local zone first, then the others in random order.
 func (g *Gateway) candidates() []string {
 	peers := g.gossip.Peers(peersampling.RoleControlPlane)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	also := g.settings.SeedPeerAddresses()
+	addresses := g.settings.SeedPeerAddresses()
 	for _, peer := range peers {
-		also = append(also, peer.Addr)
+		addresses = append(addresses, peer.Addr)
 	}
-	return g.router.Candidates(also)
+	return g.router.Candidates(addresses)
 }
 
-// controlStream is one connection to a control-plane member.
+// controlStream is a connection to a control-plane member.
 type controlStream struct {
 	gateway      *Gateway
-	member       string // its address
+	member       string // address
 	conn         *peertransport.Conn
-	established  bool // the member sent a full state
+	established  bool // the member has sent its full state
 	localCheckAt time.Time
 }
 
-// runStream holds a stream from a member until it breaks or a better member is there. It tells whether the stream was
-// established: whether the member sent a full state.
+// runStream processes a member's stream until it fails, turns out stale, or a member of the local zone becomes reachable.
+// It reports whether the member sent its full state.
 func (g *Gateway) runStream(ctx context.Context, member string) (established bool) {
 	netConn, err := peertransport.NewDialer(controlDialTimeout, streamTimeout).DialContext(ctx, "tcp", g.settings.DialAddress(member))
 	if err != nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// establish begins the reports to a member that sent its full state.
+// establish starts reporting to a member that has sent its full state.
 func (s *controlStream) establish(sequence uint64, done <-chan struct{}) {
 	s.established = true
 	s.gateway.logger.Info().Str("event", "stream_established").Str("member", s.member).Uint64("sequence", sequence).Msg("")
@@ -100,15 +100,15 @@
 	go s.sendReports(done)
 }
 
-// send queues a frame. One that cannot be encoded is not sent.
+// send queues a frame. A frame that cannot be encoded is dropped.
 func (s *controlStream) send(frame *peertransport.Frame) {
 	if encoded, err := peertransport.EncodeFrame(frame); err == nil {
 		s.conn.Send(encoded)
 	}
 }
 
-// shouldSwitchToLocalZone tells whether the stream comes from a member of another zone though one of the own zone can be called.
-// The call is tried every localMemberInterval.
+// shouldSwitchToLocalZone reports whether the stream comes from another zone while a local member accepts connections,
+// which is checked every localMemberInterval.
 func (s *controlStream) shouldSwitchToLocalZone(ctx context.Context) bool {
 	if !s.gateway.hasLocalAlternativeTo(s.member) || time.Since(s.localCheckAt) <= localMemberInterval {
 		return false
@@ -123,7 +123,7 @@
 	return true
 }
 
-// hasLocalAlternativeTo tells whether members of the gateway's own zone are known and member is none of them.
+// hasLocalAlternativeTo reports whether members of the local zone are known and member is not one of them.
 func (g *Gateway) hasLocalAlternativeTo(member string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -140,15 +140,15 @@
 	return known
 }
 
-// onStreamEnd drops what holds only while the stream does.
+// onStreamEnd drops router state that is valid only during a stream.
 func (g *Gateway) onStreamEnd() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.router.StreamEnded(g.now())
 }
 
-// applyUpdate puts in force what a member sent. It tells whether that is stale: nothing of it was taken, and the stream
-// must be left.
+// applyUpdate applies a state update. It reports whether the update was stale; a stale update changes nothing, and the
+// stream must be closed.
 func (g *Gateway) applyUpdate(update *messages.StateUpdate) (stale bool) {
 	g.mu.Lock()
 	result := g.router.Apply(g.now(), update)
--- a/internal/daemons/gateway/counters.go
+++ b/internal/daemons/gateway/counters.go
@@ -8,46 +8,46 @@
 	"sync"
 	"time"
 
-	figures "github.com/VictoriaMetrics/metrics"
+	"github.com/VictoriaMetrics/metrics"
 )
 
-// counter names an event that is counted and logged every countersInterval. docs/operate/gateway.md lists them.
+// counter names an event that is counted and logged every countersInterval. docs/operate/gateway.md lists the events.
 type counter string
 
 const (
-	countBadRequest           counter = "bad_request"            // a request that is malformed or ambiguous
-	countDraining             counter = "draining"               // rejected while draining for a maintenance window, so that another gateway serves it
+	countBadRequest           counter = "bad_request"            // malformed or ambiguous request
+	countDraining             counter = "draining"               // rejected while draining for a maintenance window
 	countNoRoute              counter = "no_route"               // answered 404
 	countBodyTooLarge         counter = "body_too_large"         // answered 413
-	countBodyMemoryFull       counter = "body_memory_full"       // bodies of other requests hold all memory meant for them
-	countHeadMemoryFull       counter = "head_memory_full"       // heads of other requests hold all memory meant for them
-	countBodyAborted          counter = "body_aborted"           // the rest of the body never came
-	countClientGone           counter = "client_gone"            // nobody waits for the answer any more
-	countDeadlineTooClose     counter = "deadline_too_close"     // too little time left for any attempt
+	countBodyMemoryFull       counter = "body_memory_full"       // request body memory exhausted
+	countHeadMemoryFull       counter = "head_memory_full"       // request head memory exhausted
+	countBodyAborted          counter = "body_aborted"           // the client closed the connection before the end of the body
+	countClientGone           counter = "client_gone"            // the client disconnected
+	countDeadlineTooClose     counter = "deadline_too_close"     // not enough time left for an attempt
 	countOverloaded           counter = "overloaded"             // no endpoint could take the request
-	countNoEndpoint           counter = "no_endpoint_known"      // the control plane has told of no endpoint of the service
-	countHedged               counter = "hedged"                 // sent to a second replica beside the first
-	countRetryBudgetExhausted counter = "retry_budget_exhausted" // a retry that the budget did not allow
+	countNoEndpoint           counter = "no_endpoint_known"      // the endpoint table has no endpoint of the service
+	countHedged               counter = "hedged"                 // sent to a second replica while the first attempt is pending
+	countRetryBudgetExhausted counter = "retry_budget_exhausted" // retry denied by the retry budget
 
-	countNoConfig          counter = "no_configuration"    // rejected, as no configuration has come yet
-	countFailuresNotLogged counter = "failures_not_logged" // failed requests that got no log line of their own
+	countNoConfig          counter = "no_configuration"    // rejected because no configuration has been received
+	countFailuresNotLogged counter = "failures_not_logged" // failed requests not logged because of the rate limit
 
-	countAttemptPrefix counter = "attempt_" // followed by the cause why an attempt failed
-	countFinalPrefix   counter = "final_"   // followed by the status of an answer that promises nothing
+	countAttemptPrefix counter = "attempt_" // followed by the cause of the failed attempt
+	countFinalPrefix   counter = "final_"   // followed by the status of a response that leaves open whether the request was executed
 )
 
 const countersInterval = 10 * time.Second
 
-// eventCounters counts events for the figures and, since the last line, for the log. It is safe for concurrent use.
+// eventCounters counts events for the metrics and the periodic log line. It is safe for concurrent use.
 type eventCounters struct {
-	set      *figures.Set
-	counters sync.Map // of *figures.Counter by counter
+	set      *metrics.Set
+	counters sync.Map // of *metrics.Counter by counter
 
 	mu     sync.Mutex
 	logged map[counter]uint64 // counts at the last log line
 }
 
-func newEventCounters(set *figures.Set) *eventCounters {
+func newEventCounters(set *metrics.Set) *eventCounters {
 	return &eventCounters{set: set, logged: map[counter]uint64{}}
 }
 
@@ -56,16 +56,16 @@
 	if !ok {
 		known, _ = e.counters.LoadOrStore(event, e.set.GetOrCreateCounter(fmt.Sprintf("zincloft_gateway_events_total{event=%q}", event)))
 	}
-	known.(*figures.Counter).Inc()
+	known.(*metrics.Counter).Inc()
 }
 
-// deltaSinceLogged returns what was counted since the last call.
+// deltaSinceLogged returns the non-zero counts since the last call.
 func (e *eventCounters) deltaSinceLogged() map[counter]uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	counts := map[counter]uint64{}
 	e.counters.Range(func(event, known any) bool {
-		total := known.(*figures.Counter).Get()
+		total := known.(*metrics.Counter).Get()
 		if since := total - e.logged[event.(counter)]; since > 0 {
 			counts[event.(counter)] = since
 		}
@@ -75,11 +75,11 @@
 	return counts
 }
 
-// String lists all counts so far, for tests.
+// String formats the total counts, for tests.
 func (e *eventCounters) String() string {
 	var counts []string
 	e.counters.Range(func(event, known any) bool {
-		counts = append(counts, fmt.Sprintf("%s=%d", event, known.(*figures.Counter).Get()))
+		counts = append(counts, fmt.Sprintf("%s=%d", event, known.(*metrics.Counter).Get()))
 		return true
 	})
 	slices.Sort(counts)
@@ -88,7 +88,7 @@
 
 func (g *Gateway) count(event counter) { g.counters.add(event) }
 
-// logCounters logs what was counted since the last call.
+// logCounters logs the counts since the last call.
 func (g *Gateway) logCounters() {
 	counts := g.counters.deltaSinceLogged()
 	if len(counts) == 0 {
--- a/internal/daemons/gateway/failures.go
+++ b/internal/daemons/gateway/failures.go
@@ -9,63 +9,63 @@
 )
 
 const (
-	maxRecordedFailures = 256 // newest failed requests that are kept in memory
-	maxLoggedIDBytes    = 64  // of an attempt's identity, which the client chose
-	maxLoggedAttempts   = 8   // more cannot be made of one request: route limit, failed connections
+	maxRecordedFailures = 256 // newest failed requests kept in memory
+	maxLoggedIDBytes    = 64  // of an attempt ID, which is chosen by the client
+	maxLoggedAttempts   = 8   // no request can have more, given the route limit and the limit of failed connections
 )
 
-// endedBy says who ended a request without success.
+// endedBy says which party ended a failed request.
 type endedBy string
 
 const (
-	endedByGateway  endedBy = "gateway"  // it gave up, see FailedRequest.Reason
-	endedByReplica  endedBy = "replica"  // its response, no success, was passed on
-	endedByClient   endedBy = "client"   // it left
-	endedByDeadline endedBy = "deadline" // the client's, or the route's timeout
+	endedByGateway  endedBy = "gateway"  // see FailedRequest.Reason
+	endedByReplica  endedBy = "replica"  // its error response was returned to the client
+	endedByClient   endedBy = "client"   // it disconnected
+	endedByDeadline endedBy = "deadline" // set by the client, or by the route's timeout
 )
 
-// FailedRequest explains why one request had no successful answer.
+// FailedRequest describes a request that did not get a successful response.
 type FailedRequest struct {
 	At            time.Time       `json:"at"`
-	AttemptID     string          `json:"attempt_id"` // the client's, cut to maxLoggedIDBytes
+	AttemptID     string          `json:"attempt_id"` // set by the client, truncated to maxLoggedIDBytes
 	Route         string          `json:"route"`
 	Service       string          `json:"service"`
 	Idempotent    bool            `json:"idempotent"`
-	Status        int             `json:"status"` // that the client got; 0: the connection was closed
+	Status        int             `json:"status"` // returned to the client; 0 if the connection was closed
 	EndedBy       endedBy         `json:"ended_by"`
-	Reason        string          `json:"reason"` // why there was no further attempt
+	Reason        string          `json:"reason"` // why no further attempt was made
 	Timeout       time.Duration   `json:"timeout_ns"`
 	Duration      time.Duration   `json:"duration_ns"`
-	ConfigVersion uint64          `json:"config_version"` // by which it was routed
+	ConfigVersion uint64          `json:"config_version"` // used to route the request
 	Attempts      []AttemptRecord `json:"attempts"`
 }
 
-// AttemptRecord is one attempt of a failed request.
+// AttemptRecord describes one attempt of a failed request.
 type AttemptRecord struct {
 	Endpoint         string        `json:"endpoint"`
 	Address          string        `json:"address"`
 	TableUpdate      uint64        `json:"table_update"` // number of the control plane's update in force when the endpoint was picked
 	SentAfter        time.Duration `json:"sent_after_ns"`
 	Duration         time.Duration `json:"duration_ns"`
-	Deadline         time.Duration `json:"deadline_ns"` // left when it was sent
-	Execution        string        `json:"execution"`   // pending while its end, which the request did not wait for, has not come
+	Deadline         time.Duration `json:"deadline_ns"` // remaining when the attempt was sent
+	Execution        string        `json:"execution"`   // executionPending until the attempt has ended
 	Cause            replica.Cause `json:"cause,omitempty"`
 	Status           int           `json:"status,omitempty"` // of the replica's response
 	ConnID           uint64        `json:"conn,omitempty"`
 	ConnRequestCount int           `json:"conn_use,omitempty"`
 }
 
-// executionPending is the Execution of an attempt that had not ended with its request.
+// executionPending is the Execution of an attempt that outlasts its request.
 const executionPending = "pending"
 
 // failureLog keeps the newest failed requests. The zero value is ready; it is safe for concurrent use.
 type failureLog struct {
 	mu    sync.Mutex
 	ring  [maxRecordedFailures]FailedRequest
-	count uint64 // of all so far; the next one goes to ring[count % maxKeptFailures]
+	count uint64 // added so far; the next one goes to ring[count % maxRecordedFailures]
 }
 
-// add keeps a failed request in the place of the oldest one. It returns the request's number, which is not 0.
+// add stores a failed request in place of the oldest one and returns its number, which is never 0.
 func (l *failureLog) add(failed FailedRequest) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,8 +74,8 @@
 	return l.count
 }
 
-// complete puts the outcome of an attempt in the place where a failed request, by its number, has it as pending. The request may have left the
-// log meanwhile.
+// complete replaces the pending attempt at the same endpoint in the record of a failed request. It does nothing if the
+// record has been overwritten.
 func (l *failureLog) complete(number uint64, attempt AttemptRecord) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +83,7 @@
 		return
 	}
 	kept := &l.ring[(number-1)%maxRecordedFailures]
-	kept.Attempts = slices.Clone(kept.Attempts) // readers may still have the one that was there
+	kept.Attempts = slices.Clone(kept.Attempts) // newest may have returned the previous slice
 	for i, known := range kept.Attempts {
 		if known.Endpoint == attempt.Endpoint && known.Execution == executionPending {
 			kept.Attempts[i] = attempt
@@ -92,7 +92,7 @@
 	}
 }
 
-// newest lists the failed requests that are kept, the newest first.
+// newest returns the stored failed requests, newest first.
 func (l *failureLog) newest() []FailedRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,8 +104,8 @@
 	return failures
 }
 
-// completeFailure takes the outcome of an attempt, which was still under way when its request failed, into the request's record and logs it, at
-// a bounded rate.
+// completeFailure adds the result of an attempt that outlasted its request to the request's record, and logs it subject to
+// the rate limit.
 func (g *Gateway) completeFailure(number uint64, attemptID string, attempt AttemptRecord) {
 	g.failures.complete(number, attempt)
 	if g.logLimiter.Allow() {
@@ -113,10 +113,10 @@
 	}
 }
 
-// loggedID is as much of an attempt's identity as is logged.
+// loggedID truncates an attempt ID for logging.
 func loggedID(attemptID string) string { return attemptID[:min(len(attemptID), maxLoggedIDBytes)] }
 
-// recordFailure keeps a failed request and logs it, at a bounded rate. It returns the record's number.
+// recordFailure stores a failed request, logs it subject to the rate limit, and returns the record's number.
 func (g *Gateway) recordFailure(failed FailedRequest) uint64 {
 	failed.AttemptID = loggedID(failed.AttemptID)
 	number := g.failures.add(failed)
@@ -134,7 +134,7 @@
 	return number
 }
 
-// summary is an attempt in a log line: endpoint@address, update, times in milliseconds, execution and cause.
+// summary formats an attempt for a log line: endpoint@address, table update, times in milliseconds, execution and cause.
 func (a AttemptRecord) summary() string {
 	text := a.Endpoint + "@" + a.Address + " update=" + formatUint(a.TableUpdate) + " after=" + formatMillis(a.SentAfter) +
 		" took=" + formatMillis(a.Duration) + " deadline=" + formatMillis(a.Deadline) + " " + a.Execution
--- a/internal/daemons/gateway/forward.go
+++ b/internal/daemons/gateway/forward.go
@@ -14,51 +14,50 @@
 	"zincloft.example/zincloft/internal/daemons/replica"
 )
 
-// forwarding carries one client's request through its attempts at replicas. It is used by the request's goroutine alone;
-// attempts run on their own and end on the channel ends.
+// forwarding is the state of one client request across its attempts. It is owned by the request's goroutine; attempts run
+// in goroutines of their own and send to results.
 type forwarding struct {
 	gateway *Gateway
 	route   gatewayconfig.Route
 	service string
 
-	request   replica.Request    // of each attempt, but for the instance
-	attempted []string           // endpoints that an attempt was made at
-	results   chan attemptResult // has room for every attempt, so that none blocks on a request that is over
-	pending   int                // attempts that have not ended
+	request   replica.Request    // template of each attempt, without InstanceID
+	attempted []string           // endpoints tried so far
+	results   chan attemptResult // buffered for all attempts, so that no send blocks
+	pending   int                // attempts without a result
 
 	progress    retry.State
-	attemptTime time.Duration // the time of the ended attempts, summed
+	attemptTime time.Duration // total duration of the ended attempts
 
 	arrivedAt      time.Time
 	configVersion  uint64
-	failedAttempts []attemptResult // attempts that ended without a response to pass on, to explain the request if it fails
+	failedAttempts []attemptResult // attempts without a successful response, for the failure record
 	reason         string          // why no further attempt was made
-	failureNumber  uint64          // the number of the record of this request's failure; 0: there is none
+	failureNumber  uint64          // number of this request's failure record; 0 if there is none
 
-	// strongest is the outcome so far that says most about execution: that a later attempt was not executed says nothing
-	// of an earlier one.
+	// strongest is the outcome with the highest Execution so far: a later attempt that was not executed proves nothing about
+	// an earlier one.
 	strongest replica.Outcome
 }
 
-// decision is what follows from an attempt's end.
+// decision is the next step after an attempt has ended.
 type decision int
 
 const (
-	waitForPending decision = iota // wait for the attempts still pending; without any the request is over
-	returnResponse                 // pass the attempt's response on
-	retryRequest                   // make another attempt
-	abortClient                    // end the client's connection: nobody waits for a response
+	waitForPending decision = iota // wait for pending attempts, or finish if there are none
+	returnResponse                 // return the attempt's response to the client
+	retryRequest                   // start another attempt
+	abortClient                    // close the connection of a client that has disconnected
 )
 
-// forward makes attempts at replicas until one of them has answered or no retry is allowed.
+// forward makes attempts at replicas until one returns a response or no retry is allowed.
 //
-// An idempotent request that waits long for its response is hedged: a second attempt is made beside the first, against
-// replicas that fell silent while they had it, and responses that got lost. The first response wins; the other connection
-// is closed, and with it the work there.
+// An idempotent request without a response after the hedge delay is sent to a second replica, in case the first one hangs
+// or its response was lost. The first response wins; the other attempt is canceled by closing its connection.
 func (g *Gateway) forward(w http.ResponseWriter, r *http.Request, request clientRequest) {
 	f := newForwarding(g, r, request)
 	var hedge <-chan time.Time
-	if f.route.Idempotent { // dropped when its client leaves; any other request is left to end
+	if f.route.Idempotent { // canceled when the client disconnects; other requests run to completion
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
 		f.request.Cancel = ctx
@@ -130,7 +129,8 @@
 
 func (f *forwarding) timeLeft() time.Duration { return time.Until(f.request.Deadline) }
 
-// firstAttempt makes the first attempt, unless the client is gone, there is too little time, or no endpoint takes it.
+// firstAttempt starts the first attempt. It returns a rejection if the client has disconnected, too little time is left, or
+// no endpoint is available.
 func (f *forwarding) firstAttempt(client context.Context) rejection {
 	if client.Err() != nil {
 		return rejection{aborts: true, counter: countClientGone}
@@ -149,7 +149,7 @@
 	return rejected
 }
 
-// pickEndpoint picks an endpoint that the request has not been at; where onlyIdle is set, one with free slots.
+// pickEndpoint picks an endpoint that has not been tried, with free slots if onlyIdle is set.
 func (f *forwarding) pickEndpoint(onlyIdle bool) pickedEndpoint {
 	return f.gateway.pick(router.PickRequest{
 		Service:   f.service,
@@ -164,7 +164,7 @@
 	})
 }
 
-// startAttempt sends the request to the chosen endpoint, on a goroutine of its own. It tells whether there was one.
+// startAttempt sends the request to the chosen endpoint in a new goroutine. It returns false if no endpoint was chosen.
 func (f *forwarding) startAttempt(choice pickedEndpoint) bool {
 	if choice.EndpointID == "" {
 		return false
@@ -179,7 +179,7 @@
 	return true
 }
 
-// startHedge makes a second attempt beside the only pending one, where the retry budget and an idle endpoint allow it.
+// startHedge starts a second concurrent attempt if the attempt limit, the retry budget and an idle endpoint allow it.
 func (f *forwarding) startHedge() {
 	if f.progress.Attempts < f.progress.MaxAttempts && f.pending == 1 && f.gateway.tryRetry(f.service) {
 		if f.startAttempt(f.pickEndpoint(true)) {
@@ -188,7 +188,7 @@
 	}
 }
 
-// recordResult takes an attempt's end in, and lets go of the response that does not matter any more.
+// recordResult updates the request's state with an attempt's result and discards the response that is no longer needed.
 func (f *forwarding) recordResult(end attemptResult) {
 	f.pending--
 	f.attemptTime += end.latency
@@ -208,8 +208,8 @@
 	weaker.Discard()
 }
 
-// decide tells what follows from the outcome that was recorded last. The retry budget is asked last, so that nothing is
-// withdrawn from it in vain.
+// decide returns the next step after the outcome that was recorded last. The retry budget is checked last, as the check
+// consumes a retry.
 func (f *forwarding) decide(client context.Context, outcome replica.Outcome) decision {
 	if outcome.Execution == retry.Answered && !f.progress.ServerError {
 		return returnResponse
@@ -219,7 +219,7 @@
 		if f.route.Idempotent {
 			return abortClient
 		}
-		return waitForPending // what has not been executed is not sent again, as nobody waits for it
+		return waitForPending // no retry, as the client has disconnected
 	}
 	refusal := retry.RefusalOf(outcome.Execution, f.progress)
 	f.reason = string(refusal)
@@ -234,7 +234,8 @@
 	return retryRequest
 }
 
-// writeReplicaResponse passes a replica's response on. A long one whose rest fails to come ends the client's connection.
+// writeReplicaResponse returns a replica's response to the client. It aborts the client's connection if the response turns
+// out truncated.
 func (f *forwarding) writeReplicaResponse(w http.ResponseWriter, r *http.Request, response *replica.Response) {
 	f.checkResponse(response)
 	if err := writeResponse(w, r, response); err != nil {
@@ -246,7 +247,7 @@
 	f.gateway.metrics.answered.Inc()
 }
 
-// finish ends a request whose attempts have all ended without a successful response.
+// finish answers a request whose attempts have all ended without a successful response.
 func (f *forwarding) finish(w http.ResponseWriter, r *http.Request) {
 	if f.strongest.Execution == retry.Answered {
 		f.recordFailure(f.strongest.Response.Status, endedByReplica)
@@ -264,7 +265,7 @@
 	writeEmptyResponse(w, status)
 }
 
-// discardResponses lets go of responses that are not passed on, also of those that pending attempts still bring.
+// discardResponses discards responses that are not returned, including those of pending attempts.
 func (f *forwarding) discardResponses() {
 	f.strongest.Discard()
 	if f.pending > 0 {
@@ -272,18 +273,18 @@
 	}
 }
 
-// pendingAttempts are attempts that outlast their request. They have a copy of what they need of it: a request without any costs nothing.
+// pendingAttempts are attempts that outlast their request, with copies of the request data they need.
 type pendingAttempts struct {
 	gateway       *Gateway
 	results       <-chan attemptResult
 	count         int
-	failureNumber uint64 // the number of the request's record; 0: it did not fail
+	failureNumber uint64 // number of the request's failure record; 0 if it did not fail
 	attemptID     string
 	arrivedAt     time.Time
 	deadline      time.Time
 }
 
-// discard waits for the attempts' ends, and completes the record of the request's failure where there is one.
+// discard waits for the attempts to end, discards their responses and completes the request's failure record.
 func (p pendingAttempts) discard() {
 	for range p.count {
 		end := <-p.results
--- a/internal/daemons/gateway/forwardfailure.go
+++ b/internal/daemons/gateway/forwardfailure.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// reasonNoEndpoint says that a further attempt was allowed, and no endpoint could take it.
+// reasonNoEndpoint is recorded if a retry was allowed but no endpoint was available.
 const reasonNoEndpoint = "no_endpoint"
 
-// reject answers a request that no replica has executed, and records why.
+// reject answers a request that no replica has executed and records the failure.
 func (f *forwarding) reject(w http.ResponseWriter, r *http.Request, rejected rejection) {
 	f.checkRejection(rejected.status)
 	if reason := rejected.reason(); reason != "" {
@@ -24,7 +24,7 @@
 	f.gateway.writeRejection(w, r, rejected)
 }
 
-// endedBy tells who ended a request that no response could be passed on for.
+// endedBy returns the party that ended a request without a replica's response.
 func (f *forwarding) endedBy(r *http.Request) endedBy {
 	switch {
 	case r.Context().Err() != nil:
@@ -35,7 +35,7 @@
 	return endedByGateway
 }
 
-// recordFailure records that the request ends without success, with a status; 0: its connection is closed.
+// recordFailure records that the request failed with a status, or 0 if its connection is closed.
 func (f *forwarding) recordFailure(status int, by endedBy) {
 	f.failureNumber = f.gateway.recordFailure(FailedRequest{
 		At:            time.Now(),
@@ -53,7 +53,7 @@
 	})
 }
 
-// attemptRecords lists the attempts that failed, then those that have not ended.
+// attemptRecords returns the failed attempts, followed by the pending ones.
 func (f *forwarding) attemptRecords() []AttemptRecord {
 	records := make([]AttemptRecord, 0, len(f.attempted))
 	ended := make([]string, 0, len(f.failedAttempts))
@@ -69,7 +69,7 @@
 	return records
 }
 
-// newAttemptRecord is the record of an attempt of a request, by when that arrived and until when it had time.
+// newAttemptRecord describes an attempt relative to the request's arrival and deadline.
 func newAttemptRecord(end attemptResult, arrivedAt, deadline time.Time) AttemptRecord {
 	record := AttemptRecord{
 		Endpoint:         end.picked.EndpointID,
--- a/internal/daemons/gateway/gateway.go
+++ b/internal/daemons/gateway/gateway.go
@@ -1,9 +1,8 @@
-// Package gateway is the data plane's process: it takes the requests of clients, forwards them to replicas by the
-// endpoint table and the configuration that a control-plane member streams to it, and reports to that member what it
-// observed.
+// Package gateway implements the data-plane process. It forwards client requests to replicas according to the endpoint
+// table and configuration streamed by a control-plane member, and reports load and failures back to that member.
 //
-// All decisions are made by dataplane/router, a state machine without I/O; this package owns the sockets, the clock and
-// the lock around that state machine. internal/daemons/replica speaks HTTP/1.1 to the replicas.
+// Routing decisions are made by dataplane/router, a state machine without I/O. This package owns the sockets, the clock
+// and the lock that guards the state machine. internal/daemons/replica implements HTTP/1.1 towards replicas.
 package gateway
 
 import (
@@ -31,15 +30,15 @@
 
 const (
 	bodyMemoryShare     = 0.25                  // of the memory limit, for buffered request bodies
-	headMemoryShare     = 0.02                  // of the memory limit, for bytes of incomplete heads, which take several times as much
-	logRate             = 10                    // log lines a second that clients and replicas may cause
-	logBurst            = 100                   // log lines that clients and replicas may cause at once
-	slowRequestOverhead = 50 * time.Millisecond // time of a request spent outside replicas, from which the gateway counts as slow
-	maxQueuedReports    = 64                    // observations, and misdirected endpoints, that wait for the control stream
-	maxServeErrors      = 4                     // listeners that may fail at once
+	headMemoryShare     = 0.02                  // of the memory limit, for incomplete heads; parsing needs several times their size
+	logRate             = 10                    // log lines per second caused by clients and replicas
+	logBurst            = 100                   // log lines in a burst
+	slowRequestOverhead = 50 * time.Millisecond // time outside attempts above which a request counts as delayed by the gateway
+	maxQueuedReports    = 64                    // queue lengths for observations and misdirected endpoints awaiting the control stream
+	maxServeErrors      = 4                     // capacity for concurrent listener failures
 )
 
-// Parts of the process's file descriptors. What is left is for the control stream, the gossip and files.
+// Shares of the process's file descriptors. The rest is left for the control stream, gossip and files.
 const (
 	frontDescriptorShare     = 0.6
 	replicaDescriptorShare   = 0.3
@@ -47,28 +46,28 @@
 	metricsDescriptorShare   = 0.01
 )
 
-// ErrMissingListener says that the settings name no address for clients or none for readiness checks.
+// ErrMissingListener is returned when the settings lack the listen address for clients or for readiness checks.
 var ErrMissingListener = merry.Sentinel("settings: network_settings.listen_addresses: a gateway needs front and readiness")
 
-// Gateway is one gateway process. It is made by New and served by Run.
+// Gateway is a gateway process. Create it with New and start it with Run.
 type Gateway struct {
 	settings  *nodesettings.Settings
 	logger    *log.Logger
 	startedAt time.Time
 
-	config   atomic.Pointer[gatewayconfig.Config] // nil until the first one was received
-	hasTable atomic.Bool                          // a full endpoint table was received
-	draining atomic.Bool                          // for a maintenance window
+	config   atomic.Pointer[gatewayconfig.Config] // nil until a configuration is received
+	hasTable atomic.Bool                          // a full endpoint table has been received
+	draining atomic.Bool                          // a maintenance window is in progress
 	stopping atomic.Bool                          // the process is shutting down
 
-	frontServerOnce sync.Once // guards the start of server
+	frontServerOnce sync.Once // guards starting server
 	frontListener   net.Listener
 	server          atomic.Pointer[http.Server] // nil until clients are served
 	serveErrors     chan error
-	bodyBudget      *bodybuffer.Budget // bodies wait here until they are complete: a slow client keeps no replica busy, and a retry sends the same bytes
-	headBudget      *bodybuffer.Budget // what incomplete heads hold beyond freeHeadBytes
+	bodyBudget      *bodybuffer.Budget // request bodies, buffered completely so that slow clients do not occupy replicas and retries can resend them
+	headBudget      *bodybuffer.Budget // memory of incomplete heads beyond uncountedHeadBytes
 
-	// Connections by purpose, each with a share of the file descriptors.
+	// Each listener has its own share of the file descriptors.
 	frontConns     *connlimit.Limiter // of clients
 	readinessConns *connlimit.Limiter
 	metricsConns   *connlimit.Limiter
@@ -76,21 +75,22 @@
 	pool   *replica.Pool
 	gossip *gossip.Shuffler
 
-	observations chan fleet.Observation // failures that the control plane is to hear of at once
+	observations chan fleet.Observation // failures to report immediately
 	misdirected  chan string            // endpoints whose address belongs to another instance
-	cpuTime      time.Duration          // used by the process until the last report; owned by the report loop
+	cpuTime      time.Duration          // of the process at the last report; owned by the report loop
 
-	logLimiter *rate.Limiter // bounds log lines that clients and replicas cause
+	logLimiter *rate.Limiter // limits log lines caused by clients and replicas
 
 	metrics  *gatewayMetrics
 	counters *eventCounters
 	failures failureLog
 
-	mu     sync.Mutex // guards what follows, and settings.Seeds
+	mu     sync.Mutex // guards router and settings.Seeds
 	router *router.Router
 }
 
-// New makes a gateway from its settings. It opens no socket; ErrMissingListener is returned where an address is missing.
+// New creates a gateway from its settings without opening sockets. It returns ErrMissingListener if a listen address is
+// missing.
 func New(settings *nodesettings.Settings, logger *log.Logger) (*Gateway, error) {
 	if settings.FrontAddress == "" || settings.ReadinessAddress == "" {
 		return nil, ErrMissingListener
@@ -128,45 +128,45 @@
 	return g, nil
 }
 
-// now is the router's clock: the time since the gateway was made.
+// now is the router's clock: the time since the gateway was created.
 func (g *Gateway) now() time.Duration { return time.Since(g.startedAt) }
 
-// pickedEndpoint is the endpoint of an attempt, and the control plane's update that it was picked by.
+// pickedEndpoint is the endpoint of an attempt and the number of the control-plane update in force when it was picked.
 type pickedEndpoint struct {
 	router.PickResult
 	tableUpdate uint64
 }
 
-// pick chooses the endpoint of an attempt.
+// pick selects the endpoint for an attempt.
 func (g *Gateway) pick(request router.PickRequest) pickedEndpoint {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return pickedEndpoint{g.router.Pick(g.now(), request), g.router.UpdateCount()}
 }
 
-// startRequest counts a client's request. It must be followed by endRequest.
+// startRequest counts a client request. Each call must be followed by endRequest.
 func (g *Gateway) startRequest(service string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.router.StartRequest(g.now(), service)
 }
 
-// endRequest counts the end of a client's request, and whether the gateway itself delayed it: atReplicas is the part of
-// its total time that attempts took.
+// endRequest counts the end of a client request. attemptTime is the part of total spent in attempts; the rest is overhead
+// of the gateway.
 func (g *Gateway) endRequest(idempotent bool, total, attemptTime time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.router.EndRequest(g.now(), idempotent, total-attemptTime > slowRequestOverhead)
 }
 
-// rejectsRequests tells whether a draining gateway turns requests away by now.
+// rejectsRequests reports whether a draining gateway already rejects requests.
 func (g *Gateway) rejectsRequests() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.router.RejectsRequests(g.now())
 }
 
-// tryRetry withdraws one retry from the service's budget, if it holds one.
+// tryRetry takes one retry from the service's retry budget and reports whether one was available.
 func (g *Gateway) tryRetry(service string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/daemons/gateway/handler.go
+++ b/internal/daemons/gateway/handler.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	defaultTimeout         = 30 * time.Second       // of a request where neither its client nor its route sets one
-	responseReserve        = 10 * time.Millisecond  // kept from the deadline, for the response's way to the client
-	responseReserveDivisor = 10                     // of the timeout: no more than this part of it is kept
-	defaultRetryAfter      = 300 * time.Millisecond // where nothing better is known
+	defaultTimeout         = 30 * time.Second       // if neither the client nor the route sets one
+	responseReserve        = 10 * time.Millisecond  // subtracted from the deadline for sending the response
+	responseReserveDivisor = 10                     // the reserve is at most the timeout divided by this
+	defaultRetryAfter      = 300 * time.Millisecond // if the load balancer gives no estimate
 	notReadyRetryAfter     = time.Second
-	drainingRetryAfter     = 20 * time.Millisecond // another gateway has room at once
-	headerLimitSlack       = 4096                  // bytes of a head beyond the limit that are let pass, as net/http does
-	headLineOverhead       = 32                    // bytes of a request line beside its method, target and host
-	fieldOverhead          = 4                     // bytes of a header field beside its name and value
+	drainingRetryAfter     = 20 * time.Millisecond // other gateways can serve the request at once
+	headerLimitSlack       = 4096                  // bytes allowed beyond the head limit, as in net/http
+	headLineOverhead       = 32                    // bytes of the request line and Host field without method, target and host
+	fieldOverhead          = 4                     // bytes of a header field without name and value
 )
 
-// clientRequest is a request that was routed and whose body is complete.
+// clientRequest is a routed request with a complete body.
 type clientRequest struct {
 	target        string // path and query
 	route         gatewayconfig.Route
-	configVersion uint64 // by which the route was found
+	configVersion uint64 // used to route the request
 	body          []byte
 	arrivedAt     time.Time
-	deadline      time.Time // by which the client's response must leave
+	deadline      time.Time // for starting to send the response
 }
 
-// handleRequest takes one request of a client through its steps: admit it to this gateway, route it, read its body,
-// forward it. Each step before the last may reject the request; then it has reached no replica.
+// handleRequest admits a client request, routes it, reads its body and forwards it. A request rejected before forwarding
+// has reached no replica.
 func (g *Gateway) handleRequest(w http.ResponseWriter, r *http.Request) {
 	defer markBusy(r)()
 	arrivedAt := time.Now()
@@ -57,7 +57,7 @@
 		g.reject(w, r, bodyRejection(err))
 		return
 	}
-	if current := g.config.Load(); current != config { // the body took its time: a configuration that came meanwhile holds for it too
+	if current := g.config.Load(); current != config { // changed while the body was read
 		if request, rejected = routeRequest(current, r); rejected.isRejection() {
 			g.reject(w, r, rejected)
 			return
@@ -69,8 +69,8 @@
 	g.forward(w, r, request)
 }
 
-// admitDuringShutdown has connections closed with their response while the gateway shuts down or drains, and rejects
-// requests once a draining gateway's readiness was seen to have fallen.
+// admitDuringShutdown closes connections with their next response while the gateway shuts down or drains. A draining
+// gateway rejects requests once load balancers have had time to notice that it is not ready.
 func (g *Gateway) admitDuringShutdown(w http.ResponseWriter) rejection {
 	if !g.stopping.Load() && !g.draining.Load() {
 		return rejection{}
@@ -82,7 +82,8 @@
 	return rejection{}
 }
 
-// routeRequest checks a request's head and finds its route. The rejection is set where there is none.
+// routeRequest validates a request's head and finds its route. It returns a rejection if the head is invalid or no route
+// matches.
 func routeRequest(config *gatewayconfig.Config, r *http.Request) (request clientRequest, rejected rejection) {
 	target, ok := requestTarget(r)
 	if !ok || len(r.Header["X-Attempt-Id"]) > 1 {
@@ -99,8 +100,8 @@
 	return clientRequest{target: target, route: route, configVersion: config.Version}, rejection{}
 }
 
-// requestTarget returns the path and query that a request asks for, also of one in absolute form (RFC 9112, 3.2.2), and
-// whether they are valid.
+// requestTarget returns the path and query of a request target in origin or absolute form (RFC 9112, 3.2), and whether it
+// is valid.
 func requestTarget(r *http.Request) (target string, ok bool) {
 	target = r.RequestURI
 	if r.URL.IsAbs() {
@@ -114,7 +115,7 @@
 	return target, strings.HasPrefix(target, "/")
 }
 
-// estimateHeadSize estimates how many bytes a request's head had.
+// estimateHeadSize estimates the encoded size of a request's head in bytes.
 func estimateHeadSize(r *http.Request) int64 {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + headLineOverhead
 	for name, values := range r.Header {
@@ -125,8 +126,7 @@
 	return int64(n)
 }
 
-// requestTimeout is how long a request may take from its arrival: as long as its route allows, or less where its client
-// says so.
+// requestTimeout returns the route's timeout, or the client's X-Deadline-Ms if that is shorter.
 func requestTimeout(route gatewayconfig.Route, header http.Header) time.Duration {
 	timeout := defaultTimeout
 	if route.Timeout > 0 {
--- a/internal/daemons/gateway/lifecycle.go
+++ b/internal/daemons/gateway/lifecycle.go
@@ -23,19 +23,19 @@
 )
 
 const (
-	sweepInterval              = time.Second     // between two looks for idle connections past their time, and for changed settings
-	readinessReadHeaderTimeout = 3 * time.Second // of the readiness server
-	readinessIdleTimeout       = 2 * time.Minute // longer than between two checks: most come on a kept connection
+	sweepInterval              = time.Second // between checks for expired idle connections and changed settings
+	readinessReadHeaderTimeout = 3 * time.Second
+	readinessIdleTimeout       = 2 * time.Minute // longer than the check interval, so that checks reuse their connection
 	readinessMaxHeaderBytes    = 8 << 10
-	exitTimeReserve            = 300 * time.Millisecond // of the grace period, kept for the end of the process itself
+	exitTimeReserve            = 300 * time.Millisecond // part of the grace period reserved for process exit
 	closeUnusedInterval        = 20 * time.Millisecond
-	minServerHeaderBytes       = 64 << 10               // that the server reads of a head; the configuration in force allows less
-	unconfiguredServeDelay     = 500 * time.Millisecond // after the start, without a configuration: clients give up after a second
-	gcMemoryShare              = 0.6                    // of the memory limit, the garbage collector's goal
+	minServerHeaderBytes       = 64 << 10               // limit of http.Server; handleRequest enforces the configured one
+	unconfiguredServeDelay     = 500 * time.Millisecond // after the start without a configuration; clients wait a second for their request to be read
+	gcMemoryShare              = 0.6                    // of the memory limit, passed to the garbage collector
 )
 
-// Run serves until ctx ends, then shuts down gracefully within the grace period. Each value on reload has the settings
-// read again. It returns an error where a listener cannot be opened or fails.
+// Run serves until ctx is done, then shuts down gracefully within the grace period. Each value on reload triggers a reload
+// of the settings. It returns an error if a listener cannot be opened or fails.
 func (g *Gateway) Run(ctx context.Context, reload <-chan os.Signal) error {
 	debug.SetMemoryLimit(int64(float64(g.settings.MemoryMB<<20) * gcMemoryShare))
 	readinessServer, err := g.listen(ctx)
@@ -43,7 +43,7 @@
 		return err
 	}
 	defer closeQuietly(readinessServer)
-	// The control stream outlives ctx: while the process shuts down, drains still count.
+	// The control stream outlives ctx, as maintenance drains still apply during shutdown.
 	streamContext, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	source := telemetry.Source{Metrics: g.metrics.set, Connections: g.metricsConns, Failures: func() any { return g.failures.newest() }}
@@ -60,7 +60,7 @@
 	return g.loop(ctx, reload)
 }
 
-// listen opens the listeners for readiness checks and for clients, and serves the former.
+// listen opens the listeners for readiness checks and for clients, and starts serving readiness checks.
 func (g *Gateway) listen(ctx context.Context) (*http.Server, error) {
 	var config net.ListenConfig
 	readinessListener, err := config.Listen(ctx, "tcp", g.settings.ReadinessAddress)
@@ -84,7 +84,8 @@
 	return server, nil
 }
 
-// startGossip joins the gossip on the highest free internal port: other processes of the machine may have some of them.
+// startGossip joins the gossip on the highest free internal port, as other processes of the machine may use some ports of
+// the range.
 func (g *Gateway) startGossip(ctx context.Context) (err error) {
 	for port := g.settings.LastInternalPort; g.gossip == nil; port-- {
 		self := peersampling.Descriptor{
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// loop does the periodic work until ctx ends or a listener fails.
+// loop runs the periodic tasks until ctx is done or a listener fails.
 func (g *Gateway) loop(ctx context.Context, reload <-chan os.Signal) error {
 	sweep, counters := time.NewTicker(sweepInterval), time.NewTicker(countersInterval)
 	defer sweep.Stop()
@@ -110,7 +111,7 @@
 			return merry.Prepend(err, "serving")
 		case <-sweep.C:
 			g.pool.Sweep(time.Now())
-			if nodesettings.FileChanged() { // also without a signal
+			if nodesettings.FileChanged() { // reload does not require a signal
 				g.reloadSettings()
 			}
 		case <-counters.C:
@@ -127,13 +128,13 @@
 	}
 }
 
-// unconfiguredLimits are the server's own limits where it begins without a configuration. A head may be as long as any
-// configuration is likely to allow; handleRequest holds it to the one in force.
+// unconfiguredLimits are the limits of http.Server if it starts without a configuration. MaxHeaderBytes is generous, as
+// handleRequest enforces the limit of the current configuration.
 var unconfiguredLimits = gatewayconfig.Limits{MaxHeaderBytes: http.DefaultMaxHeaderBytes, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second}
 
-// startFrontServer starts to serve clients: when the first configuration arrives, or after unconfiguredDelay without one, so that
-// clients which come all the same are told to go elsewhere. The server's own limits stay as they are; those of the
-// configuration in force are applied by clientConn and handleRequest.
+// startFrontServer starts serving clients when the first configuration arrives, or after unconfiguredServeDelay without
+// one, so that clients get a 503 instead of waiting. http.Server keeps the limits passed here; clientConn and handleRequest
+// apply those of the current configuration.
 func (g *Gateway) startFrontServer(limits gatewayconfig.Limits) {
 	g.frontServerOnce.Do(func() {
 		mux := chi.NewRouter()
@@ -160,24 +161,24 @@
 	})
 }
 
-// handleReadiness answers 200 where the gateway can serve any request, else 503.
+// handleReadiness answers 200 if the gateway is ready, otherwise 503.
 func (g *Gateway) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !g.isReady() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// isReady tells whether the gateway can serve any request.
+// isReady reports whether the gateway has a configuration and an endpoint table and is neither draining nor stopping.
 func (g *Gateway) isReady() bool {
 	return !g.stopping.Load() && !g.draining.Load() && g.config.Load() != nil && g.hasTable.Load()
 }
 
-// shutdown ends in order: readiness falls first, connections are closed with their next answer, and requests in flight
-// end last, all within the grace period.
+// shutdown first reports not ready, then closes connections with their next response and waits for requests in flight, all
+// within the grace period.
 func (g *Gateway) shutdown() {
 	g.stopping.Store(true)
 	end := time.Now().Add(g.settings.Bounds.GracePeriod - exitTimeReserve)
-	g.startFrontServer(unconfiguredLimits) // where it is not open yet: callers that wait in the kernel are told to go elsewhere
+	g.startFrontServer(unconfiguredLimits) // if not started yet: clients in the accept queue get a 503
 	time.Sleep(min(router.ReadinessPropagation, g.settings.Bounds.GracePeriod/2))
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
@@ -186,8 +187,8 @@
 	}
 }
 
-// shutdownServer ends the server once the requests in flight are answered. http.Server.Shutdown would wait five seconds
-// for connections that clients opened in advance and have not used yet, so those are closed here.
+// shutdownServer stops the server once the requests in flight are answered. It closes connections without data itself, as
+// http.Server.Shutdown waits five seconds for them.
 func (g *Gateway) shutdownServer(ctx context.Context) error {
 	done := make(chan error, 1)
 	go func() { done <- g.server.Load().Shutdown(ctx) }()
@@ -203,10 +204,10 @@
 	}
 }
 
-// closeQuietly closes what is of no use any more: an error of it changes nothing.
+// closeQuietly closes c and ignores the error.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// reloadSettings reads the settings file again. Only its seeds take effect while the process runs.
+// reloadSettings reloads the settings file. Only the seeds can be changed at run time.
 func (g *Gateway) reloadSettings() {
 	settings, err := nodesettings.Load()
 	if err != nil {
--- a/internal/daemons/gateway/metrics.go
+++ b/internal/daemons/gateway/metrics.go
@@ -1,59 +1,59 @@
 package gateway
 
 import (
-	figures "github.com/VictoriaMetrics/metrics"
+	"github.com/VictoriaMetrics/metrics"
 
 	"zincloft.example/zincloft/internal/daemons/connlimit"
 	"zincloft.example/zincloft/internal/daemons/telemetry"
 )
 
-// gatewayMetrics are the figures that the gateway tells of itself. What is counted on the way of every request has a counter here;
-// rarer events are in eventCounters.
+// gatewayMetrics are the gateway's own metrics. Counters updated for every request are fields; other events are counted in
+// eventCounters.
 type gatewayMetrics struct {
-	set      *figures.Set
-	answered *figures.Counter // requests whose client got a replica's response
-	rejected *figures.Counter // requests that reached no replica, or were proven not executed
-	failed   *figures.Counter // requests that may have executed, or whose client left
-	attempts *figures.Counter
+	set      *metrics.Set
+	answered *metrics.Counter // requests answered with a replica's response
+	rejected *metrics.Counter // requests that reached no replica, or were confirmed not executed
+	failed   *metrics.Counter // requests that may have been executed, or whose client disconnected
+	attempts *metrics.Counter
 }
 
-func newGatewayMetrics(set *figures.Set, g *Gateway) *gatewayMetrics {
+func newGatewayMetrics(set *metrics.Set, g *Gateway) *gatewayMetrics {
 	for _, conns := range []*connlimit.Limiter{g.frontConns, g.readinessConns, g.metricsConns} {
 		set.RegisterMetricsWriter(conns.WriteMetrics)
 	}
-	figure := func(name string, read func() float64) { set.NewGauge(name, read) }
-	figure("zincloft_gateway_ready", func() float64 { return telemetry.BoolGauge(g.isReady()) })
-	figure("zincloft_gateway_stopping", func() float64 { return telemetry.BoolGauge(g.stopping.Load()) })
-	figure("zincloft_gateway_body_bytes", func() float64 { return float64(g.bodyBudget.Used()) })
-	figure("zincloft_gateway_head_bytes", func() float64 { return float64(g.headBudget.Used()) })
-	figure("zincloft_gateway_replica_connections", func() float64 { return float64(g.pool.OpenCount()) })
-	figure("zincloft_gateway_replica_connections_opened", func() float64 { return float64(g.pool.OpenedCount()) })
-	figure("zincloft_gateway_config_version", func() float64 {
+	gauge := func(name string, read func() float64) { set.NewGauge(name, read) }
+	gauge("zincloft_gateway_ready", func() float64 { return telemetry.BoolGauge(g.isReady()) })
+	gauge("zincloft_gateway_stopping", func() float64 { return telemetry.BoolGauge(g.stopping.Load()) })
+	gauge("zincloft_gateway_body_bytes", func() float64 { return float64(g.bodyBudget.Used()) })
+	gauge("zincloft_gateway_head_bytes", func() float64 { return float64(g.headBudget.Used()) })
+	gauge("zincloft_gateway_replica_connections", func() float64 { return float64(g.pool.OpenCount()) })
+	gauge("zincloft_gateway_replica_connections_opened", func() float64 { return float64(g.pool.OpenedCount()) })
+	gauge("zincloft_gateway_config_version", func() float64 {
 		if config := g.config.Load(); config != nil {
 			return float64(config.Version)
 		}
 		return 0
 	})
-	locked := func(name string, read func() float64) {
+	lockedGauge := func(name string, read func() float64) {
 		set.NewGauge(name, func() float64 {
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			return read()
 		})
 	}
-	locked("zincloft_gateway_requests_in_flight", func() float64 { return float64(g.router.InFlight()) })
-	locked("zincloft_gateway_register_sequence", func() float64 { return float64(g.router.Sequence()) })
-	locked("zincloft_gateway_table_update", func() float64 { return float64(g.router.UpdateCount()) })
-	locked("zincloft_gateway_table_age_seconds", func() float64 { return (g.now() - g.router.LastUpdateAt()).Seconds() })
-	locked("zincloft_gateway_endpoints", func() float64 { return float64(len(g.router.Balancer().All())) })
-	outcome := func(name string) *figures.Counter {
+	lockedGauge("zincloft_gateway_requests_in_flight", func() float64 { return float64(g.router.InFlight()) })
+	lockedGauge("zincloft_gateway_register_sequence", func() float64 { return float64(g.router.Sequence()) })
+	lockedGauge("zincloft_gateway_table_update", func() float64 { return float64(g.router.UpdateCount()) })
+	lockedGauge("zincloft_gateway_table_age_seconds", func() float64 { return (g.now() - g.router.LastUpdateAt()).Seconds() })
+	lockedGauge("zincloft_gateway_endpoints", func() float64 { return float64(len(g.router.Balancer().All())) })
+	outcomeCounter := func(name string) *metrics.Counter {
 		return set.NewCounter(`zincloft_gateway_requests_total{outcome="` + name + `"}`)
 	}
 	return &gatewayMetrics{
 		set:      set,
-		answered: outcome("answered"),
-		rejected: outcome("rejected"),
-		failed:   outcome("failed"),
+		answered: outcomeCounter("answered"),
+		rejected: outcomeCounter("rejected"),
+		failed:   outcomeCounter("failed"),
 		attempts: set.NewCounter("zincloft_gateway_attempts_total"),
 	}
 }
--- a/internal/daemons/gateway/reports.go
+++ b/internal/daemons/gateway/reports.go
@@ -9,13 +9,13 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// ReportInterval is the time between two load reports to the control plane.
+// ReportInterval is the interval of load reports to the control plane.
 const ReportInterval = time.Second
 
-// minReportPeriod bounds the division by a report's period.
+// minReportPeriod is the smallest period that cpuUsage divides by.
 const minReportPeriod = 0.001 // seconds
 
-// sendReports sends load reports, and at once what cannot wait for the next one, until done is closed.
+// sendReports sends periodic load reports, and urgent observations immediately, until done is closed.
 func (s *controlStream) sendReports(done <-chan struct{}) {
 	g := s.gateway
 	ticker := time.NewTicker(ReportInterval)
@@ -37,23 +37,23 @@
 	}
 }
 
-// initialReport is the report that a member gets at the beginning of a stream.
+// initialReport returns the first report of a stream.
 func (g *Gateway) initialReport() *messages.LoadReport {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.router.InitialReport(g.now())
 }
 
-// loadReport is what was observed since the last report, a period ago.
+// loadReport returns the report for the period since the last one.
 func (g *Gateway) loadReport(period time.Duration) *messages.LoadReport {
-	busy := g.cpuUsage(period)
+	usage := g.cpuUsage(period)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.router.Report(g.now(), period, busy)
+	return g.router.Report(g.now(), period, usage)
 }
 
-// cpuUsage is the part of its processor cores that the process used since the last call, a period ago; 0 where the
-// system does not say.
+// cpuUsage returns the share of the configured CPU cores used over the period since the last call, or 0 if the system call
+// fails.
 func (g *Gateway) cpuUsage(period time.Duration) float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/daemons/gateway/requestbody.go
+++ b/internal/daemons/gateway/requestbody.go
@@ -13,10 +13,11 @@
 	"zincloft.example/zincloft/internal/daemons/connlimit"
 )
 
-// receiveBody reads a request's body completely, by the deadline. What it returns must be released from bodies, also
-// beside an error.
+// receiveBody reads a request's body completely by the deadline. The returned body must be released from bodyBudget even if
+// there is an error.
 //
-// A client that sends or reads too slowly loses its connection: it may not hold one beyond its own deadline.
+// It also sets the write deadline, so that a client that sends or reads slowly cannot hold its connection beyond its own
+// deadline.
 func (g *Gateway) receiveBody(w http.ResponseWriter, r *http.Request, limit int64, deadline time.Time) ([]byte, error) {
 	control := http.NewResponseController(w)
 	hasBody := r.Body != nil && r.Body != http.NoBody
@@ -30,17 +31,17 @@
 	conn := connlimit.FromContext(r.Context())
 	conn.BeginBody()
 	body, err := g.bodyBudget.Read(r.Body, r.ContentLength, limit)
-	if !conn.EndBody() && err == nil { // completed in the moment in which the request was given up, to make room for others
+	if !conn.EndBody() && err == nil { // the limiter timed the body out while its last bytes arrived
 		err = os.ErrDeadlineExceeded
 	}
 	if err != nil {
 		return body, err
 	}
-	_ = control.SetReadDeadline(time.Time{}) // fails on a closed connection only, which the response's write finds
+	_ = control.SetReadDeadline(time.Time{}) // fails on a closed connection only, as writing the response does then
 	return body, nil
 }
 
-// bodyRejection is what follows from an error of receiveBody. Nothing of such a request went to a replica.
+// bodyRejection maps an error of receiveBody to a rejection. The request has reached no replica.
 func bodyRejection(err error) rejection {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -51,7 +52,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return rejection{status: http.StatusRequestTimeout, badRequest: causeBodyLate, closesConn: true}
 	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed), errors.Is(err, syscall.ECONNRESET):
-		return rejection{aborts: true, counter: countBodyAborted} // the rest never came: nobody waits for a response
+		return rejection{aborts: true, counter: countBodyAborted} // the client has disconnected
 	}
 	return rejection{status: http.StatusBadRequest, badRequest: causeBodyFraming, closesConn: true}
 }
