--- a/internal/daemons/gateway/bench_test.go
+++ b/internal/daemons/gateway/bench_test.go
@@ -15,11 +15,11 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// plainProxy is a forwarder on net/http alone, to measure against.
-func plainProxy(to string) http.Handler {
+// plainProxy returns a minimal net/http proxy as the baseline of BenchmarkForward.
+func plainProxy(upstreamAddr string) http.Handler {
 	client := &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: 5 * time.Second, DisableCompression: true}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		q, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+to+r.RequestURI, r.Body)
+		q, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+upstreamAddr+r.RequestURI, r.Body)
 		if err != nil {
 			w.WriteHeader(http.StatusBadGateway)
 			return
@@ -35,12 +35,12 @@
 			w.Header()[k] = v
 		}
 		w.WriteHeader(resp.StatusCode)
-		_, _ = io.Copy(w, resp.Body) // a client that is gone ends the benchmark by itself
+		_, _ = io.Copy(w, resp.Body) // the client of the benchmark reports a truncated response
 	})
 }
 
-// BenchmarkForward compares the time of a request through a gateway with that through a plain forwarder, beside the
-// replica's and the client's own, which "direct" shows. Run it with -cpu 1: then the time is processor time.
+// BenchmarkForward compares a request through the gateway with one through a plain proxy and one sent directly to the
+// replica. With -cpu 1 the reported time is CPU time.
 func BenchmarkForward(b *testing.B) {
 	up, err := upstream.Start("i0")
 	if err != nil {
@@ -63,10 +63,10 @@
 		h    http.Handler
 	}{{"gateway", http.HandlerFunc(f.handleRequest)}, {"plain", plainProxy(up.Addr())}, {"direct", nil}} {
 		b.Run(x.name, func(b *testing.B) {
-			f.applyUpdate(update) // two seconds without one, the gateway sends replicas less
+			f.applyUpdate(update) // without updates for two seconds the gateway limits its traffic
 			ln := listen(b)
 			srv := &http.Server{Handler: x.h}
-			if x.name == "gateway" { // as in service: with what watches its clients' bytes
+			if x.name == "gateway" { // with the listener and connection hooks of startFrontServer
 				srv.ConnContext, srv.ConnState = withClientConn, onConnState
 				f.frontConns.Attach(srv)
 				go func() { _ = srv.Serve(clientListener{f.frontConns.Listen(ln), f}) }() // ends with srv.Close
@@ -79,7 +79,7 @@
 				url = "http://" + up.Addr() + "/x/1"
 			}
 			for i := range b.N {
-				q, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil) // one that cannot end, as it costs nothing
+				q, err := http.NewRequestWithContext(context.Background(), http.MethodGet, url, nil) // a background context has no cost per request
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -90,7 +90,7 @@
 					b.Fatal(err)
 				}
 				_, err = io.Copy(io.Discard, resp.Body)
-				_ = resp.Body.Close() // the response was read
+				_ = resp.Body.Close() // the body has been read
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/daemons/gateway/clientconn_test.go
+++ b/internal/daemons/gateway/clientconn_test.go
@@ -14,9 +14,8 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// Guards replicas against requests that can be read in two ways: they are answered 400 and the connection is closed, with a
-// log line that has the cause, and nothing of them, nor behind them, reaches a replica; a complete request before them is
-// answered in its turn.
+// Guards against request smuggling: an ambiguous request gets a 400, the cause is logged, the connection is closed, and
+// neither the request nor anything after it reaches a replica. A complete request before it is served.
 func TestBadRequestsReachNoReplica(t *testing.T) {
 	up := startReplica(t, "i0")
 	addr, f, log := startGateway(t, `"max_body_bytes":1000,"max_header_bytes":4000`, up)
@@ -61,7 +60,7 @@
 	}
 }
 
-// Guards clients that send too slowly: what is not complete was not executed, and 408 says so.
+// Guards against a body that is incomplete at the deadline: it must get a 408 and not reach a replica.
 func TestSlowBodyGets408(t *testing.T) {
 	up := startReplica(t, "i0")
 	addr, _, _ := startGateway(t, `"max_body_bytes":1000`, up)
@@ -71,8 +70,7 @@
 	}
 }
 
-// Guards header limits and idle timeouts of a later configuration: what it allows holds also for a connection that was
-// idle when it came.
+// Guards against limits of an earlier configuration that stay in effect for connections that were idle during the change.
 func TestNewConfigurationLimitsApplyToIdleConnection(t *testing.T) {
 	up := startReplica(t, "i0")
 	addr, f, _ := startGateway(t, `"max_header_bytes":1000,"idle_timeout":"150ms"`, up)
@@ -80,11 +78,11 @@
 	defer closeQuietly(c)
 	br := bufio.NewReader(c)
 	readWithin(t, c, 50*time.Millisecond)
-	_, _ = br.Peek(1) // it is idle until the deadline
+	_, _ = br.Peek(1) // stays idle until the deadline
 	f.applyUpdate(&messages.StateUpdate{Sequence: 2, ConfigVersion: 2, Config: testConfigWithLimits(2, `"max_header_bytes":30000,"idle_timeout":"30s"`)})
 	readWithin(t, c, 400*time.Millisecond)
 	if _, err := br.Peek(1); err == nil || errors.Is(err, io.EOF) {
-		t.Fatal("an idle connection ended by an earlier configuration:", err)
+		t.Fatal("the idle timeout of an earlier configuration closed the connection:", err)
 	}
 	readWithin(t, c, 5*time.Second)
 	send(t, c, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: 1\r\nContent-Length: 0\r\nX-Y: %s\r\n\r\n", strings.Repeat("z", 25000))
@@ -93,8 +91,8 @@
 	}
 }
 
-// Guards idle connections: they are kept for the idle timeout of the configuration in force, also before the first request,
-// and also where an earlier one allowed less; a head that has begun has the header timeout.
+// Guards the idle timeout of the current configuration, which applies before the first request and between requests. A head
+// that has begun has the header timeout.
 func TestIdleTimeoutOfConfigurationInForce(t *testing.T) {
 	up := startReplica(t, "i0")
 	addr, f, _ := startGateway(t, `"header_timeout":"100ms","idle_timeout":"100ms"`, up)
@@ -105,7 +103,7 @@
 	for i := range 2 {
 		readWithin(t, c, 400*time.Millisecond)
 		if _, err := br.Peek(1); err == nil || errors.Is(err, io.EOF) {
-			t.Fatalf("the connection ended while it was idle before request %d: %v", i+1, err)
+			t.Fatalf("idle connection closed before request %d: %v", i+1, err)
 		}
 		readWithin(t, c, 5*time.Second)
 		send(t, c, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: %d\r\nContent-Length: 0\r\n\r\n", i)
@@ -116,6 +114,6 @@
 	send(t, c, "GET /x/1 HT")
 	readWithin(t, c, 5*time.Second)
 	if rest, err := io.ReadAll(br); err != nil || len(rest) > 0 && !bytes.HasPrefix(rest, []byte("HTTP/1.1 400 ")) {
-		t.Errorf("a head that does not continue: %q %v", rest, err)
+		t.Errorf("incomplete head: got %q, %v", rest, err)
 	}
 }
--- a/internal/daemons/gateway/connectionhogs_test.go
+++ b/internal/daemons/gateway/connectionhogs_test.go
@@ -19,36 +19,36 @@
 )
 
 const (
-	exhaustionDescriptors = 200 // of the gateway, by its settings
-	hogCount              = 160 // callers that hold connections: more than there is room for
+	exhaustionDescriptors = 200 // file descriptors in the gateway's settings
+	hogCount              = 160 // more than the gateway's connection limit for clients
 )
 
-// connectionHog holds connections of a gateway in one way until stop is closed.
+// connectionHog is a kind of client that occupies a connection until stop is closed.
 type connectionHog struct {
 	name string
 	hold func(conn net.Conn, stop <-chan struct{})
 }
 
-// connectionHogs are the ways in which callers take up a gateway's connections. Ordinary clients do some of it too.
+// connectionHogs lists client behaviours that exhaust connections. Some of them are also seen from well-behaved clients.
 var connectionHogs = []connectionHog{
 	{"silent", func(_ net.Conn, stop <-chan struct{}) { <-stop }},
 	{"half a head", func(conn net.Conn, stop <-chan struct{}) {
-		_, _ = io.WriteString(conn, "POST /x/1 HTTP/1.1\r\nHost: h.exa") // the gateway may have closed it
+		_, _ = io.WriteString(conn, "POST /x/1 HTTP/1.1\r\nHost: h.exa") // the gateway may have closed the connection
 		<-stop
 	}},
 	{"a head byte by byte", func(conn net.Conn, stop <-chan struct{}) {
 		sendSlowly(conn, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\n", stop)
 	}},
 	{"a body byte by byte", func(conn net.Conn, stop <-chan struct{}) {
-		_, _ = io.WriteString(conn, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: drip\r\nContent-Length: 900\r\n\r\n") // as above
+		_, _ = io.WriteString(conn, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: slow\r\nContent-Length: 900\r\n\r\n") // as above
 		sendSlowly(conn, strings.Repeat("b", 900), stop)
 	}},
-	{"at rest after a response", func(conn net.Conn, stop <-chan struct{}) {
-		_, _ = io.WriteString(conn, rawPost("rest", "2")) // as above
+	{"idle after a response", func(conn net.Conn, stop <-chan struct{}) {
+		_, _ = io.WriteString(conn, rawPost("idle", "2")) // as above
 		_, _, _ = readResponse(bufio.NewReader(conn))
 		<-stop
 	}},
-	{"a response left unread", func(conn net.Conn, stop <-chan struct{}) {
+	{"unread response", func(conn net.Conn, stop <-chan struct{}) {
 		_, _ = io.WriteString(conn, rawPost("unread", "2")) // as above
 		<-stop
 	}},
@@ -74,7 +74,7 @@
 	return fmt.Sprintf("POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// sendSlowly sends a text at five bytes a second.
+// sendSlowly sends a text at five bytes per second and then waits for stop.
 func sendSlowly(conn net.Conn, text string, stop <-chan struct{}) {
 	for _, b := range []byte(text) {
 		if _, err := conn.Write([]byte{b}); err != nil {
@@ -89,7 +89,7 @@
 	<-stop
 }
 
-// startSmallGateway is a gateway with few descriptors before one replica.
+// startSmallGateway starts a gateway with few file descriptors and one replica.
 func startSmallGateway(t testing.TB) (address string, gateway *Gateway) {
 	t.Helper()
 	replica := startReplica(t, "i0")
@@ -105,7 +105,7 @@
 	gateway.applyUpdate(smallGatewayUpdate(replica))
 	t.Cleanup(func() { closeQuietly(gateway.server.Load()) })
 	stopUpdates := make(chan struct{})
-	go func() { // two seconds without an update, a gateway sends replicas less
+	go func() { // without updates for two seconds the gateway limits its traffic
 		for sequence := uint64(2); ; sequence++ {
 			select {
 			case <-stopUpdates:
@@ -128,17 +128,17 @@
 	return update
 }
 
-// occupyConnections has a crowd take all connections that the gateway has to give.
-func occupyConnections(t testing.TB, crowd connectionHog, address string, gateway *Gateway) (disperse func()) {
+// occupyConnections opens more connections than the gateway's limit and waits until most of the limit is in use.
+func occupyConnections(t testing.TB, hog connectionHog, address string, gateway *Gateway) (release func()) {
 	t.Helper()
 	stop := make(chan struct{})
 	conns := make([]net.Conn, hogCount)
 	for i := range conns {
 		conns[i] = dial(t, address)
-		go crowd.hold(conns[i], stop)
+		go hog.hold(conns[i], stop)
 	}
-	if crowd.name != "connect and reset" && !waitUntil(func() bool { return gateway.frontConns.OpenCount() >= gateway.frontConns.Limit()*7/8 }) {
-		t.Fatalf("%s: %d connections are open", crowd.name, gateway.frontConns.OpenCount())
+	if hog.name != "connect and reset" && !waitUntil(func() bool { return gateway.frontConns.OpenCount() >= gateway.frontConns.Limit()*7/8 }) {
+		t.Fatalf("%s: %d connections are open", hog.name, gateway.frontConns.OpenCount())
 	}
 	return func() {
 		close(stop)
@@ -148,7 +148,7 @@
 	}
 }
 
-// persistentClient sends its requests on one connection for as long as the gateway keeps it.
+// persistentClient sends requests on one connection until the gateway closes it.
 type persistentClient struct {
 	t       testing.TB
 	address string
@@ -161,7 +161,7 @@
 	return client
 }
 
-// expectOK sends a request, which must be answered: a connection in use is not closed but with a response that says so.
+// expectOK sends a request that must succeed. The gateway may close the connection only with a Connection: close response.
 func (c *persistentClient) expectOK(id string) {
 	if _, err := io.WriteString(c.conn, rawPost(id, "ab")); err != nil {
 		c.t.Errorf("%s: %v", id, err)
@@ -169,7 +169,7 @@
 	readWithin(c.t, c.conn, time.Second)
 	status, last, err := readResponse(bufio.NewReader(c.conn))
 	if err != nil || status != http.StatusOK {
-		c.t.Errorf("%s on a kept connection: %d, %v", id, status, err)
+		c.t.Errorf("%s on a persistent connection: %d, %v", id, status, err)
 	}
 	if last || err != nil {
 		closeQuietly(c.conn)
@@ -177,7 +177,7 @@
 	}
 }
 
-// timeRequest sends a request on a connection and returns how long its response took to begin; not ok: it did not within a second, or was none.
+// timeRequest sends a request and returns the time until its response. ok is false without a 200 within a second.
 func timeRequest(conn net.Conn, id string) (took time.Duration, ok bool) {
 	began := time.Now()
 	if _, err := io.WriteString(conn, rawPost(id, "ab")); err != nil {
@@ -199,47 +199,47 @@
 	return len(files)
 }
 
-// TestConnectionHogsDoNotBlockOtherClients guards clients against others that hold the gateway's connections, in whatever way: each sound request, on a new
-// connection or on a kept one in use, is answered within the second that its client waits. Once the crowd has left, so have its connections.
+// TestConnectionHogsDoNotBlockOtherClients guards against clients that occupy all connections: well-behaved requests, on new and
+// persistent connections, must be answered within a second. Afterwards no connection, descriptor or memory may leak.
 func TestConnectionHogsDoNotBlockOtherClients(t *testing.T) {
-	for _, crowd := range connectionHogs {
-		t.Run(crowd.name, func(t *testing.T) {
+	for _, hog := range connectionHogs {
+		t.Run(hog.name, func(t *testing.T) {
 			address, gateway := startSmallGateway(t)
 			before := openFiles(t)
-			disperse := occupyConnections(t, crowd, address, gateway)
-			kept := newPersistentClient(t, address) // one that rested before may be closed by the crowd that rests after it
+			release := occupyConnections(t, hog, address, gateway)
+			persistent := newPersistentClient(t, address) // opened last, as older idle connections may be closed
 			for i := range 30 {
 				fresh := dial(t, address)
 				if _, ok := timeRequest(fresh, fmt.Sprint("new", i)); !ok {
-					t.Errorf("request %d on a new connection is not answered", i)
+					t.Errorf("request %d on a new connection was not answered", i)
 				}
 				closeQuietly(fresh)
-				kept.expectOK(fmt.Sprint("kept", i))
+				persistent.expectOK(fmt.Sprint("persistent", i))
 			}
-			disperse()
-			closeQuietly(kept.conn)
+			release()
+			closeQuietly(persistent.conn)
 			if !waitUntil(func() bool { return gateway.frontConns.OpenCount() == 0 }) {
-				t.Errorf("%d connections stay", gateway.frontConns.OpenCount())
+				t.Errorf("%d connections are still open", gateway.frontConns.OpenCount())
 			}
 			gateway.pool.CloseIdle("i0")
 			if !waitUntil(func() bool { return openFiles(t) <= before }) {
 				t.Errorf("%d files are open, %d before", openFiles(t), before)
 			}
 			if gateway.headBudget.Used()+gateway.bodyBudget.Used() != 0 {
-				t.Error("memory of heads and bodies stays reserved:", gateway.headBudget.Used(), gateway.bodyBudget.Used())
+				t.Error("memory of heads and bodies is still reserved:", gateway.headBudget.Used(), gateway.bodyBudget.Used())
 			}
 		})
 	}
 }
 
-// BenchmarkConnectionHogs compares the time until the first byte of sound requests, each on a new connection, without a crowd and beside one: the ninety-ninth
-// hundredth in milliseconds, and how many were not answered within a second.
+// BenchmarkConnectionHogs measures requests on new connections with and without clients that occupy connections. It reports the
+// 99th percentile of the response time and the number of requests not answered within a second.
 func BenchmarkConnectionHogs(b *testing.B) {
-	for _, crowd := range append([]connectionHog{{name: "none"}}, connectionHogs...) {
-		b.Run(crowd.name, func(b *testing.B) {
+	for _, hog := range append([]connectionHog{{name: "none"}}, connectionHogs...) {
+		b.Run(hog.name, func(b *testing.B) {
 			address, gateway := startSmallGateway(b)
-			if crowd.hold != nil {
-				defer occupyConnections(b, crowd, address, gateway)()
+			if hog.hold != nil {
+				defer occupyConnections(b, hog, address, gateway)()
 			}
 			var times []time.Duration
 			failed := 0
@@ -262,7 +262,7 @@
 	}
 }
 
-// TestHeadMemoryIsBounded guards the gateway's memory against many callers with long heads that never end.
+// TestHeadMemoryIsBounded guards against memory exhaustion by many connections with long incomplete heads.
 func TestHeadMemoryIsBounded(t *testing.T) {
 	address, gateway := startSmallGateway(t)
 	long := "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Long: " + strings.Repeat("z", 60<<10)
@@ -274,19 +274,19 @@
 		send(t, conn, "%s", long)
 	}
 	if !waitUntil(func() bool { return strings.Contains(gateway.counters.String(), string(countHeadMemoryFull)) }) {
-		t.Fatal("no head was turned away:", gateway.headBudget.Used(), "bytes")
+		t.Fatal("no head was rejected:", gateway.headBudget.Used(), "bytes")
 	}
 	if used := gateway.headBudget.Used(); used > limit {
 		t.Errorf("heads hold %d bytes of %d", used, limit)
 	}
 	conn := dial(t, address)
 	defer closeQuietly(conn)
-	if _, ok := timeRequest(conn, "sound"); !ok {
-		t.Error("a short head is not served beside them")
+	if _, ok := timeRequest(conn, "short"); !ok {
+		t.Error("a request with a short head was not served")
 	}
 }
 
-// TestReadinessWithSilentConnections guards the platform's view of the gateway: its readiness port had no bound on connections.
+// TestReadinessWithSilentConnections guards readiness checks against clients that hold all connections of the readiness port.
 func TestReadinessWithSilentConnections(t *testing.T) {
 	readiness := freeAddress(t).String()
 	parsed, err := nodesettings.Parse(fmt.Appendf(nil, isolatedGatewaySettings, freeAddress(t).String(), readiness, 7000, 7001))
--- a/internal/daemons/gateway/failures_test.go
+++ b/internal/daemons/gateway/failures_test.go
@@ -12,8 +12,8 @@
 	"zincloft.example/zincloft/internal/testbeds/standin/upstream"
 )
 
-// TestFailedRequestRecord asks what is kept of requests that failed: whom they were sent to, what came of it and why there was
-// no further attempt.
+// TestFailedRequestRecord guards the record of a failed request: its attempts, their outcomes, and why no further attempt was
+// made.
 func TestFailedRequestRecord(t *testing.T) {
 	Convey("Given an unsafe route and a replica that executes a request and closes", t, func() {
 		f := newFixture("unsafe", 1)
@@ -37,19 +37,19 @@
 		So(attempt.TableUpdate, ShouldEqual, 1)
 		So(attempt.Deadline, ShouldBeGreaterThan, 0)
 	})
-	Convey("A request that no route takes and one that is served leave a record and none", t, func() {
+	Convey("A request without a route leaves a record, and a successful request does not", t, func() {
 		f := newFixture("safe", 1)
 		So(f.do("GET", "/elsewhere", "").Code, ShouldEqual, http.StatusNotFound)
 		So(f.do("GET", "/x/1", "").Code, ShouldEqual, http.StatusOK)
 		kept := f.gateway.failures.newest()
 		So(kept, ShouldHaveLength, 1)
 		So(kept[0].Reason, ShouldEqual, string(countNoRoute))
-		var figures strings.Builder
-		f.gateway.metrics.set.WritePrometheus(&figures)
-		So(figures.String(), ShouldContainSubstring, `zincloft_gateway_requests_total{outcome="answered"} 1`)
-		So(figures.String(), ShouldContainSubstring, `zincloft_gateway_requests_total{outcome="rejected"} 1`)
-		So(figures.String(), ShouldContainSubstring, `zincloft_invariant_violations_total{name="unsafe_request_executed_once"} 0`)
-		So(figures.String(), ShouldContainSubstring, "zincloft_gateway_config_version 1")
+		var exposition strings.Builder
+		f.gateway.metrics.set.WritePrometheus(&exposition)
+		So(exposition.String(), ShouldContainSubstring, `zincloft_gateway_requests_total{outcome="answered"} 1`)
+		So(exposition.String(), ShouldContainSubstring, `zincloft_gateway_requests_total{outcome="rejected"} 1`)
+		So(exposition.String(), ShouldContainSubstring, `zincloft_invariant_violations_total{name="unsafe_request_executed_once"} 0`)
+		So(exposition.String(), ShouldContainSubstring, "zincloft_gateway_config_version 1")
 	})
 }
 
--- a/internal/daemons/gateway/fixture_test.go
+++ b/internal/daemons/gateway/fixture_test.go
@@ -29,18 +29,18 @@
 rule_terms: {bounds: {retry_budget_slack: 200}}
 `
 
-// testConfig is a configuration with one route of a kind, and a limit of 100 bytes for bodies.
+// testConfig returns a configuration with one route of the given kind and a body limit of 100 bytes.
 func testConfig(version int, kind string) []byte {
 	return []byte(fmt.Sprintf(`{"version":"%08x","services":[{"name":"svc","cold_per_s":4}],"limits":{"max_body_bytes":100},
 "virtual_hosts":[{"hostname":"h.example","path_routes":[{"name":"r","path_prefix":"/x/","kind":%q,"timeout":"3s","target_latency":"1s","max_attempts":2,"service":"svc"}]}]}`, version, kind))
 }
 
-// testConfigWithLimits is a configuration with one unsafe route and other limits.
+// testConfigWithLimits returns a configuration with one unsafe route and the given limits.
 func testConfigWithLimits(version int, limits string) []byte {
 	return bytes.Replace(testConfig(version, "unsafe"), []byte(`"max_body_bytes":100`), []byte(limits), 1)
 }
 
-// fixture is a gateway whose handler is called without a listener, and its replicas.
+// fixture is a gateway without a client listener, and its replicas. Tests call its handler directly.
 type fixture struct {
 	gateway  *Gateway
 	replicas []*upstream.Replica
@@ -52,7 +52,7 @@
 	So(err, ShouldBeNil)
 	gateway, err := New(parsed, program.NewLogger(io.Discard, "gateway"))
 	So(err, ShouldBeNil)
-	gateway.frontServerOnce.Do(func() {}) // requests come by the handler here, not by a listener
+	gateway.frontServerOnce.Do(func() {}) // keeps applyUpdate from starting the server
 	f := &fixture{gateway: gateway}
 	update := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: testConfig(1, kind)}
 	for i := range replicas {
@@ -71,7 +71,7 @@
 	return f
 }
 
-// fillRetryBudget has a gateway's retry budget hold what it earns by some traffic: it begins empty.
+// fillRetryBudget simulates traffic to fill the retry budget, which is initially empty.
 func fillRetryBudget(gateway *Gateway) {
 	const requests = 200
 	for range requests {
@@ -84,7 +84,7 @@
 	return fleet.Instance{ID: replica.ID, Service: "svc", Addr: replica.Addr(), Zone: "a", Slots: 4}
 }
 
-// request makes a client's request with an identity.
+// request creates a client request with an attempt ID.
 func request(ctx context.Context, method, path, body, attemptID string) *http.Request {
 	r := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
 	r.Host = "h.example"
@@ -101,14 +101,14 @@
 	return w
 }
 
-// setBehaviours sets what every replica does next.
+// setBehaviours sets the next behaviours of every replica.
 func (f *fixture) setBehaviours(behaviours ...upstream.Behaviour) {
 	for _, replica := range f.replicas {
 		replica.SetBehaviours(behaviours...)
 	}
 }
 
-// lastRequestExecutions counts how often the last request was executed.
+// lastRequestExecutions returns how often the last request was executed.
 func (f *fixture) lastRequestExecutions() (n int) {
 	for _, replica := range f.replicas {
 		n += replica.Executions()[fmt.Sprint(f.requests)]
@@ -116,7 +116,7 @@
 	return n
 }
 
-// logBuffer keeps a log.
+// logBuffer is a concurrency-safe buffer for log output.
 type logBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -134,7 +134,7 @@
 	return l.buffer.String()
 }
 
-// startGateway starts a gateway for clients on loopback, before replicas.
+// startGateway starts a gateway on a loopback port that forwards to the given replicas.
 func startGateway(t testing.TB, limits string, replicas ...*upstream.Replica) (addr string, gateway *Gateway, log *logBuffer) {
 	t.Helper()
 	parsed, err := nodesettings.Parse([]byte(settings))
@@ -156,7 +156,7 @@
 	return gateway.frontListener.Addr().String(), gateway, log
 }
 
-// startReplica starts a replica that ends with the test.
+// startReplica starts a replica that is closed at the end of the test.
 func startReplica(t testing.TB, id string, next ...upstream.Behaviour) *upstream.Replica {
 	t.Helper()
 	replica, err := upstream.Start(id, next...)
@@ -167,7 +167,7 @@
 	return replica
 }
 
-// listen opens a listener on a free port of loopback.
+// listen opens a listener on a free loopback port.
 func listen(t testing.TB) net.Listener {
 	t.Helper()
 	var config net.ListenConfig
@@ -178,7 +178,7 @@
 	return listener
 }
 
-// dial opens a client's connection.
+// dial opens a client connection.
 func dial(t testing.TB, addr string) net.Conn {
 	t.Helper()
 	var dialer net.Dialer
@@ -189,7 +189,7 @@
 	return conn
 }
 
-// readWithin has reads on a connection end after a time.
+// readWithin sets a read deadline on a connection.
 func readWithin(t testing.TB, conn net.Conn, d time.Duration) {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(d)); err != nil {
@@ -197,7 +197,7 @@
 	}
 }
 
-// send writes on a client's connection.
+// send writes to a client connection.
 func send(t testing.TB, conn net.Conn, format string, args ...any) {
 	t.Helper()
 	if _, err := fmt.Fprintf(conn, format, args...); err != nil {
@@ -205,18 +205,18 @@
 	}
 }
 
-// readResponse reads a response whole. It returns its status and whether the connection ends with it.
+// readResponse reads a complete response. It returns the status and whether the connection is closed after it.
 func readResponse(br *bufio.Reader) (status int, last bool, err error) {
 	response, err := http.ReadResponse(br, nil)
 	if err != nil {
 		return 0, true, err
 	}
 	defer closeQuietly(response.Body)
-	_, _ = io.Copy(io.Discard, response.Body) // the status counts, also where the body ends early
+	_, _ = io.Copy(io.Discard, response.Body) // only the status is needed
 	return response.StatusCode, response.Close, nil
 }
 
-// sendRaw sends bytes on a new connection and reads responses until it ends. It returns their statuses.
+// sendRaw sends raw bytes on a new connection and returns the statuses of all responses until the connection ends.
 func sendRaw(t testing.TB, addr, raw string) (statuses []int) {
 	t.Helper()
 	conn := dial(t, addr)
@@ -224,7 +224,7 @@
 	if err := conn.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	go func() { _, _ = io.WriteString(conn, raw) }() // the server may close the connection in the middle
+	go func() { _, _ = io.WriteString(conn, raw) }() // the server may close the connection early
 	br := bufio.NewReader(conn)
 	for {
 		status, last, err := readResponse(br)
--- a/internal/daemons/gateway/forward_test.go
+++ b/internal/daemons/gateway/forward_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestExecutionGuarantees(t *testing.T) {
-	Convey("An unknown execution stays unknown, also where a later attempt is proven not to be executed", t, func() {
-		// Guards the promise of 503: the proof of a later attempt once hid the unknown execution of the first.
+	Convey("An execution stays unknown when a later attempt is rejected as not executed", t, func() {
+		// Guards against a 503, which states non-execution, for a request whose first attempt may have been executed.
 		r := newFixture("safe", 2)
 		r.setBehaviours(upstream.ClosesWithoutResponse)
 		r.replicas[0].SetBehaviours(upstream.ClosesWithoutResponse)
@@ -27,31 +27,31 @@
 			}
 		}
 	})
-	Convey("A replica's own 503 promises nothing where it does not state that it did not execute the request", t, func() {
+	Convey("A replica's 503 without X-Not-Executed is not passed on", t, func() {
 		r := newFixture("unsafe", 2)
 		r.setBehaviours(upstream.OmitsNotExecuted)
 		So(r.do("POST", "/x/1", "order").Code, ShouldEqual, http.StatusBadGateway)
 		So(r.lastRequestExecutions(), ShouldEqual, 1)
 	})
-	Convey("A request whose client is gone is not sent, nor sent again", t, func() {
+	Convey("A request whose client has disconnected is neither sent nor retried", t, func() {
 		r := newFixture("unsafe", 2)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		ask := func() {
+		send := func() {
 			q := request(ctx, "POST", "/x/1", "order", "gone")
-			defer func() { _ = recover() }() // http.ErrAbortHandler ends the connection
+			defer func() { _ = recover() }() // http.ErrAbortHandler
 			r.gateway.handleRequest(httptest.NewRecorder(), q)
 		}
 		for _, up := range r.replicas {
 			up.SetBehaviours(upstream.RejectsNotExecuted)
-			up.SetResponseHook(func(string) { cancel() }) // the client leaves while the replica has it
+			up.SetResponseHook(func(string) { cancel() }) // the client disconnects while the replica handles the request
 		}
-		ask()
+		send()
 		So(len(r.replicas[0].Requests())+len(r.replicas[1].Requests()), ShouldEqual, 1)
-		ask()
+		send()
 		So(len(r.replicas[0].Requests())+len(r.replicas[1].Requests()), ShouldEqual, 1)
 	})
-	Convey("With under a tenth of the latency target left no attempt is made", t, func() {
+	Convey("No attempt is made with less than a tenth of the latency target left", t, func() {
 		r := newFixture("unsafe", 2)
 		q := request(context.Background(), "POST", "/x/1", "order", "late")
 		q.Header.Set("X-Deadline-Ms", "90")
@@ -60,7 +60,7 @@
 		So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
 		So(len(r.replicas[0].Requests())+len(r.replicas[1].Requests()), ShouldEqual, 0)
 	})
-	Convey("A deadline beyond the route's is the route's", t, func() {
+	Convey("A deadline later than the route's timeout is replaced by the route's timeout", t, func() {
 		for _, ms := range []string{"Inf", "1e300", "99999999999999999999"} {
 			r := newFixture("unsafe", 1)
 			q := request(context.Background(), "POST", "/x/1", "order", "1")
--- a/internal/daemons/gateway/handler_test.go
+++ b/internal/daemons/gateway/handler_test.go
@@ -29,7 +29,7 @@
 			So(r.lastRequestExecutions(), ShouldEqual, 1)
 		})
 		for _, b := range []upstream.Behaviour{upstream.TruncatesResponse, upstream.ClosesWithoutResponse, upstream.SendsGarbage, upstream.OmitsSeal, upstream.OmitsAttemptID} {
-			Convey("is executed once and answered 502 where the replica "+string(b), func() {
+			Convey("is executed once and answered 502 if the replica "+string(b), func() {
 				r.setBehaviours(b)
 				w := r.do("POST", "/x/1", "order")
 				So(w.Code, ShouldEqual, http.StatusBadGateway)
@@ -37,7 +37,7 @@
 				So(r.lastRequestExecutions(), ShouldEqual, 1)
 			})
 		}
-		Convey("is retried after proof that it was not executed, and rejected with Retry-After behind the last", func() {
+		Convey("is retried if it was not executed, and rejected with Retry-After after the last attempt", func() {
 			r.setBehaviours(upstream.RejectsNotExecuted)
 			w := r.do("POST", "/x/1", "order")
 			So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
@@ -45,17 +45,17 @@
 			So(r.lastRequestExecutions(), ShouldEqual, 0)
 			So(r.do("POST", "/x/1", "order").Code, ShouldEqual, 200)
 		})
-		Convey("is rejected at once where no replica may take it", func() {
+		Convey("is rejected at once if no replica may receive it", func() {
 			r.gateway.applyUpdate(&messages.StateUpdate{Sequence: 2, ConfigVersion: 1, EvacuatedZones: []string{"a"}})
 			w := r.do("POST", "/x/1", "order")
 			So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(w.Header().Get("Retry-After"), ShouldNotEqual, "")
 		})
-		Convey("with a body over the limit is 413, and reaches no replica", func() {
+		Convey("with a body over the limit gets 413 and reaches no replica", func() {
 			So(r.do("POST", "/x/1", strings.Repeat("x", 101)).Code, ShouldEqual, http.StatusRequestEntityTooLarge)
 			So(r.lastRequestExecutions(), ShouldEqual, 0)
 		})
-		Convey("is rejected while the bodies of others hold all memory, and its own memory is released", func() {
+		Convey("is rejected while the body budget is exhausted, and releases its own memory", func() {
 			r.gateway.bodyBudget = bodybuffer.New(10)
 			w := r.do("POST", "/x/1", "more than ten bytes")
 			So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
@@ -64,14 +64,14 @@
 			So(r.do("POST", "/x/1", "few").Code, ShouldEqual, 200)
 			So(r.gateway.bodyBudget.Used(), ShouldEqual, 0)
 		})
-		Convey("without a route is 404", func() {
+		Convey("without a route gets 404", func() {
 			So(r.do("POST", "/y/1", "").Code, ShouldEqual, http.StatusNotFound)
 		})
 	})
 	Convey("A safe request", t, func() {
 		r := newFixture("safe", 2)
 		for _, b := range []upstream.Behaviour{upstream.TruncatesResponse, upstream.ClosesWithoutResponse, upstream.RespondsInternalError, upstream.RejectsNotExecuted} {
-			Convey("is retried at another replica where the first one "+string(b), func() {
+			Convey("is retried at another replica if the first one "+string(b), func() {
 				r.replicas[0].SetBehaviours(b, b, b)
 				for range 4 {
 					w := r.do("GET", "/x/1", "")
@@ -80,7 +80,7 @@
 				}
 			})
 		}
-		Convey("is hedged where the first replica is silent", func() {
+		Convey("is hedged if the first replica does not respond", func() {
 			r.replicas[0].SetBehaviours(upstream.NeverResponds, upstream.NeverResponds)
 			r.replicas[1].SetBehaviours(upstream.AnswersCorrectly, upstream.AnswersCorrectly)
 			for range 3 {
@@ -89,8 +89,8 @@
 				So(time.Since(began), ShouldBeLessThan, 1500*time.Millisecond)
 			}
 		})
-		// Guards addresses that another instance took over: one 421 is proof enough.
-		Convey("never again goes to a replica whose address is another instance's", func() {
+		// Guards against requests to an address that another instance has taken over, after a single 421.
+		Convey("is not sent again to an address that belongs to another instance", func() {
 			r.replicas[0].ID = "other"
 			for range 8 {
 				So(r.do("GET", "/x/1", "").Code, ShouldEqual, 200)
@@ -101,13 +101,13 @@
 }
 
 func TestConfigurationVersions(t *testing.T) {
-	Convey("Within a process no older configuration is applied", t, func() {
+	Convey("An older configuration is not applied", t, func() {
 		r := newFixture("safe", 1)
 		r.gateway.applyUpdate(&messages.StateUpdate{Sequence: 5, ConfigVersion: 9, Config: testConfig(9, "unsafe"), EvacuatedZones: []string{"a"}})
 		r.gateway.applyUpdate(&messages.StateUpdate{Full: true, Bootstrapping: true, Sequence: 3, ConfigVersion: 4, Config: testConfig(4, "safe")})
 		So(r.gateway.config.Load().Version, ShouldEqual, 9)
 		So(r.do("GET", "/x/1", "").Code, ShouldEqual, http.StatusServiceUnavailable)
-		Convey("nor is an invalid one", func() {
+		Convey("An invalid configuration is not applied either", func() {
 			r.gateway.applyUpdate(&messages.StateUpdate{Sequence: 6, ConfigVersion: 12, Config: []byte("{")})
 			So(r.gateway.config.Load().Version, ShouldEqual, 9)
 		})
--- a/internal/daemons/gateway/hostile_test.go
+++ b/internal/daemons/gateway/hostile_test.go
@@ -22,7 +22,7 @@
 
 const (
 	hostileRate     = 0.1
-	hostileRequests = 4000 // requests, where ZINCLOFT_HOSTILE names no number
+	hostileRequests = 4000 // unless ZINCLOFT_HOSTILE is set
 	hostileClients  = 48
 	releaseInterval = 500 * time.Millisecond
 )
@@ -37,7 +37,7 @@
 	return len(names)
 }
 
-// waitUntil waits for a state that comes by itself; it ends after ten seconds at the latest.
+// waitUntil waits up to ten seconds for a condition and reports whether it holds.
 func waitUntil(ok func() bool) bool {
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); runtime.Gosched() {
 		if ok() {
@@ -47,14 +47,13 @@
 	return ok()
 }
 
-// TestHostile has hostile clients and hostile replicas on both sides of a gateway. No response may go to another client, no
-// unsafe request be executed twice, nothing be executed that was promised not to be, nor anything smuggled in a bad request;
-// memory, goroutines and file descriptors are back at their level after. ZINCLOFT_HOSTILE is the number of requests, ZINCLOFT_SEED
-// the seed.
+// TestHostile runs a gateway between misbehaving clients and replicas. It guards against responses to the wrong client, double
+// execution of unsafe requests, execution of requests that were rejected or smuggled, and leaks of memory, goroutines and file
+// descriptors. ZINCLOFT_HOSTILE sets the number of requests, ZINCLOFT_SEED the seed.
 func TestHostile(t *testing.T) {
-	most := hostileRequests
+	requestCount := hostileRequests
 	if n, err := strconv.Atoi(os.Getenv("ZINCLOFT_HOSTILE")); err == nil {
-		most = n
+		requestCount = n
 	}
 	seed, _ := strconv.ParseUint(os.Getenv("ZINCLOFT_SEED"), 10, 64)
 	set, err := nodesettings.Parse([]byte(settings))
@@ -77,7 +76,7 @@
 		upstreamReplica.SetConnectionHandler(r.Serve)
 		replicas, addrs = append(replicas, r), append(addrs, upstreamReplica.Addr())
 	}
-	// release replaces all replicas by others, at the same addresses: what was learned of the old ones goes with them.
+	// release replaces all instances by new ones at the same addresses, which discards what was learned about the old ones.
 	release := func(n int) {
 		st := &messages.StateUpdate{Full: true, Sequence: 1, ConfigVersion: 1, Config: []byte(hostileConfiguration)}
 		for i, r := range replicas {
@@ -94,7 +93,7 @@
 	var mu sync.Mutex
 	results := map[string]hostile.ClientResult{}
 	statuses := map[int]int{}
-	round := func(c *hostile.Client) {
+	runConnection := func(c *hostile.Client) {
 		all := c.RunConnection()
 		began.Add(int64(len(all)))
 		mu.Lock()
@@ -111,13 +110,13 @@
 			}
 		}
 	}
-	work := func(from, to int64) {
+	runClients := func(from, to int64) {
 		var wg sync.WaitGroup
 		for i := range hostileClients {
 			c := hostile.NewClient(f.frontListener.Addr().String(), "h.example", fmt.Sprintf("c%d.%d", i, from), seed+1000*uint64(from+1)+uint64(i))
 			wg.Go(func() {
 				for began.Load() < to {
-					round(c)
+					runConnection(c)
 				}
 			})
 		}
@@ -133,37 +132,37 @@
 			}
 		}
 	}
-	quiet := func() bool {
+	drained := func() bool {
 		f.pool.Sweep(time.Now().Add(time.Hour))
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return f.router.InFlight() == 0 && f.bodyBudget.Used() == 0
 	}
-	level := func() (int, int, uint64) {
-		if !waitUntil(quiet) {
-			t.Error("requests are still in flight, or bytes of bodies still reserved:", f.bodyBudget.Used())
+	resourceUsage := func() (int, int, uint64) {
+		if !waitUntil(drained) {
+			t.Error("requests still in flight or body memory still reserved:", f.bodyBudget.Used())
 		}
 		debug.FreeOSMemory()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return countDescriptors(), runtime.NumGoroutine(), m.HeapAlloc
 	}
-	bare := countDescriptors()
-	work(0, int64(most/4)) // warm
-	fds, goroutines, heapBefore := level()
-	waitUntil(func() bool { fds, goroutines, heapBefore = level(); return fds <= bare+hostileClients })
+	idleFDs := countDescriptors()
+	runClients(0, int64(requestCount/4)) // warm-up
+	fds, goroutines, heapBefore := resourceUsage()
+	waitUntil(func() bool { fds, goroutines, heapBefore = resourceUsage(); return fds <= idleFDs+hostileClients })
 	start := time.Now()
-	work(int64(most/4), int64(most))
+	runClients(int64(requestCount/4), int64(requestCount))
 	took := time.Since(start)
 	var fdsAfter, goroutinesAfter int
 	if !waitUntil(func() bool {
-		fdsAfter, goroutinesAfter, _ = level()
-		return fdsAfter <= max(fds, bare+8) && goroutinesAfter <= goroutines+8
+		fdsAfter, goroutinesAfter, _ = resourceUsage()
+		return fdsAfter <= max(fds, idleFDs+8) && goroutinesAfter <= goroutines+8
 	}) {
-		t.Errorf("descriptors %d, before %d (bare %d); goroutines %d, before %d", fdsAfter, fds, bare, goroutinesAfter, goroutines)
+		t.Errorf("descriptors %d, before %d (idle %d); goroutines %d, before %d", fdsAfter, fds, idleFDs, goroutinesAfter, goroutines)
 	}
 
-	twice, broken, smuggled := 0, 0, 0
+	twice, rejectedExecuted, smuggled := 0, 0, 0
 	for id, x := range results {
 		executions := ledger.Executions(id)
 		switch {
@@ -175,7 +174,7 @@
 			twice++
 			t.Errorf("%s was executed %d times", id, executions)
 		case executions > 0 && slices.Contains([]int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}, x.Status):
-			broken++
+			rejectedExecuted++
 			t.Errorf("%s was answered %d and executed", id, x.Status)
 		}
 	}
@@ -184,16 +183,16 @@
 	identities := len(results)
 	results = nil
 	ledger.Reset()
-	_, _, heap := level()
+	_, _, heap := resourceUsage()
 	if heap > heapBefore+8<<20 {
 		t.Errorf("%d KiB on the heap, before %d", heap>>10, heapBefore>>10)
 	}
-	t.Logf("%d requests in %v; %d wrong responses, %d unsafe requests executed twice, %d promises broken, %d smuggled requests executed; descriptors %d (before %d), goroutines %d (before %d), heap %d KiB (before %d); %d identities",
-		began.Load(), took, violations.Load(), twice, broken, smuggled, fdsAfter, fds, goroutinesAfter, goroutines, heap>>10, heapBefore>>10, identities)
+	t.Logf("%d requests in %v; %d wrong responses, %d unsafe requests executed twice, %d rejected requests executed, %d smuggled requests executed; descriptors %d (before %d), goroutines %d (before %d), heap %d KiB (before %d); %d identities",
+		began.Load(), took, violations.Load(), twice, rejectedExecuted, smuggled, fdsAfter, fds, goroutinesAfter, goroutines, heap>>10, heapBefore>>10, identities)
 	t.Logf("statuses: %v", statuses)
 	t.Logf("%d behaviours of replicas: %v", len(behaviours), behaviours)
 	t.Logf("counts: %s", counts)
-	if most <= hostileRequests && statuses[200] < most/4 {
-		t.Errorf("only %d of %d were served: the rest proves little", statuses[200], most)
+	if requestCount <= hostileRequests && statuses[200] < requestCount/4 {
+		t.Errorf("only %d of %d requests were served, which is too few for the other checks", statuses[200], requestCount)
 	}
 }
--- a/internal/daemons/gateway/lifecycle_test.go
+++ b/internal/daemons/gateway/lifecycle_test.go
@@ -11,8 +11,7 @@
 	"time"
 )
 
-// Guards graceful shutdown: connections that clients opened in advance once held it up until the grace period was over,
-// while nobody listened.
+// Guards against a graceful shutdown that waits for connections on which no request was sent.
 func TestUnusedConnectionsDoNotDelayShutdown(t *testing.T) {
 	up := startReplica(t, "i0")
 	addr, f, _ := startGateway(t, `"idle_timeout":"30s"`, up)
@@ -28,15 +27,15 @@
 	}
 	readWithin(t, unused, time.Second)
 	if _, err := unused.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Error("the unused connection:", err)
+		t.Error("unused connection:", err)
 	}
 	if !waitUntil(func() bool { return f.frontConns.OpenCount() == 0 }) {
-		t.Error("connections that ended are kept")
+		t.Error("closed connections are still counted as open")
 	}
 }
 
-// Guards graceful shutdown and idle timeouts: behind a request that came in one piece the connection once looked as if its
-// response was still due, so that it delayed the shutdown, and was idle without end for the server.
+// Guards against connections that do not become idle after a request that arrived in one read: they would delay shutdown and
+// never reach the idle timeout.
 func TestAnsweredConnectionsAreIdle(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		up := startReplica(t, "i0")
--- a/internal/daemons/gateway/regression_test.go
+++ b/internal/daemons/gateway/regression_test.go
@@ -21,8 +21,8 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// TestPendingAttemptIsCompletedInRecord guards the record of a failed request: an attempt that was still under way when the request ended stayed pending
-// there for good, and what became of it stood in the counters only.
+// TestPendingAttemptIsCompletedInRecord guards against attempts that stay pending in the record of a failed request after they
+// have ended.
 func TestPendingAttemptIsCompletedInRecord(t *testing.T) {
 	up := startReplica(t, "i0")
 	addr, gateway, log := startGateway(t, `"max_body_bytes":1000`, up)
@@ -31,7 +31,7 @@
 	conn := dial(t, addr)
 	send(t, conn, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: left\r\nContent-Length: 2\r\n\r\nab")
 	if !waitUntil(func() bool { return up.Executions()["left"] == 1 }) {
-		t.Fatal("the request does not arrive")
+		t.Fatal("the request did not reach the replica")
 	}
 	number := gateway.failures.add(FailedRequest{AttemptID: "left", Attempts: []AttemptRecord{{Endpoint: "i0", Execution: executionPending}}})
 	before := gateway.failures.newest()
@@ -42,7 +42,7 @@
 		t.Errorf("%+v", kept)
 	}
 	if before[0].Attempts[0].Execution != executionPending {
-		t.Error("a list that was handed out has changed")
+		t.Error("a previously returned list was modified")
 	}
 	if !strings.Contains(log.String(), "event=pending_attempt_ended") {
 		t.Error(log.String())
@@ -53,14 +53,15 @@
 	gateway.failures.complete(number, AttemptRecord{Endpoint: "i0", Execution: "answered"})
 	for _, kept := range gateway.failures.newest() {
 		if kept.Attempts[0].Execution != executionPending {
-			t.Fatal("the outcome went to another request's record")
+			t.Fatal("the outcome was stored in another request's record")
 		}
 	}
 }
 
-// TestFailedRequestRecordsHedgedAttempt is the same over the whole path: a safe request ends while its second attempt is under way.
+// TestFailedRequestRecordsHedgedAttempt guards the same for a hedged request whose client disconnects while both attempts are
+// pending.
 func TestFailedRequestRecordsHedgedAttempt(t *testing.T) {
-	Convey("A request that ends with a response of one replica while another still works", t, func() {
+	Convey("A request that ends while two attempts are pending", t, func() {
 		f := newFixture("safe", 2)
 		release := make(chan struct{})
 		for _, replica := range f.replicas {
@@ -71,7 +72,7 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			defer func() { _ = recover() }() // the connection of a client that has left is aborted
+			defer func() { _ = recover() }() // http.ErrAbortHandler, as the client has disconnected
 			f.gateway.handleRequest(httptest.NewRecorder(), request(ctx, "GET", "/x/1", "", "leaver"))
 		}()
 		executed := func() int { return f.replicas[0].Executions()["leaver"] + f.replicas[1].Executions()["leaver"] }
@@ -89,8 +90,8 @@
 	})
 }
 
-// TestStopBeforeFrontServerStarts guards callers that wait in the kernel when a gateway is stopped before it has a configuration: their connections were
-// reset. They are told to go elsewhere.
+// TestStopBeforeFrontServerStarts guards against resetting connections in the accept queue when a gateway without a
+// configuration is stopped: clients must get a 503.
 func TestStopBeforeFrontServerStarts(t *testing.T) {
 	front, internal := freeAddress(t).String(), min(freeAddress(t).Port, 65000)
 	parsed, err := nodesettings.Parse(fmt.Appendf(nil, isolatedGatewaySettings, front, freeAddress(t).String(), internal, internal+9))
@@ -117,9 +118,9 @@
 	readWithin(t, conn, time.Second)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
-	defer func() { _ = response.Body.Close() }() // it is empty
+	defer func() { _ = response.Body.Close() }() // the body is empty
 	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" || !response.Close {
 		t.Error(response.StatusCode, response.Header)
 	}
@@ -128,8 +129,8 @@
 	}
 }
 
-// TestConfigurationChangeDuringBody guards requests whose body takes longer than a configuration: they were routed by the one in force at their
-// head. A body that ends within an older one is no reason to go to a service that its route has left, however the moment of sending is read.
+// TestConfigurationChangeDuringBody guards against routing a request by a configuration that was replaced while its body was
+// read.
 func TestConfigurationChangeDuringBody(t *testing.T) {
 	old, replacement := startReplica(t, "i0"), startReplica(t, "i1")
 	addr, gateway, _ := startGateway(t, `"max_body_bytes":1000`, old)
@@ -137,7 +138,7 @@
 	defer closeQuietly(conn)
 	send(t, conn, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: slow\r\nContent-Length: 4\r\n\r\nab")
 	if !waitUntil(func() bool { return gateway.bodyBudget.Used() > 0 }) {
-		t.Fatal("the head is not read")
+		t.Fatal("the gateway did not start reading the body")
 	}
 	instance := instanceOf(replacement)
 	instance.Service = "other"
@@ -154,10 +155,10 @@
 	}
 }
 
-// TestRequestWithoutIdentity guards plain clients, which name no attempt: they were answered 502 though a replica had answered. Their response is the
-// only one on a connection of its own. What is left over on that connection still must not be taken for it.
+// TestRequestWithoutIdentity guards requests without an attempt ID: each uses a connection of its own, so that its response can
+// be matched, and is not answered with an unrelated response.
 func TestRequestWithoutIdentity(t *testing.T) {
-	Convey("A request that names no attempt", t, func() {
+	Convey("A request without an attempt ID", t, func() {
 		f := newFixture("unsafe", 1)
 		do := func() int {
 			w := httptest.NewRecorder()
@@ -166,7 +167,7 @@
 			f.gateway.handleRequest(w, r)
 			return w.Code
 		}
-		Convey("is served like any other", func() {
+		Convey("is served on a connection of its own", func() {
 			So(do(), ShouldEqual, http.StatusOK)
 			So(do(), ShouldEqual, http.StatusOK)
 			So(f.replicas[0].ConnectionCount(), ShouldEqual, 2)
@@ -175,16 +176,16 @@
 			f.replicas[0].SetBehaviours(upstream.SendsStaleResponseFirst)
 			So(do(), ShouldEqual, http.StatusBadGateway)
 		})
-		Convey("is not answered with a response that lacks its seal", func() {
+		Convey("is not answered with a response without a seal", func() {
 			f.replicas[0].SetBehaviours(upstream.OmitsSeal)
 			So(do(), ShouldEqual, http.StatusBadGateway)
 		})
 	})
 }
 
-// TestNoKnownEndpointIsNotOverload guards the reason of a rejection: until the first endpoint update had come it was "overloaded", where nothing was.
+// TestNoKnownEndpointIsNotOverload guards against rejections with the reason "overloaded" when no endpoint is known.
 func TestNoKnownEndpointIsNotOverload(t *testing.T) {
-	Convey("A request for a service of which no endpoint is known", t, func() {
+	Convey("A request for a service without known endpoints", t, func() {
 		f := newFixture("safe", 0)
 		So(f.do("GET", "/x/1", "").Code, ShouldEqual, http.StatusServiceUnavailable)
 		So(f.gateway.failures.newest()[0].Reason, ShouldEqual, "no_endpoint_known")
--- a/internal/daemons/gateway/silentclients_test.go
+++ b/internal/daemons/gateway/silentclients_test.go
@@ -11,11 +11,10 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// TestSilentClientsDoNotBlockOtherClients guards against silence at a gateway whose connections are all held by clients that send nothing:
-// further ones wait in the kernel, unread, for as long as an idle connection may last. They must be answered within the second that
-// they wait for a request to be read, whoever makes room for them.
+// TestSilentClientsDoNotBlockOtherClients guards against clients that hold all connections without sending anything: a new
+// client must get a response within a second.
 func TestSilentClientsDoNotBlockOtherClients(t *testing.T) {
-	const descriptors = 100 // by the settings; a part of them is for clients
+	const descriptors = 100 // limit in the settings, shared by all listeners
 	replica := startReplica(t, "i0")
 	parsed, err := nodesettings.Parse([]byte(settings))
 	if err != nil {
@@ -37,7 +36,7 @@
 		t.Cleanup(func() { closeQuietly(silent) })
 	}
 	if !waitUntil(func() bool { return gateway.frontConns.OpenCount() >= gateway.frontConns.Limit() }) {
-		t.Fatal("the silent clients are not accepted")
+		t.Fatal("the silent connections were not accepted")
 	}
 	client, err := new(net.Dialer).DialContext(t.Context(), "tcp", address)
 	if err != nil {
@@ -47,6 +46,6 @@
 	send(t, client, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: 1\r\nContent-Length: 2\r\n\r\nab")
 	readWithin(t, client, time.Second)
 	if _, _, err := readResponse(bufio.NewReader(client)); err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 }
--- a/internal/daemons/gateway/start_test.go
+++ b/internal/daemons/gateway/start_test.go
@@ -21,7 +21,7 @@
 rule_terms: {bounds: {grace_period: 100ms}}
 `
 
-// freeAddress is an address on loopback that nobody listened at a moment ago.
+// freeAddress returns a loopback address with a port that was free a moment ago.
 func freeAddress(t *testing.T) *net.TCPAddr {
 	t.Helper()
 	listener := listen(t)
@@ -29,9 +29,8 @@
 	return listener.Addr().(*net.TCPAddr)
 }
 
-// TestGatewayWithoutConfigurationRejects guards against silence: a gateway that was started while it reaches no control-plane member
-// accepted connections in the kernel and read nothing, so that its clients waited, with an unsafe request until its deadline. It must
-// tell them within the second that they wait for a request to be read.
+// TestGatewayWithoutConfigurationRejects guards against a gateway that leaves connections unread while it cannot reach the
+// control plane: clients must get a 503 within a second.
 func TestGatewayWithoutConfigurationRejects(t *testing.T) {
 	front, internal := freeAddress(t).String(), min(freeAddress(t).Port, 65000)
 	parsed, err := nodesettings.Parse(fmt.Appendf(nil, isolatedGatewaySettings, front, freeAddress(t).String(), internal, internal+9))
@@ -57,11 +56,11 @@
 	readWithin(t, conn, time.Second)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	defer closeQuietly(response.Body)
 	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
-		t.Errorf("answered %d, Retry-After %q", response.StatusCode, response.Header.Get("Retry-After"))
+		t.Errorf("got status %d, Retry-After %q", response.StatusCode, response.Header.Get("Retry-After"))
 	}
 	cancel()
 	if err := <-ended; err != nil {
