--- a/intake/aggregator_test.go
+++ b/intake/aggregator_test.go
@@ -20,32 +20,32 @@
 
 var unreported = rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
 
-func record(r, tries, dropped int) Record {
-	return Record{Replica: rules.ReplicaID(r), Attempts: tries, Dropped: dropped, MeanLatency: 50 * time.Millisecond, Report: unreported}
+func record(r, attempts, dropped int) Record {
+	return Record{Replica: rules.ReplicaID(r), Attempts: attempts, Dropped: dropped, MeanLatency: 50 * time.Millisecond, Report: unreported}
 }
 
-func batch(p int, seq uint32, read rules.Time, records ...Record) *Batch {
-	return &Batch{Proxy: rules.ProxyID(p), Sequence: seq, Window: time.Second, ReceivedAt: read, Records: records}
+func batch(p int, seq uint32, received rules.Time, records ...Record) *Batch {
+	return &Batch{Proxy: rules.ProxyID(p), Sequence: seq, Window: time.Second, ReceivedAt: received, Records: records}
 }
 
-// estimate is a figure under many seeds.
+// estimate collects the values of an estimated total under different seeds.
 type estimate struct{ n, sum, squares float64 }
 
 func (e *estimate) add(v float64) { e.n, e.sum, e.squares = e.n+1, e.sum+v, e.squares+v*v }
 
-// off tells whether the mean is further from the truth than its standard error allows.
-func (e *estimate) off(truth float64) bool {
+// biased reports whether the mean deviates from the true value by more than five standard errors.
+func (e *estimate) biased(truth float64) bool {
 	mean := e.sum / e.n
 	return math.Abs(mean-truth) > 5*math.Sqrt(max(e.squares/e.n-mean*mean, 0)/e.n)+1e-9
 }
 
-// TestTotalsUnbiased keeps an eighth of what comes and asks of every stratum, of both kinds, that its estimate is right
-// on average: tries and drops, of busy replicas and of one that a single proxy met once.
+// TestTotalsUnbiased samples an eighth of the records and checks that the estimates of attempts and drops are unbiased for each
+// replica and proxy, also for a replica with a single attempt.
 func TestTotalsUnbiased(t *testing.T) {
 	const proxies, replicas = 60, 20
 	chance := rand.New(rand.NewPCG(1, 2))
 	var batches []*Batch
-	truth, dropped, of := map[rules.ReplicaID]float64{}, map[rules.ReplicaID]float64{}, map[rules.ProxyID]float64{}
+	truth, dropped, byProxyTruth := map[rules.ReplicaID]float64{}, map[rules.ReplicaID]float64{}, map[rules.ProxyID]float64{}
 	for p := range proxies {
 		var records []Record
 		for r := range replicas {
@@ -62,11 +62,11 @@
 		for _, r := range records {
 			truth[r.Replica] += float64(r.Attempts)
 			dropped[r.Replica] += float64(r.Dropped)
-			of[rules.ProxyID(p)] += float64(r.Attempts)
+			byProxyTruth[rules.ProxyID(p)] += float64(r.Attempts)
 		}
 		batches = append(batches, batch(p, 0, second, records...))
 	}
-	tries, drops, sent := make([]estimate, replicas+1), make([]estimate, replicas+1), make([]estimate, proxies)
+	attempts, drops, sent := make([]estimate, replicas+1), make([]estimate, replicas+1), make([]estimate, proxies)
 	for seed := range uint64(500) {
 		s := settings()
 		s.Seed, s.Budget = seed, 2*proxies*replicas/8
@@ -79,31 +79,31 @@
 		}
 		byReplica, byProxy := in.Totals()
 		for r := range rules.ReplicaID(replicas + 1) {
-			tries[r].add(byReplica[r][0])
+			attempts[r].add(byReplica[r][0])
 			drops[r].add(byReplica[r][1])
 		}
 		for p := range rules.ProxyID(proxies) {
 			sent[p].add(byProxy[p][0])
 		}
 		if c := in.Counts(); c[SampledOut] < 200 {
-			t.Fatal("hardly any record is sampled out: ", c)
+			t.Fatal("too few records are sampled out: ", c)
 		}
 	}
 	for r := range rules.ReplicaID(replicas + 1) {
-		if tries[r].off(truth[r]) || drops[r].off(dropped[r]) {
-			t.Errorf("replica %d: %+v tries for %v, %+v drops for %v", r, tries[r], truth[r], drops[r], dropped[r])
+		if attempts[r].biased(truth[r]) || drops[r].biased(dropped[r]) {
+			t.Errorf("replica %d: estimated %+v attempts, want %v; %+v drops, want %v", r, attempts[r], truth[r], drops[r], dropped[r])
 		}
 	}
 	for p := range rules.ProxyID(proxies) {
-		if sent[p].off(of[p]) {
-			t.Errorf("proxy %d: %+v tries for %v", p, sent[p], of[p])
+		if sent[p].biased(byProxyTruth[p]) {
+			t.Errorf("proxy %d: estimated %+v attempts, want %v", p, sent[p], byProxyTruth[p])
 		}
 	}
 }
 
-// TestAnyOrder hands over batches of many proxies in any order, some of them twice, old ones, of strangers and over
-// their share: each record is counted once under one cause, what is kept stays within the budget, no replica and no
-// proxy that was heard vanishes, and the same again gives the same.
+// TestAnyOrder adds random batches, with duplicates, old ones, unknown senders and senders over their quota. Each record must be
+// counted under one cause, the budget must hold, each reported replica and proxy must appear in the totals, and a second run
+// must give the same result.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := settings()
@@ -120,49 +120,49 @@
 			}
 			batches = append(batches, b)
 		}
-		play := func() (counts Counts, events []rules.Event) {
+		run := func() (counts Counts, events []rules.Event) {
 			in := New(s)
-			for p := range proxies { // the one with the highest number is a stranger
+			for p := range proxies { // proxy number "proxies" never joins
 				in.Join(rules.ProxyID(p), rules.ZoneID(p%2))
 			}
-			heardAt, heardOf := map[rules.ReplicaID]bool{}, map[rules.ProxyID]bool{}
-			came := 0
+			reportedReplicas, reportingProxies := map[rules.ReplicaID]bool{}, map[rules.ProxyID]bool{}
+			received := 0
 			for _, b := range batches {
-				came += len(b.Records)
+				received += len(b.Records)
 				before := in.counts[Kept] + in.counts[SampledOut]
 				in.AddBatch(2*second, b)
 				for _, r := range b.Records[:in.counts[Kept]+in.counts[SampledOut]-before] {
-					heardAt[r.Replica], heardOf[b.Proxy] = true, true
+					reportedReplicas[r.Replica], reportingProxies[b.Proxy] = true, true
 				}
 			}
 			byReplica, byProxy := in.Totals()
-			if len(byReplica) != len(heardAt) || len(byProxy) != len(heardOf) {
-				t.Fatalf("of %d replicas and %d proxies heard, %d and %d are left", len(heardAt), len(heardOf), len(byReplica), len(byProxy))
+			if len(byReplica) != len(reportedReplicas) || len(byProxy) != len(reportingProxies) {
+				t.Fatalf("totals have %d of %d replicas and %d of %d proxies", len(byReplica), len(reportedReplicas), len(byProxy), len(reportingProxies))
 			}
-			held, _, pairs := in.Sizes()
-			if least := minRoom * (len(heardAt) + len(heardOf)); held > s.Budget+least || pairs > s.MaxPairs {
-				t.Fatalf("%d records held with a budget of %d, %d pairs", held, s.Budget, pairs)
+			kept, _, pairs := in.Sizes()
+			if extra := minStratumCapacity * (len(reportedReplicas) + len(reportingProxies)); kept > s.Budget+extra || pairs > s.MaxPairs {
+				t.Fatalf("%d records kept with a budget of %d, %d pairs", kept, s.Budget, pairs)
 			}
 			events = in.Flush(2 * second)
 			counts = in.Counts()
-			told := 0
+			counted := 0
 			for _, c := range []Cause{Kept, SampledOut, Repeated, TooLate, TooOld, OverQuota, NotJoined} {
-				told += counts[c]
+				counted += counts[c]
 			}
-			if told != came {
-				t.Fatalf("%d records came and %d are counted: %v", came, told, counts)
+			if counted != received {
+				t.Fatalf("%d records received, %d counted: %v", received, counted, counts)
 			}
 			return counts, events
 		}
-		counts, events := play()
-		again, same := play()
-		if counts != again || !slices.Equal(events, same) {
-			t.Fatalf("the same again differs: %v, %v", events, same)
+		counts, events := run()
+		secondCounts, secondEvents := run()
+		if counts != secondCounts || !slices.Equal(events, secondEvents) {
+			t.Fatalf("the second run differs: %v, %v", events, secondEvents)
 		}
 	})
 }
 
-// TestOlderNeverCountsMore has one record at two ages: the older one's part of the totals is never the larger.
+// TestOlderNeverCountsMore checks that a record's weight in the totals does not increase with its age.
 func TestOlderNeverCountsMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		young := time.Duration(rapid.IntRange(0, 12_000).Draw(t, "young")) * time.Millisecond
@@ -172,25 +172,25 @@
 			in := New(settings())
 			in.Join(1, 0)
 			b := batch(1, 0, 100*second, record(1, 10, 2))
-			b.Age = time.Duration(said * float64(age)) // the rest of it has waited here
+			b.Age = time.Duration(said * float64(age)) // the rest has passed since the batch was received
 			in.AddBatch(100*second+rules.Time(age-b.Age), b)
 			all, _ := in.Totals()
 			return all[1][0]
 		}
 		a, b := count(young), count(old)
 		if b > a || young == 0 && a != 10 || old > settings().MaxAge && b != 0 {
-			t.Fatalf("10 tries count %v at %v and %v at %v", a, young, b, old)
+			t.Fatalf("10 attempts count %v at age %v and %v at age %v", a, young, b, old)
 		}
 	})
 }
 
-// TestClocks has senders whose clocks are an hour off either way, one that is set back by an hour, and one whose
-// batches are a second late on their way: only the last two count for less, and the one set back recovers.
+// TestClocks checks that a constant clock offset does not reduce a batch's weight, that a delay in transit does, and that a clock
+// set back by an hour does so only for a limited number of batches.
 func TestClocks(t *testing.T) {
 	in := New(settings())
-	worth := func(p int, seq uint32, off, late time.Duration) float64 {
+	weight := func(p int, seq uint32, offset, delay time.Duration) float64 {
 		b := batch(p, seq, rules.Time(1000+int(seq))*second, record(p, 8, 0))
-		b.SentAt = b.ReceivedAt + rules.Time(off-late)
+		b.SentAt = b.ReceivedAt + rules.Time(offset-delay)
 		s := in.senders[rules.ProxyID(p)]
 		return in.ageWeight(s.extraDelay(b.SentAt, b.ReceivedAt))
 	}
@@ -198,29 +198,29 @@
 		in.Join(rules.ProxyID(p), 0)
 	}
 	for seq := uint32(1); seq <= 60; seq++ {
-		for p, off := range []time.Duration{time.Hour, -time.Hour} {
-			if w := worth(p, seq, off, 0); w != 1 {
-				t.Fatalf("batch %d of a clock that is %v off counts %v", seq, off, w)
+		for p, offset := range []time.Duration{time.Hour, -time.Hour} {
+			if w := weight(p, seq, offset, 0); w != 1 {
+				t.Fatalf("batch %d with a clock offset of %v has weight %v", seq, offset, w)
 			}
 		}
-		late := time.Duration(0)
+		delay := time.Duration(0)
 		if seq%2 == 0 {
-			late = 2 * time.Second
+			delay = 2 * time.Second
 		}
-		if w := worth(2, seq, 0, late); late > 0 && math.Abs(w-0.5) > 1e-9 || late == 0 && w != 1 {
-			t.Fatalf("batch %d, %v late, counts %v", seq, late, w)
+		if w := weight(2, seq, 0, delay); delay > 0 && math.Abs(w-0.5) > 1e-9 || delay == 0 && w != 1 {
+			t.Fatalf("batch %d with a delay of %v has weight %v", seq, delay, w)
 		}
-		back := time.Duration(0)
+		offset := time.Duration(0)
 		if seq > 20 {
-			back = -time.Hour
+			offset = -time.Hour
 		}
-		if w := worth(3, seq, back, 0); seq <= 20 && w != 1 || seq == 21 && w != 0 || seq > 21+2*clockGroupBatches && w != 1 {
-			t.Fatalf("batch %d of a clock that was set back counts %v", seq, w)
+		if w := weight(3, seq, offset, 0); seq <= 20 && w != 1 || seq == 21 && w != 0 || seq > 21+2*clockGroupBatches && w != 1 {
+			t.Fatalf("batch %d of a clock that is set back after batch 20 has weight %v", seq, w)
 		}
 	}
 }
 
-// TestRepeats tells repeated batches from late ones, and from those too far behind, and a new stream from both.
+// TestRepeats checks the detection of duplicate, reordered and too late batches, and that a new stream resets it.
 func TestRepeats(t *testing.T) {
 	in := New(settings())
 	in.Join(1, 0)
@@ -242,12 +242,12 @@
 	in.Join(1, 0)
 	in.AddBatch(second, batch(1, 1, second, record(1, 1, 0)))
 	if c := in.Counts(); c[Kept] != 1 {
-		t.Error("a new stream's first batch counts as", c)
+		t.Error("a new stream's first batch is counted as", c)
 	}
 }
 
-// TestFlood has one sender bring a hundred times its share, before the others and between them: their estimates are
-// the same as without it, and what is over its share is counted.
+// TestFlood has one sender exceed its quota a hundredfold: the estimates for the others must not change, and the excess records
+// must be counted.
 func TestFlood(t *testing.T) {
 	totals := func(flood bool) (others [2]float64, counts Counts) {
 		s := settings()
@@ -281,15 +281,15 @@
 	calm, _ := totals(false)
 	flooded, counts := totals(true)
 	if want := 10 * 19 * 20 / 2.0; math.Abs(calm[0]-want) > 1e-6 || flooded != calm {
-		t.Errorf("without the flood %v of %v, with it %v", calm, want, flooded)
+		t.Errorf("without the flood %v, want %v; with the flood %v", calm, want, flooded)
 	}
 	if counts[OverQuota] < 15_000 {
-		t.Errorf("of 19,000 records %d are counted as flooding", counts[OverQuota])
+		t.Errorf("of 19,000 records %d are counted as over the quota", counts[OverQuota])
 	}
 }
 
-// TestOldLoadDoesNotLookIdle has a replica say that it is idle and then nothing: as its word grows old it counts for
-// less and less, and in the end for nothing. A word that it is busier counts at once.
+// TestOldLoadDoesNotLookIdle guards against replicas that appear idle for lack of reports: an old report of low load has little
+// effect, while a report of high load applies at once.
 func TestOldLoadDoesNotLookIdle(t *testing.T) {
 	s := settings()
 	s.StatsFromRecords = true
@@ -304,32 +304,32 @@
 		}
 		return math.NaN()
 	}
-	with := func(load float64, heard time.Duration) Record {
+	report := func(load float64, age time.Duration) Record {
 		r := record(1, 5, 0)
-		r.Report.Utilization, r.Report.InFlight, r.ReportAge = load, 2, heard
+		r.Report.Utilization, r.Report.InFlight, r.ReportAge = load, 2, age
 		return r
 	}
-	if got := util(10*second, with(0.6, 0)); math.Abs(got-0.6) > 1e-9 {
+	if got := util(10*second, report(0.6, 0)); math.Abs(got-0.6) > 1e-9 {
 		t.Errorf("fresh: %v", got)
 	}
-	if got := util(11*second, with(0, 2*time.Second)); math.Abs(got-0.6) > 1e-9 {
-		t.Errorf("an idle word that is older than the last one: %v", got)
+	if got := util(11*second, report(0, 2*time.Second)); math.Abs(got-0.6) > 1e-9 {
+		t.Errorf("low load, older than the last report: %v", got)
 	}
-	if got := util(13*second, with(0.1, time.Second)); got < 0.2 || got > 0.3 {
-		t.Errorf("an idle word 1 s old after 0.6: %v", got)
+	if got := util(13*second, report(0.1, time.Second)); got < 0.2 || got > 0.3 {
+		t.Errorf("low load, 1 s old, after 0.6: %v", got)
 	}
-	if got := util(14*second, with(0.9, 0)); math.Abs(got-0.9) > 1e-9 {
-		t.Errorf("a busy word: %v", got)
+	if got := util(14*second, report(0.9, 0)); math.Abs(got-0.9) > 1e-9 {
+		t.Errorf("high load: %v", got)
 	}
 	last := 0.0
 	for at := 15 * second; at <= 24*second; at += second {
 		got := util(at, record(1, 5, 0))
 		if got < last {
-			t.Errorf("with nothing heard it looks idler: %v after %v", got, last)
+			t.Errorf("utilization falls without reports: %v after %v", got, last)
 		}
 		last = got
 	}
 	if got := util(26*second, record(1, 5, 0)); got != rules.Absent {
-		t.Errorf("past the bound: %v", got)
+		t.Errorf("report older than MaxAge: %v", got)
 	}
 }
--- a/intake/batch.go
+++ b/intake/batch.go
@@ -7,34 +7,34 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Record sums up a proxy's attempts at a replica.
+// Record aggregates a proxy's attempts at a replica.
 type Record struct {
 	Replica     rules.ReplicaID
 	Attempts    int
 	Dropped     int              // attempts without a successful response
-	MeanLatency time.Duration    // of the successful ones; 0: none
-	Report      rules.LoadReport // the replica's last load report; Absent values where there is none
-	ReportAge   time.Duration    // from the receipt of that report to the end of the window
+	MeanLatency time.Duration    // of the successful attempts; 0: none
+	Report      rules.LoadReport // the replica's last load report; Absent values if there is none
+	ReportAge   time.Duration    // age of that report at the end of the window
 }
 
-// Batch is the content of one report message of a proxy.
+// Batch is the content of a proxy's report message.
 type Batch struct {
 	Proxy           rules.ProxyID
-	Sequence        uint32        // rises by one from batch to batch of a stream; 0: not given
+	Sequence        uint32        // increases by one per batch of a stream; 0: not given
 	SentAt          rules.Time    // by the sender's clock; 0: not given
-	Age             time.Duration // from the end of its window until it was sent, by the sender
-	Window          time.Duration // that its records cover
+	Age             time.Duration // time between the end of its window and sending, by the sender's clock
+	Window          time.Duration // time span that its records cover
 	ReceivedAt      rules.Time    // by the governor's clock
 	Records         []Record
-	UnknownReplicas int // records of unknown replicas, which are left out
+	UnknownReplicas int // number of omitted records of unknown replicas
 }
 
 var batches = sync.Pool{New: func() any { return new(Batch) }}
 
-// NewBatch returns an empty Batch from a pool, to which Free returns it.
+// NewBatch returns an empty Batch from a pool. Free returns it to the pool.
 func NewBatch() *Batch { return batches.Get().(*Batch) }
 
-// Free returns a Batch to the pool. It must not be used after that.
+// Free returns the Batch to the pool. It must not be used afterwards.
 func (b *Batch) Free() {
 	*b = Batch{Records: b.Records[:0]}
 	batches.Put(b)
--- a/intake/cause.go
+++ b/intake/cause.go
@@ -1,39 +1,36 @@
 package intake
 
-import (
-	"strings"
-)
+import "strings"
 
-// Cause is why records were kept or not. Causes are a fixed set, which no peer can extend.
+// Cause is the reason why a record was kept or discarded.
 type Cause int
 
 // The causes under which records are counted.
 const (
 	Kept           Cause = iota
-	SampledOut           // over the budget; those kept stand for them
-	Repeated             // received before
-	TooLate              // so far behind later ones that it is unknown whether it was received before
+	SampledOut           // over the budget; represented by sampled records
+	Repeated             // duplicate
+	TooLate              // so far behind later batches that duplicates cannot be detected
 	TooOld               // older than Settings.MaxAge
 	OverQuota            // over the sender's quota
-	NotJoined            // of a proxy that has left, or never joined
-	Superseded           // statistics of collectors, where records make the statistics
-	PairsEvicted         // pairs evicted for ones with more evidence
-	PairsOmitted         // pairs omitted from a period's evidence for want of room
-	InFuture             // of the future, by the sender's clock
-	Impossible           // values that no load can have
-	UnknownReplica       // of replicas that are not known
-	LostBatches          // batches that never came, by the sequence numbers of those that did
+	NotJoined            // from a proxy that is not joined
+	Superseded           // statistics of collectors, if statistics are derived from records
+	PairsEvicted         // pairs evicted, or not added, for lack of space
+	PairsOmitted         // pairs omitted from a period's evidence by its limit
+	InFuture             // timestamp in the future
+	Impossible           // value out of range
+	UnknownReplica       // for an unknown replica
+	LostBatches          // missing batches, by sequence number
 	causeCount
 )
 
 var causeNames = [causeCount]string{"kept", "sampled out", "repeated", "too late", "too old", "flooded", "not joined",
 	"superseded", "pairs full", "evidence full", "of the future", "impossible", "unknown replica", "lost batches"}
 
-// String returns a cause's name.
 func (c Cause) String() string { return causeNames[c] }
 
-// PathName returns a cause's name as one word, for a metric's path.
+// PathName returns the cause's name for a metric path, without spaces.
 func (c Cause) PathName() string { return strings.ReplaceAll(causeNames[c], " ", "_") }
 
-// Counts are records by cause.
+// Counts are numbers of records by Cause.
 type Counts [causeCount]int
--- a/intake/fleet_test.go
+++ b/intake/fleet_test.go
@@ -9,28 +9,28 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// fleet has proxies do as a governor orders and tell an intake what they met, a second at a time.
+// fleet simulates proxies that follow a governor's orders and report to an Aggregator once per second.
 type fleet struct {
 	t           *testing.T
 	gov         rules.Governor
 	in          *intake.Aggregator
 	now         rules.Time
-	mark        uint64
+	timerID     uint64
 	version     uint16
-	chance      *rand.Rand
-	weights     []float64 // of the one table
+	random      *rand.Rand
+	weights     []float64 // by replica
 	ejected     []map[rules.ReplicaID]bool
 	seq         uint32
 	joinedAt    uint32
 	list        []rules.Entry
-	dropShare   func(proxy, replica int) float64 // share of tries dropped
-	everEjected map[int]bool                     // proxies that have shut out replica 11 in this life
+	dropShare   func(proxy, replica int) float64 // share of attempts dropped
+	everEjected map[int]bool                     // proxies that have ejected replica 11 since the last start
 }
 
 const second = rules.Time(time.Second)
 
 func newFleet(t *testing.T, proxies, replicas int) *fleet {
-	f := &fleet{t: t, now: 1000 * second, chance: rand.New(rand.NewPCG(3, 4)), weights: make([]float64, replicas),
+	f := &fleet{t: t, now: 1000 * second, random: rand.New(rand.NewPCG(3, 4)), weights: make([]float64, replicas),
 		ejected: make([]map[rules.ReplicaID]bool, proxies), dropShare: func(int, int) float64 { return 0 }}
 	for r := range replicas {
 		f.list = append(f.list, rules.Entry{Replica: rules.ReplicaID(r), State: rules.Ready, Listed: 1})
@@ -42,16 +42,16 @@
 	return f
 }
 
-// start begins a life of the governor, to which all proxies come.
+// start restarts the governor; all proxies rejoin.
 func (f *fleet) start() {
 	f.gov, f.joinedAt = rules.Governor{}, f.seq
 	clear(f.weights)
 	f.everEjected = map[int]bool{}
 	f.in = intake.New(intake.Settings{Seed: 5, Period: time.Second, Budget: 20_000, HalfLife: 2 * time.Second, MaxAge: 10 * time.Second,
 		MaxPairs: 2000, Zones: 1, StatsFromRecords: true})
-	pace := 200 * float64(len(f.ejected))
+	entryRate := 200 * float64(len(f.ejected))
 	f.step(rules.Start{Seed: 7, Settings: rules.Settings{Groups: []rules.TrafficGroup{{Name: "look", LatencyBudget: time.Second}},
-		Governors: 1, Proxies: len(f.ejected), Zones: 1, Period: time.Second, EntryRate: pace, EntryCapacity: 2 * pace, MessageEntries: 6, MessageLimit: 20,
+		Governors: 1, Proxies: len(f.ejected), Zones: 1, Period: time.Second, EntryRate: entryRate, EntryCapacity: 2 * entryRate, MessageEntries: 6, MessageLimit: 20,
 		MessageSpan: 10 * time.Second, MaxMessageDelay: 400 * time.Millisecond, DrainGrace: 3 * time.Second, WarmupTime: 18 * time.Second, ColdCapacity: 0.2}},
 		rules.List{Scope: rules.Full, Entries: f.list})
 	var joins []rules.Event
@@ -67,7 +67,7 @@
 	for _, o := range f.gov.Step(f.now, events) {
 		switch o := o.(type) {
 		case rules.WakeAfter:
-			f.mark = o.TimerID
+			f.timerID = o.TimerID
 		case rules.AckRequest:
 			f.version = o.Version
 		case rules.EndpointWeight:
@@ -81,11 +81,11 @@
 	}
 }
 
-// second lets every proxy try four flows and tell of them.
+// second simulates four attempts of every proxy and the report of them.
 func (f *fleet) second() {
 	f.seq++
 	for p := range f.ejected {
-		tries, dropped := make([]int, len(f.weights)), make([]int, len(f.weights))
+		attempts, dropped := make([]int, len(f.weights)), make([]int, len(f.weights))
 		total := 0.0
 		for r, w := range f.weights {
 			if !f.ejected[p][rules.ReplicaID(r)] {
@@ -93,14 +93,14 @@
 			}
 		}
 		for range 4 {
-			at := f.chance.Float64() * total
+			at := f.random.Float64() * total
 			for r, w := range f.weights {
 				if f.ejected[p][rules.ReplicaID(r)] {
 					continue
 				}
 				if at -= w; at <= 0 {
-					tries[r]++
-					if f.chance.Float64() < f.dropShare(p, r) {
+					attempts[r]++
+					if f.random.Float64() < f.dropShare(p, r) {
 						dropped[r]++
 					}
 					break
@@ -109,7 +109,7 @@
 		}
 		b := intake.NewBatch()
 		b.Proxy, b.Sequence, b.Window, b.ReceivedAt = rules.ProxyID(p), f.seq-f.joinedAt, time.Second, f.now
-		for r, n := range tries {
+		for r, n := range attempts {
 			if n > 0 {
 				b.Records = append(b.Records, intake.Record{Replica: rules.ReplicaID(r), Attempts: n, Dropped: dropped[r], MeanLatency: 50 * time.Millisecond,
 					Report: rules.LoadReport{Utilization: 0.5}})
@@ -127,25 +127,25 @@
 		if q == 0 {
 			events = append(events, f.in.Flush(f.now)...)
 		}
-		f.step(append(events, rules.Wake{TimerID: f.mark})...)
+		f.step(append(events, rules.Wake{TimerID: f.timerID})...)
 	}
 }
 
-// ejectedBy counts the proxies that shut a replica out.
+// ejectedBy counts the proxies at which a replica is ejected.
 func (f *fleet) ejectedBy(r rules.ReplicaID) (n int) {
-	for _, shut := range f.ejected {
-		if shut[r] {
+	for _, ejected := range f.ejected {
+		if ejected[r] {
 			n++
 		}
 	}
 	return n
 }
 
-// unexpectedEjections counts the pairs shut out that the test does not name.
-func (f *fleet) unexpectedEjections(right func(p int, r rules.ReplicaID) bool) (n int) {
-	for p, shut := range f.ejected {
-		for r, out := range shut {
-			if out && !right(p, r) {
+// unexpectedEjections counts the ejected pairs for which expected is false.
+func (f *fleet) unexpectedEjections(expected func(p int, r rules.ReplicaID) bool) (n int) {
+	for p, replicas := range f.ejected {
+		for r, ejected := range replicas {
+			if ejected && !expected(p, r) {
 				n++
 			}
 		}
@@ -153,16 +153,16 @@
 	return n
 }
 
-// TestReplicaFailingForFewProxies has a replica swallow the flows of 1% of 2,000 proxies, while another drops 1% of everybody's: the
-// first is found within 10 s and shut out by those alone, and the second by next to nobody. Killed and started again
-// in the middle of it, the governor finds it anew, and a drain that is told with its start goes out at once.
+// TestReplicaFailingForFewProxies has one replica drop all attempts of 1% of 2,000 proxies and another 1% of all attempts: the
+// first must be ejected at those proxies within 10 s, the second at hardly any. The same must hold after a restart of the
+// governor, with which a replica begins to drain.
 func TestReplicaFailingForFewProxies(t *testing.T) {
 	f := newFleet(t, 2000, 30)
 	for range 4 {
 		f.second()
 	}
 	if n := f.unexpectedEjections(func(int, rules.ReplicaID) bool { return false }); n > 0 {
-		t.Fatalf("%d pairs are shut out while nothing fails", n)
+		t.Fatalf("%d pairs are ejected while nothing fails", n)
 	}
 	f.dropShare = func(p, r int) float64 {
 		switch {
@@ -174,12 +174,12 @@
 		return 0
 	}
 	few := func(p int, r rules.ReplicaID) bool { return r == 11 && p%100 == 7 }
-	for life := range 2 {
-		if life > 0 {
+	for run := range 2 {
+		if run > 0 {
 			f.list[3].State = rules.Draining
 			f.start()
 			if f.weights[3] > 0 {
-				t.Error("started again, it gives a weight to a replica that drains")
+				t.Error("a draining replica has a weight after the restart")
 			}
 		}
 		found := 0
@@ -189,23 +189,22 @@
 			}
 		}
 		if found == 0 || found > 10 {
-			t.Errorf("life %d: found after %d s", life, found)
+			t.Errorf("run %d: first ejection after %d s", run, found)
 		}
 		if n := len(f.everEjected); n < 15 {
-			t.Errorf("life %d: %d of 20 proxies have shut it out within 25 s", life, n)
+			t.Errorf("run %d: replica 11 was ejected at %d of 20 proxies within 25 s", run, n)
 		}
 		if n := f.unexpectedEjections(few); n > 2 {
-			t.Errorf("life %d: %d other pairs are shut out", life, n)
+			t.Errorf("run %d: %d other pairs are ejected", run, n)
 		}
 		if f.weights[11] < f.weights[12]/2 {
-			t.Errorf("life %d: replica 11 is cut for all: %.2f beside %.2f", life, f.weights[11], f.weights[12])
+			t.Errorf("run %d: the weight of replica 11 is reduced for all proxies: %.2f, replica 12 has %.2f", run, f.weights[11], f.weights[12])
 		}
 	}
 }
 
-// TestReplicaFailingForAllProxies has a replica swallow the flows of all proxies: it is down to a quarter within 5 s, by the sums
-// that single reports make, and no proxy shuts anything out on its own account, though in the first second only a
-// tenth of them have met it.
+// TestReplicaFailingForAllProxies has a replica drop all attempts of all proxies, in the first second only of a tenth of them: its
+// weight must fall to a quarter within 5 s, without ejections at single proxies.
 func TestReplicaFailingForAllProxies(t *testing.T) {
 	f := newFleet(t, 500, 20)
 	for range 4 {
@@ -216,19 +215,18 @@
 	f.dropShare = func(_, r int) float64 { return map[int]float64{5: 1}[r] }
 	for s := 1; f.weights[5] > 5.0/4; s++ {
 		if f.second(); s > 5 {
-			t.Fatalf("after 5 s its weight is %.2f", f.weights[5])
+			t.Fatalf("after 5 s the weight is %.2f", f.weights[5])
 		}
 	}
 	for range 5 {
 		f.second()
 	}
 	if n := f.unexpectedEjections(func(int, rules.ReplicaID) bool { return false }); n > 0 {
-		t.Errorf("%d proxies shut out what fails for all, or others", n)
+		t.Errorf("%d pairs are ejected", n)
 	}
 }
 
-// TestFaultyPathOfProxy has one proxy drop three quarters of its tries, wherever they go: that is its own path, and no
-// replica is shut out.
+// TestFaultyPathOfProxy has one proxy drop three quarters of its attempts at all replicas: no replica may be ejected there.
 func TestFaultyPathOfProxy(t *testing.T) {
 	f := newFleet(t, 200, 20)
 	f.dropShare = func(p, _ int) float64 { return map[int]float64{9: 0.75}[p] }
@@ -236,6 +234,6 @@
 		f.second()
 	}
 	if n := f.unexpectedEjections(func(int, rules.ReplicaID) bool { return false }); n > 1 {
-		t.Errorf("%d pairs are shut out", n)
+		t.Errorf("%d pairs are ejected", n)
 	}
 }
--- a/intake/machineload.go
+++ b/intake/machineload.go
@@ -7,26 +7,26 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// LoadMetric is one of the values of a load report.
+// LoadMetric is a value of a load report.
 type LoadMetric int
 
 // The metrics.
 const (
-	Utilization LoadMetric = iota // share of a replica's cores that is busy, 0 to 1
+	Utilization LoadMetric = iota // busy share of the replica's cores, 0 to 1
 	InFlight                      // flows in flight
-	LatencyMS                     // milliseconds that it takes for a flow, without waiting
+	LatencyMS                     // milliseconds for a flow, without queueing
 	metricCount
 )
 
-// Kind is how a machine's value is to be interpreted.
+// Kind is the type of a machine's value.
 type Kind int
 
 // The kinds, as collectd's network protocol numbers them.
 const (
-	Counter  Kind = iota // a count that only grows, and wraps at 32 or 64 bits
-	Gauge                // the value itself
-	Derive               // a count that may fall; a fall means that it was reset
-	Absolute             // a count since the last reading
+	Counter  Kind = iota // increasing count that wraps at 32 or 64 bits
+	Gauge                // current value
+	Derive               // count whose decrease means a reset
+	Absolute             // count since the last reading
 )
 
 // MachineLoad is a machine's reading of one metric of a replica.
@@ -34,76 +34,75 @@
 	Replica    rules.ReplicaID
 	Metric     LoadMetric
 	Kind       Kind
-	Value      float64       // of a Gauge
-	Count      uint64        // of the others
-	Interval   time.Duration // of an Absolute: what it was counted over
-	Scale      float64       // the metric is Scale x the value, or x its growth a second, + Offset
+	Value      float64       // Gauge only
+	Count      uint64        // other kinds
+	Interval   time.Duration // Absolute only: time span of the count
+	Scale      float64       // metric = Scale * (value, or growth per second) + Offset
 	Offset     float64
 	MeasuredAt rules.Time // by the machine's clock
 }
 
-// Bounds on what a metric can be. Beyond them it is no load but a fault of the sender or of the mapping.
+// Limits of plausible values. Values beyond them indicate a faulty sender or a wrong mapping.
 const (
-	maxUtilization  = 1.5 // cores that run ahead of their nominal speed may show a little over 1
+	maxUtilization  = 1.5 // cores above their nominal clock rate may report more than 1
 	maxInFlight     = 1e6
 	maxLatencyMS    = 1e6 // milliseconds
-	maxAheadPeriods = 1   // periods that a machine's clock may be ahead of the governor's
-	excuseDropShare = 0.1 // share of dropped attempts from which the lower of two utilizations counts
+	maxAheadPeriods = 1   // largest lead of a machine's clock, in periods
+	excuseDropShare = 0.1 // lowest share of dropped attempts at which the lower of two utilizations applies
 )
 
 var maxOfMetric = [metricCount]float64{maxUtilization, maxInFlight, maxLatencyMS}
 
-// machineValue is a machine's last reading of a metric.
+// machineValue is the last reading of a metric.
 type machineValue struct {
 	measuredAt rules.Time // 0: none
 	value      float64
-	valid      bool   // value is valid; a count has none before the second reading
-	count      uint64 // of kinds that count
+	valid      bool   // false for a count before its second reading
+	count      uint64 // Counter, Derive and Absolute only
 }
 
-// AddLoad takes in a machine's reading and returns the cause under which it is counted: Kept, or why it is rejected. Clocks
-// must agree with the governor's: a reading more than a period in the future, or older than MaxAge, is rejected, and so is
-// one that is not newer than the last, such as a repeat.
-func (in *Aggregator) AddLoad(now rules.Time, l MachineLoad) Cause {
-	fate := in.storeLoad(now, l)
-	in.counts[fate]++
-	return fate
+// AddLoad adds a machine's reading and returns Kept or the cause of its rejection. It rejects readings that are implausible,
+// more than a period in the future, older than MaxAge, or not newer than the last one.
+func (a *Aggregator) AddLoad(now rules.Time, l MachineLoad) Cause {
+	cause := a.storeLoad(now, l)
+	a.counts[cause]++
+	return cause
 }
 
-func (in *Aggregator) storeLoad(now rules.Time, l MachineLoad) Cause {
+func (a *Aggregator) storeLoad(now rules.Time, l MachineLoad) Cause {
 	if l.Metric < 0 || l.Metric >= metricCount {
 		return Impossible
 	}
-	words := in.machineLoads[l.Replica]
-	if words == nil {
-		words = new([metricCount]machineValue)
-		in.machineLoads[l.Replica] = words
+	readings := a.machineLoads[l.Replica]
+	if readings == nil {
+		readings = new([metricCount]machineValue)
+		a.machineLoads[l.Replica] = readings
 	}
-	w := &words[l.Metric]
+	last := &readings[l.Metric]
 	switch {
-	case l.MeasuredAt > now+rules.Time(maxAheadPeriods*in.settings.Period):
+	case l.MeasuredAt > now+rules.Time(maxAheadPeriods*a.settings.Period):
 		return InFuture
-	case time.Duration(now-l.MeasuredAt) > in.settings.MaxAge:
+	case time.Duration(now-l.MeasuredAt) > a.settings.MaxAge:
 		return TooOld
-	case l.MeasuredAt <= w.measuredAt:
+	case l.MeasuredAt <= last.measuredAt:
 		return Repeated
 	}
-	v, good := l.Value, true
+	v, valid := l.Value, true
 	if l.Kind != Gauge {
-		v, good = l.growthRate(*w)
+		v, valid = l.growthRate(*last)
 	}
 	v = l.Scale*v + l.Offset
-	if good && !(v >= 0 && v <= maxOfMetric[l.Metric]) { // NaN too
+	if valid && !(v >= 0 && v <= maxOfMetric[l.Metric]) { // also rejects NaN
 		return Impossible
 	}
 	if l.Metric == Utilization {
 		v = min(v, 1)
 	}
-	*w = machineValue{measuredAt: l.MeasuredAt, value: v, valid: good, count: l.Count}
+	*last = machineValue{measuredAt: l.MeasuredAt, value: v, valid: valid, count: l.Count}
 	return Kept
 }
 
-// growthRate is the growth of a count a second since the last reading, and whether there is one.
+// growthRate returns the growth of a count per second since the last reading, and whether it is known.
 func (l *MachineLoad) growthRate(last machineValue) (float64, bool) {
 	if l.Kind == Absolute {
 		return float64(l.Count) / l.Interval.Seconds(), l.Interval > 0
@@ -111,55 +110,54 @@
 	if last.measuredAt == 0 {
 		return 0, false
 	}
-	grown := float64(l.Count - last.count) // modulo 2^64
+	growth := float64(l.Count - last.count) // modulo 2^64
 	if l.Count < last.count {
 		if l.Kind == Derive {
 			return 0, false
 		}
 		if last.count <= math.MaxUint32 {
-			grown = float64(uint32(l.Count) - uint32(last.count))
+			growth = float64(uint32(l.Count) - uint32(last.count))
 		}
 	}
-	return grown / time.Duration(l.MeasuredAt-last.measuredAt).Seconds(), true
+	return growth / time.Duration(l.MeasuredAt-last.measuredAt).Seconds(), true
 }
 
-// applyMachineLoad puts machines' readings into a replica's report where they are fresher. age is that of the report.
+// applyMachineLoad replaces values of a replica's load report by machine readings that are newer than age, the report's age.
 //
-// A machine's utilization may raise a replica's at once, but lower it only in proportion to its age weight, as with reports
-// of proxies. Where attempts are dropped, the lower of both counts: a high load excuses drops, and a machine that is busy
-// with something else must not keep a failing replica in the tables. Nor can it bring one back, as only successful
-// responses do that; and a replica without statistics has no report to put a reading into.
-func (in *Aggregator) applyMachineLoad(now rules.Time, s *rules.EndpointStats, age time.Duration) {
-	words := in.machineLoads[s.Replica]
-	if words == nil {
+// A higher utilization applies at once, a lower one only in proportion to its age weight, as with reports of proxies. If
+// attempts are dropped, the lower of both utilizations applies: package rules excuses drops at a high load, and other work on
+// the machine must not excuse a failing replica.
+func (a *Aggregator) applyMachineLoad(now rules.Time, s *rules.EndpointStats, age time.Duration) {
+	readings := a.machineLoads[s.Replica]
+	if readings == nil {
 		return
 	}
-	fresher := func(f LoadMetric, told float64) (machineValue, bool) {
-		w := words[f]
-		own := time.Duration(now - w.measuredAt)
-		return w, w.valid && own <= in.settings.MaxAge && (told < 0 || own < age)
+	newer := func(metric LoadMetric, reported float64) (machineValue, bool) {
+		v := readings[metric]
+		readingAge := time.Duration(now - v.measuredAt)
+		return v, v.valid && readingAge <= a.settings.MaxAge && (reported < 0 || readingAge < age)
 	}
-	if w, is := fresher(InFlight, s.Report.InFlight); is {
-		s.Report.InFlight = w.value
+	if v, ok := newer(InFlight, s.Report.InFlight); ok {
+		s.Report.InFlight = v.value
 	}
-	if w, is := fresher(LatencyMS, s.Report.ServiceTime); is {
-		s.Report.ServiceTime = w.value
+	if v, ok := newer(LatencyMS, s.Report.ServiceTime); ok {
+		s.Report.ServiceTime = v.value
 	}
-	if w, is := fresher(Utilization, s.Report.Utilization); is {
-		before, told := in.lastUtilization[s.Replica]
-		if !told {
-			before = 1
+	if v, ok := newer(Utilization, s.Report.Utilization); ok {
+		previous, known := a.lastUtilization[s.Replica]
+		if !known {
+			previous = 1
 		}
-		util := w.value
-		if util < before {
-			util = before + in.ageWeight(time.Duration(now-w.measuredAt))*(util-before)
+		utilization := v.value
+		if utilization < previous {
+			utilization = previous + a.ageWeight(time.Duration(now-v.measuredAt))*(utilization-previous)
 		}
 		if s.Report.Utilization >= 0 && float64(s.Dropped) >= excuseDropShare*float64(s.Attempts) {
-			util = min(util, s.Report.Utilization)
+			utilization = min(utilization, s.Report.Utilization)
 		}
-		s.Report.Utilization = util
+		s.Report.Utilization = utilization
 	}
 	if s.Report.Utilization >= 0 {
-		in.lastUtilization[s.Replica] = s.Report.Utilization
+		a.lastUtilization[s.Replica] = s.Report.Utilization
 	}
 }
--- a/intake/machineload_test.go
+++ b/intake/machineload_test.go
@@ -10,17 +10,17 @@
 	"zincloft.example/zincloft/rules"
 )
 
-func gauge(r int, f LoadMetric, v float64, at rules.Time) MachineLoad {
-	return MachineLoad{Replica: rules.ReplicaID(r), Metric: f, Kind: Gauge, Value: v, Scale: 1, MeasuredAt: at}
+func gauge(r int, metric LoadMetric, v float64, at rules.Time) MachineLoad {
+	return MachineLoad{Replica: rules.ReplicaID(r), Metric: metric, Kind: Gauge, Value: v, Scale: 1, MeasuredAt: at}
 }
 
-func stats(util float64, tries, dropped int) rules.EndpointStats {
-	s := rules.EndpointStats{Replica: 1, Attempts: tries, Dropped: dropped, Window: time.Second, Report: unreported}
-	s.Report.Utilization = util
+func stats(utilization float64, attempts, dropped int) rules.EndpointStats {
+	s := rules.EndpointStats{Replica: 1, Attempts: attempts, Dropped: dropped, Window: time.Second, Report: unreported}
+	s.Report.Utilization = utilization
 	return s
 }
 
-// TestMachineLoadCauses has words of machines that count and others that don't.
+// TestMachineLoadCauses checks which readings are accepted, and the cause of each rejection.
 func TestMachineLoadCauses(t *testing.T) {
 	in := New(settings())
 	now := 1000 * second
@@ -45,71 +45,71 @@
 	}
 }
 
-// TestMachineLoadCounters reads counters over a wrap at 32 and at 64 bits, a derive that begins anew, and absolutes.
+// TestMachineLoadCounters checks the rates of counters that wrap at 32 and 64 bits, derives that are reset, and absolutes.
 func TestMachineLoadCounters(t *testing.T) {
 	for _, c := range []struct {
-		what   string
+		name   string
 		kind   Kind
 		counts []uint64
-		want   float64 // of the last, a second; below 0: none
+		want   float64 // rate per second; below 0: none
 	}{
-		{"a counter", Counter, []uint64{100, 300}, 20}, {"its first word", Counter, []uint64{100}, -1},
-		{"a wrap at 32 bits", Counter, []uint64{math.MaxUint32 - 49, 50}, 10}, {"a wrap at 64 bits", Counter, []uint64{math.MaxUint64 - 49, 50}, 10},
-		{"a derive", Derive, []uint64{100, 300}, 20}, {"a derive that begins anew", Derive, []uint64{300, 100}, -1},
-		{"and goes on", Derive, []uint64{300, 100, 200}, 10}, {"an absolute", Absolute, []uint64{50}, 5},
+		{"counter", Counter, []uint64{100, 300}, 20}, {"first reading of a counter", Counter, []uint64{100}, -1},
+		{"wrap at 32 bits", Counter, []uint64{math.MaxUint32 - 49, 50}, 10}, {"wrap at 64 bits", Counter, []uint64{math.MaxUint64 - 49, 50}, 10},
+		{"derive", Derive, []uint64{100, 300}, 20}, {"reset of a derive", Derive, []uint64{300, 100}, -1},
+		{"derive after a reset", Derive, []uint64{300, 100, 200}, 10}, {"absolute", Absolute, []uint64{50}, 5},
 	} {
 		in := New(settings())
 		now := 1000 * second
 		for i, n := range c.counts {
 			now = rules.Time(1000+10*i) * second
-			if fate := in.AddLoad(now, MachineLoad{Replica: 1, Metric: InFlight, Kind: c.kind, Count: n, Interval: 10 * time.Second, Scale: 1, MeasuredAt: now}); fate != Kept {
-				t.Errorf("%s: %v", c.what, fate)
+			if cause := in.AddLoad(now, MachineLoad{Replica: 1, Metric: InFlight, Kind: c.kind, Count: n, Interval: 10 * time.Second, Scale: 1, MeasuredAt: now}); cause != Kept {
+				t.Errorf("%s: %v", c.name, cause)
 			}
 		}
 		s, _ := in.AdjustStats(now, now, stats(0.5, 10, 0))
 		if got := s.Report.InFlight; got != c.want && (c.want >= 0 || got != rules.Absent) {
-			t.Errorf("%s: %v, want %v", c.what, got, c.want)
+			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// TestMachineAndProxyReports has proxies and a machine speak of one replica: the fresher counts, an idle word only by its age, and
-// where tries are dropped the lower one.
+// TestMachineAndProxyReports checks which utilization applies if both proxies and a machine report a replica: the newer one, a
+// lower one only by its age weight, and the lower one if attempts are dropped.
 func TestMachineAndProxyReports(t *testing.T) {
 	now := 1000 * second
 	for _, c := range []struct {
-		what        string
+		name        string
 		machine     float64
 		age         time.Duration
 		proxies     float64
 		dropped     int
 		least, most float64
 	}{
-		{"a busier word that is fresher", 0.9, 0, 0.5, 0, 0.9, 0.9},
-		{"an older word", 0.9, 2 * time.Second, 0.5, 0, 0.5, 0.5},
-		{"an idle word, fresh", 0.1, 0, 0.5, 0, 0.1, 0.1},
-		{"nothing else is told", 0.9, 3 * time.Second, rules.Absent, 0, 0.9, 1},
-		{"an idle old word, and nothing else", 0, 9 * time.Second, rules.Absent, 0, 0.9, 1},
-		{"tries are dropped and the machine is busy", 0.95, 0, 0.1, 5, 0.1, 0.1},
-		{"tries are dropped and the machine is idle", 0.1, 0, 0.9, 5, 0.1, 0.1},
+		{"higher and newer", 0.9, 0, 0.5, 0, 0.9, 0.9},
+		{"older", 0.9, 2 * time.Second, 0.5, 0, 0.5, 0.5},
+		{"lower and fresh", 0.1, 0, 0.5, 0, 0.1, 0.1},
+		{"machine only", 0.9, 3 * time.Second, rules.Absent, 0, 0.9, 1},
+		{"machine only, low and old", 0, 9 * time.Second, rules.Absent, 0, 0.9, 1},
+		{"attempts are dropped and the machine is busy", 0.95, 0, 0.1, 5, 0.1, 0.1},
+		{"attempts are dropped and the machine is idle", 0.1, 0, 0.9, 5, 0.1, 0.1},
 	} {
 		in := New(settings())
-		if c.proxies >= 0 { // what was believed before
+		if c.proxies >= 0 { // sets the previous utilization
 			in.AddLoad(now-12*second, gauge(1, Utilization, 0.5, now-12*second))
 			in.AdjustStats(now-9*second, now-9*second, stats(c.proxies, 10, 0))
 		}
-		if fate := in.AddLoad(now, gauge(1, Utilization, c.machine, now-rules.Time(c.age))); fate != Kept {
-			t.Fatal(c.what, fate)
+		if cause := in.AddLoad(now, gauge(1, Utilization, c.machine, now-rules.Time(c.age))); cause != Kept {
+			t.Fatal(c.name, cause)
 		}
 		s, _ := in.AdjustStats(now, now, stats(c.proxies, 10, c.dropped))
 		if got := s.Report.Utilization; got < c.least-1e-9 || got > c.most+1e-9 {
-			t.Errorf("%s: %v, want %v to %v", c.what, got, c.least, c.most)
+			t.Errorf("%s: %v, want %v to %v", c.name, got, c.least, c.most)
 		}
 	}
 }
 
-// TestMachinesAnyOrder hands over a machine's words in any order and some twice: what stands is the newest, and no word
-// makes a replica idler than the newest says or what was believed before it.
+// TestMachinesAnyOrder adds a machine's readings in any order, with duplicates: the newest applies, and the utilization is never
+// lower than in the newest reading.
 func TestMachinesAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := New(settings())
@@ -117,8 +117,8 @@
 		for range rapid.IntRange(1, 30).Draw(t, "words") {
 			at := 1000*second + rules.Time(rapid.IntRange(-5, 0).Draw(t, "at"))*second
 			util := rapid.Float64Range(0, 1).Draw(t, "util")
-			if fate := in.AddLoad(1000*second, gauge(1, Utilization, util, at)); (fate == Kept) != (at > newest) {
-				t.Fatalf("told of %v after %v: %v", at, newest, fate)
+			if cause := in.AddLoad(1000*second, gauge(1, Utilization, util, at)); (cause == Kept) != (at > newest) {
+				t.Fatalf("reading of %v after %v: %v", at, newest, cause)
 			}
 			if at > newest {
 				newest, value = at, util
@@ -126,24 +126,24 @@
 		}
 		s, _ := in.AdjustStats(1000*second, 1000*second, stats(rules.Absent, 10, 0))
 		if s.Report.Utilization < value-1e-9 || s.Report.Utilization > 1 {
-			t.Fatalf("the newest word is %v, and %v is told", value, s.Report.Utilization)
+			t.Fatalf("the newest reading is %v, the reported utilization %v", value, s.Report.Utilization)
 		}
 	})
 }
 
-// TestHungWithIdleMachine plays a fleet of which one replica hangs while its machine still reports idle: it is marked
-// down in the very second in which it is without such reports, and stays so; nothing else is marked down.
+// TestHungWithIdleMachine has a replica hang while its machine reports low load: the reports must not delay its ejection or
+// readmit it, and no other replica may be ejected.
 func TestHungWithIdleMachine(t *testing.T) {
-	down := func(machines bool) (at int, weights []float64) {
+	ejectedAfter := func(machines bool) (at int, weights []float64) {
 		in := New(settings())
 		var gov rules.Governor
-		now, mark := 1000*second, uint64(0)
+		now, timerID := 1000*second, uint64(0)
 		weights = make([]float64, 6)
 		step := func(events ...rules.Event) {
 			for _, o := range gov.Step(now, events) {
 				switch o := o.(type) {
 				case rules.WakeAfter:
-					mark = o.TimerID
+					timerID = o.TimerID
 				case rules.EndpointWeight:
 					weights[o.Replica] = o.Weight
 				}
@@ -170,30 +170,30 @@
 			var events []rules.Event
 			for r, w := range weights {
 				if hung := r == 2 && q >= 20; q%4 == 0 && !hung {
-					if s, counts := in.AdjustStats(now, now, rules.EndpointStats{Replica: rules.ReplicaID(r), Attempts: int(w) * 3, Window: time.Second, MeanLatency: 50 * time.Millisecond,
-						Report: rules.LoadReport{Utilization: 0.5}}); counts {
+					if s, ok := in.AdjustStats(now, now, rules.EndpointStats{Replica: rules.ReplicaID(r), Attempts: int(w) * 3, Window: time.Second, MeanLatency: 50 * time.Millisecond,
+						Report: rules.LoadReport{Utilization: 0.5}}); ok {
 						events = append(events, s)
 					}
 				}
 			}
-			step(append(events, rules.Wake{TimerID: mark}, rules.Applied{Proxy: 1})...)
+			step(append(events, rules.Wake{TimerID: timerID}, rules.Applied{Proxy: 1})...)
 			if at == 0 && q >= 20 && weights[2] < 100.0/6/4 {
 				at = q - 20
 			}
 			if at > 0 && weights[2] > 100.0/6/4 {
-				t.Fatalf("quarter %d: the hung replica is back at %.1f", q, weights[2])
+				t.Fatalf("quarter %d: the hung replica has weight %.1f again", q, weights[2])
 			}
 		}
 		return at, weights
 	}
-	without, _ := down(false)
-	with, weights := down(true)
+	without, _ := ejectedAfter(false)
+	with, weights := ejectedAfter(true)
 	if without == 0 || with > without || with == 0 {
-		t.Errorf("down after %d quarters of a second without and %d with reports of machines", without, with)
+		t.Errorf("ejected after %d quarters of a second without and %d with machine readings", without, with)
 	}
 	for r, w := range weights {
 		if r != 2 && w < 100.0/6/2 {
-			t.Errorf("replica %d is at %.1f", r, w)
+			t.Errorf("replica %d has weight %.1f", r, w)
 		}
 	}
 }
--- a/intake/pairheap.go
+++ b/intake/pairheap.go
@@ -1,13 +1,11 @@
 package intake
 
-import (
-	"cmp"
-)
+import "cmp"
 
-// pairHeap has the pair with the fewest drops first, and of two alike the lower numbers.
+// pairHeap is a heap of pairs with the fewest drops first; ties are ordered by ID.
 type pairHeap []*pair
 
-// Len, Less and Swap are sort.Interface's, Push and Pop heap.Interface's.
+// Len, Less, Swap, Push and Pop implement heap.Interface.
 func (h pairHeap) Len() int { return len(h) }
 
 func (h pairHeap) Less(i, j int) bool {
--- a/intake/pairs.go
+++ b/intake/pairs.go
@@ -11,30 +11,29 @@
 )
 
 const (
-	pairHalfLifePeriods   = 8    // half-life of a pair's counts, in periods
-	evidenceBudgetPart    = 64   // pairs reported in a period are at most this part of the budget
-	rescaleAfterHalfLives = 32   // half-lives after which all counts are rescaled
-	minRememberedDrops    = 0.05 // a pair with fewer drops, decayed, is dropped
-	generalFailureShare   = 0.5  // no new pair is kept of a replica that drops this share of all its attempts
+	pairHalfLifePeriods   = 8    // half-life of counts, in periods
+	evidenceBudgetPart    = 64   // at most 1/64 of the budget is reported as pairs per period
+	rescaleAfterHalfLives = 32   // half-lives after which counts are rescaled
+	minRememberedDrops    = 0.05 // pairs with fewer decayed drops are deleted
+	generalFailureShare   = 0.5  // share of all attempts dropped above which a replica gets no new pairs
 )
 
-// pairTable keeps the pairs of a proxy and a replica at which attempts were dropped, and the counts of each proxy and
-// each replica that a pair's own are compared with. Counts decay by half in a half-life. They are kept scaled by the
-// time since a landmark (forward decay; Cormode, Shkapenyuk, Srivastava and Xu, 2009), so that decay never changes
-// the order of two pairs and costs nothing until a count is read. When the table is full, the pair with the fewest
-// drops goes first: a pair that fails again and again outlives any number that failed once.
+// pairTable keeps pairs of a proxy and a replica with dropped attempts, and the total counts of each proxy and each replica
+// for comparison. Counts decay exponentially. They are stored with forward decay, scaled by the time since a landmark
+// (Cormode, Shkapenyuk, Srivastava and Xu, 2009), so that decay neither changes the order of pairs nor requires updates.
+// A full table evicts the pair with the fewest drops, so pairs that fail repeatedly outlast those that failed once.
 type pairTable struct {
-	capacity       int
-	halfLife       time.Duration
-	landmark       rules.Time
-	now            rules.Time
-	scale          float64 // of what is added now
-	pairs          map[pairKey]*pair
-	byDrops        pairHeap
-	byReplica      map[rules.ReplicaID]tally
-	byProxy        map[rules.ProxyID]tally
-	retries        map[rules.ReplicaID]count // later attempts at pairs that had dropped one
-	fresh, pending []*pair                   // with drops in this period; in the one before, to be reported now
+	capacity         int
+	halfLife         time.Duration
+	landmark         rules.Time
+	now              rules.Time
+	scale            float64 // of counts added now
+	pairs            map[pairKey]*pair
+	byDrops          pairHeap
+	byReplica        map[rules.ReplicaID]tally
+	byProxy          map[rules.ProxyID]tally
+	retries          map[rules.ReplicaID]count // attempts at pairs after their first drop
+	current, pending []*pair                   // pairs with drops in this period; in the previous one, not yet reported
 }
 
 type pairKey struct {
@@ -45,8 +44,8 @@
 type pair struct {
 	pairKey
 	count
-	heapIndex int  // place in the heap
-	listed    bool // in one of the two lists
+	heapIndex int  // index in byDrops
+	queued    bool // in current or pending
 }
 
 func newPairTable(capacity int, halfLife time.Duration) pairTable {
@@ -54,25 +53,25 @@
 		byProxy: map[rules.ProxyID]tally{}, retries: map[rules.ReplicaID]count{}}
 }
 
-// advance moves to a later time.
+// advance sets the current time and deletes decayed pairs.
 func (t *pairTable) advance(now rules.Time) {
 	if t.landmark == 0 {
 		t.landmark = now
 	}
 	t.now = max(now, t.now)
-	halves := float64(t.now-t.landmark) / float64(t.halfLife)
-	if halves > rescaleAfterHalfLives {
-		t.rescale(math.Exp2(-halves))
-		t.landmark, halves = t.now, 0
+	halfLives := float64(t.now-t.landmark) / float64(t.halfLife)
+	if halfLives > rescaleAfterHalfLives {
+		t.rescale(math.Exp2(-halfLives))
+		t.landmark, halfLives = t.now, 0
 	}
-	t.scale = math.Exp2(halves)
+	t.scale = math.Exp2(halfLives)
 	for len(t.byDrops) > 0 && t.byDrops[0].dropped < minRememberedDrops*t.scale {
 		t.remove(t.byDrops[0])
 	}
 }
 
 func (t *pairTable) rescale(by float64) {
-	for _, p := range t.pairs { // the heap's order stays
+	for _, p := range t.pairs { // preserves the heap order
 		p.attempts, p.dropped = p.attempts*by, p.dropped*by
 	}
 	scaleAndPrune(t.byReplica, func(y tally) tally { return tally{y.scaled(by), y.latest.scaled(by), y.at} })
@@ -80,15 +79,14 @@
 	scaleAndPrune(t.retries, func(c count) count { return c.scaled(by) })
 }
 
-// addReplica adds to a replica's counts.
-func (t *pairTable) addReplica(r rules.ReplicaID, tries, dropped float64) {
-	t.byReplica[r] = t.plusNow(t.byReplica[r], count{tries, dropped})
+func (t *pairTable) addReplica(r rules.ReplicaID, attempts, dropped float64) {
+	t.byReplica[r] = t.addCurrent(t.byReplica[r], count{attempts, dropped})
 }
 
-// addProxy adds to a proxy's counts. A drop at a replica counts by the share of attempts that the replica does not drop: the
-// drops of one that fails in general say nothing of the proxy.
-func (t *pairTable) addProxy(p rules.ProxyID, r rules.ReplicaID, tries, dropped float64) {
-	t.byProxy[p] = t.plusNow(t.byProxy[p], count{tries, dropped * (1 - t.dropShare(r))})
+// addProxy adds to a proxy's counts. Drops are weighted by the share of attempts that the replica does not drop, as drops of a
+// failing replica are no evidence against the proxy.
+func (t *pairTable) addProxy(p rules.ProxyID, r rules.ReplicaID, attempts, dropped float64) {
+	t.byProxy[p] = t.addCurrent(t.byProxy[p], count{attempts, dropped * (1 - t.dropShare(r))})
 }
 
 // dropShare is the share of attempts that a replica drops.
@@ -97,9 +95,9 @@
 	return min(max(y.dropped/max(y.attempts, t.scale), y.latest.dropped/max(y.latest.attempts, t.scale)), 1)
 }
 
-// add adds a proxy's attempts at a replica and reports whether a pair was evicted, or not taken in, for want of room.
-// Pairs without a drop are not kept.
-func (t *pairTable) add(proxy rules.ProxyID, replica rules.ReplicaID, tries, dropped float64) (full bool) {
+// add adds a proxy's attempts at a replica and reports whether a pair was evicted, or not added, because the table is full.
+// Pairs without drops are not kept.
+func (t *pairTable) add(proxy rules.ProxyID, replica rules.ReplicaID, attempts, dropped float64) (full bool) {
 	k := pairKey{proxy, replica}
 	p := t.pairs[k]
 	if p == nil {
@@ -107,36 +105,35 @@
 			return full
 		}
 	}
-	c := count{tries, dropped}.scaled(t.scale)
-	further := c
-	if p.dropped == 0 { // its first drop says nothing of later ones
-		one := min(t.scale, c.dropped)
-		further = c.plus(count{-one, -one})
+	c := count{attempts, dropped}.scaled(t.scale)
+	retried := c
+	if p.dropped == 0 { // the first drop is not a retry
+		first := min(t.scale, c.dropped)
+		retried = c.plus(count{-first, -first})
 	}
-	t.retries[replica] = t.retries[replica].plus(further)
+	t.retries[replica] = t.retries[replica].plus(retried)
 	p.count = p.plus(c)
 	heap.Fix(&t.byDrops, p.heapIndex)
-	if dropped > 0 && !p.listed {
-		p.listed = true
-		t.fresh = append(t.fresh, p)
+	if dropped > 0 && !p.queued {
+		p.queued = true
+		t.current = append(t.current, p)
 	}
 	return full
 }
 
-// insert adds a pair that has dropped attempts, and says whether the table was full. A full table evicts the pair with the
-// fewest drops, or, if the new pair has no more than that one, takes in none and returns nil. So it does for a pair without
-// a drop, and for one whose replica fails in general.
+// insert adds a pair and reports whether the table was full. A full table evicts the pair with the fewest drops. Insert
+// returns nil if the new pair has no more drops than that one, has none, or if its replica fails in general.
 func (t *pairTable) insert(k pairKey, dropped float64) (p *pair, full bool) {
-	all := t.byReplica[k.replica].latest
-	if dropped == 0 || all.dropped-dropped*t.scale > generalFailureShare*all.attempts {
+	latest := t.byReplica[k.replica].latest
+	if dropped == 0 || latest.dropped-dropped*t.scale > generalFailureShare*latest.attempts {
 		return nil, false
 	}
 	if len(t.pairs) >= t.capacity {
-		least := t.byDrops[0]
-		if least.dropped >= dropped*t.scale {
+		fewest := t.byDrops[0]
+		if fewest.dropped >= dropped*t.scale {
 			return nil, true
 		}
-		t.remove(least)
+		t.remove(fewest)
 		full = true
 	}
 	p = &pair{pairKey: k, heapIndex: len(t.byDrops)}
@@ -148,10 +145,10 @@
 func (t *pairTable) remove(p *pair) {
 	heap.Remove(&t.byDrops, p.heapIndex)
 	delete(t.pairs, p.pairKey)
-	p.listed = false
+	p.queued = false
 }
 
-// forgetReplica drops all counts of a replica.
+// forgetReplica deletes all counts of a replica.
 func (t *pairTable) forgetReplica(r rules.ReplicaID) {
 	delete(t.byReplica, r)
 	delete(t.retries, r)
@@ -162,41 +159,42 @@
 	}
 }
 
-// evidence returns the pairs that failed in the period before and whose proxy is still joined, at most limit of them, and how many
-// more there were. Those with most drops beyond what the replica, or the proxy, drops elsewhere come first, then lower IDs:
-// so pairs of a replica that fails in general don't displace those that fail alone. They are delayed by a period, since a
-// replica that begins to fail in general drops only a part of that period's attempts.
-func (t *pairTable) evidence(limit int, joined func(rules.ProxyID) bool) (out []rules.PairStats, more int) {
-	due := slices.DeleteFunc(t.pending, func(p *pair) bool { return !p.listed || !joined(p.proxy) })
+// evidence returns up to limit pairs that failed in the previous period and whose proxy is still joined, and the number of
+// omitted ones. They are sorted by drops in excess of what the replica or the proxy drops elsewhere, then by ID, so that pairs
+// of a replica that fails in general do not displace those that fail alone. The delay of a period is necessary because a
+// replica that begins to fail in general drops only part of that period's attempts.
+func (t *pairTable) evidence(limit int, joined func(rules.ProxyID) bool) (out []rules.PairStats, omitted int) {
+	due := slices.DeleteFunc(t.pending, func(p *pair) bool { return !p.queued || !joined(p.proxy) })
 	for _, p := range due {
-		p.listed = false
+		p.queued = false
 	}
 	for _, p := range due {
 		r, x, a := t.byReplica[p.replica], t.byProxy[p.proxy], t.retries[p.replica]
-		less := count{p.attempts, p.dropped * (1 - t.dropShare(p.replica))}
+		own := count{p.attempts, p.dropped * (1 - t.dropShare(p.replica))}
 		out = append(out, rules.PairStats{Proxy: p.proxy, Replica: p.replica, Attempts: p.attempts / t.scale, Dropped: p.dropped / t.scale,
-			ReplicaDropShare: t.dropShareWithout(r, p.count), ProxyDropShare: t.dropShareWithout(x, less), RetriedAttempts: a.attempts / t.scale, RetriedDropped: a.dropped / t.scale})
+			ReplicaDropShare: t.dropShareWithout(r, p.count), ProxyDropShare: t.dropShareWithout(x, own), RetriedAttempts: a.attempts / t.scale, RetriedDropped: a.dropped / t.scale})
 	}
-	beyond := func(e rules.PairStats) float64 {
+	excess := func(e rules.PairStats) float64 {
 		return e.Dropped - e.Attempts*max(e.ReplicaDropShare, e.ProxyDropShare)
 	}
 	slices.SortFunc(out, func(a, b rules.PairStats) int {
-		return cmp.Or(cmp.Compare(beyond(b), beyond(a)), cmp.Compare(a.Proxy, b.Proxy), cmp.Compare(a.Replica, b.Replica))
+		return cmp.Or(cmp.Compare(excess(b), excess(a)), cmp.Compare(a.Proxy, b.Proxy), cmp.Compare(a.Replica, b.Replica))
 	})
 	if len(out) > limit {
-		more = len(out) - limit
+		omitted = len(out) - limit
 		out = out[:limit]
 	}
 	clear(due)
-	t.pending, t.fresh = t.fresh, due[:0]
-	return out, more
+	t.pending, t.current = t.current, due[:0]
+	return out, omitted
 }
 
-// dropShareWithout is the share of attempts dropped, less those of a pair: of all counts, or of the latest period if that is more.
-func (t *pairTable) dropShareWithout(of tally, less count) (most float64) {
-	for _, c := range []count{of.count, of.latest} {
-		if tries := c.attempts - less.attempts; tries >= t.scale { // less than one attempt says nothing
-			most = max(most, min(max(c.dropped-less.dropped, 0)/tries, 1))
+// dropShareWithout is the share of dropped attempts without those of a pair: over all counts or the latest period, whichever
+// is higher.
+func (t *pairTable) dropShareWithout(all tally, pair count) (most float64) {
+	for _, c := range []count{all.count, all.latest} {
+		if attempts := c.attempts - pair.attempts; attempts >= t.scale { // at least one attempt
+			most = max(most, min(max(c.dropped-pair.dropped, 0)/attempts, 1))
 		}
 	}
 	return most
--- a/intake/pairs_test.go
+++ b/intake/pairs_test.go
@@ -10,8 +10,8 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// TestPairs plays proxies for a while, each second each of which tries each replica twice, and writes down the
-// evidence: one replica fails for two proxies only, one for all, and one proxy drops whatever it tries.
+// TestPairs records the evidence when one replica fails for two proxies, one replica fails for all, and one proxy drops all of
+// its attempts.
 func TestPairs(t *testing.T) {
 	var trace strings.Builder
 	in := New(settings())
@@ -40,8 +40,8 @@
 	testkit.CompareTrace(t, trace.String())
 }
 
-// TestPairsBounded has far more pairs fail once than are remembered, and some that fail again and again: those stay,
-// and each that went is counted. All fade, and those of a replica that is gone go at once.
+// TestPairsBounded has far more pairs fail once than the table holds, and some that fail repeatedly: the latter must stay, and each
+// evicted one must be counted. All decay, and those of a forgotten replica are deleted at once.
 func TestPairsBounded(t *testing.T) {
 	table := newPairTable(50, 8*time.Second)
 	full := 0
@@ -57,24 +57,24 @@
 		}
 	}
 	if len(table.pairs) != 50 || len(table.byDrops) != 50 || full != 40*200-45 {
-		t.Errorf("%d pairs remembered, %d in order, %d counted as let go", len(table.pairs), len(table.byDrops), full)
+		t.Errorf("%d pairs, %d in the heap, %d evicted or not added", len(table.pairs), len(table.byDrops), full)
 	}
-	everyone := func(rules.ProxyID) bool { return true }
-	if out, _ := table.evidence(5, everyone); len(out) != 0 {
-		t.Error("told of in the very period in which they failed: ", out)
+	allJoined := func(rules.ProxyID) bool { return true }
+	if out, _ := table.evidence(5, allJoined); len(out) != 0 {
+		t.Error("pairs are reported in the period in which they failed: ", out)
 	}
-	out, more := table.evidence(5, everyone)
+	out, omitted := table.evidence(5, allJoined)
 	for i, e := range out {
 		if e.Proxy != rules.ProxyID(i) || e.Replica != 1 || e.Dropped < 16 || e.Dropped > 24 {
 			t.Errorf("evidence %d is %+v", i, e)
 		}
 	}
-	if len(out) != 5 || more != 45 {
-		t.Errorf("%d pairs told of and %d not", len(out), more)
+	if len(out) != 5 || omitted != 45 {
+		t.Errorf("%d pairs reported, %d omitted", len(out), omitted)
 	}
 	table.forgetReplica(1)
 	if len(table.pairs) != 45 {
-		t.Errorf("%d pairs after a replica has gone", len(table.pairs))
+		t.Errorf("%d pairs after a replica was forgotten", len(table.pairs))
 	}
 	table.advance(10_000 * second)
 	if len(table.pairs)+len(table.byDrops) != 0 {
@@ -82,7 +82,7 @@
 	}
 }
 
-// BenchmarkAddBatch is what a record costs behind its decoding, with 5,000 senders, 60 replicas and a tight budget.
+// BenchmarkAddBatch measures the cost of a decoded record with 5,000 senders, 60 replicas and a small budget.
 func BenchmarkAddBatch(b *testing.B) {
 	s := settings()
 	s.Budget, s.MaxPairs = 20_000, 10_000
--- a/intake/sampler.go
+++ b/intake/sampler.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	cleanRoomPart = 4  // a quarter of a stratum's room is left to records without drops
-	minClassRoom  = 2  // and two at least; with one, what it stands for has no bound on its spread
-	minRoom       = 4  // records that any stratum may keep
-	minStrata     = 16 // rooms are by no fewer strata than this, until it is known how many there are
+	cleanCapacityDivisor = 4  // records without drops get a quarter of a stratum's capacity
+	minCleanCapacity     = 2  // but at least two; an estimate from one record has unbounded variance
+	minStratumCapacity   = 4  // smallest capacity of a stratum
+	minStrata            = 16 // fewest strata assumed when the budget is divided
 )
 
-// sampledRecord is a kept record, with its sender.
+// sampledRecord is a sampled record with its sender.
 type sampledRecord struct {
 	replica             rules.ReplicaID
 	proxy               rules.ProxyID
@@ -30,40 +30,40 @@
 	rank                float64
 }
 
-// size is what a record's chance to be kept is proportional to.
-func (it *sampledRecord) size() float64 { return float64(it.attempts) * it.ageWeight }
+// size is the value that a record's sampling probability is proportional to.
+func (record *sampledRecord) size() float64 { return float64(record.attempts) * record.ageWeight }
 
-// counts are a record's attempts and drops, weighted by age, where it stands for so many like it.
-func (it *sampledRecord) counts(stands float64) (tries, dropped float64) {
-	return float64(it.attempts) * it.ageWeight * stands, float64(it.dropped) * it.ageWeight * stands
+// counts returns a record's attempts and drops times its age weight and its sampling weight.
+func (record *sampledRecord) counts(weight float64) (attempts, dropped float64) {
+	return float64(record.attempts) * record.ageWeight * weight, float64(record.dropped) * record.ageWeight * weight
 }
 
-// sampler samples records by strata, each with a room of its own. In a stratum, records with drops come before those
-// without, which keep a quarter of the room; in each of the two classes the records of highest rank stay (priority
-// sampling: rank is size by a uniform draw, and one that stays stands for max(size, threshold), where the threshold
-// is the highest rank that did not; Duffield, Lund and Thorup, 2007). Totals of any choice of records are then
-// unbiased. Rooms never grow within a period, so what stays is always the highest of all that came.
+// sampler does stratified priority sampling (Duffield, Lund and Thorup, 2007). The capacity of a stratum is divided between
+// records with drops, which take precedence, and records without, which keep a quarter of it. Within each of the two, the
+// records of highest rank are kept; the rank is the size divided by a uniform random number. A kept record represents
+// max(size, threshold), where the threshold is the highest rank of the discarded ones, so estimated totals are unbiased.
+// A stratum's capacity never changes within a period, so the kept records always have the highest ranks.
 type sampler struct {
-	seed         uint64
-	draws        uint64
-	budget       int
-	kept         int
-	strata       map[uint32]*stratum
-	strataBefore int // strata of the period before
-	spare        []*stratum
+	seed           uint64
+	draws          uint64
+	budget         int
+	kept           int
+	strata         map[uint32]*stratum
+	previousStrata int // number of strata in the previous period
+	freeStrata     []*stratum
 }
 
 type stratum struct {
-	room          int
-	failed, clean class
+	capacity      int
+	failed, clean rankHeap
 }
 
 func newSampler(seed uint64, budget int) sampler {
 	return sampler{seed: seed, budget: budget, strata: map[uint32]*stratum{}}
 }
 
-// draw is uniform over (0, 1].
-func (s *sampler) draw() float64 {
+// uniform returns a pseudorandom number, uniformly distributed over (0, 1].
+func (s *sampler) uniform() float64 {
 	s.draws++
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], s.seed)
@@ -71,34 +71,34 @@
 	return float64(xxhash.Sum64(b[:])>>11+1) / (1 << 53)
 }
 
-// offer takes a record in and reports whether it is kept for now.
-func (s *sampler) offer(key uint32, it sampledRecord) bool {
+// offer adds a record and reports whether it is kept for now.
+func (s *sampler) offer(key uint32, record sampledRecord) bool {
 	st := s.strata[key]
 	if st == nil {
 		st = s.newStratum(key)
 	}
-	it.rank = it.size() / s.draw()
-	c, most := &st.clean, st.room-max(st.room/cleanRoomPart, minClassRoom)
-	if it.dropped > 0 {
+	record.rank = record.size() / s.uniform()
+	c, maxFailed := &st.clean, st.capacity-max(st.capacity/cleanCapacityDivisor, minCleanCapacity)
+	if record.dropped > 0 {
 		c = &st.failed
 	}
 	failed, clean := len(st.failed.items), len(st.clean.items)
 	switch {
-	case failed+clean < st.room:
+	case failed+clean < st.capacity:
 		s.kept++
-		c.push(it)
-	case it.dropped > 0 && failed < most:
+		c.push(record)
+	case record.dropped > 0 && failed < maxFailed:
 		st.clean.evictLowest()
-		c.push(it)
-	case it.dropped == 0 && clean < st.room-most: // failed ones came first and hold the others' part
+		c.push(record)
+	case record.dropped == 0 && clean < st.capacity-maxFailed: // records with drops occupy capacity reserved for those without
 		st.failed.evictLowest()
-		c.push(it)
-	case it.rank > c.items[0].rank:
+		c.push(record)
+	case record.rank > c.items[0].rank:
 		c.threshold = max(c.threshold, c.items[0].rank)
-		c.items[0] = it
+		c.items[0] = record
 		heap.Fix(c, 0)
 	default:
-		c.threshold = max(c.threshold, it.rank)
+		c.threshold = max(c.threshold, record.rank)
 		return false
 	}
 	return true
@@ -106,58 +106,58 @@
 
 func (s *sampler) newStratum(key uint32) *stratum {
 	st := &stratum{}
-	if n := len(s.spare); n > 0 {
-		st, s.spare = s.spare[n-1], s.spare[:n-1]
+	if n := len(s.freeStrata); n > 0 {
+		st, s.freeStrata = s.freeStrata[n-1], s.freeStrata[:n-1]
 	}
-	if st.room = s.budget / max(s.strataBefore, len(s.strata)+1, minStrata); s.kept >= s.budget {
-		st.room = 0
+	if st.capacity = s.budget / max(s.previousStrata, len(s.strata)+1, minStrata); s.kept >= s.budget {
+		st.capacity = 0
 	}
-	st.room = max(st.room, minRoom)
+	st.capacity = max(st.capacity, minStratumCapacity)
 	s.strata[key] = st
 	return st
 }
 
-// each calls f for all kept records, by stratum, with how many records like it each stands for.
-func (s *sampler) each(f func(key uint32, it *sampledRecord, stands float64)) {
+// each calls f for all sampled records, by stratum, with their sampling weights.
+func (s *sampler) each(f func(key uint32, record *sampledRecord, weight float64)) {
 	for _, key := range slices.Sorted(maps.Keys(s.strata)) {
 		st := s.strata[key]
-		for _, c := range []*class{&st.failed, &st.clean} {
+		for _, c := range []*rankHeap{&st.failed, &st.clean} {
 			for i := range c.items {
-				it := &c.items[i]
-				f(key, it, max(it.size(), c.threshold)/it.size())
+				record := &c.items[i]
+				f(key, record, max(record.size(), c.threshold)/record.size())
 			}
 		}
 	}
 }
 
-// reset begins a new period, with no records.
+// reset deletes all records and begins a new period.
 func (s *sampler) reset() {
-	s.strataBefore = len(s.strata)
+	s.previousStrata = len(s.strata)
 	for _, st := range s.strata {
 		st.failed.items, st.clean.items = st.failed.items[:0], st.clean.items[:0]
 		st.failed.threshold, st.clean.threshold = 0, 0
-		if len(s.spare) < len(s.strata) {
-			s.spare = append(s.spare, st)
+		if len(s.freeStrata) < len(s.strata) {
+			s.freeStrata = append(s.freeStrata, st)
 		}
 	}
 	clear(s.strata)
 	s.kept = 0
 }
 
-// class is a heap of records, lowest rank first.
-type class struct {
+// rankHeap is a heap of records with the lowest rank first.
+type rankHeap struct {
 	items     []sampledRecord
 	threshold float64
 }
 
-// push adds a record. Unlike heap.Push it allocates nothing.
-func (c *class) push(it sampledRecord) {
-	c.items = append(c.items, it)
+// push adds a record. Unlike heap.Push it does not allocate.
+func (c *rankHeap) push(record sampledRecord) {
+	c.items = append(c.items, record)
 	heap.Fix(c, len(c.items)-1)
 }
 
-// evictLowest evicts the record of lowest rank, for which the others stand from now on.
-func (c *class) evictLowest() {
+// evictLowest evicts the record of lowest rank and raises the threshold to that rank.
+func (c *rankHeap) evictLowest() {
 	last := len(c.items) - 1
 	c.threshold = max(c.threshold, c.items[0].rank)
 	c.items[0] = c.items[last]
@@ -166,16 +166,16 @@
 	}
 }
 
-// Len, Less and Swap are sort.Interface's, Push and Pop heap.Interface's.
-func (c *class) Len() int { return len(c.items) }
+// Len, Less, Swap, Push and Pop implement heap.Interface.
+func (c *rankHeap) Len() int { return len(c.items) }
 
-func (c *class) Less(i, j int) bool { return c.items[i].rank < c.items[j].rank }
+func (c *rankHeap) Less(i, j int) bool { return c.items[i].rank < c.items[j].rank }
 
-func (c *class) Swap(i, j int) { c.items[i], c.items[j] = c.items[j], c.items[i] }
+func (c *rankHeap) Swap(i, j int) { c.items[i], c.items[j] = c.items[j], c.items[i] }
 
-func (c *class) Push(x any) { c.items = append(c.items, x.(sampledRecord)) }
+func (c *rankHeap) Push(x any) { c.items = append(c.items, x.(sampledRecord)) }
 
-func (c *class) Pop() any {
+func (c *rankHeap) Pop() any {
 	last := c.items[len(c.items)-1]
 	c.items = c.items[:len(c.items)-1]
 	return last
--- a/intake/sender.go
+++ b/intake/sender.go
@@ -7,44 +7,44 @@
 )
 
 const (
-	clockGroupBatches = 16 // batches by which a sender's clock offset is estimated, twice as many at most
-	burstPeriods      = 4  // periods' quotas that a sender may use up at once, after a stall
-	sequenceWindow    = 64 // batches back from the latest within which repeats are recognized
-	minSenderQuota    = 64 // records a period that any sender may deliver
+	clockGroupBatches = 16 // batches per group; a sender's clock offset is estimated from up to two groups
+	burstPeriods      = 4  // periods of quota that a sender may accumulate
+	sequenceWindow    = 64 // number of latest sequence numbers for which duplicates are detected
+	minSenderQuota    = 64 // smallest quota, in records per period
 )
 
 // sender is the state of a proxy's stream.
 type sender struct {
 	zone         rules.ZoneID
-	quota        int           // records that it may still deliver
-	lastSequence uint32        // the highest sequence number of a batch so far
-	received     uint64        // by bit, from lastSequence back: which were received
-	minOffset    [2]rules.Time // least difference of the governor's clock to its own: in this group of batches, in the one before
-	groupBatches int           // batches in this group
+	quota        int           // records that it may still send
+	lastSequence uint32        // highest sequence number so far
+	received     uint64        // bit i: whether lastSequence-i was received
+	minOffset    [2]rules.Time // smallest difference between receive and send times: in the current group of batches, in the previous one
+	groupBatches int           // batches since the stream began
 }
 
-// senderQuota is how many records a sender may deliver in a period: its share of twice the budget, but at least one for
-// each known replica.
-func (in *Aggregator) senderQuota() int {
-	return max(2*in.settings.Budget/(len(in.senders)+1), 2*in.byReplica.strataBefore, minSenderQuota)
+// senderQuota is the number of records that a sender may send per period: its share of twice the budget, but at least two
+// for each known replica.
+func (a *Aggregator) senderQuota() int {
+	return max(2*a.settings.Budget/(len(a.senders)+1), 2*a.byReplica.previousStrata, minSenderQuota)
 }
 
-// classify returns whether a batch is new, repeated or too late to tell, and the change of the count of lost batches: those
-// that it skips, or -1 for one that was counted as lost and has arrived after all.
-func (s *sender) classify(seq uint32) (fate Cause, lost int) {
+// classify returns Kept for a new batch, Repeated for a duplicate, or TooLate if that is unknown. It also returns the change
+// of the number of lost batches, which is -1 if a batch that was counted as lost arrives.
+func (s *sender) classify(seq uint32) (cause Cause, lost int) {
 	switch {
 	case seq == 0:
 		return Kept, 0
 	case s.lastSequence == 0 || seq > s.lastSequence:
-		by := seq - s.lastSequence
-		if lost = int(by) - 1; s.lastSequence == 0 || by > sequenceWindow {
+		step := seq - s.lastSequence
+		if lost = int(step) - 1; s.lastSequence == 0 || step > sequenceWindow {
 			lost = min(lost, sequenceWindow)
 			if s.lastSequence == 0 {
 				lost = 0
 			}
 			s.received = 0
 		} else {
-			s.received <<= by
+			s.received <<= step
 		}
 		s.lastSequence, s.received = seq, s.received|1
 		return Kept, lost
@@ -57,20 +57,19 @@
 	return Kept, -1
 }
 
-// extraDelay is how much longer a batch was in transit than the fastest recent one. Only differences of the sender's clock
-// count, so a constant offset does no harm; a clock that is set back makes its own batches look old until
-// clockGroupBatches more have come.
-func (s *sender) extraDelay(sent, read rules.Time) time.Duration {
+// extraDelay is a batch's transit time in excess of the fastest recent one. A constant offset of the sender's clock has no
+// effect. After a clock is set back, the sender's batches appear old until their group and the next one have passed.
+func (s *sender) extraDelay(sent, received rules.Time) time.Duration {
 	if sent == 0 {
 		return 0
 	}
-	apart := read - sent
+	offset := received - sent
 	if s.groupBatches == 0 {
-		s.minOffset = [2]rules.Time{apart, apart}
+		s.minOffset = [2]rules.Time{offset, offset}
 	} else if s.groupBatches%clockGroupBatches == 0 {
-		s.minOffset = [2]rules.Time{apart, s.minOffset[0]}
+		s.minOffset = [2]rules.Time{offset, s.minOffset[0]}
 	}
 	s.groupBatches++
-	s.minOffset[0] = min(s.minOffset[0], apart)
-	return time.Duration(apart - min(s.minOffset[0], s.minOffset[1]))
+	s.minOffset[0] = min(s.minOffset[0], offset)
+	return time.Duration(offset - min(s.minOffset[0], s.minOffset[1]))
 }
--- a/intake/tally.go
+++ b/intake/tally.go
@@ -1,8 +1,6 @@
 package intake
 
-import (
-	"zincloft.example/zincloft/rules"
-)
+import "zincloft.example/zincloft/rules"
 
 type count struct{ attempts, dropped float64 }
 
@@ -10,17 +8,18 @@
 
 func (c count) scaled(by float64) count { return count{c.attempts * by, c.dropped * by} }
 
-func (c count) all() float64 { return c.attempts }
+func (c count) total() float64 { return c.attempts }
 
-// tally is a decaying count, and the count of the latest period that brought any: a replica that has just begun to fail
-// in general shows it there, long before its successful past has decayed.
+// tally is a decaying count and the count of the latest period with attempts. The latter shows a replica that has just begun
+// to fail before its earlier successes have decayed.
 type tally struct {
 	count
 	latest count
 	at     rules.Time
 }
 
-func (t *pairTable) plusNow(y tally, c count) tally {
+// addCurrent adds a count of the current period.
+func (t *pairTable) addCurrent(y tally, c count) tally {
 	if y.at != t.now {
 		y.latest, y.at = count{}, t.now
 	}
@@ -29,10 +28,10 @@
 	return y
 }
 
-// scaleAndPrune scales counts and deletes those that have decayed.
-func scaleAndPrune[K comparable, C interface{ all() float64 }](counts map[K]C, scaled func(C) C) {
+// scaleAndPrune scales counts and deletes those that have decayed to almost nothing.
+func scaleAndPrune[K comparable, C interface{ total() float64 }](counts map[K]C, scaled func(C) C) {
 	for k, c := range counts {
-		if c = scaled(c); c.all() < minRememberedDrops {
+		if c = scaled(c); c.total() < minRememberedDrops {
 			delete(counts, k)
 		} else {
 			counts[k] = c
