--- a/recovery/plan.go
+++ b/recovery/plan.go
@@ -8,71 +8,70 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// State is what a governor kept on disk for its next start. Its JSON form, with the names in the tags, is what
-// "zincloft state export" prints.
+// State is what a governor stores on disk for its next start. "zincloft state export" prints its JSON form.
 type State struct {
-	Governor      string          // its name
-	Discovery     string          // address of the discovery service that the list is from
-	Version       uint64          // of the list
+	Governor      string          // name of the governor
+	Discovery     string          // address of the discovery service that supplied the list
+	Version       uint64          // version of the list
 	ConfirmedAt   rules.Time      `json:"Heard"`   // when discovery last confirmed the list
 	WrittenAt     rules.Time      `json:"Written"` // when the state was written
-	NextReplicaID rules.ReplicaID `json:"Next"`    // the lowest ID that no replica has had
+	NextReplicaID rules.ReplicaID `json:"Next"`    // lowest ID not yet assigned to a replica
 	Replicas      []Replica
 }
 
-// Replica is the kept state of one replica.
+// Replica is the stored state of one replica.
 type Replica struct {
-	Name    string                 // its name at discovery
-	Entry   rules.Entry            // its entry in the kept list
-	Learned rules.PriorMeasurement `json:"Learnt"` // what was measured of it; Speed 0: nothing
+	Name    string                 // name at discovery
+	Entry   rules.Entry            // entry in the stored list
+	Learned rules.PriorMeasurement `json:"Learnt"` // measurements; Speed 0: none
 }
 
-// Settings are how much a kept list is trusted by its age.
+// Settings determine the trust in a stored list by its age.
 type Settings struct {
-	HalfLife time.Duration // a list of this age has trust 0.5
-	MaxAge   time.Duration // an older one is not used
+	HalfLife time.Duration // age at which a list has trust 0.5
+	MaxAge   time.Duration // age above which a list is not used
 }
 
-// Assessment is whether and how a kept list is used; its text is for the log.
+// Assessment states whether and how a stored list is used. Its text is logged.
 type Assessment string
 
 // The assessments.
 const (
 	Used         Assessment = "used"
 	NoState      Assessment = "nothing is kept"
-	TooOld       Assessment = "older than it may be"
+	TooOld       Assessment = "older than the maximum age"
 	Mismatch     Assessment = "of another governor or discovery"
-	ClockSetBack Assessment = "of the future: the clock went back; used without trust"
+	ClockSetBack Assessment = "dated in the future, as the clock was set back; used without trust"
 	Inconsistent Assessment = "impossible"
 )
 
-// Plan is how a governor starts from its kept state.
+// Plan describes how a governor starts from its stored state.
 type Plan struct {
 	Assessment Assessment
 	Age        time.Duration
-	Trust      float64       // of the list at the start, 0 to 1
+	Trust      float64       // in the list at the start, 0 to 1
 	Events     []rules.Event // for the first Step, after Start
 }
 
-// String returns the plan's summary for the log.
+// String returns a summary for the log.
 func (p Plan) String() string {
 	return fmt.Sprintf("%s, %v old, trust %.2f", p.Assessment, p.Age.Round(time.Second), p.Trust)
 }
 
-// maxClockSkew is how far the wall clock may be off between two runs.
+// maxClockSkew is the largest tolerated difference of the wall clock between two runs.
 const maxClockSkew = time.Minute
 
-// NewPlan plans the start from a kept state, for a governor of that name and address of its discovery service. No replica
-// counts as warm, as each may have restarted since: one that started long ago by the list is taken to have started now.
-// What was measured of it is recalled with the list's trust.
-func NewPlan(now rules.Time, k State, governor, discovery string, s Settings) Plan {
-	p := Plan{Age: time.Duration(now - k.ConfirmedAt)}
+// NewPlan plans the start from a stored state, given the name of the governor and the address of its discovery service. All
+// replicas count as started now, as each may have restarted since the state was stored. Their measurements are restored with
+// the trust in the list.
+func NewPlan(now rules.Time, stored State, governor, discovery string, s Settings) Plan {
+	p := Plan{Age: time.Duration(now - stored.ConfirmedAt)}
 	switch {
-	case len(k.Replicas) == 0:
+	case len(stored.Replicas) == 0:
 		p.Assessment = NoState
-	case k.ConfirmedAt <= 0 || k.WrittenAt < k.ConfirmedAt-rules.Time(maxClockSkew):
+	case stored.ConfirmedAt <= 0 || stored.WrittenAt < stored.ConfirmedAt-rules.Time(maxClockSkew):
 		p.Assessment = Inconsistent
-	case k.Governor != governor || k.Discovery != discovery:
+	case stored.Governor != governor || stored.Discovery != discovery:
 		p.Assessment = Mismatch
 	case p.Age < -maxClockSkew:
 		p.Assessment = ClockSetBack
@@ -85,8 +84,8 @@
 		return p
 	}
 	list := rules.List{Scope: rules.Cached}
-	var recalled []rules.Event
-	for _, r := range k.Replicas {
+	var measurements []rules.Event
+	for _, r := range stored.Replicas {
 		e := r.Entry
 		if e.State == rules.Deregistered {
 			continue
@@ -95,15 +94,15 @@
 		list.Entries = append(list.Entries, e)
 		if r.Learned.Speed > 0 {
 			l := r.Learned
-			l.Replica, l.Trust, l.Ejected = e.Replica, p.Trust, false // among cold ones an ejected one would draw all flows
-			recalled = append(recalled, l)
+			l.Replica, l.Trust, l.Ejected = e.Replica, p.Trust, false // among cold replicas, the trial share of an ejected one would receive most flows
+			measurements = append(measurements, l)
 		}
 	}
-	p.Events = append([]rules.Event{list}, recalled...)
+	p.Events = append([]rules.Event{list}, measurements...)
 	return p
 }
 
-// trustAt is the trust in a list of an age, from 1 down to 0.
+// trustAt is the trust in a list by its age, from 1 down to 0.
 func (s Settings) trustAt(age time.Duration) float64 {
 	return math.Exp2(-float64(max(age, 0)) / float64(s.HalfLife))
 }
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -1,6 +1,6 @@
-// Package recovery decides how a governor starts from the state that it kept on disk: how far that is trusted, which
-// replicas it lists, what is recalled of them, and in which order the disk, the proxies and discovery take precedence. It
-// does no I/O and reads no clock.
+// Package recovery decides how a governor starts from the state that it has stored on disk: how far the state is trusted, which
+// replicas are listed, which measurements of them are restored, and when discovery's answer replaces it. It does no I/O and
+// reads no clock.
 package recovery
 
 import (
@@ -9,33 +9,33 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Stage is how far a recovery has come.
+// Stage is the progress of a recovery.
 type Stage string
 
-// The stages, in their order.
+// The stages, in order.
 const (
-	FromDisk    Stage = "disk"      // ends with the first proxy that joins, or discovery's first answer
-	FromProxies Stage = "proxies"   // proxies report; ends with discovery's first answer
+	FromDisk    Stage = "disk"      // until the first proxy joins or discovery answers
+	FromProxies Stage = "proxies"   // proxies report; until discovery answers
 	Confirmed   Stage = "confirmed" // discovery has answered
 )
 
-// Recovery is the measure of trust in the list of replicas during a start. Trust falls with the list's age and rises with
-// each replica that responds; discovery's first answer makes it 1. The zero value is a start from nothing. It is not safe
-// for concurrent use.
+// Recovery tracks the trust in the stored list of replicas during a start. Trust decreases with the list's age and increases
+// with each replica that responds; discovery's first answer sets it to 1. The zero value is a start without stored state. It
+// is not safe for concurrent use.
 type Recovery struct {
 	settings    Settings
 	confirmedAt rules.Time // when discovery last confirmed the list
 	replicas    int
 	responding  map[rules.ReplicaID]bool
 	stage       Stage
-	kept        []Replica
+	stored      []Replica
 }
 
-// Begin starts a recovery from a plan.
-func Begin(now rules.Time, k State, p Plan, s Settings) *Recovery {
+// Begin starts the recovery of a state by its plan.
+func Begin(now rules.Time, stored State, p Plan, s Settings) *Recovery {
 	r := &Recovery{settings: s, confirmedAt: now - rules.Time(p.Age), responding: map[rules.ReplicaID]bool{}, stage: FromDisk}
 	if len(p.Events) > 0 {
-		r.replicas, r.kept = len(p.Events[0].(rules.List).Entries), k.Replicas
+		r.replicas, r.stored = len(p.Events[0].(rules.List).Entries), stored.Replicas
 	}
 	if p.Assessment == ClockSetBack {
 		r.confirmedAt = now - rules.Time(s.MaxAge)
@@ -43,9 +43,10 @@
 	return r
 }
 
-// Handle takes note of an event, and returns what stands in its place: itself, with what discovery's first answer confirms.
-// Changes alone confirm that all else is as it was kept, so what was taken to have started now gets its true start again;
-// and what has not started anew since is recalled once more, as its record began anew with its start.
+// Handle records an event and returns the events to pass to the governor in its place. These are the event itself and, with
+// discovery's first answer, the stored entries that it confirms: a list of changes confirms all entries that it does not
+// contain, which get their stored start times back. The measurements of replicas that have not restarted are restored again,
+// as a changed start time resets them.
 func (r *Recovery) Handle(e rules.Event) []rules.Event {
 	switch e := e.(type) {
 	case rules.Joined:
@@ -64,52 +65,50 @@
 	return []rules.Event{e}
 }
 
-// confirm merges discovery's first answer with the kept list, and recalls what was measured of replicas that have not
-// restarted since.
+// confirm merges discovery's first answer with the stored list, and restores the measurements of replicas that have not
+// restarted.
 func (r *Recovery) confirm(e rules.List) (out []rules.Event) {
 	r.stage, r.responding = Confirmed, nil
-	told := map[rules.ReplicaID]rules.Entry{}
+	answered := map[rules.ReplicaID]rules.Entry{}
 	for _, n := range e.Entries {
-		told[n.Replica] = n
+		answered[n.Replica] = n
 	}
-	asKept := rules.List{Scope: rules.Changes}
-	var recalled []rules.PriorMeasurement
-	same := 0 // replicas that have not restarted since
-	for _, k := range r.kept {
-		n, is := told[k.Entry.Replica]
-		if !is && e.Scope == rules.Changes && k.Entry.State != rules.Deregistered {
-			asKept.Entries = append(asKept.Entries, k.Entry)
+	confirmed := rules.List{Scope: rules.Changes}
+	var measurements []rules.PriorMeasurement
+	unrestarted := 0
+	for _, k := range r.stored {
+		n, ok := answered[k.Entry.Replica]
+		if !ok && e.Scope == rules.Changes && k.Entry.State != rules.Deregistered {
+			confirmed.Entries = append(confirmed.Entries, k.Entry)
 		}
-		if is && n.StartedAt != k.Entry.StartedAt || !is && e.Scope == rules.Full || is && n.State != rules.Ready {
+		if ok && n.StartedAt != k.Entry.StartedAt || !ok && e.Scope == rules.Full || ok && n.State != rules.Ready {
 			continue
 		}
-		if same++; k.Learned.Speed > 0 {
+		if unrestarted++; k.Learned.Speed > 0 {
 			l := k.Learned
 			l.Replica, l.Trust = k.Entry.Replica, 1
-			recalled = append(recalled, l)
+			measurements = append(measurements, l)
 		}
 	}
-	r.kept = nil
-	if len(asKept.Entries) > 0 {
-		out = append(out, asKept)
+	r.stored = nil
+	if len(confirmed.Entries) > 0 {
+		out = append(out, confirmed)
 	}
 	out = append(out, e)
-	for _, l := range recalled {
-		l.Ejected = l.Ejected && float64(same) >= minUnrestartedShare*float64(max(len(e.Entries), r.replicas))
+	for _, l := range measurements {
+		l.Ejected = l.Ejected && float64(unrestarted) >= minUnrestartedShare*float64(max(len(e.Entries), r.replicas))
 		out = append(out, l)
 	}
 	return out
 }
 
-// minUnrestartedShare is the share of the list that must not have restarted since for ejected replicas to be ejected again:
-// else one of them would draw what cold replicas can't be sent.
+// minUnrestartedShare is the lowest share of replicas that have not restarted at which ejections are restored. An ejected
+// replica keeps a trial share, which would receive the flows that many cold replicas cannot take.
 const minUnrestartedShare = 0.6
 
-// Stage returns how far the recovery has come.
 func (r *Recovery) Stage() Stage { return r.stage }
 
-// Trust is the trust in the list at now, from 0 to 1. A replica that responds counts as confirmed, so the share of those
-// counts in full, and the rest by the list's age.
+// Trust is the trust in the list at now, from 0 to 1. Replicas that have responded count in full, the others by the list's age.
 func (r *Recovery) Trust(now rules.Time) float64 {
 	if r.stage == Confirmed {
 		return 1
@@ -117,6 +116,6 @@
 	if r.replicas == 0 {
 		return 0
 	}
-	part := min(float64(len(r.responding))/float64(r.replicas), 1)
-	return part + (1-part)*r.settings.trustAt(time.Duration(now-r.confirmedAt))
+	responding := min(float64(len(r.responding))/float64(r.replicas), 1)
+	return responding + (1-responding)*r.settings.trustAt(time.Duration(now-r.confirmedAt))
 }
