--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -1,5 +1,5 @@
-// Package capacity measures what a node of the gateway can serve, by traffic group, from what it has served and how busy that
-// kept it; and calculates what is left of a region's capacity when nodes go. It is free of I/O.
+// Package capacity estimates the capacity of a gateway node per traffic group, from its throughput and CPU utilization, and
+// calculates the remaining capacity of a region after node losses. It does no I/O.
 package capacity
 
 import (
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Groups of traffic, which are planned for separately.
+// Traffic groups, whose capacity is planned separately.
 const (
-	Lookups = "lookups" // requests that may run more than once
-	Orders  = "orders"  // requests that may not
+	Lookups = "lookups" // requests that may be executed more than once
+	Orders  = "orders"  // requests that must not be executed more than once
 )
 
 const (
-	smoothingFactor = 0.2  // weight of a new sample
-	minBusyShare    = 0.02 // of the processor; below it, a sample says nothing
-	maxLateShare    = 0.05 // of the answers; above it, a node is at its limit however busy it reports to be
+	smoothingFactor = 0.2  // weight of a new sample in the moving average
+	minBusyShare    = 0.02 // CPU utilization below which a sample is ignored
+	maxLateShare    = 0.05 // share of late responses above which a node counts as fully loaded
 )
 
-// Meter measures the capacity of one node. The zero Meter is ready for use. It must not be used by several goroutines at once.
+// Meter estimates the capacity of one node. The zero value is ready for use. It is not safe for concurrent use.
 type Meter struct {
 	served map[string]int
 	late   int
-	rates  map[string]float64 // requests a second that it could serve of the present mix, by group
+	rates  map[string]float64 // requests per second by group that the node can serve in the present mix
 }
 
-// RecordServed counts an answered request, and whether the node itself delayed it for long.
+// RecordServed counts a response. Late means that the node itself delayed it.
 func (m *Meter) RecordServed(group string, late bool) {
 	if m.served == nil {
 		m.served = map[string]int{}
@@ -37,8 +37,8 @@
 	}
 }
 
-// Sample ends a period. Busy is the share of its processor that the node used. It returns the requests a second that the node
-// can serve, by group; nil until the node has been busy enough to tell.
+// Sample ends a period with the given CPU utilization (0 to 1). It returns the node's capacity in requests per second by group,
+// or nil if there has been no usable sample yet.
 func (m *Meter) Sample(period time.Duration, busy float64) map[string]float64 {
 	if scale, ok := m.scale(period, busy); ok {
 		m.update(period, scale)
@@ -47,7 +47,7 @@
 	return maps.Clone(m.rates)
 }
 
-// scale is how many times as much as it served the node could have served; false where the period does not tell.
+// scale returns the node's capacity as a multiple of its throughput, or false if the period gives no estimate.
 func (m *Meter) scale(period time.Duration, busy float64) (float64, bool) {
 	served := 0
 	for _, count := range m.served {
--- a/capacity/remaining.go
+++ b/capacity/remaining.go
@@ -6,30 +6,30 @@
 	"slices"
 )
 
-// Node is what is known of a node's place and capacity.
+// Node is a node's location and capacity.
 type Node struct {
 	Name     string             `json:"node" cbor:"1,keyasint"`
 	Zone     string             `json:"zone" cbor:"2,keyasint"`
 	Region   string             `json:"region" cbor:"3,keyasint"`
-	Capacity map[string]float64 `json:"carries" cbor:"4,keyasint,omitempty"` // requests a second, by group
+	Capacity map[string]float64 `json:"carries" cbor:"4,keyasint,omitempty"` // requests per second, by group
 }
 
-// Floor is the capacity of a group that a region must always keep.
+// Floor is the minimum capacity of a group that a region must retain.
 type Floor struct {
 	Region  string  `json:"region" cbor:"1,keyasint"`
 	Group   string  `json:"group" cbor:"2,keyasint"`
-	Minimum float64 `json:"least" cbor:"3,keyasint"` // requests a second
+	Minimum float64 `json:"least" cbor:"3,keyasint"` // requests per second
 }
 
-// FaultTolerance is what may be lost at any time besides what is planned: so many machines, or so many zones.
+// FaultTolerance is the number of machines or zones whose unplanned loss must be tolerated at any time.
 type FaultTolerance struct {
 	Machines int `json:"machines" cbor:"1,keyasint"`
 	Zones    int `json:"zones" cbor:"2,keyasint"`
 }
 
-// RemainingAfterLosses returns the capacity of a group that a region keeps without the nodes that are out, after the worst
-// loss that must be survived: of the strongest machines, or of the strongest zones where the region has several, whichever is
-// more. So nothing remains where all nodes that are left are in one zone.
+// RemainingAfterLosses returns the capacity of a group that remains in a region without the nodes that are out, after the worst
+// tolerated loss: of the machines or, in a region of several zones, of the zones with the highest capacity, whichever is more.
+// If all other nodes are in one of several zones, and a zone loss is tolerated, nothing remains.
 func RemainingAfterLosses(nodes []Node, region, group string, out func(node string) bool, tolerance FaultTolerance) float64 {
 	total := 0.0
 	var machines []float64
@@ -39,7 +39,7 @@
 			continue
 		}
 		if _, ok := zones[node.Zone]; !ok {
-			zones[node.Zone] = 0 // a zone whose nodes are all out can't be lost any more, but it is one
+			zones[node.Zone] = 0 // counts as a zone even if all its nodes are out
 		}
 		if out(node.Name) {
 			continue
@@ -57,7 +57,7 @@
 	return total - max(machineLoss, zoneLoss)
 }
 
-// SumOfLargest sums the largest count values, all of them where there are fewer; it sorts the values.
+// SumOfLargest returns the sum of the count largest values, or of all if there are fewer. It sorts values in place.
 func SumOfLargest(values []float64, count int) float64 {
 	slices.SortFunc(values, func(a, b float64) int { return cmp.Compare(b, a) })
 	sum := 0.0
--- a/capacity/remaining_test.go
+++ b/capacity/remaining_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// nodes are three zones of a region with 10, 20 and 30 orders a second, and a node of another region.
+// nodes returns three zones of a region with 10, 20 and 30 orders per second, and a node of another region.
 func nodes() []Node {
 	return []Node{
 		{Name: "a", Zone: "za", Region: "r", Capacity: map[string]float64{Orders: 10}},
@@ -29,7 +29,7 @@
 		{"strongest zone", nil, FaultTolerance{Machines: 1, Zones: 1}, 30},
 		{"two zones", nil, FaultTolerance{Zones: 2}, 10},
 		{"never all zones", nil, FaultTolerance{Zones: 5}, 10},
-		{"all that is left stands in one zone", []string{"a", "b"}, FaultTolerance{Zones: 1}, 0},
+		{"all remaining nodes in one zone", []string{"a", "b"}, FaultTolerance{Zones: 1}, 0},
 		{"a node is out", []string{"b"}, FaultTolerance{Machines: 1}, 24},
 	} {
 		out := map[string]bool{}
@@ -53,12 +53,12 @@
 		name        string
 		count, late int
 		busy        float64
-		want        float64 // orders a second; NaN: the sample says nothing
+		want        float64 // orders per second; NaN: no estimate
 	}{
-		{"half busy: twice as much", 100, 0, 0.5, 200},
-		{"too idle to tell", 100, 0, 0.01, math.NaN()},
-		{"many late answers: at its limit, however idle", 100, 6, 0.01, 100},
-		{"few late answers", 100, 5, 0.01, math.NaN()},
+		{"half busy: twice the throughput", 100, 0, 0.5, 200},
+		{"utilization too low", 100, 0, 0.01, math.NaN()},
+		{"many late responses at low utilization", 100, 6, 0.01, 100},
+		{"few late responses at low utilization", 100, 5, 0.01, math.NaN()},
 		{"nothing served", 0, 0, 0.9, math.NaN()},
 	} {
 		var m Meter
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet has what the control plane and the gateways both speak of: members, instances of replicas, failures that gateways observe, and
-// phases of maintenance. It decides nothing and imports nothing of either side.
+// Package fleet defines the data types that the control plane and the gateways share: members, replica instances, observed failures, and
+// phases of maintenance.
 package fleet
 
-// Member is a member of the control plane. The JSON keys of Member are those of `zincloftctl store export`.
+// Member is a member of the control plane. Its JSON form is part of the output of `zincloftctl store export`.
 type Member struct {
 	ID   string `cbor:"1,keyasint"` // Identity of the member's disk.
 	Addr string `cbor:"2,keyasint"` // Address at which other members and gateways connect.
@@ -12,26 +12,26 @@
 	APIAddr string `cbor:"4,keyasint,omitempty" json:"Call"`
 }
 
-// Observation is what a gateway reports of a replica that failed.
+// Observation is a gateway's report of a failed replica.
 type Observation struct {
 	Replica           string `cbor:"1,keyasint"`
-	ConnectionRefused bool   `cbor:"2,keyasint,omitempty"` // nobody listens there: proof, unless the gateway's own link is at fault
+	ConnectionRefused bool   `cbor:"2,keyasint,omitempty"` // no process listens there, unless the gateway's own link is faulty
 }
 
-// Ejection has all gateways make a replica a last choice for a time.
+// Ejection makes all gateways use a replica only as a last resort for a limited time.
 type Ejection struct {
 	Replica      string `cbor:"1,keyasint"`
 	Milliseconds int64  `cbor:"2,keyasint"`
 }
 
-// Phase is what a node is at in its maintenance window.
+// Phase is the state of a node in its maintenance window.
 type Phase string
 
-// Phases of a window, in their order.
+// Phases of a window, in order.
 const (
-	PhaseRequested Phase = "asked"     // waits for its grant
-	PhaseDraining  Phase = "draining"  // granted; the node ends what is in flight
-	PhaseDrained   Phase = "drained"   // the node has reported that nothing is in flight: it may be worked on
-	PhaseReturning Phase = "returning" // it is to serve again
-	PhaseServing   Phase = "serving"   // reported by a node; its window is over
+	PhaseRequested Phase = "asked"     // waits for permission to drain
+	PhaseDraining  Phase = "draining"  // granted; requests in flight are being completed
+	PhaseDrained   Phase = "drained"   // no requests in flight; maintenance may begin
+	PhaseReturning Phase = "returning" // maintenance is over; the node is to serve again
+	PhaseServing   Phase = "serving"   // reported by the node; the window is over
 )
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,8 +1,7 @@
-// Package invariant counts violations of what must hold in a running process, whatever faults it meets.
+// Package invariant checks invariants at run time and counts their violations.
 //
-// A check stands beside the state that it protects and costs a comparison. What a violation leads to is the process's choice: the
-// daemons count and log it and serve on (SetReporter); without a reporter, as in tests, the first violation panics with it. The package
-// does no I/O and is safe for concurrent use.
+// A process sets a Reporter to log violations and continue. Without one, as in tests, a violation panics. The package does no I/O and is
+// safe for concurrent use.
 package invariant
 
 import (
@@ -10,10 +9,10 @@
 	"sync/atomic"
 )
 
-// Violation is one case in which an invariant did not hold.
+// Violation is a violation of an invariant.
 type Violation struct {
 	Name     Name
-	Evidence string // the values that contradict each other
+	Evidence string // the contradictory values
 }
 
 func (v Violation) String() string {
@@ -28,7 +27,7 @@
 	counts   [len(Statements)]atomic.Uint64
 )
 
-// SetReporter has report called with each violation from now on; nil restores the panic.
+// SetReporter sets the reporter of all further violations. With nil, violations panic.
 func SetReporter(report Reporter) {
 	if report == nil {
 		reporter.Store(nil)
@@ -37,14 +36,14 @@
 	reporter.Store(&report)
 }
 
-// Check counts and reports a violation unless holds. The evidence is made only then.
+// Check counts and reports a violation unless holds is true. It calls evidence only for a violation.
 func Check(name Name, holds bool, evidence func() string) {
 	if !holds {
 		violated(Violation{name, evidence()})
 	}
 }
 
-// NotBelow checks that a value which may only rise has not gone back.
+// NotBelow checks that a monotonic value has not decreased.
 func NotBelow(name Name, value, previous uint64) {
 	if value < previous {
 		violated(Violation{name, fmt.Sprintf("%d after %d", value, previous)})
@@ -60,10 +59,10 @@
 	(*report)(violation)
 }
 
-// Count is how often an invariant was violated since the process started.
+// Count returns the number of violations of an invariant since the process started.
 func Count(name Name) uint64 { return counts[name].Load() }
 
-// Total is how often any invariant was violated since the process started.
+// Total returns the number of violations of all invariants since the process started.
 func Total() uint64 {
 	var total uint64
 	for i := range counts {
--- a/invariant/invariant_test.go
+++ b/invariant/invariant_test.go
@@ -14,10 +14,10 @@
 		}
 	}()
 	NotBelow(ConfigVersionMonotonic, 3, 4)
-	t.Error("a violation passed unnoticed")
+	t.Error("a violation did not panic")
 }
 
-func TestReporterCountsAndServesOn(t *testing.T) {
+func TestReporterReplacesPanic(t *testing.T) {
 	var reported []Violation
 	SetReporter(func(violation Violation) { reported = append(reported, violation) })
 	defer SetReporter(nil)
--- a/invariant/statements.go
+++ b/invariant/statements.go
@@ -1,6 +1,6 @@
 package invariant
 
-// Name identifies an invariant. Its String is the name in metrics and logs.
+// Name identifies an invariant. Its String is used in metrics and logs.
 type Name int
 
 // The invariants, in the order of Statements.
@@ -20,54 +20,54 @@
 	ResponseMatchesRequest
 )
 
-// Statement says what an invariant states, and what users see when it does not hold.
+// Statement describes an invariant.
 type Statement struct {
 	Name   string
-	Holds  string
-	Breaks string
+	Holds  string // the condition
+	Breaks string // the effect of a violation on users
 }
 
-// Statements describes the invariants, by Name.
+// Statements describes the invariants by Name.
 var Statements = [...]Statement{
 	ViewNumberMonotonic: {"view_number_monotonic",
-		"the view that a control-plane member has installed never gets a lower number",
+		"the number of the view that a control-plane member has installed never decreases",
 		"a former head commits again: acknowledged configurations are lost"},
 	CommittedSequenceMonotonic: {"committed_sequence_monotonic",
-		"the register that a member holds to be committed never gets a lower sequence within an incarnation",
+		"the sequence of a member's committed register never decreases within an incarnation",
 		"acknowledged commands are undone"},
 	CommittedVersionMonotonic: {"committed_version_monotonic",
-		"a register of a higher sequence never holds a lower configuration version",
+		"a register with a higher sequence never has a lower configuration version",
 		"an older configuration replaces a newer one everywhere"},
 	AcknowledgedIsCommitted: {"acknowledged_is_committed",
-		"a configuration is acknowledged only by a member whose committed register holds its version or a higher one",
-		"an operator is told that a configuration holds which nobody has"},
+		"a member acknowledges a configuration only if its committed register has that version or a higher one",
+		"a configuration is acknowledged to an operator although it is not in force"},
 	ReadCoversAcknowledged: {"read_covers_acknowledged",
-		"a member answers a read with no version below one that it has acknowledged",
-		"operators read an older configuration than the one they were told holds"},
+		"a member never answers a read with a version below one that it has acknowledged",
+		"operators read an older configuration than the acknowledged one"},
 	DeregistrationFinal: {"deregistration_final",
-		"what is published of an instance never takes back that it drains or was deregistered",
-		"requests go to a replica that was promised none"},
+		"once an instance is published as draining or deregistered, this is never withdrawn",
+		"requests are sent to a replica that is shutting down"},
 	WarmupGrantsWithinBudget: {"warmup_grants_within_budget",
-		"the rates that a member grants its gateways for a replica that is warming up sum to no more than the member's share",
-		"replicas that have just started are overloaded and fall over"},
+		"the rates that a member grants its gateways for a replica in warm-up add up to at most the member's share",
+		"replicas in warm-up are overloaded and fail"},
 	ConfigVersionMonotonic: {"config_version_monotonic",
-		"the configuration version in force at a gateway never gets lower within an incarnation",
-		"requests are routed as only an older configuration allows"},
+		"the configuration version in force at a gateway never decreases within an incarnation",
+		"requests are routed by an outdated configuration"},
 	UnsafeRequestExecutedOnce: {"unsafe_request_executed_once",
 		"a request that is not idempotent is sent again only after every earlier attempt was proven not executed",
 		"an order is executed twice"},
 	RejectionNotExecuted: {"rejection_not_executed",
-		"408, 421, 429 and 503 are answered only where no attempt may have executed the request",
+		"a gateway responds with 408, 421, 429 or 503 only if no attempt can have executed the request",
 		"a client repeats an order that was executed"},
 	EndpointAcceptsRequests: {"endpoint_accepts_requests",
-		"no endpoint is picked that drains or whose zone is evacuated",
-		"requests go to replicas that are about to end, or to a zone that is being emptied"},
+		"no endpoint is selected that is draining or whose zone is evacuated",
+		"requests are sent to replicas that are shutting down, or to a zone that is being evacuated"},
 	AttemptsWithinLimit: {"attempts_within_limit",
 		"no request is sent to more replicas than its route allows",
-		"retries multiply the load of a service that is in trouble"},
+		"retries multiply the load of a failing service"},
 	ResponseMatchesRequest: {"response_matches_request",
-		"a response that is passed on names the request that it answers, or came on a connection of its own",
-		"a client gets another client's answer"},
+		"a forwarded response identifies its request, or was received on a connection used for no other request",
+		"a client receives another client's response"},
 }
 
 func (n Name) String() string { return Statements[n].Name }
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -106,6 +106,7 @@
 // replica keeps a trial share, which would receive the flows that many cold replicas cannot take.
 const minUnrestartedShare = 0.6
 
+// Stage returns the progress of the recovery.
 func (r *Recovery) Stage() Stage { return r.stage }
 
 // Trust is the trust in the list at now, from 0 to 1. Replicas that have responded count in full, the others by the list's age.
