--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -69,24 +69,24 @@
 // restarted.
 func (r *Recovery) confirm(e rules.List) (out []rules.Event) {
 	r.stage, r.responding = Confirmed, nil
-	answered := map[rules.ReplicaID]rules.Entry{}
+	listed := map[rules.ReplicaID]rules.Entry{}
 	for _, n := range e.Entries {
-		answered[n.Replica] = n
+		listed[n.Replica] = n
 	}
 	confirmed := rules.List{Scope: rules.Changes}
 	var measurements []rules.PriorMeasurement
 	unrestarted := 0
-	for _, k := range r.stored {
-		n, ok := answered[k.Entry.Replica]
-		if !ok && e.Scope == rules.Changes && k.Entry.State != rules.Deregistered {
-			confirmed.Entries = append(confirmed.Entries, k.Entry)
+	for _, s := range r.stored {
+		n, ok := listed[s.Entry.Replica]
+		if !ok && e.Scope == rules.Changes && s.Entry.State != rules.Deregistered {
+			confirmed.Entries = append(confirmed.Entries, s.Entry)
 		}
-		if ok && n.StartedAt != k.Entry.StartedAt || !ok && e.Scope == rules.Full || ok && n.State != rules.Ready {
+		if ok && n.StartedAt != s.Entry.StartedAt || !ok && e.Scope == rules.Full || ok && n.State != rules.Ready {
 			continue
 		}
-		if unrestarted++; k.Learned.Speed > 0 {
-			l := k.Learned
-			l.Replica, l.Trust = k.Entry.Replica, 1
+		if unrestarted++; s.Learned.Speed > 0 {
+			l := s.Learned
+			l.Replica, l.Trust = s.Entry.Replica, 1
 			measurements = append(measurements, l)
 		}
 	}
--- a/rules/governor.go
+++ b/rules/governor.go
@@ -27,7 +27,7 @@
 
 	listRevision int  // List events so far
 	listedAt     Time // time of the last one
-	observing    bool
+	watching     bool
 	listRetryAt  Time
 
 	reviewedAt                 Time
--- a/rules/health.go
+++ b/rules/health.go
@@ -199,11 +199,11 @@
 	if p == nil || r == nil || r.state != Ready || r.ejected || !g.warm(now, r) || !(e.Attempts >= e.Dropped) {
 		return
 	}
-	share, usual, s := e.Dropped/e.Attempts, max(e.ReplicaDropShare, e.ProxyDropShare), p.ejectionOf(r)
-	byChance := math.Pow(max(usual, minDropRate), e.Dropped) * float64(len(g.proxies)*len(g.replicas))
-	chance := e.Dropped < minPairDrops || byChance > maxChancePairs
-	if s != nil && s.active || !(share >= pairDropShare) || share < outlierFactor*usual ||
-		chance && e.RetriedDropped < pairDropShare*(e.RetriedAttempts+pairPriorAttempts) || g.ejectedShare(p, r) > maxEjectedShare ||
+	dropShare, elsewhere, s := e.Dropped/e.Attempts, max(e.ReplicaDropShare, e.ProxyDropShare), p.ejectionOf(r)
+	expectedByChance := math.Pow(max(elsewhere, minDropRate), e.Dropped) * float64(len(g.proxies)*len(g.replicas))
+	mayBeChance := e.Dropped < minPairDrops || expectedByChance > maxChancePairs
+	if s != nil && s.active || !(dropShare >= pairDropShare) || dropShare < outlierFactor*elsewhere ||
+		mayBeChance && e.RetriedDropped < pairDropShare*(e.RetriedAttempts+pairPriorAttempts) || g.ejectedShare(p, r) > maxEjectedShare ||
 		g.reserve(now, []*proxy{p}, 1, 1, g.cfg.pacedEntries, g.cfg.messageLimit/2) == 0 {
 		return
 	}
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -138,10 +138,10 @@
 		return
 	}
 	if e.Scope == Failed {
-		g.observing, g.listRetryAt = false, now+g.randomDuration(g.cfg.listRetryWait, 2*g.cfg.listRetryWait)
+		g.watching, g.listRetryAt = false, now+g.randomDuration(g.cfg.listRetryWait, 2*g.cfg.listRetryWait)
 		return
 	}
-	g.listRevision, g.listedAt, g.observing = g.listRevision+1, now, e.Scope != Cached
+	g.listRevision, g.listedAt, g.watching = g.listRevision+1, now, e.Scope != Cached
 	if g.tables == nil {
 		g.createTables(float64(len(e.Entries)))
 	}
@@ -191,7 +191,7 @@
 // requestList subscribes to the list if it must be requested, and repeats the request after a failure or a timeout. The
 // delay is random, so that governors do not all send requests at the same time.
 func (g *Governor) requestList(now Time) {
-	if g.cfg.listOnRequest && !g.observing && now >= g.listRetryAt {
+	if g.cfg.listOnRequest && !g.watching && now >= g.listRetryAt {
 		g.orders = append(g.orders, WatchList{On: true})
 		g.listRetryAt = now + g.randomDuration(4*g.cfg.listRetryWait, 6*g.cfg.listRetryWait)
 	}
--- a/rules/view.go
+++ b/rules/view.go
@@ -46,7 +46,7 @@
 	}
 	sums, flows := make([]float64, len(g.tables)), 0.0
 	for _, t := range g.tables {
-		flows += t.flows + 1 // avoids division by zero for tables without flows
+		flows += t.flows + 1 // tables without flows have equal weight
 	}
 	for _, r := range g.replicas {
 		for i := range g.tables {
