--- a/internal/daemons/replica/conformance_test.go
+++ b/internal/daemons/replica/conformance_test.go
@@ -16,7 +16,7 @@
 	"zincloft.example/zincloft/dataplane/retry"
 )
 
-// listen opens a listener on a free port of loopback that ends with the test.
+// listen opens a listener on a free loopback port that is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	var config net.ListenConfig
@@ -28,9 +28,9 @@
 	return listener
 }
 
-// scripted starts a replica that writes what respond returns for the n-th request of all, counted from 1: bytes, and
-// whether it closes the connection behind them.
-func scripted(t *testing.T, respond func(q *http.Request, n int) (string, bool)) (addr string, opens *atomic.Int64) {
+// startScriptedReplica starts a replica that writes the bytes returned by respond for the n-th request, counted from 1, and closes
+// the connection if respond returns true.
+func startScriptedReplica(t *testing.T, respond func(q *http.Request, n int) (string, bool)) (addr string, opens *atomic.Int64) {
 	t.Helper()
 	ln := listen(t)
 	var n, open atomic.Int64
@@ -50,11 +50,11 @@
 						return
 					}
 					if q.Header.Get("X-Early") == "" {
-						_, _ = io.Copy(io.Discard, q.Body) // a client that breaks off is met by the next read
+						_, _ = io.Copy(io.Discard, q.Body) // a client that disconnects fails the next read
 					}
 					s, end := respond(q, int(n.Add(1)))
 					_, _ = io.WriteString(c, s)        // the client may have closed the connection
-					if q.Header.Get("X-Early") != "" { // reads no body, and does not go away either
+					if q.Header.Get("X-Early") != "" { // leaves the body unread and the connection open
 						time.Sleep(5 * time.Second)
 					}
 					if end {
@@ -67,7 +67,7 @@
 	return ln.Addr().String(), &open
 }
 
-// validResponse is a proper response with a body.
+// validResponse returns an encoded response with a seal and a body.
 func validResponse(id, body string, head ...string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Response-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s", id, strings.Join(head, ""), len(body), body)
 }
@@ -81,7 +81,7 @@
 	return p.Do("i1", addr, q)
 }
 
-func expect(t *testing.T, r Outcome, v retry.Execution, body string) {
+func expectOutcome(t *testing.T, r Outcome, v retry.Execution, body string) {
 	t.Helper()
 	if r.Execution != v || v == retry.Answered && string(r.Response.Body) != body {
 		t.Fatalf("%s %q (%s), want %s %q", r.Execution, bodyOf(r), r.Cause, v, body)
@@ -95,21 +95,20 @@
 	return string(r.Response.Body)
 }
 
-// Guards against responses made of another's body: a surplus response longer than what is skipped was once read on from its
-// middle, and whatever stood there was taken for the next response.
-func TestSurplusBodyIsNotReadAsResponse(t *testing.T) {
+// Guards against parsing the rest of an unsolicited response that exceeds maxSkippedBytes as the next response.
+func TestUnsolicitedBodyIsNotReadAsResponse(t *testing.T) {
 	forged := validResponse("2", "forged")
-	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) {
+	addr, _ := startScriptedReplica(t, func(q *http.Request, n int) (string, bool) {
 		return validResponse("other", strings.Repeat("x", maxSkippedBytes)+forged) + validResponse("2", "ours"), false
 	})
-	expect(t, attempt(NewPool(testMaxOpen), addr, "2", "POST"), retry.MayHaveExecuted, "")
+	expectOutcome(t, attempt(NewPool(testMaxOpen), addr, "2", "POST"), retry.MayHaveExecuted, "")
 }
 
-// Guards the same over methods: a surplus response to HEAD has a length and no body, so under another method it swallows
-// the next response; the other way round its body would be read as responses.
-func TestHeadSharesNoConnection(t *testing.T) {
+// Guards against confusing the framing of HEAD and other methods on one connection: a response to HEAD has a Content-Length but
+// no body.
+func TestHeadUsesDedicatedConnection(t *testing.T) {
 	for _, x := range []struct{ first, second string }{{"HEAD", "GET"}, {"GET", "HEAD"}} {
-		addr, opens := scripted(t, func(q *http.Request, n int) (string, bool) {
+		addr, opens := startScriptedReplica(t, func(q *http.Request, n int) (string, bool) {
 			if q.Method == "HEAD" {
 				return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + q.Header.Get("X-Attempt-Id") + "\r\nX-Response-Seal: s\r\nContent-Length: 9\r\n\r\n", false
 			}
@@ -124,16 +123,16 @@
 	}
 }
 
-// Guards HEAD, whose response need not have a length.
+// Guards against rejecting a response to HEAD without a Content-Length.
 func TestHeadWithoutLength(t *testing.T) {
-	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) {
+	addr, _ := startScriptedReplica(t, func(q *http.Request, n int) (string, bool) {
 		return "HTTP/1.1 200 OK\r\nX-Attempt-Id: 1\r\nX-Response-Seal: s\r\n\r\n", false
 	})
-	expect(t, attempt(NewPool(testMaxOpen), addr, "1", "HEAD"), retry.Answered, "")
+	expectOutcome(t, attempt(NewPool(testMaxOpen), addr, "1", "HEAD"), retry.Answered, "")
 }
 
-// Guards the promise that a request was not executed: what proves it must be a response to this request, on a connection
-// on which nothing else has come, with a status that says so.
+// Guards against treating a request as not executed without proof, which must be a response to this request with an error status
+// and X-Not-Executed, or a 421.
 func TestProofOfNonExecution(t *testing.T) {
 	no := func(status int, id string) string {
 		s := fmt.Sprintf("HTTP/1.1 %d X\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n", status)
@@ -149,21 +148,21 @@
 		name, response string
 		want           retry.Execution
 	}{
-		{"its own statement", no(503, "1"), retry.NotExecuted},
-		{"no identity, first on a new connection", no(400, ""), retry.MayHaveExecuted},
-		{"no identity, behind a response to another", validResponse("other", "x") + no(503, ""), retry.MayHaveExecuted},
+		{"rejection of this request", no(503, "1"), retry.NotExecuted},
+		{"no attempt ID, first on a new connection", no(400, ""), retry.MayHaveExecuted},
+		{"no attempt ID, after a response to another request", validResponse("other", "x") + no(503, ""), retry.MayHaveExecuted},
 		{"another request's rejection", no(503, "other") + validResponse("1", "ours"), retry.Answered},
-		{"a success that says it was not executed", strings.Replace(validResponse("1", "x"), "Content", "X-Not-Executed: 1\r\nContent", 1), retry.MayHaveExecuted},
-		{"two identities", "HTTP/1.1 503 X\r\nX-Attempt-Id: 1\r\nX-Attempt-Id: 2\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", retry.MayHaveExecuted},
-		{"503 without a statement on execution", plain(503), retry.MayHaveExecuted},
-		{"429 without a statement on execution", plain(429), retry.MayHaveExecuted},
-		{"408 without a statement on execution", plain(408), retry.MayHaveExecuted},
+		{"2xx with X-Not-Executed", strings.Replace(validResponse("1", "x"), "Content", "X-Not-Executed: 1\r\nContent", 1), retry.MayHaveExecuted},
+		{"two attempt IDs", "HTTP/1.1 503 X\r\nX-Attempt-Id: 1\r\nX-Attempt-Id: 2\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", retry.MayHaveExecuted},
+		{"503 without X-Not-Executed", plain(503), retry.MayHaveExecuted},
+		{"429 without X-Not-Executed", plain(429), retry.MayHaveExecuted},
+		{"408 without X-Not-Executed", plain(408), retry.MayHaveExecuted},
 		{"421: another instance", plain(421), retry.NotExecuted},
 		{"a server error", plain(500), retry.Answered},
 	} {
-		addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) { return x.response, false })
-		if r := attempt(NewPool(testMaxOpen), addr, "", "POST"); x.name == "no identity, first on a new connection" && r.Execution != retry.NotExecuted {
-			t.Errorf("a request without an identity: %s (%s)", r.Execution, r.Cause)
+		addr, _ := startScriptedReplica(t, func(q *http.Request, n int) (string, bool) { return x.response, false })
+		if r := attempt(NewPool(testMaxOpen), addr, "", "POST"); x.name == "no attempt ID, first on a new connection" && r.Execution != retry.NotExecuted {
+			t.Errorf("a request without an attempt ID: %s (%s)", r.Execution, r.Cause)
 		}
 		if r := attempt(NewPool(testMaxOpen), addr, "1", "POST"); r.Execution != x.want || x.want == retry.Answered && bodyOf(r) == "x" {
 			t.Errorf("%s: %s (%s), want %s", x.name, r.Execution, r.Cause, x.want)
@@ -171,31 +170,30 @@
 	}
 }
 
-// Guards against a head that is put together from a piece of a surplus one and the right one, and others that two readers
-// could take for different responses.
+// Guards against ambiguous response heads, such as an incomplete unsolicited head followed by the expected one.
 func TestAmbiguousHeads(t *testing.T) {
 	for name, response := range map[string]string{
-		"a surplus head that ends in the middle of a line": "HTTP/1.1 500 X\r\nX-Y: " + validResponse("1", "ours"),
-		"a surplus status line without an end":             "HTTP/1.1 500 " + validResponse("1", "ours"),
-		"a length and chunks":                              validResponse("1", "0\r\n\r\n", "Transfer-Encoding: chunked\r\n"),
-		"two lengths":                                      validResponse("1", "x", "Content-Length: 1\r\n"),
-		"status 000":                                       "HTTP/1.1 000 X\r\n\r\n" + validResponse("1", "ours"),
-		"status 700":                                       "HTTP/1.1 700 X\r\nX-Attempt-Id: 1\r\nContent-Length: 0\r\n\r\n",
-		"101":                                              "HTTP/1.1 101 X\r\nX-Attempt-Id: 1\r\n\r\n",
-		"interim answers without end":                      strings.Repeat("HTTP/1.1 102 X\r\n\r\n", 1000) + validResponse("1", "ours"),
-		"a head without end":                               "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Y: "+strings.Repeat("z", 1000)+"\r\n", 200) + "X-Attempt-Id: 1\r\nX-Response-Seal: s\r\nContent-Length: 0\r\n\r\n",
+		"an unsolicited head cut off within a field":         "HTTP/1.1 500 X\r\nX-Y: " + validResponse("1", "ours"),
+		"an unsolicited head cut off within the status line": "HTTP/1.1 500 " + validResponse("1", "ours"),
+		"a length and chunks":                                validResponse("1", "0\r\n\r\n", "Transfer-Encoding: chunked\r\n"),
+		"two lengths":                                        validResponse("1", "x", "Content-Length: 1\r\n"),
+		"status 000":                                         "HTTP/1.1 000 X\r\n\r\n" + validResponse("1", "ours"),
+		"status 700":                                         "HTTP/1.1 700 X\r\nX-Attempt-Id: 1\r\nContent-Length: 0\r\n\r\n",
+		"101":                                                "HTTP/1.1 101 X\r\nX-Attempt-Id: 1\r\n\r\n",
+		"endless interim responses":                          strings.Repeat("HTTP/1.1 102 X\r\n\r\n", 1000) + validResponse("1", "ours"),
+		"an oversized head":                                  "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Y: "+strings.Repeat("z", 1000)+"\r\n", 200) + "X-Attempt-Id: 1\r\nX-Response-Seal: s\r\nContent-Length: 0\r\n\r\n",
 	} {
-		addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) { return response, n > 1 })
+		addr, _ := startScriptedReplica(t, func(q *http.Request, n int) (string, bool) { return response, n > 1 })
 		if r := attempt(NewPool(testMaxOpen), addr, "1", "POST"); r.Execution != retry.MayHaveExecuted || r.DeadlineExceeded {
 			t.Errorf("%s: %s %q (%s)", name, r.Execution, bodyOf(r), r.Cause)
 		}
 	}
 }
 
-// Guards clients that use one identity twice, or none: on one connection it could not tell their responses apart.
+// Guards against sharing a connection between requests whose responses cannot be told apart: the same attempt ID twice, or none.
 func TestIdentityIsUsedOncePerConnection(t *testing.T) {
 	for _, id := range []string{"same", ""} {
-		addr, opens := scripted(t, func(q *http.Request, n int) (string, bool) {
+		addr, opens := startScriptedReplica(t, func(q *http.Request, n int) (string, bool) {
 			return validResponse(id, fmt.Sprint(n)), false
 		})
 		p := NewPool(testMaxOpen)
@@ -207,9 +205,9 @@
 	}
 }
 
-// Guards latency: the response of a replica that answers before it has read the body, and reads none of it, is taken at once.
-func TestResponseBeforeBodyWasRead(t *testing.T) {
-	addr, opens := scripted(t, func(q *http.Request, n int) (string, bool) {
+// Guards against waiting for the request body to be written when the replica has already responded.
+func TestEarlyResponse(t *testing.T) {
+	addr, opens := startScriptedReplica(t, func(q *http.Request, n int) (string, bool) {
 		return "HTTP/1.1 503 X\r\nX-Attempt-Id: 1\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", false
 	})
 	p := NewPool(testMaxOpen)
@@ -217,18 +215,18 @@
 	q.Header.Set("X-Early", "1")
 	q.Body = make([]byte, 32<<20)
 	began := time.Now()
-	expect(t, p.Do("i1", addr, q), retry.NotExecuted, "")
+	expectOutcome(t, p.Do("i1", addr, q), retry.NotExecuted, "")
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("response after %v", took)
 	}
 	q = request("2", time.Second)
 	p.Do("i1", addr, q)
 	if opens.Load() != 2 {
-		t.Error("a connection with half a request on it was used again")
+		t.Error("a connection with an incomplete request was reused")
 	}
 }
 
-// Guards file descriptors: discarding a response ends its connection, also where it was not read completely.
+// Guards against file descriptor leaks: Discard closes the connection of a response that was not read completely.
 func TestDiscardClosesConnection(t *testing.T) {
 	ended := make(chan bool, 1)
 	ln := listen(t)
@@ -237,8 +235,8 @@
 		if err != nil {
 			return
 		}
-		_, _ = http.ReadRequest(bufio.NewReader(c))                                                                                                   // its end is not of interest
-		_, _ = io.WriteString(c, strings.Replace(validResponse("1", ""), "Content-Length: 0", fmt.Sprint("Content-Length: ", maxBufferedBody*64), 1)) // the copy below meets an error too
+		_, _ = http.ReadRequest(bufio.NewReader(c))                                                                                                   // errors are irrelevant here
+		_, _ = io.WriteString(c, strings.Replace(validResponse("1", ""), "Content-Length: 0", fmt.Sprint("Content-Length: ", maxBufferedBody*64), 1)) // the copy below reports errors
 		_, err = io.CopyN(c, zeros{}, maxBufferedBody*64)
 		ended <- err != nil
 	}()
@@ -249,7 +247,7 @@
 	}
 	r.Discard()
 	if !<-ended {
-		t.Error("the replica sent all of a discarded response")
+		t.Error("the connection of a discarded response stayed open")
 	}
 }
 
@@ -257,10 +255,10 @@
 
 func (zeros) Read(b []byte) (int, error) { return len(b), nil }
 
-// Guards requests that nobody waits for: nothing is sent once the client is gone or the deadline has passed.
-func TestNothingIsSentTooLate(t *testing.T) {
+// Guards against sending a request after the client has disconnected or the deadline has passed.
+func TestCanceledOrExpiredRequestIsNotSent(t *testing.T) {
 	var seen atomic.Int64
-	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) { seen.Add(1); return validResponse("1", ""), false })
+	addr, _ := startScriptedReplica(t, func(q *http.Request, n int) (string, bool) { seen.Add(1); return validResponse("1", ""), false })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	q := request("1", time.Second)
@@ -272,18 +270,18 @@
 		}
 		seen.Store(0)
 		if r := p.Do("i1", addr, q); r.Execution != retry.NotExecuted || !r.NotSent || seen.Load() != 0 {
-			t.Errorf("%+v, %d seen", r, seen.Load())
+			t.Errorf("%+v, %d requests received", r, seen.Load())
 		}
 	}
 }
 
-// Guards connections beyond the timeout that the replica states, also where that is none or no number.
+// Guards against reusing connections after the replica's Keep-Alive timeout, and against invalid timeouts.
 func TestKeepAliveTimeouts(t *testing.T) {
 	for _, x := range []struct {
 		keepAlive string
 		opens     int64
 	}{{"timeout=10", 1}, {"timeout=0", 2}, {"timeout=9223372036854775807", 1}, {"timeout=-5", 1}, {"max=5, timeout=3", 1}} {
-		addr, opens := scripted(t, func(q *http.Request, n int) (string, bool) {
+		addr, opens := startScriptedReplica(t, func(q *http.Request, n int) (string, bool) {
 			return validResponse(q.Header.Get("X-Attempt-Id"), "", "Keep-Alive: "+x.keepAlive+"\r\n"), false
 		})
 		p := NewPool(testMaxOpen)
@@ -295,7 +293,7 @@
 	}
 }
 
-// Guards the seal and the identity: a Connection header may not remove what is meant for the other end.
+// Guards against a Connection field that removes the seal or the attempt ID.
 func TestConnectionOptionsKeepProtectedHeaders(t *testing.T) {
 	h := EndToEndHeaders(http.Header{"Connection": {"X-Response-Seal, x-attempt-id, X-Hop"}, "X-Hop": {"1"}, "X-Attempt-Id": {"1"}, "X-Response-Seal": {"s"}})
 	if len(h) != 2 {
@@ -303,8 +301,8 @@
 	}
 }
 
-// Guards responses that a silent link still brings: while a request that is not idempotent waits, the kernel sends no
-// keep-alive probes and so does not end the connection before the deadline; while the connection is idle it does.
+// Guards against keep-alive probes that end a request with WaitForDeadline before its deadline. Probes must be on while the
+// connection is idle.
 func TestKeepAliveProbes(t *testing.T) {
 	var c *conn
 	probes := func() bool {
@@ -315,7 +313,7 @@
 		return on == 1
 	}
 	during := make(chan bool, 2)
-	addr, _ := scripted(t, func(q *http.Request, n int) (string, bool) {
+	addr, _ := startScriptedReplica(t, func(q *http.Request, n int) (string, bool) {
 		during <- probes()
 		return validResponse(q.Header.Get("X-Attempt-Id"), ""), false
 	})
@@ -329,9 +327,9 @@
 	for _, wait := range []bool{true, false} {
 		q := request(fmt.Sprint(wait), time.Second)
 		q.WaitForDeadline = wait
-		expect(t, p.Do("i1", addr, q), retry.Answered, "")
+		expectOutcome(t, p.Do("i1", addr, q), retry.Answered, "")
 		if got := <-during; got == wait || !probes() {
-			t.Errorf("waits for deadline %v: probes in flight: %v, while idle: %v", wait, got, probes())
+			t.Errorf("WaitForDeadline %v: probes during the request: %v, while idle: %v", wait, got, probes())
 		}
 	}
 }
--- a/internal/daemons/replica/conn.go
+++ b/internal/daemons/replica/conn.go
@@ -15,89 +15,90 @@
 
 const (
 	readBufferBytes      = 4 << 10
-	defaultMaxIdle       = 4 * time.Second // where a replica does not say how long it keeps idle connections
-	concurrentWriteBytes = 64 << 10        // requests beyond this size are written while their response is read
-	recentAttemptsKept   = 16              // identities that a connection remembers
+	defaultMaxIdle       = 4 * time.Second // if the replica sends no Keep-Alive timeout
+	concurrentWriteBytes = 64 << 10        // larger request bodies are written while the response is read
+	recentAttemptsSize   = 16              // attempt IDs remembered per connection
 )
 
-// longAgo is a deadline that ends reads and writes at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline makes pending reads and writes return at once.
+var pastDeadline = time.Unix(1, 0)
 
-// conn is one connection to a replica. It carries one request at a time and is used by one goroutine at a time.
+// conn is a connection to a replica. It carries one request at a time and is used by one goroutine at a time.
 type conn struct {
 	net.Conn
 	pool       *Pool
-	instanceID string // of the instance that it leads to
+	instanceID string
 	tcp        *net.TCPConn
 	raw        syscall.RawConn
 	reader     *bufio.Reader
-	id         uint64 // its number in the pool
+	id         uint64 // number in the pool
 	closed     bool
 
-	idleSince  time.Time
-	idleBefore time.Duration // before the request at hand; 0: the connection is new
-	maxIdle    time.Duration // by what the replica says
+	idleSince   time.Time
+	reusedAfter time.Duration // idle time before the current request; 0 if the connection is new
+	maxIdle     time.Duration // derived from the replica's Keep-Alive timeout
 
-	requests       int                        // carried so far
-	recentAttempts [recentAttemptsKept]string // identities of the last requests; the next one is stored at requests % recentAttemptsKept
+	requests       int                        // sent so far
+	recentAttempts [recentAttemptsSize]string // attempt IDs of the last requests; the next one is stored at requests % recentAttemptsSize
 
-	unusable bool // for another request, until this one has its complete response
-	tainted  bool // a response to another request came on it
+	unusable bool // cannot carry another request, at least until the current response is complete
+	tainted  bool // a response to another request was received
 }
 
-// Close closes the connection and makes room for another one.
+// Close closes the connection and frees its place in the pool.
 func (c *conn) Close() error {
 	if c.closed {
 		return nil
 	}
 	c.closed = true
-	c.pool.released()
+	c.pool.connClosed()
 	return c.Conn.Close()
 }
 
-// needsOwnConn tells whether a request goes over a connection of its own: without an identity its response is known by
-// nothing else, and a response to HEAD ends where one to another method goes on.
-func (q *Request) needsOwnConn() bool { return q.AttemptID == "" || q.Method == http.MethodHead }
+// needsDedicatedConn reports whether a request must use a connection of its own. Without an attempt ID its response cannot be
+// matched otherwise, and responses to HEAD are framed differently from those to other methods.
+func (q *Request) needsDedicatedConn() bool { return q.AttemptID == "" || q.Method == http.MethodHead }
 
-// reusable is the one place that decides whether a connection may carry a further request: the last one has its complete
-// response, whose end is marked in itself, nothing more has come in, and the replica keeps the connection.
+// reusable reports whether the connection may carry another request: the last response is complete and delimited, no further
+// input has arrived, and the replica keeps the connection open.
 func (c *conn) reusable() bool {
 	return !c.unusable && !c.tainted && c.maxIdle > 0 && c.reader.Buffered() == 0
 }
 
-// carried tells whether a request with this identity went over the connection before: a response could be either's.
-func (c *conn) carried(attemptID string) bool { return slices.Contains(c.recentAttempts[:], attemptID) }
+// hasCarried reports whether a recent request on the connection had this attempt ID. Their responses could be confused.
+func (c *conn) hasCarried(attemptID string) bool {
+	return slices.Contains(c.recentAttempts[:], attemptID)
+}
 
-// isQuiet tells whether nothing has come in on an idle connection, not even its end.
-func (c *conn) isQuiet() bool {
+// hasNoUnreadInput reports whether an idle connection has received neither data nor EOF.
+func (c *conn) hasNoUnreadInput() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	quiet := false
+	empty := false
 	err := c.raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = n <= 0 && errors.Is(err, syscall.EAGAIN) // on Linux also known as EWOULDBLOCK
+		empty = n <= 0 && errors.Is(err, syscall.EAGAIN) // equals EWOULDBLOCK on Linux
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// setKeepAliveProbes has the kernel ask whether the other end is still there, or not.
+// setKeepAliveProbes turns TCP keep-alive probes on or off.
 func (c *conn) setKeepAliveProbes(on bool) {
 	_ = c.tcp.SetKeepAlive(on) // fails on a closed connection only, as reads and writes do then
 }
 
-// interrupt ends reads and writes at once.
+// interrupt makes pending reads and writes fail at once.
 func (c *conn) interrupt() {
-	_ = c.SetDeadline(longAgo) // fails on a closed connection only
+	_ = c.SetDeadline(pastDeadline) // fails on a closed connection only
 }
 
-// roundTrip sends the request and reads until its response is there. What was handed to the kernel may have been executed,
-// whether it had left by then or not.
+// roundTrip sends the request and reads its response. Once a byte has been written, the request counts as possibly executed.
 func (c *conn) roundTrip(request *Request) Outcome {
 	c.unusable = true
-	c.recentAttempts[c.requests%recentAttemptsKept] = request.AttemptID
+	c.recentAttempts[c.requests%recentAttemptsSize] = request.AttemptID
 	c.requests++
 	head := request.encodeHead()
 	if len(request.Body) > concurrentWriteBytes {
@@ -109,15 +110,15 @@
 	return c.readResponse(request)
 }
 
-// written is the end of a concurrent write.
-type written struct {
+// writeResult is the result of a concurrent write.
+type writeResult struct {
 	n   int
 	err error
 }
 
-// roundTripLarge writes the request while it reads the response, as a replica may answer before it has read the body.
+// roundTripLarge writes the request while reading the response, as a replica may respond before it has read the body.
 func (c *conn) roundTripLarge(request *Request, head []byte) Outcome {
-	ended := make(chan written, 1)
+	done := make(chan writeResult, 1)
 	go func() {
 		n, err := c.Write(head)
 		if err == nil {
@@ -125,11 +126,11 @@
 			m, err = c.Write(request.Body)
 			n += m
 		}
-		ended <- written{n, err}
+		done <- writeResult{n, err}
 	}()
 	outcome := c.readResponse(request)
-	_ = c.SetWriteDeadline(longAgo) // who has answered need not read on; fails on a closed connection only
-	write := <-ended
+	_ = c.SetWriteDeadline(pastDeadline) // a replica that has responded need not read on; fails on a closed connection only
+	write := <-done
 	if write.err != nil {
 		c.unusable = true
 		if outcome.Execution == retry.MayHaveExecuted && write.n == 0 {
@@ -139,7 +140,7 @@
 	return outcome
 }
 
-// writeFailed is the outcome of a request of which n bytes were written.
+// writeFailed returns the outcome of a request whose write failed after n bytes.
 func writeFailed(n int, err error) Outcome {
 	outcome := connectionFailed(err, CauseWrite)
 	if n == 0 {
@@ -148,7 +149,7 @@
 	return outcome
 }
 
-// connectionFailed is the outcome of a request that was sent, after an error of its connection.
+// connectionFailed returns the outcome of a sent request after a connection error.
 func connectionFailed(err error, cause Cause) Outcome {
 	expired := errors.Is(err, os.ErrDeadlineExceeded)
 	if expired {
--- a/internal/daemons/replica/conn_fuzz_test.go
+++ b/internal/daemons/replica/conn_fuzz_test.go
@@ -11,7 +11,7 @@
 	"zincloft.example/zincloft/dataplane/retry"
 )
 
-// memoryConn is a connection on which everything has come at once.
+// memoryConn is a connection whose complete input is in memory.
 type memoryConn struct{ *bytes.Reader }
 
 func (memoryConn) Write(b []byte) (int, error)      { return len(b), nil }
@@ -22,9 +22,8 @@
 func (memoryConn) SetReadDeadline(time.Time) error  { return nil }
 func (memoryConn) SetWriteDeadline(time.Time) error { return nil }
 
-// FuzzResponse reads what a replica may send in the place of a response. What is taken for one names the request and holds
-// what the bytes hold; a proof of non-execution says so and names the request; and a connection is used again only where
-// every byte was part of the response.
+// FuzzResponse feeds arbitrary bytes to the response reader. An accepted response must have the request's attempt ID and a body
+// found in the input, NotExecuted needs an explicit statement, and a connection may be reused only if all input was consumed.
 func FuzzResponse(f *testing.F) {
 	for _, s := range []string{
 		validResponse("1", "body"), validResponse("other", "x") + validResponse("1", "y"), validResponse("1", "x") + validResponse("other", "y"), validResponse("1", "z", "Transfer-Encoding: chunked\r\n"),
@@ -47,28 +46,28 @@
 		}
 		if r.Execution == retry.MayHaveExecuted {
 			if c.reusable() {
-				t.Fatalf("used again after an unknown execution: %q", b)
+				t.Fatalf("connection reusable after an unknown execution: %q", b)
 			}
 			return
 		}
 		a := r.Response
 		if ids := a.Header["X-Attempt-Id"]; len(ids) != 1 || ids[0] != "1" {
-			t.Fatalf("%s by a response to %q: %q", r.Execution, ids, b)
+			t.Fatalf("%s derived from a response with the attempt IDs %q: %q", r.Execution, ids, b)
 		}
-		if !bytes.Contains(b, a.Body) && len(a.Body) < 8 { // longer ones may have come in several chunks
+		if !bytes.Contains(b, a.Body) && len(a.Body) < 8 { // longer ones may span several chunks
 			if !strings.Contains(strings.ToLower(string(b)), "chunked") {
-				t.Fatalf("a body that was not there: %q in %q", a.Body, b)
+				t.Fatalf("body %q is not part of the input %q", a.Body, b)
 			}
 		}
 		switch {
 		case r.Execution == retry.NotExecuted && (a.Status < 400 || a.Header.Get("X-Not-Executed") == "" && a.Status != 421):
-			t.Fatalf("not executed, by %d: %q", a.Status, b)
+			t.Fatalf("NotExecuted derived from status %d: %q", a.Status, b)
 		case r.Execution == retry.Answered && a.Status/100 == 2 && a.Header.Get("X-Response-Seal") == "":
-			t.Fatalf("a success without a seal: %q", b)
+			t.Fatalf("2xx response without a seal accepted: %q", b)
 		case r.Execution == retry.Answered && (a.Status == 503 || a.Status == 429 || a.Status == 408 || a.Status == 421 || a.Status < 200 || a.Status > 599):
-			t.Fatalf("%d passed on: %q", a.Status, b)
+			t.Fatalf("status %d accepted: %q", a.Status, b)
 		case c.reusable() && (src.Len() > 0 || r.SkippedResponses > 0 || head):
-			t.Fatalf("used again with %d bytes behind, %d skipped: %q", src.Len(), r.SkippedResponses, b)
+			t.Fatalf("connection reusable with %d unread bytes, %d skipped responses: %q", src.Len(), r.SkippedResponses, b)
 		}
 	})
 }
--- a/internal/daemons/replica/head.go
+++ b/internal/daemons/replica/head.go
@@ -14,16 +14,16 @@
 
 const (
 	maxHeadBytes     = 64 << 10 // of a response
-	encodedHeadBytes = 1024     // of a request, at first
+	encodedHeadBytes = 1024     // initial buffer size for a request
 )
 
-// errAmbiguousHead says that a response's head can be read in two ways, or has no end within maxHeadBytes.
-var errAmbiguousHead = errors.New("ambiguous head of a response")
+// errAmbiguousHead is returned for a response head that can be parsed in two ways or exceeds maxHeadBytes.
+var errAmbiguousHead = errors.New("ambiguous or oversized response head")
 
-// awaitHead waits for the complete head of the next response and checks what http.ReadResponse would mend in silence.
+// awaitHead waits for the complete head of the next response and rejects ambiguities that http.ReadResponse tolerates.
 func (c *conn) awaitHead() error {
 	for seen := 0; ; {
-		b, _ := c.reader.Peek(c.reader.Buffered()) // what is buffered can always be peeked
+		b, _ := c.reader.Peek(c.reader.Buffered()) // peeking at buffered bytes cannot fail
 		if end := endOfHead(b, max(seen-3, 0)); end >= 0 {
 			if !isUnambiguous(b[:end]) {
 				return errAmbiguousHead
@@ -42,7 +42,7 @@
 	}
 }
 
-// endOfHead returns the offset behind the empty line that ends a head, looking from an offset on; -1: it has not come.
+// endOfHead returns the offset after the empty line that ends a head, searching from an offset, or -1 if it is not found.
 func endOfHead(b []byte, from int) int {
 	for i := from; ; {
 		j := bytes.IndexByte(b[i:], '\n')
@@ -59,11 +59,11 @@
 	}
 }
 
-// statusLine is what a response begins with. Within a head it is the beginning of another response, behind a piece of a
-// surplus one.
+// statusLine matches the start of a response. Within a head it means that the end of an earlier, incomplete response is
+// followed by another one.
 var statusLine = regexp.MustCompile(`HTTP/1\.[01] [0-9]{3}`)
 
-// isUnambiguous tells whether a head can be read in one way only.
+// isUnambiguous reports whether a head can be parsed in one way only.
 func isUnambiguous(head []byte) bool {
 	if i := bytes.Index(head[1:], []byte("HTTP/1.")); i >= 0 && statusLine.Match(head[1+i:]) {
 		return false
@@ -84,7 +84,7 @@
 	return framings <= 1
 }
 
-// isFraming tells whether a header line says where the body ends.
+// isFraming reports whether a header line defines the length of the body.
 func isFraming(line []byte) bool {
 	i := bytes.IndexByte(line, ':')
 	switch i {
@@ -96,8 +96,8 @@
 	return false
 }
 
-// hopByHop are the header fields that concern one connection only (RFC 9110, 7.6.1).
-var hopByHop = map[string]bool{
+// hopByHopHeaders are the header fields that apply to a single connection (RFC 9110, 7.6.1).
+var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
 	"Proxy-Authenticate":  true,
@@ -109,7 +109,7 @@
 	"Upgrade":             true,
 }
 
-// protectedHeaders are those that a Connection field may not remove: they are meant for the other end (RFC 9110, 7.6.1).
+// protectedHeaders are end-to-end fields that a Connection field cannot remove (RFC 9110, 7.6.1).
 var protectedHeaders = map[string]bool{
 	"Content-Type":    true,
 	"Retry-After":     true,
@@ -117,29 +117,29 @@
 	"X-Response-Seal": true,
 }
 
-// EndToEndHeaders returns the header fields that are passed on: without those that concern one connection, by name or as
-// the Connection field lists them. The values are shared with header.
+// EndToEndHeaders returns the header fields to forward, without hop-by-hop fields and those listed in the Connection field.
+// The values are shared with header.
 func EndToEndHeaders(header http.Header) http.Header {
-	passed := make(http.Header, len(header))
+	forwarded := make(http.Header, len(header))
 	for name, values := range header {
-		if !hopByHop[name] {
-			passed[name] = values
+		if !hopByHopHeaders[name] {
+			forwarded[name] = values
 		}
 	}
 	for _, options := range header["Connection"] {
 		for name := range strings.SplitSeq(options, ",") {
 			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); !protectedHeaders[name] {
-				delete(passed, name)
+				delete(forwarded, name)
 			}
 		}
 	}
-	return passed
+	return forwarded
 }
 
-// ownHeaders are the fields that encodeHead writes by itself, or never.
-var ownHeaders = map[string]bool{"Host": true, "Content-Length": true, "X-Deadline-Ms": true, "X-Target-Instance": true, "Expect": true}
+// managedHeaders are the fields that encodeHead sets itself or omits.
+var managedHeaders = map[string]bool{"Host": true, "Content-Length": true, "X-Deadline-Ms": true, "X-Target-Instance": true, "Expect": true}
 
-// encodeHead encodes a request's head, with room for a small body behind it.
+// encodeHead encodes a request's head, with spare capacity for a small body.
 func (q *Request) encodeHead() []byte {
 	var b bytes.Buffer
 	b.Grow(encodedHeadBytes + min(len(q.Body), concurrentWriteBytes))
@@ -149,7 +149,7 @@
 	if len(q.Body) > 0 || q.Method == http.MethodPost || q.Method == http.MethodPut || q.Method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(q.Body)) + "\r\n")
 	}
-	_ = q.Header.WriteSubset(&b, ownHeaders) // a buffer takes everything
+	_ = q.Header.WriteSubset(&b, managedHeaders) // writing to a buffer cannot fail
 	b.WriteString("\r\n")
 	return b.Bytes()
 }
--- a/internal/daemons/replica/idlelimit.go
+++ b/internal/daemons/replica/idlelimit.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	maxIdleTime          = 30 * time.Second      // no connection is idle for longer
-	immediateResetWindow = 50 * time.Millisecond // a connection that was forgotten answers with a reset by then
-	minIdleLimit         = 20 * time.Millisecond
-	idleLimitDoubling    = 5 * time.Second // what was learned is doubted: after each of these, twice the time is tried
-	maxDoublings         = 20              // bounds the shift
+	maxIdleTime               = 30 * time.Second
+	staleConnResetWindow      = 50 * time.Millisecond // a connection loss within this time is attributed to the idle period before
+	minIdleLimit              = 20 * time.Millisecond
+	idleLimitDoublingInterval = 5 * time.Second // a learned limit is doubled after each interval
+	maxDoublings              = 20              // limits the shift
 )
 
-// idleLimit is how long connections to a service's replicas may be idle, where replicas were found to forget them sooner
-// than they said.
+// idleLimit is the learned idle time of connections to a service, set when a replica dropped a connection earlier than its
+// Keep-Alive timeout.
 type idleLimit struct {
 	limit     time.Duration
 	learnedAt time.Time
 }
 
-// maxIdle is how long a connection to a service may be idle. The caller holds mu.
+// maxIdle returns how long a connection to a service may be idle. The caller must hold mu.
 func (p *Pool) maxIdle(service string, now time.Time) time.Duration {
 	learned, ok := p.idleLimits[service]
 	if !ok {
 		return maxIdleTime
 	}
-	limit := learned.limit << min(int(now.Sub(learned.learnedAt)/idleLimitDoubling), maxDoublings)
+	limit := learned.limit << min(int(now.Sub(learned.learnedAt)/idleLimitDoublingInterval), maxDoublings)
 	if limit >= maxIdleTime || limit <= 0 {
 		delete(p.idleLimits, service)
 		return maxIdleTime
@@ -31,8 +31,8 @@
 	return limit
 }
 
-// learnIdleLimit takes in that a replica of a service had forgotten a connection that was idle for so long, without
-// closing it. The next request that is not idempotent would have an unknown execution on such a connection.
+// learnIdleLimit lowers the idle limit of a service after a replica has silently dropped a connection that was idle for the
+// given time. On such a connection, the execution of a request is unknown.
 func (p *Pool) learnIdleLimit(service string, idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/daemons/replica/pool.go
+++ b/internal/daemons/replica/pool.go
@@ -17,38 +17,38 @@
 
 const (
 	dialTimeout    = 300 * time.Millisecond
-	unackedTimeout = 500 * time.Millisecond // sent bytes that a live replica would have acknowledged long ago
-	probeInterval  = time.Second            // between keep-alive probes of the kernel, and until the first one
+	unackedTimeout = 500 * time.Millisecond // for data not acknowledged by the replica's TCP stack
+	probeInterval  = time.Second            // TCP keep-alive idle time and interval
 )
 
-// Pool keeps idle connections to replicas by the replica's instance ID, as an address may pass to another instance. It
-// is safe for concurrent use.
+// Pool is a pool of connections to replicas. Idle connections are keyed by instance ID, as an address may be reassigned to
+// another instance. Pool is safe for concurrent use.
 type Pool struct {
 	mu         sync.Mutex
-	idle       map[string][]*conn   // by instance, the newest last
+	idle       map[string][]*conn   // by instance ID, most recently used last
 	idleLimits map[string]idleLimit // by service
-	opened     int64                // connections opened so far
-	open       int                  // connections, with those that are being opened
+	opened     int64                // total number of connections opened
+	open       int                  // open connections, including those being opened
 	maxOpen    int
 }
 
-// NewPool makes an empty pool of maxOpen connections at the most.
+// NewPool creates an empty pool of at most maxOpen connections.
 func NewPool(maxOpen int) *Pool {
 	return &Pool{idle: map[string][]*conn{}, idleLimits: map[string]idleLimit{}, maxOpen: maxOpen}
 }
 
-// errPoolFull says that no connection may be opened, as requests hold as many as there may be.
+// errPoolFull is returned when the connection limit is reached and no connection is idle.
 var errPoolFull = errors.New("all connections to replicas are in use")
 
-// OpenCount is how many connections are open.
+// OpenCount returns the number of open connections.
 func (p *Pool) OpenCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// reserve counts a connection that is about to be opened. Where there are as many as there may be, the one that has been idle for longest is
-// closed for it.
+// reserve counts a connection that is about to be opened. If the limit is reached, it closes the connection that has been
+// idle for longest, or returns errPoolFull if none is idle.
 func (p *Pool) reserve() error {
 	p.mu.Lock()
 	var oldest *conn
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// takeOldestIdle takes the connection out of the pool that has been idle for longest; nil: none is idle. The caller holds mu.
+// takeOldestIdle removes the connection that has been idle for longest from the pool, or returns nil if none is idle. The
+// caller must hold mu.
 func (p *Pool) takeOldestIdle() (oldest *conn) {
 	for _, conns := range p.idle {
 		if len(conns) > 0 && (oldest == nil || conns[0].idleSince.Before(oldest.idleSince)) {
@@ -79,14 +80,14 @@
 	return oldest
 }
 
-// released counts a connection that was closed, or could not be opened.
-func (p *Pool) released() {
+// connClosed uncounts a connection that was closed or could not be opened.
+func (p *Pool) connClosed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// OpenedCount is how many connections were opened so far.
+// OpenedCount returns the total number of connections opened.
 func (p *Pool) OpenedCount() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +96,7 @@
 
 // Do sends a request to the replica at addr and waits for its response, until the request's deadline or cancellation.
 func (p *Pool) Do(instanceID, addr string, request *Request) Outcome {
-	if cause := notSendable(request); cause != "" {
+	if cause := unsendableCause(request); cause != "" {
 		return Outcome{Execution: retry.NotExecuted, Cause: cause, NotSent: true, DeadlineExceeded: cause == CauseExpired}
 	}
 	c := p.takeIdle(instanceID, request)
@@ -116,9 +117,9 @@
 	sentAt := time.Now()
 	outcome := c.roundTrip(request)
 	outcome.ConnID, outcome.ConnRequestCount = c.id, c.requests
-	// A connection that the replica had forgotten answers with a reset at once; what ends later was broken off at work.
-	if c.idleBefore > 0 && time.Since(sentAt) < immediateResetWindow && outcome.Cause.isConnectionLoss() && request.Service != "" {
-		p.learnIdleLimit(request.Service, c.idleBefore)
+	// A reset right after the write means that the replica had dropped the idle connection. A later loss has other causes.
+	if c.reusedAfter > 0 && time.Since(sentAt) < staleConnResetWindow && outcome.Cause.isConnectionLoss() && request.Service != "" {
+		p.learnIdleLimit(request.Service, c.reusedAfter)
 	}
 	if !stop() {
 		c.unusable = true
@@ -127,8 +128,8 @@
 	return outcome
 }
 
-// notSendable tells why a request is not even sent; empty: it is.
-func notSendable(request *Request) Cause {
+// unsendableCause returns the reason not to send a request, or an empty cause.
+func unsendableCause(request *Request) Cause {
 	if request.Cancel != nil && request.Cancel.Err() != nil {
 		return CauseClientGone
 	}
@@ -152,9 +153,10 @@
 	}
 }
 
-// takeIdle takes an idle connection that may carry the request out of the pool; nil: there is none.
+// takeIdle removes an idle connection that may carry the request from the pool, or returns nil if there is none. Unusable
+// connections that it comes across are closed.
 func (p *Pool) takeIdle(instanceID string, request *Request) *conn {
-	if request.needsOwnConn() {
+	if request.needsDedicatedConn() {
 		return nil
 	}
 	now := time.Now()
@@ -169,22 +171,22 @@
 		c := conns[len(conns)-1]
 		p.idle[instanceID] = conns[:len(conns)-1]
 		p.mu.Unlock()
-		c.idleBefore = now.Sub(c.idleSince)
-		if c.idleBefore <= min(c.maxIdle, limit) && !c.carried(request.AttemptID) && c.isQuiet() {
+		c.reusedAfter = now.Sub(c.idleSince)
+		if c.reusedAfter <= min(c.maxIdle, limit) && !c.hasCarried(request.AttemptID) && c.hasNoUnreadInput() {
 			return c
 		}
 		closeQuietly(c)
 	}
 }
 
-// dial opens a connection to an instance, if there may be one more.
+// dial opens a connection to an instance within the connection limit.
 func (p *Pool) dial(instanceID, addr string, deadline time.Time) (*conn, error) {
 	if err := p.reserve(); err != nil {
 		return nil, err
 	}
 	c, err := p.connect(addr, deadline)
 	if err != nil {
-		p.released()
+		p.connClosed()
 		return nil, err
 	}
 	c.instanceID = instanceID
@@ -198,7 +200,7 @@
 		return nil, err
 	}
 	tcp := netConn.(*net.TCPConn)
-	// Without probes a machine that vanishes silently is noticed at the deadline only; that much is lost by an error.
+	// Best effort: without probes, a machine that fails silently is only noticed at the deadline.
 	_ = tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: 1})
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -212,7 +214,7 @@
 	return &conn{Conn: netConn, pool: p, tcp: tcp, raw: raw, id: id, reader: bufio.NewReaderSize(netConn, readBufferBytes), maxIdle: defaultMaxIdle}, nil
 }
 
-// release puts a connection back after a request, hands it to the rest of a long response, or closes it.
+// release returns a connection to the pool after a request, closes it, or leaves it open for the rest of a long response.
 func (p *Pool) release(instanceID string, c *conn, request *Request, response *Response) {
 	switch {
 	case response != nil && response.CopyRest != nil:
@@ -239,7 +241,7 @@
 	p.mu.Unlock()
 }
 
-// CloseIdle closes the idle connections to an instance.
+// CloseIdle closes all idle connections to an instance.
 func (p *Pool) CloseIdle(instanceID string) {
 	p.mu.Lock()
 	conns := p.idle[instanceID]
@@ -250,7 +252,7 @@
 	}
 }
 
-// Sweep closes connections that have been idle for so long that their replicas are about to close them.
+// Sweep closes connections that have exceeded their idle time, before their replicas do.
 func (p *Pool) Sweep(now time.Time) {
 	var expired []*conn
 	p.mu.Lock()
@@ -275,5 +277,5 @@
 	}
 }
 
-// closeQuietly closes what is of no use any more: an error of it changes nothing.
+// closeQuietly closes c and ignores the error.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/daemons/replica/pool_test.go
+++ b/internal/daemons/replica/pool_test.go
@@ -14,9 +14,9 @@
 
 const testMaxOpen = 100 // more connections than any test here needs
 
-func request(id string, most time.Duration) *Request {
+func request(id string, timeout time.Duration) *Request {
 	return &Request{Method: "POST", URI: "/x?y=1", Host: "h.example", Header: http.Header{"X-Attempt-Id": {id}, "Accept": {"*/*"}},
-		Body: []byte("body"), AttemptID: id, InstanceID: "i1", Deadline: time.Now().Add(most)}
+		Body: []byte("body"), AttemptID: id, InstanceID: "i1", Deadline: time.Now().Add(timeout)}
 }
 
 func TestExecutionOutcomes(t *testing.T) {
@@ -27,7 +27,7 @@
 		p := NewPool(testMaxOpen)
 		do := func(id string) Outcome { return p.Do("i1", r.Addr(), request(id, 2*time.Second)) }
 
-		Convey("a complete response is passed on, and the connection used again", func() {
+		Convey("a complete response is returned and the connection is reused", func() {
 			for _, id := range []string{"1", "2", "3"} {
 				res := do(id)
 				So(res.Execution, ShouldEqual, retry.Answered)
@@ -40,7 +40,7 @@
 			So(q.Header.Get("X-Target-Instance"), ShouldEqual, "i1")
 			So(q.ContentLength, ShouldEqual, 4)
 		})
-		Convey("what bad replicas send gets the execution that is safe", func() {
+		Convey("a misbehaving replica's response gets a conservative execution", func() {
 			for _, x := range []struct {
 				b upstream.Behaviour
 				v retry.Execution
@@ -56,24 +56,25 @@
 				if x.v == retry.Answered && res.Response.Status == 200 {
 					So(string(res.Response.Body), ShouldEqual, "body of "+string(x.b)+" from i1\n")
 				}
-				// Guards responses to another request: whatever was left over must not meet the next one.
+				// Guards against leftover data that is read as the response to the next request.
 				next := do("after-" + string(x.b))
 				So(next.Execution, ShouldEqual, retry.Answered)
 				So(string(next.Response.Body), ShouldEqual, "body of after-"+string(x.b)+" from i1\n")
-				// Guards against hidden repeats: each attempt was executed at most once.
+				// Guards against implicit retries.
 				So(r.Executions()[string(x.b)], ShouldBeLessThanOrEqualTo, 1)
 			}
 		})
 		Convey("a connection that the replica closed while it was idle is not used", func() {
 			r.SetBehaviours(upstream.ClosesAfterResponse)
 			So(do("1").Execution, ShouldEqual, retry.Answered)
-			for p.newestIdleIsQuiet("i1") { // until its end has arrived
+			for p.newestIdleHasNoUnreadInput("i1") { // until the EOF has arrived
 			}
 			So(do("2").Execution, ShouldEqual, retry.Answered)
 			So(r.ConnectionCount(), ShouldEqual, 2)
 		})
-		// Guards against replicas that forget idle connections sooner than they state: the next request has an unknown execution.
-		Convey("a connection found forgotten limits idle times of its service, for a while", func() {
+		// Guards against replicas that drop idle connections before their Keep-Alive timeout: the execution of the next request
+		// would be unknown.
+		Convey("a dropped idle connection temporarily limits the idle time of its service", func() {
 			q := func(id string) *Request {
 				q := request(id, time.Second)
 				q.Service = "svc"
@@ -87,46 +88,46 @@
 			So(p.maxIdle("other", time.Now()), ShouldEqual, maxIdleTime)
 			So(p.maxIdle("svc", time.Now().Add(time.Minute)), ShouldEqual, maxIdleTime)
 		})
-		Convey("silence ends at the deadline, with an unknown execution", func() {
+		Convey("an attempt without a response ends at the deadline with an unknown execution", func() {
 			r.SetBehaviours(upstream.NeverResponds)
 			res := p.Do("i1", r.Addr(), request("1", 50*time.Millisecond))
 			So(res.Execution, ShouldEqual, retry.MayHaveExecuted)
 			So(res.DeadlineExceeded, ShouldBeTrue)
 		})
-		Convey("an attempt whose client is gone ends at once", func() {
+		Convey("an attempt whose client disconnects ends at once", func() {
 			r.SetBehaviours(upstream.NeverResponds)
 			ctx, cancel := context.WithCancel(context.Background())
 			q := request("1", time.Minute)
 			q.Cancel = ctx
 			go func() {
-				for len(r.Requests()) == 0 { // until it has arrived: before that it was not executed
+				for len(r.Requests()) == 0 { // until the request has arrived
 				}
 				cancel()
 			}()
 			So(p.Do("i1", r.Addr(), q).Execution, ShouldEqual, retry.MayHaveExecuted)
 		})
-		Convey("a replica that cannot be connected to has not executed it", func() {
+		Convey("an attempt without a connection was not executed", func() {
 			r.Close()
 			res := do("1")
 			So(res.Execution, ShouldEqual, retry.NotExecuted)
 			So(res.NotSent, ShouldBeTrue)
 		})
 	})
-	Convey("Hop-by-hop header fields are not passed on", t, func() {
+	Convey("Hop-by-hop header fields are not forwarded", t, func() {
 		h := EndToEndHeaders(http.Header{"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=5"}, "Te": {"x"}, "X-Attempt-Id": {"1"}, "X-Response-Seal": {"s"}})
 		So(h, ShouldResemble, http.Header{"X-Attempt-Id": {"1"}, "X-Response-Seal": {"s"}})
 	})
 }
 
-// newestIdleIsQuiet tells whether the newest idle connection still looks usable.
-func (p *Pool) newestIdleIsQuiet(id string) bool {
+// newestIdleHasNoUnreadInput reports whether the most recently used idle connection has received neither data nor EOF.
+func (p *Pool) newestIdleHasNoUnreadInput(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[id]
-	return len(list) > 0 && list[len(list)-1].isQuiet()
+	return len(list) > 0 && list[len(list)-1].hasNoUnreadInput()
 }
 
-// TestPoolIsBounded guards the descriptors of others: connections to replicas had no bound of their own.
+// TestPoolIsBounded guards against connections to replicas that use up the process's file descriptors.
 func TestPoolIsBounded(t *testing.T) {
 	Convey("Given a pool of two connections, both idle", t, func() {
 		p := NewPool(2)
@@ -145,21 +146,21 @@
 		So(do("i1", "1").Execution, ShouldEqual, retry.Answered)
 		So(do("i2", "2").Execution, ShouldEqual, retry.Answered)
 		So(p.OpenCount(), ShouldEqual, 2)
-		Convey("a third one takes the place of the one that has been idle for longest", func() {
+		Convey("a third connection replaces the one that has been idle for longest", func() {
 			So(do("i3", "3").Execution, ShouldEqual, retry.Answered)
 			So(p.OpenCount(), ShouldEqual, 2)
 			So(p.idle["i1"], ShouldBeEmpty)
 			So(do("i2", "4").Execution, ShouldEqual, retry.Answered)
 			So(replicas["i2"].ConnectionCount(), ShouldEqual, 1)
 		})
-		Convey("while both carry requests, a third request is not sent", func() {
+		Convey("a third request is not sent while both connections are in use", func() {
 			release := make(chan struct{})
 			ended := make(chan Outcome, 2)
 			for _, id := range []string{"i1", "i2"} {
 				replicas[id].SetResponseHook(func(string) { <-release })
 				go func() { ended <- do(id, "held by "+id) }()
 			}
-			for len(replicas["i1"].Requests())+len(replicas["i2"].Requests()) < 4 { // until both have arrived
+			for len(replicas["i1"].Requests())+len(replicas["i2"].Requests()) < 4 { // until both requests have arrived
 			}
 			outcome := do("i3", "5")
 			So(outcome.Execution, ShouldEqual, retry.NotExecuted)
--- a/internal/daemons/replica/replica.go
+++ b/internal/daemons/replica/replica.go
@@ -1,8 +1,7 @@
-// Package replica is the gateway's side of HTTP/1.1 towards replicas: a pool of connections, one request at a time on
-// each, and for every attempt an Outcome that says whether the request may have been executed.
+// Package replica implements the gateway's HTTP/1.1 client for replicas: a pool of connections that carry one request at a
+// time, and an Outcome for every attempt that says whether the request may have been executed.
 //
-// Requests are never repeated here. A library's transport may send a request again where it holds that harmless; here
-// every arrival of a request at a replica is decided by dataplane/retry.
+// The package never retries a request by itself, unlike net/http's Transport: all retries are decided by dataplane/retry.
 package replica
 
 import (
@@ -15,83 +14,84 @@
 	"zincloft.example/zincloft/dataplane/retry"
 )
 
-// Request is what goes to a replica. Method, URI, Host and Body are the client's.
+// Request is a request to a replica. Method, URI, Host and Body are those of the client's request.
 type Request struct {
 	Method, URI, Host string
-	Header            http.Header // without the hop-by-hop fields, see EndToEndHeaders
+	Header            http.Header // without hop-by-hop fields, see EndToEndHeaders
 	Body              []byte
-	AttemptID         string // the client's X-Attempt-Id; empty: the request has no identity
-	InstanceID        string // the instance that is to answer, sent as X-Target-Instance
-	Service           string // whose replicas share what is learned about idle connections; empty: nothing is learned
+	AttemptID         string // the client's X-Attempt-Id; empty if it sent none
+	InstanceID        string // sent as X-Target-Instance
+	Service           string // key of the learned idle limit; empty to learn none
 	Deadline          time.Time
 
-	// WaitForDeadline has a silent replica waited for until the deadline, without keep-alive probes: for a request that
-	// may not be sent again anyway.
+	// WaitForDeadline disables TCP keep-alive probes during the request, so that a silent link does not end it before the
+	// deadline. It is for requests that cannot be retried.
 	WaitForDeadline bool
 
-	// Cancel ends the attempt when it is done, where nothing is lost by that. It may be nil.
+	// Cancel ends the attempt when it is done. It may be nil.
 	Cancel context.Context
 }
 
-// Response is a replica's response. Body is complete unless CopyRest is set.
+// Response is a replica's response. Body is the complete body unless CopyRest is set.
 type Response struct {
 	Status        int
 	Header        http.Header
 	Body          []byte
-	ContentLength int64 // of the complete body; -1: not known
+	ContentLength int64 // of the complete body; -1 if unknown
 
-	// CopyRest copies what follows Body, and closes the connection. Its error means that the response was truncated.
+	// CopyRest copies the part of the body after Body and closes the connection. An error means that the response was
+	// truncated.
 	CopyRest func(io.Writer) error
-	// Close closes the connection of a response with CopyRest that is not passed on.
+	// Close closes the connection of a response with CopyRest. It is called instead of CopyRest.
 	Close func()
 }
 
-// Outcome is what became of one attempt.
+// Outcome is the outcome of one attempt.
 type Outcome struct {
 	Execution retry.Execution
-	Response  *Response // nil where there is none to pass on
-	Cause     Cause     // why the attempt failed; empty: Answered
+	Response  *Response // nil if there is no valid response
+	Cause     Cause     // why the attempt failed; empty if Execution is Answered
 
-	NotSent           bool // no byte was handed to the kernel
+	NotSent           bool // no byte was written to a connection
 	DeadlineExceeded  bool
-	ConnectionRefused bool // nobody listens at the address
-	Rejected          bool // NotExecuted, by the replica's own statement
+	ConnectionRefused bool // dialing failed with ECONNREFUSED
+	Rejected          bool // the replica stated that it did not execute the request
 
-	ConnID           uint64 // the connection's number in its pool; 0: there was none
-	ConnRequestCount int    // how many requests the connection had carried by then, this one included
-	SkippedResponses int    // responses to other requests that came in the place of this one's
+	ConnID           uint64 // number of the connection in its pool; 0 if there was none
+	ConnRequestCount int    // requests sent on the connection, including this one
+	SkippedResponses int    // responses to other requests received before this one's
 }
 
-// Discard lets go of a response that is not passed on.
+// Discard closes the connection of a response that is not used.
 func (o Outcome) Discard() {
 	if o.Response != nil && o.Response.Close != nil {
 		o.Response.Close()
 	}
 }
 
-// Cause says why an attempt failed. It is a key of logs and counters.
+// Cause is the reason for a failed attempt, as used in logs and counters.
 type Cause string
 
-// The causes. A rejection by the replica is rejected_ and its status.
+// Causes of failed attempts. A rejection by the replica has the cause rejected_ followed by the status.
 const (
-	CauseClientGone           Cause = "client_gone" // the client left before anything was sent
-	CauseExpired              Cause = "expired"     // the deadline passed before anything was sent
-	CauseDial                 Cause = "dial"        // no connection could be opened
-	CausePoolFull             Cause = "pool_full"   // no connection may be opened, as all that there may be are in use
-	CauseWrite                Cause = "write"       // the connection failed while the request was written
+	CauseClientGone           Cause = "client_gone" // the client disconnected before the request was sent
+	CauseExpired              Cause = "expired"     // the deadline passed before the request was sent
+	CauseDial                 Cause = "dial"        // opening a connection failed
+	CausePoolFull             Cause = "pool_full"   // the connection limit is reached and no connection is idle
+	CauseWrite                Cause = "write"       // writing the request failed
 	CauseClosed               Cause = "closed"      // the replica closed the connection before its response
 	CauseConnectionLost       Cause = "broken"      // the connection failed before the response
 	CauseDeadline             Cause = "deadline"    // no response by the deadline
-	CauseTruncated            Cause = "truncated"   // a response that ended before its end
-	CauseNotHTTP              Cause = "not_http"    // bytes that are no response, or can be read as two
-	CauseInvalid              Cause = "invalid"     // a response that lacks its seal, its identity or its length, or has a status that is none
-	CauseUnsolicited          Cause = "surplus"     // responses to other requests, behind which this one's cannot be found
-	CauseMissingAttemptID     Cause = "nameless"    // a rejection that does not name the request
-	CauseUnconfirmedRejection Cause = "unproven"    // 408, 429 or 503 without the statement that the request was not executed
-	causeRejectedFor                = "rejected_"
+	CauseTruncated            Cause = "truncated"   // the response body ended early
+	CauseNotHTTP              Cause = "not_http"    // malformed or ambiguous response head
+	CauseInvalid              Cause = "invalid"     // missing seal, attempt ID or length, or invalid status
+	CauseUnsolicited          Cause = "surplus"     // responses to other requests that could not be skipped
+	CauseMissingAttemptID     Cause = "nameless"    // a rejection without the request's attempt ID
+	CauseUnconfirmedRejection Cause = "unproven"    // 408, 429 or 503 without X-Not-Executed
+	rejectedCausePrefix             = "rejected_"
 )
 
-// IsBadResponse tells whether the replica did send something, but no response that can be used.
+// IsBadResponse reports whether the replica sent data that is not a usable response.
 func (c Cause) IsBadResponse() bool {
 	switch c {
 	case CauseInvalid, CauseTruncated, CauseUnsolicited, CauseUnconfirmedRejection, CauseMissingAttemptID, CauseNotHTTP:
@@ -100,9 +100,9 @@
 	return false
 }
 
-// isConnectionLoss tells whether the connection failed under the request.
+// isConnectionLoss reports whether the connection failed during the request.
 func (c Cause) isConnectionLoss() bool {
 	return c == CauseConnectionLost || c == CauseClosed || c == CauseWrite
 }
 
-func rejectedWith(status int) Cause { return Cause(causeRejectedFor + strconv.Itoa(status)) }
+func rejectionCause(status int) Cause { return Cause(rejectedCausePrefix + strconv.Itoa(status)) }
--- a/internal/daemons/replica/response.go
+++ b/internal/daemons/replica/response.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	maxBufferedBody     = 1 << 20   // responses up to this size are complete before their first byte is passed on
-	maxSkippedResponses = 3         // surplus responses skipped on one connection
-	maxSkippedBytes     = 256 << 10 // of one surplus response
-	maxInterimResponses = 8         // 1xx before the final response
+	maxBufferedBody     = 1 << 20   // larger response bodies are streamed
+	maxSkippedResponses = 3         // responses to other requests skipped per request
+	maxSkippedBytes     = 256 << 10 // body size of a skipped response
+	maxInterimResponses = 8         // 1xx responses before the final one
 	maxKeepAliveSeconds = 3600
-	usableIdleTenths    = 7 // of a replica's keep-alive timeout: later the replica may close a connection under a request
+	usableIdleTenths    = 7 // tenths of a replica's Keep-Alive timeout, so that it does not close the connection during a request
 )
 
-// readResponse reads until a response to this request has come.
+// readResponse reads the response to the request, skipping responses to other requests.
 func (c *conn) readResponse(request *Request) Outcome {
 	for skipped := 0; ; skipped++ {
 		outcome, skip := c.readNext(request)
@@ -36,9 +36,9 @@
 	}
 }
 
-// readNext reads the next response. skip is set where it belongs to another request and the next one can be read.
+// readNext reads the next response. skip is set if it belongs to another request and has been read completely.
 func (c *conn) readNext(request *Request) (outcome Outcome, skip bool) {
-	response, outcome := c.readFinalHead(request) //nolint:bodyclose // its Close would read on; the connection ends by reusable
+	response, outcome := c.readFinalHead(request) //nolint:bodyclose // Close would drain the body; the connection is closed unless it is reusable
 	if response == nil {
 		return outcome, false
 	}
@@ -50,15 +50,15 @@
 	if id != "" && id != request.AttemptID {
 		n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSkippedBytes))
 		if err != nil || n >= maxSkippedBytes || !delimited || response.Close || request.Method == http.MethodHead {
-			return connectionFailed(err, CauseUnsolicited), false // where the next response begins isn't known
+			return connectionFailed(err, CauseUnsolicited), false // the start of the next response is unknown
 		}
 		return Outcome{}, true
 	}
 	return c.readBody(request, response, id, delimited), false
 }
 
-// readFinalHead reads the head of the next response that is not an interim one. The response is nil where there is none,
-// and the outcome says why.
+// readFinalHead reads response heads up to the first one that is not interim. On failure it returns a nil response and the
+// outcome of the request.
 func (c *conn) readFinalHead(request *Request) (*http.Response, Outcome) {
 	for interim := 0; ; interim++ {
 		var response *http.Response
@@ -78,7 +78,7 @@
 	}
 }
 
-// headFailed is the outcome of a request whose response's head could not be read.
+// headFailed returns the outcome of a request after an error while reading the response head.
 func headFailed(err error) Outcome {
 	var netError net.Error
 	switch {
@@ -90,13 +90,13 @@
 	return connectionFailed(err, CauseNotHTTP)
 }
 
-// isDelimited tells whether a response's end is marked in itself, not by the end of the connection.
+// isDelimited reports whether the end of a response is known without the connection being closed.
 func isDelimited(response *http.Response, method string) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0 || method == http.MethodHead ||
 		response.StatusCode == http.StatusNoContent || response.StatusCode == http.StatusNotModified
 }
 
-// readBody reads the body of a response that names this request, or none, and classifies the complete response.
+// readBody reads the body of a response with the request's attempt ID, or without one, and classifies the response.
 func (c *conn) readBody(request *Request, from *http.Response, id string, delimited bool) Outcome {
 	body, err := io.ReadAll(io.LimitReader(from.Body, maxBufferedBody+1))
 	if err != nil {
@@ -118,24 +118,25 @@
 		}
 		return outcome
 	}
-	c.unusable = from.Close || !delimited || request.needsOwnConn()
+	c.unusable = from.Close || !delimited || request.needsDedicatedConn()
 	if timeout, ok := keepAliveTimeout(from.Header); ok {
-		c.maxIdle = idleBelow(timeout)
+		c.maxIdle = usableIdleTime(timeout)
 	}
 	return outcome
 }
 
-// classify is the one place that decides what a response says which names this request, or none.
+// classify determines the outcome of a response with the request's attempt ID, or without one.
 //
-// The request was not executed where the response says so, has a status of rejection and belongs to this request. It does
-// where it names the request; one without an identity cannot be named, and has a connection of its own, so that whatever comes first on it is
-// its response. A success needs its seal. 408, 429 and 503 would be a promise to the client which the replica has not given.
+// The request was not executed if the response says so, has an error status and belongs to the request. A response belongs to
+// the request if it has its attempt ID. A request without an attempt ID uses a dedicated connection, so that the first
+// response on it belongs to the request. A 2xx response needs a seal. 408, 429 and 503 without X-Not-Executed are not
+// returned, as they would tell the client that the request was not executed.
 func (c *conn) classify(request *Request, response *Response, id string, delimited bool) Outcome {
 	rejected := response.Header.Get("X-Not-Executed") != "" || response.Status == http.StatusMisdirectedRequest
 	belongs := id != "" || request.AttemptID == "" && !c.tainted
 	switch {
 	case rejected && response.Status >= 400 && belongs:
-		return Outcome{Execution: retry.NotExecuted, Response: response, Cause: rejectedWith(response.Status), Rejected: true}
+		return Outcome{Execution: retry.NotExecuted, Response: response, Cause: rejectionCause(response.Status), Rejected: true}
 	case rejected && !belongs:
 		return Outcome{Execution: retry.MayHaveExecuted, Cause: CauseMissingAttemptID}
 	case rejected, !belongs, !delimited, response.Header.Get("Content-Encoding") != "", response.Status/100 == 2 && response.Header.Get("X-Response-Seal") == "":
@@ -150,7 +151,7 @@
 	return Outcome{Execution: retry.MayHaveExecuted, Cause: CauseInvalid}
 }
 
-// keepAliveTimeout reads the timeout of a Keep-Alive field.
+// keepAliveTimeout parses the timeout parameter of the Keep-Alive field.
 func keepAliveTimeout(header http.Header) (timeout time.Duration, ok bool) {
 	for parameter := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -164,8 +165,8 @@
 	return 0, false
 }
 
-// idleBelow is how long a connection may be idle which its replica keeps for a timeout.
-func idleBelow(timeout time.Duration) time.Duration {
+// usableIdleTime returns how long a connection may be idle, given the replica's Keep-Alive timeout.
+func usableIdleTime(timeout time.Duration) time.Duration {
 	if timeout <= time.Second {
 		return timeout / 2
 	}
