--- a/internal/daemons/bodybuffer/budget.go
+++ b/internal/daemons/bodybuffer/budget.go
@@ -1,6 +1,6 @@
-// Package bodybuffer reads the bodies of requests completely into memory, and bounds the bytes that all of them hold at once.
+// Package bodybuffer reads request bodies completely into memory and limits the total memory that they use.
 //
-// Memory is taken as bytes come, not as a length announces them: whoever announces much and sends little holds little.
+// Memory is reserved as bytes arrive, not according to Content-Length, so that a client cannot reserve memory without sending data.
 package bodybuffer
 
 import (
@@ -10,25 +10,25 @@
 	"sync/atomic"
 )
 
-// ErrFull says that other bodies hold all memory meant for them.
-var ErrFull = errors.New("too many bytes of request bodies are buffered")
+// ErrFull is returned when the budget is exhausted.
+var ErrFull = errors.New("memory budget for request bodies exhausted")
 
-// chunkBytes is how much of a body is taken at first, and at once where its length is not known.
+// chunkBytes is the maximum initial size of a body's buffer.
 const chunkBytes = 16 << 10
 
-// Budget bounds the bytes that are held at once. It is safe for concurrent use.
+// Budget limits the number of reserved bytes. It is safe for concurrent use.
 type Budget struct {
 	limit int64
 	used  atomic.Int64
 }
 
-// New makes a budget of so many bytes.
+// New creates a budget of limit bytes.
 func New(limit int64) *Budget { return &Budget{limit: limit} }
 
-// Used is how many bytes are held.
+// Used returns the number of reserved bytes.
 func (b *Budget) Used() int64 { return b.used.Load() }
 
-// Reserve takes n bytes, if there are as many.
+// Reserve reserves n bytes and reports whether the budget allowed it.
 func (b *Budget) Reserve(n int64) bool {
 	if b.used.Add(n) > b.limit {
 		b.used.Add(-n)
@@ -37,14 +37,14 @@
 	return true
 }
 
-// Release gives n bytes back.
+// Release releases n reserved bytes.
 func (b *Budget) Release(n int64) { b.used.Add(-n) }
 
-// ReleaseBody gives back what a body that Read returned holds.
+// ReleaseBody releases the memory reserved for a body returned by Read.
 func (b *Budget) ReleaseBody(body []byte) { b.Release(int64(cap(body))) }
 
-// Read reads a body completely. length is -1 where it is not known; a body beyond limit is an *http.MaxBytesError. What it returns must be
-// released, also beside an error, and must not be appended to.
+// Read reads a body completely. length is -1 if unknown. It returns an *http.MaxBytesError if the body exceeds limit. The returned slice
+// must be passed to ReleaseBody even if there is an error, and must not be appended to.
 func (b *Budget) Read(r io.Reader, length, limit int64) ([]byte, error) {
 	if length > limit {
 		return nil, &http.MaxBytesError{Limit: limit}
@@ -52,14 +52,14 @@
 	if length == 0 {
 		return nil, nil
 	}
-	expected := limit + 1 // one byte more than allowed, to find that there is one
+	expected := limit + 1 // one more byte, to detect a body over the limit
 	if length > 0 {
 		expected = length
 	}
 	body, err := b.grow(nil, min(expected, chunkBytes))
 	for err == nil {
 		n, readErr := r.Read(body[len(body):cap(body)])
-		ended := readErr == io.EOF // bare by the contract of io.Reader; a wrapped one would be a truncated body
+		ended := readErr == io.EOF // io.Reader returns io.EOF unwrapped; a wrapped one means a truncated body
 		body = body[:len(body)+n]
 		read := int64(len(body))
 		switch {
@@ -78,7 +78,7 @@
 	return body, err
 }
 
-// grow returns the body with room for size bytes. Where there is no memory it returns the body as it is.
+// grow returns body with capacity size. It returns body unchanged and ErrFull if the budget is exhausted.
 func (b *Budget) grow(body []byte, size int64) ([]byte, error) {
 	if !b.Reserve(size) {
 		return body, ErrFull
--- a/internal/daemons/bodybuffer/budget_test.go
+++ b/internal/daemons/bodybuffer/budget_test.go
@@ -10,8 +10,8 @@
 	"testing/iotest"
 )
 
-// TestReadHoldsWhatHasCome guards memory against callers that announce long bodies and send little of them.
-func TestReadHoldsWhatHasCome(t *testing.T) {
+// TestReadReservesReceivedBytesOnly guards against clients that reserve memory by announcing long bodies.
+func TestReadReservesReceivedBytesOnly(t *testing.T) {
 	budget := New(1 << 20)
 	reader, writer := io.Pipe()
 	done := make(chan error, 1)
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	if used := budget.Used(); used > chunkBytes {
-		t.Errorf("4 bytes of a long body hold %d", used)
+		t.Errorf("%d bytes reserved for 4 received bytes", used)
 	}
 	if _, err := writer.Write(make([]byte, chunkBytes)); err != nil {
 		t.Fatal(err)
@@ -47,15 +47,15 @@
 		want          []byte
 		err           func(error) bool
 	}{
-		{"known", bytes.NewReader(long), int64(len(long)), 1 << 20, long, nil},
-		{"unknown", bytes.NewReader(long), -1, 1 << 20, long, nil},
-		{"unknown, as long as allowed", bytes.NewReader(long), -1, int64(len(long)), long, nil},
+		{"known length", bytes.NewReader(long), int64(len(long)), 1 << 20, long, nil},
+		{"unknown length", bytes.NewReader(long), -1, 1 << 20, long, nil},
+		{"unknown length, exactly at the limit", bytes.NewReader(long), -1, int64(len(long)), long, nil},
 		{"byte by byte", iotest.OneByteReader(strings.NewReader("abc")), -1, 10, []byte("abc"), nil},
 		{"empty", strings.NewReader(""), -1, 0, []byte{}, nil},
-		{"known, too long", bytes.NewReader(long), int64(len(long)), 100, nil, func(err error) bool { return errors.As(err, &tooLarge) }},
-		{"unknown, too long by one", bytes.NewReader(long), -1, int64(len(long)) - 1, nil, func(err error) bool { return errors.As(err, &tooLarge) }},
-		{"known, cut", bytes.NewReader(long[:100]), 200, 1000, nil, func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }},
-		{"unknown, cut", iotest.TimeoutReader(iotest.OneByteReader(bytes.NewReader(long))), -1, 1000, nil, func(err error) bool { return errors.Is(err, iotest.ErrTimeout) }},
+		{"known length, over the limit", bytes.NewReader(long), int64(len(long)), 100, nil, func(err error) bool { return errors.As(err, &tooLarge) }},
+		{"unknown length, one byte over the limit", bytes.NewReader(long), -1, int64(len(long)) - 1, nil, func(err error) bool { return errors.As(err, &tooLarge) }},
+		{"known length, truncated", bytes.NewReader(long[:100]), 200, 1000, nil, func(err error) bool { return errors.Is(err, io.ErrUnexpectedEOF) }},
+		{"unknown length, read error", iotest.TimeoutReader(iotest.OneByteReader(bytes.NewReader(long))), -1, 1000, nil, func(err error) bool { return errors.Is(err, iotest.ErrTimeout) }},
 	} {
 		budget := New(1 << 20)
 		body, err := budget.Read(test.body, test.length, test.limit)
@@ -63,7 +63,7 @@
 			t.Errorf("%s: %d bytes, %v", test.name, len(body), err)
 		}
 		if budget.ReleaseBody(body); budget.Used() != 0 {
-			t.Errorf("%s: %d bytes stay reserved", test.name, budget.Used())
+			t.Errorf("%s: %d bytes still reserved", test.name, budget.Used())
 		}
 	}
 	full := New(chunkBytes + 1)
@@ -72,6 +72,6 @@
 		t.Error(err)
 	}
 	if full.ReleaseBody(body); full.Used() != 0 {
-		t.Error(full.Used(), "bytes stay reserved after the budget was full")
+		t.Error(full.Used(), "bytes still reserved after the budget was exhausted")
 	}
 }
--- a/internal/daemons/connlimit/conn.go
+++ b/internal/daemons/connlimit/conn.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// phase is what a connection is at.
+// phase is the state of a connection in the request cycle.
 type phase int64
 
 const (
-	phaseNew       phase = iota // nothing has come on it
-	phaseIdle                   // between two requests
-	phaseHead                   // a request's head has begun
-	phaseBody                   // a request's head is read, its body is not: nothing was passed on
-	phaseBusy                   // it carries a request
-	phaseShed                   // its request is to be answered 408, as the body comes too slowly
-	phaseFinished               // that answer is written
-	phaseReclaimed              // closed to make room
+	phaseNew         phase = iota // no byte received
+	phaseIdle                     // between two requests
+	phaseHead                     // part of a request's head received
+	phaseBody                     // receiving a request's body; the request has not been passed on
+	phaseBusy                     // processing a request
+	phaseBodyTimeout              // the body was too slow; the request is to be answered 408
+	phaseResponded                // the 408 response has been written
+	phaseReclaimed                // closed to make room
 
 	phaseBits = 3
 )
 
-// clockBase is where the times of connections count from, by the monotonic clock.
+// clockBase is the origin of the monotonic timestamps in this package.
 var clockBase = time.Now()
 
-// connState is a phase and the time since when it holds, in one word, so that whoever changes it knows that nothing has happened since it
-// looked.
+// connState packs a phase and its start time into one word, so that a compare-and-swap fails if anything has happened on the
+// connection in between.
 type connState int64
 
 func newState(p phase) connState {
@@ -36,10 +36,10 @@
 
 func (s connState) phase() phase { return phase(s & (1<<phaseBits - 1)) }
 
-// since is when the phase began.
+// since returns the start time of the phase, relative to clockBase.
 func (s connState) since() time.Duration { return time.Duration(s >> phaseBits) }
 
-// atomicState is a connState that is changed atomically.
+// atomicState is a connState with atomic access.
 type atomicState struct{ word atomic.Int64 }
 
 func (a *atomicState) Load() connState   { return connState(a.word.Load()) }
@@ -48,29 +48,29 @@
 	return a.word.CompareAndSwap(int64(old), int64(next))
 }
 
-// bodyProgressBytes is how much of a body must come to count as progress.
-const bodyProgressBytes = 1 << 10
+// minBodyProgress is the number of body bytes that count as progress.
+const minBodyProgress = 1 << 10
 
-// longAgo is a deadline that ends reads at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline makes pending reads return at once.
+var pastDeadline = time.Unix(1, 0)
 
-// Conn is a connection of a Limiter's listener. Its requests are told to it: by BeginRequest and EndRequest, and the body of one by AwaitBody
-// and EndBody; Limiter.Attach has net/http's server tell the former two.
+// Conn is a connection accepted by a Limiter's listener. The server must report requests with BeginRequest and EndRequest, which
+// Limiter.Attach does for an http.Server, and may report the receipt of bodies with BeginBody and EndBody.
 type Conn struct {
 	net.Conn
 	limiter *Limiter
 
-	state      atomicState
-	used       atomic.Bool  // a request of it has been answered
-	writeBegan atomic.Int64 // time since clockBase, in nanoseconds; 0: no write is under way
+	state          atomicState
+	used           atomic.Bool  // a request has been answered
+	writeStartedAt atomic.Int64 // nanoseconds since clockBase; 0 if no write is in progress
 
-	bodyBytes int // of a body, since the last progress; used by the reader only
+	bodyBytes int // body bytes since the last progress; used only by the reader
 }
 
-// LimitedConn returns the connection itself. Package-internal code uses it to find the Conn that another type embeds.
+// LimitedConn returns c. It makes the Conn accessible in types that embed it.
 func (c *Conn) LimitedConn() *Conn { return c }
 
-// Close closes the connection and makes room for another one.
+// Close closes the connection and frees its place in the limiter.
 func (c *Conn) Close() error {
 	err := c.Conn.Close()
 	c.limiter.remove(c)
@@ -81,85 +81,86 @@
 func (c *Conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.noteRead(n)
+		c.onRead(n)
 	}
 	return n, err
 }
 
-// noteRead notes that n bytes have come.
-func (c *Conn) noteRead(n int) {
+// onRead updates the state after n bytes were read.
+func (c *Conn) onRead(n int) {
 	state := c.state.Load()
 	switch state.phase() {
 	case phaseNew, phaseIdle:
-		c.state.CompareAndSwap(state, newState(phaseHead)) // else it has been reclaimed
+		c.state.CompareAndSwap(state, newState(phaseHead)) // fails if it has been reclaimed
 	case phaseBody:
-		if c.bodyBytes += n; c.bodyBytes >= bodyProgressBytes {
+		if c.bodyBytes += n; c.bodyBytes >= minBodyProgress {
 			c.bodyBytes = 0
-			c.state.CompareAndSwap(state, newState(phaseBody)) // else it has been shed
+			c.state.CompareAndSwap(state, newState(phaseBody)) // fails if the body has timed out
 		}
 	}
 }
 
 // Write implements net.Conn.
 func (c *Conn) Write(b []byte) (n int, err error) {
-	defer c.writeBegan.Store(0)
+	defer c.writeStartedAt.Store(0)
 	for {
-		c.writeBegan.Store(int64(time.Since(clockBase)))
-		part := b[n:min(len(b), n+writePartBytes)]
-		written, err := c.Conn.Write(part)
+		c.writeStartedAt.Store(int64(time.Since(clockBase)))
+		chunk := b[n:min(len(b), n+writeChunkBytes)]
+		written, err := c.Conn.Write(chunk)
 		if n += written; err != nil || n == len(b) {
-			c.noteWritten()
+			c.onWritten()
 			return n, err
 		}
 	}
 }
 
-// noteWritten notes that a write has ended: where the request was shed, it was its answer.
-func (c *Conn) noteWritten() {
-	if state := c.state.Load(); state.phase() == phaseShed {
-		c.state.CompareAndSwap(state, newState(phaseFinished))
+// onWritten updates the state after a write. After a body timeout the write was the 408 response.
+func (c *Conn) onWritten() {
+	if state := c.state.Load(); state.phase() == phaseBodyTimeout {
+		c.state.CompareAndSwap(state, newState(phaseResponded))
 	}
 }
 
-// BeginRequest says that a request's head, or what else proves that the connection is used, was read. It returns false where the connection
-// was closed to make room before: the request must not be passed on.
+// BeginRequest reports that a request's head, or equivalent proof of use, has been read. It returns false if the connection has
+// been reclaimed; the request must not be processed then.
 func (c *Conn) BeginRequest() bool {
-	return c.change(phaseBusy)
+	return c.enterPhase(phaseBusy)
 }
 
-// EndRequest says that the request has been answered and the connection awaits another one.
+// EndRequest reports that the request has been answered and the connection is idle.
 func (c *Conn) EndRequest() {
-	if c.change(phaseIdle) && !c.used.Load() {
+	if c.enterPhase(phaseIdle) && !c.used.Load() {
 		c.used.Store(true)
 		c.limiter.used.Add(1)
 	}
 }
 
-// BeginBody says that the request at hand is not complete yet. On a nil Conn, as of a request that came by no limited listener, it does nothing.
+// BeginBody reports that the body of the current request is being received. It does nothing on a nil Conn, which FromContext
+// returns for requests of other listeners.
 func (c *Conn) BeginBody() {
 	if c == nil {
 		return
 	}
 	c.bodyBytes = 0
-	c.change(phaseBody)
+	c.enterPhase(phaseBody)
 }
 
-// EndBody says that the request at hand is complete. It returns false where the request was given up meanwhile, as its body came too slowly:
-// it must not be passed on.
-func (c *Conn) EndBody() bool { return c == nil || c.change(phaseBusy) }
+// EndBody reports that the current request is complete. It returns false if the body has timed out; the request must not be
+// processed then.
+func (c *Conn) EndBody() bool { return c == nil || c.enterPhase(phaseBusy) }
 
-// IsReclaimed tells whether the connection was closed to make room.
+// IsReclaimed reports whether the connection was closed to make room for another one.
 func (c *Conn) IsReclaimed() bool { return c.state.Load().phase() == phaseReclaimed }
 
-// IsReadingHead tells whether a request's head has begun and is not complete.
+// IsReadingHead reports whether a request's head has been received in part.
 func (c *Conn) IsReadingHead() bool { return c.state.Load().phase() == phaseHead }
 
-// change enters a phase, unless the limiter has decided otherwise.
-func (c *Conn) change(next phase) bool {
+// enterPhase changes the phase. It returns false if the limiter has reclaimed the connection or timed out its body.
+func (c *Conn) enterPhase(next phase) bool {
 	for {
 		state := c.state.Load()
 		switch state.phase() {
-		case phaseShed, phaseFinished, phaseReclaimed:
+		case phaseBodyTimeout, phaseResponded, phaseReclaimed:
 			return false
 		}
 		if c.state.CompareAndSwap(state, newState(next)) {
@@ -168,7 +169,7 @@
 	}
 }
 
-// hasUnreadBytes tells whether the kernel holds bytes of the caller that nobody has read.
+// hasUnreadBytes reports whether the socket's receive buffer holds data.
 func (c *Conn) hasUnreadBytes() bool {
 	conn, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -179,7 +180,7 @@
 		return false
 	}
 	unread := false
-	err = raw.Control(func(fd uintptr) { // Read would wait for the reader's lock
+	err = raw.Control(func(fd uintptr) { // raw.Read would wait for the reader's lock
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		unread = err == nil && n > 0
--- a/internal/daemons/connlimit/limiter.go
+++ b/internal/daemons/connlimit/limiter.go
@@ -1,11 +1,9 @@
-// Package connlimit bounds the connections that the callers of a listener may hold.
+// Package connlimit limits the number of open connections per listener.
 //
-// Connections are a resource like memory: who holds them without using them takes them from others. Each listener therefore has a share of
-// the process's file descriptors of its own (Share), so that no purpose can starve another, and a rule for who is closed when the share is
-// used up and one more caller comes (Rule). A connection that carries a complete request is not closed; one that is closed between two
-// requests passes nothing on that arrives later: Conn decides between the two by one atomic step.
-//
-// A caller that does not read its response is the one exception, see StalledReader.
+// Each listener has its own share of the process's file descriptors (Share), so that listeners cannot starve each other. When a
+// listener is at its limit and another client connects, a connection is reclaimed (Rule). A connection that carries a complete
+// request is not reclaimed, except for StalledReader, and a request that arrives on a reclaimed connection is not processed: an
+// atomic state change in Conn decides between the two.
 package connlimit
 
 import (
@@ -19,43 +17,43 @@
 )
 
 const (
-	// MinLimit is the least number of connections that a listener is given, whatever its share comes to.
+	// MinLimit is the minimum connection limit of a listener.
 	MinLimit = 8
 
-	// crowdedShare is the part of the limit from which on connections that have had requests answered end with their next response: so they
-	// make room without a request that crosses the close.
-	crowdedShare = 7.0 / 8
+	// closeAfterResponseShare is the share of the limit from which connections are closed with their next response, which cannot
+	// race with the client's next request.
+	closeAfterResponseShare = 7.0 / 8
 
-	// recheckInterval is how often a full listener looks again for a connection that may be closed.
-	recheckInterval = 5 * time.Millisecond
+	// reclaimRetryInterval is how often a full listener retries to reclaim a connection.
+	reclaimRetryInterval = 5 * time.Millisecond
 
-	// logInterval is the least time between two log lines about a full listener, and between two about failed accepts.
+	// logInterval is the minimum time between log lines of a limiter.
 	logInterval = 10 * time.Second
 )
 
-// Share is the number of connections that a part of a process's file descriptors comes to.
-func Share(fileDescriptors int64, part float64) int {
-	return max(int(part*float64(fileDescriptors)), MinLimit)
+// Share returns the connection limit for a share of a process's file descriptors, at least MinLimit.
+func Share(fileDescriptors int64, share float64) int {
+	return max(int(share*float64(fileDescriptors)), MinLimit)
 }
 
-// Limiter bounds the connections of one listener. Make it with New; it is safe for concurrent use.
+// Limiter limits the connections of one listener. Create it with New. It is safe for concurrent use.
 type Limiter struct {
-	name   string // of the listener, in logs and figures
+	name   string // of the listener, in logs and metrics
 	limit  int
 	logger *log.Logger
 
 	mu    sync.Mutex
 	conns map[*Conn]struct{}
-	freed chan struct{} // a connection has ended
+	freed chan struct{} // signals that a connection was closed
 
-	used         atomic.Int64 // open connections that have had a request answered
+	used         atomic.Int64 // open connections with at least one answered request
 	reclaimed    [ruleCount]atomic.Uint64
-	acceptWaits  atomic.Uint64 // callers that had to wait for room
+	acceptWaits  atomic.Uint64 // accepted connections that had to wait for room
 	acceptErrors atomic.Uint64
 	logLimiter   *rate.Limiter
 }
 
-// New makes a limiter for the listener of a name, which may have limit connections at once.
+// New creates a limiter for the named listener with the given connection limit, which is raised to MinLimit if lower.
 func New(name string, limit int, logger *log.Logger) *Limiter {
 	return &Limiter{
 		name:       name,
@@ -67,34 +65,34 @@
 	}
 }
 
-// Limit is the number of connections that may be open at once.
+// Limit returns the maximum number of open connections.
 func (l *Limiter) Limit() int { return l.limit }
 
-// OpenCount is the number of connections that are open.
+// OpenCount returns the number of open connections.
 func (l *Limiter) OpenCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// Reclaimed is how many connections were closed by a rule.
+// Reclaimed returns the number of connections reclaimed by a rule.
 func (l *Limiter) Reclaimed(rule Rule) uint64 { return l.reclaimed[rule].Load() }
 
-// isCrowded tells whether connections that have carried requests take up nearly all room.
-func (l *Limiter) isCrowded() bool {
-	return float64(l.used.Load()) >= crowdedShare*float64(l.limit)
+// isNearLimit reports whether connections with answered requests reach closeAfterResponseShare of the limit.
+func (l *Limiter) isNearLimit() bool {
+	return float64(l.used.Load()) >= closeAfterResponseShare*float64(l.limit)
 }
 
-// CloseNew closes the connections on which not even a byte has come.
+// CloseNew closes the connections on which no byte has been received.
 func (l *Limiter) CloseNew() {
 	for _, c := range l.open() {
 		if state := c.state.Load(); state.phase() == phaseNew && c.state.CompareAndSwap(state, newState(phaseReclaimed)) {
-			_ = c.Close() // it is given up, whatever has become of it
+			_ = c.Close() // the connection is discarded in any case
 		}
 	}
 }
 
-// open lists the connections that are open.
+// open returns the open connections.
 func (l *Limiter) open() []*Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +103,7 @@
 	return conns
 }
 
-// admit takes a connection in once there is room for it. It returns nil where done is closed first.
+// admit adds a connection as soon as there is room for it. It returns nil if done is closed first.
 func (l *Limiter) admit(conn net.Conn, done <-chan struct{}) *Conn {
 	admitted := &Conn{Conn: conn, limiter: l}
 	if !l.add(admitted) {
@@ -121,7 +119,7 @@
 		}
 		select {
 		case <-l.freed:
-		case <-time.After(recheckInterval):
+		case <-time.After(reclaimRetryInterval):
 		case <-done:
 			return nil
 		}
@@ -129,7 +127,7 @@
 	return admitted
 }
 
-// add takes a connection in if there is room for it, or if it is in already.
+// add adds a connection and reports whether there was room for it, or it had been added before.
 func (l *Limiter) add(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,7 +142,7 @@
 	return true
 }
 
-// remove forgets a connection that has ended.
+// remove removes a closed connection.
 func (l *Limiter) remove(c *Conn) {
 	l.mu.Lock()
 	_, open := l.conns[c]
@@ -162,7 +160,7 @@
 	}
 }
 
-// reportFull logs that there was no room for a caller, at a bounded rate.
+// reportFull logs that the listener is at its limit, subject to the rate limit.
 func (l *Limiter) reportFull() {
 	if !l.logLimiter.Allow() {
 		return
--- a/internal/daemons/connlimit/limiter_test.go
+++ b/internal/daemons/connlimit/limiter_test.go
@@ -16,14 +16,14 @@
 	"github.com/phuslu/log"
 )
 
-// limitedServer is an HTTP server whose listener is limited to MinLimit connections.
+// limitedServer is an HTTP server with a limited listener.
 type limitedServer struct {
 	limiter *Limiter
 	addr    string
 
 	mu       sync.Mutex
 	executed map[string]int // requests by path
-	hold     chan struct{}  // requests for /hold are answered once it is closed
+	hold     chan struct{}  // closed to answer requests for /hold
 }
 
 func startServer(t testing.TB, limit int) *limitedServer {
@@ -53,7 +53,7 @@
 	case "/hold":
 		<-s.hold
 	case "/large":
-		_, _ = w.Write(make([]byte, 32<<20)) // ends early where the caller's connection does
+		_, _ = w.Write(make([]byte, 32<<20)) // fails if the client's connection is closed
 	}
 }
 
@@ -67,8 +67,8 @@
 	return conn
 }
 
-// ask sends a request and returns its status; 0: the connection ended without a response.
-func ask(conn net.Conn, path string) int {
+// get sends a request and returns the response's status, or 0 if the connection ended without a response.
+func get(conn net.Conn, path string) int {
 	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path); err != nil {
 		return 0
 	}
@@ -81,7 +81,7 @@
 	return response.StatusCode
 }
 
-func until(condition func() bool) bool {
+func waitUntil(condition func() bool) bool {
 	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			return false
@@ -90,8 +90,8 @@
 	return true
 }
 
-// pipes are connections of a limiter without a server.
-func pipes(t *testing.T, limiter *Limiter, count int) (conns []*Conn) {
+// admitPipes admits in-memory connections to a limiter without a server.
+func admitPipes(t *testing.T, limiter *Limiter, count int) (conns []*Conn) {
 	t.Helper()
 	for range count {
 		near, far := net.Pipe()
@@ -101,11 +101,10 @@
 	return conns
 }
 
-// TestNeverUsedGoesBeforeIdle guards the order in which connections make room: those that never carried a request, the oldest first, and then
-// those that rest, the one that has rested for longest first.
-func TestNeverUsedGoesBeforeIdle(t *testing.T) {
+// TestNeverUsedIsReclaimedBeforeIdle guards the order of reclaiming: never used connections before idle ones, oldest first.
+func TestNeverUsedIsReclaimedBeforeIdle(t *testing.T) {
 	limiter := New("test", MinLimit, &log.Logger{Writer: log.IOWriter{Writer: io.Discard}})
-	conns := pipes(t, limiter, MinLimit)
+	conns := admitPipes(t, limiter, MinLimit)
 	idle, unused := conns[:MinLimit/2], conns[MinLimit/2:]
 	for _, conn := range idle {
 		conn.BeginRequest()
@@ -113,42 +112,42 @@
 	for _, conn := range idle {
 		conn.EndRequest()
 	}
-	time.Sleep(minAge)
+	time.Sleep(minIdleAge)
 	for i, victim := range append(unused, idle...) {
-		pipes(t, limiter, 1)[0].BeginRequest() // it is none of those that may be closed
+		admitPipes(t, limiter, 1)[0].BeginRequest() // a busy connection cannot be reclaimed
 		if !victim.IsReclaimed() {
-			t.Fatalf("newcomer %d: connection %d is still open", i, i)
+			t.Fatalf("new connection %d: connection %d is still open", i, i)
 		}
 		if limiter.OpenCount() != MinLimit {
-			t.Fatalf("newcomer %d: %d connections", i, limiter.OpenCount())
+			t.Fatalf("new connection %d: %d connections are open", i, limiter.OpenCount())
 		}
 	}
-	if never, rest := limiter.Reclaimed(NeverUsed), limiter.Reclaimed(Idle); never != MinLimit/2 || rest != MinLimit/2 {
-		t.Errorf("%d never used, %d idle ones were closed", never, rest)
+	if neverUsed, idle := limiter.Reclaimed(NeverUsed), limiter.Reclaimed(Idle); neverUsed != MinLimit/2 || idle != MinLimit/2 {
+		t.Errorf("%d never used and %d idle connections were reclaimed", neverUsed, idle)
 	}
 }
 
-// TestRequestsAreNotClosed guards connections that carry a request: a newcomer waits for one to end, however long that takes.
-func TestRequestsAreNotClosed(t *testing.T) {
+// TestBusyConnectionsAreNotReclaimed guards against reclaiming connections that carry a request: a new connection must wait.
+func TestBusyConnectionsAreNotReclaimed(t *testing.T) {
 	s := startServer(t, MinLimit)
 	var answered sync.WaitGroup
 	for range MinLimit {
 		conn := s.dial(t)
 		answered.Go(func() {
-			if status := ask(conn, "/hold"); status != http.StatusOK {
+			if status := get(conn, "/hold"); status != http.StatusOK {
 				t.Error(status)
 			}
 		})
 	}
-	if !until(func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.executed["/hold"] == MinLimit }) {
+	if !waitUntil(func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.executed["/hold"] == MinLimit }) {
 		t.Fatal(s.executed)
 	}
-	newcomer, served := s.dial(t), make(chan int, 1)
-	go func() { served <- ask(newcomer, "/") }()
+	waiting, served := s.dial(t), make(chan int, 1)
+	go func() { served <- get(waiting, "/") }()
 	select {
 	case status := <-served:
-		t.Fatalf("the newcomer was answered %d beside %d requests", status, MinLimit)
-	case <-time.After(5 * minAge):
+		t.Fatalf("the waiting connection got status %d during %d requests", status, MinLimit)
+	case <-time.After(5 * minIdleAge):
 	}
 	close(s.hold)
 	answered.Wait()
@@ -157,25 +156,25 @@
 	}
 }
 
-// TestNoRequestIsLostAcrossTheClose guards requests that cross the close of their kept connection: while far more callers than there is room for
-// send requests on kept connections, each request that the server begins gets its response; those that it never began are sent again.
-func TestNoRequestIsLostAcrossTheClose(t *testing.T) {
-	const callers, requests = 4 * MinLimit, 60
+// TestReclaimingLosesNoRequest guards against a race between reclaiming an idle connection and a request on it: every request that the
+// server executes must get its response.
+func TestReclaimingLosesNoRequest(t *testing.T) {
+	const clients, requests = 4 * MinLimit, 60
 	s := startServer(t, MinLimit)
-	answered := make([]map[string]bool, callers)
+	answered := make([]map[string]bool, clients)
 	var done sync.WaitGroup
-	for caller := range callers {
-		answered[caller] = map[string]bool{}
+	for client := range clients {
+		answered[client] = map[string]bool{}
 		done.Go(func() {
 			conn := s.dial(t)
 			for i := range requests {
-				path := fmt.Sprintf("/%d/%d", caller, i)
-				if ask(conn, path) == http.StatusOK {
-					answered[caller][path] = true
+				path := fmt.Sprintf("/%d/%d", client, i)
+				if get(conn, path) == http.StatusOK {
+					answered[client][path] = true
 				} else {
 					conn = s.dial(t)
 				}
-				time.Sleep(time.Duration(i%7) * minAge / 4)
+				time.Sleep(time.Duration(i%7) * minIdleAge / 4)
 			}
 		})
 	}
@@ -190,73 +189,74 @@
 		}
 	}
 	if len(s.executed) > 0 || s.limiter.Reclaimed(Idle) == 0 {
-		t.Errorf("%d requests were executed and not answered; %d idle connections closed", len(s.executed), s.limiter.Reclaimed(Idle))
+		t.Errorf("%d requests were executed without a response; %d idle connections were reclaimed", len(s.executed), s.limiter.Reclaimed(Idle))
 	}
-	t.Logf("%d of %d answered on the first connection", count, callers*requests)
+	t.Logf("%d of %d requests answered without a reconnect", count, clients*requests)
 }
 
-// TestRequestOnReclaimedConnection guards the atomic step between the two ends of a race.
+// TestRequestOnReclaimedConnection guards against processing a request on a reclaimed connection, and against reclaiming a connection
+// by an outdated state.
 func TestRequestOnReclaimedConnection(t *testing.T) {
 	limiter := New("test", MinLimit, &log.Logger{Writer: log.IOWriter{Writer: io.Discard}})
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
 	conn := limiter.admit(near, nil)
 	if !conn.BeginRequest() {
-		t.Fatal("a connection in use")
+		t.Fatal("request rejected on an open connection")
 	}
 	conn.EndRequest()
 	stale, _ := candidateOf(conn)
 	conn.BeginRequest()
 	conn.EndRequest()
-	if stale.take() {
-		t.Error("closed by what it was before its last request")
+	if stale.reclaim() {
+		t.Error("reclaimed by a state from before the last request")
 	}
 	fresh, _ := candidateOf(conn)
-	if !fresh.take() || conn.BeginRequest() || !conn.IsReclaimed() {
-		t.Error("a request is passed on after its connection was closed to make room")
+	if !fresh.reclaim() || conn.BeginRequest() || !conn.IsReclaimed() {
+		t.Error("a request was accepted on a reclaimed connection")
 	}
 	if limiter.OpenCount() != 0 || limiter.used.Load() != 0 {
-		t.Error(limiter.OpenCount(), limiter.used.Load(), "are counted after the close")
+		t.Error(limiter.OpenCount(), limiter.used.Load(), "connections are counted after the close")
 	}
 }
 
-// TestStalledReadersMakeRoom guards against callers that never read: each holds its connection until the write deadline else.
-func TestStalledReadersMakeRoom(t *testing.T) {
+// TestStalledReadersAreReclaimed guards against clients that hold connections by not reading responses.
+func TestStalledReadersAreReclaimed(t *testing.T) {
 	s := startServer(t, MinLimit)
 	for range MinLimit {
 		if _, err := io.WriteString(s.dial(t), "GET /large HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if status := ask(s.dial(t), "/"); status != http.StatusOK || s.limiter.Reclaimed(StalledReader) == 0 {
-		t.Errorf("%d, %d stalled readers were closed", status, s.limiter.Reclaimed(StalledReader))
+	if status := get(s.dial(t), "/"); status != http.StatusOK || s.limiter.Reclaimed(StalledReader) == 0 {
+		t.Errorf("status %d, %d stalled readers were reclaimed", status, s.limiter.Reclaimed(StalledReader))
 	}
 }
 
-// failingListener fails as told before it accepts.
+// failingListener returns the given errors before it accepts connections.
 type failingListener struct {
 	net.Listener
-	failures []error
+	errs []error
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	if len(l.failures) == 0 {
+	if len(l.errs) == 0 {
 		near, _ := net.Pipe()
 		return near, nil
 	}
-	err := l.failures[0]
-	l.failures = l.failures[1:]
+	err := l.errs[0]
+	l.errs = l.errs[1:]
 	return nil, err
 }
 
-// TestAcceptGoesOnAfterErrorsThatPass guards listeners: one that can accept no more must end, and a want that passes must not end it.
-func TestAcceptGoesOnAfterErrorsThatPass(t *testing.T) {
+// TestAcceptRetriesAfterTransientErrors guards against a listener that ends after a transient error or retries after a permanent one.
+func TestAcceptRetriesAfterTransientErrors(t *testing.T) {
 	limiter := New("test", MinLimit, &log.Logger{Writer: log.IOWriter{Writer: io.Discard}})
 	failing := func(err error) error { return &net.OpError{Op: "accept", Err: fmt.Errorf("accept4: %w", err)} }
-	inner := &failingListener{failures: []error{failing(syscall.EMFILE), failing(syscall.ECONNABORTED), failing(syscall.EINVAL)}}
+	inner := &failingListener{errs: []error{failing(syscall.EMFILE), failing(syscall.ECONNABORTED), failing(syscall.EINVAL)}}
 	listener := limiter.Listen(inner)
 	if _, err := listener.Accept(); !errors.Is(err, syscall.EINVAL) {
-		t.Errorf("%v instead of an error that does not pass", err)
+		t.Errorf("got %v instead of the permanent error", err)
 	}
 	if conn, err := listener.Accept(); err != nil || conn == nil {
 		t.Error(err)
@@ -266,8 +266,8 @@
 	}
 }
 
-// TestFullListenerCloses guards the end of a process whose listener has no room: Accept must return.
-func TestFullListenerCloses(t *testing.T) {
+// TestCloseUnblocksFullListener guards against Accept blocking at the limit after the listener was closed.
+func TestCloseUnblocksFullListener(t *testing.T) {
 	limiter := New("test", MinLimit, &log.Logger{Writer: log.IOWriter{Writer: io.Discard}})
 	inner, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -293,8 +293,8 @@
 		_, err := listener.Accept()
 		ended <- err
 	}()
-	if !until(func() bool { return limiter.acceptWaits.Load() > 0 }) {
-		t.Fatal("the last one does not wait")
+	if !waitUntil(func() bool { return limiter.acceptWaits.Load() > 0 }) {
+		t.Fatal("the last connection did not wait")
 	}
 	if err := listener.Close(); err != nil {
 		t.Error(err)
--- a/internal/daemons/connlimit/listener.go
+++ b/internal/daemons/connlimit/listener.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// acceptRetryInterval is how long a listener waits after accepting has failed, as while the process has no descriptor left.
+// acceptRetryInterval is the delay after a transient accept error, such as running out of file descriptors.
 const acceptRetryInterval = 50 * time.Millisecond
 
-// passingErrors are the errors of accept that tell of one connection, or of a want that may end (accept(2)). After any other the listener is
-// of no use any more.
-var passingErrors = []error{
-	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, // wants
-	syscall.ECONNABORTED, syscall.EINTR, syscall.EAGAIN, syscall.EPERM, // this connection
+// transientErrors are the accept(2) errors that concern a single connection or a temporary shortage of resources. Any other error
+// is permanent for the listener.
+var transientErrors = []error{
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, // shortage of resources
+	syscall.ECONNABORTED, syscall.EINTR, syscall.EAGAIN, syscall.EPERM, // single connection
 	syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP,
-	syscall.ENETUNREACH, // errors of the network, pending on the new socket
+	syscall.ENETUNREACH, // network errors pending on the new socket
 }
 
-// passes tells whether accepting may go on after an error.
-func passes(err error) bool {
-	return slices.ContainsFunc(passingErrors, func(passing error) bool { return errors.Is(err, passing) })
+// isTransient reports whether accepting may continue after err.
+func isTransient(err error) bool {
+	return slices.ContainsFunc(transientErrors, func(transient error) bool { return errors.Is(err, transient) })
 }
 
-// listener is a listener whose connections are limited.
+// listener limits the connections of a net.Listener.
 type listener struct {
 	net.Listener
 	limiter   *Limiter
@@ -34,12 +34,12 @@
 	done      chan struct{}
 }
 
-// Listen bounds the connections of a listener. Those that it accepts are *Conn.
+// Listen returns a listener that accepts connections of inner within the limit. Accepted connections are of type *Conn.
 func (l *Limiter) Listen(inner net.Listener) net.Listener {
 	return &listener{Listener: inner, limiter: l, done: make(chan struct{})}
 }
 
-// Accept waits for the next connection, and for room for it. It fails only where accepting is of no use any more.
+// Accept waits for the next connection and for room for it. It retries after transient errors.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -48,9 +48,9 @@
 			if admitted := l.limiter.admit(conn, l.done); admitted != nil {
 				return admitted, nil
 			}
-			_ = conn.Close() // nobody is left to serve it
+			_ = conn.Close() // the listener was closed
 			return nil, net.ErrClosed
-		case !passes(err):
+		case !isTransient(err):
 			return nil, err
 		}
 		l.limiter.reportAcceptError(err)
@@ -67,7 +67,7 @@
 	return l.Listener.Close()
 }
 
-// reportAcceptError counts an error of accept after which accepting goes on, and logs it at a bounded rate.
+// reportAcceptError counts a transient accept error and logs it subject to the rate limit.
 func (l *Limiter) reportAcceptError(err error) {
 	l.acceptErrors.Add(1)
 	if l.logLimiter.Allow() {
--- a/internal/daemons/connlimit/reclaim.go
+++ b/internal/daemons/connlimit/reclaim.go
@@ -6,81 +6,81 @@
 	"time"
 )
 
-// Rule says why a connection was closed to make room for another one. Where several may be closed, the rule that stands first here decides;
-// among those of one rule, the one that it has applied to for longest.
+// Rule is the reason for which a connection is reclaimed to make room for another one. Rules are listed by priority; within a rule,
+// the connection to which it has applied for longest is reclaimed first.
 type Rule int
 
-// The rules.
+// Reclaim rules.
 const (
-	// Finished: its last response is written, and it only waits for the caller to close it.
+	// Finished connections have sent their last response and wait for the client to close them.
 	Finished Rule = iota
 
-	// NeverUsed: no request of it was ever answered. The bytes of an incomplete head change nothing: who sends them one by one uses the
-	// connection no more than who sends none.
+	// NeverUsed connections have no answered request. An incomplete head does not count as use.
 	NeverUsed
 
-	// SlowFirstBody: nothing of its first request was passed on, as the body comes too slowly. The caller is answered 408 before the close.
+	// SlowFirstBody connections receive the body of their first request too slowly. The client gets a 408 before the close.
 	SlowFirstBody
 
-	// Idle: it is between two requests, or has an incomplete head of another one.
+	// Idle connections are between two requests, or have received an incomplete head after an answered request.
 	Idle
 
-	// SlowBody: as SlowFirstBody, on a connection that has had a request answered before.
+	// SlowBody is like SlowFirstBody for connections with an answered request.
 	SlowBody
 
-	// StalledReader: the caller has taken nothing of its response for stalledReaderAge. It carries a request, but one whose caller has
-	// stopped; without this rule a few callers who never read would hold a listener for as long as write deadlines allow.
+	// StalledReader connections have had no progress in sending a response for stalledReaderAge. Without this rule, clients that
+	// do not read could occupy the listener until their write deadlines.
 	StalledReader
 
 	ruleCount
 )
 
-// String is the rule's name in logs and figures.
+// String returns the rule's name in logs and metrics.
 func (r Rule) String() string {
 	return [...]string{"finished", "never_used", "slow_first_body", "idle", "slow_body", "stalled_reader"}[r]
 }
 
 const (
-	// minAge is how long a connection is left to its caller after it was accepted, or after its last response: what follows on a live
-	// connection arrives within a round trip, and is then found waiting in the kernel.
-	minAge = 20 * time.Millisecond
+	// minIdleAge is the time after accept or after the last response during which a connection is not reclaimed, so that a request
+	// already in transit can arrive.
+	minIdleAge = 20 * time.Millisecond
 
-	slowHeadAge      = 100 * time.Millisecond // since the head's first byte, whatever came of it
+	slowHeadAge      = 100 * time.Millisecond // since the first byte of the head
 	slowBodyAge      = 250 * time.Millisecond // since the body's last progress
 	stalledReaderAge = time.Second
 
-	// writePartBytes is how much of a response is written at once: one part taken by the kernel is progress.
-	writePartBytes = 64 << 10
+	// writeChunkBytes is the size of a single write. Each completed write counts as progress.
+	writeChunkBytes = 64 << 10
 
-	// reclaimBatchPart of the limit is closed at once, so that the search is not repeated for each new caller.
-	reclaimBatchPart = 64
-	maxReclaimBatch  = 8
+	// Up to limit/reclaimBatchDivisor connections are reclaimed at once, so that the search is not repeated for each new connection.
+	reclaimBatchDivisor = 64
+	maxReclaimBatch     = 8
 
-	// floodPart: where more than this part of the limit is connections that have never had a request answered, and none of these may be closed
-	// yet, nobody who has is closed for them: some of them will soon have been silent for long enough.
-	floodPart = 8
+	// While more than limit/newConnFloodDivisor connections have no answered request and are too young to be reclaimed, connections
+	// with answered requests are kept: the young ones soon become reclaimable.
+	newConnFloodDivisor = 8
 )
 
-// candidate is a connection that may be closed to make room.
+// candidate is a connection that may be reclaimed.
 type candidate struct {
 	conn  *Conn
-	state connState // that the connection must still be in
+	state connState // when examined; reclaiming fails if it has changed
 	rule  Rule
-	since time.Duration // the rule has applied, from clockBase on
+	since time.Duration // since when the rule has applied, relative to clockBase
 }
 
-// candidateOf tells whether a connection may be closed, and by which rule that is, or will be; ruleCount: by none.
+// candidateOf returns the rule that applies to a connection, or will apply, and whether the connection may be reclaimed now. The
+// rule is ruleCount if none applies.
 func candidateOf(c *Conn) (candidate, bool) {
 	state := c.state.Load()
 	found := candidate{conn: c, state: state, since: state.since(), rule: ruleCount}
 	var atLeast time.Duration
 	switch state.phase() {
-	case phaseFinished:
+	case phaseResponded:
 		found.rule = Finished
 	case phaseNew:
-		found.rule, atLeast = NeverUsed, minAge
+		found.rule, atLeast = NeverUsed, minIdleAge
 	case phaseIdle:
-		found.rule, atLeast = Idle, minAge
+		found.rule, atLeast = Idle, minIdleAge
 	case phaseHead:
 		if found.rule, atLeast = NeverUsed, slowHeadAge; c.used.Load() {
 			found.rule = Idle
@@ -90,7 +90,7 @@
 			found.rule = SlowBody
 		}
 	case phaseBusy:
-		began := c.writeBegan.Load()
+		began := c.writeStartedAt.Load()
 		if began == 0 {
 			return found, false
 		}
@@ -101,8 +101,8 @@
 	return found, time.Since(clockBase)-found.since >= atLeast
 }
 
-// reclaim closes connections by the first rule that applies to any. It reports whether it closed one; a slow body's connection closes only
-// once its caller is answered.
+// reclaim reclaims connections by the first rule that applies to any. It reports whether it closed one; connections with slow bodies
+// are closed later, after their response.
 func (l *Limiter) reclaim() bool {
 	candidates := l.candidates()
 	if len(candidates) == 0 {
@@ -116,55 +116,57 @@
 		if found.rule != rule || closed >= l.reclaimBatch() {
 			break
 		}
-		if found.take() {
+		if found.reclaim() {
 			closed++
 			l.reclaimed[rule].Add(1)
 		}
 	}
-	return closed > 0 && !rule.answersFirst()
+	return closed > 0 && !rule.respondsBeforeClose()
 }
 
-// answersFirst tells whether connections that make room by a rule are closed by their server only, once it has answered.
-func (r Rule) answersFirst() bool { return r == SlowFirstBody || r == SlowBody }
+// respondsBeforeClose reports whether connections reclaimed by a rule are closed by the server after a response.
+func (r Rule) respondsBeforeClose() bool { return r == SlowFirstBody || r == SlowBody }
 
-// candidates lists the connections that may be closed.
+// candidates returns the connections that may be reclaimed.
 func (l *Limiter) candidates() (candidates []candidate) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	newcomers := 0
+	tooYoung := 0
 	for c := range l.conns {
 		found, ok := candidateOf(c)
 		if ok {
 			candidates = append(candidates, found)
 		} else if found.rule <= SlowFirstBody {
-			newcomers++
+			tooYoung++
 		}
 	}
-	if newcomers > l.limit/floodPart {
+	if tooYoung > l.limit/newConnFloodDivisor {
 		candidates = slices.DeleteFunc(candidates, func(found candidate) bool { return found.rule > SlowFirstBody })
 	}
 	return candidates
 }
 
-// reclaimBatch is how many connections are closed at once.
-func (l *Limiter) reclaimBatch() int { return min(max(l.limit/reclaimBatchPart, 1), maxReclaimBatch) }
+// reclaimBatch returns the number of connections reclaimed at once.
+func (l *Limiter) reclaimBatch() int {
+	return min(max(l.limit/reclaimBatchDivisor, 1), maxReclaimBatch)
+}
 
-// take closes the connection, or has its request answered, unless something has happened on it since it was looked at.
-func (found candidate) take() bool {
+// reclaim closes the connection, or makes the server answer 408, unless its state has changed since it was examined.
+func (found candidate) reclaim() bool {
 	c := found.conn
-	if found.rule.answersFirst() {
-		if !c.state.CompareAndSwap(found.state, newState(phaseShed)) {
+	if found.rule.respondsBeforeClose() {
+		if !c.state.CompareAndSwap(found.state, newState(phaseBodyTimeout)) {
 			return false
 		}
-		_ = c.SetReadDeadline(longAgo) // fails on a closed connection only, whose reads end by themselves
+		_ = c.SetReadDeadline(pastDeadline) // fails on a closed connection only, as reads do then
 		return true
 	}
 	if phase := found.state.phase(); (phase == phaseNew || phase == phaseIdle) && c.hasUnreadBytes() {
-		return false // a request has just come
+		return false // a request has just arrived
 	}
 	if !c.state.CompareAndSwap(found.state, newState(phaseReclaimed)) {
 		return false
 	}
-	_ = c.Close() // it is given up, whatever has become of it
+	_ = c.Close() // the connection is discarded in any case
 	return true
 }
--- a/internal/daemons/connlimit/server.go
+++ b/internal/daemons/connlimit/server.go
@@ -8,32 +8,32 @@
 
 type connKey struct{}
 
-// limited is a connection that is, or embeds, a Conn.
-type limited interface{ LimitedConn() *Conn }
+// limitedConn is implemented by Conn and by types that embed it.
+type limitedConn interface{ LimitedConn() *Conn }
 
-var _ limited = (*Conn)(nil)
+var _ limitedConn = (*Conn)(nil)
 
-// FromContext returns the connection of a request whose server was attached to a limiter; nil: there is none.
+// FromContext returns the Conn of a request if its server is attached to a limiter, otherwise nil.
 func FromContext(ctx context.Context) *Conn {
 	c, _ := ctx.Value(connKey{}).(*Conn)
 	return c
 }
 
-// Attach has a server tell the limiter what its connections are at. A request that crosses the close of its connection is dropped before the
-// server's handler sees it. The server must serve a listener of Listen, and be attached before.
+// Attach installs hooks in a server that report the state of its connections to the limiter and drop requests that arrive on
+// reclaimed connections. It must be called before the server serves a listener returned by Listen.
 func (l *Limiter) Attach(server *http.Server) {
 	handler, connState, connContext := server.Handler, server.ConnState, server.ConnContext
 	server.ConnState = func(conn net.Conn, state http.ConnState) {
 		if connState != nil {
 			connState(conn, state)
 		}
-		followState(conn, state)
+		onConnState(conn, state)
 	}
 	server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
 		if connContext != nil {
 			ctx = connContext(ctx, conn)
 		}
-		if c, ok := conn.(limited); ok {
+		if c, ok := conn.(limitedConn); ok {
 			ctx = context.WithValue(ctx, connKey{}, c.LimitedConn())
 		}
 		return ctx
@@ -42,16 +42,16 @@
 		if c := FromContext(r.Context()); c != nil && c.IsReclaimed() {
 			panic(http.ErrAbortHandler)
 		}
-		if l.isCrowded() {
+		if l.isNearLimit() {
 			w.Header().Set("Connection", "close")
 		}
 		handler.ServeHTTP(w, r)
 	})
 }
 
-// followState has a connection follow the states that its server reports. A connection is active once a head was read from it.
-func followState(conn net.Conn, state http.ConnState) {
-	c, ok := conn.(limited)
+// onConnState updates a connection from the state reported by its server. A connection is active once a head has been read.
+func onConnState(conn net.Conn, state http.ConnState) {
+	c, ok := conn.(limitedConn)
 	if !ok {
 		return
 	}
@@ -60,6 +60,6 @@
 		c.LimitedConn().BeginRequest()
 	case http.StateIdle:
 		c.LimitedConn().EndRequest()
-	case http.StateNew, http.StateHijacked, http.StateClosed: // Listen and Close count these
+	case http.StateNew, http.StateHijacked, http.StateClosed: // handled by Listen and Close
 	}
 }
--- a/internal/daemons/program/log.go
+++ b/internal/daemons/program/log.go
@@ -10,7 +10,7 @@
 	"github.com/phuslu/log"
 )
 
-// NewLogger returns a logger that writes one line of key=value pairs for each event to w, and names the program in each.
+// NewLogger returns a logger that writes one line of key=value pairs per event to w, including the program's name.
 func NewLogger(w io.Writer, name string) *log.Logger {
 	format := func(w io.Writer, entry *log.FormatterArgs) (int, error) { return w.Write(formatLine(name, entry)) }
 	return &log.Logger{
@@ -34,7 +34,7 @@
 	return append(line, '\n')
 }
 
-// appendValue quotes a value that is empty or would end or split a field.
+// appendValue appends a value, quoted if it is empty or contains a delimiter.
 func appendValue(line []byte, value string) []byte {
 	if value == "" || strings.ContainsAny(value, " \"=\n") {
 		return strconv.AppendQuote(line, value)
@@ -42,7 +42,7 @@
 	return append(line, value...)
 }
 
-// LogEvent writes one line with an event and its fields, as a warning or as information.
+// LogEvent logs an event and its fields with level warn or info.
 func LogEvent(logger *log.Logger, warn bool, event string, fields iter.Seq2[string, any]) {
 	entry := logger.Info()
 	if warn {
--- a/internal/daemons/program/main.go
+++ b/internal/daemons/program/main.go
@@ -1,4 +1,4 @@
-// Package program holds what the gateway's daemons share: command line, logs, signals and exit status.
+// Package program provides the command line, logging, signal handling and exit statuses shared by the daemons.
 package program
 
 import (
@@ -22,21 +22,21 @@
 
 // Exit statuses of a daemon.
 const (
-	exitFailure = 1 // it ended with an error while it served
-	exitUsage   = 2 // the command line or the settings are wrong
+	exitFailure = 1 // the daemon failed while serving
+	exitUsage   = 2 // invalid command line or settings
 )
 
-// maxPendingReloads bounds the SIGHUPs that wait for a daemon to read its settings again.
+// maxPendingReloads is the maximum number of queued SIGHUPs.
 const maxPendingReloads = 4
 
 // Runner is a daemon.
 type Runner interface {
-	// Run serves until ctx ends. Each signal on reload has it read its settings again.
+	// Run serves until ctx is done. Each signal on reload triggers a reload of the settings.
 	Run(ctx context.Context, reload <-chan os.Signal) error
 }
 
-// Main runs a daemon and does not return if it fails. Without a verb, or with `run`, it serves until SIGTERM or SIGINT;
-// `check` reads the settings, builds the daemon and reports what is wrong.
+// Main runs a daemon and exits the process on failure. Without a subcommand, or with `run`, it serves until SIGTERM or SIGINT.
+// `check` loads the settings, builds the daemon and reports errors.
 func Main[R Runner](name, description string, build func(*nodesettings.Settings, *log.Logger) (R, error)) {
 	arguments, err := parseArguments(name, description, os.Args[1:])
 	if err != nil {
@@ -55,7 +55,7 @@
 		exit(exitUsage, err)
 	}
 	logger := NewLogger(os.Stderr, name)
-	reportViolations(logger)
+	logViolations(logger)
 	daemon, err := build(settings, logger)
 	if err != nil {
 		exit(exitUsage, err)
@@ -79,7 +79,7 @@
 
 type arguments struct {
 	settingsPath string
-	metrics      string // PORT/PATH; empty: no figures are served
+	metrics      string // PORT/PATH; empty to serve no metrics
 	checkOnly    bool
 }
 
@@ -89,7 +89,7 @@
 	parser.Description = description
 	parser.Version = Version
 	parser.String(&parsed.settingsPath, "s", "settings", "path of the settings file; "+nodesettings.PathVariable+" names it too")
-	parser.String(&parsed.metrics, "m", "metrics", "PORT/PATH at which the program serves its own figures, such as 9464/metrics")
+	parser.String(&parsed.metrics, "m", "metrics", "PORT/PATH at which the program serves its metrics, such as 9464/metrics")
 	check := flaggy.NewSubcommand("check")
 	check.Description = "check the settings and exit"
 	run := flaggy.NewSubcommand("run")
@@ -101,7 +101,7 @@
 	return parsed, err
 }
 
-// printSummary prints the result of `check` for valid settings.
+// printSummary prints the output of `check` for valid settings.
 func printSummary(out io.Writer, name string, settings *nodesettings.Settings) error {
 	tolerance := settings.FaultTolerance
 	_, headline := fmt.Fprintf(out, "%s: %s in zone %s: the settings are valid\n", name, settings.Name, settings.Zone)
@@ -110,7 +110,7 @@
 	return errors.Join(headline, details)
 }
 
-// serve runs a daemon until a signal ends it.
+// serve runs a daemon until SIGTERM or SIGINT.
 func serve(daemon Runner) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/internal/daemons/program/violations.go
+++ b/internal/daemons/program/violations.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	violationLogRate  = 1  // log lines a second
-	violationLogBurst = 20 // log lines at once
+	violationLogRate  = 1  // log lines per second
+	violationLogBurst = 20 // log lines in a burst
 )
 
-// reportViolations has violations of invariants logged, at a bounded rate. The daemon serves on: what is wrong by then would not be
-// right after a crash, and all that still works would be lost.
-func reportViolations(logger *log.Logger) {
+// logViolations logs invariant violations at a limited rate. The daemon keeps running, as a crash would not repair the state and
+// would interrupt everything that still works.
+func logViolations(logger *log.Logger) {
 	limiter := rate.NewLimiter(violationLogRate, violationLogBurst)
 	invariant.SetReporter(func(violation invariant.Violation) {
 		if limiter.Allow() {
--- a/internal/daemons/telemetry/telemetry.go
+++ b/internal/daemons/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry serves a daemon's own figures in the text exposition format of Prometheus, and what it keeps to explain failed
-// requests, on a port of its own.
+// Package telemetry serves a daemon's metrics in the Prometheus text exposition format, and its records of failed requests, on a
+// separate port.
 package telemetry
 
 import (
@@ -11,10 +11,10 @@
 	"net/http"
 	"net/netip"
 	"runtime"
-	"runtime/metrics"
+	runtimemetrics "runtime/metrics"
 	"time"
 
-	figures "github.com/VictoriaMetrics/metrics"
+	"github.com/VictoriaMetrics/metrics"
 	"github.com/ansel1/merry/v2"
 	"github.com/go-chi/chi/v5"
 
@@ -31,26 +31,26 @@
 	heapMetric = "/memory/classes/heap/objects:bytes"
 )
 
-// FailuresPath is where the newest failures are served as JSON, beside the figures.
+// FailuresPath is the path at which the newest failures are served as JSON.
 const FailuresPath = "/failures"
 
-// Source is what a daemon has to tell.
+// Source is the data served for a daemon.
 type Source struct {
-	Metrics     *figures.Set
-	Connections *connlimit.Limiter // bounds those of the readers
-	Failures    func() any         // the newest failures, to be encoded as JSON; nil: none are kept
+	Metrics     *metrics.Set
+	Connections *connlimit.Limiter // limits the connections of clients
+	Failures    func() any         // returns the newest failures, to be encoded as JSON; may be nil
 }
 
-// NewMetrics makes a set of figures that begins with those of every process: goroutines, heap, and violations of invariants.
-func NewMetrics() *figures.Set {
-	set := figures.NewSet()
+// NewMetrics creates a set with the metrics common to all daemons: goroutines, heap and invariant violations.
+func NewMetrics() *metrics.Set {
+	set := metrics.NewSet()
 	set.NewGauge("zincloft_goroutines", func() float64 { return float64(runtime.NumGoroutine()) })
 	set.NewGauge("zincloft_heap_bytes", heapBytes)
 	set.RegisterMetricsWriter(writeViolations)
 	return set
 }
 
-// BoolGauge is 1 for a condition that holds, else 0.
+// BoolGauge returns 1 for true and 0 for false.
 func BoolGauge(condition bool) float64 {
 	if condition {
 		return 1
@@ -59,20 +59,19 @@
 }
 
 func heapBytes() float64 {
-	sample := []metrics.Sample{{Name: heapMetric}}
-	metrics.Read(sample)
+	sample := []runtimemetrics.Sample{{Name: heapMetric}}
+	runtimemetrics.Read(sample)
 	return float64(sample[0].Value.Uint64())
 }
 
 func writeViolations(w io.Writer) {
 	for name := range invariant.Statements {
 		label := `zincloft_invariant_violations_total{name="` + invariant.Name(name).String() + `"}`
-		figures.WriteCounterUint64(w, label, invariant.Count(invariant.Name(name)))
+		metrics.WriteCounterUint64(w, label, invariant.Count(invariant.Name(name)))
 	}
 }
 
-// Serve serves the source at the endpoint of an address until ctx ends. It returns once the port is open; an error says why it
-// could not be opened.
+// Serve serves source at an endpoint in the background until ctx is done. It returns an error if the port cannot be opened.
 func Serve(ctx context.Context, ip netip.Addr, endpoint nodesettings.MetricsEndpoint, source Source) error {
 	if endpoint.IsNowhere() {
 		return nil
@@ -84,10 +83,10 @@
 	}
 	server := &http.Server{Handler: source.handler(endpoint.Path), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	source.Connections.Attach(server)
-	context.AfterFunc(ctx, func() { _ = server.Close() }) // who reads figures of a process that ends gets a part of them
+	context.AfterFunc(ctx, func() { _ = server.Close() }) // responses in progress are truncated
 	go func() {
 		if err := server.Serve(source.Connections.Listen(listener)); !errors.Is(err, http.ErrServerClosed) {
-			_ = listener.Close() // figures are no reason to end the daemon
+			_ = listener.Close() // the daemon keeps running without metrics
 		}
 	}()
 	return nil
@@ -102,7 +101,7 @@
 	if s.Failures != nil {
 		router.Get(FailuresPath, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/json")
-			_ = json.NewEncoder(w).Encode(s.Failures()) // fails only where the caller has left
+			_ = json.NewEncoder(w).Encode(s.Failures()) // fails only if the client has disconnected
 		})
 	}
 	return router
--- a/internal/daemons/telemetry/telemetry_test.go
+++ b/internal/daemons/telemetry/telemetry_test.go
@@ -17,8 +17,9 @@
 	"zincloft.example/zincloft/internal/daemons/nodesettings"
 )
 
-// TestFiguresAreServedBesideSilentReaders guards the figures, and the process's descriptors, against readers that hold connections and say nothing.
-func TestFiguresAreServedBesideSilentReaders(t *testing.T) {
+// TestMetricsAreServedDespiteSilentClients guards against clients that block the metrics, or exhaust file descriptors, by holding
+// connections without sending requests.
+func TestMetricsAreServedDespiteSilentClients(t *testing.T) {
 	listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -50,9 +51,9 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		t.Fatalf("the figures are not served: %v", err)
+		t.Fatalf("the metrics were not served: %v", err)
 	}
-	defer func() { _ = response.Body.Close() }() // it was read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
