--- a/internal/daemons/nodesettings/load.go
+++ b/internal/daemons/nodesettings/load.go
@@ -10,11 +10,11 @@
 )
 
 // ErrPathNotSet is returned by Load where PathVariable is empty.
-var ErrPathNotSet = errors.New("settings: " + PathVariable + " is not set")
+var ErrPathNotSet = errors.New("settings: " + PathEnvVar + " is not set")
 
 // Load reads the file that PathVariable names. FileChanged compares with this moment from then on.
 func Load() (*Settings, error) {
-	path := os.Getenv(PathVariable)
+	path := os.Getenv(PathEnvVar)
 	if path == "" {
 		return nil, ErrPathNotSet
 	}
@@ -32,7 +32,7 @@
 // FileChanged reports whether the file that PathVariable names has changed since the last call of FileChanged or Load. It
 // may be called by several goroutines; one of them learns of each change. A file that cannot be read has not changed.
 func FileChanged() bool {
-	info, err := os.Stat(os.Getenv(PathVariable))
+	info, err := os.Stat(os.Getenv(PathEnvVar))
 	if err != nil {
 		return false
 	}
--- a/internal/daemons/nodesettings/load_test.go
+++ b/internal/daemons/nodesettings/load_test.go
@@ -13,7 +13,7 @@
 	Convey("A file that changes without a signal is noticed once", t, func() {
 		path := filepath.Join(t.TempDir(), "node.yaml")
 		So(os.WriteFile(path, []byte(validFile), 0o600), ShouldBeNil)
-		t.Setenv(PathVariable, path)
+		t.Setenv(PathEnvVar, path)
 		_, err := Load()
 		So(err, ShouldBeNil)
 		So(FileChanged(), ShouldBeFalse)
@@ -24,7 +24,7 @@
 }
 
 func TestLoadWithoutPath(t *testing.T) {
-	t.Setenv(PathVariable, "")
+	t.Setenv(PathEnvVar, "")
 	if _, err := Load(); !errors.Is(err, ErrPathNotSet) {
 		t.Errorf("got %v, want ErrPathNotSet", err)
 	}
--- a/internal/daemons/nodesettings/metrics.go
+++ b/internal/daemons/nodesettings/metrics.go
@@ -29,5 +29,5 @@
 	return MetricsEndpoint{Port: uint16(number), Path: "/" + path}, nil
 }
 
-// IsNowhere tells whether no figures are served.
-func (e MetricsEndpoint) IsNowhere() bool { return e.Port == 0 }
+// IsDisabled tells whether no figures are served.
+func (e MetricsEndpoint) IsDisabled() bool { return e.Port == 0 }
--- a/internal/daemons/nodesettings/parse.go
+++ b/internal/daemons/nodesettings/parse.go
@@ -55,7 +55,7 @@
 	s.MachineClass = r.text(selfTable + "machine_class")
 	s.Zone = r.requiredText(selfTable + "zone")
 	s.Region = r.text(selfTable + "region")
-	s.Counted = r.boolean(selfTable + "counted")
+	s.CountsForFaultTolerance = r.boolean(selfTable + "counted")
 	s.FirstStart = r.boolean(selfTable + "first_start")
 	s.DataDir = r.text(selfTable + "data_directory")
 	s.MemoryMB = int64(r.number(selfTable+"limits.memory_mb", 16, 256))
--- a/internal/daemons/nodesettings/parse_test.go
+++ b/internal/daemons/nodesettings/parse_test.go
@@ -44,7 +44,7 @@
 		So(s.DialAddress("10.1.0.37:7540"), ShouldEqual, "127.0.0.1:9")
 		So(s.DialAddress("10.2.0.37:7540"), ShouldEqual, "10.2.0.37:7540")
 		So(s.FirstStart, ShouldBeTrue)
-		So(s.Counted, ShouldBeFalse)
+		So(s.CountsForFaultTolerance, ShouldBeFalse)
 		So(s.FaultTolerance, ShouldResemble, FaultTolerance{Machines: 2, Zones: 1})
 		So(s.ActiveContracts, ShouldResemble, []string{"base", "drain", "a-later-one"})
 		So(s.Bounds.AddressReuseDelay, ShouldEqual, 0)
--- a/internal/daemons/nodesettings/settings.go
+++ b/internal/daemons/nodesettings/settings.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// PathVariable is the environment variable that holds the settings file's path.
-const PathVariable = "ZINCLOFT_NODE_FILE"
+// PathEnvVar is the environment variable that holds the settings file's path.
+const PathEnvVar = "ZINCLOFT_NODE_FILE"
 
 // Settings are what one process is configured with.
 type Settings struct {
@@ -21,7 +21,7 @@
 	IP           netip.Addr
 	Zone         string
 	Region       string
-	Counted      bool   // this machine counts in FaultTolerance.Machines
+	CountsForFaultTolerance      bool   // this machine counts in FaultTolerance.Machines
 	FirstStart   bool   // the control plane has never run before, so its members may begin with empty disks
 	DataDir      string // empty: no disk
 
--- a/internal/daemons/program/main.go
+++ b/internal/daemons/program/main.go
@@ -43,7 +43,7 @@
 		exit(exitUsage, err)
 	}
 	if arguments.settingsPath != "" {
-		if err := os.Setenv(nodesettings.PathVariable, arguments.settingsPath); err != nil {
+		if err := os.Setenv(nodesettings.PathEnvVar, arguments.settingsPath); err != nil {
 			exit(exitUsage, err)
 		}
 	}
@@ -84,11 +84,11 @@
 }
 
 func parseArguments(name, description string, args []string) (arguments, error) {
-	parsed := arguments{settingsPath: os.Getenv(nodesettings.PathVariable)}
+	parsed := arguments{settingsPath: os.Getenv(nodesettings.PathEnvVar)}
 	parser := flaggy.NewParser(name)
 	parser.Description = description
 	parser.Version = Version
-	parser.String(&parsed.settingsPath, "s", "settings", "path of the settings file; "+nodesettings.PathVariable+" names it too")
+	parser.String(&parsed.settingsPath, "s", "settings", "path of the settings file; "+nodesettings.PathEnvVar+" names it too")
 	parser.String(&parsed.metrics, "m", "metrics", "PORT/PATH at which the program serves its own figures, such as 9464/metrics")
 	check := flaggy.NewSubcommand("check")
 	check.Description = "check the settings and exit"
--- a/internal/daemons/telemetry/telemetry.go
+++ b/internal/daemons/telemetry/telemetry.go
@@ -74,7 +74,7 @@
 // Serve serves the source at the endpoint of an address until ctx ends. It returns once the port is open; an error says why it
 // could not be opened.
 func Serve(ctx context.Context, ip netip.Addr, endpoint nodesettings.MetricsEndpoint, source Source) error {
-	if endpoint.IsNowhere() {
+	if endpoint.IsDisabled() {
 		return nil
 	}
 	address := netip.AddrPortFrom(ip, endpoint.Port).String()
--- a/internal/testbeds/soak/process.go
+++ b/internal/testbeds/soak/process.go
@@ -76,7 +76,7 @@
 	}
 	defer func() { _ = log.Close() }() // the process has its own descriptor
 	command := exec.CommandContext(context.Background(), d.program, "run", "--metrics", strconv.Itoa(metricsPort)+"/metrics")
-	command.Env = append(os.Environ(), nodesettings.PathVariable+"="+filepath.Join(d.dir, settingsFile))
+	command.Env = append(os.Environ(), nodesettings.PathEnvVar+"="+filepath.Join(d.dir, settingsFile))
 	command.Stdout, command.Stderr = log, log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
