--- a/internal/daemons/controlserver/callrecord.go
+++ b/internal/daemons/controlserver/callrecord.go
@@ -32,8 +32,8 @@
 // Unwrap lets http.ResponseController reach the connection.
 func (c *callRecorder) Unwrap() http.ResponseWriter { return c.ResponseWriter }
 
-// noteReason notes why a call is refused, where w records its call.
-func noteReason(w http.ResponseWriter, reason string) {
+// setRefusalReason notes why a call is refused, where w records its call.
+func setRefusalReason(w http.ResponseWriter, reason string) {
 	if recorder, ok := w.(*callRecorder); ok {
 		recorder.reason = reason
 	}
@@ -41,7 +41,7 @@
 
 // recordCall counts an answered call and logs a refused one, at a bounded rate.
 func (s *Server) recordCall(c *callRecorder) {
-	s.figures.GetOrCreateCounter(fmt.Sprintf("zincloft_controlplane_calls_total{call=%q,status=\"%d\"}", c.call, c.status)).Inc()
+	s.metricSet.GetOrCreateCounter(fmt.Sprintf("zincloft_controlplane_calls_total{call=%q,status=\"%d\"}", c.call, c.status)).Inc()
 	if c.status < http.StatusBadRequest || !s.callLogLimiter.Allow() {
 		return
 	}
--- a/internal/daemons/controlserver/callrecord_test.go
+++ b/internal/daemons/controlserver/callrecord_test.go
@@ -16,29 +16,29 @@
 	"zincloft.example/zincloft/internal/daemons/program"
 )
 
-// safeBuffer is a log that several goroutines write.
-type safeBuffer struct {
+// syncBuffer is a log that several goroutines write.
+type syncBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
 }
 
-func (b *safeBuffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buffer.Write(p)
 }
 
-func (b *safeBuffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buffer.String()
 }
 
-// TestRefusedCallIsExplained guards what operators see: a refused call has a log line with its reason, and calls and the member's state are
+// TestRefusedCallIsLoggedAndCounted guards what operators see: a refused call has a log line with its reason, and calls and the member's state are
 // among the figures that the metrics port serves.
-func TestRefusedCallIsExplained(t *testing.T) {
+func TestRefusedCallIsLoggedAndCounted(t *testing.T) {
 	server := newIdleServer(t)
-	var logs safeBuffer
+	var logs syncBuffer
 	server.logger = program.NewLogger(&logs, "controlplane")
 	server.settings.Metrics = nodesettings.MetricsEndpoint{Port: uint16(unusedAddrs(t, 1)[0].Port), Path: "/metrics"}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -58,7 +58,7 @@
 			t.Errorf("%q is missing in the log:\n%s", part, logs.String())
 		}
 	}
-	figures := readFigures(ctx, t, fmt.Sprintf("http://127.0.0.1:%d/metrics", server.settings.Metrics.Port))
+	figures := fetchMetrics(ctx, t, fmt.Sprintf("http://127.0.0.1:%d/metrics", server.settings.Metrics.Port))
 	for _, part := range []string{
 		`zincloft_controlplane_calls_total{call="configuration.replace",status="409"} 1`, "zincloft_controlplane_config_version 7",
 		"zincloft_controlplane_quorum_contact 1", "zincloft_controlplane_responsive 1", `zincloft_invariant_violations_total{name="view_number_monotonic"} 0`,
@@ -73,7 +73,7 @@
 	}
 }
 
-func readFigures(ctx context.Context, t *testing.T, url string) string {
+func fetchMetrics(ctx context.Context, t *testing.T, url string) string {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/daemons/controlserver/calls.go
+++ b/internal/daemons/controlserver/calls.go
@@ -77,13 +77,13 @@
 // readBody reads a call's body, which must be released from bodies. Where it can't, it answers the call and returns false.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, bool) {
 	s.setReadDeadline(w, time.Now().Add(bodyReadTimeout))
-	body, err := s.bodies.Read(r.Body, r.ContentLength, maxBytes)
+	body, err := s.bodyBudget.Read(r.Body, r.ContentLength, maxBytes)
 	s.setReadDeadline(w, time.Time{})
 	var tooLarge *http.MaxBytesError
 	if err == nil {
 		return body, true
 	}
-	s.bodies.ReleaseBody(body)
+	s.bodyBudget.ReleaseBody(body)
 	w.Header().Set("Connection", "close") // what is left of the body must not be taken for another call
 	switch {
 	case errors.Is(err, bodybuffer.ErrFull):
--- a/internal/daemons/controlserver/connections.go
+++ b/internal/daemons/controlserver/connections.go
@@ -9,9 +9,9 @@
 
 // Parts of the process's file descriptors. What is left is for the disk, the connections to other members and the gossip.
 const (
-	callerDescriptorShare = 0.6
-	peerDescriptorShare   = 0.25
-	figureDescriptorShare = 0.01
+	callerDescriptorShare  = 0.6
+	peerDescriptorShare    = 0.25
+	metricsDescriptorShare = 0.01
 )
 
 // memberReserve is how many connections of the listener for peers are kept from gateways, for the other members.
@@ -36,7 +36,7 @@
 			return
 		}
 		limited := conn.(*connlimit.Conn)
-		s.limitUnacked(limited.Conn)
+		s.setUnackedTimeout(limited.Conn)
 		go s.serveConnection(limited)
 	}
 }
--- a/internal/daemons/controlserver/connections_test.go
+++ b/internal/daemons/controlserver/connections_test.go
@@ -16,10 +16,10 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// TestSilentCallersDoNotEndTheMember guards against a member that ends, or loses its disk, because callers hold connections and say
+// TestIdleCallersDoNotExhaustDescriptors guards against a member that ends, or loses its disk, because callers hold connections and say
 // nothing: they used up the process's descriptors, accepting failed, and that error ended the process. The callers' own ends are in this
 // process too, so its limit leaves room for them.
-func TestSilentCallersDoNotEndTheMember(t *testing.T) {
+func TestIdleCallersDoNotExhaustDescriptors(t *testing.T) {
 	const (
 		memberDescriptors = 100 // by its settings
 		callers           = 130
@@ -113,9 +113,9 @@
 	})
 }
 
-// TestSilentPeersDoNotShutOthersOut guards the listener for members and gateways: connections that never say whose they are take no room from those
+// TestIdlePeerConnectionsDoNotBlockGateways guards the listener for members and gateways: connections that never say whose they are take no room from those
 // that do, and gateways leave room for members.
-func TestSilentPeersDoNotShutOthersOut(t *testing.T) {
+func TestIdlePeerConnectionsDoNotBlockGateways(t *testing.T) {
 	const memberDescriptors = 100 // by its settings
 	server := newIdleServer(t)
 	server.peerConns = connlimit.New("peers", connlimit.Share(memberDescriptors, peerDescriptorShare), server.logger)
--- a/internal/daemons/controlserver/instancecalls.go
+++ b/internal/daemons/controlserver/instancecalls.go
@@ -27,8 +27,8 @@
 	errHeartbeatNumber     = errors.New("heartbeat: sequence, slots or cold_remaining is out of range or not a number")
 )
 
-// heartbeatBody is the response to a heartbeat: where to send the further ones, if that is elsewhere.
-type heartbeatBody struct {
+// heartbeatResponse is the response to a heartbeat: where to send the further ones, if that is elsewhere.
+type heartbeatResponse struct {
 	HeartbeatTarget string `json:"heartbeat_target,omitempty"`
 }
 
@@ -37,7 +37,7 @@
 	if !ok {
 		return
 	}
-	defer s.bodies.ReleaseBody(body)
+	defer s.bodyBudget.ReleaseBody(body)
 	id := target(r)
 	if !gjson.ValidBytes(body) || id == "" || len(id) > maxInstanceIDBytes {
 		s.writeResult(w, http.StatusBadRequest, "heartbeat: the body is not JSON, or the replica is not named, or by too long a name")
@@ -49,12 +49,12 @@
 		return
 	}
 	response := s.call(r, controller.Event{Heartbeat: &heartbeat})
-	noteReason(w, response.Reason)
+	setRefusalReason(w, response.Reason)
 	if response.Status != http.StatusOK {
 		s.writeResult(w, response.Status, cmp.Or(response.Reason, noQuorumText))
 		return
 	}
-	s.writeJSON(w, http.StatusOK, heartbeatBody{HeartbeatTarget: response.Address})
+	s.writeJSON(w, http.StatusOK, heartbeatResponse{HeartbeatTarget: response.Address})
 }
 
 // parseHeartbeat reads a heartbeat. Its numbers are checked strictly: a sequence read from what is no number could be higher than all later
@@ -93,7 +93,7 @@
 		return
 	}
 	response := s.call(r, controller.Event{Deregister: id})
-	noteReason(w, response.Reason)
+	setRefusalReason(w, response.Reason)
 	if response.Status != http.StatusOK {
 		s.writeResult(w, response.Status, cmp.Or(response.Reason, noQuorumText))
 		return
--- a/internal/daemons/controlserver/figures.go
+++ b/internal/daemons/controlserver/metrics.go
@@ -10,22 +10,22 @@
 	"zincloft.example/zincloft/internal/daemons/telemetry"
 )
 
-// figuresTimeout bounds how long the reader of the figures waits for the goroutine of Run, which has them.
-const figuresTimeout = time.Second
+// metricsTimeout bounds how long the reader of the figures waits for the goroutine of Run, which has them.
+const metricsTimeout = time.Second
 
-// newFigures makes the member's set of figures.
-func (s *Server) newFigures() *metrics.Set {
+// newMetrics makes the member's set of figures.
+func (s *Server) newMetrics() *metrics.Set {
 	set := telemetry.NewMetrics()
-	set.RegisterMetricsWriter(s.writeFigures)
-	for _, conns := range []*connlimit.Limiter{s.callerConns, s.peerConns, s.figureConns} {
+	set.RegisterMetricsWriter(s.writeMetrics)
+	for _, conns := range []*connlimit.Limiter{s.callerConns, s.peerConns, s.metricsConns} {
 		set.RegisterMetricsWriter(conns.WriteMetrics)
 	}
 	return set
 }
 
-// writeFigures writes what the controller knows. Where the goroutine of Run doesn't answer in time, only that is written: a member that is
+// writeMetrics writes what the controller knows. Where the goroutine of Run doesn't answer in time, only that is written: a member that is
 // stuck is to be seen as such.
-func (s *Server) writeFigures(w io.Writer) {
+func (s *Server) writeMetrics(w io.Writer) {
 	type reading struct {
 		name  string
 		value float64
@@ -48,13 +48,13 @@
 			{"zincloft_controlplane_instances_timed_out", float64(figures.TimedOutInstances)},
 			{"zincloft_controlplane_instances_remembered", float64(figures.TrackedInstances)},
 			{"zincloft_controlplane_instances_limit", float64(figures.TrackedInstancesLimit)},
-			{"zincloft_controlplane_call_body_bytes", float64(s.bodies.Used())},
+			{"zincloft_controlplane_call_body_bytes", float64(s.bodyBudget.Used())},
 			{"zincloft_controlplane_pending_calls", float64(len(s.pendingCalls))},
 		}
 	}
 	select {
 	case s.tasks <- read:
-	case <-time.After(figuresTimeout):
+	case <-time.After(metricsTimeout):
 	}
 	select {
 	case readings := <-done:
@@ -62,7 +62,7 @@
 		for _, reading := range readings {
 			metrics.WriteGaugeFloat64(w, reading.name, reading.value)
 		}
-	case <-time.After(figuresTimeout):
+	case <-time.After(metricsTimeout):
 		metrics.WriteGaugeFloat64(w, "zincloft_controlplane_responsive", 0)
 	}
 }
--- a/internal/daemons/controlserver/operatorcalls.go
+++ b/internal/daemons/controlserver/operatorcalls.go
@@ -16,7 +16,7 @@
 	if !ok {
 		return
 	}
-	defer s.bodies.ReleaseBody(body)
+	defer s.bodyBudget.ReleaseBody(body)
 	config, err := gatewayconfig.Parse(body)
 	if err != nil {
 		s.logger.Info().Str("event", "config_rejected").Err(err).Msg("")
@@ -40,14 +40,14 @@
 // has its version, or 503. Such an answer has no error text; the log says why.
 func (s *Server) propose(w http.ResponseWriter, r *http.Request, command chainreplication.Command) {
 	response := s.call(r, controller.Event{Command: &command})
-	noteReason(w, response.Reason)
+	setRefusalReason(w, response.Reason)
 	s.writeResult(w, response.Status, "")
 }
 
 // handleDescribeConfiguration answers with the committed configuration, or redirects to a member that has it.
 func (s *Server) handleDescribeConfiguration(w http.ResponseWriter, r *http.Request) {
 	response := s.call(r, controller.Event{ReadConfiguration: true})
-	noteReason(w, response.Reason)
+	setRefusalReason(w, response.Reason)
 	switch response.Status {
 	case http.StatusTemporaryRedirect:
 		w.Header().Set("Location", "http://"+response.Address+"/api/rpc?call=configuration.describe")
@@ -67,7 +67,7 @@
 	if !ok {
 		return
 	}
-	defer s.bodies.ReleaseBody(body)
+	defer s.bodyBudget.ReleaseBody(body)
 	var command maintenance.Command
 	if json.Unmarshal(body, &command) != nil {
 		s.writeResult(w, http.StatusBadRequest, "windows: the command cannot be read")
@@ -79,18 +79,18 @@
 
 // handleControlPlaneStatus answers with the status of the control plane as this member knows it, also without contact with a quorum.
 func (s *Server) handleControlPlaneStatus(w http.ResponseWriter, _ *http.Request) {
-	s.writeEvaluated(w, func() ([]byte, error) {
+	s.writeFromRunLoop(w, func() ([]byte, error) {
 		return json.MarshalIndent(s.controller.Describe(s.now()), "", "  ")
 	})
 }
 
 // handleDescribeMaintenance answers with the status of the maintenance windows as this member knows it.
 func (s *Server) handleDescribeMaintenance(w http.ResponseWriter, _ *http.Request) {
-	s.writeEvaluated(w, func() ([]byte, error) { return s.controller.DescribeMaintenance(s.now()) })
+	s.writeFromRunLoop(w, func() ([]byte, error) { return s.controller.DescribeMaintenance(s.now()) })
 }
 
-// writeEvaluated answers a call with JSON that the goroutine of Run makes.
-func (s *Server) writeEvaluated(w http.ResponseWriter, evaluate func() ([]byte, error)) {
+// writeFromRunLoop answers a call with JSON that the goroutine of Run makes.
+func (s *Server) writeFromRunLoop(w http.ResponseWriter, evaluate func() ([]byte, error)) {
 	type result struct {
 		body []byte
 		err  error
--- a/internal/daemons/controlserver/peers.go
+++ b/internal/daemons/controlserver/peers.go
@@ -98,8 +98,8 @@
 	peer.Send(encoded)
 }
 
-// limitUnacked sets unackedTimeout. Where the system refuses, the connection is served without.
-func (s *Server) limitUnacked(conn net.Conn) {
+// setUnackedTimeout sets unackedTimeout. Where the system refuses, the connection is served without.
+func (s *Server) setUnackedTimeout(conn net.Conn) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err == nil {
 		err = peertransport.SetUnackedTimeout(raw, unackedTimeout)
--- a/internal/daemons/controlserver/server.go
+++ b/internal/daemons/controlserver/server.go
@@ -48,8 +48,8 @@
 	// bodyMemoryRatio is the part of the machine's memory bound that bodies of calls may hold at once.
 	bodyMemoryRatio = 0.25
 
-	// instancesPerMB of the machine's memory bound may be remembered: each takes about a kilobyte, with its place in what is sent and written.
-	instancesPerMB = 200
+	// maxInstancesPerMB of the machine's memory bound may be remembered: each takes about a kilobyte, with its place in what is sent and written.
+	maxInstancesPerMB = 200
 
 	maxHeaderBytes = 16 << 10 // of a call: many callers may send a head at once
 
@@ -67,15 +67,15 @@
 	controller  *controller.Controller
 	stopped     bool
 
-	figures        *metrics.Set
+	metricSet      *metrics.Set
 	callLogLimiter *rate.Limiter
 
-	bodies *bodybuffer.Budget // of calls that are being received
+	bodyBudget *bodybuffer.Budget // of calls that are being received
 
 	// Connections by purpose, each with a share of the file descriptors.
-	callerConns *connlimit.Limiter // of replicas and operators
-	peerConns   *connlimit.Limiter // of other members and gateways
-	figureConns *connlimit.Limiter
+	callerConns  *connlimit.Limiter // of replicas and operators
+	peerConns    *connlimit.Limiter // of other members and gateways
+	metricsConns *connlimit.Limiter
 
 	// The other members.
 	hello           messages.Hello
@@ -111,12 +111,12 @@
 		streams:      map[uint64]*peertransport.Conn{},
 
 		callLogLimiter: rate.NewLimiter(callLogRate, callLogBurst),
-		bodies:         bodybuffer.New(int64(bodyMemoryRatio * float64(settings.MemoryMB<<20))),
+		bodyBudget:     bodybuffer.New(int64(bodyMemoryRatio * float64(settings.MemoryMB<<20))),
 		callerConns:    connlimit.New("control", connlimit.Share(settings.FileDescriptors, callerDescriptorShare), logger),
 		peerConns:      connlimit.New("peers", connlimit.Share(settings.FileDescriptors, peerDescriptorShare), logger),
-		figureConns:    connlimit.New("figures", connlimit.Share(settings.FileDescriptors, figureDescriptorShare), logger),
+		metricsConns:   connlimit.New("figures", connlimit.Share(settings.FileDescriptors, metricsDescriptorShare), logger),
 	}
-	s.figures = s.newFigures()
+	s.metricSet = s.newMetrics()
 	return s, nil
 }
 
@@ -135,7 +135,7 @@
 // again.
 func (s *Server) Run(ctx context.Context, hup <-chan os.Signal) error {
 	debug.SetMemoryLimit(int64(float64(s.settings.MemoryMB<<20) * memoryLimitRatio))
-	if !s.restoreUntilDone(ctx) {
+	if !s.restoreWithRetry(ctx) {
 		return nil
 	}
 	var listenConfig net.ListenConfig
@@ -153,7 +153,7 @@
 	if s.gossip, err = gossip.Start(ctx, self, s.settings.SeedPeerAddresses(), s.settings.DialAddress); err != nil {
 		return err
 	}
-	if err := telemetry.Serve(ctx, s.settings.IP, s.settings.Metrics, telemetry.Source{Metrics: s.figures, Connections: s.figureConns}); err != nil {
+	if err := telemetry.Serve(ctx, s.settings.IP, s.settings.Metrics, telemetry.Source{Metrics: s.metricSet, Connections: s.metricsConns}); err != nil {
 		return err
 	}
 	s.step(controller.Event{Start: true})
--- a/internal/daemons/controlserver/storage.go
+++ b/internal/daemons/controlserver/storage.go
@@ -27,9 +27,9 @@
 	diskNonceBytes = 6
 )
 
-// restoreUntilDone restores the state from the disk, and retries as long as the disk fails. It reports whether that succeeded before the
+// restoreWithRetry restores the state from the disk, and retries as long as the disk fails. It reports whether that succeeded before the
 // context ended.
-func (s *Server) restoreUntilDone(ctx context.Context) bool {
+func (s *Server) restoreWithRetry(ctx context.Context) bool {
 	for {
 		err := s.restore()
 		if err == nil {
@@ -105,7 +105,7 @@
 		HeartbeatInterval: s.settings.HeartbeatInterval,
 		RandomSeed:        mrand.Uint64(),
 		RegionByZone:      s.settings.ZoneRegions,
-		MaxInstances:      int(s.settings.MemoryMB) * instancesPerMB,
+		MaxInstances:      int(s.settings.MemoryMB) * maxInstancesPerMB,
 	}
 }
 
--- a/internal/daemons/nodesettings/settings.go
+++ b/internal/daemons/nodesettings/settings.go
@@ -14,16 +14,16 @@
 
 // Settings are what one process is configured with.
 type Settings struct {
-	Name         string
-	Role         string
-	MachineClass string
-	Serves       []string // traffic kinds, as the file names them
-	IP           netip.Addr
-	Zone         string
-	Region       string
-	CountsForFaultTolerance      bool   // this machine counts in FaultTolerance.Machines
-	FirstStart   bool   // the control plane has never run before, so its members may begin with empty disks
-	DataDir      string // empty: no disk
+	Name                    string
+	Role                    string
+	MachineClass            string
+	Serves                  []string // traffic kinds, as the file names them
+	IP                      netip.Addr
+	Zone                    string
+	Region                  string
+	CountsForFaultTolerance bool   // this machine counts in FaultTolerance.Machines
+	FirstStart              bool   // the control plane has never run before, so its members may begin with empty disks
+	DataDir                 string // empty: no disk
 
 	MemoryMB        int64
 	FileDescriptors int64
