--- a/internal/daemons/controlserver/actions.go
+++ b/internal/daemons/controlserver/actions.go
@@ -8,8 +8,7 @@
 	"zincloft.example/zincloft/internal/daemons/program"
 )
 
-// step has the controller decide about an event and carries out its actions, in the order of their kinds. It is called by the goroutine of Run
-// only.
+// step passes an event to the controller and executes the resulting actions in a fixed order. It must be called by the goroutine of Run.
 func (s *Server) step(event controller.Event) {
 	event.WallClock = time.Duration(time.Now().UnixNano())
 	actions := s.controller.Step(s.now(), event)
@@ -49,11 +48,11 @@
 	})
 }
 
-// publish sends a state update, encoded once, on all its streams.
+// publish encodes a state update once and sends it on each of its streams.
 func (s *Server) publish(publication *controller.Publication) {
 	encoded, err := peertransport.EncodeFrame(&peertransport.Frame{StateUpdate: &publication.Update})
 	if err != nil {
-		s.logger.Error().Str("event", "encoding_failed").Err(err).Msg("")
+		s.logger.Error().Str("event", "encoding_failed").Err(err).Msg("state update could not be encoded and was not sent")
 		return
 	}
 	for _, id := range publication.Streams {
--- a/internal/daemons/controlserver/calls.go
+++ b/internal/daemons/controlserver/calls.go
@@ -17,23 +17,23 @@
 	maxBodyBytes    = 16 << 20
 	bodyReadTimeout = 10 * time.Second
 
-	// retryAfterSeconds is after how long a caller that got 503 is to call again.
+	// retryAfterSeconds is the Retry-After value of a 503 response.
 	retryAfterSeconds = "0.2"
 
-	// statusClientClosedRequest is the status of a call whose caller has left; nobody reads it.
+	// statusClientClosedRequest is recorded for a call whose caller disconnected before it was processed.
 	statusClientClosedRequest = 499
 
 	noQuorumText = "no contact with a quorum of the control plane"
 )
 
-// routes dispatches calls: by the method and the path, then by the call's name, which is a parameter of the query.
+// routes returns the HTTP handler, which dispatches calls by the query parameter "call".
 func (s *Server) routes() http.Handler {
 	calls := map[string]http.HandlerFunc{
 		"instances.heartbeat":    s.handleHeartbeat,
 		"instances.deregister":   s.handleDeregister,
 		"configuration.replace":  s.handleReplaceConfiguration,
 		"configuration.describe": s.handleDescribeConfiguration,
-		"core.describe":          s.handleControlPlaneStatus, // this project's own, beside the protocol's
+		"core.describe":          s.handleControlPlaneStatus, // not part of the published protocol
 		"windows.command":        s.handleMaintenanceCommand,
 		"windows.describe":       s.handleDescribeMaintenance,
 		"evacuations.start":      func(w http.ResponseWriter, r *http.Request) { s.handleEvacuation(w, r, true) },
@@ -44,7 +44,7 @@
 		name := r.URL.Query().Get("call")
 		call := calls[name]
 		if call == nil {
-			s.writeResult(w, http.StatusNotFound, "call: is missing or unknown")
+			s.writeResult(w, http.StatusNotFound, "call: must be the name of a known call")
 			return
 		}
 		recorder := &callRecorder{ResponseWriter: w, call: name, target: target(r), startedAt: time.Now()}
@@ -54,11 +54,11 @@
 	return router
 }
 
-// target is the query's parameter that names what a call is about.
+// target returns the query parameter that names the object of a call, such as an instance or a zone.
 func target(r *http.Request) string { return r.URL.Query().Get("of") }
 
-// call has the controller answer a call, unless its caller has left by the time the call's turn comes: the caller has gone on to another
-// member then, and what it asked for here might undo what was done since.
+// call passes a call to the controller and waits for the response. A call whose caller has disconnected by the time it is dequeued is dropped:
+// the caller may have retried at another member, and a late execution could revert newer changes.
 func (s *Server) call(r *http.Request, event controller.Event) controller.Response {
 	done := make(chan controller.Response, 1)
 	s.enqueue(func() {
@@ -74,7 +74,8 @@
 	return <-done
 }
 
-// readBody reads a call's body, which must be released from bodies. Where it can't, it answers the call and returns false.
+// readBody reads a call's body. The caller must release it with bodyBudget.ReleaseBody. On failure, readBody sends the error response and
+// returns false.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, bool) {
 	s.setReadDeadline(w, time.Now().Add(bodyReadTimeout))
 	body, err := s.bodyBudget.Read(r.Body, r.ContentLength, maxBytes)
@@ -84,55 +85,55 @@
 		return body, true
 	}
 	s.bodyBudget.ReleaseBody(body)
-	w.Header().Set("Connection", "close") // what is left of the body must not be taken for another call
+	w.Header().Set("Connection", "close") // unread body bytes must not be parsed as the next request
 	switch {
 	case errors.Is(err, bodybuffer.ErrFull):
-		s.writeResult(w, http.StatusServiceUnavailable, "too many bodies are being received")
+		s.writeResult(w, http.StatusServiceUnavailable, "the memory for request bodies is exhausted")
 	case errors.As(err, &tooLarge):
-		s.writeResult(w, http.StatusRequestEntityTooLarge, "the body is too large")
+		s.writeResult(w, http.StatusRequestEntityTooLarge, "the body exceeds the size limit")
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		s.writeResult(w, http.StatusRequestTimeout, "the body did not arrive in time")
 	default:
-		s.writeResult(w, http.StatusBadRequest, "the body cannot be read completely")
+		s.writeResult(w, http.StatusBadRequest, "the body could not be read completely")
 	}
 	return nil, false
 }
 
-// setReadDeadline bounds the reading of a body. On a connection that allows no deadline, the read itself fails where it is broken.
+// setReadDeadline sets the deadline for reading a body. An error is only logged: if the connection is broken, the read fails as well.
 func (s *Server) setReadDeadline(w http.ResponseWriter, deadline time.Time) {
 	if err := http.NewResponseController(w).SetReadDeadline(deadline); err != nil {
-		s.logger.Debug().Str("event", "read_deadline_refused").Err(err).Msg("")
+		s.logger.Debug().Str("event", "read_deadline_refused").Err(err).Msg("read deadline could not be set")
 	}
 }
 
-// resultBody is the body of a response without a result: a problem, or nothing.
+// resultBody is the body of a response that carries only an error text, or nothing.
 type resultBody struct {
 	Error string `json:"error,omitempty"`
 }
 
-// writeResult answers a call with a status and, where something is wrong, what that is.
-func (s *Server) writeResult(w http.ResponseWriter, status int, problem string) {
+// writeResult responds with a status and an error text, which is empty on success.
+func (s *Server) writeResult(w http.ResponseWriter, status int, errorText string) {
 	if status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
-	s.writeJSON(w, status, resultBody{Error: problem})
+	s.writeJSON(w, status, resultBody{Error: errorText})
 }
 
 func (s *Server) writeJSON(w http.ResponseWriter, status int, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		s.logger.Error().Str("event", "encoding_failed").Err(err).Msg("")
+		s.logger.Error().Str("event", "encoding_failed").Err(err).Msg("response could not be encoded")
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	s.writeBody(w, status, body)
 }
 
-// writeBody answers a call with JSON. It fails only where the caller has left.
+// writeBody responds with a JSON body. A write error means that the caller has disconnected.
 func (s *Server) writeBody(w http.ResponseWriter, status int, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if _, err := w.Write(body); err != nil {
-		s.logger.Debug().Str("event", "response_not_written").Err(err).Msg("")
+		s.logger.Debug().Str("event", "response_not_written").Err(err).Msg("response could not be written")
 	}
 }
--- a/internal/daemons/controlserver/calls_test.go
+++ b/internal/daemons/controlserver/calls_test.go
@@ -30,7 +30,7 @@
 rule_terms: {bounds: {grace_period: 1s}}
 `
 
-// unusedAddrs are different addresses on which nobody listens at the moment.
+// unusedAddrs returns distinct loopback addresses that are currently free.
 func unusedAddrs(t testing.TB, count int) (addrs []*net.TCPAddr) {
 	t.Helper()
 	var config net.ListenConfig
@@ -49,7 +49,7 @@
 	return addrs
 }
 
-// newIdleServer makes a server that runs nothing yet.
+// newIdleServer returns a server whose Run has not been called.
 func newIdleServer(t testing.TB) *Server {
 	t.Helper()
 	addrs := unusedAddrs(t, 2)
@@ -70,7 +70,7 @@
 	return server
 }
 
-// serveCall has a server answer a call.
+// serveCall sends a call directly to the server's HTTP handler.
 func serveCall(ctx context.Context, server *Server, query string, body string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	server.routes().ServeHTTP(w, httptest.NewRequestWithContext(ctx, http.MethodPost, "/api/rpc?"+query, strings.NewReader(body)))
@@ -79,9 +79,8 @@
 
 const emptyConfiguration = `{"version":"%08x","services":[],"limits":{},"virtual_hosts":[]}`
 
-// TestAbandonedCallIsNotExecuted guards against late execution: a caller that has given up and called another member finds nothing of its
-// call executed here later, when a member that was frozen or overloaded comes to it. There is no controller, so a call that reached it would
-// panic.
+// TestAbandonedCallIsNotExecuted guards against late execution: a call must not be executed if its caller disconnected while the call was
+// queued. The server has no controller here, so executing the call would panic.
 func TestAbandonedCallIsNotExecuted(t *testing.T) {
 	for query, body := range map[string]string{
 		"call=configuration.replace":                 fmt.Sprintf(emptyConfiguration, 7),
@@ -101,27 +100,27 @@
 		task()
 		<-done
 		if len(server.pendingCalls) > 0 {
-			t.Errorf("%s: a caller still waits", query)
+			t.Errorf("%s: the call is still pending", query)
 		}
 	}
 }
 
-// FuzzCalls has a running server take calls: it answers each with a status of the protocol, in JSON, and acknowledges no configuration that
-// it doesn't give back.
+// FuzzCalls checks that every call gets a JSON response with a status of the protocol, and that a configuration can be read once it has been
+// acknowledged.
 func FuzzCalls(f *testing.F) {
 	server := newIdleServer(f)
 	ctx, cancel := context.WithCancel(f.Context())
-	ended := make(chan error, 1)
-	go func() { ended <- server.Run(ctx, make(chan os.Signal)) }()
+	runErr := make(chan error, 1)
+	go func() { runErr <- server.Run(ctx, make(chan os.Signal)) }()
 	f.Cleanup(func() {
 		cancel()
-		if err := <-ended; err != nil {
+		if err := <-runErr; err != nil {
 			f.Error(err)
 		}
 	})
 	for deadline := time.Now().Add(10 * time.Second); serveCall(ctx, server, "call=configuration.replace", fmt.Sprintf(emptyConfiguration, 1)).Code != http.StatusOK; {
 		if time.Now().After(deadline) {
-			f.Fatal("the server does not answer")
+			f.Fatal("the server did not become ready within 10 s")
 		}
 	}
 	for _, call := range []struct{ query, body string }{
@@ -139,13 +138,13 @@
 		switch w.Code {
 		case 200, 400, 404, 409, 412, 413, 422, 503:
 		default:
-			t.Fatalf("%d for %q %q", w.Code, query, body)
+			t.Fatalf("unexpected status %d for query %q, body %q", w.Code, query, body)
 		}
 		if !strings.HasPrefix(w.Header().Get("Content-Type"), "application/json") {
-			t.Fatalf("%d without JSON for %q %q", w.Code, query, body)
+			t.Fatalf("status %d without a JSON body for query %q, body %q", w.Code, query, body)
 		}
 		if w.Code == 200 && request.URL.Query().Get("call") == "configuration.replace" && serveCall(ctx, server, "call=configuration.describe", "").Code != 200 {
-			t.Fatalf("acknowledged and not there: %q", body)
+			t.Fatalf("an acknowledged configuration cannot be read: %q", body)
 		}
 	})
 }
--- a/internal/daemons/controlserver/connections.go
+++ b/internal/daemons/controlserver/connections.go
@@ -7,24 +7,24 @@
 	"zincloft.example/zincloft/internal/daemons/connlimit"
 )
 
-// Parts of the process's file descriptors. What is left is for the disk, the connections to other members and the gossip.
+// Shares of the process's file descriptors per listener. The rest is for files, outbound connections to other members and gossip.
 const (
 	callerDescriptorShare  = 0.6
 	peerDescriptorShare    = 0.25
 	metricsDescriptorShare = 0.01
 )
 
-// memberReserve is how many connections of the listener for peers are kept from gateways, for the other members.
+// memberReserve is how many connections of the peer listener are reserved for other members.
 const memberReserve = 32
 
-// maxStreams is how many gateways may follow this member at once. One that is refused goes on to another member.
+// maxStreams returns the maximum number of gateway streams. A gateway that is rejected connects to another member.
 func (s *Server) maxStreams() int {
 	limit := s.peerConns.Limit()
 	return limit - min(memberReserve, limit/2)
 }
 
-// acceptConnections takes the connections of other members and of gateways until the listener is closed. An error after which accepting is of
-// no use ends the process.
+// acceptConnections accepts connections from other members and gateways until the listener is closed. A permanent accept error is reported on
+// serveErrors and ends the process.
 func (s *Server) acceptConnections(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
--- a/internal/daemons/controlserver/connections_test.go
+++ b/internal/daemons/controlserver/connections_test.go
@@ -16,27 +16,26 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// TestIdleCallersDoNotExhaustDescriptors guards against a member that ends, or loses its disk, because callers hold connections and say
-// nothing: they used up the process's descriptors, accepting failed, and that error ended the process. The callers' own ends are in this
-// process too, so its limit leaves room for them.
+// TestIdleCallersDoNotExhaustDescriptors guards against idle client connections that use up the file descriptors, so that accepting or opening
+// files fails and the process exits. The client ends are in this process too, so its limit leaves room for them.
 func TestIdleCallersDoNotExhaustDescriptors(t *testing.T) {
 	const (
-		memberDescriptors = 100 // by its settings
+		memberDescriptors = 100 // configured limit
 		callers           = 130
-		orders            = 20
+		replacements      = 20
 	)
 	server := newIdleServer(t)
 	server.settings.FileDescriptors = memberDescriptors
 	server.callerConns = connlimit.New("control", connlimit.Share(memberDescriptors, callerDescriptorShare), server.logger)
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
-	go func() { ended <- server.Run(ctx, make(chan os.Signal)) }()
-	configuration := func(version int) int {
+	runErr := make(chan error, 1)
+	go func() { runErr <- server.Run(ctx, make(chan os.Signal)) }()
+	replaceConfiguration := func(version int) int {
 		return serveCall(ctx, server, "call=configuration.replace", fmt.Sprintf(emptyConfiguration, version)).Code
 	}
-	for deadline := time.Now().Add(10 * time.Second); configuration(1) != http.StatusOK; {
+	for deadline := time.Now().Add(10 * time.Second); replaceConfiguration(1) != http.StatusOK; {
 		if time.Now().After(deadline) {
-			t.Fatal("the server does not answer")
+			t.Fatal("the server did not become ready within 10 s")
 		}
 	}
 	limitDescriptors(t, openDescriptors(t)+callers+memberDescriptors)
@@ -45,27 +44,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = conn.Close() }() // the server may have closed it
+		defer func() { _ = conn.Close() }() // the server may already have closed it
 	}
-	for version := range orders {
-		if status := configuration(2 + version); status != http.StatusOK {
-			t.Fatalf("order %d is answered %d while callers hold connections", version, status)
+	for version := range replacements {
+		if status := replaceConfiguration(2 + version); status != http.StatusOK {
+			t.Fatalf("configuration %d: got status %d while idle connections are open, want 200", 2+version, status)
 		}
 	}
 	awaitNewCaller(ctx, t, server.settings.ControlAddress)
 	select {
-	case err := <-ended:
-		t.Fatalf("the member ended: %v", err)
+	case err := <-runErr:
+		t.Fatalf("Run returned early: %v", err)
 	default:
 	}
 	cancel()
-	if err := <-ended; err != nil {
+	if err := <-runErr; err != nil {
 		t.Error(err)
 	}
 }
 
-// awaitNewCaller has a caller that keeps no connection call again and again, as callers do, until it is answered: within a second, once the
-// silent ones are old enough to be closed in its favour.
+// awaitNewCaller calls over new connections until a call is answered. That must happen within a second, when the idle connections are old
+// enough to be closed to make room.
 func awaitNewCaller(ctx context.Context, t *testing.T, address string) {
 	t.Helper()
 	transport := &http.Transport{DisableKeepAlives: true}
@@ -76,11 +75,11 @@
 		}
 		response, err := transport.RoundTrip(request)
 		if err == nil {
-			_ = response.Body.Close() // it is not read
+			_ = response.Body.Close()
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("a new caller is not served: %v", err)
+			t.Fatalf("no call over a new connection was answered within 1 s: %v", err)
 		}
 	}
 }
@@ -94,7 +93,7 @@
 	return len(entries)
 }
 
-// limitDescriptors lowers the process's limit until the test ends.
+// limitDescriptors lowers the process's file descriptor limit until the test ends.
 func limitDescriptors(t *testing.T, limit int) {
 	t.Helper()
 	var before syscall.Rlimit
@@ -113,19 +112,19 @@
 	})
 }
 
-// TestIdlePeerConnectionsDoNotBlockGateways guards the listener for members and gateways: connections that never say whose they are take no room from those
-// that do, and gateways leave room for members.
+// TestIdlePeerConnectionsDoNotBlockGateways guards the peer listener: connections that never send a Hello must not keep out those that do, and
+// gateways must leave room for members.
 func TestIdlePeerConnectionsDoNotBlockGateways(t *testing.T) {
-	const memberDescriptors = 100 // by its settings
+	const memberDescriptors = 100 // configured limit
 	server := newIdleServer(t)
 	server.peerConns = connlimit.New("peers", connlimit.Share(memberDescriptors, peerDescriptorShare), server.logger)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	ended := make(chan error, 1)
-	go func() { ended <- server.Run(ctx, make(chan os.Signal)) }()
+	runErr := make(chan error, 1)
+	go func() { runErr <- server.Run(ctx, make(chan os.Signal)) }()
 	for deadline := time.Now().Add(10 * time.Second); serveCall(ctx, server, "call=configuration.replace", fmt.Sprintf(emptyConfiguration, 1)).Code != http.StatusOK; {
 		if time.Now().After(deadline) {
-			t.Fatal("the server does not answer")
+			t.Fatal("the server did not become ready within 10 s")
 		}
 	}
 	dial := func() net.Conn {
@@ -140,16 +139,16 @@
 		return nil
 	}
 	for range 2 * server.peerConns.Limit() {
-		silent := dial()
-		defer func() { _ = silent.Close() }() // the member may have closed it
+		idle := dial()
+		defer func() { _ = idle.Close() }() // the server may already have closed it
 	}
 	hello, err := peertransport.EncodeFrame(&peertransport.Frame{Hello: &messages.Hello{Gateway: "g1", Member: fleet.Member{Zone: "a"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	follow := func() error { // as a gateway does, which goes on while the member is not ready to be followed
+	subscribe := func() error { // fails while the member does not yet accept gateway streams
 		gateway := dial()
-		defer func() { _ = gateway.Close() }() // the member may have closed it
+		defer func() { _ = gateway.Close() }() // the server may already have closed it
 		if _, err := gateway.Write(hello); err != nil {
 			return err
 		}
@@ -160,22 +159,22 @@
 		return err
 	}
 	for deadline := time.Now().Add(5 * time.Second); ; {
-		err := follow()
+		err := subscribe()
 		if err == nil {
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the gateway hears nothing: %v", err)
+			t.Fatalf("the gateway received no frame within 5 s: %v", err)
 		}
 	}
 	if open := server.peerConns.OpenCount(); open > server.peerConns.Limit() {
-		t.Error(open, "connections are open")
+		t.Errorf("%d connections are open, the limit is %d", open, server.peerConns.Limit())
 	}
 	if streams, limit := server.maxStreams(), server.peerConns.Limit(); streams >= limit {
-		t.Errorf("gateways may take all %d connections", limit)
+		t.Errorf("gateway streams may use %d of %d connections, leaving none for members", streams, limit)
 	}
 	cancel()
-	if err := <-ended; err != nil {
+	if err := <-runErr; err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/daemons/controlserver/instancecalls.go
+++ b/internal/daemons/controlserver/instancecalls.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"errors"
+	"fmt"
 	"net/http"
 	"time"
 
@@ -14,20 +15,20 @@
 
 const (
 	maxHeartbeatBytes  = 64 << 10
-	maxInstanceIDBytes = 256 // a member remembers each instance for a while
+	maxInstanceIDBytes = 256
 	maxSlots           = 1 << 20
 
-	// maxJSONInteger is where JSON's numbers stop being exact integers.
+	// maxJSONInteger is the largest integer up to which a JSON number, read as a float64, is exact.
 	maxJSONInteger = 1 << 53
 )
 
-// Errors of a heartbeat that can be read but isn't valid. The texts go to the caller.
+// Validation errors of a well-formed heartbeat; their texts are returned to the caller.
 var (
-	errHeartbeatIncomplete = errors.New("heartbeat: address or service is missing")
-	errHeartbeatNumber     = errors.New("heartbeat: sequence, slots or cold_remaining is out of range or not a number")
+	errHeartbeatIncomplete = errors.New("heartbeat: address and service must not be empty")
+	errHeartbeatNumber     = errors.New("heartbeat: sequence must be a number from 0 to 2^53, slots must be from 0 to 2^20 and cold_remaining must not be negative")
 )
 
-// heartbeatResponse is the response to a heartbeat: where to send the further ones, if that is elsewhere.
+// heartbeatResponse is the response to a heartbeat. HeartbeatTarget is the member to send later heartbeats to; empty means this one.
 type heartbeatResponse struct {
 	HeartbeatTarget string `json:"heartbeat_target,omitempty"`
 }
@@ -40,7 +41,7 @@
 	defer s.bodyBudget.ReleaseBody(body)
 	id := target(r)
 	if !gjson.ValidBytes(body) || id == "" || len(id) > maxInstanceIDBytes {
-		s.writeResult(w, http.StatusBadRequest, "heartbeat: the body is not JSON, or the replica is not named, or by too long a name")
+		s.writeResult(w, http.StatusBadRequest, fmt.Sprintf("heartbeat: the body must be JSON and the parameter \"of\" an instance ID of 1 to %d bytes", maxInstanceIDBytes))
 		return
 	}
 	heartbeat, err := parseHeartbeat(id, gjson.ParseBytes(body))
@@ -57,12 +58,12 @@
 	s.writeJSON(w, http.StatusOK, heartbeatResponse{HeartbeatTarget: response.Address})
 }
 
-// parseHeartbeat reads a heartbeat. Its numbers are checked strictly: a sequence read from what is no number could be higher than all later
-// ones.
+// parseHeartbeat decodes and validates a heartbeat. It rejects a sequence that is not a number or is out of range, because that could
+// compare higher than all later ones and cause them to be ignored.
 func parseHeartbeat(id string, document gjson.Result) (fleet.Instance, error) {
 	warmup, err := time.ParseDuration(document.Get("cold_remaining").String())
 	if err != nil {
-		warmup = 0 // absent, or not a time: the replica is warm
+		warmup = 0 // missing or not a duration: no warm-up
 	}
 	sequence := document.Get("sequence")
 	heartbeat := fleet.Instance{
@@ -89,7 +90,7 @@
 func (s *Server) handleDeregister(w http.ResponseWriter, r *http.Request) {
 	id := target(r)
 	if id == "" {
-		s.writeResult(w, http.StatusBadRequest, "of: is missing")
+		s.writeResult(w, http.StatusBadRequest, "of: must not be empty")
 		return
 	}
 	response := s.call(r, controller.Event{Deregister: id})
--- a/internal/daemons/controlserver/metrics.go
+++ b/internal/daemons/controlserver/metrics.go
@@ -10,10 +10,9 @@
 	"zincloft.example/zincloft/internal/daemons/telemetry"
 )
 
-// metricsTimeout bounds how long the reader of the figures waits for the goroutine of Run, which has them.
+// metricsTimeout limits how long a scrape waits for the goroutine of Run.
 const metricsTimeout = time.Second
 
-// newMetrics makes the member's set of figures.
 func (s *Server) newMetrics() *metrics.Set {
 	set := telemetry.NewMetrics()
 	set.RegisterMetricsWriter(s.writeMetrics)
@@ -23,44 +22,44 @@
 	return set
 }
 
-// writeMetrics writes what the controller knows. Where the goroutine of Run doesn't answer in time, only that is written: a member that is
-// stuck is to be seen as such.
+// writeMetrics writes the controller's metrics. If the goroutine of Run does not answer in time, it writes only
+// zincloft_controlplane_responsive as 0, so that a blocked member can be detected.
 func (s *Server) writeMetrics(w io.Writer) {
-	type reading struct {
+	type gauge struct {
 		name  string
 		value float64
 	}
-	done := make(chan []reading, 1)
-	read := func() {
-		figures := s.controller.Metrics(s.now())
-		done <- []reading{
-			{"zincloft_controlplane_quorum_contact", telemetry.BoolGauge(figures.HasQuorumContact)},
-			{"zincloft_controlplane_disk_healthy", telemetry.BoolGauge(figures.DiskHealthy)},
-			{"zincloft_controlplane_view_number", float64(figures.ViewNumber)},
-			{"zincloft_controlplane_chain_position", float64(figures.ChainPosition)},
-			{"zincloft_controlplane_voters", float64(figures.Voters)},
-			{"zincloft_controlplane_committed_sequence", float64(figures.CommittedSequence)},
-			{"zincloft_controlplane_config_version", float64(figures.ConfigVersion)},
-			{"zincloft_controlplane_evacuated_zones", float64(figures.EvacuatedZones)},
-			{"zincloft_controlplane_gateway_streams", float64(figures.GatewayStreams)},
-			{"zincloft_controlplane_instances", float64(figures.Instances)},
-			{"zincloft_controlplane_instances_draining", float64(figures.DrainingInstances)},
-			{"zincloft_controlplane_instances_timed_out", float64(figures.TimedOutInstances)},
-			{"zincloft_controlplane_instances_remembered", float64(figures.TrackedInstances)},
-			{"zincloft_controlplane_instances_limit", float64(figures.TrackedInstancesLimit)},
+	done := make(chan []gauge, 1)
+	collect := func() {
+		current := s.controller.Metrics(s.now())
+		done <- []gauge{
+			{"zincloft_controlplane_quorum_contact", telemetry.BoolGauge(current.HasQuorumContact)},
+			{"zincloft_controlplane_disk_healthy", telemetry.BoolGauge(current.DiskHealthy)},
+			{"zincloft_controlplane_view_number", float64(current.ViewNumber)},
+			{"zincloft_controlplane_chain_position", float64(current.ChainPosition)},
+			{"zincloft_controlplane_voters", float64(current.Voters)},
+			{"zincloft_controlplane_committed_sequence", float64(current.CommittedSequence)},
+			{"zincloft_controlplane_config_version", float64(current.ConfigVersion)},
+			{"zincloft_controlplane_evacuated_zones", float64(current.EvacuatedZones)},
+			{"zincloft_controlplane_gateway_streams", float64(current.GatewayStreams)},
+			{"zincloft_controlplane_instances", float64(current.Instances)},
+			{"zincloft_controlplane_instances_draining", float64(current.DrainingInstances)},
+			{"zincloft_controlplane_instances_timed_out", float64(current.TimedOutInstances)},
+			{"zincloft_controlplane_instances_remembered", float64(current.TrackedInstances)},
+			{"zincloft_controlplane_instances_limit", float64(current.TrackedInstancesLimit)},
 			{"zincloft_controlplane_call_body_bytes", float64(s.bodyBudget.Used())},
 			{"zincloft_controlplane_pending_calls", float64(len(s.pendingCalls))},
 		}
 	}
 	select {
-	case s.tasks <- read:
+	case s.tasks <- collect:
 	case <-time.After(metricsTimeout):
 	}
 	select {
-	case readings := <-done:
+	case gauges := <-done:
 		metrics.WriteGaugeFloat64(w, "zincloft_controlplane_responsive", 1)
-		for _, reading := range readings {
-			metrics.WriteGaugeFloat64(w, reading.name, reading.value)
+		for _, gauge := range gauges {
+			metrics.WriteGaugeFloat64(w, gauge.name, gauge.value)
 		}
 	case <-time.After(metricsTimeout):
 		metrics.WriteGaugeFloat64(w, "zincloft_controlplane_responsive", 0)
--- a/internal/daemons/controlserver/operatorcalls.go
+++ b/internal/daemons/controlserver/operatorcalls.go
@@ -10,7 +10,7 @@
 	"zincloft.example/zincloft/gatewayconfig"
 )
 
-// handleReplaceConfiguration has a new configuration committed.
+// handleReplaceConfiguration validates a configuration and proposes it.
 func (s *Server) handleReplaceConfiguration(w http.ResponseWriter, r *http.Request) {
 	body, ok := s.readBody(w, r, maxBodyBytes)
 	if !ok {
@@ -19,32 +19,32 @@
 	defer s.bodyBudget.ReleaseBody(body)
 	config, err := gatewayconfig.Parse(body)
 	if err != nil {
-		s.logger.Info().Str("event", "config_rejected").Err(err).Msg("")
+		s.logger.Info().Str("event", "config_rejected").Err(err).Msg("invalid configuration rejected")
 		s.writeResult(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	s.propose(w, r, chainreplication.Command{Version: config.Version, Body: body})
 }
 
-// handleEvacuation has the evacuation of a zone started or finished.
+// handleEvacuation proposes the start or the end of a zone's evacuation.
 func (s *Server) handleEvacuation(w http.ResponseWriter, r *http.Request, evacuated bool) {
 	zone := target(r)
 	if _, ok := s.settings.ZoneRegions[zone]; !ok {
-		s.writeResult(w, http.StatusUnprocessableEntity, "of: is not a known zone")
+		s.writeResult(w, http.StatusUnprocessableEntity, "of: must be a zone listed in network_settings.zones")
 		return
 	}
 	s.propose(w, r, chainreplication.Command{Zone: zone, Evacuated: evacuated})
 }
 
-// propose has a command for the replicated register committed and answers the call with the outcome: 200, 409 where another configuration
-// has its version, or 503. Such an answer has no error text; the log says why.
+// propose submits a command to the replicated register and responds with the outcome: 200, 409 if another configuration has the same version,
+// or 503. The response has no error text; the reason is logged.
 func (s *Server) propose(w http.ResponseWriter, r *http.Request, command chainreplication.Command) {
 	response := s.call(r, controller.Event{Command: &command})
 	setRefusalReason(w, response.Reason)
 	s.writeResult(w, response.Status, "")
 }
 
-// handleDescribeConfiguration answers with the committed configuration, or redirects to a member that has it.
+// handleDescribeConfiguration responds with the committed configuration or redirects to a member that has it.
 func (s *Server) handleDescribeConfiguration(w http.ResponseWriter, r *http.Request) {
 	response := s.call(r, controller.Event{ReadConfiguration: true})
 	setRefusalReason(w, response.Reason)
@@ -61,7 +61,7 @@
 	}
 }
 
-// handleMaintenanceCommand applies an operator's command about maintenance windows.
+// handleMaintenanceCommand applies a command that changes maintenance windows.
 func (s *Server) handleMaintenanceCommand(w http.ResponseWriter, r *http.Request) {
 	body, ok := s.readBody(w, r, maxBodyBytes)
 	if !ok {
@@ -70,26 +70,26 @@
 	defer s.bodyBudget.ReleaseBody(body)
 	var command maintenance.Command
 	if json.Unmarshal(body, &command) != nil {
-		s.writeResult(w, http.StatusBadRequest, "windows: the command cannot be read")
+		s.writeResult(w, http.StatusBadRequest, "windows: must be a command in JSON")
 		return
 	}
 	response := s.call(r, controller.Event{MaintenanceCommand: &command})
 	s.writeResult(w, response.Status, string(response.Body))
 }
 
-// handleControlPlaneStatus answers with the status of the control plane as this member knows it, also without contact with a quorum.
+// handleControlPlaneStatus responds with this member's view of the control plane, even without quorum contact.
 func (s *Server) handleControlPlaneStatus(w http.ResponseWriter, _ *http.Request) {
 	s.writeFromRunLoop(w, func() ([]byte, error) {
 		return json.MarshalIndent(s.controller.Describe(s.now()), "", "  ")
 	})
 }
 
-// handleDescribeMaintenance answers with the status of the maintenance windows as this member knows it.
+// handleDescribeMaintenance responds with this member's view of the maintenance windows.
 func (s *Server) handleDescribeMaintenance(w http.ResponseWriter, _ *http.Request) {
 	s.writeFromRunLoop(w, func() ([]byte, error) { return s.controller.DescribeMaintenance(s.now()) })
 }
 
-// writeFromRunLoop answers a call with JSON that the goroutine of Run makes.
+// writeFromRunLoop responds with the JSON that evaluate returns on the goroutine of Run.
 func (s *Server) writeFromRunLoop(w http.ResponseWriter, evaluate func() ([]byte, error)) {
 	type result struct {
 		body []byte
--- a/internal/daemons/controlserver/peers.go
+++ b/internal/daemons/controlserver/peers.go
@@ -15,19 +15,19 @@
 const (
 	discoveryInterval = 2 * time.Second
 
-	// peerIdleTimeout: the connection to a peer to which nothing was sent for so long is dropped.
+	// peerIdleTimeout is how long a connection to a peer is kept after the last message sent to it.
 	peerIdleTimeout = 30 * time.Second
 
-	// Connections on which nothing comes for so long are closed.
+	// Inbound connections are closed if no frame arrives within these timeouts.
 	helloTimeout       = 2 * time.Second
 	peerReadTimeout    = 5 * time.Second
 	gatewayReadTimeout = 4 * time.Second
 
-	// unackedTimeout bounds how long what was sent on a connection may stay unacknowledged.
+	// unackedTimeout limits how long sent data may remain unacknowledged before the connection is closed.
 	unackedTimeout = time.Second
 )
 
-// tick lets time pass for the controller and, now and then, looks for other members.
+// tick advances the controller's time and runs peer discovery every discoveryInterval.
 func (s *Server) tick() {
 	if now := s.now(); now-s.lastDiscoveryAt > discoveryInterval {
 		s.lastDiscoveryAt = now
@@ -37,9 +37,9 @@
 	s.step(controller.Event{})
 }
 
-// discoverPeers passes the addresses of possible other members to the controller: the seeds, and those known by gossip.
+// discoverPeers passes the addresses of candidate members, from the seeds and from gossip, to the controller.
 func (s *Server) discoverPeers() {
-	if nodesettings.FileChanged() { // without a signal
+	if nodesettings.FileChanged() { // the reload signal is optional
 		s.reloadSettings()
 	}
 	addrs := s.settings.SeedPeerAddresses()
@@ -49,7 +49,7 @@
 	s.step(controller.Event{DiscoveredAddrs: addrs})
 }
 
-// dropIdlePeers gives up connections to peers that the controller no longer sends to: machines come and go.
+// dropIdlePeers closes connections to peers to which the controller has stopped sending, such as replaced machines.
 func (s *Server) dropIdlePeers(now time.Duration) {
 	for addr, sentAt := range s.lastSentAt {
 		if now-sentAt > peerIdleTimeout {
@@ -60,7 +60,7 @@
 	}
 }
 
-// peerFrame is a message between members as a frame carries it; peerMessage is the reverse.
+// peerFrame converts a message between members to a frame.
 func peerFrame(message controller.Message) *peertransport.Frame {
 	return &peertransport.Frame{
 		Coordinator:    message.Coordinator,
@@ -71,6 +71,7 @@
 	}
 }
 
+// peerMessage converts a frame to a message between members.
 func peerMessage(frame *peertransport.Frame) *controller.Message {
 	return &controller.Message{
 		Coordinator: frame.Coordinator,
@@ -82,11 +83,11 @@
 	}
 }
 
-// sendToPeer sends a frame to a member, over a connection that is kept.
+// sendToPeer sends a frame to a member over a persistent connection, which it creates if there is none.
 func (s *Server) sendToPeer(addr string, frame *peertransport.Frame) {
 	encoded, err := peertransport.EncodeFrame(frame)
 	if err != nil {
-		s.logger.Error().Str("event", "encoding_failed").Err(err).Msg("")
+		s.logger.Error().Str("event", "encoding_failed").Err(err).Msg("message to a member could not be encoded and was not sent")
 		return
 	}
 	peer := s.peers[addr]
@@ -98,18 +99,18 @@
 	peer.Send(encoded)
 }
 
-// setUnackedTimeout sets unackedTimeout. Where the system refuses, the connection is served without.
+// setUnackedTimeout applies unackedTimeout to a connection. If the operating system rejects it, the connection is served without the timeout.
 func (s *Server) setUnackedTimeout(conn net.Conn) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err == nil {
 		err = peertransport.SetUnackedTimeout(raw, unackedTimeout)
 	}
 	if err != nil {
-		s.logger.Debug().Str("event", "unacked_timeout_refused").Err(err).Msg("")
+		s.logger.Debug().Str("event", "unacked_timeout_refused").Err(err).Msg("TCP_USER_TIMEOUT could not be set")
 	}
 }
 
-// readFrame reads the next frame of a connection within a time.
+// readFrame reads the next frame from conn. It fails if the frame does not arrive within timeout.
 func readFrame(conn net.Conn, timeout time.Duration) (*peertransport.Frame, error) {
 	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
@@ -117,7 +118,7 @@
 	return peertransport.ReadFrame(conn)
 }
 
-// readHello reads what a connection begins with.
+// readHello reads the Hello that starts a connection.
 func readHello(conn net.Conn) (*messages.Hello, error) {
 	if err := conn.SetReadDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return nil, err
@@ -125,7 +126,7 @@
 	return peertransport.ReadHello(conn)
 }
 
-// serveConnection serves a connection from a gateway or from another member, by its Hello.
+// serveConnection serves an inbound connection. Its Hello tells whether it comes from a gateway or from another member.
 func (s *Server) serveConnection(conn *connlimit.Conn) {
 	defer s.close(conn)
 	hello, err := readHello(conn)
@@ -139,7 +140,8 @@
 	s.servePeer(conn, hello)
 }
 
-// servePeer takes the messages of another member until the connection ends. Only its newest connection counts.
+// servePeer receives messages from another member until the connection ends. Messages from any but the member's newest connection are
+// discarded.
 func (s *Server) servePeer(conn net.Conn, hello *messages.Hello) {
 	from := hello.Member
 	s.enqueue(func() {
@@ -161,11 +163,11 @@
 	}
 }
 
-// serveGateway takes the load reports of a gateway until its stream ends.
+// serveGateway registers a gateway's stream and receives its load reports until the connection ends.
 func (s *Server) serveGateway(conn net.Conn, hello *messages.Hello) {
 	stream := peertransport.NewConn(conn)
 	defer stream.Shutdown()
-	var id uint64 // set and read by the goroutine of Run only
+	var id uint64 // accessed only by the goroutine of Run
 	s.enqueue(func() {
 		if len(s.streams) >= s.maxStreams() {
 			stream.Shutdown()
@@ -186,7 +188,7 @@
 		}
 	}
 	s.enqueue(func() {
-		if id == 0 { // refused
+		if id == 0 { // the stream was rejected because of maxStreams
 			return
 		}
 		delete(s.streams, id)
--- a/internal/daemons/controlserver/server.go
+++ b/internal/daemons/controlserver/server.go
@@ -1,7 +1,7 @@
-// Package controlserver is the process of a control-plane member: its sockets, its disk, and the calls of replicas and operators.
+// Package controlserver runs a control-plane member: its listeners, its persistent state and the HTTP API for replicas and operators.
 //
-// One goroutine runs the state machine that decides (package controller) and carries out its actions. Everything else, such as connections,
-// HTTP handlers and writes to the disk, hands it functions through a channel.
+// A single goroutine, that of Run, owns the state machine (package controller) and executes its actions. Connection handlers, HTTP handlers and
+// disk writes run in their own goroutines and submit functions to it over a channel.
 package controlserver
 
 import (
@@ -33,30 +33,31 @@
 )
 
 const (
-	// shutdownReserve is the part of the grace period that is kept for the rest of the shutdown, after the others go on without this member.
+	// shutdownReserve is the part of the grace period reserved for closing connections after the handover to the other members.
 	shutdownReserve = time.Second
 
-	// responseDrainTimeout bounds how long calls under way may take to be answered at the end.
+	// responseDrainTimeout limits how long shutdown waits for calls in progress.
 	responseDrainTimeout = 200 * time.Millisecond
 
 	readHeaderTimeout     = 3 * time.Second
 	idleConnectionTimeout = 30 * time.Second
 
-	// memoryLimitRatio is the part of the machine's memory bound that is set as the Go runtime's memory limit.
+	// memoryLimitRatio is the fraction of the configured memory limit that is set as the Go runtime's memory limit.
 	memoryLimitRatio = 0.6
 
-	// bodyMemoryRatio is the part of the machine's memory bound that bodies of calls may hold at once.
+	// bodyMemoryRatio is the fraction of the configured memory limit available to request bodies.
 	bodyMemoryRatio = 0.25
 
-	// maxInstancesPerMB of the machine's memory bound may be remembered: each takes about a kilobyte, with its place in what is sent and written.
+	// maxInstancesPerMB is how many instances are tracked per megabyte of the configured memory limit. An instance takes about 1 kB, its share
+	// of messages and of the persistent state included.
 	maxInstancesPerMB = 200
 
-	maxHeaderBytes = 16 << 10 // of a call: many callers may send a head at once
+	maxHeaderBytes = 16 << 10 // per call; limits the memory used by many concurrent callers
 
 	taskQueueSize = 1024
 )
 
-// Server is one control-plane member. Its fields belong to the goroutine of Run, except those that never change.
+// Server is a control-plane member. Fields that change after New are accessed only by the goroutine of Run.
 type Server struct {
 	settings    *nodesettings.Settings
 	logger      *log.Logger
@@ -70,14 +71,14 @@
 	metricSet      *metrics.Set
 	callLogLimiter *rate.Limiter
 
-	bodyBudget *bodybuffer.Budget // of calls that are being received
+	bodyBudget *bodybuffer.Budget // memory for request bodies
 
-	// Connections by purpose, each with a share of the file descriptors.
-	callerConns  *connlimit.Limiter // of replicas and operators
-	peerConns    *connlimit.Limiter // of other members and gateways
+	// Connection limits per listener, each a share of the file descriptors.
+	callerConns  *connlimit.Limiter // replicas and operators
+	peerConns    *connlimit.Limiter // other members and gateways
 	metricsConns *connlimit.Limiter
 
-	// The other members.
+	// Connections with other members.
 	hello           messages.Hello
 	peers           map[string]*peertransport.Peer // by address
 	lastSentAt      map[string]time.Duration       // by address
@@ -85,19 +86,19 @@
 	gossip          *gossip.Shuffler
 	lastDiscoveryAt time.Duration
 
-	// Calls and gateway streams, which share one sequence of tokens.
+	// Pending calls and gateway streams, identified by tokens from one sequence.
 	lastToken    uint64
 	pendingCalls map[uint64]chan controller.Response
 	streams      map[uint64]*peertransport.Conn
 }
 
-// New makes a member from its settings, which must name a control address and a data directory.
+// New returns a member with the given settings, which must include a control address and a data directory.
 func New(settings *nodesettings.Settings, logger *log.Logger) (*Server, error) {
 	if settings.ControlAddress == "" {
-		return nil, merry.New("settings: network_settings.listen_addresses.control: a control-plane member needs it")
+		return nil, merry.New("settings: network_settings.listen_addresses.control: must be set for a control-plane member")
 	}
 	if settings.DataDir == "" {
-		return nil, merry.New("settings: self_settings.data_directory: a control-plane member needs a disk")
+		return nil, merry.New("settings: self_settings.data_directory: must be set for a control-plane member")
 	}
 	s := &Server{
 		settings:     settings,
@@ -120,19 +121,18 @@
 	return s, nil
 }
 
-// now is the time since the start, by the monotonic clock.
+// now returns the time since New by the monotonic clock.
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// enqueue has the goroutine of Run call f.
+// enqueue schedules f on the goroutine of Run.
 func (s *Server) enqueue(f func()) { s.tasks <- f }
 
-// peerAddr is where the other members and the gateways connect to this one.
+// peerAddr returns the address on which this member listens for other members and gateways.
 func (s *Server) peerAddr() string {
 	return netip.AddrPortFrom(s.settings.IP, uint16(s.settings.FirstInternalPort)).String()
 }
 
-// Run serves until the context ends, then hands over to the other members within the grace period. A signal on hup has it read its settings
-// again.
+// Run serves until ctx is canceled and then hands over to the other members within the grace period. A signal on hup reloads the settings.
 func (s *Server) Run(ctx context.Context, hup <-chan os.Signal) error {
 	debug.SetMemoryLimit(int64(float64(s.settings.MemoryMB<<20) * memoryLimitRatio))
 	if !s.restoreWithRetry(ctx) {
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// serveControl serves the calls of replicas and operators.
+// serveControl starts the HTTP server for replicas and operators.
 func (s *Server) serveControl(listener net.Listener) *http.Server {
 	server := &http.Server{
 		Handler:           s.routes(),
@@ -182,8 +182,8 @@
 	return server
 }
 
-// runUntilStopped runs tasks and ticks. Once the context has ended, the member leaves: what only it has must be at the others before it
-// stops, unless the grace period runs out first.
+// runUntilStopped runs tasks and ticks. When ctx is canceled, the member leaves the group: it stops once the other members have all the state
+// that only it holds, or when the grace period ends.
 func (s *Server) runUntilStopped(ctx context.Context, hup <-chan os.Signal) error {
 	ticker := time.NewTicker(controller.TickInterval)
 	defer ticker.Stop()
@@ -204,14 +204,14 @@
 			shutdownDeadline = time.After(max(s.settings.Bounds.GracePeriod-shutdownReserve, 0))
 			s.step(controller.Event{Shutdown: true})
 		case <-shutdownDeadline:
-			s.logger.Warn().Str("event", "shutdown_deadline_exceeded").Msg("")
+			s.logger.Warn().Str("event", "shutdown_deadline_exceeded").Msg("grace period ended before the handover to the other members was complete")
 			s.stopped = true
 		}
 	}
 	return nil
 }
 
-// shutdown answers the calls under way, for a moment, and closes what is open.
+// shutdown waits up to responseDrainTimeout for calls in progress and closes all listeners and streams.
 func (s *Server) shutdown(httpServer *http.Server, peerListener net.Listener) {
 	ctx, cancel := context.WithTimeout(context.Background(), responseDrainTimeout)
 	defer cancel()
@@ -223,7 +223,7 @@
 			task()
 		case err := <-done:
 			if err != nil {
-				s.logger.Info().Str("event", "calls_aborted").Err(err).Msg("")
+				s.logger.Info().Str("event", "calls_aborted").Err(err).Msg("calls still in progress at shutdown were aborted")
 			}
 			open = false
 		}
@@ -233,23 +233,23 @@
 	for _, stream := range s.streams {
 		stream.Shutdown()
 	}
-	s.logger.Info().Str("event", "stopped").Msg("")
+	s.logger.Info().Str("event", "stopped").Msg("control-plane member stopped")
 }
 
-// close closes what is no longer needed. An error would change nothing: the other end sees the connection end in any case.
+// close closes a listener, server or connection. An error is only logged, because the remote end sees the connection end in any case.
 func (s *Server) close(closer io.Closer) {
 	if err := closer.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		s.logger.Debug().Str("event", "close_failed").Err(err).Msg("")
+		s.logger.Debug().Str("event", "close_failed").Err(err).Msg("closing a connection or listener failed")
 	}
 }
 
-// reloadSettings takes over new seeds; other settings hold from the start to the end.
+// reloadSettings applies changed seed addresses. Other settings take effect only at process start.
 func (s *Server) reloadSettings() {
 	reloaded, err := nodesettings.Load()
 	if err != nil {
-		s.logger.Error().Str("event", "settings_rejected").Err(err).Msg("")
+		s.logger.Error().Str("event", "settings_rejected").Err(err).Msg("settings could not be reloaded; the previous seed addresses stay in use")
 		return
 	}
 	s.settings.Seeds = reloaded.Seeds
-	s.logger.Info().Str("event", "settings_loaded").Int("seeds", len(reloaded.Seeds)).Msg("")
+	s.logger.Info().Str("event", "settings_loaded").Int("seeds", len(reloaded.Seeds)).Msg("seed addresses reloaded")
 }
--- a/internal/daemons/controlserver/storage.go
+++ b/internal/daemons/controlserver/storage.go
@@ -27,15 +27,14 @@
 	diskNonceBytes = 6
 )
 
-// restoreWithRetry restores the state from the disk, and retries as long as the disk fails. It reports whether that succeeded before the
-// context ended.
+// restoreWithRetry calls restore until it succeeds. It returns false if ctx is canceled first.
 func (s *Server) restoreWithRetry(ctx context.Context) bool {
 	for {
 		err := s.restore()
 		if err == nil {
 			return true
 		}
-		s.logger.Error().Str("event", "store_unavailable").Err(err).Msg("")
+		s.logger.Error().Str("event", "store_unavailable").Err(err).Msg("persistent state is not accessible; retrying")
 		select {
 		case <-time.After(storeRetryInterval):
 		case <-ctx.Done():
@@ -44,8 +43,8 @@
 	}
 }
 
-// restore makes the controller from what is on disk, or from nothing at the first start, and writes the state back: it must be there before
-// the member listens.
+// restore creates the controller from the state on disk, or from an empty state at the first start, and writes the state back. The state must
+// be on disk before the member accepts connections.
 func (s *Server) restore() error {
 	store, err := statestore.Open(statestore.Directory(s.settings.DataDir))
 	if err != nil {
@@ -53,7 +52,7 @@
 	}
 	s.store = store
 	for _, name := range store.Quarantined {
-		s.logger.Error().Str("event", "file_quarantined").Str("file", name).Msg("")
+		s.logger.Error().Str("event", "file_quarantined").Str("file", name).Msg("damaged state file renamed")
 	}
 	persisted, err := readState(store)
 	if err != nil {
@@ -61,7 +60,7 @@
 	}
 	nonce := make([]byte, diskNonceBytes)
 	if _, err := rand.Read(nonce); err != nil {
-		return merry.Prepend(err, "drawing the disk's identity")
+		return merry.Prepend(err, "generating the disk ID")
 	}
 	seeds := s.settings.SeedPeerAddresses()
 	persisted.Initialize(s.peerAddr(), seeds, s.settings.FirstStart, hex.EncodeToString(nonce))
@@ -73,15 +72,15 @@
 		return err
 	}
 	if err := store.Put(map[string][]byte{stateKey: state}); err != nil {
-		return merry.Prepend(err, "first write")
+		return merry.Prepend(err, "writing the initial state")
 	}
 	s.logger.Info().Str("event", "started").Str("node", s.settings.Name).Str("disk", persisted.DiskID).
 		Uint64("view", persisted.View.View.Number).Uint64("sequence", persisted.Register.Sequence).
-		Uint64("version", persisted.Register.Version).Bool("first_start", s.settings.FirstStart).Msg("")
+		Uint64("version", persisted.Register.Version).Bool("first_start", s.settings.FirstStart).Msg("persistent state loaded")
 	return nil
 }
 
-// readState reads the state that the store holds; a new store holds none.
+// readState decodes the persistent state. It returns the zero value if the store is empty.
 func readState(store *statestore.Store) (coordinator.PersistentState, error) {
 	encoded, ok := store.Get(stateKey)
 	if !ok {
@@ -89,7 +88,7 @@
 	}
 	persisted, err := coordinator.DecodePersistentState(encoded)
 	if err != nil {
-		return coordinator.PersistentState{}, merry.Prepend(err, "reading the persistent state")
+		return coordinator.PersistentState{}, merry.Prepend(err, "decoding the persistent state")
 	}
 	return persisted, nil
 }
@@ -109,7 +108,7 @@
 	}
 }
 
-// persist writes the state in the background and reports the result to the controller, which asks for one write at a time.
+// persist writes the state in the background and passes the result to the controller, which requests only one write at a time.
 func (s *Server) persist(state []byte) {
 	go func() {
 		result := &controller.WriteResult{}
