--- a/internal/daemons/statestore/buntdb_test.go
+++ b/internal/daemons/statestore/buntdb_test.go
@@ -9,9 +9,9 @@
 	"github.com/tidwall/buntdb"
 )
 
-// TestBuntdbFileBehavior records why buntdb's own file is not used here. It fails with a version that behaves otherwise.
+// TestBuntdbFileBehavior documents why buntdb's own file persistence is not used. It fails if a new version behaves differently.
 func TestBuntdbFileBehavior(t *testing.T) {
-	Convey("Given a file of buntdb with two values", t, func() {
+	Convey("Given a buntdb file with two values", t, func() {
 		path := filepath.Join(t.TempDir(), "db")
 		set := func(key, value string) {
 			db, err := buntdb.Open(path)
@@ -33,7 +33,7 @@
 		set("b", "two")
 		raw, err := os.ReadFile(path)
 		So(err, ShouldBeNil)
-		Convey("a torn tail is cut silently: the value is gone, the file opens", func() {
+		Convey("a torn last write is dropped silently: the file opens without the value", func() {
 			So(os.WriteFile(path, raw[:len(raw)-3], 0o600), ShouldBeNil)
 			value, err := get("a")
 			So(err, ShouldBeNil)
@@ -41,22 +41,22 @@
 			_, err = get("b")
 			So(err, ShouldEqual, buntdb.ErrNotFound)
 		})
-		Convey("a damaged frame in the middle makes it refuse the whole file", func() {
-			damaged := append([]byte(nil), raw...)
-			damaged[0] = 'x'
-			So(os.WriteFile(path, damaged, 0o600), ShouldBeNil)
+		Convey("a corrupted record in the middle makes Open reject the whole file", func() {
+			corrupted := append([]byte(nil), raw...)
+			corrupted[0] = 'x'
+			So(os.WriteFile(path, corrupted, 0o600), ShouldBeNil)
 			_, err := get("a")
 			So(err, ShouldNotBeNil)
 		})
-		Convey("a damaged value is taken for the value", func() {
-			damaged := append([]byte(nil), raw...)
-			for i := range damaged {
-				if string(damaged[i:i+3]) == "two" {
-					damaged[i] = 'T'
+		Convey("a corrupted value is returned without an error", func() {
+			corrupted := append([]byte(nil), raw...)
+			for i := range corrupted {
+				if string(corrupted[i:i+3]) == "two" {
+					corrupted[i] = 'T'
 					break
 				}
 			}
-			So(os.WriteFile(path, damaged, 0o600), ShouldBeNil)
+			So(os.WriteFile(path, corrupted, 0o600), ShouldBeNil)
 			value, err := get("b")
 			So(err, ShouldBeNil)
 			So(value, ShouldEqual, "Two")
--- a/internal/daemons/statestore/capacity_test.go
+++ b/internal/daemons/statestore/capacity_test.go
@@ -20,7 +20,7 @@
 	"zincloft.example/zincloft/internal/testbeds/sizes"
 )
 
-// countingDisk is a file system in memory that counts the bytes written to it.
+// countingDisk is an in-memory FileSystem that counts the bytes written.
 type countingDisk struct {
 	files   map[string][]byte
 	written int
@@ -75,14 +75,14 @@
 	down        bool
 }
 
-// cluster connects members by frames that arrive at once, each with the real store, and counts the bytes of what it does.
+// cluster runs members with real stores, delivers their frames without delay, and counts transferred and written bytes.
 type cluster struct {
 	b                *testing.B
 	now              time.Duration
 	members          []*clusterMember
-	transferredBytes int            // from member to member, without heartbeats
+	transferredBytes int            // between members, excluding heartbeats
 	largestFrame     int            // in bytes
-	oversizedFrames  int            // frames that internal/daemons/peertransport refuses
+	oversizedFrames  int            // frames that internal/daemons/peertransport rejects
 	statuses         map[uint64]int // of responses, by request ID
 	hints            *hints
 }
@@ -122,7 +122,7 @@
 	return c
 }
 
-// perform does what a member's coordinator asks for, and all that follows from it.
+// perform executes a member's actions and, recursively, the actions that result from them.
 func (c *cluster) perform(member *clusterMember, actions coordinator.Actions) {
 	for _, response := range actions.Responses {
 		c.statuses[response.RequestID] = response.Status()
@@ -150,8 +150,7 @@
 	}
 }
 
-// decode reads a frame. A real peer ends the connection if a frame is too large; here it is decoded nevertheless, to measure what
-// it would cost.
+// decode decodes a frame. An oversized frame, for which a real peer would close the connection, is counted and decoded as well.
 func (c *cluster) decode(raw []byte) *peertransport.Frame {
 	frame, err := peertransport.ReadFrame(bytes.NewReader(raw))
 	if err == nil {
@@ -165,6 +164,7 @@
 	return frame
 }
 
+// until advances simulated time until done returns true.
 func (c *cluster) until(done func() bool) {
 	for end := c.now + time.Minute; !done(); c.now += 50 * time.Millisecond {
 		for _, member := range c.members {
@@ -173,7 +173,7 @@
 			}
 		}
 		if c.now > end {
-			c.b.Skipf("not within a minute of simulated time")
+			c.b.Skipf("the cluster did not reach the expected state within one minute of simulated time")
 		}
 	}
 }
@@ -183,7 +183,7 @@
 	c.perform(member, actions)
 	c.until(func() bool { return c.statuses[id] != 0 })
 	if c.statuses[id] != http.StatusOK {
-		c.b.Skipf("a command of %d bytes got %d", len(command.Body), c.statuses[id])
+		c.b.Skipf("a command of %d bytes was answered with status %d", len(command.Body), c.statuses[id])
 	}
 }
 
@@ -203,8 +203,8 @@
 
 var capacityRoutes = []int{8, 500, 5000, 51000}
 
-// BenchmarkCapacityPropose changes the configuration ("config") or evacuates a zone ("zone") at three members, by a command at the
-// last of the chain: processor time and memory are those of all three together, frames and files included.
+// BenchmarkCapacityPropose replaces the configuration ("config") or evacuates a zone ("zone") by a command proposed at the tail of a
+// chain of three members. CPU time and memory are totals over the three, including frames and files.
 func BenchmarkCapacityPropose(b *testing.B) {
 	for _, kind := range []string{"config", "zone"} {
 		for _, routes := range capacityRoutes {
@@ -236,7 +236,7 @@
 	b.ReportMetric(float64(c.writtenBytes()-writtenBefore)/float64(i), "disk-B")
 }
 
-// BenchmarkCapacityCatchUp has a member come back with its disk after ten changes that it missed.
+// BenchmarkCapacityCatchUp restarts a member, with its disk, that missed ten changes.
 func BenchmarkCapacityCatchUp(b *testing.B) {
 	for _, routes := range capacityRoutes {
 		b.Run(fmt.Sprintf("n=%d", routes), func(b *testing.B) { benchmarkCatchUp(b, routes) })
@@ -276,7 +276,7 @@
 	b.ReportMetric(float64(took.Milliseconds())/float64(rounds), "simulated-ms")
 }
 
-// BenchmarkCapacityHints encodes and writes what a member keeps once a second while instances change, beside eight routes.
+// BenchmarkCapacityHints encodes and writes the persistent state of a member, as it does once per second while instances change.
 func BenchmarkCapacityHints(b *testing.B) {
 	for _, replicas := range []int{1740, 5220, 15700, 47000} {
 		b.Run(fmt.Sprintf("n=%d", replicas), func(b *testing.B) {
--- a/internal/daemons/statestore/filesystem.go
+++ b/internal/daemons/statestore/filesystem.go
@@ -6,28 +6,28 @@
 	"path/filepath"
 )
 
-// FileSystem is what the store needs of the directory that holds its files. Names are relative to that directory.
+// FileSystem provides the file operations of a store. Names are relative to the store's directory.
 type FileSystem interface {
-	// ReadFile returns a file's content, or an error that is fs.ErrNotExist if there is none.
+	// ReadFile returns a file's content. If the file does not exist, the error wraps fs.ErrNotExist.
 	ReadFile(name string) ([]byte, error)
 
-	// OpenForWrite opens a file for writing, without truncating it, and creates it if it is missing.
+	// OpenForWrite opens a file for writing without truncating it, and creates it if it does not exist.
 	OpenForWrite(name string) (File, error)
 
 	Rename(from, to string) error
 
-	// SyncDirectory makes the names of created and renamed files last.
+	// SyncDirectory syncs the directory, so that created and renamed files survive a power loss.
 	SyncDirectory() error
 }
 
-// File is what the store needs of an open file.
+// File is a file opened by FileSystem.OpenForWrite.
 type File interface {
 	WriteAt(p []byte, offset int64) (int, error)
 	Sync() error
 	Close() error
 }
 
-// FileError says which file an operation of the store failed on.
+// FileError is a failed operation on a file of the store.
 type FileError struct {
 	Op   string // "reading" or "writing"
 	Name string // relative to the store's directory
@@ -39,7 +39,7 @@
 // Unwrap returns the operating system's error.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// Directory is the FileSystem of a directory on disk.
+// Directory implements FileSystem for the directory at its path.
 type Directory string
 
 // ReadFile implements FileSystem.
--- a/internal/daemons/statestore/format.go
+++ b/internal/daemons/statestore/format.go
@@ -10,26 +10,24 @@
 	"github.com/tidwall/buntdb"
 )
 
-// A file is fileMagic, three big-endian 64-bit numbers (generation, size of the body in bytes, checksum) and the body. It may be
-// longer than that: a shorter copy is written over a longer one without truncating it.
+// A file consists of fileMagic, three big-endian 64-bit integers (generation, body size in bytes, checksum) and the body. Trailing
+// bytes are ignored, because a file is overwritten without being truncated.
 const (
 	fileMagic   = "zcell1\n\x00"
 	headerSize  = len(fileMagic) + 3*8
-	maxFileSize = 64 << 20 // bytes; a larger file was not written by this package
+	maxFileSize = 64 << 20 // bytes
 )
 
-// What may be wrong with a file's content.
+// Reasons why a file's content is invalid.
 var (
-	ErrBadHeader = errors.New("no valid header")
+	ErrBadHeader = errors.New("invalid file header")
 	ErrTruncated = errors.New("file is truncated")
-	ErrChecksum  = errors.New("checksum differs")
+	ErrChecksum  = errors.New("checksum mismatch")
 )
 
-// slotFileName returns the file name of a slot. It keeps the name that earlier builds gave it, as members read files which those
-// wrote.
+// slotFileName returns the file name of a slot. The name must not change, because existing stores use it.
 func slotFileName(slot int) string { return fmt.Sprintf("cell.%d", slot) }
 
-// encodeFile makes a file of a generation and a body.
 func encodeFile(generation uint64, body []byte) []byte {
 	raw := append(make([]byte, 0, headerSize+len(body)), fileMagic...)
 	for _, number := range []uint64{generation, uint64(len(body)), bodyChecksum(generation, body)} {
@@ -38,7 +36,7 @@
 	return append(raw, body...)
 }
 
-// decodeFile returns a file's generation and its content as an in-memory database, which the caller has to close.
+// decodeFile returns a file's generation and its content as an in-memory database, which the caller must close.
 func decodeFile(raw []byte) (uint64, *buntdb.DB, error) {
 	if len(raw) < headerSize || len(raw) > maxFileSize || string(raw[:len(fileMagic)]) != fileMagic {
 		return 0, nil, ErrBadHeader
@@ -58,15 +56,15 @@
 	}
 	if err := db.Load(bytes.NewReader(body)); err != nil {
 		closeInMemory(db)
-		return 0, nil, fmt.Errorf("loading the body: %w", err)
+		return 0, nil, fmt.Errorf("loading the file body: %w", err)
 	}
 	return generation, db, nil
 }
 
-// bodyChecksum covers the generation and the body.
+// bodyChecksum returns the checksum of the generation and the body.
 func bodyChecksum(generation uint64, body []byte) uint64 {
 	digest := xxhash.New()
-	_, _ = digest.Write(binary.BigEndian.AppendUint64(nil, generation)) // a hash never returns an error
+	_, _ = digest.Write(binary.BigEndian.AppendUint64(nil, generation)) // never returns an error
 	_, _ = digest.Write(body)
 	return digest.Sum64()
 }
--- a/internal/daemons/statestore/inspect.go
+++ b/internal/daemons/statestore/inspect.go
@@ -8,16 +8,16 @@
 	"github.com/tidwall/buntdb"
 )
 
-// FileCopy is what one file of a store holds.
+// FileCopy is the content of one file of a store.
 type FileCopy struct {
 	Name       string
-	Generation uint64            // of the write; the highest is the newest
-	Values     map[string][]byte // nil if the file is damaged
+	Generation uint64            // increases with each write
+	Values     map[string][]byte // nil if the file could not be read or decoded
 	Err        error             // why the file could not be read or decoded
 }
 
-// Inspect reads the files of the store in a directory, those that are quarantined included, without changing anything. It may
-// run beside the process that owns the store: a copy that is just being written shows as damaged.
+// Inspect reads all files of the store in a directory, including quarantined ones, without modifying them. It may be called
+// while another process uses the store; a file that is being written then appears corrupted.
 func Inspect(directory string) ([]FileCopy, error) {
 	paths, err := filepath.Glob(filepath.Join(directory, "cell.*"))
 	if err != nil {
--- a/internal/daemons/statestore/simulateddisk_test.go
+++ b/internal/daemons/statestore/simulateddisk_test.go
@@ -6,13 +6,12 @@
 	"os"
 )
 
-// simulatedDisk keeps files in memory. A file holds what was synced; of what was written after that any part may survive a loss
-// of power.
+// simulatedDisk is an in-memory FileSystem that simulates power loss and failing operations.
 type simulatedDisk struct {
 	synced, written map[string][]byte
-	directorySynced map[string]bool // names that the directory's last sync covered
-	failing         string          // the operation that fails: "write", "sync", "open"
-	partialWrite    int             // how many bytes a write that fails leaves
+	directorySynced map[string]bool // names that existed at a directory sync
+	failing         string          // the operation that fails: "open", "write" or "sync"
+	partialWrite    int             // number of bytes that a failing write still writes
 }
 
 func newSimulatedDisk() *simulatedDisk {
@@ -52,8 +51,8 @@
 	return nil
 }
 
-// afterPowerLoss returns the disk as a loss of power would leave it: everything that was not synced is lost, except that of each
-// file's last write the first tornAt bytes survive, over what stood there before.
+// afterPowerLoss returns the disk after a power loss: unsynced data is lost, except that the first tornAt bytes of each file's
+// unsynced content have overwritten the synced content.
 func (d *simulatedDisk) afterPowerLoss(tornAt int) *simulatedDisk {
 	after := newSimulatedDisk()
 	for name, written := range d.written {
--- a/internal/daemons/statestore/store.go
+++ b/internal/daemons/statestore/store.go
@@ -1,11 +1,10 @@
-// Package statestore keeps a process's durable state on disk: a small set of keys and values, written completely into one of
-// two files, cell.0 and cell.1, alternately.
+// Package statestore stores a process's durable state on disk as a small set of key-value pairs. Each write saves the complete
+// state to one of two files, cell.0 and cell.1, alternately.
 //
-// The values are held in an in-memory buntdb database; a file is a header with a checksum, and the database as its Save writes
-// it. Buntdb's own file is not used because it does not report a sync that fails, and refuses a file whose last write is
-// damaged rather than torn. Here a write has been synced when Put returns without an error, and the file that was written
-// before stays untouched until then, so that there is always one good copy. A damaged file is quarantined under another name,
-// never deleted.
+// The values are held in an in-memory buntdb database. A file consists of a header with a checksum and the output of buntdb's
+// Save. Buntdb's own file persistence is not used because it does not report failed syncs, returns corrupted values without an
+// error, and rejects the whole file if a record is malformed. When Put returns without an error, the file has been synced. The previous file is not modified until then, so there is always
+// one valid copy. A corrupted file is renamed, never deleted.
 package statestore
 
 import (
@@ -18,23 +17,22 @@
 	"github.com/tidwall/buntdb"
 )
 
-// slotCount is how many files are written alternately.
+// slotCount is the number of files that are written alternately.
 const slotCount = 2
 
-// Store is an open store. Its methods must not be called concurrently.
+// Store is an open store. It is not safe for concurrent use.
 type Store struct {
 	fileSystem      FileSystem
 	db              *buntdb.DB
-	generation      uint64          // of the newest good copy
-	nextSlot        int             // is written next: the one that does not hold the newest good copy
-	directorySynced [slotCount]bool // this process has synced the directory since it first wrote the slot's file
+	generation      uint64          // of the newest valid copy
+	nextSlot        int             // the slot to write next, which does not hold the newest valid copy
+	directorySynced [slotCount]bool // whether this process has synced the directory since it first wrote the slot's file
 
-	// Quarantined names the damaged files that were renamed when the store was opened.
+	// Quarantined lists the new names of the corrupted files that Open renamed.
 	Quarantined []string
 }
 
-// Open reads the newest good copy. Without one the store is empty. An error means that a file could not be read; it is a
-// *FileError.
+// Open loads the newest valid copy. If there is none, the store is empty. A file that cannot be read causes a *FileError.
 func Open(fileSystem FileSystem) (*Store, error) {
 	store := &Store{fileSystem: fileSystem}
 	for slot := range slotCount {
@@ -52,7 +50,7 @@
 	return store, nil
 }
 
-// openSlot reads the file of a slot and takes its content if it is the newest so far.
+// openSlot loads the file of a slot if it is valid and newer than what has been loaded so far.
 func (s *Store) openSlot(slot int) error {
 	name := slotFileName(slot)
 	raw, err := s.fileSystem.ReadFile(name)
@@ -78,7 +76,7 @@
 	return nil
 }
 
-// quarantine renames a damaged file. An empty one holds nothing to keep. A file that cannot be renamed stays and is overwritten
+// quarantine renames a corrupted file to preserve its content, unless it is empty. A file that cannot be renamed is overwritten
 // by a later Put.
 func (s *Store) quarantine(name string, size int) {
 	if size == 0 {
@@ -90,7 +88,7 @@
 	}
 }
 
-// Close frees what the store holds in memory. The files stay as the last Put left them.
+// Close releases the in-memory database. It does not change the files.
 func (s *Store) Close() error {
 	if s.db == nil {
 		return nil
@@ -98,7 +96,7 @@
 	return s.db.Close()
 }
 
-// Get returns the value of a key, and whether there is one.
+// Get returns the value of a key and whether the key exists.
 func (s *Store) Get(key string) ([]byte, bool) {
 	var value []byte
 	err := s.db.View(func(tx *buntdb.Tx) error {
@@ -109,8 +107,8 @@
 	return value, err == nil
 }
 
-// Put sets values and writes the whole store. They are on stable storage when it returns without an error. After an error,
-// which is a *FileError where a file is concerned, the copy written before is still valid, and the next Put writes everything.
+// Put sets values and writes the complete store. When it returns nil, the values are on stable storage. If a file operation
+// fails, it returns a *FileError; the previous copy stays valid, and the next Put writes the complete store again.
 func (s *Store) Put(values map[string][]byte) error {
 	err := s.db.Update(func(tx *buntdb.Tx) error {
 		for key, value := range values {
@@ -136,7 +134,7 @@
 	return nil
 }
 
-// writeFile writes the next slot's file and syncs it and, the first time, its directory.
+// writeFile writes and syncs the next slot's file and, on the first write to the slot, syncs the directory.
 func (s *Store) writeFile(name string, raw []byte) error {
 	file, err := s.fileSystem.OpenForWrite(name)
 	if err != nil {
@@ -151,14 +149,13 @@
 	if err != nil {
 		return err
 	}
-	// A new file lasts once its directory is synced. One that was there already may be new too: a process that was killed
-	// before it synced the directory leaves a name that a loss of power takes away, with all that was written to it since.
+	// A new file survives a power loss only after its directory has been synced. This applies to an existing file too: a previous
+	// process may have been killed between creating the file and syncing the directory.
 	if s.directorySynced[s.nextSlot] {
 		return nil
 	}
 	return s.fileSystem.SyncDirectory()
 }
 
-// closeInMemory frees a database that is not needed any more. It has no file, so that there is nothing to flush: its Close fails
-// only if it is closed already.
+// closeInMemory closes an in-memory database. Close has nothing to flush and fails only if the database is already closed.
 func closeInMemory(db *buntdb.DB) { _ = db.Close() }
--- a/internal/daemons/statestore/store_test.go
+++ b/internal/daemons/statestore/store_test.go
@@ -25,12 +25,12 @@
 		So(put(store, "one"), ShouldBeNil)
 		So(put(store, "two, which is longer"), ShouldBeNil)
 
-		Convey("what was written is there after a loss of power", func() {
+		Convey("both writes survive a power loss", func() {
 			store, err = Open(disk.afterPowerLoss(0))
 			So(err, ShouldBeNil)
 			So(value(store), ShouldEqual, "two, which is longer")
 		})
-		Convey("a write that is torn at any byte leaves the one before", func() {
+		Convey("a write torn at any byte leaves either the previous or the new value", func() {
 			disk.failing = "sync"
 			So(put(store, "three, longer than all of those that came before it"), ShouldNotBeNil)
 			for tornAt := 1; tornAt < 400; tornAt++ {
@@ -39,7 +39,7 @@
 				So(value(store), ShouldBeIn, "two, which is longer", "three, longer than all of those that came before it")
 			}
 		})
-		Convey("a disk that is full, or fails, is reported, and nothing is lost", func() {
+		Convey("a failed operation is reported and the previous value is kept", func() {
 			for _, disk.failing = range []string{"open", "write", "sync"} {
 				disk.partialWrite = 30
 				err := put(store, "lost")
@@ -52,7 +52,7 @@
 				So(err, ShouldBeNil)
 				So(value(reopened), ShouldEqual, "two, which is longer")
 			}
-			Convey("and takes writes again afterwards", func() {
+			Convey("writes succeed again once the disk recovers", func() {
 				disk.failing = ""
 				So(put(store, "four"), ShouldBeNil)
 				store, err = Open(disk.afterPowerLoss(0))
@@ -60,7 +60,7 @@
 				So(value(store), ShouldEqual, "four")
 			})
 		})
-		Convey("a damaged file is quarantined, not deleted, and the other one serves", func() {
+		Convey("a corrupted file is quarantined, not deleted, and the other copy is used", func() {
 			for _, content := range disk.written {
 				if bytes.Contains(content, []byte("two")) {
 					content[len(content)-8] ^= 1
@@ -81,7 +81,7 @@
 }
 
 func TestStoreSyncsItsDirectory(t *testing.T) {
-	Convey("A new file lasts: its directory is synced before the first write counts", t, func() {
+	Convey("The directory of a new file is synced before the first Put returns", t, func() {
 		disk := newSimulatedDisk()
 		store, err := Open(disk)
 		So(err, ShouldBeNil)
@@ -90,13 +90,12 @@
 		So(err, ShouldBeNil)
 		So(value(store), ShouldEqual, "one")
 	})
-	// Found by the simulation (gw-unsynced-name).
-	Convey("A file that a killed process left without its directory synced lasts after the next one's writes", t, func() {
+	Convey("A file created by a process that was killed before syncing the directory survives a power loss after the next write", t, func() {
 		disk := newSimulatedDisk()
 		store, err := Open(disk)
 		So(err, ShouldBeNil)
 		So(put(store, "one"), ShouldBeNil)
-		disk.directorySynced = map[string]bool{} // as if killed before the directory's sync: the kernel still has everything
+		disk.directorySynced = map[string]bool{} // simulates a process killed before syncing the directory
 		for _, written := range []string{"two", "three", "four"} {
 			store, err := Open(disk)
 			So(err, ShouldBeNil)
@@ -107,7 +106,7 @@
 			disk.directorySynced = map[string]bool{}
 		}
 	})
-	Convey("The same holds in a real directory", t, func() {
+	Convey("Written values are read back from a real directory", t, func() {
 		directory := Directory(t.TempDir())
 		store, err := Open(directory)
 		So(err, ShouldBeNil)
@@ -120,8 +119,8 @@
 	})
 }
 
-// TestDecodeFileRejectsDamage names the error of each kind of damage, as an operator reads it from Inspect.
-func TestDecodeFileRejectsDamage(t *testing.T) {
+// TestDecodeFileRejectsCorruption checks the error for each kind of corruption, which Inspect shows to operators.
+func TestDecodeFileRejectsCorruption(t *testing.T) {
 	good := encodeFile(7, []byte("body"))
 	flipped := bytes.Clone(good)
 	flipped[len(flipped)-1] ^= 1
@@ -133,14 +132,14 @@
 		want error
 	}{
 		{"empty", nil, ErrBadHeader},
-		{"cut within the header", good[:headerSize-1], ErrBadHeader},
-		{"another file", bytes.Repeat([]byte("x"), 100), ErrBadHeader},
-		{"cut within the body", good[:len(good)-1], ErrTruncated},
-		{"a flipped bit", flipped, ErrChecksum},
-		{"a flipped bit in the generation", otherGeneration, ErrChecksum},
+		{"truncated header", good[:headerSize-1], ErrBadHeader},
+		{"unrelated file", bytes.Repeat([]byte("x"), 100), ErrBadHeader},
+		{"truncated body", good[:len(good)-1], ErrTruncated},
+		{"flipped bit in the body", flipped, ErrChecksum},
+		{"flipped bit in the generation", otherGeneration, ErrChecksum},
 	} {
 		if _, _, err := decodeFile(test.raw); !errors.Is(err, test.want) {
-			t.Errorf("%s: %v, want %v", test.name, err, test.want)
+			t.Errorf("%s: got %v, want %v", test.name, err, test.want)
 		}
 	}
 }
