--- /dev/null
+++ b/internal/daemons/controlserver/metrics.go
@@ -0,0 +1,67 @@
+package controlserver
+
+import (
+	"io"
+	"time"
+
+	metrics "github.com/VictoriaMetrics/metrics"
+
+	"zincloft.example/zincloft/internal/daemons/connlimit"
+	"zincloft.example/zincloft/internal/daemons/telemetry"
+)
+
+// metricsTimeout limits how long a scrape waits for the goroutine of Run.
+const metricsTimeout = time.Second
+
+func (s *Server) newMetrics() *metrics.Set {
+	set := telemetry.NewMetrics()
+	set.RegisterMetricsWriter(s.writeMetrics)
+	for _, conns := range []*connlimit.Limiter{s.callerConns, s.peerConns, s.metricsConns} {
+		set.RegisterMetricsWriter(conns.WriteMetrics)
+	}
+	return set
+}
+
+// writeMetrics writes the controller's metrics. If the goroutine of Run does not answer in time, it writes only
+// zincloft_controlplane_responsive as 0, so that a blocked member can be detected.
+func (s *Server) writeMetrics(w io.Writer) {
+	type gauge struct {
+		name  string
+		value float64
+	}
+	done := make(chan []gauge, 1)
+	collect := func() {
+		current := s.controller.Metrics(s.now())
+		done <- []gauge{
+			{"zincloft_controlplane_quorum_contact", telemetry.BoolGauge(current.HasQuorumContact)},
+			{"zincloft_controlplane_disk_healthy", telemetry.BoolGauge(current.DiskHealthy)},
+			{"zincloft_controlplane_view_number", float64(current.ViewNumber)},
+			{"zincloft_controlplane_chain_position", float64(current.ChainPosition)},
+			{"zincloft_controlplane_voters", float64(current.Voters)},
+			{"zincloft_controlplane_committed_sequence", float64(current.CommittedSequence)},
+			{"zincloft_controlplane_config_version", float64(current.ConfigVersion)},
+			{"zincloft_controlplane_evacuated_zones", float64(current.EvacuatedZones)},
+			{"zincloft_controlplane_gateway_streams", float64(current.GatewayStreams)},
+			{"zincloft_controlplane_instances", float64(current.Instances)},
+			{"zincloft_controlplane_instances_draining", float64(current.DrainingInstances)},
+			{"zincloft_controlplane_instances_timed_out", float64(current.TimedOutInstances)},
+			{"zincloft_controlplane_instances_remembered", float64(current.TrackedInstances)},
+			{"zincloft_controlplane_instances_limit", float64(current.TrackedInstancesLimit)},
+			{"zincloft_controlplane_call_body_bytes", float64(s.bodyBudget.Used())},
+			{"zincloft_controlplane_pending_calls", float64(len(s.pendingCalls))},
+		}
+	}
+	select {
+	case s.tasks <- collect:
+	case <-time.After(metricsTimeout):
+	}
+	select {
+	case gauges := <-done:
+		metrics.WriteGaugeFloat64(w, "zincloft_controlplane_responsive", 1)
+		for _, gauge := range gauges {
+			metrics.WriteGaugeFloat64(w, gauge.name, gauge.value)
+		}
+	case <-time.After(metricsTimeout):
+		metrics.WriteGaugeFloat64(w, "zincloft_controlplane_responsive", 0)
+	}
+}
--- a/internal/daemons/telemetry/telemetry.go
+++ b/internal/daemons/telemetry/telemetry.go
@@ -73,7 +73,7 @@
 
 // Serve serves source at an endpoint in the background until ctx is done. It returns an error if the port cannot be opened.
 func Serve(ctx context.Context, ip netip.Addr, endpoint nodesettings.MetricsEndpoint, source Source) error {
-	if endpoint.IsNowhere() {
+	if endpoint.IsDisabled() {
 		return nil
 	}
 	address := netip.AddrPortFrom(ip, endpoint.Port).String()
