--- a/internal/daemons/gateway/attempt.go
+++ b/internal/daemons/gateway/attempt.go
@@ -24,19 +24,19 @@
 }
 
 // runAttempt sends a request to the chosen endpoint, records the outcome in the router and sends it to results.
-func (g *Gateway) runAttempt(choice pickedEndpoint, request *replica.Request, results chan<- attemptResult) {
+func (g *Gateway) runAttempt(picked pickedEndpoint, request *replica.Request, results chan<- attemptResult) {
 	g.metrics.attempts.Inc()
 	sentAt := time.Now()
-	outcome := g.pool.Do(choice.EndpointID, g.settings.DialAddress(choice.Addr), request)
+	outcome := g.pool.Do(picked.EndpointID, g.settings.DialAddress(picked.Addr), request)
 	canceled := request.Cancel != nil && request.Cancel.Err() != nil
-	g.recordAttempt(choice.PickResult, request.AttemptID, outcome, time.Since(sentAt), canceled)
-	results <- attemptResult{Outcome: outcome, picked: choice, sentAt: sentAt, latency: time.Since(sentAt)}
+	g.recordAttempt(picked.PickResult, request.AttemptID, outcome, time.Since(sentAt), canceled)
+	results <- attemptResult{Outcome: outcome, picked: picked, sentAt: sentAt, latency: time.Since(sentAt)}
 }
 
 // recordAttempt records an attempt's outcome in the router and the log, and queues effects to report immediately.
-func (g *Gateway) recordAttempt(choice router.PickResult, attemptID string, outcome replica.Outcome, latency time.Duration, canceled bool) {
+func (g *Gateway) recordAttempt(picked router.PickResult, attemptID string, outcome replica.Outcome, latency time.Duration, canceled bool) {
 	result := router.AttemptResult{
-		AttemptID:         choice.AttemptID,
+		AttemptID:         picked.AttemptID,
 		Result:            endpointResult(outcome, canceled),
 		Latency:           latency,
 		ConnectionRefused: outcome.ConnectionRefused,
@@ -50,7 +50,7 @@
 	}
 	unknown := outcome.Execution == retry.MayHaveExecuted && !canceled
 	if (unknown || outcome.SkippedResponses > 0) && g.logLimiter.Allow() {
-		g.logAttempt(choice.EndpointID, attemptID, outcome)
+		g.logAttempt(picked.EndpointID, attemptID, outcome)
 	}
 	g.mu.Lock()
 	effects := g.router.EndAttempt(g.now(), result)
--- a/internal/daemons/gateway/clientconn.go
+++ b/internal/daemons/gateway/clientconn.go
@@ -89,7 +89,7 @@
 		return func() {}
 	}
 	c.busy = true
-	c.idle.Store(false) // a pipelined request is served without a Read that clears idle, and the server's background read must end at the deadline
+	c.idle.Store(false) // needed for a pipelined request, which is served without a Read; otherwise extendIdle would prolong the deadline
 	return func() { c.busy = false }
 }
 
--- a/internal/daemons/gateway/failures.go
+++ b/internal/daemons/gateway/failures.go
@@ -44,7 +44,7 @@
 type AttemptRecord struct {
 	Endpoint         string        `json:"endpoint"`
 	Address          string        `json:"address"`
-	TableUpdate      uint64        `json:"table_update"` // number of the control plane's update in force when the endpoint was picked
+	TableUpdate      uint64        `json:"table_update"` // number of the control-plane update in effect when the endpoint was picked
 	SentAfter        time.Duration `json:"sent_after_ns"`
 	Duration         time.Duration `json:"duration_ns"`
 	Deadline         time.Duration `json:"deadline_ns"` // remaining when the attempt was sent
--- a/internal/daemons/gateway/forward.go
+++ b/internal/daemons/gateway/forward.go
@@ -80,11 +80,11 @@
 		case <-hedge:
 			hedge = nil
 			f.startHedge()
-		case end := <-f.results:
-			f.recordResult(end)
-			switch f.decide(r.Context(), end.Outcome) {
+		case result := <-f.results:
+			f.recordResult(result)
+			switch f.decide(r.Context(), result.Outcome) {
 			case returnResponse:
-				f.writeReplicaResponse(w, r, end.Response)
+				f.writeReplicaResponse(w, r, result.Response)
 				return
 			case retryRequest:
 				if !f.startAttempt(f.pickEndpoint(false)) {
@@ -138,12 +138,12 @@
 	if !retry.EnoughTime(f.timeLeft(), f.route.LatencyTarget) {
 		return rejection{status: http.StatusServiceUnavailable, counter: countDeadlineTooClose, retryAfter: defaultRetryAfter}
 	}
-	choice := f.pickEndpoint(false)
-	if f.startAttempt(choice) {
+	picked := f.pickEndpoint(false)
+	if f.startAttempt(picked) {
 		return rejection{}
 	}
-	rejected := rejection{status: http.StatusServiceUnavailable, counter: countOverloaded, retryAfter: choice.RetryAfter}
-	if choice.NoneKnown {
+	rejected := rejection{status: http.StatusServiceUnavailable, counter: countOverloaded, retryAfter: picked.RetryAfter}
+	if picked.NoneKnown {
 		rejected.counter = countNoEndpoint
 	}
 	return rejected
@@ -165,17 +165,17 @@
 }
 
 // startAttempt sends the request to the chosen endpoint in a new goroutine. It returns false if no endpoint was chosen.
-func (f *forwarding) startAttempt(choice pickedEndpoint) bool {
-	if choice.EndpointID == "" {
+func (f *forwarding) startAttempt(picked pickedEndpoint) bool {
+	if picked.EndpointID == "" {
 		return false
 	}
 	f.checkBeforeAttempt()
-	f.attempted = append(f.attempted, choice.EndpointID)
+	f.attempted = append(f.attempted, picked.EndpointID)
 	f.pending++
 	f.progress.Attempts++
 	request := f.request
-	request.InstanceID = choice.EndpointID
-	go f.gateway.runAttempt(choice, &request, f.results)
+	request.InstanceID = picked.EndpointID
+	go f.gateway.runAttempt(picked, &request, f.results)
 	return true
 }
 
@@ -189,23 +189,23 @@
 }
 
 // recordResult updates the request's state with an attempt's result and discards the response that is no longer needed.
-func (f *forwarding) recordResult(end attemptResult) {
+func (f *forwarding) recordResult(result attemptResult) {
 	f.pending--
-	f.attemptTime += end.latency
-	if end.NotSent {
+	f.attemptTime += result.latency
+	if result.NotSent {
 		f.progress.Attempts--
 		f.progress.ConnectFailures++
 	}
 	f.progress.TimeLeft = f.timeLeft()
-	f.progress.ServerError = end.Response != nil && end.Response.Status >= http.StatusInternalServerError
-	if end.Execution != retry.Answered || f.progress.ServerError {
-		f.failedAttempts = append(f.failedAttempts, end)
+	f.progress.ServerError = result.Response != nil && result.Response.Status >= http.StatusInternalServerError
+	if result.Execution != retry.Answered || f.progress.ServerError {
+		f.failedAttempts = append(f.failedAttempts, result)
 	}
-	weaker := end.Outcome
-	if end.Execution >= f.strongest.Execution {
-		f.strongest, weaker = end.Outcome, f.strongest
+	discarded := result.Outcome
+	if result.Execution >= f.strongest.Execution {
+		f.strongest, discarded = result.Outcome, f.strongest
 	}
-	weaker.Discard()
+	discarded.Discard()
 }
 
 // decide returns the next step after the outcome that was recorded last. The retry budget is checked last, as the check
@@ -287,10 +287,10 @@
 // discard waits for the attempts to end, discards their responses and completes the request's failure record.
 func (p pendingAttempts) discard() {
 	for range p.count {
-		end := <-p.results
-		end.Discard()
+		result := <-p.results
+		result.Discard()
 		if p.failureNumber != 0 {
-			p.gateway.completeFailure(p.failureNumber, p.attemptID, newAttemptRecord(end, p.arrivedAt, p.deadline))
+			p.gateway.completeFailure(p.failureNumber, p.attemptID, newAttemptRecord(result, p.arrivedAt, p.deadline))
 		}
 	}
 }
--- a/internal/daemons/gateway/forwardfailure.go
+++ b/internal/daemons/gateway/forwardfailure.go
@@ -56,13 +56,13 @@
 // attemptRecords returns the failed attempts, followed by the pending ones.
 func (f *forwarding) attemptRecords() []AttemptRecord {
 	records := make([]AttemptRecord, 0, len(f.attempted))
-	ended := make([]string, 0, len(f.failedAttempts))
-	for _, end := range f.failedAttempts {
-		ended = append(ended, end.picked.EndpointID)
-		records = append(records, newAttemptRecord(end, f.arrivedAt, f.request.Deadline))
+	endedEndpoints := make([]string, 0, len(f.failedAttempts))
+	for _, result := range f.failedAttempts {
+		endedEndpoints = append(endedEndpoints, result.picked.EndpointID)
+		records = append(records, newAttemptRecord(result, f.arrivedAt, f.request.Deadline))
 	}
 	for _, endpoint := range f.attempted {
-		if !slices.Contains(ended, endpoint) {
+		if !slices.Contains(endedEndpoints, endpoint) {
 			records = append(records, AttemptRecord{Endpoint: endpoint, Execution: executionPending})
 		}
 	}
@@ -70,21 +70,21 @@
 }
 
 // newAttemptRecord describes an attempt relative to the request's arrival and deadline.
-func newAttemptRecord(end attemptResult, arrivedAt, deadline time.Time) AttemptRecord {
+func newAttemptRecord(result attemptResult, arrivedAt, deadline time.Time) AttemptRecord {
 	record := AttemptRecord{
-		Endpoint:         end.picked.EndpointID,
-		Address:          end.picked.Addr,
-		TableUpdate:      end.picked.tableUpdate,
-		SentAfter:        end.sentAt.Sub(arrivedAt),
-		Duration:         end.latency,
-		Deadline:         deadline.Sub(end.sentAt),
-		Execution:        end.Execution.String(),
-		Cause:            end.Cause,
-		ConnID:           end.ConnID,
-		ConnRequestCount: end.ConnRequestCount,
+		Endpoint:         result.picked.EndpointID,
+		Address:          result.picked.Addr,
+		TableUpdate:      result.picked.tableUpdate,
+		SentAfter:        result.sentAt.Sub(arrivedAt),
+		Duration:         result.latency,
+		Deadline:         deadline.Sub(result.sentAt),
+		Execution:        result.Execution.String(),
+		Cause:            result.Cause,
+		ConnID:           result.ConnID,
+		ConnRequestCount: result.ConnRequestCount,
 	}
-	if end.Response != nil {
-		record.Status = end.Response.Status
+	if result.Response != nil {
+		record.Status = result.Response.Status
 	}
 	return record
 }
--- a/internal/daemons/gateway/gateway.go
+++ b/internal/daemons/gateway/gateway.go
@@ -131,7 +131,7 @@
 // now is the router's clock: the time since the gateway was created.
 func (g *Gateway) now() time.Duration { return time.Since(g.startedAt) }
 
-// pickedEndpoint is the endpoint of an attempt and the number of the control-plane update in force when it was picked.
+// pickedEndpoint is the endpoint of an attempt and the number of the control-plane update in effect when it was picked.
 type pickedEndpoint struct {
 	router.PickResult
 	tableUpdate uint64
--- a/internal/daemons/gateway/lifecycle.go
+++ b/internal/daemons/gateway/lifecycle.go
@@ -177,10 +177,10 @@
 // within the grace period.
 func (g *Gateway) shutdown() {
 	g.stopping.Store(true)
-	end := time.Now().Add(g.settings.Bounds.GracePeriod - exitTimeReserve)
+	deadline := time.Now().Add(g.settings.Bounds.GracePeriod - exitTimeReserve)
 	g.startFrontServer(unconfiguredLimits) // if not started yet: clients in the accept queue get a 503
 	time.Sleep(min(router.ReadinessPropagation, g.settings.Bounds.GracePeriod/2))
-	ctx, cancel := context.WithDeadline(context.Background(), end)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	if err := g.shutdownServer(ctx); err != nil {
 		g.logger.Info().Str("event", "shutdown_incomplete").Err(err).Msg("")
