--- a/internal/daemons/gateway/controlstream.go
+++ b/internal/daemons/gateway/controlstream.go
@@ -46,11 +46,11 @@
 
 // controlStream is a connection to a control-plane member.
 type controlStream struct {
-	gateway      *Gateway
-	member       string // address
-	conn         *peertransport.Conn
-	established  bool // the member has sent its full state
-	localCheckAt time.Time
+	gateway        *Gateway
+	member         string // address
+	conn           *peertransport.Conn
+	established    bool      // the member has sent its full state
+	lastLocalCheck time.Time // last attempt to reach a member of the local zone
 }
 
 // runStream processes a member's stream until it fails, turns out stale, or a member of the local zone becomes reachable.
@@ -60,7 +60,7 @@
 	if err != nil {
 		return false
 	}
-	stream := &controlStream{gateway: g, member: member, conn: peertransport.NewConn(netConn), localCheckAt: time.Now()}
+	stream := &controlStream{gateway: g, member: member, conn: peertransport.NewConn(netConn), lastLocalCheck: time.Now()}
 	defer stream.conn.Shutdown()
 	self := fleet.Member{Addr: g.settings.IP.String(), Zone: g.settings.Zone}
 	stream.send(&peertransport.Frame{Hello: &messages.Hello{Gateway: g.settings.Name, Member: self}})
@@ -110,13 +110,13 @@
 // shouldSwitchToLocalZone reports whether the stream comes from another zone while a local member accepts connections,
 // which is checked every localMemberInterval.
 func (s *controlStream) shouldSwitchToLocalZone(ctx context.Context) bool {
-	if !s.gateway.hasLocalAlternativeTo(s.member) || time.Since(s.localCheckAt) <= localMemberInterval {
+	if !s.gateway.hasLocalAlternativeTo(s.member) || time.Since(s.lastLocalCheck) <= localMemberInterval {
 		return false
 	}
 	dialer := net.Dialer{Timeout: controlDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", s.gateway.settings.DialAddress(s.gateway.candidates()[0]))
 	if err != nil {
-		s.localCheckAt = time.Now()
+		s.lastLocalCheck = time.Now()
 		return false
 	}
 	closeQuietly(conn)
--- a/internal/daemons/gateway/regression_test.go
+++ b/internal/daemons/gateway/regression_test.go
@@ -155,9 +155,9 @@
 	}
 }
 
-// TestRequestWithoutIdentity guards requests without an attempt ID: each uses a connection of its own, so that its response can
+// TestRequestWithoutAttemptID guards requests without an attempt ID: each uses a connection of its own, so that its response can
 // be matched, and is not answered with an unrelated response.
-func TestRequestWithoutIdentity(t *testing.T) {
+func TestRequestWithoutAttemptID(t *testing.T) {
 	Convey("A request without an attempt ID", t, func() {
 		f := newFixture("unsafe", 1)
 		do := func() int {
--- a/internal/daemons/replica/conformance_test.go
+++ b/internal/daemons/replica/conformance_test.go
@@ -191,7 +191,7 @@
 }
 
 // Guards against sharing a connection between requests whose responses cannot be told apart: the same attempt ID twice, or none.
-func TestIdentityIsUsedOncePerConnection(t *testing.T) {
+func TestAttemptIDIsUsedOncePerConnection(t *testing.T) {
 	for _, id := range []string{"same", ""} {
 		addr, opens := startScriptedReplica(t, func(q *http.Request, n int) (string, bool) {
 			return validResponse(id, fmt.Sprint(n)), false
