--- a/internal/daemons/peertransport/capacity_test.go
+++ b/internal/daemons/peertransport/capacity_test.go
@@ -18,8 +18,8 @@
 	return fleet
 }
 
-// BenchmarkCapacityStateUpdate encodes and reads a state update of each kind: full (instances and a weight each, without a
-// configuration), instances alone, weights alone, and one instance and one weight.
+// BenchmarkCapacityStateUpdate encodes and decodes state updates: full (all instances and weights, without a configuration),
+// instances only, weights only, and one instance with its weight.
 func BenchmarkCapacityStateUpdate(b *testing.B) {
 	for _, kind := range []string{"full", "instances", "weights", "one"} {
 		for _, replicas := range capacityReplicas {
@@ -69,7 +69,7 @@
 	b.ReportMetric(float64(size), "wire-B")
 }
 
-// BenchmarkCapacityLoadReport encodes a gateway's report of so many replicas that it called in a second.
+// BenchmarkCapacityLoadReport encodes a gateway's load report for one second, by the number of replicas it called.
 func BenchmarkCapacityLoadReport(b *testing.B) {
 	for _, replicas := range []int{8, 24, 70, 210} {
 		report := &messages.LoadReport{PeriodMillis: 1000, Requests: map[string]int{}}
@@ -87,8 +87,7 @@
 	}
 }
 
-// TestEncodedItemSize holds the sizes of an instance and of a weight to a tenth of the figures on the page, which rest on these
-// frames.
+// TestEncodedItemSize checks that the encoded sizes of an instance and of a weight are within 10% of those in docs/CAPACITY.md.
 func TestEncodedItemSize(t *testing.T) {
 	fleet := fleetOf(1740)
 	sizeOf := func(update messages.StateUpdate) int {
@@ -107,12 +106,12 @@
 		name              string
 		total, documented int
 	}{
-		{"an instance", sizeOf(messages.StateUpdate{Instances: fleet.Instances()}) - empty, 57},
-		{"a weight", sizeOf(messages.StateUpdate{Weights: weights}) - empty, 20},
+		{"instance", sizeOf(messages.StateUpdate{Instances: fleet.Instances()}) - empty, 57},
+		{"weight", sizeOf(messages.StateUpdate{Weights: weights}) - empty, 20},
 	} {
 		got := float64(test.total) / float64(fleet.Replicas)
 		if got < 0.9*float64(test.documented) || got > 1.1*float64(test.documented) {
-			t.Errorf("%s is %.1f bytes, docs/CAPACITY.md reckons with %d", test.name, got, test.documented)
+			t.Errorf("%s: got %.1f bytes, docs/CAPACITY.md documents %d", test.name, got, test.documented)
 		}
 	}
 }
--- a/internal/daemons/peertransport/conn.go
+++ b/internal/daemons/peertransport/conn.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// sendQueueCapacity is how many frames may wait to be written to one connection or peer.
+// sendQueueCapacity is the maximum number of frames queued for a connection or peer.
 const sendQueueCapacity = 256
 
-// Conn is a connection whose frames are written by a goroutine of its own, so that several others may send without waiting for
-// the network. Make it with NewConn.
+// Conn is a connection with a send queue that a dedicated goroutine writes to the network, so that Send never blocks. Create it
+// with NewConn.
 type Conn struct {
 	net.Conn
 	queue     chan []byte
@@ -38,7 +38,7 @@
 	}
 }
 
-// Send queues an encoded frame. It does not block: a peer that does not read fast enough loses its connection.
+// Send queues an encoded frame. If the queue is full, it shuts the connection down instead of blocking.
 func (c *Conn) Send(frame []byte) {
 	select {
 	case c.queue <- frame:
@@ -48,11 +48,11 @@
 	}
 }
 
-// Shutdown closes the connection and ends its writer. It may be called more than once, by any goroutine.
+// Shutdown closes the connection and stops its writer. It may be called repeatedly and concurrently.
 func (c *Conn) Shutdown() {
 	c.closeOnce.Do(func() {
 		close(c.done)
-		_ = c.Close() // the connection is given up, whatever has become of it
+		_ = c.Close() // an error changes nothing, as the connection is discarded
 	})
 }
 
--- a/internal/daemons/peertransport/frame.go
+++ b/internal/daemons/peertransport/frame.go
@@ -1,8 +1,8 @@
-// Package peertransport carries the typed messages between control-plane members and gateways: frames of CBOR over TCP, each
-// preceded by its length as a big-endian 32-bit number of bytes.
+// Package peertransport carries messages between control-plane members and gateways as CBOR frames over TCP. Each frame is
+// preceded by its size in bytes as a big-endian 32-bit integer.
 //
-// Members dial one another and send in one direction only, over a Peer each; a gateway dials one member, and both send over a
-// Conn. Messages may be lost with a connection: the protocols above repeat what is needed.
+// A member sends to each other member over a Peer, whose connection is used in one direction only. A gateway dials one member, and
+// both sides send over a Conn. Messages may be lost when a connection ends; the protocols above handle the loss.
 package peertransport
 
 import (
@@ -21,35 +21,35 @@
 
 const (
 	lengthSize      = 4
-	maxFrameSize    = 24 << 20 // bytes: a configuration of 16 MB, the largest that is accepted, and what goes with it
-	maxHelloSize    = 4 << 10
-	initialReadSize = 64 << 10 // bytes that are allocated before any has come
-	maxElements     = 1 << 20  // in one array or map of a frame
+	maxFrameSize    = 24 << 20 // bytes; fits a configuration of the maximum size, 16 MiB, and the other fields
+	maxHelloSize    = 4 << 10  // bytes
+	initialReadSize = 64 << 10 // bytes; allocated before any of the body has been received
+	maxElements     = 1 << 20  // per array or map in a frame
 )
 
-// ErrFrameTooLarge means that a peer announced a frame of more bytes than any message needs.
-var ErrFrameTooLarge = errors.New("frame is too large")
+// ErrFrameTooLarge means that a frame's announced size exceeds the maximum.
+var ErrFrameTooLarge = errors.New("frame exceeds the maximum size")
 
-// ErrNoHello means that a connection did not begin with a Hello.
-var ErrNoHello = errors.New("the first frame is no hello")
+// ErrNoHello means that the first frame of a connection has no Hello.
+var ErrNoHello = errors.New("first frame is not a hello")
 
-// Frame is one unit of transport. The fields that are set say what it carries; an empty one only shows that its sender is alive.
+// Frame is the unit of transmission. It carries the fields that are set. An empty frame is a keep-alive.
 type Frame struct {
-	// Hello is the first frame on a connection, from whoever dialed it.
+	// Hello is sent by the dialing side as the first frame of a connection.
 	Hello *messages.Hello `cbor:"1,keyasint,omitempty"`
 
-	// Coordinator, Instances, GatewaySummary and Ejections go from member to member.
+	// Coordinator, Instances, GatewaySummary and Ejections are sent between members.
 	Coordinator *coordinator.Message `cbor:"2,keyasint,omitempty"`
 	Instances   []fleet.Instance     `cbor:"3,keyasint,omitempty"`
 
-	// StateUpdate goes from a member to a gateway; LoadReport goes the other way.
+	// StateUpdate is sent by a member to a gateway, LoadReport by a gateway to a member.
 	StateUpdate *messages.StateUpdate `cbor:"4,keyasint,omitempty"`
 	LoadReport  *messages.LoadReport  `cbor:"5,keyasint,omitempty"`
 
 	GatewaySummary *peermessages.GatewaySummary `cbor:"6,keyasint,omitempty"`
 	Ejections      []fleet.Ejection             `cbor:"7,keyasint,omitempty"`
 
-	// PersistRequest goes from member to member beside Instances.
+	// PersistRequest is sent between members along with Instances.
 	PersistRequest uint64 `cbor:"8,keyasint,omitempty"`
 }
 
@@ -61,7 +61,7 @@
 	return mode
 }()
 
-// EncodeFrame encodes a frame with its length before it.
+// EncodeFrame encodes a frame, preceded by its size.
 func EncodeFrame(frame *Frame) ([]byte, error) {
 	body, err := cbor.Marshal(frame)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return append(raw, body...), nil
 }
 
-// ReadHello reads the first frame of a connection, by whoever dialed it: it is short, as nobody is known to be there yet.
+// ReadHello reads the first frame of an inbound connection. Its size limit is low because the sender has not identified itself yet.
 func ReadHello(reader io.Reader) (*messages.Hello, error) {
 	frame, err := readFrame(reader, maxHelloSize)
 	if err != nil {
@@ -83,8 +83,8 @@
 	return frame.Hello, nil
 }
 
-// ReadFrame reads and decodes one frame. It returns io.EOF if the connection ended between two frames, io.ErrUnexpectedEOF if it
-// ended within one, and an error that is ErrFrameTooLarge before it reads one that is too large.
+// ReadFrame reads and decodes one frame. It returns io.EOF if the connection ends between frames and io.ErrUnexpectedEOF if it ends
+// within a frame. If the announced size exceeds the maximum, the error wraps ErrFrameTooLarge and the body is not read.
 func ReadFrame(reader io.Reader) (*Frame, error) { return readFrame(reader, maxFrameSize) }
 
 func readFrame(reader io.Reader, maxSize uint32) (*Frame, error) {
@@ -99,8 +99,8 @@
 	return frame, nil
 }
 
-// readBody reads a frame's encoded body. Memory is allocated for what has come, not for what the length announces: whoever
-// reaches the port could otherwise claim megabytes by four bytes.
+// readBody reads a frame's encoded body. It allocates memory as data arrives rather than by the announced size, so that a client
+// cannot cause a large allocation by sending only a size.
 func readBody(reader io.Reader, maxSize uint32) ([]byte, error) {
 	var length [lengthSize]byte
 	if _, err := io.ReadFull(reader, length[:]); err != nil {
--- a/internal/daemons/peertransport/peer.go
+++ b/internal/daemons/peertransport/peer.go
@@ -14,18 +14,18 @@
 	maxRedialBackoff = 250 * time.Millisecond
 )
 
-// processStart is what messages.Hello.DialedAt counts from.
+// processStart is the reference time of messages.Hello.DialedAt.
 var processStart = time.Now()
 
-// Peer sends frames to one member, and dials it again whenever the connection ends. What cannot be sent is dropped: the protocols
-// above repeat what is needed. Make it with NewPeer.
+// Peer sends frames to a member and redials it whenever the connection ends. Frames that cannot be sent are dropped; the protocols
+// above handle the loss. Create it with NewPeer.
 type Peer struct {
 	queue    chan []byte
 	stop     chan struct{}
 	stopOnce sync.Once
 }
 
-// NewPeer starts to send to an address, until Stop. Each connection begins with hello, whose DialedAt is set when it is dialed.
+// NewPeer starts a sender to address that runs until Stop. Each connection starts with hello, whose DialedAt is set on dialing.
 func NewPeer(address string, hello messages.Hello) *Peer {
 	p := &Peer{queue: make(chan []byte, sendQueueCapacity), stop: make(chan struct{})}
 	go p.run(address, hello)
@@ -40,7 +40,7 @@
 	}
 }
 
-// Stop ends the sending. It may be called more than once.
+// Stop stops the sender. It may be called repeatedly.
 func (p *Peer) Stop() { p.stopOnce.Do(func() { close(p.stop) }) }
 
 func (p *Peer) run(address string, hello messages.Hello) {
@@ -50,29 +50,29 @@
 		if p.connectAndSend(address, hello) {
 			backoff = minRedialBackoff
 		}
-		if stopped := p.drainFor(backoff); stopped {
+		if stopped := p.discardFor(backoff); stopped {
 			return
 		}
 		backoff = min(backoff*2, maxRedialBackoff)
 	}
 }
 
-// connectAndSend dials the peer and sends frames until the connection ends. It reports whether the peer could be reached.
+// connectAndSend dials the peer and sends frames until the connection ends. It reports whether dialing succeeded.
 func (p *Peer) connectAndSend(address string, hello messages.Hello) bool {
-	conn, err := NewDialer(dialTimeout, unackedTimeout).DialContext(context.Background(), "tcp", address) // dialTimeout bounds it
+	conn, err := NewDialer(dialTimeout, unackedTimeout).DialContext(context.Background(), "tcp", address) // limited by dialTimeout
 	if err != nil {
 		return false
 	}
 	if first, err := EncodeFrame(&Frame{Hello: &hello}); err == nil {
 		p.sendLoop(conn, first)
 	}
-	_ = conn.Close() // it is given up, whatever has become of it
+	_ = conn.Close() // an error changes nothing, as the connection is discarded
 	return true
 }
 
-// drainFor drops what is queued for a while, because it would be stale once the peer is there again. It reports whether the peer
-// was stopped meanwhile.
-func (p *Peer) drainFor(duration time.Duration) bool {
+// discardFor discards queued frames for a duration, because they would be stale by the time the peer is reachable. It reports
+// whether Stop was called meanwhile.
+func (p *Peer) discardFor(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	for {
@@ -86,11 +86,11 @@
 	}
 }
 
-// sendLoop writes hello and then what is queued, until the connection ends or the peer is stopped.
+// sendLoop writes hello and then queued frames until the connection ends or Stop is called.
 func (p *Peer) sendLoop(conn net.Conn, hello []byte) {
 	closed := make(chan struct{})
 	go func() {
-		// The peer sends nothing here. A read returns when it closes the connection, or when this side does.
+		// The remote side sends no data, so Read returns only when either side closes the connection.
 		var buffer [1]byte
 		_, _ = conn.Read(buffer[:])
 		close(closed)
--- a/internal/daemons/peertransport/socket.go
+++ b/internal/daemons/peertransport/socket.go
@@ -14,15 +14,15 @@
 	unackedTimeout = time.Second
 )
 
-// NewDialer returns a dialer that gives up after timeout, and whose connections end when sent bytes stay unacknowledged for as
-// long as unacked.
+// NewDialer returns a dialer with a dial timeout whose connections are closed when sent data remains unacknowledged for longer than
+// unacked.
 func NewDialer(timeout, unacked time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: timeout, KeepAlive: -1, Control: func(_, _ string, socket syscall.RawConn) error {
 		return SetUnackedTimeout(socket, unacked)
 	}}
 }
 
-// SetUnackedTimeout sets how long sent bytes may stay unacknowledged before the kernel ends the connection (TCP_USER_TIMEOUT).
+// SetUnackedTimeout sets how long sent data may remain unacknowledged before the kernel closes the connection (TCP_USER_TIMEOUT).
 func SetUnackedTimeout(socket syscall.RawConn, timeout time.Duration) error {
 	var optionErr error
 	err := socket.Control(func(descriptor uintptr) {
--- a/internal/daemons/statestore/store.go
+++ b/internal/daemons/statestore/store.go
@@ -3,8 +3,8 @@
 //
 // The values are held in an in-memory buntdb database. A file consists of a header with a checksum and the output of buntdb's
 // Save. Buntdb's own file persistence is not used because it does not report failed syncs, returns corrupted values without an
-// error, and rejects the whole file if a record is malformed. When Put returns without an error, the file has been synced. The previous file is not modified until then, so there is always
-// one valid copy. A corrupted file is renamed, never deleted.
+// error, and rejects the whole file if a record is malformed. When Put returns without an error, the file has been synced. The
+// previous file is not modified until then, so there is always one valid copy. A corrupted file is renamed, never deleted.
 package statestore
 
 import (
