--- a/internal/daemons/controlclient/client.go
+++ b/internal/daemons/controlclient/client.go
@@ -1,6 +1,6 @@
-// Package controlclient calls the control interface of control-plane members as the protocol page asks of all callers: any
-// member may be asked, and the call is repeated at another one after a failed connection, a 5xx, a 408 or 429, or an
-// attempt that has timed out, with an exponential backoff. The interface is idempotent, so repeating a call is safe.
+// Package controlclient is a client of the control API of control-plane members. A call may be sent to any member. It is retried at
+// the next member, with exponential backoff, after a connection failure, a timeout or a status of 408, 429 or 5xx. The API is
+// idempotent, so retries are safe.
 package controlclient
 
 import (
@@ -18,25 +18,25 @@
 )
 
 const (
-	// AttemptTimeout is how long one member may take to answer a call without a large body.
+	// AttemptTimeout is the timeout of one attempt of a call with an empty body.
 	AttemptTimeout = time.Second
 
-	attemptTimeoutPerMiB = time.Second // added for each mebibyte of the body
-	maxRedirects         = 2           // 307 responses that are followed within an attempt
+	attemptTimeoutPerMiB = time.Second // added to AttemptTimeout in proportion to the body size
+	maxRedirects         = 2           // 307 responses followed per attempt
 	minBackoff           = 100 * time.Millisecond
 	maxBackoff           = 2 * time.Second
 )
 
-// ErrInvalidAddress is wrapped by New's errors.
-var ErrInvalidAddress = errors.New("is not an address with a port")
+// ErrInvalidAddress means that an address passed to New does not consist of a host and a port.
+var ErrInvalidAddress = errors.New("must be an address with a port")
 
-// Client calls control-plane members. Each call begins at the first address. A Client may be used by several goroutines.
+// Client calls control-plane members. Each call starts with the first address. A Client is safe for concurrent use.
 type Client struct {
-	Addresses []string          // control addresses, at least one
-	Transport http.RoundTripper // nil: http.DefaultTransport
+	Addresses []string          // control addresses; must not be empty
+	Transport http.RoundTripper // nil means http.DefaultTransport
 }
 
-// New returns a client for control addresses separated by commas.
+// New returns a client for a comma-separated list of control addresses.
 func New(addresses string) (*Client, error) {
 	client := &Client{}
 	for address := range strings.SplitSeq(addresses, ",") {
@@ -58,11 +58,11 @@
 	return err == nil && parsed.Host == address
 }
 
-// Call sends a call to the members in turn until one accepts or rejects it, or ctx ends. A rejection is a *RejectedError.
-// When ctx ends the error is an *UnconfirmedError: a member may have executed the call.
+// Call sends a call to the members in turn until one accepts or rejects it, or ctx is done. It returns a *RejectedError if the call
+// was rejected and an *UnconfirmedError if ctx is done first; in the latter case a member may have executed the call.
 func (c *Client) Call(ctx context.Context, name, target string, body []byte) ([]byte, error) {
 	backoff := minBackoff
-	received := map[int]int{} // responses to this call by status
+	received := map[int]int{} // number of responses by status
 	for attempts := 1; ; attempts++ {
 		address := c.Addresses[(attempts-1)%len(c.Addresses)]
 		response, err := c.attempt(ctx, address, name, target, body)
@@ -84,7 +84,7 @@
 	}
 }
 
-// sleep waits, and returns false if ctx ended meanwhile.
+// sleep waits for a duration. It returns false if ctx is done first.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -96,13 +96,12 @@
 	}
 }
 
-// response is what one member answered.
 type response struct {
 	status int
 	body   []byte
 }
 
-// attempt sends a call to one member, and to the members that it redirects to.
+// attempt sends a call to one member and follows its redirects.
 func (c *Client) attempt(ctx context.Context, address, name, target string, body []byte) (response, error) {
 	timeout := AttemptTimeout + time.Duration(len(body))*attemptTimeoutPerMiB>>20
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -119,12 +118,12 @@
 	if err != nil {
 		return response{}, err
 	}
-	defer func() { _ = httpResponse.Body.Close() }() // a body that was read to its end has nothing more to report
-	answer, err := io.ReadAll(httpResponse.Body)
-	return response{status: httpResponse.StatusCode, body: answer}, err
+	defer func() { _ = httpResponse.Body.Close() }() // ReadAll has already reported any error
+	responseBody, err := io.ReadAll(httpResponse.Body)
+	return response{status: httpResponse.StatusCode, body: responseBody}, err
 }
 
-// followTemporaryRedirect follows 307 alone, as it keeps the method and the body.
+// followTemporaryRedirect allows only 307 redirects, which preserve the method and the body.
 func followTemporaryRedirect(request *http.Request, via []*http.Request) error {
 	if request.Response.StatusCode != http.StatusTemporaryRedirect || len(via) > maxRedirects {
 		return http.ErrUseLastResponse
--- a/internal/daemons/controlclient/client_test.go
+++ b/internal/daemons/controlclient/client_test.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// members is a transport that answers by host and records the calls in order.
-type members struct {
-	answers map[string][]string // by host, in turn, the last one repeated: a status, "silent", "failed" or "to HOST"
+// fakeMembers is a RoundTripper that returns scripted responses by host and records the calls in order.
+type fakeMembers struct {
+	answers map[string][]string // by host, in order, the last one repeated: a status text, "silent", "failed" or "to HOST"
 	calls   []string
 	times   []time.Duration // of the calls, since started
 	started time.Time
 }
 
-func (m *members) RoundTrip(request *http.Request) (*http.Response, error) {
+func (m *fakeMembers) RoundTrip(request *http.Request) (*http.Response, error) {
 	body := ""
 	if request.Body != nil {
 		b, _ := io.ReadAll(request.Body)
@@ -54,14 +54,14 @@
 	return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader("from " + request.URL.Host)), Request: request}, nil
 }
 
-// call makes one call to two members, whose answers are a and b, for ten seconds of synthetic time.
-func call(t *testing.T, a, b string) (answer string, m *members, err error) {
+// call makes one call, with a timeout of 10 s of synthetic time, to two members with the comma-separated answers a and b.
+func call(t *testing.T, a, b string) (answer string, m *fakeMembers, err error) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		m = &members{answers: map[string][]string{"10.0.0.1:80": strings.Split(a, ","), "10.0.0.2:80": strings.Split(b, ",")}, started: time.Now()}
-		client, problem := New("10.0.0.1:80, 10.0.0.2:80")
-		if problem != nil {
-			t.Fatal(problem)
+		m = &fakeMembers{answers: map[string][]string{"10.0.0.1:80": strings.Split(a, ","), "10.0.0.2:80": strings.Split(b, ",")}, started: time.Now()}
+		client, newErr := New("10.0.0.1:80, 10.0.0.2:80")
+		if newErr != nil {
+			t.Fatal(newErr)
 		}
 		client.Transport = m
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -73,16 +73,15 @@
 	return answer, m, err
 }
 
-// The protocol page names the answers after which a caller goes on to another member and those that end a call. zincloftctl
-// once knew one member only: an operator had to go on by hand, and a member that was cut off held the call for five seconds.
+// TestCallRetriesAtAnotherMember guards against a call that fails or hangs because a single member is unavailable.
 func TestCallRetriesAtAnotherMember(t *testing.T) {
 	for _, first := range []string{"failed", "silent", "Service Unavailable", "Internal Server Error", "Gateway Timeout", "Request Timeout", "Too Many Requests", "Not Found"} {
 		answer, m, err := call(t, first, "OK")
 		if err != nil || answer != "from 10.0.0.2:80" || len(m.calls) != 2 || m.calls[1] != "10.0.0.2:80 evacuations.start a b x" {
 			t.Errorf("%s: %q, %v, %q", first, answer, err, m.calls)
 		}
-		if least := map[string]time.Duration{"silent": AttemptTimeout}[first]; m.times[1] < least || m.times[1] > least+2*minBackoff {
-			t.Errorf("%s: retried after %v", first, m.times[1])
+		if minDelay := map[string]time.Duration{"silent": AttemptTimeout}[first]; m.times[1] < minDelay || m.times[1] > minDelay+2*minBackoff {
+			t.Errorf("%s: retried after %v, want %v to %v", first, m.times[1], minDelay, minDelay+2*minBackoff)
 		}
 	}
 }
@@ -96,11 +95,11 @@
 		}
 	}
 	if _, m, err := call(t, "Not Found", "Not Found"); err == nil || len(m.calls) != 3 {
-		t.Errorf("another 4xx: %v, %q", err, m.calls)
+		t.Errorf("404 from all members: %v, %q", err, m.calls)
 	}
 }
 
-// A member may redirect to another one with 307; the call follows twice, with its body.
+// TestTemporaryRedirectIsFollowedTwice checks that an attempt follows two 307 redirects, with the body, and not a third.
 func TestTemporaryRedirectIsFollowedTwice(t *testing.T) {
 	answer, m, err := call(t, "to 10.0.0.2:80", "to 10.0.0.2:80,OK")
 	if err != nil || answer != "from 10.0.0.2:80" || len(m.calls) != 3 || m.calls[2] != "10.0.0.2:80 evacuations.start a b x" {
@@ -108,15 +107,15 @@
 	}
 	answer, m, err = call(t, "to 10.0.0.1:80,to 10.0.0.1:80,to 10.0.0.1:80,Conflict", "OK")
 	if err != nil || answer != "from 10.0.0.2:80" || len(m.calls) != 4 {
-		t.Errorf("a third one: %q, %v, %q", answer, err, m.calls)
+		t.Errorf("third redirect: %q, %v, %q", answer, err, m.calls)
 	}
 }
 
-// The backoff grows, so that callers do not overload a control plane in trouble; the error tells what was met last.
+// TestBackoffGrowsUntilTheContextEnds guards against retries that overload an unavailable control plane.
 func TestBackoffGrowsUntilTheContextEnds(t *testing.T) {
 	_, m, err := call(t, "Service Unavailable", "failed")
 	var unconfirmed *UnconfirmedError
-	if !errors.As(err, &unconfirmed) || !strings.Contains(err.Error(), "no clear answer") {
+	if !errors.As(err, &unconfirmed) || !strings.Contains(err.Error(), "unconfirmed after") {
 		t.Fatalf("%v", err)
 	}
 	n := len(m.times)
@@ -124,7 +123,7 @@
 		t.Errorf("called at %v", m.times)
 	}
 	if m.times[n-1] > 10*time.Second {
-		t.Errorf("called after the end: %v", m.times)
+		t.Errorf("called after the context was done: %v", m.times)
 	}
 }
 
--- a/internal/daemons/controlclient/outcome.go
+++ b/internal/daemons/controlclient/outcome.go
@@ -5,35 +5,36 @@
 	"net/http"
 )
 
-// maxUnclearRejections is how often a call must receive a 4xx status that the protocol page does not name until it ends.
-const maxUnclearRejections = 3
+// maxUnlistedRejections is the number of responses with the same 4xx status, of those for which the protocol does not define whether
+// to retry, after which a call is considered rejected.
+const maxUnlistedRejections = 3
 
-// outcome is what a response means for a call.
+// outcome is the effect of a response on a call.
 type outcome int
 
 const (
 	accepted outcome = iota
-	rejected         // for good
+	rejected         // not retried
 	retry
 )
 
-// classify returns what a status means that a call has received for the n-th time, counted from 1.
+// classify returns the outcome of a status that a call has received for the n-th time, counting from 1.
 func classify(status, n int) outcome {
 	switch {
 	case status >= 200 && status < 300:
 		return accepted
 	case status == http.StatusRequestTimeout || status == http.StatusTooManyRequests || status >= 500:
 		return retry
-	case endsCall(status):
+	case isRejection(status):
 		return rejected
-	case status >= 400 && n >= maxUnclearRejections:
+	case status >= 400 && n >= maxUnlistedRejections:
 		return rejected
 	}
 	return retry
 }
 
-// endsCall reports whether the protocol page names a status as one after which a call isn't repeated.
-func endsCall(status int) bool {
+// isRejection reports whether the protocol defines a status as a final rejection.
+func isRejection(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
 		http.StatusUnprocessableEntity:
@@ -42,7 +43,7 @@
 	return false
 }
 
-// StatusError is a response other than 2xx.
+// StatusError is a response with a status other than 2xx.
 type StatusError struct {
 	Status int
 	Body   []byte
@@ -52,7 +53,7 @@
 	return fmt.Sprintf("%d %s: %s", e.Status, http.StatusText(e.Status), e.Body)
 }
 
-// RejectedError means that a member has rejected a call for good; it was not executed.
+// RejectedError means that a member rejected a call without executing it, and that the call must not be retried.
 type RejectedError struct {
 	Call string
 	Err  *StatusError
@@ -63,8 +64,8 @@
 // Unwrap returns the member's response.
 func (e *RejectedError) Unwrap() error { return e.Err }
 
-// UnconfirmedError means that a call ended without a clear answer: it may have been executed. Err is what the last attempt
-// met.
+// UnconfirmedError means that the context was done before a member accepted or rejected the call. The call may have been executed.
+// Err is the error of the last attempt.
 type UnconfirmedError struct {
 	Call     string
 	Attempts int
@@ -72,8 +73,8 @@
 }
 
 func (e *UnconfirmedError) Error() string {
-	return fmt.Sprintf("%s: no clear answer after %d attempts; the last: %v", e.Call, e.Attempts, e.Err)
+	return fmt.Sprintf("%s: unconfirmed after %d attempts; last error: %v", e.Call, e.Attempts, e.Err)
 }
 
-// Unwrap returns what the last attempt met.
+// Unwrap returns the error of the last attempt.
 func (e *UnconfirmedError) Unwrap() error { return e.Err }
