--- a/internal/daemons/gossip/encoding_test.go
+++ b/internal/daemons/gossip/encoding_test.go
@@ -13,7 +13,8 @@
 	"zincloft.example/zincloft/peersampling"
 )
 
-// TestDatagramEncoding compares a datagram's bytes with those that commit 2705c65 sent. See package compatibility.
+// TestDatagramEncoding guards against an incompatible change of the datagram encoding. The file under testdata was written by an
+// earlier version; see package compatibility.
 func TestDatagramEncoding(t *testing.T) {
 	sent := datagram{Reply: true, Descriptors: []peersampling.Descriptor{
 		{Addr: "10.0.0.1:7001", Role: 1, Zone: "a", Age: 3},
--- a/internal/daemons/gossip/shuffler.go
+++ b/internal/daemons/gossip/shuffler.go
@@ -1,4 +1,4 @@
-// Package gossip carries the shuffles of peersampling over UDP: one datagram out and one back in each round.
+// Package gossip runs the peersampling protocol over UDP. Each round consists of one offer and one reply, a datagram each.
 package gossip
 
 import (
@@ -16,33 +16,33 @@
 )
 
 const (
-	initialInterval = 500 * time.Millisecond // between the first rounds
-	steadyInterval  = 4 * time.Second        // between later ones: each costs bytes between zones
+	initialInterval = 500 * time.Millisecond // mean interval of the first rounds
+	steadyInterval  = 4 * time.Second        // mean interval of later rounds; long to limit traffic between zones
 	initialRounds   = 6
-	maxDatagramSize = 1400 // bytes, below the MTU of common networks
+	maxDatagramSize = 1400 // bytes; below the MTU of common networks
 )
 
-// datagram is an offer, or the reply to one.
+// datagram is an offer or a reply to an offer.
 type datagram struct {
 	Reply       bool                      `cbor:"1,keyasint,omitempty"`
 	Descriptors []peersampling.Descriptor `cbor:"2,keyasint"`
 }
 
-// Shuffler takes part in the shuffling for one process. Its methods may be called by several goroutines.
+// Shuffler runs the protocol for one process. It is safe for concurrent use.
 type Shuffler struct {
 	conn    *net.UDPConn
-	resolve func(string) string // the address to send to, in place of a peer's own
+	resolve func(string) string // maps a peer's address to the address to send to
 
 	mu   sync.Mutex // guards view
 	view *peersampling.PartialView
 }
 
-// Start listens at the process's own address and shuffles until ctx ends. resolve returns the address at which a peer can be
-// reached, where that is not its own; nil: each peer is reached at its own address.
+// Start listens on the address of self and runs the protocol until ctx is canceled. resolve maps a peer's address to the address
+// at which it is reachable; nil means that they are the same.
 func Start(ctx context.Context, self peersampling.Descriptor, seeds []string, resolve func(string) string) (*Shuffler, error) {
 	addr, err := net.ResolveUDPAddr("udp4", self.Addr)
 	if err != nil {
-		return nil, merry.Prepend(err, "gossip address")
+		return nil, merry.Prepend(err, "resolving the gossip address")
 	}
 	conn, err := net.ListenUDP("udp4", addr)
 	if err != nil {
@@ -57,14 +57,14 @@
 	return s, nil
 }
 
-// Peers lists the known peers of a role, those most recently heard of first.
+// Peers returns the known peers of a role, ordered from the most recently seen to the oldest.
 func (s *Shuffler) Peers(role peersampling.Role) []peersampling.Descriptor {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view.Peers(role)
 }
 
-// run begins a round after the other until ctx ends; closing the socket then ends receive too.
+// run starts rounds until ctx is canceled. It then closes the socket, which ends receive.
 func (s *Shuffler) run(ctx context.Context) {
 	defer func() { _ = s.conn.Close() }() // a UDP socket has nothing to flush
 	for round := 0; ; round++ {
@@ -90,7 +90,7 @@
 	}
 }
 
-// send sends a datagram, or drops it: a lost one is made up for by the next round.
+// send sends a datagram. Errors are ignored like packet loss, because later rounds compensate for it.
 func (s *Shuffler) send(to string, message datagram) {
 	addr, err := net.ResolveUDPAddr("udp4", s.resolve(to))
 	if err != nil {
@@ -100,10 +100,10 @@
 	if err != nil || len(encoded) > maxDatagramSize {
 		return
 	}
-	_, _ = s.conn.WriteToUDP(encoded, addr) // as if it were lost on the way
+	_, _ = s.conn.WriteToUDP(encoded, addr) // see above
 }
 
-// receive handles datagrams until the socket is closed. What cannot be decoded is ignored.
+// receive handles datagrams until the socket is closed. Datagrams that cannot be decoded are ignored.
 func (s *Shuffler) receive() {
 	buffer := make([]byte, 2*maxDatagramSize)
 	for {
@@ -118,11 +118,11 @@
 		if cbor.Unmarshal(buffer[:size], &message) != nil || len(message.Descriptors) == 0 {
 			continue
 		}
-		s.handle(from, message)
+		s.handleDatagram(from, message)
 	}
 }
 
-func (s *Shuffler) handle(from *net.UDPAddr, message datagram) {
+func (s *Shuffler) handleDatagram(from *net.UDPAddr, message datagram) {
 	if message.Reply {
 		s.mu.Lock()
 		s.view.HandleReply(message.Descriptors)
--- a/internal/daemons/gossip/shuffler_test.go
+++ b/internal/daemons/gossip/shuffler_test.go
@@ -9,7 +9,7 @@
 	"zincloft.example/zincloft/peersampling"
 )
 
-// freeUDPAddress returns a loopback address that nobody listened at a moment ago.
+// freeUDPAddress returns a loopback address that is currently free.
 func freeUDPAddress(t *testing.T) string {
 	t.Helper()
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -24,8 +24,8 @@
 	return conn.LocalAddr().String()
 }
 
-// A gateway that knows only a seed becomes known to it, and the seed to the gateway.
-func TestShufflersLearnOfEachOther(t *testing.T) {
+// TestShufflersDiscoverEachOther checks that a gateway and its seed, which initially does not know the gateway, discover each other.
+func TestShufflersDiscoverEachOther(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	memberAddr, gatewayAddr := freeUDPAddress(t), freeUDPAddress(t)
@@ -44,13 +44,13 @@
 	deadline := time.Now().Add(10 * time.Second)
 	for !knows(member, peersampling.RoleGateway, gatewayAddr) || !knows(gateway, peersampling.RoleControlPlane, memberAddr) {
 		if time.Now().After(deadline) {
-			t.Fatalf("the member knows %+v, the gateway %+v", member.Peers(peersampling.RoleGateway), gateway.Peers(peersampling.RoleControlPlane))
+			t.Fatalf("no mutual discovery within 10 s: the member knows %+v, the gateway %+v", member.Peers(peersampling.RoleGateway), gateway.Peers(peersampling.RoleControlPlane))
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-func TestStartNamesAnAddressInUse(t *testing.T) {
+func TestStartFailsForAddressInUse(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	self := peersampling.Descriptor{Addr: freeUDPAddress(t), Role: peersampling.RoleGateway}
@@ -58,6 +58,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Start(ctx, self, nil, nil); err == nil {
-		t.Error("two shufflers listen at one address")
+		t.Error("Start succeeded for an address in use")
 	}
 }
--- a/internal/daemons/nodesettings/load.go
+++ b/internal/daemons/nodesettings/load.go
@@ -9,10 +9,10 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrPathNotSet is returned by Load where PathVariable is empty.
-var ErrPathNotSet = errors.New("settings: " + PathEnvVar + " is not set")
+// ErrPathNotSet is returned by Load if PathEnvVar is unset or empty.
+var ErrPathNotSet = errors.New("settings: " + PathEnvVar + " must be set")
 
-// Load reads the file that PathVariable names. FileChanged compares with this moment from then on.
+// Load reads the settings file named by PathEnvVar. FileChanged then reports changes made after this call.
 func Load() (*Settings, error) {
 	path := os.Getenv(PathEnvVar)
 	if path == "" {
@@ -22,15 +22,15 @@
 	return Read(path)
 }
 
-// lastSeen is the settings file's size and modification time when FileChanged was last called.
+// lastSeen holds the size and the modification time of the settings file at the last call of FileChanged.
 var lastSeen struct {
 	sync.Mutex
 	size    int64
 	modTime time.Time
 }
 
-// FileChanged reports whether the file that PathVariable names has changed since the last call of FileChanged or Load. It
-// may be called by several goroutines; one of them learns of each change. A file that cannot be read has not changed.
+// FileChanged reports whether the settings file has changed since the last call of FileChanged or Load. A file that cannot be
+// accessed counts as unchanged. FileChanged is safe for concurrent use; each change is reported to one caller only.
 func FileChanged() bool {
 	info, err := os.Stat(os.Getenv(PathEnvVar))
 	if err != nil {
--- a/internal/daemons/nodesettings/load_test.go
+++ b/internal/daemons/nodesettings/load_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestFileChanged(t *testing.T) {
-	Convey("A file that changes without a signal is noticed once", t, func() {
+	Convey("A changed file is reported once", t, func() {
 		path := filepath.Join(t.TempDir(), "node.yaml")
 		So(os.WriteFile(path, []byte(validFile), 0o600), ShouldBeNil)
 		t.Setenv(PathEnvVar, path)
@@ -26,6 +26,6 @@
 func TestLoadWithoutPath(t *testing.T) {
 	t.Setenv(PathEnvVar, "")
 	if _, err := Load(); !errors.Is(err, ErrPathNotSet) {
-		t.Errorf("got %v, want ErrPathNotSet", err)
+		t.Errorf("got error %v, want ErrPathNotSet", err)
 	}
 }
--- a/internal/daemons/nodesettings/metrics.go
+++ b/internal/daemons/nodesettings/metrics.go
@@ -7,16 +7,17 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrInvalidMetricsEndpoint says that a text is not PORT/PATH.
-var ErrInvalidMetricsEndpoint = merry.Sentinel("metrics: is not PORT/PATH, such as 9464/metrics")
+// ErrInvalidMetricsEndpoint means that a metrics endpoint is not of the form PORT/PATH.
+var ErrInvalidMetricsEndpoint = merry.Sentinel("metrics: must be PORT/PATH, such as 9464/metrics")
 
-// MetricsEndpoint is where a process serves its own figures: a port of its address, and a path. The zero value is nowhere.
+// MetricsEndpoint is the port and path at which a process serves its metrics. The zero value disables metrics.
 type MetricsEndpoint struct {
 	Port uint16
-	Path string // begins with a slash
+	Path string // starts with a slash
 }
 
-// ParseMetricsEndpoint reads PORT/PATH; an empty text is nowhere. The error is ErrInvalidMetricsEndpoint.
+// ParseMetricsEndpoint parses an endpoint of the form PORT/PATH. An empty string disables metrics. The only error is
+// ErrInvalidMetricsEndpoint.
 func ParseMetricsEndpoint(text string) (MetricsEndpoint, error) {
 	if text == "" {
 		return MetricsEndpoint{}, nil
@@ -29,5 +30,5 @@
 	return MetricsEndpoint{Port: uint16(number), Path: "/" + path}, nil
 }
 
-// IsDisabled tells whether no figures are served.
+// IsDisabled reports whether metrics are disabled.
 func (e MetricsEndpoint) IsDisabled() bool { return e.Port == 0 }
--- a/internal/daemons/nodesettings/parse.go
+++ b/internal/daemons/nodesettings/parse.go
@@ -10,33 +10,32 @@
 	"github.com/tidwall/gjson"
 )
 
-// Tables of the settings file.
+// Path prefixes of the sections of the settings file.
 const (
-	selfTable     = "self_settings."
-	networkTable  = "network_settings."
-	platformTable = "platform_settings."
-	rulesTable    = "rule_terms."
-	boundsTable   = rulesTable + "bounds."
+	selfSection     = "self_settings."
+	networkSection  = "network_settings."
+	platformSection = "platform_settings."
+	rulesSection    = "rule_terms."
+	boundsSection   = rulesSection + "bounds."
 )
 
-// maxPort is the largest port number.
 const maxPort = 65535
 
-// Parse reads settings. Where a value is wrong the error is, or wraps, a FieldError of the first one.
+// Parse parses and validates settings. If a value is invalid, the error is a *FieldError for the first invalid value.
 func Parse(raw []byte) (*Settings, error) {
 	document, err := yaml.YAMLToJSON(raw)
 	if err != nil {
-		return nil, merry.Errorf("settings: not YAML: %w", err)
+		return nil, merry.Errorf("settings: must be valid YAML: %w", err)
 	}
 	r := &fieldReader{document: gjson.ParseBytes(document)}
 	if !r.document.IsObject() {
-		return nil, merry.New("settings: the file holds no tables")
+		return nil, merry.New("settings: must be a YAML mapping")
 	}
 	settings := &Settings{}
 	r.readSelf(settings)
 	r.readAddresses(settings)
 	r.readRules(settings)
-	settings.Serves = r.textList(selfTable + "serves")
+	settings.Serves = r.stringList(selfSection + "serves")
 	settings.IP = r.ip()
 	settings.FirstInternalPort, settings.LastInternalPort = r.internalPorts()
 	settings.Seeds = r.seeds()
@@ -50,88 +49,88 @@
 }
 
 func (r *fieldReader) readSelf(s *Settings) {
-	s.Name = r.requiredText(selfTable + "node_name")
-	s.Role = r.text(selfTable + "role")
-	s.MachineClass = r.text(selfTable + "machine_class")
-	s.Zone = r.requiredText(selfTable + "zone")
-	s.Region = r.text(selfTable + "region")
-	s.CountsForFaultTolerance = r.boolean(selfTable + "counted")
-	s.FirstStart = r.boolean(selfTable + "first_start")
-	s.DataDir = r.text(selfTable + "data_directory")
-	s.MemoryMB = int64(r.number(selfTable+"limits.memory_mb", 16, 256))
-	s.FileDescriptors = int64(r.number(selfTable+"limits.file_descriptors", 64, 1024))
-	s.LinkMbps = r.number(selfTable+"limits.link_mbps", 0.01, 100)
-	s.CPUCores = r.number(selfTable+"limits.cpu_share", 0.001, 1) * r.number(selfTable+"limits.cpu_cores", 0.001, 1)
+	s.Name = r.requiredString(selfSection + "node_name")
+	s.Role = r.optionalString(selfSection + "role")
+	s.MachineClass = r.optionalString(selfSection + "machine_class")
+	s.Zone = r.requiredString(selfSection + "zone")
+	s.Region = r.optionalString(selfSection + "region")
+	s.CountsForFaultTolerance = r.boolean(selfSection + "counted")
+	s.FirstStart = r.boolean(selfSection + "first_start")
+	s.DataDir = r.optionalString(selfSection + "data_directory")
+	s.MemoryMB = int64(r.number(selfSection+"limits.memory_mb", 16, 256))
+	s.FileDescriptors = int64(r.number(selfSection+"limits.file_descriptors", 64, 1024))
+	s.LinkMbps = r.number(selfSection+"limits.link_mbps", 0.01, 100)
+	s.CPUCores = r.number(selfSection+"limits.cpu_share", 0.001, 1) * r.number(selfSection+"limits.cpu_cores", 0.001, 1)
 }
 
 func (r *fieldReader) readAddresses(s *Settings) {
-	s.FrontAddress = r.address(networkTable + "listen_addresses.front")
-	s.ReadinessAddress = r.address(networkTable + "listen_addresses.readiness")
-	s.ControlAddress = r.address(networkTable + "listen_addresses.control")
+	s.FrontAddress = r.addressWithPort(networkSection + "listen_addresses.front")
+	s.ReadinessAddress = r.addressWithPort(networkSection + "listen_addresses.readiness")
+	s.ControlAddress = r.addressWithPort(networkSection + "listen_addresses.control")
 }
 
 func (r *fieldReader) readRules(s *Settings) {
-	s.HeartbeatInterval = r.positiveDuration(platformTable+"heartbeat_interval", 1500*time.Millisecond)
+	s.HeartbeatInterval = r.positiveDuration(platformSection+"heartbeat_interval", 1500*time.Millisecond)
 	s.FaultTolerance = FaultTolerance{
-		Machines: r.count(rulesTable+"fault_tolerance.machines", 1),
-		Zones:    r.count(rulesTable+"fault_tolerance.zones", 0),
-		Regions:  r.count(rulesTable+"fault_tolerance.regions", 0),
+		Machines: r.nonNegativeInt(rulesSection+"fault_tolerance.machines", 1),
+		Zones:    r.nonNegativeInt(rulesSection+"fault_tolerance.zones", 0),
+		Regions:  r.nonNegativeInt(rulesSection+"fault_tolerance.regions", 0),
 	}
-	s.ActiveContracts = r.textList(rulesTable + "active_contracts")
+	s.ActiveContracts = r.stringList(rulesSection + "active_contracts")
 }
 
 func (r *fieldReader) ip() netip.Addr {
-	path := selfTable + "ip_address"
-	ip, err := netip.ParseAddr(r.requiredText(path))
+	path := selfSection + "ip_address"
+	ip, err := netip.ParseAddr(r.requiredString(path))
 	if err != nil {
-		r.fail(path, "is not an IP address")
+		r.fail(path, "must be an IP address")
 	}
 	return ip
 }
 
 func (r *fieldReader) internalPorts() (first, last int) {
-	path := networkTable + "internal_port_range"
+	path := networkSection + "internal_port_range"
 	ports := r.document.Get(path).Array()
 	if len(ports) != 2 || ports[0].Int() < 1 || ports[1].Int() > maxPort || ports[1].Int()-ports[0].Int() < 1 {
-		r.fail(path, "is not a first and a last port, two at least")
+		r.fail(path, "must be an array of two ports, the first less than the last")
 		return 0, 0
 	}
 	return int(ports[0].Int()), int(ports[1].Int())
 }
 
 func (r *fieldReader) seeds() []netip.AddrPort {
-	path := networkTable + "seed_nodes"
+	path := networkSection + "seed_nodes"
 	var seeds []netip.AddrPort
 	for i, value := range r.document.Get(path).Array() {
 		seed, err := netip.ParseAddrPort(value.String())
 		if err != nil {
-			r.fail(path+"."+strconv.Itoa(i), "is not an address with a port")
+			r.fail(path+"."+strconv.Itoa(i), "must be an IP address with a port")
 			continue
 		}
 		seeds = append(seeds, seed)
 	}
 	if len(seeds) == 0 {
-		r.fail(path, "names nobody")
+		r.fail(path, "must not be empty")
 	}
 	return seeds
 }
 
 func (r *fieldReader) zoneRegions() map[string]string {
 	regions := map[string]string{}
-	for zone, region := range r.document.Get(networkTable + "zones").Map() {
+	for zone, region := range r.document.Get(networkSection + "zones").Map() {
 		regions[zone] = region.String()
 	}
 	return regions
 }
 
 func (r *fieldReader) forwardedAddresses() map[string]string {
-	path := networkTable + "forwarded_addresses"
+	path := networkSection + "forwarded_addresses"
 	forwarded := map[string]string{}
 	for address, value := range r.document.Get(path).Map() {
 		_, addressErr := netip.ParseAddrPort(address)
 		_, valueErr := netip.ParseAddrPort(value.String())
 		if addressErr != nil || valueErr != nil {
-			r.fail(path+"."+address, "is not an address with a port by another")
+			r.fail(path+"."+address, "the key and the value must be IP addresses with ports")
 		}
 		forwarded[address] = value.String()
 	}
@@ -140,17 +139,17 @@
 
 func (r *fieldReader) bounds() Bounds {
 	return Bounds{
-		AddressReuseDelay:  r.duration(boundsTable+"address_reuse", 0, 2*time.Second),
-		AckDeadline:        r.positiveDuration(boundsTable+"ack_deadline", 5*time.Second),
-		DrainDeadline:      r.positiveDuration(boundsTable+"drain_deadline", 2*time.Second),
-		GracePeriod:        r.positiveDuration(boundsTable+"grace_period", 6*time.Second),
-		ConfigDeadline:     r.positiveDuration(boundsTable+"config_deadline", 2*time.Second),
-		EvacuationDeadline: r.positiveDuration(boundsTable+"evacuation", 5*time.Second),
-		CatchUpTime:        r.positiveDuration(boundsTable+"catch_up", 4*time.Second),
-		RetryBudgetRatio:   r.number(boundsTable+"retry_budget_ratio", 0, 0.2),
-		RetryBudgetWindow:  r.positiveDuration(boundsTable+"budget_window", 10*time.Second),
-		RetryBudgetSlack:   r.number(boundsTable+"retry_budget_slack", 0, 10),
-		WarmupOverage:      r.number(boundsTable+"cold_overage", 1, 1.5),
-		WarmupSlack:        r.number(boundsTable+"cold_slack", 0, 5),
+		AddressReuseDelay:  r.nonNegativeDuration(boundsSection+"address_reuse", 2*time.Second),
+		AckDeadline:        r.positiveDuration(boundsSection+"ack_deadline", 5*time.Second),
+		DrainDeadline:      r.positiveDuration(boundsSection+"drain_deadline", 2*time.Second),
+		GracePeriod:        r.positiveDuration(boundsSection+"grace_period", 6*time.Second),
+		ConfigDeadline:     r.positiveDuration(boundsSection+"config_deadline", 2*time.Second),
+		EvacuationDeadline: r.positiveDuration(boundsSection+"evacuation", 5*time.Second),
+		CatchUpTime:        r.positiveDuration(boundsSection+"catch_up", 4*time.Second),
+		RetryBudgetRatio:   r.number(boundsSection+"retry_budget_ratio", 0, 0.2),
+		RetryBudgetWindow:  r.positiveDuration(boundsSection+"budget_window", 10*time.Second),
+		RetryBudgetSlack:   r.number(boundsSection+"retry_budget_slack", 0, 10),
+		WarmupOverage:      r.number(boundsSection+"cold_overage", 1, 1.5),
+		WarmupSlack:        r.number(boundsSection+"cold_slack", 0, 5),
 	}
 }
--- a/internal/daemons/nodesettings/parse_test.go
+++ b/internal/daemons/nodesettings/parse_test.go
@@ -33,7 +33,7 @@
 `
 
 func TestParse(t *testing.T) {
-	Convey("Settings are read and unknown keys are skipped", t, func() {
+	Convey("Settings are read and unknown keys are ignored", t, func() {
 		s, err := Parse([]byte(validFile))
 		So(err, ShouldBeNil)
 		So(s.FrontAddress, ShouldEqual, "10.1.0.34:8548")
@@ -49,7 +49,7 @@
 		So(s.ActiveContracts, ShouldResemble, []string{"base", "drain", "a-later-one"})
 		So(s.Bounds.AddressReuseDelay, ShouldEqual, 0)
 	})
-	Convey("One seed is enough, as fewer than three members may serve control; what is missing has its default", t, func() {
+	Convey("One seed is accepted, and missing values have their defaults", t, func() {
 		s, err := Parse([]byte(strings.Replace(strings.Replace(validFile, `, "10.2.0.37:8544"`, "", 1), "first_start: true", "", 1)))
 		So(err, ShouldBeNil)
 		So(s.SeedPeerAddresses(), ShouldResemble, []string{"10.1.0.37:7540"})
@@ -58,8 +58,8 @@
 	})
 }
 
-func TestParseNamesThePathAtFault(t *testing.T) {
-	Convey("What is wrong is named by its path", t, func() {
+func TestParseErrorsContainThePath(t *testing.T) {
+	Convey("The error contains the path of the invalid value", t, func() {
 		for _, fault := range []struct{ old, new, path string }{
 			{`node_name: "edge-1"`, `node_name: ""`, "self_settings.node_name"},
 			{`ip_address: "10.1.0.34"`, `ip_address: "here"`, "self_settings.ip_address"},
@@ -71,7 +71,7 @@
 			{`cold_slack: 5`, `cold_slack: "five"`, "rule_terms.bounds.cold_slack"},
 			{`front: "10.1.0.34:8548"`, `front: 8548`, "network_settings.listen_addresses.front"},
 			{`memory_mb: 284`, `memory_mb: -1`, "self_settings.limits.memory_mb"},
-			// A text such as "no" was once taken for false, and a control plane that starts for the first time for one that has lost its disks.
+			// A value of another type must not be read as false: at the first start, members would be treated as having lost their disks.
 			{`first_start: true`, `first_start: "no"`, "self_settings.first_start"},
 			{`first_start: true`, `first_start: 1`, "self_settings.first_start"},
 			{`machines: 2`, `machines: 1.5`, "rule_terms.fault_tolerance.machines"},
@@ -92,7 +92,7 @@
 		}
 		_, err := Parse([]byte("a: [b"))
 		So(err, ShouldNotBeNil)
-		_, err = Parse([]byte("just a text"))
+		_, err = Parse([]byte("just a string"))
 		So(err, ShouldNotBeNil)
 	})
 }
--- a/internal/daemons/nodesettings/reader.go
+++ b/internal/daemons/nodesettings/reader.go
@@ -9,15 +9,15 @@
 	"github.com/tidwall/gjson"
 )
 
-// FieldError names a path of the settings file and what is wrong with its value.
+// FieldError means that a value of the settings file is invalid.
 type FieldError struct {
-	Path    string
+	Path    string // of the value, such as "self_settings.zone"
 	Problem string
 }
 
 func (e *FieldError) Error() string { return "settings: " + e.Path + ": " + e.Problem }
 
-// fieldReader reads typed values by their paths and keeps the first error.
+// fieldReader reads typed values by path and records the first error.
 type fieldReader struct {
 	document gjson.Result
 	err      error
@@ -29,27 +29,27 @@
 	}
 }
 
-// optional returns the value at path; present is false where it is missing or null.
+// optional returns the value at path. present is false if the value is missing or null.
 func (r *fieldReader) optional(path string) (value gjson.Result, present bool) {
 	value = r.document.Get(path)
 	return value, value.Exists() && value.Type != gjson.Null
 }
 
-// text reads a string; what is missing or null is empty.
-func (r *fieldReader) text(path string) string {
+// optionalString reads a string, which is empty if it is missing or null.
+func (r *fieldReader) optionalString(path string) string {
 	value, present := r.optional(path)
 	if present && value.Type != gjson.String {
-		r.fail(path, "is not a text")
+		r.fail(path, "must be a string")
 		return ""
 	}
 	return value.Str
 }
 
-// requiredText reads a string that may be neither missing nor empty.
-func (r *fieldReader) requiredText(path string) string {
-	text := r.text(path)
+// requiredString reads a string that must not be missing or empty.
+func (r *fieldReader) requiredString(path string) string {
+	text := r.optionalString(path)
 	if text == "" {
-		r.fail(path, "is missing or empty")
+		r.fail(path, "must be a non-empty string")
 	}
 	return text
 }
@@ -57,78 +57,83 @@
 // number reads a number that is at least minimum.
 func (r *fieldReader) number(path string, minimum, defaultValue float64) float64 {
 	value, present := r.optional(path)
-	switch {
-	case !present:
+	if !present {
 		return defaultValue
-	case value.Type != gjson.Number:
-		r.fail(path, "is not a number")
-	case value.Num < minimum:
-		r.fail(path, "is too small")
+	}
+	if value.Type != gjson.Number || value.Num < minimum {
+		r.fail(path, "must be a number of at least "+strconv.FormatFloat(minimum, 'g', -1, 64))
 	}
 	return value.Num
 }
 
-// count reads an integer of 0 or more.
-func (r *fieldReader) count(path string, defaultValue int) int {
+// nonNegativeInt reads an integer that is not negative.
+func (r *fieldReader) nonNegativeInt(path string, defaultValue int) int {
 	value := r.number(path, 0, float64(defaultValue))
 	if value != math.Trunc(value) {
-		r.fail(path, "is not an integer")
+		r.fail(path, "must be an integer")
 	}
 	return int(value)
 }
 
-// boolean reads true or false; what is missing is false.
+// boolean reads a boolean, which is false if it is missing or null.
 func (r *fieldReader) boolean(path string) bool {
 	value, present := r.optional(path)
 	if present && !value.IsBool() {
-		r.fail(path, "is neither true nor false")
+		r.fail(path, "must be true or false")
 	}
 	return value.Type == gjson.True
 }
 
-// textList reads a list of strings, none of them empty.
-func (r *fieldReader) textList(path string) []string {
+// stringList reads an array of non-empty strings.
+func (r *fieldReader) stringList(path string) []string {
 	value, present := r.optional(path)
 	if present && !value.IsArray() {
-		r.fail(path, "is not a list")
+		r.fail(path, "must be an array")
 		return nil
 	}
-	var texts []string
+	var list []string
 	for i, element := range value.Array() {
 		if element.Type != gjson.String || element.Str == "" {
-			r.fail(path+"."+strconv.Itoa(i), "is empty or not a text")
+			r.fail(path+"."+strconv.Itoa(i), "must be a non-empty string")
 		}
-		texts = append(texts, element.Str)
+		list = append(list, element.Str)
 	}
-	return texts
+	return list
 }
 
-// positiveDuration reads a duration above zero.
+// positiveDuration reads a duration that is greater than zero.
 func (r *fieldReader) positiveDuration(path string, defaultValue time.Duration) time.Duration {
-	return r.duration(path, time.Nanosecond, defaultValue)
+	duration := r.nonNegativeDuration(path, defaultValue)
+	if duration == 0 {
+		r.fail(path, "must be greater than zero")
+	}
+	return duration
 }
 
-// duration reads a duration that is at least minimum.
-func (r *fieldReader) duration(path string, minimum, defaultValue time.Duration) time.Duration {
-	text := r.text(path)
+// nonNegativeDuration reads a duration that is not negative.
+func (r *fieldReader) nonNegativeDuration(path string, defaultValue time.Duration) time.Duration {
+	text := r.optionalString(path)
 	if text == "" {
 		return defaultValue
 	}
 	duration, err := time.ParseDuration(text)
-	if err != nil || duration < minimum {
-		r.fail(path, `is not a time such as "1500ms"`)
+	switch {
+	case err != nil:
+		r.fail(path, `must be a duration such as "1500ms"`)
+	case duration < 0:
+		r.fail(path, "must not be negative")
 	}
 	return duration
 }
 
-// address reads an IP address with a port; what is missing is empty.
-func (r *fieldReader) address(path string) string {
-	text := r.text(path)
+// addressWithPort reads an IP address with a port, which is empty if it is missing or null.
+func (r *fieldReader) addressWithPort(path string) string {
+	text := r.optionalString(path)
 	if text == "" {
 		return ""
 	}
 	if _, err := netip.ParseAddrPort(text); err != nil {
-		r.fail(path, "is not an address with a port")
+		r.fail(path, "must be an IP address with a port")
 	}
 	return text
 }
--- a/internal/daemons/nodesettings/settings.go
+++ b/internal/daemons/nodesettings/settings.go
@@ -1,7 +1,6 @@
-// Package nodesettings reads and checks the settings file that gives a process of the gateway its name, its place and its limits.
+// Package nodesettings reads and validates the settings file of a gateway or control-plane process.
 //
-// The file is YAML. It is turned into JSON and then read by gjson paths, so that each error names the path at fault.
-// Unknown keys are skipped.
+// The file is YAML. It is converted to JSON and read by gjson paths, which error messages contain. Unknown keys are ignored.
 package nodesettings
 
 import (
@@ -9,49 +8,48 @@
 	"time"
 )
 
-// PathEnvVar is the environment variable that holds the settings file's path.
+// PathEnvVar is the environment variable that holds the path of the settings file.
 const PathEnvVar = "ZINCLOFT_NODE_FILE"
 
-// Settings are what one process is configured with.
+// Settings is the configuration of one process.
 type Settings struct {
 	Name                    string
 	Role                    string
 	MachineClass            string
-	Serves                  []string // traffic kinds, as the file names them
+	Serves                  []string // kinds of traffic that the process serves
 	IP                      netip.Addr
 	Zone                    string
 	Region                  string
-	CountsForFaultTolerance bool   // this machine counts in FaultTolerance.Machines
-	FirstStart              bool   // the control plane has never run before, so its members may begin with empty disks
-	DataDir                 string // empty: no disk
+	CountsForFaultTolerance bool   // whether the machine is one of those counted by FaultTolerance.Machines
+	FirstStart              bool   // the control plane has never run before, so its members may start with empty disks
+	DataDir                 string // empty if the process has no persistent state
 
 	MemoryMB        int64
 	FileDescriptors int64
 	LinkMbps        float64
-	CPUCores        float64 // this process's part of the machine's cores
+	CPUCores        float64 // this process's share of the machine's cores
 
-	FrontAddress      string // empty where the role serves no clients
-	ReadinessAddress  string // empty where the role serves no clients
-	ControlAddress    string // empty where the role serves no replicas and operators
+	FrontAddress      string // listens for clients; empty if not served
+	ReadinessAddress  string // listens for readiness probes; empty if not served
+	ControlAddress    string // listens for replicas and operators; empty if not served
 	FirstInternalPort int
 	LastInternalPort  int
 	Seeds             []netip.AddrPort
-	ZoneRegions       map[string]string // region of each zone
+	ZoneRegions       map[string]string // regions by zone
 
-	// ForwardedAddresses are addresses that are reached at others, as behind port forwarding: the address to dial by the one that
-	// its owner tells. They are this project's own addition to the file.
+	// ForwardedAddresses maps addresses that processes advertise to the addresses to dial instead, such as behind port forwarding.
 	ForwardedAddresses map[string]string
 
-	HeartbeatInterval time.Duration // between two heartbeats of a replica
+	HeartbeatInterval time.Duration // between heartbeats of a replica
 	FaultTolerance    FaultTolerance
-	ActiveContracts   []string // parts of the rules that are in force
+	ActiveContracts   []string // names of the rule sets in force
 	Bounds            Bounds
 
-	Metrics MetricsEndpoint // of the command line, not of the file
+	Metrics MetricsEndpoint // set by the command line, not by the file
 }
 
-// SeedPeerAddresses lists where the seeds listen for other processes of the gateway: at their IP addresses, on the first
-// internal port.
+// SeedPeerAddresses returns the addresses on which the seeds listen for gateways and other members: their IP addresses with the
+// first internal port.
 func (s *Settings) SeedPeerAddresses() []string {
 	var addresses []string
 	for _, seed := range s.Seeds {
@@ -60,7 +58,7 @@
 	return addresses
 }
 
-// DialAddress returns the address at which to dial the one that its owner tells.
+// DialAddress returns the address to dial for an advertised address.
 func (s *Settings) DialAddress(address string) string {
 	if forwarded, ok := s.ForwardedAddresses[address]; ok {
 		return forwarded
@@ -68,21 +66,21 @@
 	return address
 }
 
-// FaultTolerance is what may be lost at once with all rules kept: counted machines, or zones, or regions.
+// FaultTolerance is the number of machines, zones or regions that may fail at the same time without violating a rule.
 type FaultTolerance struct{ Machines, Zones, Regions int }
 
-// Bounds are the figures of the rules that decisions depend on.
+// Bounds are the numeric limits of the rules.
 type Bounds struct {
-	AddressReuseDelay  time.Duration // from a replica's end until its address may be another's
-	AckDeadline        time.Duration // for the acknowledgement of an operator's command
-	DrainDeadline      time.Duration // from the acknowledgement of a drain until nothing more is sent to the replica
-	GracePeriod        time.Duration // between SIGTERM and SIGKILL
-	ConfigDeadline     time.Duration // until a configuration is in force everywhere
-	EvacuationDeadline time.Duration // until an evacuated zone gets nothing more
-	CatchUpTime        time.Duration // for which a machine that came back still counts as lost
-	RetryBudgetRatio   float64       // retries for each request
+	AddressReuseDelay  time.Duration // from the end of a replica until its address may be reused by another
+	AckDeadline        time.Duration // for acknowledging an operator's command
+	DrainDeadline      time.Duration // from the acknowledgement of a drain until the replica receives no more requests
+	GracePeriod        time.Duration // from SIGTERM until SIGKILL
+	ConfigDeadline     time.Duration // until a configuration is in effect everywhere
+	EvacuationDeadline time.Duration // until an evacuated zone receives no more requests
+	CatchUpTime        time.Duration // during which a restarted machine still counts as failed
+	RetryBudgetRatio   float64       // retries per request
 	RetryBudgetWindow  time.Duration
-	RetryBudgetSlack   float64 // retries beyond the ratio, in a window, over all gateways
-	WarmupOverage      float64 // times cold_per_s that a replica that is warming up may be sent in a second
-	WarmupSlack        float64 // requests beyond WarmupOverage
+	RetryBudgetSlack   float64 // retries per window in addition to RetryBudgetRatio, over all gateways
+	WarmupOverage      float64 // maximum requests per second to a replica that is warming up, as a multiple of cold_per_s
+	WarmupSlack        float64 // requests per second in addition to that maximum
 }
