--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -1,4 +1,5 @@
-// Command controlplane is a member of the control plane: instance registry, configuration and endpoint weights.
+// Command controlplane runs a member of the control plane, which keeps the registry of replicas and the configuration and publishes
+// endpoint weights to gateways.
 package main
 
 import (
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// Command gateway is the data plane: it accepts client requests and forwards them to replicas.
+// Command gateway runs the data plane, which accepts client requests and forwards them to replicas.
 package main
 
 import (
--- a/internal/daemons/controlserver/storage.go
+++ b/internal/daemons/controlserver/storage.go
@@ -52,7 +52,7 @@
 	}
 	s.store = store
 	for _, name := range store.Quarantined {
-		s.logger.Error().Str("event", "file_quarantined").Str("file", name).Msg("damaged state file renamed")
+		s.logger.Error().Str("event", "file_quarantined").Str("file", name).Msg("corrupted state file renamed")
 	}
 	persisted, err := readState(store)
 	if err != nil {
--- a/internal/daemons/gossip/shuffler.go
+++ b/internal/daemons/gossip/shuffler.go
@@ -100,7 +100,7 @@
 	if err != nil || len(encoded) > maxDatagramSize {
 		return
 	}
-	_, _ = s.conn.WriteToUDP(encoded, addr) // see above
+	_, _ = s.conn.WriteToUDP(encoded, addr) // like packet loss, see above
 }
 
 // receive handles datagrams until the socket is closed. Datagrams that cannot be decoded are ignored.
