--- a/internal/testbeds/simulation/cluster.go
+++ b/internal/testbeds/simulation/cluster.go
@@ -156,10 +156,10 @@
 // startAll starts the members that there are from the beginning, the gateways and the replicas.
 func (c *cluster) startAll() {
 	for _, m := range c.members {
-		if c.schedule.StartSpread == 0 {
+		if c.schedule.MaxStartDelay == 0 {
 			c.startMember(m, true)
 		} else {
-			c.after(c.randomBelow(c.schedule.StartSpread), func() { c.startMember(m, true) })
+			c.after(c.randomBelow(c.schedule.MaxStartDelay), func() { c.startMember(m, true) })
 		}
 	}
 	for i := range c.schedule.Gateways {
--- a/internal/testbeds/simulation/corehistory.go
+++ b/internal/testbeds/simulation/corehistory.go
@@ -137,10 +137,10 @@
 // measureStaleAnswer measures for how long a member still answers that is cut off, or that has thawed and missed a view.
 func (c *cluster) measureStaleAnswer(m *member) {
 	if m.isCutOff() {
-		c.result.AnswersWhileCut = append(c.result.AnswersWhileCut, c.now-m.cutAt)
+		c.result.ResponsesWhileIsolated = append(c.result.ResponsesWhileIsolated, c.now-m.cutAt)
 	}
 	if m.thawedAt > 0 && m.controller.Coordinator().View().Number < c.result.NewestView {
-		c.result.AnswersAfterThaw = append(c.result.AnswersAfterThaw, c.now-m.thawedAt)
+		c.result.ResponsesAfterResume = append(c.result.ResponsesAfterResume, c.now-m.thawedAt)
 	}
 }
 
--- a/internal/testbeds/simulation/disk_test.go
+++ b/internal/testbeds/simulation/disk_test.go
@@ -38,8 +38,8 @@
 	applyPending(d)
 }
 
-// TestDiskKeepsWhatWasSynced guards that a loss of power never takes away what was synced, nor its name.
-func TestDiskKeepsWhatWasSynced(t *testing.T) {
+// TestDiskKeepsSyncedData guards that a loss of power never takes away what was synced, nor its name.
+func TestDiskKeepsSyncedData(t *testing.T) {
 	for seed := range uint64(50) {
 		d, data := newDisk(), []byte("synced")
 		syncAll(t, d, writeFile(t, d, "file", data))
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestDiskTearsAtSectors guards that of a write that was not synced each sector lasts whole or not at all, and that all of it
+// TestDiskTearsWritesAtSectors guards that of a write that was not synced each sector lasts whole or not at all, and that all of it
 // and none of it and parts of it occur.
-func TestDiskTearsAtSectors(t *testing.T) {
+func TestDiskTearsWritesAtSectors(t *testing.T) {
 	const sectors = 4
 	lasted := map[int]int{}
 	for seed := range uint64(400) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestDiskLosesUnsyncedNames guards that a file may be lost, contents and all, whose folder was not synced.
-func TestDiskLosesUnsyncedNames(t *testing.T) {
+// TestDiskLosesUnsyncedDirectoryEntries guards that a file may be lost, contents and all, whose folder was not synced.
+func TestDiskLosesUnsyncedDirectoryEntries(t *testing.T) {
 	lost, kept := 0, 0
 	for seed := range uint64(100) {
 		d := newDisk()
--- a/internal/testbeds/simulation/families.go
+++ b/internal/testbeds/simulation/families.go
@@ -23,7 +23,7 @@
 var toleranceByMembers = map[int]int{3: 1, 5: 2, 7: 2}
 
 // Kinds of faults that several families draw from.
-var clusterStops = []FaultKind{KillAll, LosePowerAll, LosePowerWipes}
+var clusterStops = []FaultKind{KillAll, LosePowerAll, LosePowerAllWipeSome}
 
 const (
 	familyGateways  = 2
@@ -99,7 +99,7 @@
 // addFault adds a fault that loses a member, if the budget allows it.
 func (g *generator) addFault(fault Fault) {
 	until := fault.At + fault.For + restartTime + catchUpTime
-	if fault.When != "" {
+	if fault.Trigger != "" {
 		until += maxFaultWait
 	}
 	if g.budget.reserve(fault.At, until) {
@@ -135,12 +135,12 @@
 	at := g.between(7*time.Second, 9*time.Second)
 	for range 1 + g.random.IntN(g.schedule.Tolerance) {
 		g.addFault(g.withTarget(Fault{At: at, For: cutDuration,
-			Kind: g.kind(CutOff, CutFromMembers, CutFromInbound, CutFromOutbound, FreezeProcess, PauseClock, PauseAllClocks), Reconnect: g.oneIn(2)}))
+			Kind: g.kind(IsolateMember, PartitionMember, DropInbound, DropOutbound, PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks), Reconnect: g.oneIn(2)}))
 		at += g.between(0, 4*time.Second)
 	}
 	for at := 10 * time.Second; at < 34*time.Second; at += g.between(2*time.Second, 9*time.Second) {
 		g.addFault(g.withTarget(Fault{At: at, For: g.between(200*time.Millisecond, 2*time.Second),
-			Kind: g.kind(KillProcess, LosePower, WipeDisk, FreezeProcess, CutFromMembers)}))
+			Kind: g.kind(KillProcess, LosePower, WipeDisk, PauseProcess, PartitionMember)}))
 	}
 	g.addActions(7*time.Second, 36*time.Second, 36)
 }
@@ -156,7 +156,7 @@
 			g.addClusterFault(at+g.between(0, 600*time.Millisecond), clusterStops...)
 		case 1, 2:
 			g.addFault(g.withTarget(Fault{At: at + g.between(0, 30*time.Millisecond), For: g.between(300*time.Millisecond, 4*time.Second),
-				Kind:      g.kind(KillProcess, LosePower, WipeDisk, FreezeProcess, PauseClock, PauseAllClocks, CutOff, CutFromMembers, CutFromInbound, CutFromOutbound, StallDisk),
+				Kind:      g.kind(KillProcess, LosePower, WipeDisk, PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks, IsolateMember, PartitionMember, DropInbound, DropOutbound, StallDisk),
 				Reconnect: g.oneIn(3)}))
 		}
 	}
@@ -167,7 +167,7 @@
 func (g *generator) addBurst(at time.Duration) {
 	for i := range commandsInBurst {
 		a := Action{At: at + time.Duration(g.random.IntN(4))*time.Millisecond*time.Duration(g.random.IntN(8)), Kind: PutConfig, To: g.anyMember(),
-			Version: versionAt(at) + uint64(i/2), LoseAnswer: g.oneIn(4), RetrySame: g.oneIn(3)}
+			Version: versionAt(at) + uint64(i/2), LoseResponse: g.oneIn(4), RetrySame: g.oneIn(3)}
 		if g.oneIn(4) {
 			a.Kind, a.Target = g.evacuateOrRestore(), g.random.IntN(generatedZones)
 		}
@@ -182,15 +182,15 @@
 	s.LossRate, s.ReorderRate = 0.01*float64(g.random.IntN(3)), 0.02*float64(g.random.IntN(3))
 	s.MaxReorderDelay = shortReorderDelay
 	for at := g.between(7*time.Second, 8*time.Second); at < 21*time.Second; at += g.between(2*time.Second, 5*time.Second) {
-		fault := g.withTarget(Fault{At: at, For: g.stormDuration(), Kind: g.kind(KillProcess, KillProcess, LosePower, WipeDisk, FreezeProcess, PauseClock, PauseAllClocks,
-			CutOff, CutFromMembers, CutFromInbound, CutFromOutbound, StallDisk, FillDisk, FailDisk)})
+		fault := g.withTarget(Fault{At: at, For: g.stormDuration(), Kind: g.kind(KillProcess, KillProcess, LosePower, WipeDisk, PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks,
+			IsolateMember, PartitionMember, DropInbound, DropOutbound, StallDisk, FillDisk, FailDisk)})
 		if g.oneIn(5) {
 			g.addClusterFault(at, clusterStops...)
 		} else {
 			g.addFault(fault)
 			if g.oneIn(3) { // and another, as the view changes, if the budget allows it
 				fault = g.withTarget(Fault{At: at + time.Millisecond, For: g.stormDuration(),
-					Kind: g.kind(KillProcess, LosePower, WipeDisk, FreezeProcess, CutOff, CutFromOutbound), When: WhenViewed})
+					Kind: g.kind(KillProcess, LosePower, WipeDisk, PauseProcess, IsolateMember, DropOutbound), Trigger: TriggerViewChange})
 				g.addFault(fault)
 			}
 		}
@@ -207,7 +207,7 @@
 func (g *generator) addStorm(about time.Duration) {
 	for range 14 {
 		at := g.between(about-100*time.Millisecond, about+1200*time.Millisecond)
-		a := Action{At: at, Kind: PutConfig, Version: versionAt(at) + uint64(g.random.IntN(4)), To: g.anyMember(), LoseAnswer: g.oneIn(6), RetrySame: g.oneIn(2)}
+		a := Action{At: at, Kind: PutConfig, Version: versionAt(at) + uint64(g.random.IntN(4)), To: g.anyMember(), LoseResponse: g.oneIn(6), RetrySame: g.oneIn(2)}
 		switch g.random.IntN(4) {
 		case 0:
 			a.Kind, a.Target = g.evacuateOrRestore(), g.random.IntN(2)
@@ -231,7 +231,7 @@
 			continue
 		}
 		g.addFault(g.withTarget(Fault{At: at, For: g.between(200*time.Millisecond, 5*time.Second),
-			Kind: g.kind(KillProcess, LosePower, WipeDisk, FillDisk, FailDisk, StallDisk, FreezeProcess, CutOff)}))
+			Kind: g.kind(KillProcess, LosePower, WipeDisk, FillDisk, FailDisk, StallDisk, PauseProcess, IsolateMember)}))
 	}
 	for i := range n {
 		at := 7*time.Second + time.Duration(i)*changeInterval + g.between(0, changeInterval)
@@ -246,12 +246,12 @@
 
 // firstStart has members struck within the second in which the system starts for the first time.
 func (g *generator) firstStart() {
-	g.schedule.Duration, g.schedule.StartSpread = 14*time.Second, 300*time.Millisecond
+	g.schedule.Duration, g.schedule.MaxStartDelay = 14*time.Second, 300*time.Millisecond
 	at := g.between(time.Millisecond, 700*time.Millisecond)
 	if g.oneIn(2) {
 		for range 1 + g.random.IntN(g.schedule.Tolerance) {
 			g.addFault(Fault{At: at, For: g.between(50*time.Millisecond, 2*time.Second),
-				Kind: g.kind(KillProcess, LosePower, WipeDisk, FreezeProcess, CutOff), Target: g.random.IntN(g.schedule.Members)})
+				Kind: g.kind(KillProcess, LosePower, WipeDisk, PauseProcess, IsolateMember), Target: g.random.IntN(g.schedule.Members)})
 			at += g.between(0, 400*time.Millisecond)
 		}
 	} else {
--- a/internal/testbeds/simulation/families_test.go
+++ b/internal/testbeds/simulation/families_test.go
@@ -68,18 +68,18 @@
 // reportShrunk shrinks a schedule that fails and prints what is left.
 func reportShrunk(t *testing.T, schedule Schedule) {
 	t.Helper()
-	shrunk, result := ShrinkBy(schedule, func(candidate Schedule) (Result, bool) {
+	shrunk, result := ShrinkWith(schedule, func(candidate Schedule) (Result, bool) {
 		result, violation := runChecked(t, candidate)
 		return result, violation != ""
 	})
 	_, violation := runChecked(t, shrunk)
-	t.Errorf("%s; shrunk:\n%s\n%s", violation, shrunk.Text(), traceText(result))
+	t.Errorf("%s; shrunk:\n%s\n%s", violation, shrunk.JSON(), traceText(result))
 }
 
-// TestVersionBelowClaims guards the checker against a promise that nobody made: in this schedule two operators send different configurations under
+// TestVersionBelowRetainedClaims guards the checker against a promise that nobody made: in this schedule two operators send different configurations under
 // version 945 while more than 64 higher versions are claimed, so that members remember neither (docs/design/control-review.md). Both are acknowledged
 // and change nothing.
-func TestVersionBelowClaims(t *testing.T) {
+func TestVersionBelowRetainedClaims(t *testing.T) {
 	if _, violation := runChecked(t, GenerateFamily("long", 21, 7)); violation != "" {
 		t.Error(violation)
 	}
--- a/internal/testbeds/simulation/familyactions.go
+++ b/internal/testbeds/simulation/familyactions.go
@@ -5,7 +5,7 @@
 // addActions adds n actions of operators of all kinds, and some of replicas.
 func (g *generator) addActions(from, to time.Duration, n int) {
 	for range n {
-		a := Action{At: g.between(from, to), LoseAnswer: g.oneIn(8), RetrySame: g.oneIn(3)}
+		a := Action{At: g.between(from, to), LoseResponse: g.oneIn(8), RetrySame: g.oneIn(3)}
 		switch k := g.random.IntN(16); {
 		case k < 4:
 			a.Kind, a.Version = PutConfig, versionAt(a.At)+uint64(g.random.IntN(3))
--- a/internal/testbeds/simulation/familyreplacements.go
+++ b/internal/testbeds/simulation/familyreplacements.go
@@ -46,9 +46,9 @@
 // addLossMeanwhile adds the loss of a member in the midst of a replacement.
 func (g *generator) addLossMeanwhile(at time.Duration) {
 	fault := g.withTarget(Fault{At: at, For: g.between(100*time.Millisecond, 3*time.Second),
-		Kind: g.kind(KillProcess, LosePower, FreezeProcess, CutOff, WipeDisk, CutFromMembers), When: pickOne(g.random, WhenJoined, WhenVoter, WhenViewed)})
+		Kind: g.kind(KillProcess, LosePower, PauseProcess, IsolateMember, WipeDisk, PartitionMember), Trigger: pickOne(g.random, TriggerSpareJoined, TriggerSpareIsVoter, TriggerViewChange)})
 	if g.oneIn(4) {
-		fault.Role = RoleNewest
+		fault.Role = RoleNewestSpare
 	}
 	g.addFault(fault)
 }
@@ -76,7 +76,7 @@
 	if g.oneIn(2) {
 		g.append(Fault{At: leavesAt, Kind: ShutDownMember, Role: RoleHead})
 		g.addFault(Fault{At: leavesAt + g.between(0, time.Second), For: g.between(time.Second, 8*time.Second),
-			Kind: g.kind(LosePower, FreezeProcess, CutOff), Role: pickOne(g.random, RoleMiddle, RoleTail)})
+			Kind: g.kind(LosePower, PauseProcess, IsolateMember), Role: pickOne(g.random, RoleMiddle, RoleTail)})
 	} else if g.budget.reserve(leavesAt, until) {
 		g.addRemoval(leavesAt)
 	}
@@ -88,7 +88,7 @@
 	g.addSpare(at)
 	until = at + 2*maxFaultWait + restartTime + catchUpTime
 	if g.budget.reserve(at, until) {
-		g.append(Fault{At: at, Kind: RemoveMember, Role: RoleNewest, When: pickOne(g.random, WhenJoined, WhenVoter)})
+		g.append(Fault{At: at, Kind: RemoveMember, Role: RoleNewestSpare, Trigger: pickOne(g.random, TriggerSpareJoined, TriggerSpareIsVoter)})
 		g.addSpare(at + maxFaultWait)
 	}
 	return until
@@ -97,7 +97,7 @@
 // addSpareAndClusterFault has all members stop while the successor joins.
 func (g *generator) addSpareAndClusterFault(at time.Duration) (until time.Duration) {
 	g.addSpare(at)
-	fault := Fault{At: at, For: g.between(0, longestStopAll), Kind: g.kind(KillAll, LosePowerAll), When: pickOne(g.random, WhenJoined, WhenVoter, WhenViewed)}
+	fault := Fault{At: at, For: g.between(0, longestStopAll), Kind: g.kind(KillAll, LosePowerAll), Trigger: pickOne(g.random, TriggerSpareJoined, TriggerSpareIsVoter, TriggerViewChange)}
 	until = at + maxFaultWait + fault.For + 2*restartTime + catchUpTime
 	if !g.budget.reserveAll(at, until) {
 		return at
--- a/internal/testbeds/simulation/fault.go
+++ b/internal/testbeds/simulation/fault.go
@@ -10,35 +10,35 @@
 
 // Faults of one member, by its index or role.
 const (
-	KillProcess   FaultKind = "kill"   // which starts again at once
-	LosePower     FaultKind = "power"  // with all that was not synced, until the fault ends
-	WipeDisk      FaultKind = "wipe"   // the machine comes back with an empty disk
-	FreezeProcess FaultKind = "freeze" // its clocks go on
-	CutOff        FaultKind = "cut"    // from all nodes
-	CutOneWay     FaultKind = "oneway" // from all nodes, in a random direction; not in schedules with a Tolerance
-	FillDisk      FaultKind = "full"
-	FailDisk      FaultKind = "refuse" // writes and syncs return errors
-	StallDisk     FaultKind = "stall"
-	StepClock     FaultKind = "step" // the monotonic clock jumps ahead by half of the fault's duration
+	KillProcess         FaultKind = "kill"   // which starts again at once
+	LosePower           FaultKind = "power"  // with all that was not synced, until the fault ends
+	WipeDisk            FaultKind = "wipe"   // the machine comes back with an empty disk
+	PauseProcess        FaultKind = "freeze" // its clocks go on
+	IsolateMember       FaultKind = "cut"    // from all nodes
+	IsolateMemberOneWay FaultKind = "oneway" // from all nodes, in a random direction; not in schedules with a Tolerance
+	FillDisk            FaultKind = "full"
+	FailDisk            FaultKind = "refuse" // writes and syncs return errors
+	StallDisk           FaultKind = "stall"
+	StepClock           FaultKind = "step" // the monotonic clock jumps ahead by half of the fault's duration
 )
 
 // Faults of one member that only schedules with a Tolerance have.
 const (
-	PauseClock      FaultKind = "still"   // frozen with its monotonic clock
-	PauseAllClocks  FaultKind = "stopped" // frozen with its monotonic clock and its time of day
-	CutFromMembers  FaultKind = "island"  // in both directions, while gateways and operators reach it
-	CutFromInbound  FaultKind = "deaf"    // of what other members send
-	CutFromOutbound FaultKind = "mute"    // of what it sends to other members
-	RemoveMember    FaultKind = "gone"    // without notice and for good, or with For set until it comes back with its disk
-	ShutDownMember  FaultKind = "leave"   // by SIGTERM, for good or until it comes back
-	AddSpareMember  FaultKind = "spare"   // a new machine at a new address; Target and Role mean nothing
+	PauseWithMonotonicClock FaultKind = "still"   // frozen with its monotonic clock
+	PauseWithAllClocks      FaultKind = "stopped" // frozen with its monotonic clock and its time of day
+	PartitionMember         FaultKind = "island"  // in both directions, while gateways and operators reach it
+	DropInbound             FaultKind = "deaf"    // of what other members send
+	DropOutbound            FaultKind = "mute"    // of what it sends to other members
+	RemoveMember            FaultKind = "gone"    // without notice and for good, or with For set until it comes back with its disk
+	ShutDownMember          FaultKind = "leave"   // by SIGTERM, for good or until it comes back
+	AddSpareMember          FaultKind = "spare"   // a new machine at a new address; Target and Role mean nothing
 )
 
 // Faults of all members at once.
 const (
-	KillAll        FaultKind = "all"
-	LosePowerAll   FaultKind = "allpower"
-	LosePowerWipes FaultKind = "wipepower" // of which as many lose their disks as may be lost
+	KillAll              FaultKind = "all"
+	LosePowerAll         FaultKind = "allpower"
+	LosePowerAllWipeSome FaultKind = "wipepower" // of which as many lose their disks as may be lost
 )
 
 // Faults that wait for a moment, and strike within milliseconds of it.
@@ -53,11 +53,11 @@
 
 // Other faults.
 const (
-	LoseZone      FaultKind = "zone" // power of the members and gateways of a zone
-	KillGateway   FaultKind = "bkill"
-	FreezeGateway FaultKind = "bfreeze"
-	CutGateway    FaultKind = "bcut" // from all members
-	CrashReplica  FaultKind = "rcrash"
+	LoseZonePower  FaultKind = "zone" // power of the members and gateways of a zone
+	KillGateway    FaultKind = "bkill"
+	PauseGateway   FaultKind = "bfreeze"
+	IsolateGateway FaultKind = "bcut" // from all members
+	CrashReplica   FaultKind = "rcrash"
 )
 
 // struckAs is what a fault that waits for a moment becomes at that moment.
@@ -75,20 +75,20 @@
 
 // The roles. A fault without one strikes the member of its Target.
 const (
-	RoleHead   FaultRole = "head"
-	RoleTail   FaultRole = "tail"
-	RoleMiddle FaultRole = "middle"
-	RoleNewest FaultRole = "newest" // the spare that was added last
+	RoleHead        FaultRole = "head"
+	RoleTail        FaultRole = "tail"
+	RoleMiddle      FaultRole = "middle"
+	RoleNewestSpare FaultRole = "newest" // the spare that was added last
 )
 
-// FaultMoment is a view that a fault waits for.
-type FaultMoment string
+// FaultTrigger is a view that a fault waits for.
+type FaultTrigger string
 
 // The moments. A fault without one strikes at its time.
 const (
-	WhenJoined FaultMoment = "joined" // the first view with the newest spare in the chain
-	WhenVoter  FaultMoment = "voter"  // the first view with it among the voters
-	WhenViewed FaultMoment = "viewed" // any view
+	TriggerSpareJoined  FaultTrigger = "joined" // the first view with the newest spare in the chain
+	TriggerSpareIsVoter FaultTrigger = "voter"  // the first view with it among the voters
+	TriggerViewChange   FaultTrigger = "viewed" // any view
 )
 
 // Fault is one thing that goes wrong, for a while.
@@ -103,15 +103,15 @@
 	// Reconnect has a gateway begin a new incarnation and call that member first, soon after it was struck and again when the
 	// fault is over.
 	Reconnect bool `json:"Meet,omitempty"`
-	// When is what is waited for, for up to maxFaultWait.
-	When FaultMoment `json:",omitempty"`
+	// Trigger defers the fault until a view change of this kind, for at most maxFaultWait.
+	Trigger FaultTrigger `json:"When,omitempty"`
 }
 
 // String returns the fault in one line of the trace.
 func (f Fault) String() string {
 	what := "of member"
 	switch f.Kind {
-	case KillGateway, FreezeGateway, CutGateway:
+	case KillGateway, PauseGateway, IsolateGateway:
 		what = "of gateway"
 	case CrashReplica:
 		what = "of replica"
--- a/internal/testbeds/simulation/fault_test.go
+++ b/internal/testbeds/simulation/fault_test.go
@@ -20,13 +20,13 @@
 		"whoever acknowledges loses power":         {at(LosePowerOnAcknowledgement, 0, 2*s)},
 		"whoever acknowledges loses its disk":      {at(WipeDiskOnAcknowledgement, 0, 2*s)},
 		"all processes die while a view changes":   {at(LosePower, 0, s), {At: 4100 * time.Millisecond, For: 500 * time.Millisecond, Kind: KillAllOnView}},
-		"head is cut in one direction":             {at(CutOneWay, 0, 4*s)},
-		"middle is cut off":                        {at(CutOff, 1, 4*s)},
+		"head is cut in one direction":             {at(IsolateMemberOneWay, 0, 4*s)},
+		"middle is cut off":                        {at(IsolateMember, 1, 4*s)},
 		"head's disk is full":                      {at(FillDisk, 0, 4*s)},
 		"tail's disk hangs":                        {at(StallDisk, 2, 4*s)},
 		"head's disk hangs":                        {at(StallDisk, 0, 4*s)},
-		"tail freezes":                             {at(FreezeProcess, 2, 4*s)},
-		"head freezes":                             {at(FreezeProcess, 0, 4*s)},
+		"tail freezes":                             {at(PauseProcess, 2, 4*s)},
+		"head freezes":                             {at(PauseProcess, 0, 4*s)},
 		"a joiner dies half filled":                {at(WipeDisk, 1, s), {At: 5900 * time.Millisecond, For: s, Kind: KillProcess, Target: 1}},
 		"one is wiped, and another one after that": {at(WipeDisk, 0, s), {At: 11 * s, For: s, Kind: WipeDisk, Target: 1}, {At: 18 * s, For: s, Kind: WipeDisk, Target: 2}},
 	}
@@ -44,19 +44,19 @@
 	}
 }
 
-// TestLongAbsence has gateways and members away for twenty seconds, while configurations, evacuations and replicas change:
+// TestLongOutages has gateways and members away for twenty seconds, while configurations, evacuations and replicas change:
 // whoever is back must have what was acknowledged within the bounds, go back in nothing, and spare warming replicas.
-func TestLongAbsence(t *testing.T) {
+func TestLongOutages(t *testing.T) {
 	const away = 20 * time.Second
 	cases := map[string][]Fault{
-		"a gateway is cut off from all":             {{Kind: CutGateway, Target: 0}, {Kind: CutGateway, Target: 1}},
-		"a gateway freezes":                         {{Kind: FreezeGateway, Target: 0}, {Kind: FreezeGateway, Target: 1}},
-		"a member is cut off":                       {{Kind: CutOff, Target: 0}},
-		"a member is cut in one direction":          {{Kind: CutOneWay, Target: 1}},
-		"a member freezes":                          {{Kind: FreezeProcess, Target: 2}},
+		"a gateway is cut off from all":             {{Kind: IsolateGateway, Target: 0}, {Kind: IsolateGateway, Target: 1}},
+		"a gateway freezes":                         {{Kind: PauseGateway, Target: 0}, {Kind: PauseGateway, Target: 1}},
+		"a member is cut off":                       {{Kind: IsolateMember, Target: 0}},
+		"a member is cut in one direction":          {{Kind: IsolateMemberOneWay, Target: 1}},
+		"a member freezes":                          {{Kind: PauseProcess, Target: 2}},
 		"a member is wiped":                         {{Kind: WipeDisk, Target: 1}},
-		"a member is cut off, a gateway too":        {{Kind: CutOff, Target: 1}, {Kind: CutGateway, Target: 2}},
-		"a gateway restarts as a member comes back": {{Kind: CutOff, Target: 1}, {At: 19900 * time.Millisecond, For: 200 * time.Millisecond, Kind: KillGateway, Target: 0}},
+		"a member is cut off, a gateway too":        {{Kind: IsolateMember, Target: 1}, {Kind: IsolateGateway, Target: 2}},
+		"a gateway restarts as a member comes back": {{Kind: IsolateMember, Target: 1}, {At: 19900 * time.Millisecond, For: 200 * time.Millisecond, Kind: KillGateway, Target: 0}},
 	}
 	for name, faults := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/testbeds/simulation/faultmoment.go
+++ b/internal/testbeds/simulation/faultmoment.go
@@ -77,11 +77,11 @@
 	waiting := c.coreHistory.pendingFaults
 	c.coreHistory.pendingFaults = nil
 	for _, fault := range waiting {
-		if !c.isMoment(fault.When, view) {
+		if !c.isMoment(fault.Trigger, view) {
 			c.coreHistory.pendingFaults = append(c.coreHistory.pendingFaults, fault)
 			continue
 		}
-		fault.When = ""
+		fault.Trigger = ""
 		longest := maxDelayAtOnce
 		if c.random.IntN(2) == 0 {
 			longest = maxDelayWhileSettling
@@ -91,12 +91,12 @@
 }
 
 // isMoment reports whether a view is what a fault waits for.
-func (c *cluster) isMoment(when FaultMoment, view membership.View) bool {
+func (c *cluster) isMoment(when FaultTrigger, view membership.View) bool {
 	spare := c.coreHistory.newestSpare
 	switch when {
-	case WhenJoined:
+	case TriggerSpareJoined:
 		return spare != nil && spare.isAmong(view.Chain)
-	case WhenVoter:
+	case TriggerSpareIsVoter:
 		var voters []string
 		for _, voter := range view.Voters {
 			voters = append(voters, voter.ID)
--- a/internal/testbeds/simulation/figures_test.go
+++ b/internal/testbeds/simulation/figures_test.go
@@ -12,7 +12,7 @@
 func TestViewRepairTime(t *testing.T) {
 	t.Parallel()
 	var took []time.Duration
-	for _, kind := range []FaultKind{LosePower, FreezeProcess, CutOff} {
+	for _, kind := range []FaultKind{LosePower, PauseProcess, IsolateMember} {
 		for seed := range seedCount(t, 34) {
 			result := Run(Schedule{Seed: seed, Members: 3, InitialMembers: 3, Duration: 8 * time.Second, Actions: GenerateActions(seed, 10, 1, 8*time.Second),
 				Faults: []Fault{{At: 3*time.Second + time.Duration(seed)*7*time.Millisecond, For: 3 * time.Second, Kind: kind, Target: int(seed) % 3}}})
@@ -29,11 +29,11 @@
 	}
 }
 
-// TestRepairFigures prints what the results page quotes; -v shows it.
-func TestRepairFigures(t *testing.T) {
+// TestViewRepairLatencies prints what the results page quotes; -v shows it.
+func TestViewRepairLatencies(t *testing.T) {
 	t.Parallel()
 	for _, members := range []int{3, 5, 7} {
-		for _, kind := range []FaultKind{LosePower, FreezeProcess, CutOff} {
+		for _, kind := range []FaultKind{LosePower, PauseProcess, IsolateMember} {
 			var repaired, acknowledged []time.Duration
 			for seed := range seedCount(t, 4) {
 				result := Run(Schedule{Seed: seed, Members: members, InitialMembers: 3, Duration: 12 * time.Second, Actions: GenerateActions(seed, 20, 1, 12*time.Second),
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestFamilyFigures prints what the results page quotes of views, successors, catching up and members that were cut off. -v
+// TestFamilyLatencies prints what the results page quotes of views, successors, catching up and members that were cut off. -v
 // shows it, SIMULATION_SEEDS asks for more schedules.
-func TestFamilyFigures(t *testing.T) {
+func TestFamilyLatencies(t *testing.T) {
 	t.Parallel()
 	for _, members := range []int{3, 5, 7} {
 		f := figures{t, members}
@@ -79,7 +79,7 @@
 	s.Actions = append([]Action{{At: 500 * time.Millisecond, Kind: PutConfig, Version: 1, Body: 1}}, s.Actions...)
 	result, violation := runChecked(f.t, s)
 	if violation != "" {
-		f.t.Fatalf("%d members, seed %d: %s\n%s\n%s", f.members, seed, violation, s.Text(), traceText(result))
+		f.t.Fatalf("%d members, seed %d: %s\n%s\n%s", f.members, seed, violation, s.JSON(), traceText(result))
 	}
 	return result
 }
@@ -114,10 +114,10 @@
 	f.t.Helper()
 	var answers, heartbeats, thawed []time.Duration
 	for seed := range seedCount(f.t, 1) {
-		for i, kind := range []FaultKind{CutOff, CutFromMembers, CutFromInbound, CutFromOutbound, FreezeProcess, PauseClock, PauseAllClocks} {
+		for i, kind := range []FaultKind{IsolateMember, PartitionMember, DropInbound, DropOutbound, PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks} {
 			result := f.run(seed, cutSchedule(seed, i, kind))
-			answers, thawed = append(answers, result.AnswersWhileCut...), append(thawed, result.AnswersAfterThaw...)
-			heartbeats = append(heartbeats, result.HeartbeatsWhileCut...)
+			answers, thawed = append(answers, result.ResponsesWhileIsolated...), append(thawed, result.ResponsesAfterResume...)
+			heartbeats = append(heartbeats, result.HeartbeatsWhileIsolated...)
 		}
 	}
 	f.print("answers to operators, and to gateways new to it, of one that is cut off, after the cut", answers)
--- a/internal/testbeds/simulation/gateway.go
+++ b/internal/testbeds/simulation/gateway.go
@@ -61,9 +61,9 @@
 			c.killGateway(g)
 			c.after(fault.For, func() { c.startGateway(g) })
 		}
-	case FreezeGateway:
+	case PauseGateway:
 		c.freeze(&g.process, fault.For)
-	case CutGateway:
+	case IsolateGateway:
 		var links []link
 		for _, m := range c.members {
 			links = append(links, link{g.name, m.name}, link{m.name, g.name})
--- a/internal/testbeds/simulation/generate.go
+++ b/internal/testbeds/simulation/generate.go
@@ -34,10 +34,10 @@
 
 // Kinds of faults of one member, of all of them, and of others, as Generate draws them.
 var (
-	memberFaults = []FaultKind{KillProcess, LosePower, WipeDisk, FreezeProcess, CutOff, CutOneWay, FillDisk, FailDisk, StallDisk, StepClock,
+	memberFaults = []FaultKind{KillProcess, LosePower, WipeDisk, PauseProcess, IsolateMember, IsolateMemberOneWay, FillDisk, FailDisk, StallDisk, StepClock,
 		LosePowerOnAcknowledgement, WipeDiskOnAcknowledgement}
-	clusterFaults = []FaultKind{KillAll, LosePowerAll, LosePowerWipes, LosePowerAllOnAcknowledgement, KillAllOnView}
-	edgeFaults    = []FaultKind{KillGateway, FreezeGateway, CutGateway, CrashReplica}
+	clusterFaults = []FaultKind{KillAll, LosePowerAll, LosePowerAllWipeSome, LosePowerAllOnAcknowledgement, KillAllOnView}
+	edgeFaults    = []FaultKind{KillGateway, PauseGateway, IsolateGateway, CrashReplica}
 )
 
 // Generate draws a schedule with up to n faults, which never lose more members at once than a control plane of this size
--- a/internal/testbeds/simulation/generate_test.go
+++ b/internal/testbeds/simulation/generate_test.go
@@ -28,7 +28,7 @@
 				}
 				if len(result.Violations) > 0 {
 					schedule, result = Shrink(schedule)
-					t.Fatalf("seed %d, shrunk:\n%s\n%s", seed, schedule.Text(), traceText(result))
+					t.Fatalf("seed %d, shrunk:\n%s\n%s", seed, schedule.JSON(), traceText(result))
 				}
 			}
 			t.Logf("%d commands acknowledged of %d calls answered, %d requests sent, %d of them to warming replicas", acknowledged, calls, requests, warmupRequests)
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestKeptSchedules runs schedules that once violated an invariant, shrunk. The pages under docs/incidents say which.
-func TestKeptSchedules(t *testing.T) {
+// TestRegressionSchedules runs schedules that once violated an invariant, shrunk. The pages under docs/incidents say which.
+func TestRegressionSchedules(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no kept schedules: %v", err)
--- a/internal/testbeds/simulation/generatewindows.go
+++ b/internal/testbeds/simulation/generatewindows.go
@@ -51,20 +51,20 @@
 func drawWindowFaults(random *rand.Rand) []Fault {
 	return []Fault{
 		{At: grantFaultAt, For: time.Duration(300+random.IntN(2500)) * time.Millisecond, Kind: pickOne(random, LosePowerOnGrant, KillAllOnGrant)},
-		{At: zoneFaultAt, For: time.Duration(1000+random.IntN(3000)) * time.Millisecond, Kind: LoseZone, Target: random.IntN(generatedZones)},
+		{At: zoneFaultAt, For: time.Duration(1000+random.IntN(3000)) * time.Millisecond, Kind: LoseZonePower, Target: random.IntN(generatedZones)},
 	}
 }
 
 // agreementActions put a first configuration and agree on what windows must leave.
 func agreementActions() []Action {
-	return []Action{{At: firstConfigAt, Kind: PutConfig, Version: 1}, {At: agreementAt, Kind: AgreeWindows}}
+	return []Action{{At: firstConfigAt, Kind: PutConfig, Version: 1}, {At: agreementAt, Kind: SetWindowFloors}}
 }
 
 func drawWindowAction(random *rand.Rand, duration time.Duration) Action {
 	a := Action{At: firstWindowAt + time.Duration(random.Int64N(int64(duration-firstWindowAt-time.Second))), Target: random.IntN(windowGateways)}
 	switch k := random.IntN(10); {
 	case k < 6:
-		a.Kind = AskForWindow
+		a.Kind = RequestWindow
 	case k < 9:
 		a.Kind = FinishWindow
 	default:
@@ -73,37 +73,37 @@
 	return a
 }
 
-// WindowWeek is a schedule of planned maintenance windows, with the length in slots of the timetable that it follows and of
+// PlannedMaintenance is a schedule of planned maintenance windows, with the length in slots of the timetable that it follows and of
 // two others for the same windows.
-type WindowWeek struct {
-	Schedule Schedule
-	Greedy   int // by the greedy planner
-	Best     int // the shortest, which the schedule follows
-	Serial   int // of one node after another
+type PlannedMaintenance struct {
+	Schedule     Schedule
+	GreedySlots  int // length with the greedy planner
+	OptimalSlots int // length of the shortest timetable, which the schedule follows
+	SerialSlots  int // length with one node at a time
 }
 
-// GenerateWindowWeek draws a week of maintenance windows, shortened to slots of a second, and has a timetable made for it:
+// GeneratePlannedMaintenance draws a week of maintenance windows, shortened to slots of a second, and has a timetable made for it:
 // three to nine gateways in three regions, each asked for in its turn, with members that fail meanwhile. It reports whether
 // there is a timetable.
-func GenerateWindowWeek(seed uint64) (week WindowWeek, ok bool) {
+func GeneratePlannedMaintenance(seed uint64) (week PlannedMaintenance, ok bool) {
 	random := rand.New(rand.NewPCG(seed, weekStream))
 	request := drawPlanRequest(random)
 	for _, window := range request.Windows {
-		week.Serial += window.DurationSlots
+		week.SerialSlots += window.DurationSlots
 	}
 	greedy, _ := maintenanceplanner.Greedy(request) // without a timetable Plan says so
 	timetable, proof := maintenanceplanner.Plan(request)
 	if proof != nil {
-		return WindowWeek{}, false
+		return PlannedMaintenance{}, false
 	}
-	week.Greedy, week.Best = greedy.Makespan, timetable.Makespan
+	week.GreedySlots, week.OptimalSlots = greedy.Makespan, timetable.Makespan
 	s := Generate(seed, weekMembers, weekFaults, weekDuration)
 	s.Gateways, s.Replicas = windowGateways, windowReplicas
 	s.Actions = agreementActions()
 	for _, assignment := range timetable.Assignments {
 		target := slices.IndexFunc(request.Nodes, func(node capacity.Node) bool { return node.Name == assignment.Node })
 		s.Actions = append(s.Actions,
-			Action{At: time.Duration(firstSlotAt+assignment.Start) * time.Second, Kind: AskForWindow, Target: target},
+			Action{At: time.Duration(firstSlotAt+assignment.Start) * time.Second, Kind: RequestWindow, Target: target},
 			Action{At: time.Duration(firstSlotAt+assignment.End) * time.Second, Kind: FinishWindow, Target: target})
 		s.Duration = max(s.Duration, time.Duration(afterLastSlot+assignment.End)*time.Second)
 	}
--- a/internal/testbeds/simulation/history.go
+++ b/internal/testbeds/simulation/history.go
@@ -157,7 +157,7 @@
 	}
 	r := &c.result
 	h.add(entryResult, c.now, 0, len(r.Violations), r.Acknowledged, r.AnsweredCalls, r.Requests, r.WarmupRequests, r.NewestView, r.RequestLatencies, r.DrainedWindows, r.CommandLatencies, r.ViewRepairTimes, r.ConfigPropagationTimes,
-		r.CatchUpTimes, r.JoinTimes, r.AnswersWhileCut, r.HeartbeatsWhileCut, r.AnswersAfterThaw, r.MaxDiskBytes, r.NewestSequence)
+		r.CatchUpTimes, r.JoinTimes, r.ResponsesWhileIsolated, r.HeartbeatsWhileIsolated, r.ResponsesAfterResume, r.MaxDiskBytes, r.NewestSequence)
 	for _, o := range r.Operations {
 		h.add(entryResult, c.now, 1, o.Read, o.Version, o.Call, o.Return)
 	}
@@ -186,7 +186,7 @@
 		return
 	}
 	r := &o.result
-	h.add(entryResult, o.now, 0, len(r.Violations), r.Lookups, r.Unanswered, r.Orders, r.Charged, r.Uncertain, r.Forwarded, r.OwnLatencies, r.ForwardedLatencies, r.UsedSlotSeconds, r.IdleSlotSeconds)
+	h.add(entryResult, o.now, 0, len(r.Violations), r.Lookups, r.UnansweredLookups, r.Orders, r.AnsweredOrders, r.UncertainOrders, r.ForwardedRequests, r.LocalLatencies, r.ForwardedLatencies, r.UsedSlotSeconds, r.IdleSlotSeconds)
 	for _, q := range o.requests {
 		h.add(entryOverflow, o.now, q.home, q.id, q.isOrder, q.arrivedAt, q.executions, q.answered, q.uncertain, q.attempts)
 	}
--- a/internal/testbeds/simulation/history_test.go
+++ b/internal/testbeds/simulation/history_test.go
@@ -30,7 +30,7 @@
 		},
 		"weeks": func(seed uint64) string {
 			planningWeek.Lock()
-			week, _ := GenerateWindowWeek(seed)
+			week, _ := GeneratePlannedMaintenance(seed)
 			planningWeek.Unlock()
 			return scheduleHistory(week.Schedule)
 		},
@@ -205,9 +205,9 @@
 	t.Logf("%d histories in %v", len(sums), time.Since(began).Round(time.Second))
 }
 
-// TestHistorySeesDecisions guards that a checksum changes with what is decided, and does not change from one run to the
+// TestHistoryDependsOnDecisions guards that a checksum changes with what is decided, and does not change from one run to the
 // next.
-func TestHistorySeesDecisions(t *testing.T) {
+func TestHistoryDependsOnDecisions(t *testing.T) {
 	s := Generate(1, 3, 8, 25*time.Second)
 	sum := scheduleHistory(s)
 	if again := scheduleHistory(s); again != sum {
--- a/internal/testbeds/simulation/inject.go
+++ b/internal/testbeds/simulation/inject.go
@@ -11,11 +11,11 @@
 	c.tracef("FAULT: %v", fault)
 	c.faultActiveUntil = max(c.faultActiveUntil, c.now+fault.For+restartTime)
 	switch fault.Kind {
-	case KillAll, LosePowerAll, LosePowerWipes:
+	case KillAll, LosePowerAll, LosePowerAllWipeSome:
 		c.stopAllMembers(fault)
-	case LoseZone:
+	case LoseZonePower:
 		c.loseZone(fault)
-	case KillGateway, FreezeGateway, CutGateway:
+	case KillGateway, PauseGateway, IsolateGateway:
 		if fault.Target < len(c.gateways) {
 			c.injectGatewayFault(c.gateways[fault.Target], fault)
 		}
@@ -39,7 +39,7 @@
 		if fault.Kind == KillAll {
 			cause = processKilled
 		}
-		if fault.Kind == LosePowerWipes && c.mayWipe(m, i, wiped) {
+		if fault.Kind == LosePowerAllWipeSome && c.mayWipe(m, i, wiped) {
 			cause = diskWiped
 			wiped++
 		}
@@ -72,7 +72,7 @@
 // injectMemberFault strikes one member in a schedule without a Tolerance.
 func (c *cluster) injectMemberFault(m *member, fault Fault) {
 	switch fault.Kind {
-	case FreezeProcess:
+	case PauseProcess:
 		if m.up {
 			c.downSince[m.index] = c.now
 			c.freeze(&m.process, fault.For)
@@ -80,7 +80,7 @@
 	case StepClock:
 		m.clockOffset += fault.For / 2
 		c.tracef("%s: its clock jumps by %.2fs", m.name, (fault.For / 2).Seconds())
-	case CutOff, CutOneWay:
+	case IsolateMember, IsolateMemberOneWay:
 		c.cutLinksOf(m, fault)
 	default:
 		c.injectStopOrDiskFault(m, fault)
@@ -121,7 +121,7 @@
 
 // cutLinksOf cuts a member's links to all other nodes, both ways or in a random direction.
 func (c *cluster) cutLinksOf(m *member, fault Fault) {
-	if fault.Kind == CutOff {
+	if fault.Kind == IsolateMember {
 		c.downSince[m.index] = c.now
 	}
 	inbound := c.random.IntN(2) == 0
@@ -136,10 +136,10 @@
 	}
 	var links []link
 	for _, other := range others {
-		if fault.Kind == CutOff || !inbound {
+		if fault.Kind == IsolateMember || !inbound {
 			links = append(links, link{m.name, other})
 		}
-		if fault.Kind == CutOff || inbound {
+		if fault.Kind == IsolateMember || inbound {
 			links = append(links, link{other, m.name})
 		}
 	}
--- a/internal/testbeds/simulation/injecttolerance.go
+++ b/internal/testbeds/simulation/injecttolerance.go
@@ -16,14 +16,14 @@
 
 // injectWithTolerance strikes in a schedule with a Tolerance, and reports whether the fault is of a kind that differs there.
 func (c *cluster) injectWithTolerance(fault Fault) bool {
-	if fault.When != "" {
+	if fault.Trigger != "" {
 		c.addWaiting(&c.coreHistory.pendingFaults, fault, maxFaultWait)
 		return true
 	}
 	switch fault.Kind {
-	case KillGateway, FreezeGateway, CutGateway, CrashReplica, StepClock:
+	case KillGateway, PauseGateway, IsolateGateway, CrashReplica, StepClock:
 		return false
-	case KillAll, LosePowerAll, LosePowerWipes:
+	case KillAll, LosePowerAll, LosePowerAllWipeSome:
 		c.tracef("FAULT: %v", fault)
 		c.stopAllMembers(fault)
 	case AddSpareMember:
@@ -42,11 +42,11 @@
 	switch fault.Kind {
 	case RemoveMember, ShutDownMember:
 		c.removeMember(m, fault)
-	case FreezeProcess, PauseClock, PauseAllClocks:
+	case PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks:
 		if m.up && !m.frozen {
 			c.pauseMember(m, fault)
 		}
-	case CutOff, CutFromMembers, CutFromInbound, CutFromOutbound:
+	case IsolateMember, PartitionMember, DropInbound, DropOutbound:
 		c.isolateMember(m, fault)
 	default:
 		if !c.injectStopOrDiskFault(m, fault) {
@@ -82,10 +82,10 @@
 	c.downSince[m.index], m.cutAt = c.now, c.now
 	incarnation, from := m.incarnation, c.now
 	c.after(fault.For, func() { // before it thaws
-		if m.incarnation == incarnation && fault.Kind != FreezeProcess {
+		if m.incarnation == incarnation && fault.Kind != PauseProcess {
 			m.clockOffset -= time.Duration(float64(c.now-from) * m.clockRate)
 		}
-		if m.incarnation == incarnation && fault.Kind == PauseAllClocks {
+		if m.incarnation == incarnation && fault.Kind == PauseWithAllClocks {
 			m.wallClockOffset -= c.now - from
 		}
 	})
@@ -109,14 +109,14 @@
 // addCuts adds to the counts of cuts that a kind of fault is about.
 func (p *process) addCuts(kind FaultKind, n int) {
 	switch kind {
-	case CutOff:
+	case IsolateMember:
 		p.isolationCuts += n
-	case CutFromMembers:
+	case PartitionMember:
 		p.inboundCuts += n
 		p.outboundCuts += n
-	case CutFromInbound:
+	case DropInbound:
 		p.inboundCuts += n
-	case CutFromOutbound:
+	case DropOutbound:
 		p.outboundCuts += n
 	}
 }
@@ -149,7 +149,7 @@
 }
 
 func (c *cluster) memberInRole(role FaultRole) (*member, bool) {
-	if role == RoleNewest && c.coreHistory.newestSpare != nil {
+	if role == RoleNewestSpare && c.coreHistory.newestSpare != nil {
 		return c.coreHistory.newestSpare, true
 	}
 	chain := c.newestView().Chain
--- a/internal/testbeds/simulation/maintenance.go
+++ b/internal/testbeds/simulation/maintenance.go
@@ -21,7 +21,7 @@
 // windowCommand is what an action asks of maintenance windows.
 func (c *cluster) windowCommand(action Action) *maintenance.Command {
 	command := &maintenance.Command{Verb: string(action.Kind), WindowName: windowName}
-	if action.Kind == AgreeWindows {
+	if action.Kind == SetWindowFloors {
 		for i := range generatedZones {
 			command.AgreedFloors = append(command.AgreedFloors, capacity.Floor{Region: regionName(i), Group: capacity.Lookups, Minimum: agreedFloor})
 		}
--- a/internal/testbeds/simulation/maintenance_test.go
+++ b/internal/testbeds/simulation/maintenance_test.go
@@ -17,7 +17,7 @@
 		drained += result.DrainedWindows
 		if len(result.Violations) > 0 {
 			schedule, result = Shrink(schedule)
-			t.Fatalf("seed %d, shrunk:\n%s\n%s", seed, schedule.Text(), traceText(result))
+			t.Fatalf("seed %d, shrunk:\n%s\n%s", seed, schedule.JSON(), traceText(result))
 		}
 	}
 	t.Logf("%d windows in which a gateway was drained", drained)
@@ -26,22 +26,22 @@
 	}
 }
 
-// TestPlannedWindowWeeks runs weeks of planned windows under traffic and with members that fail. -v and SIMULATION_SEEDS=200
+// TestPlannedMaintenance runs weeks of planned windows under traffic and with members that fail. -v and SIMULATION_SEEDS=200
 // print what the results page quotes.
-func TestPlannedWindowWeeks(t *testing.T) {
+func TestPlannedMaintenance(t *testing.T) {
 	t.Parallel()
 	var latencies [2][]time.Duration
 	greedy, best, serial, drained := 0, 0, 0, 0
 	for seed := range seedCount(t, 6) {
-		week, ok := GenerateWindowWeek(seed)
+		week, ok := GeneratePlannedMaintenance(seed)
 		if !ok {
 			t.Fatalf("seed %d: no timetable", seed)
 		}
 		result := Run(week.Schedule)
 		if len(result.Violations) > 0 {
-			t.Fatalf("seed %d:\n%s\n%s", seed, week.Schedule.Text(), traceText(result))
+			t.Fatalf("seed %d:\n%s\n%s", seed, week.Schedule.JSON(), traceText(result))
 		}
-		greedy, best, serial, drained = greedy+week.Greedy, best+week.Best, serial+week.Serial, drained+result.DrainedWindows
+		greedy, best, serial, drained = greedy+week.GreedySlots, best+week.OptimalSlots, serial+week.SerialSlots, drained+result.DrainedWindows
 		for i := range latencies {
 			latencies[i] = append(latencies[i], result.RequestLatencies[i]...)
 		}
--- a/internal/testbeds/simulation/memberlifecycle.go
+++ b/internal/testbeds/simulation/memberlifecycle.go
@@ -50,7 +50,7 @@
 	if state.DiskID == "" && !first {
 		m.wipeCount++
 	}
-	if c.hasBug(ForgetClaims) {
+	if c.hasBug(DiscardClaimsOnRestart) {
 		state.Register.Claims = nil
 	}
 	state.Initialize(m.address, seeds, first || c.hasBug(KeepVoteAfterWipe), fmt.Sprintf("w%d", m.wipeCount))
--- a/internal/testbeds/simulation/operator.go
+++ b/internal/testbeds/simulation/operator.go
@@ -136,7 +136,7 @@
 	case ReadConfig:
 		call.floor = max(call.floor, c.acknowledgedVersion)
 		event.ReadConfiguration = true
-	case AgreeWindows, AskForWindow, FinishWindow, CancelWindows:
+	case SetWindowFloors, RequestWindow, FinishWindow, CancelWindows:
 		event.MaintenanceCommand = c.windowCommand(call.action)
 	case PutConfig:
 		event.Command = &chainreplication.Command{Version: call.version, Body: []byte(call.body)}
@@ -199,7 +199,7 @@
 
 // losesAnswer reports whether an answer is lost on its way, which happens to a call once if its action says so.
 func (c *cluster) losesAnswer(m *member, call *operatorCall, answer controller.Response) bool {
-	if !call.action.LoseAnswer || call.answerLost || answer.Status != http.StatusOK {
+	if !call.action.LoseResponse || call.answerLost || answer.Status != http.StatusOK {
 		return false
 	}
 	call.answerLost = true
--- a/internal/testbeds/simulation/overflow.go
+++ b/internal/testbeds/simulation/overflow.go
@@ -29,13 +29,13 @@
 
 // OverflowResult is what was seen.
 type OverflowResult struct {
-	Violations          []string
-	Lookups, Unanswered int             // first attempts, and those not answered within their deadline
-	Orders, Charged     int             // orders, and those that were answered
-	Uncertain           int             // orders that may have run
-	Forwarded           int             // requests
-	OwnLatencies        []time.Duration // of the own clients of sites that were not overloaded
-	ForwardedLatencies  []time.Duration // of forwarded requests that were answered
+	Violations                 []string
+	Lookups, UnansweredLookups int             // first attempts, and those not answered within their deadline
+	Orders, AnsweredOrders     int             // orders, and those that were answered
+	UncertainOrders            int             // orders that may have run
+	ForwardedRequests          int             // requests
+	LocalLatencies             []time.Duration // of the own clients of sites that were not overloaded
+	ForwardedLatencies         []time.Duration // of forwarded requests that were answered
 
 	// Seconds of slots at other sites that forwarded requests used, and of slots at sites that were not overloaded that were
 	// free while others rejected requests.
--- a/internal/testbeds/simulation/overflow_test.go
+++ b/internal/testbeds/simulation/overflow_test.go
@@ -13,14 +13,14 @@
 }
 
 func (totals *overflowTotals) add(result OverflowResult) {
-	totals.unanswered += result.Unanswered
+	totals.unanswered += result.UnansweredLookups
 	totals.lookups += result.Lookups
 	totals.orders += result.Orders
-	totals.charged += result.Charged
-	totals.uncertain += result.Uncertain
-	totals.forwarded += result.Forwarded
+	totals.charged += result.AnsweredOrders
+	totals.uncertain += result.UncertainOrders
+	totals.forwarded += result.ForwardedRequests
 	totals.usedSlotSeconds += result.UsedSlotSeconds
-	totals.own = append(totals.own, result.OwnLatencies...)
+	totals.own = append(totals.own, result.LocalLatencies...)
 	totals.forwardedLatencies = append(totals.forwardedLatencies, result.ForwardedLatencies...)
 }
 
--- a/internal/testbeds/simulation/overflowrequest.go
+++ b/internal/testbeds/simulation/overflowrequest.go
@@ -63,7 +63,7 @@
 	}
 	if destination, token, ok := o.chooseDestination(s, request); ok {
 		s.forwarded++
-		o.result.Forwarded++
+		o.result.ForwardedRequests++
 		o.forward(s, destination, request, token, retry)
 		return
 	}
@@ -187,7 +187,7 @@
 		if !forwarded && !request.answered {
 			request.answered = true
 			if !s.overloaded {
-				o.result.OwnLatencies = append(o.result.OwnLatencies, o.now-request.arrivedAt)
+				o.result.LocalLatencies = append(o.result.LocalLatencies, o.now-request.arrivedAt)
 			}
 		}
 		ended()
--- a/internal/testbeds/simulation/overflowsimulation.go
+++ b/internal/testbeds/simulation/overflowsimulation.go
@@ -81,16 +81,16 @@
 	if !request.isOrder {
 		result.Lookups++
 		if !request.answered && request.arrivedAt < o.scenario.Duration-clientDeadline-time.Second {
-			result.Unanswered++
+			result.UnansweredLookups++
 		}
 		return
 	}
 	result.Orders++
 	if request.answered {
-		result.Charged++
+		result.AnsweredOrders++
 	}
 	if request.uncertain {
-		result.Uncertain++
+		result.UncertainOrders++
 	}
 	if request.executions > 1 {
 		result.Violations = append(result.Violations, fmt.Sprintf("order %d ran %d times", request.id, request.executions))
--- a/internal/testbeds/simulation/plantedbug.go
+++ b/internal/testbeds/simulation/plantedbug.go
@@ -20,19 +20,19 @@
 	AcknowledgeBeforeSync PlantedBug = "a write is reported as done before the sync"
 	SkipFolderSync        PlantedBug = "a new file's folder is not synced"
 	AcceptStaleState      PlantedBug = "a gateway takes an older register"
-	ForgetDrains          PlantedBug = "what another member says of a drain is confirmed and not kept"
+	DiscardReportedDrains PlantedBug = "what another member says of a drain is confirmed and not kept"
 	UndividedWarmupQuota  PlantedBug = "each member deals out all that a warming replica bears"
 )
 
 // The bugs that it takes a Tolerance to find.
 const (
-	UnconfirmedFirstState PlantedBug = "a gateway that connects is sent what is held, without asking the other members"
-	ConfirmSupersededView PlantedBug = "a view is confirmed by members that know of a later one"
-	DropCommandID         PlantedBug = "a command that is entered again is a new one"
-	AcceptDelayedCalls    PlantedBug = "what lay in the socket of a frozen member is taken for new"
-	HideConflict          PlantedBug = "the head does not say that a number belongs to another command"
-	ForgetClaims          PlantedBug = "numbers that were taken are forgotten at a restart"
-	LeaveWithoutHandover  PlantedBug = "a member that leaves ends without waiting for the others"
+	UnconfirmedFirstState  PlantedBug = "a gateway that connects is sent what is held, without asking the other members"
+	ConfirmSupersededView  PlantedBug = "a view is confirmed by members that know of a later one"
+	DropCommandID          PlantedBug = "a command that is entered again is a new one"
+	AcceptDelayedCalls     PlantedBug = "what lay in the socket of a frozen member is taken for new"
+	HideConflict           PlantedBug = "the head does not say that a number belongs to another command"
+	DiscardClaimsOnRestart PlantedBug = "numbers that were taken are forgotten at a restart"
+	LeaveWithoutHandover   PlantedBug = "a member that leaves ends without waiting for the others"
 )
 
 // hasBug reports whether a bug is planted in this run.
@@ -40,7 +40,7 @@
 
 // plantInMessage alters a message between members as a member with the planted bug would have sent or read it.
 func (c *cluster) plantInMessage(m *member, event controller.Event) controller.Event {
-	if event.Message != nil && c.hasBug(ForgetDrains) {
+	if event.Message != nil && c.hasBug(DiscardReportedDrains) {
 		message := *event.Message
 		message.Instances = slices.DeleteFunc(slices.Clone(message.Instances), func(instance fleet.Instance) bool { return instance.Draining })
 		event.Message = &message
--- a/internal/testbeds/simulation/plantedbug_test.go
+++ b/internal/testbeds/simulation/plantedbug_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestPlantedBugsAreFound plants bugs on purpose: invariants that miss them are worth nothing.
-func TestPlantedBugsAreFound(t *testing.T) {
-	for _, bug := range []PlantedBug{IgnoreViewNumber, KeepVoteAfterWipe, AcknowledgeBeforeSync, SkipFolderSync, AcceptStaleState, ForgetDrains, UndividedWarmupQuota} {
+// TestInvariantsFindPlantedBugs plants bugs on purpose: invariants that miss them are worth nothing.
+func TestInvariantsFindPlantedBugs(t *testing.T) {
+	for _, bug := range []PlantedBug{IgnoreViewNumber, KeepVoteAfterWipe, AcknowledgeBeforeSync, SkipFolderSync, AcceptStaleState, DiscardReportedDrains, UndividedWarmupQuota} {
 		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(400) {
@@ -34,7 +34,7 @@
 	switch bug {
 	case IgnoreViewNumber: // views must change often, and messages of older ones come late
 		schedule.ReorderRate, schedule.MaxReorderDelay, schedule.Gateways, schedule.Faults = 0.3, 3*time.Second, 0, nil
-		kinds := []FaultKind{CutOff, FreezeProcess, LosePower, CutOneWay}
+		kinds := []FaultKind{IsolateMember, PauseProcess, LosePower, IsolateMemberOneWay}
 		for at := 2 * time.Second; at < 22*time.Second; at += 2400 * time.Millisecond {
 			schedule.Faults = append(schedule.Faults, Fault{At: at + time.Duration(seed)*time.Millisecond, For: 1300 * time.Millisecond,
 				Kind: kinds[int(seed)%4], Target: int(at/time.Millisecond+time.Duration(seed)) % 3})
@@ -63,13 +63,13 @@
 // made for it, and that very schedule passes without it.
 func TestFamiliesFindPlantedBugs(t *testing.T) {
 	cases := map[PlantedBug]struct{ family, violation string }{
-		UnconfirmedFirstState: {"cuts", "which is new to it"},
-		ConfirmSupersededView: {"cuts", "was acknowledged before it was asked"},
-		DropCommandID:         {"twins", notLinearizable},
-		AcceptDelayedCalls:    {"cuts", notLinearizable},
-		HideConflict:          {"twins", "is acknowledged as"},
-		ForgetClaims:          {"twins", "is acknowledged as"},
-		LeaveWithoutHandover:  {"twins", "has no quorum contact"},
+		UnconfirmedFirstState:  {"cuts", "which is new to it"},
+		ConfirmSupersededView:  {"cuts", "was acknowledged before it was asked"},
+		DropCommandID:          {"twins", notLinearizable},
+		AcceptDelayedCalls:     {"cuts", notLinearizable},
+		HideConflict:           {"twins", "is acknowledged as"},
+		DiscardClaimsOnRestart: {"twins", "is acknowledged as"},
+		LeaveWithoutHandover:   {"twins", "has no quorum contact"},
 	}
 	for bug, want := range cases {
 		t.Run(string(bug), func(t *testing.T) {
@@ -101,7 +101,7 @@
 		readAndPutWhileTailIsCut(&schedule)
 	case LeaveWithoutHandover: // the head leaves, its successor is there, and another member is lost meanwhile
 		schedule.Faults = []Fault{{At: 8 * time.Second, Kind: AddSpareMember}, {At: 16 * time.Second, Kind: ShutDownMember, Role: RoleHead},
-			{At: 16*time.Second + time.Duration(seed)*5*time.Millisecond, For: 12 * time.Second, Kind: FreezeProcess, Role: RoleTail}}
+			{At: 16*time.Second + time.Duration(seed)*5*time.Millisecond, For: 12 * time.Second, Kind: PauseProcess, Role: RoleTail}}
 	}
 	return schedule
 }
@@ -111,7 +111,7 @@
 	schedule.Gateways, schedule.Replicas, schedule.Actions, schedule.Faults = 0, 0, nil, nil
 	for at := 8 * time.Second; at < 22*time.Second; at += 6 * time.Second {
 		after := time.Duration(seed%40) * 15 * time.Millisecond // the view changes about a second after the cut
-		schedule.Faults = append(schedule.Faults, Fault{At: at, For: 1500 * time.Millisecond, Kind: CutOff, Role: RoleTail})
+		schedule.Faults = append(schedule.Faults, Fault{At: at, For: 1500 * time.Millisecond, Kind: IsolateMember, Role: RoleTail})
 		schedule.Actions = append(schedule.Actions, Action{At: at - time.Second, Kind: EvacuateZone, To: 2},
 			Action{At: at + 400*time.Millisecond + after, Kind: RestoreZone, To: 2},
 			Action{At: at + 450*time.Millisecond + after, Kind: EvacuateZone, To: 2})
@@ -122,7 +122,7 @@
 func readAndPutWhileTailIsCut(schedule *Schedule) {
 	schedule.LossRate, schedule.Gateways, schedule.Replicas, schedule.Actions, schedule.Faults = 0.2, 0, 0, nil, nil
 	for at := 8 * time.Second; at < 22*time.Second; at += 4 * time.Second {
-		schedule.Faults = append(schedule.Faults, Fault{At: at, For: 1200 * time.Millisecond, Kind: CutFromMembers, Role: RoleTail})
+		schedule.Faults = append(schedule.Faults, Fault{At: at, For: 1200 * time.Millisecond, Kind: PartitionMember, Role: RoleTail})
 	}
 	for at := 8 * time.Second; at < 24*time.Second; at += 20 * time.Millisecond {
 		schedule.Actions = append(schedule.Actions, Action{At: at, Kind: ReadConfig, To: 1 + len(schedule.Actions)%3})
--- a/internal/testbeds/simulation/replica.go
+++ b/internal/testbeds/simulation/replica.go
@@ -118,7 +118,7 @@
 	event.Token = c.lastToken
 	m.pendingCalls[event.Token] = func(answer controller.Response) {
 		if answer.Status == http.StatusOK && m.isCutOff() {
-			c.result.HeartbeatsWhileCut = append(c.result.HeartbeatsWhileCut, c.now-m.cutAt)
+			c.result.HeartbeatsWhileIsolated = append(c.result.HeartbeatsWhileIsolated, c.now-m.cutAt)
 		}
 		answered(answer)
 	}
--- a/internal/testbeds/simulation/result.go
+++ b/internal/testbeds/simulation/result.go
@@ -34,12 +34,12 @@
 	CatchUpTimes []time.Duration
 	// JoinTimes are the same of members at a new address.
 	JoinTimes []time.Duration
-	// AnswersWhileCut run from the begin of a cut to each answer that the member cut off still gave.
-	AnswersWhileCut []time.Duration
-	// HeartbeatsWhileCut are the same of answers to heartbeats of replicas.
-	HeartbeatsWhileCut []time.Duration
-	// AnswersAfterThaw run from a thaw to each answer that was given while others had a newer view.
-	AnswersAfterThaw []time.Duration
+	// ResponsesWhileIsolated run from the begin of a cut to each answer that the member cut off still gave.
+	ResponsesWhileIsolated []time.Duration
+	// HeartbeatsWhileIsolated are the same of answers to heartbeats of replicas.
+	HeartbeatsWhileIsolated []time.Duration
+	// ResponsesAfterResume run from a thaw to each answer that was given while others had a newer view.
+	ResponsesAfterResume []time.Duration
 }
 
 // Operation is one call of an operator, for a check of the whole history against one register that only grows: a write
--- a/internal/testbeds/simulation/retry_test.go
+++ b/internal/testbeds/simulation/retry_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestRetriesOverRestarts guards the sum of all gateways' retries while all of them are restarted ten times within one window, some cut off from all
+// TestRetryBudgetAcrossRestarts guards the sum of all gateways' retries while all of them are restarted ten times within one window, some cut off from all
 // members, and while members fail: each incarnation began with a full share of the slack.
-func TestRetriesOverRestarts(t *testing.T) {
+func TestRetryBudgetAcrossRestarts(t *testing.T) {
 	retries := 0
 	for seed := range seedCount(t, 8) {
 		result := Run(restartingGatewaysSchedule(seed))
@@ -32,7 +32,7 @@
 		}
 		if restart%3 == int(seed%3) { // some of them can't ask how many they are
 			for gateway := 0; gateway < schedule.Gateways; gateway += 2 {
-				schedule.Faults = append(schedule.Faults, Fault{At: at, For: 1500 * time.Millisecond, Kind: CutGateway, Target: gateway})
+				schedule.Faults = append(schedule.Faults, Fault{At: at, For: 1500 * time.Millisecond, Kind: IsolateGateway, Target: gateway})
 			}
 		}
 		if restart%4 == 1 {
--- a/internal/testbeds/simulation/schedule.go
+++ b/internal/testbeds/simulation/schedule.go
@@ -26,8 +26,8 @@
 
 	// Tolerance, where set, is how many members may be lost at once. Such a schedule may have the faults that say so, and
 	// more is checked: linearizability by key, and that members come back and take part again.
-	Tolerance   int           `json:",omitempty"`
-	StartSpread time.Duration `json:"Spread,omitempty"` // members start within this
+	Tolerance     int           `json:",omitempty"`
+	MaxStartDelay time.Duration `json:"Spread,omitempty"` // members start within this
 
 	// UnconfirmedUpdates has a member tell each gateway that connects what it holds to be committed, before it has asked the
 	// other members. It takes that to see what a gateway itself guards when a member is wrong.
@@ -53,22 +53,22 @@
 
 // The actions of operators on maintenance windows. The values are the verbs of the call.
 const (
-	AgreeWindows  ActionKind = "agree"
-	AskForWindow  ActionKind = "ask"
-	FinishWindow  ActionKind = "finish"
-	CancelWindows ActionKind = "cancel"
+	SetWindowFloors ActionKind = "agree"
+	RequestWindow   ActionKind = "ask"
+	FinishWindow    ActionKind = "finish"
+	CancelWindows   ActionKind = "cancel"
 )
 
 // Action is something that operators or replicas do.
 type Action struct {
-	At         time.Duration
-	Kind       ActionKind
-	Version    uint64 // PutConfig
-	To         int    `json:",omitempty"`     // 1 + the index of the member that is called first; 0: any
-	RetrySame  bool   `json:"Back,omitempty"` // that member is called again, and not another
-	LoseAnswer bool   `json:"Lost,omitempty"` // the first answer is lost on its way
-	Body       int    `json:",omitempty"`     // PutConfig: names what is put; 0: the index of the action does
-	Target     int    `json:"On"`             // the zone, the replica or the gateway that is meant, by index
+	At           time.Duration
+	Kind         ActionKind
+	Version      uint64 // PutConfig
+	To           int    `json:",omitempty"`     // 1 + the index of the member that is called first; 0: any
+	RetrySame    bool   `json:"Back,omitempty"` // that member is called again, and not another
+	LoseResponse bool   `json:"Lost,omitempty"` // the first answer is lost on its way
+	Body         int    `json:",omitempty"`     // PutConfig: names what is put; 0: the index of the action does
+	Target       int    `json:"On"`             // the zone, the replica or the gateway that is meant, by index
 }
 
 // lastEffect is when the last fault has ended and the schedule has run out.
@@ -80,8 +80,8 @@
 	return end
 }
 
-// Text is a schedule as it is kept under testdata.
-func (s Schedule) Text() string {
+// JSON returns the schedule in the indented form used under testdata.
+func (s Schedule) JSON() string {
 	text, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
 		return err.Error()
--- a/internal/testbeds/simulation/shrink.go
+++ b/internal/testbeds/simulation/shrink.go
@@ -8,14 +8,14 @@
 // Shrink drops faults (but no spares), actions, gateways and replicas from a schedule as long as it still violates an
 // invariant.
 func Shrink(schedule Schedule) (Schedule, Result) {
-	return ShrinkBy(schedule, func(candidate Schedule) (Result, bool) {
+	return ShrinkWith(schedule, func(candidate Schedule) (Result, bool) {
 		result := Run(candidate)
 		return result, len(result.Violations) > 0
 	})
 }
 
-// ShrinkBy does the same with a check of one's own, which runs a schedule and reports whether it still fails.
-func ShrinkBy(schedule Schedule, check func(Schedule) (Result, bool)) (Schedule, Result) {
+// ShrinkWith does the same with a check of one's own, which runs a schedule and reports whether it still fails.
+func ShrinkWith(schedule Schedule, check func(Schedule) (Result, bool)) (Schedule, Result) {
 	s := &shrinker{schedule: schedule, check: check}
 	s.result, _ = check(schedule)
 	for smaller := true; smaller; {
--- a/internal/testbeds/simulation/shrink_test.go
+++ b/internal/testbeds/simulation/shrink_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// TestShrinkDropsWhatIsNotNeeded shrinks by a check that needs one fault, one action and one gateway: only these are left,
+// TestShrinkRemovesUnneededParts shrinks by a check that needs one fault, one action and one gateway: only these are left,
 // and the spare, without which more members would be lost than may be.
-func TestShrinkDropsWhatIsNotNeeded(t *testing.T) {
+func TestShrinkRemovesUnneededParts(t *testing.T) {
 	schedule := GenerateFamily("replaced", 3, 5)
-	needed := Fault{At: 9 * time.Second, Kind: FreezeProcess, Target: 1}
+	needed := Fault{At: 9 * time.Second, Kind: PauseProcess, Target: 1}
 	schedule.Faults = append(schedule.Faults, needed, Fault{At: 10 * time.Second, Kind: AddSpareMember})
 	neededAction := schedule.Actions[len(schedule.Actions)/2]
 	spares := countSpares(schedule)
 	for range 5 { // a long schedule is shrunk in one round only
-		schedule, _ = ShrinkBy(schedule, func(s Schedule) (Result, bool) {
+		schedule, _ = ShrinkWith(schedule, func(s Schedule) (Result, bool) {
 			return Result{}, slices.Contains(s.Faults, needed) && slices.Contains(s.Actions, neededAction) && s.Gateways > 0
 		})
 	}
--- a/internal/testbeds/simulation/warmup_test.go
+++ b/internal/testbeds/simulation/warmup_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestSecondWarmup guards a replica that begins to warm up a second time before the first time is over, as its zone is
+// TestOverlappingWarmups guards a replica that begins to warm up a second time before the first time is over, as its zone is
 // restored: gw-cold-after-evacuation. The second time ends a little later than the first, and a heartbeat that says so must
 // count.
-func TestSecondWarmup(t *testing.T) {
+func TestOverlappingWarmups(t *testing.T) {
 	const ms = time.Millisecond
 	warmupRequests := 0
 	for seed := range seedCount(t, 30) {
@@ -26,10 +26,10 @@
 	}
 }
 
-// TestWarmupQuotasChangeHands guards the sum over all gateways while warm-up quotas change hands: replicas warm up again and
+// TestWarmupQuotaTransfer guards the sum over all gateways while warm-up quotas change hands: replicas warm up again and
 // again, members are killed, frozen, cut and wiped in turn and gateways killed and frozen, so that gateways follow other
 // members all the time.
-func TestWarmupQuotasChangeHands(t *testing.T) {
+func TestWarmupQuotaTransfer(t *testing.T) {
 	warmupRequests := 0
 	for seed := range seedCount(t, 12) {
 		result := Run(changingHandsSchedule(seed))
@@ -50,13 +50,13 @@
 	for i := range 8 {
 		schedule.Actions = append(schedule.Actions, Action{At: time.Duration(3+3*i) * time.Second, Kind: StartReplica, Target: i})
 	}
-	memberKinds := []FaultKind{KillProcess, FreezeProcess, CutOff, LosePower, CutOneWay, WipeDisk}
-	gatewayKinds := []FaultKind{KillGateway, FreezeGateway, CutGateway}
+	memberKinds := []FaultKind{KillProcess, PauseProcess, IsolateMember, LosePower, IsolateMemberOneWay, WipeDisk}
+	gatewayKinds := []FaultKind{KillGateway, PauseGateway, IsolateGateway}
 	for i := range 8 {
 		at := time.Duration(3000+3000*i)*time.Millisecond + time.Duration(seed*37%900)*time.Millisecond
 		if i%2 == 1 { // all gateways follow other members while the replica warms up
 			for j := range schedule.Gateways {
-				schedule.Faults = append(schedule.Faults, Fault{At: at + 500*time.Millisecond, For: 1100 * time.Millisecond, Kind: CutGateway, Target: j})
+				schedule.Faults = append(schedule.Faults, Fault{At: at + 500*time.Millisecond, For: 1100 * time.Millisecond, Kind: IsolateGateway, Target: j})
 			}
 		}
 		schedule.Faults = append(schedule.Faults, Fault{At: at, For: 1300 * time.Millisecond, Kind: memberKinds[(int(seed)+i)%len(memberKinds)], Target: i % schedule.Members})
