--- a/internal/testbeds/simulation/cluster.go
+++ b/internal/testbeds/simulation/cluster.go
@@ -13,10 +13,10 @@
 
 // Bounds that the invariants rest on, and what the simulated processes take.
 const (
-	catchUpTime    = 4 * time.Second        // a member that has come back counts as lost for so long
-	restartTime    = 300 * time.Millisecond // of a process
-	calmBeforeCall = 6 * time.Second        // after so long without faults a call must be acknowledged
-	contactTimeout = 3 * time.Second        // after so long without contact to a quorum nothing may be acknowledged; calm before gateways are judged
+	catchUpTime         = 4 * time.Second        // a member that has come back counts as lost for so long
+	restartTime         = 300 * time.Millisecond // of a process
+	faultFreeBeforeCall = 6 * time.Second        // after so long without faults a call must be acknowledged
+	contactTimeout      = 3 * time.Second        // after so long without contact to a quorum nothing may be acknowledged; calm before gateways are judged
 
 	configPropagationBound = 2 * time.Second
 	drainDeadline          = 2 * time.Second
@@ -63,7 +63,7 @@
 	retryLog    retryLog
 
 	faultActiveUntil  time.Duration         // until when a fault acts, or has acted
-	downSince         map[int]time.Duration // members that are lost, by index
+	unavailableSince  map[int]time.Duration // members that are lost, by index
 	onAcknowledgement []Fault               // faults that wait for the next acknowledgement,
 	onViewChange      []Fault               // for the next view,
 	onWindowGrant     []Fault               // and for the next grant of a maintenance window
@@ -94,26 +94,26 @@
 		c.after(fault.At, func() { c.injectFault(fault) })
 	}
 	for i, action := range schedule.Actions {
-		c.after(action.At, func() { c.perform(i, action) })
+		c.after(action.At, func() { c.startAction(i, action) })
 	}
-	end := schedule.lastEffect()
+	end := schedule.endOfFaultsAndActions()
 	if schedule.Tolerance > 0 {
 		c.coreHistory.initialize()
-		c.watchCore()
+		c.monitorCore()
 		end += coreSettleTime
 	}
 	c.after(end+finalReadDelay, c.finalRead)
 	for len(c.queue) > 0 && c.now < end+runGrace && len(c.result.Violations) == 0 {
 		next := c.queue.pop()
 		c.now = next.at
-		c.carryOut(next.do)
+		c.runEvent(next.do)
 	}
 	history.end(c)
 	return c.result
 }
 
-// carryOut carries out an event. An invariant that the decision code itself finds violated is a violation as any other.
-func (c *cluster) carryOut(event func()) {
+// runEvent carries out an event. An invariant that the decision code itself finds violated is a violation as any other.
+func (c *cluster) runEvent(event func()) {
 	defer func() {
 		switch panicked := recover().(type) {
 		case nil:
@@ -134,7 +134,7 @@
 		memberByAddress:     map[string]*member{},
 		cutLinks:            map[link]int{},
 		lastArrival:         map[link]time.Duration{},
-		downSince:           map[int]time.Duration{},
+		unavailableSince:    map[int]time.Duration{},
 		committedBySequence: map[uint64]string{},
 		committedAt:         map[uint64]time.Duration{},
 		versionByBody:       map[string]uint64{},
@@ -199,12 +199,12 @@
 	c.result.Violations = append(c.result.Violations, fmt.Sprintf(format, args...))
 }
 
-// calmFor reports whether for so long no fault has acted anywhere.
-func (c *cluster) calmFor(span time.Duration) bool { return c.now > c.faultActiveUntil+span }
+// faultFreeFor reports whether for so long no fault has acted anywhere.
+func (c *cluster) faultFreeFor(span time.Duration) bool { return c.now > c.faultActiveUntil+span }
 
-// noteFault notes that a fault has just begun or ended to act on the members. Only schedules with a Tolerance count so;
+// extendFaultPeriod notes that a fault has just begun or ended to act on the members. Only schedules with a Tolerance count so;
 // in others injectFault knows beforehand how long a fault lasts.
-func (c *cluster) noteFault() {
+func (c *cluster) extendFaultPeriod() {
 	if c.schedule.Tolerance > 0 {
 		c.faultActiveUntil = max(c.faultActiveUntil, c.now+restartTime)
 	}
--- a/internal/testbeds/simulation/corehistory.go
+++ b/internal/testbeds/simulation/corehistory.go
@@ -21,11 +21,11 @@
 	rejectedBodies       map[string]bool  // configurations that a member answered by 409
 	bodyIDs              map[string]int
 
-	pendingFaults []Fault // that wait for a view
-	newestSpare   *member
-	spareCount    int
-	formed        bool // the members of the first view have had their time
-	watchCount    int
+	viewTriggeredFaults []Fault // that wait for a view
+	newestSpare         *member
+	spareCount          int
+	initialViewComplete bool // the members of the first view have had their time
+	monitorCount        int
 }
 
 // claim is a configuration that was acknowledged, and the number with which it was committed, or the newest before it.
@@ -85,24 +85,24 @@
 	call.attemptIndex = len(c.result.Attempts)
 }
 
-// recordGiveUp notes that nothing more is heard of a call's last attempt.
-func (c *cluster) recordGiveUp(call *operatorCall) {
+// recordAttemptEnd notes that nothing more is heard of a call's last attempt.
+func (c *cluster) recordAttemptEnd(call *operatorCall) {
 	if call.attemptIndex > 0 {
 		c.result.Attempts[call.attemptIndex-1].Return = c.now
 	}
 	call.attemptIndex = 0
 }
 
-// recordAnswer notes a clear answer to a call, and checks what it says against earlier ones.
-func (c *cluster) recordAnswer(m *member, call *operatorCall, answer controller.Response) {
+// recordResponse notes a clear answer to a call, and checks what it says against earlier ones.
+func (c *cluster) recordResponse(m *member, call *operatorCall, response controller.Response) {
 	if c.schedule.Tolerance == 0 {
 		return
 	}
-	c.measureStaleAnswer(m)
-	c.recordAttemptAnswer(call, answer)
+	c.measureStaleResponse(m)
+	c.recordAttemptResponse(call, response)
 	switch {
 	case call.action.Kind == ReadConfig:
-	case answer.Status == http.StatusConflict:
+	case response.Status == http.StatusConflict:
 		c.tracef("%s: call %d (%s) is rejected", m.name, call.number, bodyLabel(call.body))
 		c.checkRejection(m, call)
 	default:
@@ -114,15 +114,15 @@
 	}
 }
 
-// recordAttemptAnswer notes what came of the attempt at hand.
-func (c *cluster) recordAttemptAnswer(call *operatorCall, answer controller.Response) {
+// recordAttemptResponse notes what came of the attempt at hand.
+func (c *cluster) recordAttemptResponse(call *operatorCall, response controller.Response) {
 	if call.attemptIndex == 0 {
 		return
 	}
 	attempt := &c.result.Attempts[call.attemptIndex-1]
-	attempt.Return, attempt.Answered, attempt.Conflict = c.now, true, answer.Status == http.StatusConflict
-	if attempt.Kind == AttemptRead && answer.Status == http.StatusOK {
-		attempt.Version, attempt.BodyID = c.versionByBody[string(answer.Body)], c.coreHistory.bodyID(string(answer.Body))
+	attempt.Return, attempt.Answered, attempt.Conflict = c.now, true, response.Status == http.StatusConflict
+	if attempt.Kind == AttemptRead && response.Status == http.StatusOK {
+		attempt.Version, attempt.BodyID = c.versionByBody[string(response.Body)], c.coreHistory.bodyID(string(response.Body))
 	}
 	call.attemptIndex = 0
 }
@@ -134,13 +134,13 @@
 	}
 }
 
-// measureStaleAnswer measures for how long a member still answers that is cut off, or that has thawed and missed a view.
-func (c *cluster) measureStaleAnswer(m *member) {
-	if m.isCutOff() {
-		c.result.ResponsesWhileIsolated = append(c.result.ResponsesWhileIsolated, c.now-m.cutAt)
+// measureStaleResponse measures for how long a member still answers that is cut off, or that has thawed and missed a view.
+func (c *cluster) measureStaleResponse(m *member) {
+	if m.isIsolated() {
+		c.result.ResponsesWhileIsolated = append(c.result.ResponsesWhileIsolated, c.now-m.isolatedAt)
 	}
-	if m.thawedAt > 0 && m.controller.Coordinator().View().Number < c.result.NewestView {
-		c.result.ResponsesAfterResume = append(c.result.ResponsesAfterResume, c.now-m.thawedAt)
+	if m.resumedAt > 0 && m.controller.Coordinator().View().Number < c.result.NewestView {
+		c.result.ResponsesAfterResume = append(c.result.ResponsesAfterResume, c.now-m.resumedAt)
 	}
 }
 
--- a/internal/testbeds/simulation/discovery.go
+++ b/internal/testbeds/simulation/discovery.go
@@ -12,7 +12,7 @@
 // listedMembers are the members that a list of addresses may hold.
 func (c *cluster) listedMembers() (listed []*member) {
 	for _, m := range c.members {
-		if !m.gone || c.now-m.goneAt < discoveryLag {
+		if !m.removed || c.now-m.removedAt < discoveryLag {
 			listed = append(listed, m)
 		}
 	}
@@ -31,8 +31,8 @@
 	listed, hasLasting := c.listedMembers(), false
 	for _, i := range c.random.Perm(len(listed)) {
 		m := listed[i]
-		if len(seeds) < maxSeedAddresses-1 || len(seeds) == maxSeedAddresses-1 && (hasLasting || !m.gone) {
-			seeds, hasLasting = append(seeds, m.address), hasLasting || !m.gone
+		if len(seeds) < maxSeedAddresses-1 || len(seeds) == maxSeedAddresses-1 && (hasLasting || !m.removed) {
+			seeds, hasLasting = append(seeds, m.address), hasLasting || !m.removed
 		}
 	}
 	return seeds
--- a/internal/testbeds/simulation/families.go
+++ b/internal/testbeds/simulation/families.go
@@ -11,28 +11,28 @@
 
 // familyGenerators draw the faults and actions of a family's schedule.
 var familyGenerators = map[string]func(*generator){
-	"cuts":     (*generator).partitions,
-	"replaced": (*generator).replacements,
-	"twins":    (*generator).conflicts,
-	"storms":   (*generator).storms,
-	"long":     (*generator).longHistory,
-	"first":    (*generator).firstStart,
+	"cuts":     (*generator).generatePartitions,
+	"replaced": (*generator).generateReplacements,
+	"twins":    (*generator).generateConflicts,
+	"storms":   (*generator).generateCommandStorms,
+	"long":     (*generator).generateLongHistory,
+	"first":    (*generator).generateFirstStart,
 }
 
 // toleranceByMembers is how many members may be lost at once, by how many there are.
 var toleranceByMembers = map[int]int{3: 1, 5: 2, 7: 2}
 
 // Kinds of faults that several families draw from.
-var clusterStops = []FaultKind{KillAll, LosePowerAll, LosePowerAllWipeSome}
+var clusterStopFaults = []FaultKind{KillAll, LosePowerAll, LosePowerAllWipeSome}
 
 const (
-	familyGateways  = 2
-	familyReplicas  = 2
-	firstPutAt      = 500 * time.Millisecond
-	cutDuration     = 20 * time.Second
-	longestStopAll  = 900 * time.Millisecond
-	changeInterval  = 40 * time.Millisecond // in long histories
-	commandsInBurst = 8
+	familyGateways     = 2
+	familyReplicas     = 2
+	firstConfigTime    = 500 * time.Millisecond
+	cutDuration        = 20 * time.Second
+	maxClusterDowntime = 900 * time.Millisecond
+	changeInterval     = 40 * time.Millisecond // in long histories
+	commandsInBurst    = 8
 )
 
 // generator draws one schedule of a family.
@@ -53,7 +53,7 @@
 	}
 	g.budget = make(faultBudget, g.schedule.Tolerance)
 	drawLinks(g.random, &g.schedule)
-	g.addAction(Action{At: firstPutAt, Kind: PutConfig, Version: 1})
+	g.addAction(Action{At: firstConfigTime, Kind: PutConfig, Version: 1})
 	if generate := familyGenerators[family]; generate != nil {
 		generate(g)
 	}
@@ -63,23 +63,23 @@
 }
 
 // between draws a duration from a up to, not including, b.
-func (g *generator) between(a, b time.Duration) time.Duration {
+func (g *generator) durationBetween(a, b time.Duration) time.Duration {
 	return a + time.Duration(g.random.Int64N(int64(b-a)))
 }
 
-// oneIn is true once in n times.
-func (g *generator) oneIn(n int) bool { return g.random.IntN(n) == 0 }
+// chance is true once in n times.
+func (g *generator) chance(n int) bool { return g.random.IntN(n) == 0 }
 
 // kind draws a kind of fault.
-func (g *generator) kind(kinds ...FaultKind) FaultKind { return pickOne(g.random, kinds...) }
+func (g *generator) pickKind(kinds ...FaultKind) FaultKind { return pickOne(g.random, kinds...) }
 
 // evacuateOrRestore draws one of the two.
 func (g *generator) evacuateOrRestore() ActionKind {
 	return pickOne(g.random, EvacuateZone, RestoreZone)
 }
 
-// anyMember is the To of an action that calls a random member first.
-func (g *generator) anyMember() int { return 1 + g.random.IntN(g.schedule.Members) }
+// randomMember is the To of an action that calls a random member first.
+func (g *generator) randomMember() int { return 1 + g.random.IntN(g.schedule.Members) }
 
 // withTarget draws whom a fault strikes: a role, a member of the first view, or any member.
 func (g *generator) withTarget(fault Fault) Fault {
@@ -103,21 +103,21 @@
 		until += maxFaultWait
 	}
 	if g.budget.reserve(fault.At, until) {
-		g.append(fault)
+		g.appendFault(fault)
 	}
 }
 
 // append adds a fault whatever the budget says.
-func (g *generator) append(fault Fault) { g.schedule.Faults = append(g.schedule.Faults, fault) }
+func (g *generator) appendFault(fault Fault) { g.schedule.Faults = append(g.schedule.Faults, fault) }
 
 // addClusterFault adds a fault of all members, if nothing else is lost or still returning.
 func (g *generator) addClusterFault(at time.Duration, kinds ...FaultKind) {
 	if slices.Max(g.budget) > at {
 		return
 	}
-	fault := Fault{At: at, For: g.between(0, longestStopAll), Kind: g.kind(kinds...)}
+	fault := Fault{At: at, For: g.durationBetween(0, maxClusterDowntime), Kind: g.pickKind(kinds...)}
 	g.budget.reserveAll(at, at+fault.For+maxRestartSpread*time.Millisecond+restartTime+catchUpTime)
-	g.append(fault)
+	g.appendFault(fault)
 }
 
 // addAction adds an action. Each configuration has a body of its own, unless the action names one.
@@ -130,34 +130,34 @@
 }
 
 // partitions has members cut off, in both directions or one, or frozen, for 20 s, and called meanwhile and as they come back.
-func (g *generator) partitions() {
+func (g *generator) generatePartitions() {
 	g.schedule.Duration = 36 * time.Second
-	at := g.between(7*time.Second, 9*time.Second)
+	at := g.durationBetween(7*time.Second, 9*time.Second)
 	for range 1 + g.random.IntN(g.schedule.Tolerance) {
 		g.addFault(g.withTarget(Fault{At: at, For: cutDuration,
-			Kind: g.kind(IsolateMember, PartitionMember, DropInbound, DropOutbound, PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks), Reconnect: g.oneIn(2)}))
-		at += g.between(0, 4*time.Second)
+			Kind: g.pickKind(IsolateMember, PartitionMember, DropInbound, DropOutbound, PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks), Reconnect: g.chance(2)}))
+		at += g.durationBetween(0, 4*time.Second)
 	}
-	for at := 10 * time.Second; at < 34*time.Second; at += g.between(2*time.Second, 9*time.Second) {
-		g.addFault(g.withTarget(Fault{At: at, For: g.between(200*time.Millisecond, 2*time.Second),
-			Kind: g.kind(KillProcess, LosePower, WipeDisk, PauseProcess, PartitionMember)}))
+	for at := 10 * time.Second; at < 34*time.Second; at += g.durationBetween(2*time.Second, 9*time.Second) {
+		g.addFault(g.withTarget(Fault{At: at, For: g.durationBetween(200*time.Millisecond, 2*time.Second),
+			Kind: g.pickKind(KillProcess, LosePower, WipeDisk, PauseProcess, PartitionMember)}))
 	}
 	g.addActions(7*time.Second, 36*time.Second, 36)
 }
 
 // conflicts has operators use one version at the same moment, send again what was answered or not, eight at once, while the
 // members that take it die.
-func (g *generator) conflicts() {
+func (g *generator) generateConflicts() {
 	g.schedule.Duration = 26 * time.Second
-	for at := g.between(7*time.Second, 8*time.Second); at < 24*time.Second; at += g.between(2*time.Second, 4*time.Second) {
+	for at := g.durationBetween(7*time.Second, 8*time.Second); at < 24*time.Second; at += g.durationBetween(2*time.Second, 4*time.Second) {
 		g.addBurst(at)
 		switch g.random.IntN(4) {
 		case 0:
-			g.addClusterFault(at+g.between(0, 600*time.Millisecond), clusterStops...)
+			g.addClusterFault(at+g.durationBetween(0, 600*time.Millisecond), clusterStopFaults...)
 		case 1, 2:
-			g.addFault(g.withTarget(Fault{At: at + g.between(0, 30*time.Millisecond), For: g.between(300*time.Millisecond, 4*time.Second),
-				Kind:      g.kind(KillProcess, LosePower, WipeDisk, PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks, IsolateMember, PartitionMember, DropInbound, DropOutbound, StallDisk),
-				Reconnect: g.oneIn(3)}))
+			g.addFault(g.withTarget(Fault{At: at + g.durationBetween(0, 30*time.Millisecond), For: g.durationBetween(300*time.Millisecond, 4*time.Second),
+				Kind:      g.pickKind(KillProcess, LosePower, WipeDisk, PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks, IsolateMember, PartitionMember, DropInbound, DropOutbound, StallDisk),
+				Reconnect: g.chance(3)}))
 		}
 	}
 	g.addActions(7*time.Second, 26*time.Second, 12)
@@ -166,9 +166,9 @@
 // addBurst adds eight commands at once, some of them two under one version.
 func (g *generator) addBurst(at time.Duration) {
 	for i := range commandsInBurst {
-		a := Action{At: at + time.Duration(g.random.IntN(4))*time.Millisecond*time.Duration(g.random.IntN(8)), Kind: PutConfig, To: g.anyMember(),
-			Version: versionAt(at) + uint64(i/2), LoseResponse: g.oneIn(4), RetrySame: g.oneIn(3)}
-		if g.oneIn(4) {
+		a := Action{At: at + time.Duration(g.random.IntN(4))*time.Millisecond*time.Duration(g.random.IntN(8)), Kind: PutConfig, To: g.randomMember(),
+			Version: versionAt(at) + uint64(i/2), LoseResponse: g.chance(4), RetrySame: g.chance(3)}
+		if g.chance(4) {
 			a.Kind, a.Target = g.evacuateOrRestore(), g.random.IntN(generatedZones)
 		}
 		g.addAction(a)
@@ -176,38 +176,38 @@
 }
 
 // storms has nothing but commands and reads, dense about the moments at which a member is struck and at which it is back.
-func (g *generator) storms() {
+func (g *generator) generateCommandStorms() {
 	s := &g.schedule
 	s.Duration, s.Gateways, s.Replicas = 24*time.Second, 0, 0
 	s.LossRate, s.ReorderRate = 0.01*float64(g.random.IntN(3)), 0.02*float64(g.random.IntN(3))
 	s.MaxReorderDelay = shortReorderDelay
-	for at := g.between(7*time.Second, 8*time.Second); at < 21*time.Second; at += g.between(2*time.Second, 5*time.Second) {
-		fault := g.withTarget(Fault{At: at, For: g.stormDuration(), Kind: g.kind(KillProcess, KillProcess, LosePower, WipeDisk, PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks,
+	for at := g.durationBetween(7*time.Second, 8*time.Second); at < 21*time.Second; at += g.durationBetween(2*time.Second, 5*time.Second) {
+		fault := g.withTarget(Fault{At: at, For: g.stormFaultDuration(), Kind: g.pickKind(KillProcess, KillProcess, LosePower, WipeDisk, PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks,
 			IsolateMember, PartitionMember, DropInbound, DropOutbound, StallDisk, FillDisk, FailDisk)})
-		if g.oneIn(5) {
-			g.addClusterFault(at, clusterStops...)
+		if g.chance(5) {
+			g.addClusterFault(at, clusterStopFaults...)
 		} else {
 			g.addFault(fault)
-			if g.oneIn(3) { // and another, as the view changes, if the budget allows it
-				fault = g.withTarget(Fault{At: at + time.Millisecond, For: g.stormDuration(),
-					Kind: g.kind(KillProcess, LosePower, WipeDisk, PauseProcess, IsolateMember, DropOutbound), Trigger: TriggerViewChange})
+			if g.chance(3) { // and another, as the view changes, if the budget allows it
+				fault = g.withTarget(Fault{At: at + time.Millisecond, For: g.stormFaultDuration(),
+					Kind: g.pickKind(KillProcess, LosePower, WipeDisk, PauseProcess, IsolateMember, DropOutbound), Trigger: TriggerViewChange})
 				g.addFault(fault)
 			}
 		}
-		g.addStorm(at)
-		g.addStorm(at + fault.For)
+		g.addCommandStorm(at)
+		g.addCommandStorm(at + fault.For)
 	}
 }
 
-func (g *generator) stormDuration() time.Duration {
-	return g.between(20*time.Millisecond, 2500*time.Millisecond)
+func (g *generator) stormFaultDuration() time.Duration {
+	return g.durationBetween(20*time.Millisecond, 2500*time.Millisecond)
 }
 
 // addStorm adds dense commands and reads about a moment.
-func (g *generator) addStorm(about time.Duration) {
+func (g *generator) addCommandStorm(about time.Duration) {
 	for range 14 {
-		at := g.between(about-100*time.Millisecond, about+1200*time.Millisecond)
-		a := Action{At: at, Kind: PutConfig, Version: versionAt(at) + uint64(g.random.IntN(4)), To: g.anyMember(), LoseResponse: g.oneIn(6), RetrySame: g.oneIn(2)}
+		at := g.durationBetween(about-100*time.Millisecond, about+1200*time.Millisecond)
+		a := Action{At: at, Kind: PutConfig, Version: versionAt(at) + uint64(g.random.IntN(4)), To: g.randomMember(), LoseResponse: g.chance(6), RetrySame: g.chance(2)}
 		switch g.random.IntN(4) {
 		case 0:
 			a.Kind, a.Target = g.evacuateOrRestore(), g.random.IntN(2)
@@ -222,19 +222,19 @@
 func versionAt(at time.Duration) uint64 { return 10 * uint64(at/(100*time.Millisecond)) }
 
 // longHistory has hundreds of changes, with restarts, wipes and full disks among them.
-func (g *generator) longHistory() {
+func (g *generator) generateLongHistory() {
 	n := 300 + g.random.IntN(701)
 	g.schedule.Duration = 10*time.Second + time.Duration(n)*changeInterval
-	for at := g.between(7*time.Second, 9*time.Second); at < g.schedule.Duration-2*time.Second; at += g.between(time.Second, 4*time.Second) {
-		if g.oneIn(6) {
-			g.addClusterFault(at, clusterStops...)
+	for at := g.durationBetween(7*time.Second, 9*time.Second); at < g.schedule.Duration-2*time.Second; at += g.durationBetween(time.Second, 4*time.Second) {
+		if g.chance(6) {
+			g.addClusterFault(at, clusterStopFaults...)
 			continue
 		}
-		g.addFault(g.withTarget(Fault{At: at, For: g.between(200*time.Millisecond, 5*time.Second),
-			Kind: g.kind(KillProcess, LosePower, WipeDisk, FillDisk, FailDisk, StallDisk, PauseProcess, IsolateMember)}))
+		g.addFault(g.withTarget(Fault{At: at, For: g.durationBetween(200*time.Millisecond, 5*time.Second),
+			Kind: g.pickKind(KillProcess, LosePower, WipeDisk, FillDisk, FailDisk, StallDisk, PauseProcess, IsolateMember)}))
 	}
 	for i := range n {
-		at := 7*time.Second + time.Duration(i)*changeInterval + g.between(0, changeInterval)
+		at := 7*time.Second + time.Duration(i)*changeInterval + g.durationBetween(0, changeInterval)
 		a := Action{At: at, Kind: PutConfig, Version: uint64(1000 + 2*i)}
 		if i%8 == 0 {
 			a.Kind, a.Target = g.evacuateOrRestore(), g.random.IntN(generatedZones)
@@ -245,20 +245,20 @@
 }
 
 // firstStart has members struck within the second in which the system starts for the first time.
-func (g *generator) firstStart() {
+func (g *generator) generateFirstStart() {
 	g.schedule.Duration, g.schedule.MaxStartDelay = 14*time.Second, 300*time.Millisecond
-	at := g.between(time.Millisecond, 700*time.Millisecond)
-	if g.oneIn(2) {
+	at := g.durationBetween(time.Millisecond, 700*time.Millisecond)
+	if g.chance(2) {
 		for range 1 + g.random.IntN(g.schedule.Tolerance) {
-			g.addFault(Fault{At: at, For: g.between(50*time.Millisecond, 2*time.Second),
-				Kind: g.kind(KillProcess, LosePower, WipeDisk, PauseProcess, IsolateMember), Target: g.random.IntN(g.schedule.Members)})
-			at += g.between(0, 400*time.Millisecond)
+			g.addFault(Fault{At: at, For: g.durationBetween(50*time.Millisecond, 2*time.Second),
+				Kind: g.pickKind(KillProcess, LosePower, WipeDisk, PauseProcess, IsolateMember), Target: g.random.IntN(g.schedule.Members)})
+			at += g.durationBetween(0, 400*time.Millisecond)
 		}
 	} else {
 		g.addClusterFault(at, KillAll, LosePowerAll)
 	}
 	for i := range 4 {
-		g.addAction(Action{At: g.between(0, time.Second), Kind: PutConfig, Version: uint64(2 + i)})
+		g.addAction(Action{At: g.durationBetween(0, time.Second), Kind: PutConfig, Version: uint64(2 + i)})
 	}
 	g.addActions(time.Second, 13*time.Second, 12)
 }
--- a/internal/testbeds/simulation/familyactions.go
+++ b/internal/testbeds/simulation/familyactions.go
@@ -5,7 +5,7 @@
 // addActions adds n actions of operators of all kinds, and some of replicas.
 func (g *generator) addActions(from, to time.Duration, n int) {
 	for range n {
-		a := Action{At: g.between(from, to), LoseResponse: g.oneIn(8), RetrySame: g.oneIn(3)}
+		a := Action{At: g.durationBetween(from, to), LoseResponse: g.chance(8), RetrySame: g.chance(3)}
 		switch k := g.random.IntN(16); {
 		case k < 4:
 			a.Kind, a.Version = PutConfig, versionAt(a.At)+uint64(g.random.IntN(3))
@@ -36,9 +36,9 @@
 
 // addConflictingPuts adds two configurations with one version.
 func (g *generator) addConflictingPuts(a Action) {
-	a.Kind, a.Version, a.To = PutConfig, versionAt(a.At)+5, g.anyMember()
+	a.Kind, a.Version, a.To = PutConfig, versionAt(a.At)+5, g.randomMember()
 	g.addAction(a)
-	a.To = g.anyMember()
+	a.To = g.randomMember()
 	a.At += time.Duration(g.random.IntN(3)) * 500 * time.Microsecond
 	g.addAction(a)
 }
@@ -49,7 +49,7 @@
 	if earlier.Kind != PutConfig || earlier.At >= a.At {
 		return false
 	}
-	a.Kind, a.Version, a.Body, a.To = PutConfig, earlier.Version, earlier.Body, g.anyMember()
+	a.Kind, a.Version, a.Body, a.To = PutConfig, earlier.Version, earlier.Body, g.randomMember()
 	g.addAction(a)
 	return true
 }
@@ -57,7 +57,7 @@
 // addReplicaAction has a replica start or drain.
 func (g *generator) addReplicaAction(a Action) {
 	a.Kind, a.Target = StartReplica, g.random.IntN(generatedZones)
-	if g.oneIn(2) {
+	if g.chance(2) {
 		a.Kind, a.Target = DrainReplica, g.random.IntN(g.schedule.Replicas)
 	}
 	g.addAction(a)
--- a/internal/testbeds/simulation/familyreplacements.go
+++ b/internal/testbeds/simulation/familyreplacements.go
@@ -7,8 +7,8 @@
 
 // replacements has members go for good or shut down in order, and others come at new addresses, before or after that, with a
 // further loss timed into it where the tolerance allows it.
-func (g *generator) replacements() {
-	at := g.between(7*time.Second, 9*time.Second)
+func (g *generator) generateReplacements() {
+	at := g.durationBetween(7*time.Second, 9*time.Second)
 	for range 2 + g.random.IntN(3) {
 		var until time.Duration
 		switch g.random.IntN(4) {
@@ -17,11 +17,11 @@
 		case 1:
 			until = g.addSpareThenRemoval(at)
 		case 2:
-			until = g.addSpareThatIsLost(at)
+			until = g.addFailingSpare(at)
 		case 3:
 			until = g.addSpareAndClusterFault(at)
 		}
-		at = max(at+time.Second, slices.Min(g.budget), until) + g.between(0, 2*time.Second)
+		at = max(at+time.Second, slices.Min(g.budget), until) + g.durationBetween(0, 2*time.Second)
 	}
 	g.schedule.Duration = max(at, slices.Max(g.budget)) + 2*time.Second
 	g.addActions(7*time.Second, g.schedule.Duration, 50)
@@ -30,24 +30,24 @@
 // returnDelay is how long after a member's removal it comes back all the same, with its disk, long after its successor; 0:
 // never.
 func (g *generator) returnDelay() time.Duration {
-	if !g.oneIn(3) {
+	if !g.chance(3) {
 		return 0
 	}
-	return g.between(14*time.Second, 30*time.Second)
+	return g.durationBetween(14*time.Second, 30*time.Second)
 }
 
-func (g *generator) addSpare(at time.Duration) { g.append(Fault{At: at, Kind: AddSpareMember}) }
+func (g *generator) addSpare(at time.Duration) { g.appendFault(Fault{At: at, Kind: AddSpareMember}) }
 
 // addRemoval has a member lost for good, or shut down gracefully.
 func (g *generator) addRemoval(at time.Duration) {
-	g.append(g.withTarget(Fault{At: at, For: g.returnDelay(), Kind: g.kind(RemoveMember, ShutDownMember)}))
+	g.appendFault(g.withTarget(Fault{At: at, For: g.returnDelay(), Kind: g.pickKind(RemoveMember, ShutDownMember)}))
 }
 
-// addLossMeanwhile adds the loss of a member in the midst of a replacement.
-func (g *generator) addLossMeanwhile(at time.Duration) {
-	fault := g.withTarget(Fault{At: at, For: g.between(100*time.Millisecond, 3*time.Second),
-		Kind: g.kind(KillProcess, LosePower, PauseProcess, IsolateMember, WipeDisk, PartitionMember), Trigger: pickOne(g.random, TriggerSpareJoined, TriggerSpareIsVoter, TriggerViewChange)})
-	if g.oneIn(4) {
+// addConcurrentLoss adds the loss of a member in the midst of a replacement.
+func (g *generator) addConcurrentLoss(at time.Duration) {
+	fault := g.withTarget(Fault{At: at, For: g.durationBetween(100*time.Millisecond, 3*time.Second),
+		Kind: g.pickKind(KillProcess, LosePower, PauseProcess, IsolateMember, WipeDisk, PartitionMember), Trigger: pickOne(g.random, TriggerSpareJoined, TriggerSpareIsVoter, TriggerViewChange)})
+	if g.chance(4) {
 		fault.Role = RoleNewestSpare
 	}
 	g.addFault(fault)
@@ -56,12 +56,12 @@
 // addRemovalThenSpare has a member go and a successor come after that. Like the next three it returns when the next
 // replacement may begin, as far as this one is concerned.
 func (g *generator) addRemovalThenSpare(at time.Duration) (until time.Duration) {
-	spareAt := at + g.between(100*time.Millisecond, 4*time.Second)
+	spareAt := at + g.durationBetween(100*time.Millisecond, 4*time.Second)
 	until = spareAt + restartTime + catchUpTime
 	if g.budget.reserve(at, until) {
 		g.addRemoval(at)
 		g.addSpare(spareAt)
-		g.addLossMeanwhile(at + 50*time.Millisecond)
+		g.addConcurrentLoss(at + 50*time.Millisecond)
 	}
 	return until
 }
@@ -70,25 +70,25 @@
 // while it hands over.
 func (g *generator) addSpareThenRemoval(at time.Duration) (until time.Duration) {
 	g.addSpare(at)
-	g.addLossMeanwhile(at)
-	leavesAt := at + catchUpTime + maxFaultWait + g.between(0, time.Second)
+	g.addConcurrentLoss(at)
+	leavesAt := at + catchUpTime + maxFaultWait + g.durationBetween(0, time.Second)
 	until = leavesAt + terminationGrace + restartTime
-	if g.oneIn(2) {
-		g.append(Fault{At: leavesAt, Kind: ShutDownMember, Role: RoleHead})
-		g.addFault(Fault{At: leavesAt + g.between(0, time.Second), For: g.between(time.Second, 8*time.Second),
-			Kind: g.kind(LosePower, PauseProcess, IsolateMember), Role: pickOne(g.random, RoleMiddle, RoleTail)})
+	if g.chance(2) {
+		g.appendFault(Fault{At: leavesAt, Kind: ShutDownMember, Role: RoleHead})
+		g.addFault(Fault{At: leavesAt + g.durationBetween(0, time.Second), For: g.durationBetween(time.Second, 8*time.Second),
+			Kind: g.pickKind(LosePower, PauseProcess, IsolateMember), Role: pickOne(g.random, RoleMiddle, RoleTail)})
 	} else if g.budget.reserve(leavesAt, until) {
 		g.addRemoval(leavesAt)
 	}
 	return until
 }
 
-// addSpareThatIsLost has the successor itself lost as it joins, and another come.
-func (g *generator) addSpareThatIsLost(at time.Duration) (until time.Duration) {
+// addFailingSpare has the successor itself lost as it joins, and another come.
+func (g *generator) addFailingSpare(at time.Duration) (until time.Duration) {
 	g.addSpare(at)
 	until = at + 2*maxFaultWait + restartTime + catchUpTime
 	if g.budget.reserve(at, until) {
-		g.append(Fault{At: at, Kind: RemoveMember, Role: RoleNewestSpare, Trigger: pickOne(g.random, TriggerSpareJoined, TriggerSpareIsVoter)})
+		g.appendFault(Fault{At: at, Kind: RemoveMember, Role: RoleNewestSpare, Trigger: pickOne(g.random, TriggerSpareJoined, TriggerSpareIsVoter)})
 		g.addSpare(at + maxFaultWait)
 	}
 	return until
@@ -97,11 +97,11 @@
 // addSpareAndClusterFault has all members stop while the successor joins.
 func (g *generator) addSpareAndClusterFault(at time.Duration) (until time.Duration) {
 	g.addSpare(at)
-	fault := Fault{At: at, For: g.between(0, longestStopAll), Kind: g.kind(KillAll, LosePowerAll), Trigger: pickOne(g.random, TriggerSpareJoined, TriggerSpareIsVoter, TriggerViewChange)}
+	fault := Fault{At: at, For: g.durationBetween(0, maxClusterDowntime), Kind: g.pickKind(KillAll, LosePowerAll), Trigger: pickOne(g.random, TriggerSpareJoined, TriggerSpareIsVoter, TriggerViewChange)}
 	until = at + maxFaultWait + fault.For + 2*restartTime + catchUpTime
 	if !g.budget.reserveAll(at, until) {
 		return at
 	}
-	g.append(fault)
+	g.appendFault(fault)
 	return until
 }
--- a/internal/testbeds/simulation/fault.go
+++ b/internal/testbeds/simulation/fault.go
@@ -60,8 +60,8 @@
 	CrashReplica   FaultKind = "rcrash"
 )
 
-// struckAs is what a fault that waits for a moment becomes at that moment.
-var struckAs = map[FaultKind]FaultKind{
+// triggeredKind is what a fault that waits for a moment becomes at that moment.
+var triggeredKind = map[FaultKind]FaultKind{
 	LosePowerOnAcknowledgement:    LosePower,
 	WipeDiskOnAcknowledgement:     WipeDisk,
 	LosePowerAllOnAcknowledgement: LosePowerAll,
--- a/internal/testbeds/simulation/faultmoment.go
+++ b/internal/testbeds/simulation/faulttrigger.go
@@ -10,7 +10,7 @@
 // How long faults wait for their moment, and how soon after it they strike at most.
 const (
 	maxAcknowledgementWait = 2 * time.Second
-	maxViewWait            = 2 * time.Second
+	maxViewChangeWait      = 2 * time.Second
 	maxGrantWait           = 6 * time.Second
 	maxFaultWait           = 6 * time.Second // with When set
 
@@ -22,63 +22,63 @@
 	maxRestartSpread = 300 // milliseconds, below which members of one fault start one after the other
 )
 
-// awaitMoment has a fault wait if it is of a kind that strikes at a certain event.
-func (c *cluster) awaitMoment(fault Fault) bool {
+// deferUntilTrigger has a fault wait if it is of a kind that strikes at a certain event.
+func (c *cluster) deferUntilTrigger(fault Fault) bool {
 	switch fault.Kind {
 	case LosePowerOnAcknowledgement, WipeDiskOnAcknowledgement, LosePowerAllOnAcknowledgement:
-		c.addWaiting(&c.onAcknowledgement, fault, maxAcknowledgementWait)
+		c.deferFault(&c.onAcknowledgement, fault, maxAcknowledgementWait)
 	case LosePowerOnGrant, KillAllOnGrant:
-		c.addWaiting(&c.onWindowGrant, fault, maxGrantWait)
+		c.deferFault(&c.onWindowGrant, fault, maxGrantWait)
 	case KillAllOnView:
-		c.addWaiting(&c.onViewChange, fault, maxViewWait)
+		c.deferFault(&c.onViewChange, fault, maxViewChangeWait)
 	default:
 		return false
 	}
 	return true
 }
 
-// addWaiting has a fault wait in a list for a while at most.
-func (c *cluster) addWaiting(waiting *[]Fault, fault Fault, longest time.Duration) {
+// deferFault has a fault wait in a list for a while at most.
+func (c *cluster) deferFault(waiting *[]Fault, fault Fault, longest time.Duration) {
 	*waiting = append(*waiting, fault)
 	c.after(longest, func() {
 		*waiting = slices.DeleteFunc(*waiting, func(other Fault) bool { return other == fault })
 	})
 }
 
-// injectNextAt has the first fault that waits in a list strike a member, or all of them if it is of that kind.
-func (c *cluster) injectNextAt(waiting *[]Fault, m *member) {
+// injectNextDeferred has the first fault that waits in a list strike a member, or all of them if it is of that kind.
+func (c *cluster) injectNextDeferred(waiting *[]Fault, m *member) {
 	if len(*waiting) == 0 {
 		return
 	}
 	fault := (*waiting)[0]
 	*waiting = (*waiting)[1:]
 	c.faultActiveUntil = c.now + fault.For + restartTime
-	fault.Target, fault.Kind = m.index, struckAs[fault.Kind]
+	fault.Target, fault.Kind = m.index, triggeredKind[fault.Kind]
 	c.after(c.randomBelow(maxDelayAfterAnswer), func() { c.injectFault(fault) })
 }
 
-// injectOnView has the first fault that waits for a view strike, and drops the others.
-func (c *cluster) injectOnView() {
+// injectOnViewChange has the first fault that waits for a view strike, and drops the others.
+func (c *cluster) injectOnViewChange() {
 	if len(c.onViewChange) == 0 {
 		return
 	}
 	fault := c.onViewChange[0]
 	c.onViewChange = nil
 	c.faultActiveUntil = c.now + fault.For + restartTime
-	fault.Kind = struckAs[fault.Kind]
+	fault.Kind = triggeredKind[fault.Kind]
 	c.after(c.randomBelow(maxDelayAfterView), func() { c.injectFault(fault) })
 }
 
-// injectPendingFaults has the faults that wait for such a view strike.
-func (c *cluster) injectPendingFaults(view membership.View) {
-	if len(c.coreHistory.pendingFaults) == 0 {
+// injectViewTriggered has the faults that wait for such a view strike.
+func (c *cluster) injectViewTriggered(view membership.View) {
+	if len(c.coreHistory.viewTriggeredFaults) == 0 {
 		return
 	}
-	waiting := c.coreHistory.pendingFaults
-	c.coreHistory.pendingFaults = nil
+	waiting := c.coreHistory.viewTriggeredFaults
+	c.coreHistory.viewTriggeredFaults = nil
 	for _, fault := range waiting {
-		if !c.isMoment(fault.Trigger, view) {
-			c.coreHistory.pendingFaults = append(c.coreHistory.pendingFaults, fault)
+		if !c.matchesTrigger(fault.Trigger, view) {
+			c.coreHistory.viewTriggeredFaults = append(c.coreHistory.viewTriggeredFaults, fault)
 			continue
 		}
 		fault.Trigger = ""
@@ -90,18 +90,18 @@
 	}
 }
 
-// isMoment reports whether a view is what a fault waits for.
-func (c *cluster) isMoment(when FaultTrigger, view membership.View) bool {
+// matchesTrigger reports whether a view is what a fault waits for.
+func (c *cluster) matchesTrigger(when FaultTrigger, view membership.View) bool {
 	spare := c.coreHistory.newestSpare
 	switch when {
 	case TriggerSpareJoined:
-		return spare != nil && spare.isAmong(view.Chain)
+		return spare != nil && spare.hasIDIn(view.Chain)
 	case TriggerSpareIsVoter:
 		var voters []string
 		for _, voter := range view.Voters {
 			voters = append(voters, voter.ID)
 		}
-		return spare != nil && spare.isAmong(voters)
+		return spare != nil && spare.hasIDIn(voters)
 	}
 	return true
 }
--- a/internal/testbeds/simulation/gateway.go
+++ b/internal/testbeds/simulation/gateway.go
@@ -62,7 +62,7 @@
 			c.after(fault.For, func() { c.startGateway(g) })
 		}
 	case PauseGateway:
-		c.freeze(&g.process, fault.For)
+		c.pause(&g.process, fault.For)
 	case IsolateGateway:
 		var links []link
 		for _, m := range c.members {
--- a/internal/testbeds/simulation/gatewayrequest.go
+++ b/internal/testbeds/simulation/gatewayrequest.go
@@ -44,7 +44,7 @@
 	}
 	g.router.StartRequest(now, serviceName)
 	c.retryLog.requests = append(c.retryLog.requests, c.now)
-	c.drawRetries(g)
+	c.exhaustRetryBudget(g)
 	pick := g.router.Pick(now, router.PickRequest{Service: serviceName, Admission: admission.Request{Route: "r", LatencyTarget: requestLatency, TimeLeft: requestTimeLeft}})
 	if c.history != nil {
 		c.history.add(entryPick, c.now, historyGateways+g.index, now, pick)
--- a/internal/testbeds/simulation/gatewaystream.go
+++ b/internal/testbeds/simulation/gatewaystream.go
@@ -150,7 +150,7 @@
 // applyUpdate puts an update in force and checks what the gateway has then. One that does not fit on ends the stream.
 func (c *cluster) applyUpdate(g *gatewayNode, update *messages.StateUpdate) {
 	if c.hasBug(AcceptStaleState) && update.Sequence > 0 && update.Sequence < g.sequence {
-		c.forgetNewerState(g)
+		c.resetRouter(g)
 	}
 	applied := g.router.Apply(c.monotonicTime(&g.process), update)
 	if c.history != nil {
@@ -160,8 +160,8 @@
 		c.streamLost(g, g.stream)
 		return
 	}
-	c.checkGatewaySequenceRises(g)
-	c.drawRetries(g)
+	c.checkGatewaySequenceMonotonic(g)
+	c.exhaustRetryBudget(g)
 	if config := g.router.Config(); config != nil {
 		c.configApplied(g, config.Version, string(config.Raw))
 	}
--- a/internal/testbeds/simulation/generate.go
+++ b/internal/testbeds/simulation/generate.go
@@ -8,11 +8,11 @@
 
 // Streams of the generators that schedules are drawn from. Runs use others (randomStream).
 const (
-	faultStream  = 1
-	actionStream = 3
-	windowStream = 4
-	weekStream   = 5
-	familyStream = 6
+	faultStream   = 1
+	actionStream  = 3
+	windowStream  = 4
+	plannedStream = 5
+	familyStream  = 6
 )
 
 // What generated schedules have in common.
@@ -36,8 +36,8 @@
 var (
 	memberFaults = []FaultKind{KillProcess, LosePower, WipeDisk, PauseProcess, IsolateMember, IsolateMemberOneWay, FillDisk, FailDisk, StallDisk, StepClock,
 		LosePowerOnAcknowledgement, WipeDiskOnAcknowledgement}
-	clusterFaults = []FaultKind{KillAll, LosePowerAll, LosePowerAllWipeSome, LosePowerAllOnAcknowledgement, KillAllOnView}
-	edgeFaults    = []FaultKind{KillGateway, PauseGateway, IsolateGateway, CrashReplica}
+	clusterFaults   = []FaultKind{KillAll, LosePowerAll, LosePowerAllWipeSome, LosePowerAllOnAcknowledgement, KillAllOnView}
+	dataPlaneFaults = []FaultKind{KillGateway, PauseGateway, IsolateGateway, CrashReplica}
 )
 
 // Generate draws a schedule with up to n faults, which never lose more members at once than a control plane of this size
@@ -75,7 +75,7 @@
 	fault = Fault{At: at, For: time.Duration(200+random.IntN(4000)) * time.Millisecond, Target: random.IntN(s.Members)}
 	switch k := random.IntN(20); {
 	case k < 4:
-		fault.Kind, fault.Target = pickOne(random, edgeFaults...), random.IntN(s.Gateways)
+		fault.Kind, fault.Target = pickOne(random, dataPlaneFaults...), random.IntN(s.Gateways)
 		return fault, true
 	case k < 7:
 		fault.Kind, fault.For = pickOne(random, clusterFaults...), time.Duration(random.IntN(900))*time.Millisecond
--- a/internal/testbeds/simulation/generatewindows.go
+++ b/internal/testbeds/simulation/generatewindows.go
@@ -11,23 +11,23 @@
 
 // Schedules with maintenance windows.
 const (
-	windowGateways   = 9 // three in each region
-	windowReplicas   = 4
-	windowActions    = 40
-	firstConfigAt    = 1200 * time.Millisecond
-	agreementAt      = 2 * time.Second
-	firstWindowAt    = 5 * time.Second
-	grantFaultAt     = 6 * time.Second
-	zoneFaultAt      = 20 * time.Second
-	weekSlots        = 60 // of a timetable, each of a second
-	weekFaults       = 2
-	weekDuration     = 30 * time.Second
-	weekMembers      = 3
-	firstSlotAt      = 6 // seconds
-	afterLastSlot    = 8 // seconds
-	minWeekWindows   = 3
-	minWindowSlots   = 6
-	windowSlotsRange = 5
+	windowGateways     = 9 // three in each region
+	windowReplicas     = 4
+	windowActions      = 40
+	firstConfigAt      = 1200 * time.Millisecond
+	agreementAt        = 2 * time.Second
+	firstWindowAt      = 5 * time.Second
+	grantFaultAt       = 6 * time.Second
+	zoneFaultAt        = 20 * time.Second
+	timetableSlots     = 60 // of a timetable, each of a second
+	plannedFaults      = 2
+	plannedMinDuration = 30 * time.Second
+	plannedMembers     = 3
+	firstSlotTime      = 6 // seconds
+	timeAfterLastSlot  = 8 // seconds
+	minPlannedWindows  = 3
+	minWindowSlots     = 6
+	windowSlotsRange   = 5
 )
 
 // GenerateWindows draws a schedule in which several operators ask for, finish and cancel maintenance windows at random.
@@ -86,7 +86,7 @@
 // three to nine gateways in three regions, each asked for in its turn, with members that fail meanwhile. It reports whether
 // there is a timetable.
 func GeneratePlannedMaintenance(seed uint64) (week PlannedMaintenance, ok bool) {
-	random := rand.New(rand.NewPCG(seed, weekStream))
+	random := rand.New(rand.NewPCG(seed, plannedStream))
 	request := drawPlanRequest(random)
 	for _, window := range request.Windows {
 		week.SerialSlots += window.DurationSlots
@@ -97,15 +97,15 @@
 		return PlannedMaintenance{}, false
 	}
 	week.GreedySlots, week.OptimalSlots = greedy.Makespan, timetable.Makespan
-	s := Generate(seed, weekMembers, weekFaults, weekDuration)
+	s := Generate(seed, plannedMembers, plannedFaults, plannedMinDuration)
 	s.Gateways, s.Replicas = windowGateways, windowReplicas
 	s.Actions = agreementActions()
 	for _, assignment := range timetable.Assignments {
 		target := slices.IndexFunc(request.Nodes, func(node capacity.Node) bool { return node.Name == assignment.Node })
 		s.Actions = append(s.Actions,
-			Action{At: time.Duration(firstSlotAt+assignment.Start) * time.Second, Kind: RequestWindow, Target: target},
-			Action{At: time.Duration(firstSlotAt+assignment.End) * time.Second, Kind: FinishWindow, Target: target})
-		s.Duration = max(s.Duration, time.Duration(afterLastSlot+assignment.End)*time.Second)
+			Action{At: time.Duration(firstSlotTime+assignment.Start) * time.Second, Kind: RequestWindow, Target: target},
+			Action{At: time.Duration(firstSlotTime+assignment.End) * time.Second, Kind: FinishWindow, Target: target})
+		s.Duration = max(s.Duration, time.Duration(timeAfterLastSlot+assignment.End)*time.Second)
 	}
 	sortActions(s.Actions)
 	week.Schedule = s
@@ -114,7 +114,7 @@
 
 // drawPlanRequest draws gateways with what they carry, and windows for some of them.
 func drawPlanRequest(random *rand.Rand) *maintenanceplanner.Request {
-	request := &maintenanceplanner.Request{SlotCount: weekSlots, FaultTolerance: capacity.FaultTolerance{Machines: 1}}
+	request := &maintenanceplanner.Request{SlotCount: timetableSlots, FaultTolerance: capacity.FaultTolerance{Machines: 1}}
 	for i := range generatedZones {
 		request.Demands = append(request.Demands, maintenanceplanner.Demand{Region: regionName(i), Group: capacity.Lookups, Floor: agreedFloor})
 	}
@@ -122,10 +122,10 @@
 		request.Nodes = append(request.Nodes, capacity.Node{Name: gatewayName(i), Zone: string(rune('a' + i%generatedZones)), Region: regionName(i % generatedZones),
 			Capacity: map[string]float64{capacity.Lookups: 70 + 20*random.Float64()}})
 	}
-	order := random.Perm(windowGateways)[:minWeekWindows+random.IntN(windowGateways-minWeekWindows+1)]
+	order := random.Perm(windowGateways)[:minPlannedWindows+random.IntN(windowGateways-minPlannedWindows+1)]
 	for _, i := range order {
 		name := request.Nodes[i].Name
-		request.Windows = append(request.Windows, maintenanceplanner.WindowRequest{Name: name, Nodes: []string{name}, Latest: weekSlots,
+		request.Windows = append(request.Windows, maintenanceplanner.WindowRequest{Name: name, Nodes: []string{name}, Latest: timetableSlots,
 			DurationSlots: minWindowSlots + random.IntN(windowSlotsRange)})
 	}
 	return request
--- a/internal/testbeds/simulation/history.go
+++ b/internal/testbeds/simulation/history.go
@@ -27,7 +27,7 @@
 const (
 	entryStart      historyEntry = iota + 1 // a control-plane process starts
 	entryEvent                              // a controller has decided on an event
-	entryAnswer                             // a caller is answered
+	entryResponse                           // a caller is answered
 	entryPersist                            // a controller's state is handed to its store
 	entryDisk                               // a disk operation was carried out
 	entryKill                               // a process or a machine has ended
@@ -98,14 +98,14 @@
 }
 
 // answer records an answer to a caller. The text of a refusal is no part of the history.
-func (h *historyChecksum) answer(c *cluster, m *member, answer controller.Response) {
+func (h *historyChecksum) response(c *cluster, m *member, response controller.Response) {
 	if h == nil {
 		return
 	}
-	if answer.Status != 200 {
-		answer.Body = nil
+	if response.Status != 200 {
+		response.Body = nil
 	}
-	h.add(entryAnswer, c.now, m.index, answer)
+	h.add(entryResponse, c.now, m.index, response)
 }
 
 // persist records the state that a member hands to its store.
--- a/internal/testbeds/simulation/history_test.go
+++ b/internal/testbeds/simulation/history_test.go
@@ -18,8 +18,8 @@
 
 const historiesFile = "testdata/histories.txt"
 
-// planningWeek is held while a week is generated: the solver that makes its timetable has buffers that all its users share.
-var planningWeek sync.Mutex
+// plannerMutex is held while a week is generated: the solver that makes its timetable has buffers that all its users share.
+var plannerMutex sync.Mutex
 
 // historyFamilies are kinds of simulations, each of which runs one by its seed and returns the checksum of its history.
 var historyFamilies = func() map[string]func(seed uint64) string {
@@ -29,9 +29,9 @@
 			return scheduleHistory(GenerateWindows(seed, 3+2*int(seed%2), 6, 40*time.Second))
 		},
 		"weeks": func(seed uint64) string {
-			planningWeek.Lock()
+			plannerMutex.Lock()
 			week, _ := GeneratePlannedMaintenance(seed)
-			planningWeek.Unlock()
+			plannerMutex.Unlock()
 			return scheduleHistory(week.Schedule)
 		},
 		"gateways": func(seed uint64) string { // many that follow other members again and again, and are sent updates without a read of the others
@@ -87,10 +87,10 @@
 }
 
 // runHistories runs histories, some at once, and hands each checksum to a function, one after the other.
-func runHistories(ids []historyID, atOnce int, done func(id historyID, sum string)) {
+func runHistories(ids []historyID, parallelism int, done func(id historyID, sum string)) {
 	var running sync.WaitGroup
 	var one sync.Mutex
-	slot := make(chan struct{}, atOnce)
+	slot := make(chan struct{}, parallelism)
 	for _, id := range ids {
 		slot <- struct{}{}
 		running.Go(func() {
@@ -155,11 +155,11 @@
 //
 // and says so in the commit.
 //
-// It does not run beside other tests, as some of them use the solver too (planningWeek).
+// It does not run beside other tests, as some of them use the solver too (plannerMutex).
 func TestHistories(t *testing.T) {
-	const seedsOfEach, atOnce = 4, 4
+	const seedsOfEach, parallelism = 4, 4
 	got := map[historyID]string{}
-	runHistories(historyIDs(seedsOfEach), atOnce, func(id historyID, sum string) { got[id] = sum })
+	runHistories(historyIDs(seedsOfEach), parallelism, func(id historyID, sum string) { got[id] = sum })
 	if *updateHistories {
 		writeHistories(t, historiesFile, got)
 	}
@@ -183,10 +183,10 @@
 	if os.Getenv("HISTORY_SEEDS") == "" {
 		t.Skip("HISTORY_SEEDS is not set")
 	}
-	number := func(name string, byDefault int) int {
+	number := func(name string, defaultValue int) int {
 		text := os.Getenv(name)
 		if text == "" {
-			return byDefault
+			return defaultValue
 		}
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 0 {
--- a/internal/testbeds/simulation/inject.go
+++ b/internal/testbeds/simulation/inject.go
@@ -2,7 +2,7 @@
 
 // injectFault has a fault strike, or wait for its moment.
 func (c *cluster) injectFault(fault Fault) {
-	if c.awaitMoment(fault) {
+	if c.deferUntilTrigger(fault) {
 		return
 	}
 	if c.schedule.Tolerance > 0 && c.injectWithTolerance(fault) {
@@ -14,7 +14,7 @@
 	case KillAll, LosePowerAll, LosePowerAllWipeSome:
 		c.stopAllMembers(fault)
 	case LoseZonePower:
-		c.loseZone(fault)
+		c.losePowerInZone(fault)
 	case KillGateway, PauseGateway, IsolateGateway:
 		if fault.Target < len(c.gateways) {
 			c.injectGatewayFault(c.gateways[fault.Target], fault)
@@ -55,7 +55,7 @@
 	return i < (c.schedule.Members-1)/2 && i < (c.schedule.InitialMembers-1)/2
 }
 
-func (c *cluster) loseZone(fault Fault) {
+func (c *cluster) losePowerInZone(fault Fault) {
 	zone := c.zoneName(fault.Target)
 	for _, m := range c.members {
 		if c.zoneName(m.index) == zone {
@@ -74,8 +74,8 @@
 	switch fault.Kind {
 	case PauseProcess:
 		if m.up {
-			c.downSince[m.index] = c.now
-			c.freeze(&m.process, fault.For)
+			c.unavailableSince[m.index] = c.now
+			c.pause(&m.process, fault.For)
 		}
 	case StepClock:
 		m.clockOffset += fault.For / 2
@@ -115,14 +115,14 @@
 func (c *cluster) endFault(fault Fault, do func()) {
 	c.after(fault.For, func() {
 		do()
-		c.noteFault()
+		c.extendFaultPeriod()
 	})
 }
 
 // cutLinksOf cuts a member's links to all other nodes, both ways or in a random direction.
 func (c *cluster) cutLinksOf(m *member, fault Fault) {
 	if fault.Kind == IsolateMember {
-		c.downSince[m.index] = c.now
+		c.unavailableSince[m.index] = c.now
 	}
 	inbound := c.random.IntN(2) == 0
 	others := make([]string, 0, len(c.members)+len(c.gateways))
--- a/internal/testbeds/simulation/injecttolerance.go
+++ b/internal/testbeds/simulation/injecttolerance.go
@@ -17,7 +17,7 @@
 // injectWithTolerance strikes in a schedule with a Tolerance, and reports whether the fault is of a kind that differs there.
 func (c *cluster) injectWithTolerance(fault Fault) bool {
 	if fault.Trigger != "" {
-		c.addWaiting(&c.coreHistory.pendingFaults, fault, maxFaultWait)
+		c.deferFault(&c.coreHistory.viewTriggeredFaults, fault, maxFaultWait)
 		return true
 	}
 	switch fault.Kind {
@@ -31,7 +31,7 @@
 	default:
 		m := c.targetOf(fault)
 		c.tracef("FAULT: %s: %v", m.name, fault)
-		c.noteFault()
+		c.extendFaultPeriod()
 		c.injectMemberFaultWithTolerance(m, fault)
 		c.scheduleReconnects(m, fault)
 	}
@@ -43,7 +43,7 @@
 	case RemoveMember, ShutDownMember:
 		c.removeMember(m, fault)
 	case PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks:
-		if m.up && !m.frozen {
+		if m.up && !m.paused {
 			c.pauseMember(m, fault)
 		}
 	case IsolateMember, PartitionMember, DropInbound, DropOutbound:
@@ -58,20 +58,20 @@
 // removeMember takes a member out for good, or until it comes back with its disk when nobody counts on it any more.
 func (c *cluster) removeMember(m *member, fault Fault) {
 	if m.up {
-		c.downSince[m.index] = c.now
+		c.unavailableSince[m.index] = c.now
 	}
 	if fault.Kind == ShutDownMember {
 		c.shutDown(m)
 	} else {
-		c.stopMember(m, powerLost, leftForGood)
-		m.gone = true
+		c.stopMember(m, powerLost, noRestart)
+		m.removed = true
 	}
 	if fault.For == 0 {
 		return
 	}
 	c.after(fault.For, func() {
-		if m.gone && !m.up {
-			m.gone, m.leaving = false, false
+		if m.removed && !m.up {
+			m.removed, m.shuttingDown = false, false
 			c.startMember(m, false)
 		}
 	})
@@ -79,7 +79,7 @@
 
 // pauseMember freezes a member, with its clocks if the fault says so.
 func (c *cluster) pauseMember(m *member, fault Fault) {
-	c.downSince[m.index], m.cutAt = c.now, c.now
+	c.unavailableSince[m.index], m.isolatedAt = c.now, c.now
 	incarnation, from := m.incarnation, c.now
 	c.after(fault.For, func() { // before it thaws
 		if m.incarnation == incarnation && fault.Kind != PauseProcess {
@@ -89,28 +89,28 @@
 			m.wallClockOffset -= c.now - from
 		}
 	})
-	c.freeze(&m.process, fault.For)
-	c.endFault(fault, func() { delete(c.downSince, m.index) })
+	c.pause(&m.process, fault.For)
+	c.endFault(fault, func() { delete(c.unavailableSince, m.index) })
 }
 
 // isolateMember cuts a member off as long as the fault lasts.
 func (c *cluster) isolateMember(m *member, fault Fault) {
-	c.downSince[m.index] = c.now
-	if !m.isCutOff() {
-		m.cutAt = c.now
+	c.unavailableSince[m.index] = c.now
+	if !m.isIsolated() {
+		m.isolatedAt = c.now
 	}
-	m.addCuts(fault.Kind, 1)
+	m.adjustIsolation(fault.Kind, 1)
 	c.endFault(fault, func() {
-		m.addCuts(fault.Kind, -1)
-		delete(c.downSince, m.index)
+		m.adjustIsolation(fault.Kind, -1)
+		delete(c.unavailableSince, m.index)
 	})
 }
 
-// addCuts adds to the counts of cuts that a kind of fault is about.
-func (p *process) addCuts(kind FaultKind, n int) {
+// adjustIsolation adds to the counts of cuts that a kind of fault is about.
+func (p *process) adjustIsolation(kind FaultKind, n int) {
 	switch kind {
 	case IsolateMember:
-		p.isolationCuts += n
+		p.isolations += n
 	case PartitionMember:
 		p.inboundCuts += n
 		p.outboundCuts += n
@@ -136,12 +136,12 @@
 	if m, ok := c.memberInRole(fault.Role); ok {
 		return m
 	}
-	if fault.Target < len(c.members) && !c.members[fault.Target].gone {
+	if fault.Target < len(c.members) && !c.members[fault.Target].removed {
 		return c.members[fault.Target]
 	}
 	var remaining []*member
 	for _, m := range c.members {
-		if !m.gone {
+		if !m.removed {
 			remaining = append(remaining, m)
 		}
 	}
--- a/internal/testbeds/simulation/invariant_acknowledgement.go
+++ b/internal/testbeds/simulation/invariant_acknowledgement.go
@@ -12,13 +12,13 @@
 // checkCallAnswered: a call that is made when all has been calm for long is answered before its deadline. It is checked
 // when a call is not made again.
 func (c *cluster) checkCallAnswered(call *operatorCall) {
-	if !call.done && !c.finished && call.startedAt > c.faultActiveUntil+calmBeforeCall && call.attempts > 0 {
+	if !call.done && !c.finished && call.startedAt > c.faultActiveUntil+faultFreeBeforeCall && call.attempts > 0 {
 		c.violationf("call %d, made at %.2f s when all had been calm, was not answered", call.number, call.startedAt.Seconds())
 	}
 }
 
-// checkUnclearStatus: a call that is well formed is not rejected as if it were not.
-func (c *cluster) checkUnclearStatus(call *operatorCall, status int) {
+// checkNotClientError: a call that is well formed is not rejected as if it were not.
+func (c *cluster) checkNotClientError(call *operatorCall, status int) {
 	isRejection := status >= 400 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 	if isRejection {
 		c.violationf("call %d is answered %d", call.number, status)
@@ -26,38 +26,38 @@
 }
 
 // checkReadBody: a read returns nothing that no operator put. It returns the version.
-func (c *cluster) checkReadBody(m *member, answer controller.Response) uint64 {
-	if answer.Status != http.StatusOK {
+func (c *cluster) checkReadBody(m *member, response controller.Response) uint64 {
+	if response.Status != http.StatusOK {
 		return 0
 	}
-	version, put := c.versionByBody[string(answer.Body)]
+	version, put := c.versionByBody[string(response.Body)]
 	if !put {
-		c.violationf("%s answers a configuration that nobody put: %q", m.name, answer.Body)
+		c.violationf("%s answers a configuration that nobody put: %q", m.name, response.Body)
 	}
 	return version
 }
 
 // checkReadIsCurrent: a read returns nothing older than what was acknowledged before it was sent.
 func (c *cluster) checkReadIsCurrent(m *member, call *operatorCall, version uint64) {
-	if version < call.floor {
-		c.violationf("%s answers version %d, %d was acknowledged before it was asked", m.name, version, call.floor)
+	if version < call.minVersion {
+		c.violationf("%s answers version %d, %d was acknowledged before it was asked", m.name, version, call.minVersion)
 	}
 }
 
 // checkAcknowledgerHasContact: a member that has been cut off for long acknowledges nothing.
 func (c *cluster) checkAcknowledgerHasContact(m *member, call *operatorCall) {
-	if c.isIsolated(m) {
+	if c.isIsolatedBeyondTimeout(m) {
 		c.violationf("%s acknowledges call %d though it has been cut off for long", m.name, call.number)
 	}
 }
 
-// isIsolated reports whether a member has reached no other for longer than contactTimeout.
-func (c *cluster) isIsolated(m *member) bool {
+// isIsolatedBeyondTimeout reports whether a member has reached no other for longer than contactTimeout.
+func (c *cluster) isIsolatedBeyondTimeout(m *member) bool {
 	if c.schedule.Tolerance > 0 {
-		return m.isCutOff() && c.now-m.cutAt > contactTimeout
+		return m.isIsolated() && c.now-m.isolatedAt > contactTimeout
 	}
-	at, down := c.downSince[m.index]
-	if !down || c.now-at <= contactTimeout || m.frozen {
+	at, down := c.unavailableSince[m.index]
+	if !down || c.now-at <= contactTimeout || m.paused {
 		return false
 	}
 	for _, other := range c.members {
@@ -93,7 +93,7 @@
 // countDisks counts the disks whose state, after a loss of power, holds something.
 func (c *cluster) countDisks(holds func(*coordinator.PersistentState) bool) (count int) {
 	for _, m := range c.members {
-		if m.gone {
+		if m.removed {
 			continue
 		}
 		if state := m.disk.durableState(); state != nil && holds(state) {
@@ -105,7 +105,7 @@
 
 // toleratedDiskLosses is how many disks may be lost at once.
 func (c *cluster) toleratedDiskLosses() int {
-	if c.coreHistory.formed {
+	if c.coreHistory.initialViewComplete {
 		return c.schedule.Tolerance
 	}
 	return min((c.schedule.Members-1)/2, (c.schedule.InitialMembers-1)/2)
--- a/internal/testbeds/simulation/invariant_commit.go
+++ b/internal/testbeds/simulation/invariant_commit.go
@@ -6,35 +6,35 @@
 	"zincloft.example/zincloft/controlplane/chainreplication"
 )
 
-// claimHorizon is the number of changes for which members remember which configuration was acknowledged under a version.
-const claimHorizon = 60
+// claimRetention is the number of changes for which members remember which configuration was acknowledged under a version.
+const claimRetention = 60
 
-// rememberedClaims is how many versions members remember, the highest ones (chainreplication.Register.Claims).
-const rememberedClaims = 64
+// maxClaims is how many versions members remember, the highest ones (chainreplication.Register.Claims).
+const maxClaims = 64
 
-// isBelowClaims reports whether as many higher versions as members remember were acknowledged: then they do not remember a version at all, however
+// isEvictedClaim reports whether as many higher versions as members remember were acknowledged: then they do not remember a version at all, however
 // lately it was acknowledged, and promise nothing about it (docs/design/control-plane.md).
-func (h *coreHistory) isBelowClaims(version uint64) bool {
+func (h *coreHistory) isEvictedClaim(version uint64) bool {
 	higher := 0
 	for claimed := range h.claims {
 		if claimed > version {
 			higher++
 		}
 	}
-	return higher >= rememberedClaims
+	return higher >= maxClaims
 }
 
 // registerCommitted checks a register that a member holds to be committed, and notes it.
 func (c *cluster) registerCommitted(m *member, register chainreplication.Register) {
 	c.checkSequenceAgreement(m, register)
-	c.checkSequenceRises(m, register)
+	c.checkSequenceMonotonic(m, register)
 	m.newestSequence = register.Sequence
 	c.recordCommitted(m, register)
 	c.windowsCommitted(m, register)
 	if _, ok := c.committedAt[register.Version]; !ok {
 		c.committedAt[register.Version] = c.now
 	}
-	c.checkCommittedWasPut(m, register)
+	c.checkCommittedWasSubmitted(m, register)
 }
 
 // checkSequenceAgreement: no two members ever hold different registers to be committed under one number.
@@ -48,15 +48,15 @@
 	}
 }
 
-// checkSequenceRises: within an incarnation, what a member holds to be committed never goes back.
-func (c *cluster) checkSequenceRises(m *member, register chainreplication.Register) {
+// checkSequenceMonotonic: within an incarnation, what a member holds to be committed never goes back.
+func (c *cluster) checkSequenceMonotonic(m *member, register chainreplication.Register) {
 	if register.Sequence < m.newestSequence {
 		c.violationf("%s went back from %d to %d within an incarnation", m.name, m.newestSequence, register.Sequence)
 	}
 }
 
-// checkCommittedWasPut: nothing is committed that no operator put.
-func (c *cluster) checkCommittedWasPut(m *member, register chainreplication.Register) {
+// checkCommittedWasSubmitted: nothing is committed that no operator put.
+func (c *cluster) checkCommittedWasSubmitted(m *member, register chainreplication.Register) {
 	if _, put := c.versionByBody[string(register.Body)]; register.Version > 0 && !put {
 		c.violationf("%s holds a configuration that nobody put: %q", m.name, register.Body)
 	}
@@ -92,7 +92,7 @@
 		h.claims[call.version] = claim{call.body, sequence}
 		return
 	}
-	if earlier.body != call.body && h.newestSequence-earlier.sequence < claimHorizon && !h.isBelowClaims(call.version) {
+	if earlier.body != call.body && h.newestSequence-earlier.sequence < claimRetention && !h.isEvictedClaim(call.version) {
 		c.violationf("version %d is acknowledged as %s and as %s", call.version, bodyLabel(earlier.body), bodyLabel(call.body))
 	}
 }
--- a/internal/testbeds/simulation/invariant_gateway.go
+++ b/internal/testbeds/simulation/invariant_gateway.go
@@ -12,7 +12,7 @@
 	if c.schedule.Tolerance == 0 || !update.Full || g.member != m {
 		return
 	}
-	c.measureStaleAnswer(m)
+	c.measureStaleResponse(m)
 	if floor := valueAt(c.coreHistory.acknowledgedVersions, c.now-contactTimeout); update.ConfigVersion < floor {
 		c.violationf("%s sends %s, which is new to it, version %d; %d was acknowledged over %v before", m.name, g.name, update.ConfigVersion, floor, contactTimeout)
 	}
@@ -23,8 +23,8 @@
 	}
 }
 
-// checkGatewaySequenceRises: within an incarnation, a gateway never goes back to an older register.
-func (c *cluster) checkGatewaySequenceRises(g *gatewayNode) {
+// checkGatewaySequenceMonotonic: within an incarnation, a gateway never goes back to an older register.
+func (c *cluster) checkGatewaySequenceMonotonic(g *gatewayNode) {
 	sequence := g.router.Sequence()
 	if sequence < g.sequence {
 		c.violationf("%s went back from register %d to %d within an incarnation", g.name, g.sequence, sequence)
@@ -50,7 +50,7 @@
 	if _, put := c.versionByBody[body]; !put {
 		c.violationf("%s has something in force that nobody put: %q", g.name, body)
 	}
-	if c.calmFor(contactTimeout) && c.acknowledgedVersion == version {
+	if c.faultFreeFor(contactTimeout) && c.acknowledgedVersion == version {
 		c.result.ConfigPropagationTimes = append(c.result.ConfigPropagationTimes, c.now-committedAt)
 	}
 }
@@ -59,7 +59,7 @@
 // calm since.
 func (c *cluster) checkConfigIsCurrent(g *gatewayNode) {
 	due := max(c.acknowledgedAt, c.faultActiveUntil+contactTimeout) + configPropagationBound
-	if c.calmFor(contactTimeout) && c.acknowledgedVersion > 0 && c.now > due && g.version < c.acknowledgedVersion {
+	if c.faultFreeFor(contactTimeout) && c.acknowledgedVersion > 0 && c.now > due && g.version < c.acknowledgedVersion {
 		c.violationf("%s still has version %d in force, %d was acknowledged at %.2f s", g.name, g.version, c.acknowledgedVersion, c.acknowledgedAt.Seconds())
 	}
 }
--- a/internal/testbeds/simulation/invariant_recovery.go
+++ b/internal/testbeds/simulation/invariant_recovery.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	watchInterval     = 50 * time.Millisecond
-	recoveryCheckEach = 10 // of the intervals, one in so many
+	monitorInterval    = 50 * time.Millisecond
+	recoveryCheckEvery = 10 // of the intervals, one in so many
 	// formationBound is when the first view has grown to all members: seven from three take 3.9 s, one after the other, and
 	// up to 4.5 s where links lose messages.
 	formationBound   = 5 * time.Second
@@ -18,21 +18,21 @@
 	maxDiskBytes     = 64 << 10    // on one disk
 )
 
-// watchCore looks at the control plane from outside, again and again, in schedules with a Tolerance.
-func (c *cluster) watchCore() {
+// monitorCore looks at the control plane from outside, again and again, in schedules with a Tolerance.
+func (c *cluster) monitorCore() {
 	if c.finished {
 		return
 	}
-	c.after(watchInterval, c.watchCore)
+	c.after(monitorInterval, c.monitorCore)
 	view := c.newestView()
 	c.measureCatchUp(view)
 	h := &c.coreHistory
-	h.watchCount++
-	if h.watchCount%recoveryCheckEach > 0 {
+	h.monitorCount++
+	if h.monitorCount%recoveryCheckEvery > 0 {
 		return
 	}
-	h.formed = h.formed || c.calmFor(catchUpTime) && c.now > catchUpTime+restartTime
-	if c.calmFor(catchUpTime) && h.hasCommit && c.now >= formationBound {
+	h.initialViewComplete = h.initialViewComplete || c.faultFreeFor(catchUpTime) && c.now > catchUpTime+restartTime
+	if c.faultFreeFor(catchUpTime) && h.hasCommit && c.now >= formationBound {
 		c.checkRecovery(view)
 	}
 }
@@ -69,7 +69,7 @@
 	healthy, lost, voting := 0, 0, 0
 	for _, m := range c.members {
 		if !m.isHealthy() {
-			if !m.gone {
+			if !m.removed {
 				lost++
 			}
 			continue
@@ -82,8 +82,8 @@
 			return
 		}
 	}
-	if c.calmFor(calmBeforeCall) {
-		c.checkVotersSuffice(view, healthy, lost, voting)
+	if c.faultFreeFor(faultFreeBeforeCall) {
+		c.checkVoterMargin(view, healthy, lost, voting)
 	}
 }
 
@@ -100,16 +100,16 @@
 	if bytes > maxDiskBytes {
 		c.violationf("%s keeps %d bytes after %d changes", m.name, bytes, c.coreHistory.newestSequence)
 	}
-	if c.calmFor(calmBeforeCall) && !m.controller.Coordinator().HasQuorumContact(c.monotonicTime(&m.process)) {
+	if c.faultFreeFor(faultFreeBeforeCall) && !m.controller.Coordinator().HasQuorumContact(c.monotonicTime(&m.process)) {
 		c.violationf("%s has no quorum contact, though all has been calm", m.name)
 		return false
 	}
 	return true
 }
 
-// checkVotersSuffice: as many more may be lost as the tolerance leaves. With all members there, that takes 2f+1 voters or
+// checkVoterMargin: as many more may be lost as the tolerance leaves. With all members there, that takes 2f+1 voters or
 // more.
-func (c *cluster) checkVotersSuffice(view membership.View, healthy, lost, voting int) {
+func (c *cluster) checkVoterMargin(view membership.View, healthy, lost, voting int) {
 	more := max(c.schedule.Tolerance-max(c.schedule.Members-healthy, lost), 0)
 	if voting-more < view.Quorum() {
 		c.violationf("%d of %d voters of view %d are there, and %d more may be lost", voting, len(view.Voters), view.Number, more)
--- a/internal/testbeds/simulation/invariant_request.go
+++ b/internal/testbeds/simulation/invariant_request.go
@@ -18,22 +18,22 @@
 
 // checkNotDrained: a replica gets no requests after the deadline of a drain that was acknowledged.
 func (c *cluster) checkNotDrained(g *gatewayNode, r *replica) {
-	if r.drainAcknowledgedAt > 0 && c.isOverdue(r.drainAcknowledgedAt, drainDeadline) {
+	if r.drainAcknowledgedAt > 0 && c.isPropagationOverdue(r.drainAcknowledgedAt, drainDeadline) {
 		c.violationf("%s sends to %s, whose drain was acknowledged at %.2f s", g.name, r.id, r.drainAcknowledgedAt.Seconds())
 	}
 }
 
 // checkNotEvacuated: a zone gets no requests after the bound of an evacuation that was acknowledged.
 func (c *cluster) checkNotEvacuated(g *gatewayNode, r *replica) {
-	if at, evacuated := c.evacuatedAt[r.zone]; evacuated && c.isOverdue(at, evacuationBound) {
+	if at, evacuated := c.evacuatedAt[r.zone]; evacuated && c.isPropagationOverdue(at, evacuationBound) {
 		c.violationf("%s sends to %s in zone %s, whose evacuation was acknowledged at %.2f s", g.name, r.id, r.zone, at.Seconds())
 	}
 }
 
-// isOverdue reports whether what was acknowledged at a moment must be in force at all gateways, given a bound and that faults
+// isPropagationOverdue reports whether what was acknowledged at a moment must be in force at all gateways, given a bound and that faults
 // delay it.
-func (c *cluster) isOverdue(acknowledgedAt, bound time.Duration) bool {
-	return c.now > max(acknowledgedAt, c.faultActiveUntil+contactTimeout)+bound && c.calmFor(contactTimeout)
+func (c *cluster) isPropagationOverdue(acknowledgedAt, bound time.Duration) bool {
+	return c.now > max(acknowledgedAt, c.faultActiveUntil+contactTimeout)+bound && c.faultFreeFor(contactTimeout)
 }
 
 // checkWarmupRate: a warming replica gets no more requests within a second than it bears, with some allowance for bursts.
@@ -58,7 +58,7 @@
 		}
 		sum, holders := 0.0, 0
 		for _, g := range c.gateways {
-			if !g.up || g.frozen {
+			if !g.up || g.paused {
 				continue
 			}
 			if quota := g.router.WarmupRate(c.monotonicTime(&g.process), r.id); quota > 0 {
--- a/internal/testbeds/simulation/invariant_retry.go
+++ b/internal/testbeds/simulation/invariant_retry.go
@@ -13,11 +13,11 @@
 	requests, retries []time.Duration
 }
 
-// drawRetries has a gateway take all retries that its budget allows, as if every attempt failed: whatever gateways start, stop or forget, together
+// exhaustRetryBudget has a gateway take all retries that its budget allows, as if every attempt failed: whatever gateways start, stop or forget, together
 // they must stay within the bound.
-func (c *cluster) drawRetries(g *gatewayNode) {
+func (c *cluster) exhaustRetryBudget(g *gatewayNode) {
 	log := &c.retryLog
-	log.forget(c.now - 2*retryWindow)
+	log.prune(c.now - 2*retryWindow)
 	drawn := false
 	for g.router.TryRetry(c.monotonicTime(&g.process), serviceName) {
 		log.retries = append(log.retries, c.now)
@@ -42,7 +42,7 @@
 	return gatewayRetryRatio*float64(most) + gatewayRetrySlack
 }
 
-func (l *retryLog) forget(until time.Duration) {
+func (l *retryLog) prune(until time.Duration) {
 	l.requests = l.requests[len(l.requests)-countAfter(l.requests, until):]
 	l.retries = l.retries[len(l.retries)-countAfter(l.retries, until):]
 }
--- a/internal/testbeds/simulation/invariant_window.go
+++ b/internal/testbeds/simulation/invariant_window.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	maxGatewaysOut   = 1 // of a region's three gateways, by agreedFloor
-	windowSettleTime = 9 * time.Second
+	maxGatewaysDrained = 1 // of a region's three gateways, by agreedFloor
+	windowSettleTime   = 9 * time.Second
 )
 
-// checkFencingTokenRises: the fencing token of maintenance windows never goes back.
-func (c *cluster) checkFencingTokenRises(m *member, state maintenance.State) {
+// checkFencingTokenMonotonic: the fencing token of maintenance windows never goes back.
+func (c *cluster) checkFencingTokenMonotonic(m *member, state maintenance.State) {
 	if state.FencingToken < c.windowState.FencingToken {
 		c.violationf("%s: the fencing token of windows went back from %d to %d", m.name, c.windowState.FencingToken, state.FencingToken)
 	}
 }
 
-// checkGatewaysOut: the windows that are granted at once never take more than the agreed floor leaves.
-func (c *cluster) checkGatewaysOut(m *member, state maintenance.State) {
+// checkDrainedGateways: the windows that are granted at once never take more than the agreed floor leaves.
+func (c *cluster) checkDrainedGateways(m *member, state maintenance.State) {
 	out := map[string]int{}
 	for _, window := range state.Windows {
 		if window.Phase != fleet.PhaseRequested {
@@ -28,8 +28,8 @@
 		}
 	}
 	for _, zone := range sortedKeys(out) {
-		if out[zone] > maxGatewaysOut {
-			c.violationf("%s: %d gateways of zone %s are out at once, %d may be", m.name, out[zone], zone, maxGatewaysOut)
+		if out[zone] > maxGatewaysDrained {
+			c.violationf("%s: %d gateways of zone %s are out at once, %d may be", m.name, out[zone], zone, maxGatewaysDrained)
 		}
 	}
 }
@@ -37,7 +37,7 @@
 // checkWindowSettles: once all has been calm for long, a gateway without a window serves, and no window is still between two
 // states.
 func (c *cluster) checkWindowSettles(g *gatewayNode) {
-	isSettled := c.calmFor(windowSettleTime) && c.now-c.windowsChangedAt >= windowSettleTime && c.now-g.startedAt >= windowSettleTime
+	isSettled := c.faultFreeFor(windowSettleTime) && c.now-c.windowsChangedAt >= windowSettleTime && c.now-g.startedAt >= windowSettleTime
 	if !c.windowState.Enabled() || !isSettled || g.member == nil {
 		return
 	}
--- a/internal/testbeds/simulation/figures_test.go
+++ b/internal/testbeds/simulation/latency_test.go
@@ -59,7 +59,7 @@
 func TestFamilyLatencies(t *testing.T) {
 	t.Parallel()
 	for _, members := range []int{3, 5, 7} {
-		f := figures{t, members}
+		f := latencyReport{t, members}
 		f.printReplacement()
 		f.printCuts()
 		f.printCatchUp()
@@ -67,13 +67,13 @@
 }
 
 // figures are of control planes of one size.
-type figures struct {
+type latencyReport struct {
 	t       *testing.T
 	members int
 }
 
 // run runs a schedule of this size, in which nothing may go wrong.
-func (f figures) run(seed uint64, s Schedule) Result {
+func (f latencyReport) run(seed uint64, s Schedule) Result {
 	f.t.Helper()
 	s.Seed, s.Members, s.InitialMembers, s.Tolerance, s.Zones, s.LossRate = seed, f.members, 3, toleranceByMembers[f.members], generatedZones, 0.002
 	s.Actions = append([]Action{{At: 500 * time.Millisecond, Kind: PutConfig, Version: 1, Body: 1}}, s.Actions...)
@@ -84,7 +84,7 @@
 	return result
 }
 
-func (f figures) print(what string, took []time.Duration) {
+func (f latencyReport) print(what string, took []time.Duration) {
 	f.t.Helper()
 	if len(took) == 0 {
 		f.t.Logf("%d members, %s: never", f.members, what)
@@ -95,7 +95,7 @@
 	f.t.Logf("%d members, %s: p50 %d ms, p99 %d ms, most %d ms (%d)", f.members, what, ms(len(took)/2), ms(len(took)*99/100), ms(len(took)-1), len(took))
 }
 
-func (f figures) printReplacement() {
+func (f latencyReport) printReplacement() {
 	f.t.Helper()
 	var repaired, joined []time.Duration
 	for seed := range seedCount(f.t, 1) {
@@ -110,17 +110,17 @@
 	f.print("a successor is in the chain and caught up, from its start", joined)
 }
 
-func (f figures) printCuts() {
+func (f latencyReport) printCuts() {
 	f.t.Helper()
-	var answers, heartbeats, thawed []time.Duration
+	var responses, heartbeats, thawed []time.Duration
 	for seed := range seedCount(f.t, 1) {
 		for i, kind := range []FaultKind{IsolateMember, PartitionMember, DropInbound, DropOutbound, PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks} {
 			result := f.run(seed, cutSchedule(seed, i, kind))
-			answers, thawed = append(answers, result.ResponsesWhileIsolated...), append(thawed, result.ResponsesAfterResume...)
+			responses, thawed = append(responses, result.ResponsesWhileIsolated...), append(thawed, result.ResponsesAfterResume...)
 			heartbeats = append(heartbeats, result.HeartbeatsWhileIsolated...)
 		}
 	}
-	f.print("answers to operators, and to gateways new to it, of one that is cut off, after the cut", answers)
+	f.print("answers to operators, and to gateways new to it, of one that is cut off, after the cut", responses)
 	f.print("heartbeats of replicas that one acknowledged which was cut off, after the cut", heartbeats)
 	f.print("answers of one that has thawed and missed a view, after it thawed", thawed)
 }
@@ -139,7 +139,7 @@
 	return s
 }
 
-func (f figures) printCatchUp() {
+func (f latencyReport) printCatchUp() {
 	f.t.Helper()
 	roles := []FaultRole{RoleHead, RoleMiddle, RoleTail}
 	for _, changes := range []int{10, 100, 1000} {
--- a/internal/testbeds/simulation/linearizability_test.go
+++ b/internal/testbeds/simulation/linearizability_test.go
@@ -10,8 +10,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// lateEffectBound is for how long a command without a clear answer may still take effect after its caller gave up.
-const lateEffectBound = 500 * time.Millisecond
+// maxEffectDelay is for how long a command without a clear answer may still take effect after its caller gave up.
+const maxEffectDelay = 500 * time.Millisecond
 
 // registerModel is what operators should see of a control plane as a whole: one register that only grows.
 var registerModel = porcupine.Model{
@@ -45,7 +45,7 @@
 
 // keyedRegisterModel is the register with all that operators ask of it, by key: the configuration, where the highest version
 // holds, a second body under it is rejected, and what is not above it changes nothing; and each zone. A command without a
-// clear answer may take effect once, until lateEffectBound after it was given up, or never.
+// clear answer may take effect once, until maxEffectDelay after it was given up, or never.
 var keyedRegisterModel = (&porcupine.NondeterministicModel{
 	Partition: partitionByKey,
 	Init:      func() []any { return []any{registerState{}} },
@@ -109,7 +109,7 @@
 	h := newHistoryReduction(all)
 	for i, attempt := range all {
 		h.dropped[i] = h.isIrrelevant(attempt)
-		h.noteCandidate(i, attempt)
+		h.addCandidate(i, attempt)
 	}
 	h.keepZoneChanges()
 	for i, attempt := range all {
@@ -126,8 +126,8 @@
 	return history
 }
 
-// firstSight is when a configuration was first seen committed, and the register before that.
-type firstSight struct{ notBefore, at time.Duration }
+// firstCommit is when a configuration was first seen committed, and the register before that.
+type firstCommit struct{ notBefore, at time.Duration }
 
 // historyReduction decides which attempts a check needs.
 type historyReduction struct {
@@ -136,7 +136,7 @@
 	readByOperators  map[int]bool         // configurations, by body
 	configs          []Attempt            // as seen committed, in order
 	zones            map[string][]Attempt // the same of zones
-	firstSeen        map[int]firstSight   // by body
+	firstSeen        map[int]firstCommit  // by body
 	candidates       map[int][]int        // attempts that may have brought a body in
 	dropped          map[int]bool
 }
@@ -147,7 +147,7 @@
 		rejectedVersions: map[uint64]bool{},
 		readByOperators:  map[int]bool{},
 		zones:            map[string][]Attempt{},
-		firstSeen:        map[int]firstSight{0: {}},
+		firstSeen:        map[int]firstCommit{0: {}},
 		candidates:       map[int][]int{},
 		dropped:          map[int]bool{},
 	}
@@ -158,7 +158,7 @@
 		switch {
 		case attempt.Kind != AttemptRead:
 		case attempt.Sequence > 0:
-			h.noteCommitted(attempt)
+			h.addCommitted(attempt)
 		case attempt.Answered:
 			h.readByOperators[attempt.BodyID] = true
 		}
@@ -166,8 +166,8 @@
 	return h
 }
 
-// noteCommitted takes a value that was seen committed.
-func (h *historyReduction) noteCommitted(seen Attempt) {
+// addCommitted takes a value that was seen committed.
+func (h *historyReduction) addCommitted(seen Attempt) {
 	if seen.Key != "" {
 		h.zones[seen.Key] = append(h.zones[seen.Key], seen)
 		return
@@ -177,7 +177,7 @@
 		notBefore = h.configs[n-1].Call
 	}
 	if _, ok := h.firstSeen[seen.BodyID]; !ok {
-		h.firstSeen[seen.BodyID] = firstSight{notBefore, seen.Call}
+		h.firstSeen[seen.BodyID] = firstCommit{notBefore, seen.Call}
 	}
 	h.configs = append(h.configs, seen)
 }
@@ -205,8 +205,8 @@
 	return n > 0 && h.configs[n-1].Version > attempt.Version
 }
 
-// noteCandidate notes an attempt that may have brought a configuration in that was seen.
-func (h *historyReduction) noteCandidate(i int, attempt Attempt) {
+// addCandidate notes an attempt that may have brought a configuration in that was seen.
+func (h *historyReduction) addCandidate(i int, attempt Attempt) {
 	seen, wasSeen := h.firstSeen[attempt.BodyID]
 	if attempt.Kind == AttemptPut && wasSeen && !attempt.Conflict && attempt.Call <= seen.at && attempt.latestEffect() >= seen.notBefore {
 		h.candidates[attempt.BodyID] = append(h.candidates[attempt.BodyID], i)
@@ -254,7 +254,7 @@
 	case attempt.Return == 0:
 		return time.Hour
 	}
-	return attempt.Return + lateEffectBound
+	return attempt.Return + maxEffectDelay
 }
 
 // notLinearizable is what runChecked says of calls that do not add up to one register.
--- a/internal/testbeds/simulation/main_test.go
+++ b/internal/testbeds/simulation/main_test.go
@@ -14,11 +14,11 @@
 }
 
 // environmentInt is a number from the environment.
-func environmentInt(t *testing.T, name string, byDefault int) int {
+func environmentInt(t *testing.T, name string, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
-		return byDefault
+		return defaultValue
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil {
@@ -28,9 +28,9 @@
 }
 
 // seedCount is how many seeds are run. SIMULATION_SEEDS asks for another number.
-func seedCount(t *testing.T, byDefault int) uint64 {
+func seedCount(t *testing.T, defaultValue int) uint64 {
 	t.Helper()
-	return uint64(environmentInt(t, "SIMULATION_SEEDS", byDefault))
+	return uint64(environmentInt(t, "SIMULATION_SEEDS", defaultValue))
 }
 
 // traceText is the trace of a run as tests print it.
--- a/internal/testbeds/simulation/maintenance.go
+++ b/internal/testbeds/simulation/maintenance.go
@@ -47,14 +47,14 @@
 		c.violationf("%s holds windows that cannot be read: %v", m.name, err)
 		return
 	}
-	c.checkFencingTokenRises(m, state)
+	c.checkFencingTokenMonotonic(m, state)
 	for _, window := range state.Windows {
 		before := c.windowState.Instructions()[window.Node]
 		if before.Phase != window.Phase && window.Phase != fleet.PhaseRequested {
 			c.windowChanged(m, window)
 		}
 	}
-	c.checkGatewaysOut(m, state)
+	c.checkDrainedGateways(m, state)
 	c.windowState, c.windowRevision, c.windowsChangedAt = state, record.Revision, c.now
 }
 
@@ -65,7 +65,7 @@
 	case fleet.PhaseDrained:
 		c.result.DrainedWindows++
 	case fleet.PhaseDraining:
-		c.injectNextAt(&c.onWindowGrant, m)
+		c.injectNextDeferred(&c.onWindowGrant, m)
 	}
 }
 
--- a/internal/testbeds/simulation/member.go
+++ b/internal/testbeds/simulation/member.go
@@ -27,11 +27,11 @@
 	wipeCount       int           // makes the IDs of the disks distinct
 	wallClockOffset time.Duration // of its time of day
 
-	isSpare  bool // came at a new address
-	leaving  bool // was sent SIGTERM
-	gone     bool // and does not come back unless its fault says so
-	goneAt   time.Duration
-	caughtUp bool // in this incarnation: is in the chain and has on disk what was committed
+	isSpare      bool // came at a new address
+	shuttingDown bool // was sent SIGTERM
+	removed      bool // and does not come back unless its fault says so
+	removedAt    time.Duration
+	caughtUp     bool // in this incarnation: is in the chain and has on disk what was committed
 
 	newestSequence uint64 // newest committed number in this incarnation
 
@@ -49,11 +49,11 @@
 
 // isHealthy reports whether a member runs and nothing acts on it.
 func (m *member) isHealthy() bool {
-	return m.up && !m.leaving && !m.frozen && m.controller != nil && !m.isCutOff() && !m.disk.full && !m.disk.failing && !m.disk.stalled
+	return m.up && !m.shuttingDown && !m.paused && m.controller != nil && !m.isIsolated() && !m.disk.full && !m.disk.failing && !m.disk.stalled
 }
 
-// canBeCalled reports whether a caller that connects reaches a process that serves.
-func (m *member) canBeCalled() bool { return m.up && !m.frozen && m.controller != nil }
+// isReachable reports whether a caller that connects reaches a process that serves.
+func (m *member) isReachable() bool { return m.up && !m.paused && m.controller != nil }
 
 // wallClockTime is the time of day at a member.
 func (c *cluster) wallClockTime(m *member) time.Duration {
@@ -66,7 +66,7 @@
 	if m.controller == nil {
 		return
 	}
-	event = c.plantInMessage(m, event)
+	event = c.applyBugToMessage(m, event)
 	viewNumber, sequence := m.controller.Coordinator().View().Number, m.newestSequence
 	if c.schedule.Tolerance > 0 {
 		event.WallClock = c.wallClockTime(m)
@@ -91,7 +91,7 @@
 	c.closeStreams(m, actions.CloseStreams)
 	if actions.ShutdownComplete {
 		c.tracef("%s has left", m.name)
-		c.stopMember(m, processKilled, leftForGood)
+		c.stopMember(m, processKilled, noRestart)
 	}
 }
 
@@ -110,33 +110,33 @@
 
 // respond answers calls that wait at a member.
 func (c *cluster) respond(m *member, responses []controller.Response) {
-	for _, answer := range responses {
-		c.history.answer(c, m, answer)
-		if receive := m.pendingCalls[answer.Token]; receive != nil {
-			delete(m.pendingCalls, answer.Token)
-			delete(m.waitingCalls, answer.Token)
-			receive(answer)
+	for _, response := range responses {
+		c.history.response(c, m, response)
+		if receive := m.pendingCalls[response.Token]; receive != nil {
+			delete(m.pendingCalls, response.Token)
+			delete(m.waitingCalls, response.Token)
+			receive(response)
 		}
 	}
 }
 
 // viewInstalled notes that a member has a new view.
 func (c *cluster) viewInstalled(m *member, view membership.View) {
-	c.injectPendingFaults(view)
-	c.injectOnView()
+	c.injectViewTriggered(view)
+	c.injectOnViewChange()
 	c.result.NewestView = max(c.result.NewestView, view.Number)
 	c.tracef("%s is in view %d: chain %s", m.name, view.Number, strings.Join(view.Chain, " > "))
-	for _, i := range slices.Sorted(maps.Keys(c.downSince)) { // in order, so that the same schedule always has the same result
-		at := c.downSince[i]
-		if i != m.index && !c.members[i].isAmong(view.Chain) {
+	for _, i := range slices.Sorted(maps.Keys(c.unavailableSince)) { // in order, so that the same schedule always has the same result
+		at := c.unavailableSince[i]
+		if i != m.index && !c.members[i].hasIDIn(view.Chain) {
 			c.result.ViewRepairTimes = append(c.result.ViewRepairTimes, c.now-at)
-			delete(c.downSince, i)
+			delete(c.unavailableSince, i)
 		}
 	}
 }
 
 // isAmong reports whether one of some IDs is of this member, with whichever disk.
-func (m *member) isAmong(ids []string) bool {
+func (m *member) hasIDIn(ids []string) bool {
 	for _, id := range ids {
 		if strings.HasPrefix(id, m.address+"/") {
 			return true
--- a/internal/testbeds/simulation/memberlifecycle.go
+++ b/internal/testbeds/simulation/memberlifecycle.go
@@ -16,7 +16,7 @@
 	longTickDelay    = 60 * time.Millisecond  // of one tick in longTickOneIn
 	longTickOneIn    = 200
 	terminationGrace = 6 * time.Second // from SIGTERM to SIGKILL
-	leftForGood      = -1              // as the downtime of a member that does not come back
+	noRestart        = -1              // as the downtime of a member that does not come back
 	controlLinkMbps  = 1000
 )
 
@@ -39,7 +39,7 @@
 // first write before it listens. The first start of all forms the first view.
 func (c *cluster) startMember(m *member, first bool) {
 	c.startProcess(&m.process)
-	c.noteFault()
+	c.extendFaultPeriod()
 	m.newestSequence, m.controller, m.caughtUp = 0, nil, first
 	m.pendingCalls, m.waitingCalls, m.streams = map[uint64]func(controller.Response){}, map[uint64]*operatorCall{}, map[uint64]*gatewayNode{}
 	state, ok := c.openStore(m)
@@ -121,7 +121,7 @@
 // tick has a member's timer fire now, and again and again while that incarnation lasts.
 func (c *cluster) tick(m *member, incarnation int) {
 	fire := func() { c.step(m, controller.Event{}) }
-	if m.frozen && c.schedule.Tolerance > 0 {
+	if m.paused && c.schedule.Tolerance > 0 {
 		m.pendingTick = fire
 	} else {
 		c.runOn(&m.process, incarnation, fire)
@@ -135,15 +135,15 @@
 	}
 }
 
-// stopMember ends a member's process, and starts it again after the downtime, unless that is leftForGood.
+// stopMember ends a member's process, and starts it again after the downtime, unless that is noRestart.
 func (c *cluster) stopMember(m *member, cause stopCause, downtime time.Duration) {
 	if !m.up {
 		return
 	}
 	if m.isInOwnChain() && downtime >= time.Second {
-		c.downSince[m.index] = c.now
+		c.unavailableSince[m.index] = c.now
 	}
-	m.up, m.frozen = false, false
+	m.up, m.paused = false, false
 	switch cause {
 	case processKilled:
 		m.disk.processKilled(c.random)
@@ -155,14 +155,14 @@
 	c.history.disk(entryKill, c, m)
 	c.closeStore(m)
 	c.dropConnections(m, cause)
-	c.noteFault()
+	c.extendFaultPeriod()
 	if downtime < 0 {
-		m.gone, m.goneAt = true, c.now
+		m.removed, m.removedAt = true, c.now
 		return
 	}
 	c.after(downtime, func() {
-		delete(c.downSince, m.index)
-		if !m.up && !m.gone {
+		delete(c.unavailableSince, m.index)
+		if !m.up && !m.removed {
 			c.startMember(m, false)
 		}
 	})
@@ -205,20 +205,20 @@
 // shutDown ends a member in order: SIGTERM, and SIGKILL after a grace period.
 func (c *cluster) shutDown(m *member) {
 	if !m.up {
-		m.gone, m.goneAt = true, c.now
+		m.removed, m.removedAt = true, c.now
 		return
 	}
 	incarnation := m.incarnation
-	m.leaving = true
+	m.shuttingDown = true
 	if c.hasBug(LeaveWithoutHandover) {
-		c.stopMember(m, processKilled, leftForGood)
+		c.stopMember(m, processKilled, noRestart)
 		return
 	}
 	c.runOn(&m.process, incarnation, func() { c.step(m, controller.Event{Shutdown: true}) })
 	c.after(terminationGrace, func() {
 		if m.up && m.incarnation == incarnation {
 			c.tracef("%s has not ended within the grace period", m.name)
-			c.stopMember(m, processKilled, leftForGood)
+			c.stopMember(m, processKilled, noRestart)
 		}
 	})
 }
--- a/internal/testbeds/simulation/network.go
+++ b/internal/testbeds/simulation/network.go
@@ -4,8 +4,8 @@
 
 // Delays of messages: a fixed part and, on average, a random one.
 const (
-	minMessageDelay  = 500 * time.Microsecond
-	meanMessageDelay = time.Millisecond // beyond the fixed part
+	minMessageDelay       = 500 * time.Microsecond
+	meanExtraMessageDelay = time.Millisecond // beyond the fixed part
 )
 
 // link is one direction between two nodes, by their names.
@@ -18,7 +18,7 @@
 		return
 	}
 	l := link{from.name, to.name}
-	at := c.now + minMessageDelay + time.Duration(c.random.ExpFloat64()*float64(meanMessageDelay))
+	at := c.now + minMessageDelay + time.Duration(c.random.ExpFloat64()*float64(meanExtraMessageDelay))
 	if c.random.Float64() < reorder { // on an older connection, handled late
 		at += c.randomBelow(max(c.schedule.MaxReorderDelay, 1))
 	} else {
@@ -46,13 +46,13 @@
 
 // isCut reports whether nothing passes from one process to another.
 func (c *cluster) isCut(from, to *process) bool {
-	if c.cutLinks[link{from.name, to.name}] > 0 || from.isolationCuts > 0 || to.isolationCuts > 0 {
+	if c.cutLinks[link{from.name, to.name}] > 0 || from.isolations > 0 || to.isolations > 0 {
 		return true
 	}
 	return from.isMember && to.isMember && (from.outboundCuts > 0 || to.inboundCuts > 0)
 }
 
 // isCutOff reports whether a member is cut off, in one direction at least, from all other members.
-func (p *process) isCutOff() bool {
-	return p.isolationCuts > 0 || p.outboundCuts > 0 || p.inboundCuts > 0
+func (p *process) isIsolated() bool {
+	return p.isolations > 0 || p.outboundCuts > 0 || p.inboundCuts > 0
 }
--- a/internal/testbeds/simulation/operator.go
+++ b/internal/testbeds/simulation/operator.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	operatorDeadline    = 5 * time.Second // of a call with all its attempts
-	operatorTimeout     = time.Second     // of one attempt; then another member is called
-	connectRetryDelay   = 200 * time.Millisecond
-	unclearRetryDelay   = 100 * time.Millisecond
-	maxAttemptsAtSame   = 4 // with RetrySame
-	finalReadDeadline   = 6 * time.Second
-	finalReadTimeout    = 5 * time.Second
-	delayedCallTime     = time.Second // with the planted bug AcceptDelayedCalls
-	finalReadCallNumber = -1
+	operatorDeadline       = 5 * time.Second // of a call with all its attempts
+	operatorAttemptTimeout = time.Second     // of one attempt; then another member is called
+	connectRetryDelay      = 200 * time.Millisecond
+	inconclusiveRetryDelay = 100 * time.Millisecond
+	maxAttemptsAtSame      = 4 // with RetrySame
+	finalReadDeadline      = 6 * time.Second
+	finalReadTimeout       = 5 * time.Second
+	delayedCallTime        = time.Second // with the planted bug AcceptDelayedCalls
+	finalReadCallNumber    = -1
 )
 
 // operatorCall is a call of an operator, with all its attempts.
 type operatorCall struct {
-	number   int // the index of its action
-	action   Action
-	body     string // of a configuration
-	version  uint64
-	floor    uint64 // the newest version acknowledged before a read began
-	deadline time.Duration
+	number     int // the index of its action
+	action     Action
+	body       string // of a configuration
+	version    uint64
+	minVersion uint64 // newest version acknowledged before a read began
+	deadline   time.Duration
 
 	startedAt time.Duration
 	done      bool
@@ -40,7 +40,7 @@
 	attemptedAt   time.Duration // the last attempt
 	calledMembers []*member
 	redirect      *member // where the last answer sends the caller
-	answerLost    bool    // one answer was lost on its way
+	responseLost  bool    // one answer was lost on its way
 
 	attemptIndex   int // 1 + the index in Result.Attempts of the attempt at hand; 0: none
 	operationIndex int // in Result.Operations, of a write
@@ -50,7 +50,7 @@
 func (c *cluster) zone(call *operatorCall) string { return c.zoneName(call.action.Target) }
 
 // perform has an operator or a replica do what an action says.
-func (c *cluster) perform(index int, action Action) {
+func (c *cluster) startAction(index int, action Action) {
 	switch action.Kind {
 	case DrainReplica:
 		if action.Target < len(c.replicas) {
@@ -61,7 +61,7 @@
 		c.startReplica(action.Target, true)
 		return
 	}
-	call := &operatorCall{number: index, action: action, startedAt: c.now, deadline: c.now + operatorDeadline, floor: c.acknowledgedVersion}
+	call := &operatorCall{number: index, action: action, startedAt: c.now, deadline: c.now + operatorDeadline, minVersion: c.acknowledgedVersion}
 	switch action.Kind {
 	case PutConfig:
 		c.preparePut(call)
@@ -86,7 +86,7 @@
 // prepareRestore notes that a zone is about to be used again.
 func (c *cluster) prepareRestore(call *operatorCall) {
 	zone := c.zone(call)
-	if at, evacuated := c.evacuatedAt[zone]; evacuated && c.now > at+evacuationBound && c.calmFor(contactTimeout) {
+	if at, evacuated := c.evacuatedAt[zone]; evacuated && c.now > at+evacuationBound && c.faultFreeFor(contactTimeout) {
 		for _, r := range c.replicas { // without requests they may have become cold shortly before
 			if r.zone == zone && r.alive {
 				r.warmupUntil = max(r.warmupUntil, c.now+warmupTime)
@@ -99,7 +99,7 @@
 
 // attempt sends a call to some member, once more.
 func (c *cluster) attempt(call *operatorCall) {
-	c.recordGiveUp(call)
+	c.recordAttemptEnd(call)
 	if call.done || c.now > call.deadline || c.finished {
 		c.checkCallAnswered(call)
 		return
@@ -107,7 +107,7 @@
 	call.attempts++
 	call.attemptedAt = c.now
 	m := c.nextMember(call)
-	if !m.up || m.frozen && c.schedule.Tolerance == 0 || m.controller == nil {
+	if !m.up || m.paused && c.schedule.Tolerance == 0 || m.controller == nil {
 		c.after(connectRetryDelay, func() { c.attempt(call) })
 		return
 	}
@@ -115,13 +115,13 @@
 	event := c.callEvent(call, c.lastToken)
 	m.waitingCalls[event.Token] = call
 	attempt := call.attempts
-	m.pendingCalls[event.Token] = func(answer controller.Response) {
-		if c.schedule.Tolerance == 0 || call.attempts == attempt && !c.losesAnswer(m, call, answer) {
-			c.receiveAnswer(m, call, answer)
+	m.pendingCalls[event.Token] = func(response controller.Response) {
+		if c.schedule.Tolerance == 0 || call.attempts == attempt && !c.dropsResponse(m, call, response) {
+			c.receiveResponse(m, call, response)
 		}
 	}
 	c.deliverCall(m, event)
-	c.after(operatorTimeout, func() {
+	c.after(operatorAttemptTimeout, func() {
 		if !call.done && call.attempts == attempt {
 			c.attempt(call)
 		}
@@ -134,7 +134,7 @@
 	c.recordAttempt(call)
 	switch call.action.Kind {
 	case ReadConfig:
-		call.floor = max(call.floor, c.acknowledgedVersion)
+		call.minVersion = max(call.minVersion, c.acknowledgedVersion)
 		event.ReadConfiguration = true
 	case SetWindowFloors, RequestWindow, FinishWindow, CancelWindows:
 		event.MaintenanceCommand = c.windowCommand(call.action)
@@ -153,7 +153,7 @@
 		return
 	}
 	c.runOn(&m.process, m.incarnation, func() {
-		if c.hasBug(AcceptDelayedCalls) && c.now-m.thawedAt < delayedCallTime {
+		if c.hasBug(AcceptDelayedCalls) && c.now-m.resumedAt < delayedCallTime {
 			incarnation := m.incarnation
 			c.after(delayedCallTime, func() { c.runOn(&m.process, incarnation, func() { c.step(m, event) }) })
 			return
@@ -194,64 +194,64 @@
 		return false
 	}
 	first := call.calledMembers[0]
-	return first.up && !first.frozen
+	return first.up && !first.paused
 }
 
-// losesAnswer reports whether an answer is lost on its way, which happens to a call once if its action says so.
-func (c *cluster) losesAnswer(m *member, call *operatorCall, answer controller.Response) bool {
-	if !call.action.LoseResponse || call.answerLost || answer.Status != http.StatusOK {
+// dropsResponse reports whether an answer is lost on its way, which happens to a call once if its action says so.
+func (c *cluster) dropsResponse(m *member, call *operatorCall, response controller.Response) bool {
+	if !call.action.LoseResponse || call.responseLost || response.Status != http.StatusOK {
 		return false
 	}
-	call.answerLost = true
-	c.tracef("%s: the answer %d to call %d is lost", m.name, answer.Status, call.number)
+	call.responseLost = true
+	c.tracef("%s: the answer %d to call %d is lost", m.name, response.Status, call.number)
 	return true
 }
 
-// receiveAnswer has an operator take an answer.
-func (c *cluster) receiveAnswer(m *member, call *operatorCall, answer controller.Response) {
+// receiveResponse has an operator take an answer.
+func (c *cluster) receiveResponse(m *member, call *operatorCall, response controller.Response) {
 	if call.done {
 		return
 	}
-	if !isClear(answer.Status) {
-		c.receiveUnclearAnswer(call, answer)
+	if !isConclusive(response.Status) {
+		c.receiveInconclusiveResponse(call, response)
 		return
 	}
 	call.done, call.endedAt = true, c.now
 	c.result.AnsweredCalls++
-	c.recordAnswer(m, call, answer)
+	c.recordResponse(m, call, response)
 	switch {
 	case call.action.Kind == ReadConfig:
-		c.receiveRead(m, call, answer)
-	case answer.Status != http.StatusConflict:
+		c.receiveRead(m, call, response)
+	case response.Status != http.StatusConflict:
 		c.receiveAcknowledgement(m, call)
 	}
 }
 
-// isClear reports whether an answer says what became of a call.
-func isClear(status int) bool {
+// isConclusive reports whether an answer says what became of a call.
+func isConclusive(status int) bool {
 	return status == http.StatusOK || status == http.StatusNotFound || status == http.StatusConflict
 }
 
-// receiveUnclearAnswer has an operator take an answer that says neither yes nor no: the call is made again.
-func (c *cluster) receiveUnclearAnswer(call *operatorCall, answer controller.Response) {
-	c.recordGiveUp(call)
+// receiveInconclusiveResponse has an operator take an answer that says neither yes nor no: the call is made again.
+func (c *cluster) receiveInconclusiveResponse(call *operatorCall, response controller.Response) {
+	c.recordAttemptEnd(call)
 	if c.schedule.Tolerance > 0 {
-		if answer.Status == http.StatusTemporaryRedirect {
-			call.redirect = c.memberByAddress[answer.Address]
+		if response.Status == http.StatusTemporaryRedirect {
+			call.redirect = c.memberByAddress[response.Address]
 		} else {
-			c.checkUnclearStatus(call, answer.Status)
+			c.checkNotClientError(call, response.Status)
 		}
 	}
 	attempt := call.attempts
-	c.after(unclearRetryDelay, func() {
+	c.after(inconclusiveRetryDelay, func() {
 		if call.attempts == attempt {
 			c.attempt(call)
 		}
 	})
 }
 
-func (c *cluster) receiveRead(m *member, call *operatorCall, answer controller.Response) {
-	version := c.checkReadBody(m, answer)
+func (c *cluster) receiveRead(m *member, call *operatorCall, response controller.Response) {
+	version := c.checkReadBody(m, response)
 	c.result.Operations = append(c.result.Operations, Operation{Read: true, Version: version, Call: call.startedAt, Return: c.now})
 	c.checkReadIsCurrent(m, call, version)
 }
@@ -259,7 +259,7 @@
 func (c *cluster) receiveAcknowledgement(m *member, call *operatorCall) {
 	c.result.Acknowledged++
 	c.result.CommandLatencies = append(c.result.CommandLatencies, c.now-call.attemptedAt)
-	c.injectNextAt(&c.onAcknowledgement, m)
+	c.injectNextDeferred(&c.onAcknowledgement, m)
 	c.checkAcknowledgerHasContact(m, call)
 	switch call.action.Kind {
 	case PutConfig:
@@ -286,7 +286,7 @@
 // finalRead reads once more when all has been calm again: what was acknowledged must be there.
 func (c *cluster) finalRead() {
 	c.tracef("the final read: version %d or newer", c.acknowledgedVersion)
-	call := &operatorCall{number: finalReadCallNumber, action: Action{Kind: ReadConfig}, floor: c.acknowledgedVersion, startedAt: c.now, deadline: c.now + finalReadDeadline}
+	call := &operatorCall{number: finalReadCallNumber, action: Action{Kind: ReadConfig}, minVersion: c.acknowledgedVersion, startedAt: c.now, deadline: c.now + finalReadDeadline}
 	c.attempt(call)
 	c.after(finalReadTimeout, func() {
 		if !call.done {
--- a/internal/testbeds/simulation/overflowfault.go
+++ b/internal/testbeds/simulation/overflowfault.go
@@ -5,10 +5,10 @@
 )
 
 const (
-	overloadStart        = 3 * time.Second
-	overloadEnd          = 8 * time.Second // before the end of the scenario
-	furtherOverloadStart = 4 * time.Second
-	furtherOverloadEnd   = 10 * time.Second // before the end
+	overloadStart       = 3 * time.Second
+	overloadEnd         = 8 * time.Second // before the end of the scenario
+	secondOverloadStart = 4 * time.Second
+	secondOverloadEnd   = 10 * time.Second // before the end
 
 	siteLinkFaults        = 4
 	siteLinkFaultsFrom    = 5 * time.Second
@@ -30,7 +30,7 @@
 	if o.scenario.Sites > 2 && o.random.IntN(2) == 0 {
 		s := o.sites[o.scenario.OverloadedSites+o.random.IntN(o.scenario.Sites-o.scenario.OverloadedSites)]
 		s.overloaded = true
-		o.overload(s, furtherOverloadStart, furtherOverloadEnd)
+		o.overload(s, secondOverloadStart, secondOverloadEnd)
 	}
 	for range siteLinkFaults {
 		if l := (siteLink{o.random.IntN(o.scenario.Sites), o.random.IntN(o.scenario.Sites)}); l.from != l.to {
@@ -53,11 +53,11 @@
 		o.after(end, func() { o.cutLinks[l] = false })
 		return
 	}
-	o.after(at, func() { o.holdingLinks[l] = true })
+	o.after(at, func() { o.delayingLinks[l] = true })
 	o.after(end, func() {
-		o.holdingLinks[l] = false
-		held := o.heldMessages[l]
-		o.heldMessages[l] = nil
+		o.delayingLinks[l] = false
+		held := o.delayedMessages[l]
+		o.delayedMessages[l] = nil
 		for _, arrive := range held {
 			arrive()
 		}
--- a/internal/testbeds/simulation/overflowrequest.go
+++ b/internal/testbeds/simulation/overflowrequest.go
@@ -92,7 +92,7 @@
 		return destination, overflow.Token{Serial: fmt.Sprint(request.id, request.attempts)}, destination != s.index
 	case OracleOverflow:
 		for _, other := range o.sites {
-			if other != s && other.up && other.hasRoomForOthers() {
+			if other != s && other.up && other.hasSpareSlots() {
 				return other.index, overflow.Token{}, true
 			}
 		}
--- a/internal/testbeds/simulation/overflowsimulation.go
+++ b/internal/testbeds/simulation/overflowsimulation.go
@@ -16,18 +16,18 @@
 
 // overflowSimulation is everything that one scenario simulates.
 type overflowSimulation struct {
-	scenario     OverflowScenario
-	history      *historyChecksum // nil: none is kept
-	random       *rand.Rand
-	now          time.Duration
-	queue        eventQueue
-	lastEvent    int
-	sites        []*site
-	cutLinks     map[siteLink]bool
-	holdingLinks map[siteLink]bool
-	heldMessages map[siteLink][]func() // of links that hold back
-	requests     []*siteRequest
-	result       OverflowResult
+	scenario        OverflowScenario
+	history         *historyChecksum // nil: none is kept
+	random          *rand.Rand
+	now             time.Duration
+	queue           eventQueue
+	lastEvent       int
+	sites           []*site
+	cutLinks        map[siteLink]bool
+	delayingLinks   map[siteLink]bool
+	delayedMessages map[siteLink][]func() // of links that hold back
+	requests        []*siteRequest
+	result          OverflowResult
 }
 
 // RunOverflow simulates a scenario.
@@ -36,12 +36,12 @@
 // runOverflow simulates a scenario and adds what happens to a history, if one is given.
 func runOverflow(scenario OverflowScenario, history *historyChecksum) OverflowResult {
 	o := &overflowSimulation{
-		scenario:     scenario,
-		history:      history,
-		random:       rand.New(rand.NewPCG(scenario.Seed, overflowStream)),
-		cutLinks:     map[siteLink]bool{},
-		holdingLinks: map[siteLink]bool{},
-		heldMessages: map[siteLink][]func(){},
+		scenario:        scenario,
+		history:         history,
+		random:          rand.New(rand.NewPCG(scenario.Seed, overflowStream)),
+		cutLinks:        map[siteLink]bool{},
+		delayingLinks:   map[siteLink]bool{},
+		delayedMessages: map[siteLink][]func(){},
 	}
 	o.startAll()
 	if scenario.WithFaults {
@@ -68,7 +68,7 @@
 	}
 	for _, s := range o.sites {
 		o.scheduleArrival(s)
-		o.scheduleUpkeep(s)
+		o.schedulePeriodicTasks(s)
 	}
 	for i := range o.scenario.OverloadedSites {
 		o.overload(o.sites[i], overloadStart, overloadEnd)
@@ -109,17 +109,17 @@
 	return time.Duration(least+o.random.IntN(span)) * time.Millisecond
 }
 
-// siteDistance is what a message between two sites takes.
-func siteDistance(a, b int) time.Duration { return time.Duration(10+(a*7+b*7)%71) * time.Millisecond }
+// siteLatency is what a message between two sites takes.
+func siteLatency(a, b int) time.Duration { return time.Duration(10+(a*7+b*7)%71) * time.Millisecond }
 
 // send takes a message to another site, if it arrives.
 func (o *overflowSimulation) send(from, to int, arrive func()) {
 	l := siteLink{from, to}
-	o.after(siteDistance(from, to)+time.Duration(o.random.Int64N(int64(siteLinkJitter))), func() {
+	o.after(siteLatency(from, to)+time.Duration(o.random.Int64N(int64(siteLinkJitter))), func() {
 		switch {
 		case o.cutLinks[l]:
-		case o.holdingLinks[l]:
-			o.heldMessages[l] = append(o.heldMessages[l], arrive)
+		case o.delayingLinks[l]:
+			o.delayedMessages[l] = append(o.delayedMessages[l], arrive)
 		default:
 			arrive()
 		}
--- a/internal/testbeds/simulation/overflowsite.go
+++ b/internal/testbeds/simulation/overflowsite.go
@@ -39,8 +39,8 @@
 	lent     *overflow.LentQuota
 }
 
-// hasRoomForOthers reports whether a site has slots that its own clients do not need.
-func (s *site) hasRoomForOthers() bool { return s.running < s.usableSlots() }
+// hasSpareSlots reports whether a site has slots that its own clients do not need.
+func (s *site) hasSpareSlots() bool { return s.running < s.usableSlots() }
 
 func (s *site) usableSlots() int { return int(usableSlotShare * float64(s.slots)) }
 
@@ -63,8 +63,8 @@
 	s.running, s.queue = 0, nil
 }
 
-// scheduleUpkeep has a site measure itself once a second, and ask other sites for leases.
-func (o *overflowSimulation) scheduleUpkeep(s *site) {
+// schedulePeriodicTasks has a site measure itself once a second, and ask other sites for leases.
+func (o *overflowSimulation) schedulePeriodicTasks(s *site) {
 	o.after(time.Second, func() {
 		if s.up {
 			o.measure(s)
@@ -72,7 +72,7 @@
 				o.requestLeases(s)
 			}
 		}
-		o.scheduleUpkeep(s)
+		o.schedulePeriodicTasks(s)
 	})
 }
 
@@ -104,7 +104,7 @@
 	var peers []overflow.PeerSite
 	for _, other := range o.sites {
 		if other != s {
-			peers = append(peers, overflow.PeerSite{Site: siteName(other.index), Distance: siteDistance(s.index, other.index)})
+			peers = append(peers, overflow.PeerSite{Site: siteName(other.index), Distance: siteLatency(s.index, other.index)})
 		}
 	}
 	for _, request := range s.borrower.LeaseRequests(o.now, peers) {
--- a/internal/testbeds/simulation/plantedbug.go
+++ b/internal/testbeds/simulation/plantedbug.go
@@ -38,8 +38,8 @@
 // hasBug reports whether a bug is planted in this run.
 func (c *cluster) hasBug(bug PlantedBug) bool { return c.schedule.PlantedBug == bug }
 
-// plantInMessage alters a message between members as a member with the planted bug would have sent or read it.
-func (c *cluster) plantInMessage(m *member, event controller.Event) controller.Event {
+// applyBugToMessage alters a message between members as a member with the planted bug would have sent or read it.
+func (c *cluster) applyBugToMessage(m *member, event controller.Event) controller.Event {
 	if event.Message != nil && c.hasBug(DiscardReportedDrains) {
 		message := *event.Message
 		message.Instances = slices.DeleteFunc(slices.Clone(message.Instances), func(instance fleet.Instance) bool { return instance.Draining })
@@ -91,7 +91,7 @@
 	return &altered
 }
 
-// forgetNewerState replaces a gateway's router by an empty one, which takes any update.
-func (c *cluster) forgetNewerState(g *gatewayNode) {
+// resetRouter replaces a gateway's router by an empty one, which takes any update.
+func (c *cluster) resetRouter(g *gatewayNode) {
 	g.router = router.New(router.Settings{Zone: c.zoneName(g.index), Zones: c.zoneCount(), Seed: 1})
 }
--- a/internal/testbeds/simulation/plantedbug_test.go
+++ b/internal/testbeds/simulation/plantedbug_test.go
@@ -39,11 +39,11 @@
 			schedule.Faults = append(schedule.Faults, Fault{At: at + time.Duration(seed)*time.Millisecond, For: 1300 * time.Millisecond,
 				Kind: kinds[int(seed)%4], Target: int(at/time.Millisecond+time.Duration(seed)) % 3})
 		}
-		schedule.Actions = append(schedule.Actions, risingPuts(80)...)
+		schedule.Actions = append(schedule.Actions, increasingPuts(80)...)
 	case AcceptStaleState: // members must lag, and gateways follow others; what the members themselves now prevent is put in
 		schedule.UnconfirmedUpdates = true
 		schedule.LossRate, schedule.Gateways, schedule.Actions, schedule.Faults = 0.2, 6, nil, nil
-		schedule.Actions = append(schedule.Actions, risingPuts(80)...)
+		schedule.Actions = append(schedule.Actions, increasingPuts(80)...)
 		for at := 3 * time.Second; at < 22*time.Second; at += 1700 * time.Millisecond {
 			schedule.Faults = append(schedule.Faults, Fault{At: at + time.Duration(seed)*7*time.Millisecond, Kind: KillProcess, Target: int(at/time.Millisecond) % 3})
 		}
@@ -51,8 +51,8 @@
 	return schedule
 }
 
-// risingPuts are configurations whose versions rise steadily.
-func risingPuts(n int) (actions []Action) {
+// increasingPuts are configurations whose versions rise steadily.
+func increasingPuts(n int) (actions []Action) {
 	for i := range n {
 		actions = append(actions, Action{At: time.Second + time.Duration(i)*280*time.Millisecond, Kind: PutConfig, Version: uint64(1000 + i)})
 	}
@@ -98,7 +98,7 @@
 	case DropCommandID:
 		proposeOppositesWhileViewChanges(&schedule, seed)
 	case ConfirmSupersededView:
-		readAndPutWhileTailIsCut(&schedule)
+		readAndPutWhileTailIsPartitioned(&schedule)
 	case LeaveWithoutHandover: // the head leaves, its successor is there, and another member is lost meanwhile
 		schedule.Faults = []Fault{{At: 8 * time.Second, Kind: AddSpareMember}, {At: 16 * time.Second, Kind: ShutDownMember, Role: RoleHead},
 			{At: 16*time.Second + time.Duration(seed)*5*time.Millisecond, For: 12 * time.Second, Kind: PauseProcess, Role: RoleTail}}
@@ -118,8 +118,8 @@
 	}
 }
 
-// readAndPutWhileTailIsCut has what tells of the later view be lost, and much be read and changed meanwhile.
-func readAndPutWhileTailIsCut(schedule *Schedule) {
+// readAndPutWhileTailIsPartitioned has what tells of the later view be lost, and much be read and changed meanwhile.
+func readAndPutWhileTailIsPartitioned(schedule *Schedule) {
 	schedule.LossRate, schedule.Gateways, schedule.Replicas, schedule.Actions, schedule.Faults = 0.2, 0, 0, nil, nil
 	for at := 8 * time.Second; at < 22*time.Second; at += 4 * time.Second {
 		schedule.Faults = append(schedule.Faults, Fault{At: at, For: 1200 * time.Millisecond, Kind: PartitionMember, Role: RoleTail})
--- a/internal/testbeds/simulation/process.go
+++ b/internal/testbeds/simulation/process.go
@@ -19,22 +19,22 @@
 	clockRate   float64 // of its monotonic clock, against simulated time
 	clockOffset time.Duration
 
-	frozen            bool
-	queuedWhileFrozen []func() // what arrived meanwhile
+	paused            bool
+	queuedWhilePaused []func() // what arrived meanwhile
 	pendingTick       func()   // at most one, since a timer that has elapsed several times fires once
-	thawedAt          time.Duration
+	resumedAt         time.Duration
 
 	isMember                  bool
 	inboundCuts, outboundCuts int // how many faults cut it from other members, by direction
-	isolationCuts             int // how many cut it from all nodes
-	cutAt                     time.Duration
+	isolations                int // how many cut it from all nodes
+	isolatedAt                time.Duration
 }
 
 // startProcess begins a new incarnation, with a clock of its own.
 func (c *cluster) startProcess(p *process) {
 	p.incarnation++
 	p.up, p.startedAt = true, c.now
-	p.frozen, p.queuedWhileFrozen, p.pendingTick, p.thawedAt = false, nil, nil, 0
+	p.paused, p.queuedWhilePaused, p.pendingTick, p.resumedAt = false, nil, nil, 0
 	p.clockOffset = 0
 	p.clockRate = 1 + clockDrift*(c.random.Float64()-0.5)
 }
@@ -48,31 +48,31 @@
 func (c *cluster) runOn(p *process, incarnation int, do func()) {
 	switch {
 	case !p.up || p.incarnation != incarnation:
-	case p.frozen:
-		p.queuedWhileFrozen = append(p.queuedWhileFrozen, do)
+	case p.paused:
+		p.queuedWhilePaused = append(p.queuedWhilePaused, do)
 	default:
 		do()
 	}
 }
 
 // freeze stops a process for a while, as a paused virtual machine is. What arrives meanwhile is done when it thaws.
-func (c *cluster) freeze(p *process, span time.Duration) {
+func (c *cluster) pause(p *process, span time.Duration) {
 	if !p.up {
 		return
 	}
-	p.frozen = true
+	p.paused = true
 	incarnation := p.incarnation
 	c.after(span, func() {
-		if p.up && p.incarnation == incarnation && p.frozen {
-			c.thaw(p)
+		if p.up && p.incarnation == incarnation && p.paused {
+			c.resume(p)
 		}
 	})
 }
 
-func (c *cluster) thaw(p *process) {
-	p.frozen, p.thawedAt = false, c.now
-	held := p.queuedWhileFrozen
-	p.queuedWhileFrozen = nil
+func (c *cluster) resume(p *process) {
+	p.paused, p.resumedAt = false, c.now
+	held := p.queuedWhilePaused
+	p.queuedWhilePaused = nil
 	if p.pendingTick != nil { // the timer may fire before what lay in the sockets is read, or after
 		held, p.pendingTick = slices.Insert(held, c.random.IntN(len(held)+1), p.pendingTick), nil
 	}
--- a/internal/testbeds/simulation/replica.go
+++ b/internal/testbeds/simulation/replica.go
@@ -76,22 +76,22 @@
 			c.sendHeartbeat(r, retries+1)
 		}
 	}
-	if !m.canBeCalled() {
+	if !m.isReachable() {
 		c.after(heartbeatRetryDelay, retry)
 		return
 	}
 	instance := c.instance(r)
 	c.after(heartbeatTimeout, retry)
-	c.callAsReplica(m, controller.Event{Heartbeat: &instance}, func(answer controller.Response) {
+	c.callFromReplica(m, controller.Event{Heartbeat: &instance}, func(response controller.Response) {
 		if answered {
 			return
 		}
 		answered = true
-		if answer.Status != http.StatusOK {
+		if response.Status != http.StatusOK {
 			c.after(heartbeatRetryDelay, func() { c.sendHeartbeat(r, retries+1) })
 			return
 		}
-		r.redirect = answer.Address
+		r.redirect = response.Address
 		if instance.Draining {
 			c.drainAcknowledged(m, r)
 		}
@@ -112,15 +112,15 @@
 	}
 }
 
-// callAsReplica has a member decide on a replica's call.
-func (c *cluster) callAsReplica(m *member, event controller.Event, answered func(controller.Response)) {
+// callFromReplica has a member decide on a replica's call.
+func (c *cluster) callFromReplica(m *member, event controller.Event, answered func(controller.Response)) {
 	c.lastToken++
 	event.Token = c.lastToken
-	m.pendingCalls[event.Token] = func(answer controller.Response) {
-		if answer.Status == http.StatusOK && m.isCutOff() {
-			c.result.HeartbeatsWhileIsolated = append(c.result.HeartbeatsWhileIsolated, c.now-m.cutAt)
+	m.pendingCalls[event.Token] = func(response controller.Response) {
+		if response.Status == http.StatusOK && m.isIsolated() {
+			c.result.HeartbeatsWhileIsolated = append(c.result.HeartbeatsWhileIsolated, c.now-m.isolatedAt)
 		}
-		answered(answer)
+		answered(response)
 	}
 	c.step(m, event)
 }
@@ -143,14 +143,14 @@
 	c.checkDrainDurability(m, r)
 	r.drainAcknowledgedAt = c.now
 	c.tracef("%s: the drain of %s is acknowledged", m.name, r.id)
-	c.after(drainDeadline+time.Second, func() { c.endReplica(r) })
+	c.after(drainDeadline+time.Second, func() { c.terminateReplica(r) })
 }
 
-// endReplica ends a replica's process, which deregisters.
-func (c *cluster) endReplica(r *replica) {
+// terminateReplica ends a replica's process, which deregisters.
+func (c *cluster) terminateReplica(r *replica) {
 	m := c.pickMember()
-	if r.alive && m.canBeCalled() {
-		c.callAsReplica(m, controller.Event{Deregister: r.id}, func(controller.Response) {})
+	if r.alive && m.isReachable() {
+		c.callFromReplica(m, controller.Event{Deregister: r.id}, func(controller.Response) {})
 	}
 	r.alive = false
 }
--- a/internal/testbeds/simulation/schedule.go
+++ b/internal/testbeds/simulation/schedule.go
@@ -71,8 +71,8 @@
 	Target       int    `json:"On"`             // the zone, the replica or the gateway that is meant, by index
 }
 
-// lastEffect is when the last fault has ended and the schedule has run out.
-func (s Schedule) lastEffect() time.Duration {
+// endOfFaultsAndActions is when the last fault has ended and the schedule has run out.
+func (s Schedule) endOfFaultsAndActions() time.Duration {
 	end := s.Duration
 	for _, fault := range s.Faults {
 		end = max(end, fault.At+fault.For+restartTime)
--- a/internal/testbeds/simulation/storage.go
+++ b/internal/testbeds/simulation/storage.go
@@ -6,7 +6,7 @@
 const (
 	diskOperationTime  = 50 * time.Microsecond
 	minSyncTime        = 500 * time.Microsecond
-	meanSyncTime       = time.Millisecond // beyond the least
+	meanExtraSyncTime  = time.Millisecond // beyond the least
 	diskStallPoll      = 5 * time.Millisecond
 	unsyncedReportTime = 100 * time.Microsecond // with the planted bug AcknowledgeBeforeSync
 )
@@ -63,5 +63,5 @@
 	if !operation.isSync() {
 		return diskOperationTime
 	}
-	return minSyncTime + time.Duration(c.random.ExpFloat64()*float64(meanSyncTime))
+	return minSyncTime + time.Duration(c.random.ExpFloat64()*float64(meanExtraSyncTime))
 }
--- a/internal/testbeds/simulation/warmup_test.go
+++ b/internal/testbeds/simulation/warmup_test.go
@@ -32,7 +32,7 @@
 func TestWarmupQuotaTransfer(t *testing.T) {
 	warmupRequests := 0
 	for seed := range seedCount(t, 12) {
-		result := Run(changingHandsSchedule(seed))
+		result := Run(quotaTransferSchedule(seed))
 		warmupRequests += result.WarmupRequests
 		if len(result.Violations) > 0 {
 			t.Fatalf("seed %d: %s\n%s", seed, result.Violations[0], traceText(result))
@@ -44,7 +44,7 @@
 	}
 }
 
-func changingHandsSchedule(seed uint64) Schedule {
+func quotaTransferSchedule(seed uint64) Schedule {
 	schedule := Schedule{Seed: seed, Members: 3 + 2*int(seed%2), InitialMembers: 3, Gateways: 16, Zones: 2, Replicas: 1, Duration: 30 * time.Second,
 		Actions: []Action{{At: 1200 * time.Millisecond, Kind: PutConfig, Version: 1}}}
 	for i := range 8 {
