--- a/internal/testbeds/simulation/cluster.go
+++ b/internal/testbeds/simulation/cluster.go
@@ -11,18 +11,18 @@
 	"zincloft.example/zincloft/invariant"
 )
 
-// Bounds that the invariants rest on, and what the simulated processes take.
+// Bounds used by the invariants, and parameters of the simulated system.
 const (
-	catchUpTime         = 4 * time.Second        // a member that has come back counts as lost for so long
-	restartTime         = 300 * time.Millisecond // of a process
-	faultFreeBeforeCall = 6 * time.Second        // after so long without faults a call must be acknowledged
-	contactTimeout      = 3 * time.Second        // after so long without contact to a quorum nothing may be acknowledged; calm before gateways are judged
+	catchUpTime         = 4 * time.Second        // a restarted member counts as unavailable for this long
+	restartTime         = 300 * time.Millisecond // process start-up time
+	faultFreeBeforeCall = 6 * time.Second        // a call that starts after this long without faults must be answered
+	contactTimeout      = 3 * time.Second        // without quorum contact for this long a member must acknowledge nothing; gateways are checked after a fault-free time of this length
 
 	configPropagationBound = 2 * time.Second
 	drainDeadline          = 2 * time.Second
 	evacuationBound        = 5 * time.Second
 
-	warmupRate        = 4.0 // requests a second that a replica bears while it warms up
+	warmupRate        = 4.0 // requests per second that a replica accepts while it warms up
 	warmupBurstFactor = 1.5
 	warmupSlack       = 5.0
 
@@ -30,21 +30,21 @@
 	serviceName  = "shop"
 )
 
-// Times at the end of a run, from the last fault's end.
+// Phases at the end of a run, measured from the end of the last fault.
 const (
 	coreSettleTime = 4 * time.Second // only in schedules with a Tolerance
 	finalReadDelay = 8 * time.Second
 	runGrace       = 14 * time.Second
 )
 
-// randomStream is the stream of the generator that a run draws from. The generators of schedules use others, so that one
-// seed gives all of them different numbers.
+// randomStream is the PCG stream of a run. The schedule generators use other streams, so one seed gives them
+// independent numbers.
 const randomStream = 2
 
-// cluster is everything that one run simulates, and what is known of it so far.
+// cluster is the state of one simulation run.
 type cluster struct {
 	schedule Schedule
-	history  *historyChecksum // nil: none is kept
+	history  *historyChecksum // nil: not recorded
 	result   Result
 	random   *rand.Rand
 
@@ -58,35 +58,35 @@
 	replicas        []*replica
 	lastToken       uint64 // of calls and streams
 
-	cutLinks    map[link]int // how many cuts a link is under
+	cutLinks    map[link]int // number of active cuts by link
 	lastArrival map[link]time.Duration
 	retryLog    retryLog
 
-	faultActiveUntil  time.Duration         // until when a fault acts, or has acted
-	unavailableSince  map[int]time.Duration // members that are lost, by index
-	onAcknowledgement []Fault               // faults that wait for the next acknowledgement,
-	onViewChange      []Fault               // for the next view,
-	onWindowGrant     []Fault               // and for the next grant of a maintenance window
-	finished          bool                  // the final read is over
-
-	committedBySequence map[uint64]string        // what was committed under each number
-	committedAt         map[uint64]time.Duration // versions, when first committed anywhere
-	versionByBody       map[string]uint64        // of configurations that operators sent
-	acknowledgedVersion uint64                   // the newest
+	faultActiveUntil  time.Duration         // latest time at which a known fault is active
+	unavailableSince  map[int]time.Duration // unavailable members, by index
+	onAcknowledgement []Fault               // deferred until the next acknowledgement
+	onViewChange      []Fault               // deferred until the next view change
+	onWindowGrant     []Fault               // deferred until the next maintenance window is granted
+	finished          bool                  // the final read has ended
+
+	committedBySequence map[uint64]string        // description of the register committed with each sequence number
+	committedAt         map[uint64]time.Duration // first commit time by configuration version
+	versionByBody       map[string]uint64        // of configurations that operators submitted
+	acknowledgedVersion uint64                   // highest acknowledged version
 	acknowledgedAt      time.Duration
-	evacuatedAt         map[string]time.Duration // zones whose evacuation was acknowledged and not taken back since
-	restoreCalls        []*operatorCall          // that take an evacuation back
+	evacuatedAt         map[string]time.Duration // zones with an acknowledged evacuation that has not been reverted
+	restoreCalls        []*operatorCall
 	coreHistory         coreHistory
 
-	windowState      maintenance.State // as committed
+	windowState      maintenance.State // last committed state
 	windowRevision   uint64
 	windowsChangedAt time.Duration
 }
 
-// Run simulates a schedule. It ends early with the first violation.
+// Run simulates a schedule and stops at the first violation.
 func Run(schedule Schedule) Result { return run(schedule, nil) }
 
-// run simulates a schedule and adds what happens to a history, if one is given.
+// run simulates a schedule and records it in history, which may be nil.
 func run(schedule Schedule, history *historyChecksum) Result {
 	c := newCluster(schedule, history)
 	c.startAll()
@@ -112,7 +112,7 @@
 	return c.result
 }
 
-// runEvent carries out an event. An invariant that the decision code itself finds violated is a violation as any other.
+// runEvent executes an event. A panic with an invariant.Violation from production code is reported as a violation.
 func (c *cluster) runEvent(event func()) {
 	defer func() {
 		switch panicked := recover().(type) {
@@ -153,7 +153,7 @@
 	c.memberByAddress[m.address] = m
 }
 
-// startAll starts the members that there are from the beginning, the gateways and the replicas.
+// startAll starts the initial members, gateways and replicas.
 func (c *cluster) startAll() {
 	for _, m := range c.members {
 		if c.schedule.MaxStartDelay == 0 {
@@ -172,45 +172,45 @@
 	}
 }
 
-// after schedules something. What is scheduled for one moment happens in the order in which it was scheduled.
+// after schedules a function. Functions scheduled for the same time run in scheduling order.
 func (c *cluster) after(delay time.Duration, do func()) {
 	c.lastEvent++
 	c.queue.push(event{c.now + delay, c.lastEvent, do})
 }
 
-// randomBelow draws a duration from zero up to a bound, which must be positive.
+// randomBelow returns a random duration in [0, bound). The bound must be positive.
 func (c *cluster) randomBelow(bound time.Duration) time.Duration {
 	return time.Duration(c.random.Int64N(int64(bound)))
 }
 
-// randomMilliseconds draws a duration of whole milliseconds below n of them.
+// randomMilliseconds returns a random whole number of milliseconds in [0, n).
 func (c *cluster) randomMilliseconds(n int) time.Duration {
 	return time.Duration(c.random.IntN(n)) * time.Millisecond
 }
 
-// tracef adds a line to the trace.
+// tracef appends a line to the trace.
 func (c *cluster) tracef(format string, args ...any) {
 	c.result.Trace = append(c.result.Trace, fmt.Sprintf("%8.3f  ", c.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// violationf reports that an invariant does not hold.
+// violationf records an invariant violation.
 func (c *cluster) violationf(format string, args ...any) {
 	c.tracef("VIOLATION: "+format, args...)
 	c.result.Violations = append(c.result.Violations, fmt.Sprintf(format, args...))
 }
 
-// faultFreeFor reports whether for so long no fault has acted anywhere.
+// faultFreeFor reports whether no fault has been active for at least span.
 func (c *cluster) faultFreeFor(span time.Duration) bool { return c.now > c.faultActiveUntil+span }
 
-// extendFaultPeriod notes that a fault has just begun or ended to act on the members. Only schedules with a Tolerance count so;
-// in others injectFault knows beforehand how long a fault lasts.
+// extendFaultPeriod marks the present as affected by a fault that has just started or ended. It applies to schedules
+// with a Tolerance only; in others, injectFault knows the duration in advance.
 func (c *cluster) extendFaultPeriod() {
 	if c.schedule.Tolerance > 0 {
 		c.faultActiveUntil = max(c.faultActiveUntil, c.now+restartTime)
 	}
 }
 
-// zoneName is the zone of the node of an index.
+// zoneName returns the zone of the node with the given index.
 func (c *cluster) zoneName(index int) string { return string(rune('a' + index%c.zoneCount())) }
 
 func (c *cluster) zoneCount() int {
--- a/internal/testbeds/simulation/corehistory.go
+++ b/internal/testbeds/simulation/corehistory.go
@@ -9,38 +9,39 @@
 	"zincloft.example/zincloft/controlplane/controller"
 )
 
-// coreHistory is what is observed of the control plane in schedules with a Tolerance, from outside.
+// coreHistory is what has been observed of the control plane in schedules with a Tolerance.
 type coreHistory struct {
 	hasCommit      bool
-	newestSequence uint64            // newest committed number anywhere
-	sequences      []observation     // of it
-	sequenceByBody map[string]uint64 // of the first register that held a configuration
+	newestSequence uint64            // highest committed sequence number on any member
+	sequences      []observation     // of newestSequence
+	sequenceByBody map[string]uint64 // of the first register that contained a configuration
 
 	acknowledgedVersions []observation
 	claims               map[uint64]claim // acknowledged configurations, by version
-	rejectedBodies       map[string]bool  // configurations that a member answered by 409
+	rejectedBodies       map[string]bool  // configurations that a member rejected with 409
 	bodyIDs              map[string]int
 
-	viewTriggeredFaults []Fault // that wait for a view
+	viewTriggeredFaults []Fault // deferred until a matching view change
 	newestSpare         *member
 	spareCount          int
-	initialViewComplete bool // the members of the first view have had their time
+	initialViewComplete bool // the initial members have had time to join the first view
 	monitorCount        int
 }
 
-// claim is a configuration that was acknowledged, and the number with which it was committed, or the newest before it.
+// claim is an acknowledged configuration with the sequence number of its commit, or a lower bound of it if the commit
+// was not observed.
 type claim struct {
 	body     string
 	sequence uint64
 }
 
-// observation is the value that something had from a moment on.
+// observation is a value that holds from a point in time.
 type observation struct {
 	at    time.Duration
 	value uint64
 }
 
-// valueAt is the value at a moment, by observations in their order.
+// valueAt returns the value at a point in time. Observations are ordered by time.
 func valueAt(observations []observation, at time.Duration) uint64 {
 	for _, o := range slices.Backward(observations) {
 		if o.at <= at {
@@ -55,7 +56,7 @@
 	h.bodyIDs = map[string]int{"": 0}
 }
 
-// bodyID is a number for a configuration, in the order in which they were first seen.
+// bodyID returns the number of a configuration, assigned in the order of first use.
 func (h *coreHistory) bodyID(body string) int {
 	id, ok := h.bodyIDs[body]
 	if !ok {
@@ -65,7 +66,7 @@
 	return id
 }
 
-// recordAttempt adds the attempt that begins to the history of calls.
+// recordAttempt appends an attempt that starts now to the call history.
 func (c *cluster) recordAttempt(call *operatorCall) {
 	if c.schedule.Tolerance == 0 {
 		return
@@ -85,7 +86,7 @@
 	call.attemptIndex = len(c.result.Attempts)
 }
 
-// recordAttemptEnd notes that nothing more is heard of a call's last attempt.
+// recordAttemptEnd records that the caller no longer waits for the current attempt.
 func (c *cluster) recordAttemptEnd(call *operatorCall) {
 	if call.attemptIndex > 0 {
 		c.result.Attempts[call.attemptIndex-1].Return = c.now
@@ -93,7 +94,7 @@
 	call.attemptIndex = 0
 }
 
-// recordResponse notes a clear answer to a call, and checks what it says against earlier ones.
+// recordResponse records a conclusive response to a call and checks it against earlier ones.
 func (c *cluster) recordResponse(m *member, call *operatorCall, response controller.Response) {
 	if c.schedule.Tolerance == 0 {
 		return
@@ -114,7 +115,7 @@
 	}
 }
 
-// recordAttemptResponse notes what came of the attempt at hand.
+// recordAttemptResponse records the outcome of the current attempt.
 func (c *cluster) recordAttemptResponse(call *operatorCall, response controller.Response) {
 	if call.attemptIndex == 0 {
 		return
@@ -134,7 +135,8 @@
 	}
 }
 
-// measureStaleResponse measures for how long a member still answers that is cut off, or that has thawed and missed a view.
+// measureStaleResponse measures for how long a member responds after it was isolated, or after it resumed with an
+// outdated view.
 func (c *cluster) measureStaleResponse(m *member) {
 	if m.isIsolated() {
 		c.result.ResponsesWhileIsolated = append(c.result.ResponsesWhileIsolated, c.now-m.isolatedAt)
@@ -144,7 +146,7 @@
 	}
 }
 
-// recordCommitted notes the newest committed register as what could be read at this moment.
+// recordCommitted records a newly committed register as a read of all keys at the current time.
 func (c *cluster) recordCommitted(m *member, register chainreplication.Register) {
 	h := &c.coreHistory
 	if c.schedule.Tolerance == 0 || h.hasCommit && register.Sequence <= h.newestSequence {
--- a/internal/testbeds/simulation/discovery.go
+++ b/internal/testbeds/simulation/discovery.go
@@ -5,11 +5,11 @@
 )
 
 const (
-	discoveryLag     = 5 * time.Second // a member that was removed stays in lists of addresses for so long
+	discoveryLag     = 5 * time.Second // a removed member stays in address lists for this long
 	maxSeedAddresses = 3
 )
 
-// listedMembers are the members that a list of addresses may hold.
+// listedMembers returns the members that an address list may contain.
 func (c *cluster) listedMembers() (listed []*member) {
 	for _, m := range c.members {
 		if !m.removed || c.now-m.removedAt < discoveryLag {
@@ -19,8 +19,8 @@
 	return listed
 }
 
-// seedAddresses are the addresses in a settings file: at the first start the same for all, later any three, at least one of
-// them of a member that is not gone.
+// seedAddresses returns the addresses in a process's settings: the initial members at first, later up to three random
+// members, at least one of which has not been removed.
 func (c *cluster) seedAddresses(first bool) (seeds []string) {
 	if first || c.coreHistory.spareCount == 0 {
 		for _, m := range c.members[:c.schedule.InitialMembers] {
@@ -38,7 +38,7 @@
 	return seeds
 }
 
-// pickMember is a member that a caller picks at random.
+// pickMember returns a random member for a caller to contact.
 func (c *cluster) pickMember() *member {
 	from := c.members
 	if c.schedule.Tolerance > 0 {
--- a/internal/testbeds/simulation/disk.go
+++ b/internal/testbeds/simulation/disk.go
@@ -11,7 +11,7 @@
 	"zincloft.example/zincloft/internal/daemons/statestore"
 )
 
-// sectorSize is the unit that a disk writes completely or not at all.
+// sectorSize is the unit of atomic writes.
 const sectorSize = 512
 
 var (
@@ -19,31 +19,31 @@
 	errInputOutput = errors.New("input/output error")
 )
 
-// disk is a simulated disk beneath the store of production. What the store does is kept as pending operations, which the
-// cluster carries out one after the other, each in its time. A file holds what its last sync covered; of what was written
-// after that a loss of power leaves any part, torn at sectors, or none. A file's name lasts once its folder was synced.
+// disk is a simulated disk beneath the production state store. Operations are queued in pending and applied by the
+// cluster, one after the other, with a delay each. After a power loss a file has its last synced content plus an
+// arbitrary subset of the sectors written since. A file name is durable once its directory was synced.
 type disk struct {
 	files   map[string]*file
 	pending []diskOperation
 
-	full            bool // writes end part way through
+	full            bool // writes are cut short
 	failing         bool // writes and syncs return errors
-	stalled         bool // nothing is carried out
+	stalled         bool // pending operations are not applied
 	skipsFolderSync bool // the planted bug SkipFolderSync
 
-	revision        uint64 // rises with each change of what a loss of power would leave
+	revision        uint64 // incremented whenever the durable content may have changed
 	durable         *coordinator.PersistentState
-	durableRevision uint64 // 1 + the revision at which durable was read
+	durableRevision uint64 // 1 + the revision at which durable was computed
 }
 
 type file struct {
 	synced   []byte
-	content  []byte          // with what was written since the last sync
+	content  []byte          // including unsynced writes
 	unsynced []diskOperation // writes since the last sync
-	named    bool            // its folder was synced since it was created
+	named    bool            // the directory was synced after the file was created
 }
 
-// diskOperationKind says what a diskOperation does.
+// diskOperationKind identifies a diskOperation.
 type diskOperationKind string
 
 const (
@@ -57,17 +57,17 @@
 type diskOperation struct {
 	kind   diskOperationKind
 	name   string
-	to     string // of a rename
+	to     string // new name, for diskRename
 	offset int
 	data   []byte
 }
 
-// isSync reports whether an operation waits for the medium.
+// isSync reports whether the operation flushes data to the medium.
 func (o diskOperation) isSync() bool { return o.kind == diskSync || o.kind == diskSyncFolder }
 
 func newDisk() *disk { return &disk{files: map[string]*file{}} }
 
-// ReadFile returns a file as running processes see it.
+// ReadFile returns the content of a file, including unsynced writes.
 func (d *disk) ReadFile(name string) ([]byte, error) {
 	if f := d.files[name]; f != nil {
 		return slices.Clone(f.content), nil
@@ -75,7 +75,7 @@
 	return nil, &fs.PathError{Op: "open", Path: name, Err: os.ErrNotExist}
 }
 
-// OpenForWrite opens a file for writing and makes it if it is missing.
+// OpenForWrite opens a file for writing and creates it if it does not exist.
 func (d *disk) OpenForWrite(name string) (statestore.File, error) {
 	if d.failing {
 		return nil, errInputOutput
@@ -84,7 +84,7 @@
 	return fileHandle{d, name}, nil
 }
 
-// Rename gives a file another name.
+// Rename renames a file.
 func (d *disk) Rename(from, to string) error {
 	d.pending = append(d.pending, diskOperation{kind: diskRename, name: from, to: to})
 	return nil
@@ -102,7 +102,7 @@
 	name string
 }
 
-// WriteAt writes; to a full disk only a part.
+// WriteAt queues a write. On a full disk it accepts a third of the data.
 func (h fileHandle) WriteAt(p []byte, offset int64) (int, error) {
 	n := len(p)
 	if h.disk.full {
@@ -115,7 +115,7 @@
 	return n, nil
 }
 
-// Sync makes what was written durable.
+// Sync queues a sync of the file.
 func (h fileHandle) Sync() error {
 	if h.disk.failing {
 		return errInputOutput
@@ -127,7 +127,7 @@
 // Close does nothing.
 func (h fileHandle) Close() error { return nil }
 
-// overwrite returns a copy of a file's bytes in which some were overwritten, longer if need be.
+// overwrite returns a copy of old with data written at offset, extended as needed.
 func overwrite(old []byte, offset int, data []byte) []byte {
 	b := make([]byte, max(len(old), offset+len(data)))
 	copy(b, old)
@@ -135,7 +135,7 @@
 	return b
 }
 
-// apply carries out one operation.
+// apply executes one operation.
 func (d *disk) apply(o diskOperation) {
 	f := d.files[o.name]
 	if o.kind != diskWrite {
@@ -163,7 +163,7 @@
 	}
 }
 
-// processKilled leaves the files as the process left them, with a write that was under way done in part.
+// processKilled drops pending operations, except for a random prefix of a write in progress.
 func (d *disk) processKilled(random *rand.Rand) {
 	if len(d.pending) > 0 && d.pending[0].kind == diskWrite {
 		o := d.pending[0]
@@ -173,7 +173,7 @@
 	d.pending = nil
 }
 
-// powerLost leaves what was synced, and at random sectors of what was not.
+// powerLost keeps synced data and a random subset of unsynced sectors and file names.
 func (d *disk) powerLost(random *rand.Rand) {
 	d.processKilled(random)
 	d.revision++
@@ -191,7 +191,7 @@
 	}
 }
 
-// tornContent is what was synced with a random part of the sectors written since.
+// tornContent returns the synced content with a random subset of the sectors written since.
 func (f *file) tornContent(random *rand.Rand) []byte {
 	b := f.synced
 	for _, o := range f.unsynced {
@@ -205,13 +205,13 @@
 	return b
 }
 
-// wipe replaces the disk by an empty one.
+// wipe erases the disk.
 func (d *disk) wipe() {
 	d.files, d.pending = map[string]*file{}, nil
 	d.revision++
 }
 
-// afterPowerLoss is the disk as it would be if power were lost now and all went that may go.
+// afterPowerLoss returns the disk as a power loss would leave it if all unsynced data were lost.
 func (d *disk) afterPowerLoss() *disk {
 	after := newDisk()
 	for name, f := range d.files {
@@ -222,7 +222,7 @@
 	return after
 }
 
-// durableState is the state that a member would find after a loss of power; nil if there would be none.
+// durableState returns the state that would survive a power loss, or nil.
 func (d *disk) durableState() *coordinator.PersistentState {
 	if d.durableRevision == d.revision+1 {
 		return d.durable
@@ -248,7 +248,7 @@
 	return found
 }
 
-// size is how many bytes the files hold.
+// size returns the total size of all files in bytes.
 func (d *disk) size() (bytes int) {
 	for _, f := range d.files {
 		bytes += len(f.content)
--- a/internal/testbeds/simulation/eventqueue.go
+++ b/internal/testbeds/simulation/eventqueue.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// event is something that happens at a moment of simulated time.
+// event is a function that runs at a point in simulated time.
 type event struct {
 	at       time.Duration
-	sequence int // the order in which events were scheduled
+	sequence int // scheduling order
 	do       func()
 }
 
-// before orders events by time, and those of one moment by the order in which they were scheduled.
+// before orders events by time, then by scheduling order.
 func (e event) before(other event) bool {
 	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
-// eventQueue is a binary heap of events, the earliest first. It is written out because container/heap, which calls through
-// an interface, took a third of the time of a run.
+// eventQueue is a binary min-heap of events. It avoids container/heap, whose interface calls slow a run down.
 type eventQueue []event
 
 // push adds an event.
@@ -33,7 +32,7 @@
 	heap[i] = e
 }
 
-// pop removes the earliest event. The queue must not be empty.
+// pop removes and returns the earliest event. The queue must not be empty.
 func (q *eventQueue) pop() event {
 	heap := *q
 	first, n := heap[0], len(heap)-1
--- a/internal/testbeds/simulation/families.go
+++ b/internal/testbeds/simulation/families.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Families are kinds of generated schedules with a Tolerance, each for one way in which a control plane may fail its callers.
+// Families are the kinds of generated schedules with a Tolerance. Each covers one class of failures.
 var Families = []string{"cuts", "replaced", "twins", "storms", "long", "first"}
 
-// familyGenerators draw the faults and actions of a family's schedule.
+// familyGenerators draw the faults and actions of a schedule, by family.
 var familyGenerators = map[string]func(*generator){
 	"cuts":     (*generator).generatePartitions,
 	"replaced": (*generator).generateReplacements,
@@ -19,10 +19,10 @@
 	"first":    (*generator).generateFirstStart,
 }
 
-// toleranceByMembers is how many members may be lost at once, by how many there are.
+// toleranceByMembers is the number of members that may be lost at once, by cluster size.
 var toleranceByMembers = map[int]int{3: 1, 5: 2, 7: 2}
 
-// Kinds of faults that several families draw from.
+// clusterStopFaults are the faults that stop all members.
 var clusterStopFaults = []FaultKind{KillAll, LosePowerAll, LosePowerAllWipeSome}
 
 const (
@@ -31,7 +31,7 @@
 	firstConfigTime    = 500 * time.Millisecond
 	cutDuration        = 20 * time.Second
 	maxClusterDowntime = 900 * time.Millisecond
-	changeInterval     = 40 * time.Millisecond // in long histories
+	changeInterval     = 40 * time.Millisecond // in generateLongHistory
 	commandsInBurst    = 8
 )
 
@@ -43,8 +43,8 @@
 	bodyCount int
 }
 
-// GenerateFamily draws a schedule of a family, which must be one of Families. It never loses more members at once than the
-// tolerance allows.
+// GenerateFamily draws a schedule of a family, which must be one of Families. At no time does it lose more members
+// than the tolerance allows.
 func GenerateFamily(family string, seed uint64, members int) Schedule {
 	g := &generator{
 		random: rand.New(rand.NewPCG(seed, familyStream)),
@@ -62,26 +62,26 @@
 	return g.schedule
 }
 
-// between draws a duration from a up to, not including, b.
+// durationBetween returns a random duration in [a, b).
 func (g *generator) durationBetween(a, b time.Duration) time.Duration {
 	return a + time.Duration(g.random.Int64N(int64(b-a)))
 }
 
-// chance is true once in n times.
+// chance returns true with probability 1/n.
 func (g *generator) chance(n int) bool { return g.random.IntN(n) == 0 }
 
-// kind draws a kind of fault.
+// pickKind returns a random fault kind.
 func (g *generator) pickKind(kinds ...FaultKind) FaultKind { return pickOne(g.random, kinds...) }
 
-// evacuateOrRestore draws one of the two.
+// evacuateOrRestore returns EvacuateZone or RestoreZone at random.
 func (g *generator) evacuateOrRestore() ActionKind {
 	return pickOne(g.random, EvacuateZone, RestoreZone)
 }
 
-// randomMember is the To of an action that calls a random member first.
+// randomMember returns the Action.To of a random member.
 func (g *generator) randomMember() int { return 1 + g.random.IntN(g.schedule.Members) }
 
-// withTarget draws whom a fault strikes: a role, a member of the first view, or any member.
+// withTarget assigns a random target to a fault: a role, a member of the first view, or any member.
 func (g *generator) withTarget(fault Fault) Fault {
 	const initialMember FaultRole = "seed"
 	role := pickOne(g.random, RoleHead, RoleTail, RoleMiddle, initialMember, "")
@@ -96,7 +96,7 @@
 	return fault
 }
 
-// addFault adds a fault that loses a member, if the budget allows it.
+// addFault adds a fault that makes a member unavailable, if the budget allows it.
 func (g *generator) addFault(fault Fault) {
 	until := fault.At + fault.For + restartTime + catchUpTime
 	if fault.Trigger != "" {
@@ -107,10 +107,10 @@
 	}
 }
 
-// append adds a fault whatever the budget says.
+// appendFault adds a fault without consulting the budget.
 func (g *generator) appendFault(fault Fault) { g.schedule.Faults = append(g.schedule.Faults, fault) }
 
-// addClusterFault adds a fault of all members, if nothing else is lost or still returning.
+// addClusterFault adds a fault of all members, if no other member is unavailable at that time.
 func (g *generator) addClusterFault(at time.Duration, kinds ...FaultKind) {
 	if slices.Max(g.budget) > at {
 		return
@@ -120,7 +120,7 @@
 	g.appendFault(fault)
 }
 
-// addAction adds an action. Each configuration has a body of its own, unless the action names one.
+// addAction adds an action. Each configuration has a distinct body unless the action names one.
 func (g *generator) addAction(a Action) {
 	if a.Kind == PutConfig && a.Body == 0 {
 		g.bodyCount++
@@ -129,7 +129,7 @@
 	g.schedule.Actions = append(g.schedule.Actions, a)
 }
 
-// partitions has members cut off, in both directions or one, or frozen, for 20 s, and called meanwhile and as they come back.
+// generatePartitions isolates, partitions or pauses members for 20 s, with calls during the fault and around its end.
 func (g *generator) generatePartitions() {
 	g.schedule.Duration = 36 * time.Second
 	at := g.durationBetween(7*time.Second, 9*time.Second)
@@ -145,8 +145,8 @@
 	g.addActions(7*time.Second, 36*time.Second, 36)
 }
 
-// conflicts has operators use one version at the same moment, send again what was answered or not, eight at once, while the
-// members that take it die.
+// generateConflicts has operators submit conflicting commands with the same version at the same time and resend
+// earlier ones, while the members that handle them fail.
 func (g *generator) generateConflicts() {
 	g.schedule.Duration = 26 * time.Second
 	for at := g.durationBetween(7*time.Second, 8*time.Second); at < 24*time.Second; at += g.durationBetween(2*time.Second, 4*time.Second) {
@@ -163,7 +163,7 @@
 	g.addActions(7*time.Second, 26*time.Second, 12)
 }
 
-// addBurst adds eight commands at once, some of them two under one version.
+// addBurst adds a burst of concurrent commands, two for each version.
 func (g *generator) addBurst(at time.Duration) {
 	for i := range commandsInBurst {
 		a := Action{At: at + time.Duration(g.random.IntN(4))*time.Millisecond*time.Duration(g.random.IntN(8)), Kind: PutConfig, To: g.randomMember(),
@@ -175,7 +175,7 @@
 	}
 }
 
-// storms has nothing but commands and reads, dense about the moments at which a member is struck and at which it is back.
+// generateCommandStorms combines faults with bursts of commands and reads around their start and end.
 func (g *generator) generateCommandStorms() {
 	s := &g.schedule
 	s.Duration, s.Gateways, s.Replicas = 24*time.Second, 0, 0
@@ -188,7 +188,7 @@
 			g.addClusterFault(at, clusterStopFaults...)
 		} else {
 			g.addFault(fault)
-			if g.chance(3) { // and another, as the view changes, if the budget allows it
+			if g.chance(3) { // a second fault as the view changes
 				fault = g.withTarget(Fault{At: at + time.Millisecond, For: g.stormFaultDuration(),
 					Kind: g.pickKind(KillProcess, LosePower, WipeDisk, PauseProcess, IsolateMember, DropOutbound), Trigger: TriggerViewChange})
 				g.addFault(fault)
@@ -203,7 +203,7 @@
 	return g.durationBetween(20*time.Millisecond, 2500*time.Millisecond)
 }
 
-// addStorm adds dense commands and reads about a moment.
+// addCommandStorm adds a burst of commands and reads around a time.
 func (g *generator) addCommandStorm(about time.Duration) {
 	for range 14 {
 		at := g.durationBetween(about-100*time.Millisecond, about+1200*time.Millisecond)
@@ -218,10 +218,10 @@
 	}
 }
 
-// versionAt is a version that rises with time.
+// versionAt returns a version that increases with time.
 func versionAt(at time.Duration) uint64 { return 10 * uint64(at/(100*time.Millisecond)) }
 
-// longHistory has hundreds of changes, with restarts, wipes and full disks among them.
+// generateLongHistory has hundreds of configuration changes, with restarts, wiped and full disks in between.
 func (g *generator) generateLongHistory() {
 	n := 300 + g.random.IntN(701)
 	g.schedule.Duration = 10*time.Second + time.Duration(n)*changeInterval
@@ -244,7 +244,7 @@
 	g.addActions(7*time.Second, g.schedule.Duration, 10)
 }
 
-// firstStart has members struck within the second in which the system starts for the first time.
+// generateFirstStart injects faults within the first second of the initial start.
 func (g *generator) generateFirstStart() {
 	g.schedule.Duration, g.schedule.MaxStartDelay = 14*time.Second, 300*time.Millisecond
 	at := g.durationBetween(time.Millisecond, 700*time.Millisecond)
--- a/internal/testbeds/simulation/familyactions.go
+++ b/internal/testbeds/simulation/familyactions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// addActions adds n actions of operators of all kinds, and some of replicas.
+// addActions adds n random actions of operators and replicas.
 func (g *generator) addActions(from, to time.Duration, n int) {
 	for range n {
 		a := Action{At: g.durationBetween(from, to), LoseResponse: g.chance(8), RetrySame: g.chance(3)}
@@ -34,7 +34,7 @@
 	}
 }
 
-// addConflictingPuts adds two configurations with one version.
+// addConflictingPuts adds two different configurations with the same version.
 func (g *generator) addConflictingPuts(a Action) {
 	a.Kind, a.Version, a.To = PutConfig, versionAt(a.At)+5, g.randomMember()
 	g.addAction(a)
@@ -43,7 +43,7 @@
 	g.addAction(a)
 }
 
-// addRepeatedPut adds a put that was made before, soon or late after it, if the action drawn for that is one.
+// addRepeatedPut repeats a random earlier put. It reports false if the action drawn is not an earlier put.
 func (g *generator) addRepeatedPut(a Action) bool {
 	earlier := g.schedule.Actions[g.random.IntN(len(g.schedule.Actions))]
 	if earlier.Kind != PutConfig || earlier.At >= a.At {
@@ -54,7 +54,7 @@
 	return true
 }
 
-// addReplicaAction has a replica start or drain.
+// addReplicaAction starts or drains a replica.
 func (g *generator) addReplicaAction(a Action) {
 	a.Kind, a.Target = StartReplica, g.random.IntN(generatedZones)
 	if g.chance(2) {
--- a/internal/testbeds/simulation/familyreplacements.go
+++ b/internal/testbeds/simulation/familyreplacements.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// replacements has members go for good or shut down in order, and others come at new addresses, before or after that, with a
-// further loss timed into it where the tolerance allows it.
+// generateReplacements removes members or shuts them down, adds spares before or after that, and injects a further
+// loss during the replacement where the tolerance allows it.
 func (g *generator) generateReplacements() {
 	at := g.durationBetween(7*time.Second, 9*time.Second)
 	for range 2 + g.random.IntN(3) {
@@ -27,7 +27,7 @@
 	g.addActions(7*time.Second, g.schedule.Duration, 50)
 }
 
-// returnDelay is how long after a member's removal it comes back all the same, with its disk, long after its successor; 0:
+// returnDelay returns the time after which a removed member returns with its disk, long after it was replaced; 0 means
 // never.
 func (g *generator) returnDelay() time.Duration {
 	if !g.chance(3) {
@@ -38,12 +38,12 @@
 
 func (g *generator) addSpare(at time.Duration) { g.appendFault(Fault{At: at, Kind: AddSpareMember}) }
 
-// addRemoval has a member lost for good, or shut down gracefully.
+// addRemoval removes a member or shuts it down.
 func (g *generator) addRemoval(at time.Duration) {
 	g.appendFault(g.withTarget(Fault{At: at, For: g.returnDelay(), Kind: g.pickKind(RemoveMember, ShutDownMember)}))
 }
 
-// addConcurrentLoss adds the loss of a member in the midst of a replacement.
+// addConcurrentLoss makes a member unavailable during a replacement.
 func (g *generator) addConcurrentLoss(at time.Duration) {
 	fault := g.withTarget(Fault{At: at, For: g.durationBetween(100*time.Millisecond, 3*time.Second),
 		Kind: g.pickKind(KillProcess, LosePower, PauseProcess, IsolateMember, WipeDisk, PartitionMember), Trigger: pickOne(g.random, TriggerSpareJoined, TriggerSpareIsVoter, TriggerViewChange)})
@@ -53,8 +53,8 @@
 	g.addFault(fault)
 }
 
-// addRemovalThenSpare has a member go and a successor come after that. Like the next three it returns when the next
-// replacement may begin, as far as this one is concerned.
+// addRemovalThenSpare removes a member and adds a spare afterwards. Like the next three functions, it returns the
+// earliest time for the next replacement.
 func (g *generator) addRemovalThenSpare(at time.Duration) (until time.Duration) {
 	spareAt := at + g.durationBetween(100*time.Millisecond, 4*time.Second)
 	until = spareAt + restartTime + catchUpTime
@@ -66,24 +66,24 @@
 	return until
 }
 
-// addSpareThenRemoval has the successor come first, and then the other member go. If it goes in order, another may be lost
-// while it hands over.
+// addSpareThenRemoval adds a spare and removes another member afterwards. If that member shuts down gracefully, a
+// further one may fail during the handover.
 func (g *generator) addSpareThenRemoval(at time.Duration) (until time.Duration) {
 	g.addSpare(at)
 	g.addConcurrentLoss(at)
-	leavesAt := at + catchUpTime + maxFaultWait + g.durationBetween(0, time.Second)
-	until = leavesAt + terminationGrace + restartTime
+	removedAt := at + catchUpTime + maxFaultWait + g.durationBetween(0, time.Second)
+	until = removedAt + terminationGrace + restartTime
 	if g.chance(2) {
-		g.appendFault(Fault{At: leavesAt, Kind: ShutDownMember, Role: RoleHead})
-		g.addFault(Fault{At: leavesAt + g.durationBetween(0, time.Second), For: g.durationBetween(time.Second, 8*time.Second),
+		g.appendFault(Fault{At: removedAt, Kind: ShutDownMember, Role: RoleHead})
+		g.addFault(Fault{At: removedAt + g.durationBetween(0, time.Second), For: g.durationBetween(time.Second, 8*time.Second),
 			Kind: g.pickKind(LosePower, PauseProcess, IsolateMember), Role: pickOne(g.random, RoleMiddle, RoleTail)})
-	} else if g.budget.reserve(leavesAt, until) {
-		g.addRemoval(leavesAt)
+	} else if g.budget.reserve(removedAt, until) {
+		g.addRemoval(removedAt)
 	}
 	return until
 }
 
-// addFailingSpare has the successor itself lost as it joins, and another come.
+// addFailingSpare removes a spare while it joins, and adds another one.
 func (g *generator) addFailingSpare(at time.Duration) (until time.Duration) {
 	g.addSpare(at)
 	until = at + 2*maxFaultWait + restartTime + catchUpTime
@@ -94,7 +94,7 @@
 	return until
 }
 
-// addSpareAndClusterFault has all members stop while the successor joins.
+// addSpareAndClusterFault stops all members while a spare joins.
 func (g *generator) addSpareAndClusterFault(at time.Duration) (until time.Duration) {
 	g.addSpare(at)
 	fault := Fault{At: at, For: g.durationBetween(0, maxClusterDowntime), Kind: g.pickKind(KillAll, LosePowerAll), Trigger: pickOne(g.random, TriggerSpareJoined, TriggerSpareIsVoter, TriggerViewChange)}
--- a/internal/testbeds/simulation/fault.go
+++ b/internal/testbeds/simulation/fault.go
@@ -5,62 +5,62 @@
 	"time"
 )
 
-// FaultKind says what a Fault does.
+// FaultKind identifies what a Fault does.
 type FaultKind string
 
-// Faults of one member, by its index or role.
+// Faults of one member, which is given by index or role.
 const (
-	KillProcess         FaultKind = "kill"   // which starts again at once
-	LosePower           FaultKind = "power"  // with all that was not synced, until the fault ends
-	WipeDisk            FaultKind = "wipe"   // the machine comes back with an empty disk
-	PauseProcess        FaultKind = "freeze" // its clocks go on
+	KillProcess         FaultKind = "kill"   // and restart it immediately
+	LosePower           FaultKind = "power"  // unsynced data is lost; the member restarts at the end of the fault
+	WipeDisk            FaultKind = "wipe"   // the member restarts with an empty disk
+	PauseProcess        FaultKind = "freeze" // its clocks keep running
 	IsolateMember       FaultKind = "cut"    // from all nodes
-	IsolateMemberOneWay FaultKind = "oneway" // from all nodes, in a random direction; not in schedules with a Tolerance
+	IsolateMemberOneWay FaultKind = "oneway" // from all nodes, in a random direction; only without a Tolerance
 	FillDisk            FaultKind = "full"
 	FailDisk            FaultKind = "refuse" // writes and syncs return errors
 	StallDisk           FaultKind = "stall"
 	StepClock           FaultKind = "step" // the monotonic clock jumps ahead by half of the fault's duration
 )
 
-// Faults of one member that only schedules with a Tolerance have.
+// Faults of one member, in schedules with a Tolerance only.
 const (
-	PauseWithMonotonicClock FaultKind = "still"   // frozen with its monotonic clock
-	PauseWithAllClocks      FaultKind = "stopped" // frozen with its monotonic clock and its time of day
-	PartitionMember         FaultKind = "island"  // in both directions, while gateways and operators reach it
-	DropInbound             FaultKind = "deaf"    // of what other members send
-	DropOutbound            FaultKind = "mute"    // of what it sends to other members
-	RemoveMember            FaultKind = "gone"    // without notice and for good, or with For set until it comes back with its disk
-	ShutDownMember          FaultKind = "leave"   // by SIGTERM, for good or until it comes back
-	AddSpareMember          FaultKind = "spare"   // a new machine at a new address; Target and Role mean nothing
+	PauseWithMonotonicClock FaultKind = "still"   // pause the process and its monotonic clock
+	PauseWithAllClocks      FaultKind = "stopped" // pause the process, its monotonic clock and its wall clock
+	PartitionMember         FaultKind = "island"  // from other members in both directions; gateways and operators still reach it
+	DropInbound             FaultKind = "deaf"    // drop messages from other members
+	DropOutbound            FaultKind = "mute"    // drop messages to other members
+	RemoveMember            FaultKind = "gone"    // without shutdown; permanently, or with For set until it returns with its disk
+	ShutDownMember          FaultKind = "leave"   // by SIGTERM; permanently, or with For set until it returns with its disk
+	AddSpareMember          FaultKind = "spare"   // start a new machine at a new address; Target and Role are ignored
 )
 
 // Faults of all members at once.
 const (
 	KillAll              FaultKind = "all"
 	LosePowerAll         FaultKind = "allpower"
-	LosePowerAllWipeSome FaultKind = "wipepower" // of which as many lose their disks as may be lost
+	LosePowerAllWipeSome FaultKind = "wipepower" // and wipe as many disks as may be lost
 )
 
-// Faults that wait for a moment, and strike within milliseconds of it.
+// Faults that are deferred until an event and injected within milliseconds of it.
 const (
-	LosePowerOnAcknowledgement    FaultKind = "ackpower"    // whichever member acknowledges a command next
-	WipeDiskOnAcknowledgement     FaultKind = "ackwipe"     // the same
-	LosePowerAllOnAcknowledgement FaultKind = "ackallpower" // all members
-	KillAllOnView                 FaultKind = "viewall"     // all members, at the next view
-	LosePowerOnGrant              FaultKind = "grantpower"  // whichever member is first to hold the next grant of a window
-	KillAllOnGrant                FaultKind = "grantall"    // all members, then
+	LosePowerOnAcknowledgement    FaultKind = "ackpower"    // of the member that acknowledges the next command
+	WipeDiskOnAcknowledgement     FaultKind = "ackwipe"     // of the member that acknowledges the next command
+	LosePowerAllOnAcknowledgement FaultKind = "ackallpower" // of all members, at the next acknowledgement
+	KillAllOnView                 FaultKind = "viewall"     // all members, at the next view change
+	LosePowerOnGrant              FaultKind = "grantpower"  // of the first member to learn of the next committed grant of a maintenance window
+	KillAllOnGrant                FaultKind = "grantall"    // all members, at the next grant
 )
 
 // Other faults.
 const (
-	LoseZonePower  FaultKind = "zone" // power of the members and gateways of a zone
+	LoseZonePower  FaultKind = "zone" // of members and gateways in a zone
 	KillGateway    FaultKind = "bkill"
 	PauseGateway   FaultKind = "bfreeze"
 	IsolateGateway FaultKind = "bcut" // from all members
 	CrashReplica   FaultKind = "rcrash"
 )
 
-// triggeredKind is what a fault that waits for a moment becomes at that moment.
+// triggeredKind is the fault that a deferred fault becomes when its event occurs.
 var triggeredKind = map[FaultKind]FaultKind{
 	LosePowerOnAcknowledgement:    LosePower,
 	WipeDiskOnAcknowledgement:     WipeDisk,
@@ -70,10 +70,10 @@
 	KillAllOnGrant:                KillAll,
 }
 
-// FaultRole names a member by its part in the newest view.
+// FaultRole identifies a member by its position in the newest view.
 type FaultRole string
 
-// The roles. A fault without one strikes the member of its Target.
+// The roles. A fault without a role applies to the member given by Target.
 const (
 	RoleHead        FaultRole = "head"
 	RoleTail        FaultRole = "tail"
@@ -81,33 +81,33 @@
 	RoleNewestSpare FaultRole = "newest" // the spare that was added last
 )
 
-// FaultTrigger is a view that a fault waits for.
+// FaultTrigger is the kind of view change that a fault waits for.
 type FaultTrigger string
 
-// The moments. A fault without one strikes at its time.
+// The triggers. A fault without a trigger is injected at its time.
 const (
 	TriggerSpareJoined  FaultTrigger = "joined" // the first view with the newest spare in the chain
-	TriggerSpareIsVoter FaultTrigger = "voter"  // the first view with it among the voters
+	TriggerSpareIsVoter FaultTrigger = "voter"  // the first view with the newest spare among the voters
 	TriggerViewChange   FaultTrigger = "viewed" // any view
 )
 
-// Fault is one thing that goes wrong, for a while.
+// Fault is a fault with its start time and duration.
 type Fault struct {
 	At, For time.Duration
 	Kind    FaultKind
-	Target  int `json:"On"` // the index of a member, gateway or replica
+	Target  int `json:"On"` // index of a member, gateway or replica
 
-	// The rest is for schedules with a Tolerance.
+	// The remaining fields are for schedules with a Tolerance.
 
 	Role FaultRole `json:",omitempty"`
-	// Reconnect has a gateway begin a new incarnation and call that member first, soon after it was struck and again when the
-	// fault is over.
+	// Reconnect restarts a random gateway and connects it to the affected member, soon after the fault starts and
+	// again around its end.
 	Reconnect bool `json:"Meet,omitempty"`
 	// Trigger defers the fault until a view change of this kind, for at most maxFaultWait.
 	Trigger FaultTrigger `json:"When,omitempty"`
 }
 
-// String returns the fault in one line of the trace.
+// String describes the fault for the trace.
 func (f Fault) String() string {
 	what := "of member"
 	switch f.Kind {
--- a/internal/testbeds/simulation/faultbudget.go
+++ b/internal/testbeds/simulation/faultbudget.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// faultBudget is how many members may be lost at once: for each of them, until when it is reserved.
+// faultBudget limits how many members are unavailable at once. Each element is the time until which one unit is
+// reserved.
 type faultBudget []time.Duration
 
-// reserve takes one that is free at a time, if there is one.
+// reserve reserves one unit if one is free at the given time.
 func (b faultBudget) reserve(at, until time.Duration) bool {
 	i := slices.IndexFunc(b, func(reserved time.Duration) bool { return reserved <= at })
 	if i >= 0 {
@@ -17,7 +18,7 @@
 	return i >= 0
 }
 
-// reserveAll takes the whole budget, if all of it is free at a time.
+// reserveAll reserves all units if they are free at the given time.
 func (b faultBudget) reserveAll(at, until time.Duration) bool {
 	if slices.Max(b) > at {
 		return false
--- a/internal/testbeds/simulation/faulttrigger.go
+++ b/internal/testbeds/simulation/faulttrigger.go
@@ -7,22 +7,22 @@
 	"zincloft.example/zincloft/controlplane/membership"
 )
 
-// How long faults wait for their moment, and how soon after it they strike at most.
+// Limits on how long deferred faults wait, and on the delay between the trigger and the fault.
 const (
 	maxAcknowledgementWait = 2 * time.Second
 	maxViewChangeWait      = 2 * time.Second
 	maxGrantWait           = 6 * time.Second
-	maxFaultWait           = 6 * time.Second // with When set
+	maxFaultWait           = 6 * time.Second // with Fault.Trigger
 
 	maxDelayAfterAnswer   = 4 * time.Millisecond
 	maxDelayAfterView     = 6 * time.Millisecond
-	maxDelayAtOnce        = 8 * time.Millisecond   // with When set: at once,
-	maxDelayWhileSettling = 700 * time.Millisecond // or while members still follow the view
+	maxDelayAtOnce        = 8 * time.Millisecond   // with Fault.Trigger: immediately after the view change,
+	maxDelayWhileSettling = 700 * time.Millisecond // or while members still catch up with the view
 
-	maxRestartSpread = 300 // milliseconds, below which members of one fault start one after the other
+	maxRestartSpread = 300 // milliseconds between the first and the last restart after a fault of all members
 )
 
-// deferUntilTrigger has a fault wait if it is of a kind that strikes at a certain event.
+// deferUntilTrigger defers a fault whose kind waits for an event, and reports whether it did.
 func (c *cluster) deferUntilTrigger(fault Fault) bool {
 	switch fault.Kind {
 	case LosePowerOnAcknowledgement, WipeDiskOnAcknowledgement, LosePowerAllOnAcknowledgement:
@@ -37,15 +37,15 @@
 	return true
 }
 
-// deferFault has a fault wait in a list for a while at most.
-func (c *cluster) deferFault(waiting *[]Fault, fault Fault, longest time.Duration) {
+// deferFault adds a fault to a list and removes it when it has waited for too long.
+func (c *cluster) deferFault(waiting *[]Fault, fault Fault, maxWait time.Duration) {
 	*waiting = append(*waiting, fault)
-	c.after(longest, func() {
+	c.after(maxWait, func() {
 		*waiting = slices.DeleteFunc(*waiting, func(other Fault) bool { return other == fault })
 	})
 }
 
-// injectNextDeferred has the first fault that waits in a list strike a member, or all of them if it is of that kind.
+// injectNextDeferred injects the first deferred fault of a list into a member, or into all if it is of such a kind.
 func (c *cluster) injectNextDeferred(waiting *[]Fault, m *member) {
 	if len(*waiting) == 0 {
 		return
@@ -57,7 +57,7 @@
 	c.after(c.randomBelow(maxDelayAfterAnswer), func() { c.injectFault(fault) })
 }
 
-// injectOnViewChange has the first fault that waits for a view strike, and drops the others.
+// injectOnViewChange injects the first fault that is deferred until a view change, and drops the others.
 func (c *cluster) injectOnViewChange() {
 	if len(c.onViewChange) == 0 {
 		return
@@ -69,7 +69,7 @@
 	c.after(c.randomBelow(maxDelayAfterView), func() { c.injectFault(fault) })
 }
 
-// injectViewTriggered has the faults that wait for such a view strike.
+// injectViewTriggered injects the faults whose Trigger matches the view.
 func (c *cluster) injectViewTriggered(view membership.View) {
 	if len(c.coreHistory.viewTriggeredFaults) == 0 {
 		return
@@ -82,18 +82,18 @@
 			continue
 		}
 		fault.Trigger = ""
-		longest := maxDelayAtOnce
+		maxDelay := maxDelayAtOnce
 		if c.random.IntN(2) == 0 {
-			longest = maxDelayWhileSettling
+			maxDelay = maxDelayWhileSettling
 		}
-		c.after(c.randomBelow(longest), func() { c.injectFault(fault) })
+		c.after(c.randomBelow(maxDelay), func() { c.injectFault(fault) })
 	}
 }
 
-// matchesTrigger reports whether a view is what a fault waits for.
-func (c *cluster) matchesTrigger(when FaultTrigger, view membership.View) bool {
+// matchesTrigger reports whether a new view is what a fault waits for.
+func (c *cluster) matchesTrigger(trigger FaultTrigger, view membership.View) bool {
 	spare := c.coreHistory.newestSpare
-	switch when {
+	switch trigger {
 	case TriggerSpareJoined:
 		return spare != nil && spare.hasIDIn(view.Chain)
 	case TriggerSpareIsVoter:
--- a/internal/testbeds/simulation/gateway.go
+++ b/internal/testbeds/simulation/gateway.go
@@ -9,27 +9,27 @@
 
 const (
 	gatewayRestartTime = 20 * time.Millisecond
-	gatewayRetryRatio  = 0.02 // so that the slack, which restarts could multiply, is most of what is allowed
+	gatewayRetryRatio  = 0.02 // low, so that most of the allowance is the slack, which restarts might multiply
 	gatewayRetrySlack  = 600
 )
 
-// gatewayNode is a machine at the edge with its gateway.
+// gatewayNode is a machine with a gateway process.
 type gatewayNode struct {
 	process
 	index         int
-	id            string // by which it makes itself known
+	id            string // under which it registers with the control plane
 	router        *router.Router
 	seedAddresses []string
 
-	member         *member // whose stream it has; nil: none
-	stream         uint64  // its token
+	member         *member // the peer of its stream; nil: none
+	stream         uint64  // token of the stream
 	hasSnapshot    bool
 	lastReceivedAt time.Duration
-	nextCandidate  int     // of the router's candidates, the index of the one to call next
-	nextMember     *member // if set, it is called instead
+	nextCandidate  int     // index of the router's candidate to connect to next
+	nextMember     *member // if set, takes precedence over nextCandidate
 
-	version  uint64 // of the configuration in force; in this incarnation the newest ever
-	sequence uint64 // of the register, the same
+	version  uint64 // highest version applied in this incarnation
+	sequence uint64 // highest register sequence number applied in this incarnation
 	idleAt   time.Duration
 }
 
@@ -37,11 +37,11 @@
 	return &gatewayNode{process: process{name: fmt.Sprintf("gateway %d", index)}, index: index, id: gatewayName(index)}
 }
 
-// gatewayName is the name by which a gateway makes itself known. It must not change: the control plane chooses by a hash of
-// it which gateways call a replica, so that histories and kept schedules rest on it.
+// gatewayName returns the name of a gateway. It must not change: the control plane assigns replicas to gateways by a
+// hash of it, so history checksums and kept schedules depend on it.
 func gatewayName(index int) string { return fmt.Sprintf("forager %d", index) }
 
-// startGateway begins a new incarnation of a gateway, which looks for a member to follow and sends requests.
+// startGateway starts a new incarnation of a gateway, which connects to a member and receives requests.
 func (c *cluster) startGateway(g *gatewayNode) {
 	c.startProcess(&g.process)
 	g.router = router.New(router.Settings{Zone: c.zoneName(g.index), Zones: c.zoneCount(), RetryRatio: gatewayRetryRatio, RetrySlack: gatewayRetrySlack,
@@ -53,7 +53,7 @@
 	c.after(time.Second, func() { c.requestRepeatedly(g, incarnation) })
 }
 
-// injectGatewayFault strikes one gateway.
+// injectGatewayFault injects a fault into one gateway.
 func (c *cluster) injectGatewayFault(g *gatewayNode, fault Fault) {
 	switch fault.Kind {
 	case KillGateway:
@@ -72,7 +72,7 @@
 	}
 }
 
-// killGateway ends a gateway's process, and with it the stream that it has.
+// killGateway kills a gateway's process, which closes its stream.
 func (c *cluster) killGateway(g *gatewayNode) {
 	g.up = false
 	if g.member != nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// reconnectGatewayTo has a random gateway begin a new incarnation and call a certain member first.
+// reconnectGatewayTo restarts a random gateway, which then connects to the given member first.
 func (c *cluster) reconnectGatewayTo(m *member) {
 	g := c.gateways[c.random.IntN(len(c.gateways))]
 	if !g.up || c.finished {
--- a/internal/testbeds/simulation/gatewayrequest.go
+++ b/internal/testbeds/simulation/gatewayrequest.go
@@ -11,18 +11,18 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// Requests.
+// Request load and timing.
 const (
-	meanRequestInterval = 60 * time.Millisecond // at a gateway
-	drainingRequests    = 4                     // one in so many still comes to a gateway that does not serve
-	requestLatency      = time.Second           // the route's target
+	meanRequestInterval = 60 * time.Millisecond // per gateway
+	drainingRequests    = 4                     // one in this many requests still reaches a gateway that is not serving
+	requestLatency      = time.Second           // the route's latency target
 	requestTimeLeft     = 3 * time.Second
-	forwardingTime      = 2 * time.Millisecond // a gateway forwards one request after the other
+	forwardingTime      = 2 * time.Millisecond // a gateway forwards requests sequentially
 	serviceTime         = 150 * time.Millisecond
 	connectRefusedTime  = time.Millisecond
 )
 
-// requestRepeatedly has a client send a gateway requests, now and at random intervals.
+// requestRepeatedly sends requests to a gateway at random intervals.
 func (c *cluster) requestRepeatedly(g *gatewayNode, incarnation int) {
 	if !g.up || g.incarnation != incarnation {
 		return
@@ -31,7 +31,7 @@
 	c.after(c.randomBelow(2*meanRequestInterval), func() { c.requestRepeatedly(g, incarnation) })
 }
 
-// forwardRequest has a gateway forward one request to a replica, or reject it.
+// forwardRequest has a gateway route one request to a replica or reject it.
 func (c *cluster) forwardRequest(g *gatewayNode) {
 	if g.router.Config() == nil {
 		return
@@ -57,14 +57,14 @@
 	c.measureRequest(g)
 	i := slices.IndexFunc(c.replicas, func(r *replica) bool { return r.id == pick.EndpointID })
 	if i < 0 {
-		c.violationf("%s sends to %s, which never was", g.name, pick.EndpointID)
+		c.violationf("%s sends to %s, which never existed", g.name, pick.EndpointID)
 		return
 	}
 	c.checkRequest(g, c.replicas[i])
 	c.endAttemptLater(g, c.replicas[i], pick.AttemptID)
 }
 
-// measureRequest notes what a request takes that is forwarded now.
+// measureRequest records the latency of a request that is forwarded now.
 func (c *cluster) measureRequest(g *gatewayNode) {
 	c.result.Requests++
 	start := max(c.now, g.idleAt)
@@ -73,7 +73,8 @@
 	*latencies = append(*latencies, start-c.now+forwardingTime+serviceTime)
 }
 
-// endAttemptLater has a replica answer a request in its time, or refuse the connection at once if it is gone.
+// endAttemptLater ends an attempt after the service time, or almost immediately with a refused connection if the
+// replica is gone.
 func (c *cluster) endAttemptLater(g *gatewayNode, r *replica, attemptID uint64) {
 	result, took := router.AttemptResult{AttemptID: attemptID, Result: loadbalancer.Success, Latency: serviceTime, Load: loadbalancer.Load{Running: replicaSlots, Waiting: 1, Slots: replicaSlots}}, serviceTime
 	if !r.alive {
@@ -85,7 +86,7 @@
 	})
 }
 
-// endAttempt has a gateway learn what came of a request, and report an outlier if it is one.
+// endAttempt passes the outcome of an attempt to the gateway, which reports it to its member if it is an outlier.
 func (c *cluster) endAttempt(g *gatewayNode, result router.AttemptResult) {
 	g.router.EndRequest(c.monotonicTime(&g.process), true, false)
 	ended := g.router.EndAttempt(c.monotonicTime(&g.process), result)
--- a/internal/testbeds/simulation/gatewaystream.go
+++ b/internal/testbeds/simulation/gatewaystream.go
@@ -7,19 +7,19 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// Streams of gateways.
+// Timing of streams between gateways and members.
 const (
-	streamTimeout     = time.Second // a gateway leaves a member that is silent for so long; as in internal/daemons/gateway
+	streamTimeout     = time.Second // a gateway disconnects from a member that is silent for this long; same as in internal/daemons/gateway
 	dialTimeout       = 300 * time.Millisecond
 	refusedDialTime   = time.Millisecond
 	minFollowInterval = 50 * time.Millisecond
-	followJitter      = 100             // milliseconds, below which it is longer
-	streamReadTimeout = 4 * time.Second // at the latest, nothing more is read from a stream that the gateway has left
+	followJitter      = 100             // milliseconds added to minFollowInterval, exclusive bound
+	streamReadTimeout = 4 * time.Second // after which a member notices that a gateway has disconnected
 	reportInterval    = time.Second
 	reportUtilization = 0.2
 )
 
-// followRepeatedly has a gateway see to its stream now and at intervals.
+// followRepeatedly maintains a gateway's stream at intervals.
 func (c *cluster) followRepeatedly(g *gatewayNode, incarnation int) {
 	if !g.up || g.incarnation != incarnation {
 		return
@@ -28,7 +28,7 @@
 	c.after(minFollowInterval+c.randomMilliseconds(followJitter), func() { c.followRepeatedly(g, incarnation) })
 }
 
-// followStream has a gateway leave a silent member, and connect to another when it has no stream.
+// followStream disconnects a gateway from a silent member, and connects it to another when it has no stream.
 func (c *cluster) followStream(g *gatewayNode) {
 	if g.member != nil {
 		if c.now-g.lastReceivedAt > streamTimeout {
@@ -46,7 +46,7 @@
 	}
 }
 
-// nextCandidate is the member that a gateway calls next.
+// nextCandidate returns the member that a gateway connects to next.
 func (c *cluster) nextCandidate(g *gatewayNode) *member {
 	candidates := g.router.MemberCandidates(g.seedAddresses)
 	m := c.memberByAddress[candidates[g.nextCandidate%len(candidates)]]
@@ -57,7 +57,7 @@
 	return m
 }
 
-// acceptStream has a member take a gateway's stream.
+// acceptStream has a member accept a gateway's stream.
 func (c *cluster) acceptStream(m *member, g *gatewayNode, stream uint64) {
 	if m.controller == nil {
 		return
@@ -71,7 +71,7 @@
 	c.step(m, controller.Event{GatewayJoined: &controller.GatewayJoined{Stream: stream, Gateway: g.id, Zone: c.zoneName(g.index)}})
 }
 
-// streamLost has a gateway notice that its stream has ended.
+// streamLost ends a stream at the gateway.
 func (c *cluster) streamLost(g *gatewayNode, stream uint64) {
 	if g.member == nil || g.stream != stream {
 		return
@@ -86,7 +86,7 @@
 	})
 }
 
-// streamClosed has a member notice that a gateway's stream has ended.
+// streamClosed ends a stream at the member.
 func (c *cluster) streamClosed(m *member, stream uint64) {
 	if m.streams[stream] != nil {
 		delete(m.streams, stream)
@@ -94,7 +94,7 @@
 	}
 }
 
-// closeStreams has a member end streams.
+// closeStreams has a member close streams.
 func (c *cluster) closeStreams(m *member, streams []uint64) {
 	for _, stream := range streams {
 		if g := m.streams[stream]; g != nil {
@@ -104,7 +104,7 @@
 	}
 }
 
-// publish has a member send updates to the gateways that follow it.
+// publish sends a member's updates to the gateways connected to it.
 func (c *cluster) publish(m *member, publications []controller.Publication) {
 	for i := range publications {
 		for _, stream := range publications[i].Streams {
@@ -115,9 +115,10 @@
 	}
 }
 
-// sendUpdate sends an update down a stream. A stream that loses one has ended, since the next would not fit on.
+// sendUpdate sends an update on a stream. If it is lost, the member ends the stream, since later updates would leave a
+// gap.
 func (c *cluster) sendUpdate(m *member, g *gatewayNode, stream uint64, update *messages.StateUpdate) {
-	c.checkFirstUpdate(m, g, update)
+	c.checkFullUpdate(m, g, update)
 	if c.isCut(&m.process, &g.process) {
 		delete(m.streams, stream)
 		incarnation := m.incarnation
@@ -132,7 +133,7 @@
 	c.sendReliably(&m.process, &g.process, func() { c.receiveUpdate(m, g, stream, update) })
 }
 
-// receiveUpdate has a gateway take an update, and begin to report once it has a snapshot.
+// receiveUpdate delivers an update to a gateway, which starts to report once it has a snapshot.
 func (c *cluster) receiveUpdate(m *member, g *gatewayNode, stream uint64, update *messages.StateUpdate) {
 	if g.member != m || g.stream != stream {
 		return
@@ -147,7 +148,7 @@
 	}
 }
 
-// applyUpdate puts an update in force and checks what the gateway has then. One that does not fit on ends the stream.
+// applyUpdate applies an update and checks the resulting state. A stale update ends the stream.
 func (c *cluster) applyUpdate(g *gatewayNode, update *messages.StateUpdate) {
 	if c.hasBug(AcceptStaleState) && update.Sequence > 0 && update.Sequence < g.sequence {
 		c.resetRouter(g)
@@ -167,7 +168,7 @@
 	}
 }
 
-// scheduleReports has a gateway report at intervals as long as it has the stream.
+// scheduleReports sends a gateway's load reports at intervals for the lifetime of the stream.
 func (c *cluster) scheduleReports(m *member, g *gatewayNode, stream uint64) {
 	c.after(reportInterval, func() {
 		if !g.up || g.member != m || g.stream != stream {
--- a/internal/testbeds/simulation/generate.go
+++ b/internal/testbeds/simulation/generate.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Streams of the generators that schedules are drawn from. Runs use others (randomStream).
+// PCG streams of the schedule generators. Runs use randomStream.
 const (
 	faultStream   = 1
 	actionStream  = 3
@@ -15,24 +15,24 @@
 	familyStream  = 6
 )
 
-// What generated schedules have in common.
+// Parameters common to all generated schedules.
 const (
 	generatedZones      = 3
 	generatedGateways   = 3
 	generatedReplicas   = 5
 	generatedActions    = 40
 	maxInitialMembers   = 3
-	lossStep            = 0.002 // rates of loss and reordering are none, one or two of it
+	lossStep            = 0.002 // loss and reorder rates are multiples of it
 	lossSteps           = 3
 	shortReorderDelay   = 80 * time.Millisecond
 	longReorderDelay    = 3 * time.Second // of one schedule in longReorderOneIn
 	longReorderOneIn    = 4
 	firstFaultAt        = 2500 * time.Millisecond
 	maxFaultInterval    = 3 * time.Second
-	clusterRecoveryTime = catchUpTime + 4*time.Second // of all members that stopped at once
+	clusterRecoveryTime = catchUpTime + 4*time.Second // after all members stopped at once
 )
 
-// Kinds of faults of one member, of all of them, and of others, as Generate draws them.
+// Fault kinds that Generate draws from: of one member, of all members, and of gateways and replicas.
 var (
 	memberFaults = []FaultKind{KillProcess, LosePower, WipeDisk, PauseProcess, IsolateMember, IsolateMemberOneWay, FillDisk, FailDisk, StallDisk, StepClock,
 		LosePowerOnAcknowledgement, WipeDiskOnAcknowledgement}
@@ -40,8 +40,8 @@
 	dataPlaneFaults = []FaultKind{KillGateway, PauseGateway, IsolateGateway, CrashReplica}
 )
 
-// Generate draws a schedule with up to n faults, which never lose more members at once than a control plane of this size
-// must bear.
+// Generate draws a schedule with up to n faults. At no time does it lose more members than a control plane of this
+// size must tolerate.
 func Generate(seed uint64, members, n int, duration time.Duration) Schedule {
 	random := rand.New(rand.NewPCG(seed, faultStream))
 	s := Schedule{Seed: seed, Members: members, InitialMembers: min(members, maxInitialMembers), Duration: duration,
@@ -59,7 +59,7 @@
 	return s
 }
 
-// drawLinks draws how links lose and reorder messages.
+// drawLinks draws the loss and reorder rates of links.
 func drawLinks(random *rand.Rand, s *Schedule) {
 	s.LossRate = lossStep * float64(random.IntN(lossSteps))
 	s.ReorderRate = lossStep * float64(random.IntN(lossSteps))
@@ -69,8 +69,8 @@
 	}
 }
 
-// drawFault draws one fault, if the budget allows it: three in twenty of all members, four of gateways and replicas, the
-// others of one member.
+// drawFault draws one fault: of gateways and replicas (20 %), of all members (15 %), or of one member. It reports
+// whether the budget allows it.
 func drawFault(random *rand.Rand, s Schedule, at time.Duration, budget faultBudget) (fault Fault, ok bool) {
 	fault = Fault{At: at, For: time.Duration(200+random.IntN(4000)) * time.Millisecond, Target: random.IntN(s.Members)}
 	switch k := random.IntN(20); {
@@ -89,10 +89,10 @@
 	return fault, budget.reserve(at, until)
 }
 
-// pickOne draws one of some.
+// pickOne returns a random element.
 func pickOne[T any](random *rand.Rand, from ...T) T { return from[random.IntN(len(from))] }
 
-// GenerateActions draws n actions of operators and of replicas.
+// GenerateActions draws n actions of operators and replicas.
 func GenerateActions(seed uint64, n, replicas int, duration time.Duration) (actions []Action) {
 	random := rand.New(rand.NewPCG(seed, actionStream))
 	for range n {
--- a/internal/testbeds/simulation/generatewindows.go
+++ b/internal/testbeds/simulation/generatewindows.go
@@ -9,7 +9,7 @@
 	"zincloft.example/zincloft/controlplane/maintenanceplanner"
 )
 
-// Schedules with maintenance windows.
+// Parameters of schedules with maintenance windows.
 const (
 	windowGateways     = 9 // three in each region
 	windowReplicas     = 4
@@ -19,7 +19,7 @@
 	firstWindowAt      = 5 * time.Second
 	grantFaultAt       = 6 * time.Second
 	zoneFaultAt        = 20 * time.Second
-	timetableSlots     = 60 // of a timetable, each of a second
+	timetableSlots     = 60 // of one second each
 	plannedFaults      = 2
 	plannedMinDuration = 30 * time.Second
 	plannedMembers     = 3
@@ -30,8 +30,8 @@
 	windowSlotsRange   = 5
 )
 
-// GenerateWindows draws a schedule in which several operators ask for, finish and cancel maintenance windows at random.
-// Members are struck as they grant one, zones are lost while windows are open.
+// GenerateWindows draws a schedule in which several operators request, finish and cancel maintenance windows at
+// random. Members fail as they grant a window, and zones fail while windows are open.
 func GenerateWindows(seed uint64, members, n int, duration time.Duration) Schedule {
 	s := Generate(seed, members, n, duration)
 	s.Gateways, s.Replicas = windowGateways, windowReplicas
@@ -47,7 +47,7 @@
 	return s
 }
 
-// drawWindowFaults draws a fault at a grant, and the loss of a zone after that.
+// drawWindowFaults draws a fault at a grant and a later loss of a zone.
 func drawWindowFaults(random *rand.Rand) []Fault {
 	return []Fault{
 		{At: grantFaultAt, For: time.Duration(300+random.IntN(2500)) * time.Millisecond, Kind: pickOne(random, LosePowerOnGrant, KillAllOnGrant)},
@@ -55,7 +55,7 @@
 	}
 }
 
-// agreementActions put a first configuration and agree on what windows must leave.
+// agreementActions submit the first configuration and set the capacity floors for maintenance windows.
 func agreementActions() []Action {
 	return []Action{{At: firstConfigAt, Kind: PutConfig, Version: 1}, {At: agreementAt, Kind: SetWindowFloors}}
 }
@@ -73,8 +73,8 @@
 	return a
 }
 
-// PlannedMaintenance is a schedule of planned maintenance windows, with the length in slots of the timetable that it follows and of
-// two others for the same windows.
+// PlannedMaintenance is a schedule of planned maintenance windows, with the lengths in slots of its timetable and of
+// two alternatives for the same windows.
 type PlannedMaintenance struct {
 	Schedule     Schedule
 	GreedySlots  int // length with the greedy planner
@@ -82,21 +82,20 @@
 	SerialSlots  int // length with one node at a time
 }
 
-// GeneratePlannedMaintenance draws a week of maintenance windows, shortened to slots of a second, and has a timetable made for it:
-// three to nine gateways in three regions, each asked for in its turn, with members that fail meanwhile. It reports whether
-// there is a timetable.
-func GeneratePlannedMaintenance(seed uint64) (week PlannedMaintenance, ok bool) {
+// GeneratePlannedMaintenance draws maintenance windows for three to nine gateways in three regions and follows the
+// planner's timetable, in slots of one second, while members fail. It reports whether a timetable exists.
+func GeneratePlannedMaintenance(seed uint64) (plan PlannedMaintenance, ok bool) {
 	random := rand.New(rand.NewPCG(seed, plannedStream))
 	request := drawPlanRequest(random)
 	for _, window := range request.Windows {
-		week.SerialSlots += window.DurationSlots
+		plan.SerialSlots += window.DurationSlots
 	}
-	greedy, _ := maintenanceplanner.Greedy(request) // without a timetable Plan says so
+	greedy, _ := maintenanceplanner.Greedy(request) // Plan reports it if no timetable exists
 	timetable, proof := maintenanceplanner.Plan(request)
 	if proof != nil {
 		return PlannedMaintenance{}, false
 	}
-	week.GreedySlots, week.OptimalSlots = greedy.Makespan, timetable.Makespan
+	plan.GreedySlots, plan.OptimalSlots = greedy.Makespan, timetable.Makespan
 	s := Generate(seed, plannedMembers, plannedFaults, plannedMinDuration)
 	s.Gateways, s.Replicas = windowGateways, windowReplicas
 	s.Actions = agreementActions()
@@ -108,11 +107,11 @@
 		s.Duration = max(s.Duration, time.Duration(timeAfterLastSlot+assignment.End)*time.Second)
 	}
 	sortActions(s.Actions)
-	week.Schedule = s
-	return week, true
+	plan.Schedule = s
+	return plan, true
 }
 
-// drawPlanRequest draws gateways with what they carry, and windows for some of them.
+// drawPlanRequest draws the capacity of each gateway and the windows of some of them.
 func drawPlanRequest(random *rand.Rand) *maintenanceplanner.Request {
 	request := &maintenanceplanner.Request{SlotCount: timetableSlots, FaultTolerance: capacity.FaultTolerance{Machines: 1}}
 	for i := range generatedZones {
--- a/internal/testbeds/simulation/history.go
+++ b/internal/testbeds/simulation/history.go
@@ -11,41 +11,41 @@
 	"zincloft.example/zincloft/controlplane/coordinator"
 )
 
-// historyChecksum is a checksum of everything that happens in one simulation: each event with its simulated time, the node that
-// it happens to and its data in their wire encoding. Two builds that decide alike have the same history. It depends on
-// no identifier, log line or trace text of the source, so that it does not change when these are renamed.
+// historyChecksum is a checksum of everything that happens in a simulation: each event with its simulated time, its
+// node and its data in wire encoding. Two builds with the same behaviour produce the same checksum. It includes no
+// identifiers, log lines or trace text, so that renaming them does not change it.
 //
-// A nil one records nothing.
+// A nil historyChecksum records nothing.
 type historyChecksum struct {
 	digest  *xxhash.Digest
 	entries int
 }
 
-// historyEntry tells apart what is recorded. The values are part of the checksum.
+// historyEntry identifies the kind of an entry. The values are part of the checksum.
 type historyEntry uint8
 
 const (
-	entryStart      historyEntry = iota + 1 // a control-plane process starts
-	entryEvent                              // a controller has decided on an event
-	entryResponse                           // a caller is answered
-	entryPersist                            // a controller's state is handed to its store
-	entryDisk                               // a disk operation was carried out
-	entryKill                               // a process or a machine has ended
-	entryUpdate                             // a gateway has taken a state update
+	entryStart      historyEntry = iota + 1 // a control-plane process has started
+	entryEvent                              // a controller has handled an event
+	entryResponse                           // a member has responded to a call
+	entryPersist                            // a controller has passed its state to the store
+	entryDisk                               // a disk operation was applied
+	entryKill                               // a process or machine has stopped
+	entryUpdate                             // a gateway has applied a state update
 	entryPick                               // a gateway has picked a replica
-	entryAttempt                            // an attempt of a gateway has ended
-	entryResult                             // what was measured in all
-	entryFinalState                         // a node's state at the end
+	entryAttempt                            // a gateway's attempt has ended
+	entryResult                             // measurements of the whole run
+	entryFinalState                         // state of a node at the end
 	entryOverflow                           // a step of an overflow scenario
 )
 
-// Offsets of the indexes of nodes that are not control-plane members.
+// Offsets that separate the indexes of gateways and replicas from those of members.
 const (
 	historyGateways = 1000
 	historyReplicas = 2000
 )
 
-// historyEncoding has the entries of maps in order, unlike the encoding on the wire.
+// historyEncoding is CBOR with sorted map entries, unlike the wire encoding.
 var historyEncoding = func() cbor.EncMode {
 	mode, err := cbor.EncOptions{Sort: cbor.SortBytewiseLexical}.EncMode()
 	if err != nil {
@@ -56,8 +56,8 @@
 
 func newHistoryChecksum() *historyChecksum { return &historyChecksum{digest: xxhash.New()} }
 
-// add records an entry. Values are numbers, bytes, strings that travel on the wire, or structs whose fields all have
-// numbers in CBOR.
+// add records an entry. Values are numbers, bytes, strings in wire format, or structs whose fields all have CBOR
+// numbers.
 func (h *historyChecksum) add(entry historyEntry, now time.Duration, node int, values ...any) {
 	if h == nil {
 		return
@@ -72,10 +72,10 @@
 	}
 }
 
-// sum is the checksum so far.
+// sum returns the checksum and the number of entries.
 func (h *historyChecksum) sum() string { return fmt.Sprintf("%016x.%d", h.digest.Sum64(), h.entries) }
 
-// start records that a member starts, and with what state.
+// start records that a member starts, with its initial state.
 func (h *historyChecksum) start(c *cluster, m *member, raw []byte) {
 	if h == nil {
 		return
@@ -83,12 +83,12 @@
 	h.add(entryStart, c.now, m.index, m.incarnation, decodedState(raw))
 }
 
-// event records an event that a member has decided on, and the state that it is in since.
+// event records an event that a member has handled, and the resulting state.
 func (h *historyChecksum) event(c *cluster, m *member, event controller.Event) {
 	if h == nil {
 		return
 	}
-	if event.WriteResult != nil && event.WriteResult.Error != "" { // its text is no part of the history
+	if event.WriteResult != nil && event.WriteResult.Error != "" { // the text is excluded
 		event.WriteResult = &controller.WriteResult{Error: "failed"}
 	}
 	local := c.monotonicTime(&m.process)
@@ -97,7 +97,7 @@
 	h.add(entryEvent, c.now, m.index, local, event, core.View().Number, register.Sequence, known, core.HasQuorumContact(local))
 }
 
-// answer records an answer to a caller. The text of a refusal is no part of the history.
+// response records a response to a caller. The text of a rejection is excluded.
 func (h *historyChecksum) response(c *cluster, m *member, response controller.Response) {
 	if h == nil {
 		return
@@ -108,7 +108,7 @@
 	h.add(entryResponse, c.now, m.index, response)
 }
 
-// persist records the state that a member hands to its store.
+// persist records the state that a member passes to its store.
 func (h *historyChecksum) persist(c *cluster, m *member, raw []byte) {
 	if h == nil {
 		return
@@ -116,7 +116,7 @@
 	h.add(entryPersist, c.now, m.index, decodedState(raw))
 }
 
-// decodedState is a state that can be encoded with its maps in order; nil where there is none.
+// decodedState decodes a state so that it can be encoded with sorted maps. It returns nil for an invalid state.
 func decodedState(raw []byte) *coordinator.PersistentState {
 	k, err := coordinator.DecodePersistentState(raw)
 	if err != nil {
@@ -125,11 +125,11 @@
 	return &k
 }
 
-// diskEntryKinds are the values of kinds of disk operations in the checksum.
+// diskEntryKinds are the values of disk operation kinds in the checksum.
 var diskEntryKinds = map[diskOperationKind]int{diskCreate: 1, diskWrite: 2, diskSync: 3, diskSyncFolder: 4, diskRename: 5}
 
-// operation records a disk operation. The contents of the files are compared as states, since the order of what they
-// hold is not fixed.
+// operation records a disk operation without its data: the order of map entries in a file is not deterministic, so
+// persist records the content.
 func (h *historyChecksum) operation(c *cluster, m *member, o diskOperation) {
 	if h == nil {
 		return
@@ -137,7 +137,7 @@
 	h.add(entryDisk, c.now, m.index, diskEntryKinds[o.kind], o.name, o.offset, len(o.data))
 }
 
-// disk records what a member would find on its disk after a loss of power, and how long its files are.
+// disk records the state that would survive a power loss, and the file sizes.
 func (h *historyChecksum) disk(entry historyEntry, c *cluster, m *member) {
 	if h == nil {
 		return
@@ -150,7 +150,7 @@
 	h.add(entry, c.now, m.index, m.disk.durableState(), sizes, m.up, m.incarnation)
 }
 
-// end records what was measured and each node's last state.
+// end records the measurements and the final state of each node.
 func (h *historyChecksum) end(c *cluster) {
 	if h == nil {
 		return
@@ -180,7 +180,7 @@
 	}
 }
 
-// endOverflow records what was measured in an overflow scenario.
+// endOverflow records the measurements of an overflow scenario.
 func (h *historyChecksum) endOverflow(o *overflowSimulation) {
 	if h == nil {
 		return
--- a/internal/testbeds/simulation/inject.go
+++ b/internal/testbeds/simulation/inject.go
@@ -1,6 +1,6 @@
 package simulation
 
-// injectFault has a fault strike, or wait for its moment.
+// injectFault injects a fault, or defers it.
 func (c *cluster) injectFault(fault Fault) {
 	if c.deferUntilTrigger(fault) {
 		return
@@ -30,8 +30,8 @@
 	}
 }
 
-// stopAllMembers stops every member, beginning with the target, and wipes the disks of as many as may be lost if the fault
-// says so.
+// stopAllMembers stops all members, starting with the target, and wipes as many disks as the schedule may lose if the
+// fault says so.
 func (c *cluster) stopAllMembers(fault Fault) {
 	wiped := 0
 	for i := range c.members {
@@ -47,7 +47,7 @@
 	}
 }
 
-// mayWipe reports whether a member, the i-th that stops, may lose its disk too.
+// mayWipe reports whether the i-th member to stop may lose its disk.
 func (c *cluster) mayWipe(m *member, i, wiped int) bool {
 	if c.schedule.Tolerance > 0 {
 		return wiped < c.schedule.Tolerance && m.up
@@ -69,7 +69,7 @@
 	}
 }
 
-// injectMemberFault strikes one member in a schedule without a Tolerance.
+// injectMemberFault injects a fault into one member in a schedule without a Tolerance.
 func (c *cluster) injectMemberFault(m *member, fault Fault) {
 	switch fault.Kind {
 	case PauseProcess:
@@ -79,7 +79,7 @@
 		}
 	case StepClock:
 		m.clockOffset += fault.For / 2
-		c.tracef("%s: its clock jumps by %.2fs", m.name, (fault.For / 2).Seconds())
+		c.tracef("%s: clock jumps ahead by %.2fs", m.name, (fault.For / 2).Seconds())
 	case IsolateMember, IsolateMemberOneWay:
 		c.cutLinksOf(m, fault)
 	default:
@@ -87,7 +87,7 @@
 	}
 }
 
-// injectStopOrDiskFault strikes one member with what all schedules have, and reports whether it was that.
+// injectStopOrDiskFault injects a process or disk fault that all schedules share. It reports false for other kinds.
 func (c *cluster) injectStopOrDiskFault(m *member, fault Fault) bool {
 	switch fault.Kind {
 	case KillProcess:
@@ -111,7 +111,7 @@
 	return true
 }
 
-// endFault does something when a fault is over.
+// endFault calls a function when a fault ends.
 func (c *cluster) endFault(fault Fault, do func()) {
 	c.after(fault.For, func() {
 		do()
@@ -119,7 +119,7 @@
 	})
 }
 
-// cutLinksOf cuts a member's links to all other nodes, both ways or in a random direction.
+// cutLinksOf cuts a member's links to all other nodes, in both directions or in a random one.
 func (c *cluster) cutLinksOf(m *member, fault Fault) {
 	if fault.Kind == IsolateMember {
 		c.unavailableSince[m.index] = c.now
--- a/internal/testbeds/simulation/injecttolerance.go
+++ b/internal/testbeds/simulation/injecttolerance.go
@@ -7,14 +7,15 @@
 	"zincloft.example/zincloft/controlplane/membership"
 )
 
-// When gateways reconnect to a member because of Fault.Reconnect.
+// Delays of the reconnects that Fault.Reconnect causes.
 const (
 	maxFirstReconnectDelay = 1500 * time.Millisecond
 	reconnectBeforeEnd     = 300 * time.Millisecond
 	maxLastReconnectDelay  = 600 * time.Millisecond
 )
 
-// injectWithTolerance strikes in a schedule with a Tolerance, and reports whether the fault is of a kind that differs there.
+// injectWithTolerance injects a fault in a schedule with a Tolerance. It reports false for kinds that are handled the
+// same in all schedules.
 func (c *cluster) injectWithTolerance(fault Fault) bool {
 	if fault.Trigger != "" {
 		c.deferFault(&c.coreHistory.viewTriggeredFaults, fault, maxFaultWait)
@@ -50,12 +51,12 @@
 		c.isolateMember(m, fault)
 	default:
 		if !c.injectStopOrDiskFault(m, fault) {
-			c.violationf("no such fault: %s", fault.Kind)
+			c.violationf("unknown fault kind %q", fault.Kind)
 		}
 	}
 }
 
-// removeMember takes a member out for good, or until it comes back with its disk when nobody counts on it any more.
+// removeMember removes a member permanently, or until the fault ends, when it returns with its old disk.
 func (c *cluster) removeMember(m *member, fault Fault) {
 	if m.up {
 		c.unavailableSince[m.index] = c.now
@@ -77,11 +78,11 @@
 	})
 }
 
-// pauseMember freezes a member, with its clocks if the fault says so.
+// pauseMember pauses a member and the clocks that the fault affects.
 func (c *cluster) pauseMember(m *member, fault Fault) {
 	c.unavailableSince[m.index], m.isolatedAt = c.now, c.now
 	incarnation, from := m.incarnation, c.now
-	c.after(fault.For, func() { // before it thaws
+	c.after(fault.For, func() { // runs before the member resumes
 		if m.incarnation == incarnation && fault.Kind != PauseProcess {
 			m.clockOffset -= time.Duration(float64(c.now-from) * m.clockRate)
 		}
@@ -93,7 +94,7 @@
 	c.endFault(fault, func() { delete(c.unavailableSince, m.index) })
 }
 
-// isolateMember cuts a member off as long as the fault lasts.
+// isolateMember isolates or partitions a member for the duration of the fault.
 func (c *cluster) isolateMember(m *member, fault Fault) {
 	c.unavailableSince[m.index] = c.now
 	if !m.isIsolated() {
@@ -106,7 +107,7 @@
 	})
 }
 
-// adjustIsolation adds to the counts of cuts that a kind of fault is about.
+// adjustIsolation adds n to the counters of the links that a kind of fault cuts.
 func (p *process) adjustIsolation(kind FaultKind, n int) {
 	switch kind {
 	case IsolateMember:
@@ -121,7 +122,7 @@
 	}
 }
 
-// scheduleReconnects has gateways call a member that was struck, soon after that and about when the fault is over.
+// scheduleReconnects has gateways reconnect to an affected member, soon after the fault starts and around its end.
 func (c *cluster) scheduleReconnects(m *member, fault Fault) {
 	if !fault.Reconnect || len(c.gateways) == 0 {
 		return
@@ -131,7 +132,8 @@
 	c.after(max(fault.For-reconnectBeforeEnd, 0)+c.randomBelow(maxLastReconnectDelay), reconnect)
 }
 
-// targetOf is the member that a fault strikes: by its role in the newest view, or by index among those that are not gone.
+// targetOf returns the member that a fault affects: by role in the newest view, or else by index among members that
+// have not been removed.
 func (c *cluster) targetOf(fault Fault) *member {
 	if m, ok := c.memberInRole(fault.Role); ok {
 		return m
@@ -171,7 +173,7 @@
 	return c.memberByAddress[address], true
 }
 
-// newestView is the newest view that a running process has.
+// newestView returns the newest view of any running member.
 func (c *cluster) newestView() (newest membership.View) {
 	for _, m := range c.members {
 		if m.up && m.controller != nil && m.controller.Coordinator().View().Number > newest.Number {
--- a/internal/testbeds/simulation/invariant_acknowledgement.go
+++ b/internal/testbeds/simulation/invariant_acknowledgement.go
@@ -9,49 +9,49 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// checkCallAnswered: a call that is made when all has been calm for long is answered before its deadline. It is checked
-// when a call is not made again.
+// checkCallAnswered checks that a call that starts after a long time without faults is answered before its deadline.
+// It runs when a call is abandoned.
 func (c *cluster) checkCallAnswered(call *operatorCall) {
 	if !call.done && !c.finished && call.startedAt > c.faultActiveUntil+faultFreeBeforeCall && call.attempts > 0 {
-		c.violationf("call %d, made at %.2f s when all had been calm, was not answered", call.number, call.startedAt.Seconds())
+		c.violationf("call %d, started at %.2f s after a long time without faults, was not answered", call.number, call.startedAt.Seconds())
 	}
 }
 
-// checkNotClientError: a call that is well formed is not rejected as if it were not.
+// checkNotClientError checks that a well-formed call is not rejected as a client error.
 func (c *cluster) checkNotClientError(call *operatorCall, status int) {
 	isRejection := status >= 400 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 	if isRejection {
-		c.violationf("call %d is answered %d", call.number, status)
+		c.violationf("call %d is well formed, but was rejected with status %d", call.number, status)
 	}
 }
 
-// checkReadBody: a read returns nothing that no operator put. It returns the version.
+// checkReadBody checks that a read returns only what an operator submitted. It returns the version.
 func (c *cluster) checkReadBody(m *member, response controller.Response) uint64 {
 	if response.Status != http.StatusOK {
 		return 0
 	}
 	version, put := c.versionByBody[string(response.Body)]
 	if !put {
-		c.violationf("%s answers a configuration that nobody put: %q", m.name, response.Body)
+		c.violationf("%s returned a configuration that no operator submitted: %q", m.name, response.Body)
 	}
 	return version
 }
 
-// checkReadIsCurrent: a read returns nothing older than what was acknowledged before it was sent.
+// checkReadIsCurrent checks that a read returns nothing older than what was acknowledged before it started.
 func (c *cluster) checkReadIsCurrent(m *member, call *operatorCall, version uint64) {
 	if version < call.minVersion {
-		c.violationf("%s answers version %d, %d was acknowledged before it was asked", m.name, version, call.minVersion)
+		c.violationf("%s returned version %d, but %d was acknowledged before the read started", m.name, version, call.minVersion)
 	}
 }
 
-// checkAcknowledgerHasContact: a member that has been cut off for long acknowledges nothing.
+// checkAcknowledgerHasContact checks that an isolated member acknowledges nothing after contactTimeout.
 func (c *cluster) checkAcknowledgerHasContact(m *member, call *operatorCall) {
 	if c.isIsolatedBeyondTimeout(m) {
-		c.violationf("%s acknowledges call %d though it has been cut off for long", m.name, call.number)
+		c.violationf("%s acknowledged call %d after being isolated for more than %v", m.name, call.number, contactTimeout)
 	}
 }
 
-// isIsolatedBeyondTimeout reports whether a member has reached no other for longer than contactTimeout.
+// isIsolatedBeyondTimeout reports whether a member has reached no other member for longer than contactTimeout.
 func (c *cluster) isIsolatedBeyondTimeout(m *member) bool {
 	if c.schedule.Tolerance > 0 {
 		return m.isIsolated() && c.now-m.isolatedAt > contactTimeout
@@ -68,17 +68,17 @@
 	return true
 }
 
-// checkDurability: what is acknowledged is on more disks than may be lost at once, whatever a loss of power takes away.
+// checkDurability checks that an acknowledged command is durable on more disks than may be lost at once.
 func (c *cluster) checkDurability(call *operatorCall) {
 	copies := c.countDisks(func(state *coordinator.PersistentState) bool {
 		return call.action.Kind != PutConfig || state.Register.Version >= call.version
 	})
 	if copies <= c.toleratedDiskLosses() {
-		c.violationf("call %d was acknowledged with only %d disks that hold it", call.number, copies)
+		c.violationf("call %d was acknowledged but is durable on only %d disks", call.number, copies)
 	}
 }
 
-// checkDrainDurability: so is the acknowledged drain of a replica. It binds whatever becomes of the member that acknowledged it.
+// checkDrainDurability checks the same for the acknowledged drain of a replica.
 func (c *cluster) checkDrainDurability(m *member, r *replica) {
 	copies := c.countDisks(func(state *coordinator.PersistentState) bool {
 		return slices.ContainsFunc(state.Instances, func(instance fleet.Instance) bool {
@@ -86,11 +86,11 @@
 		})
 	})
 	if copies <= c.toleratedDiskLosses() {
-		c.violationf("%s acknowledged the drain of %s with only %d disks that hold it", m.name, r.id, copies)
+		c.violationf("%s acknowledged the drain of %s, which is durable on only %d disks", m.name, r.id, copies)
 	}
 }
 
-// countDisks counts the disks whose state, after a loss of power, holds something.
+// countDisks counts the disks whose durable state satisfies a predicate.
 func (c *cluster) countDisks(holds func(*coordinator.PersistentState) bool) (count int) {
 	for _, m := range c.members {
 		if m.removed {
@@ -103,7 +103,7 @@
 	return count
 }
 
-// toleratedDiskLosses is how many disks may be lost at once.
+// toleratedDiskLosses returns how many disks may be lost at once.
 func (c *cluster) toleratedDiskLosses() int {
 	if c.coreHistory.initialViewComplete {
 		return c.schedule.Tolerance
--- a/internal/testbeds/simulation/invariant_bounds.go
+++ b/internal/testbeds/simulation/invariant_bounds.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	maxStateBytes   = 64 << 10 // of a member: a configuration of some hundred, a dozen replicas, windows with their audit
-	maxPendingCalls = 60       // at a member
-	// maxMessagesPerSecond is of a member's messages to each other member: heartbeats, gossip and commands come to a few dozen.
+	maxStateBytes   = 64 << 10 // per member
+	maxPendingCalls = 60       // per member
+	// maxMessagesPerSecond is the limit for messages from one member to each other member.
 	maxMessagesPerSecond = 400
 )
 
-// checkMemberBounds: a member's state, the calls that wait at it and the messages that it sends stay within bounds. Here it
-// writes so many bytes (0: none) and sends so many messages.
+// checkMemberBounds checks the size of a written state (0: nothing written), the number of pending calls and the rate
+// of messages of a member.
 func (c *cluster) checkMemberBounds(m *member, written, sent int) {
 	if written > maxStateBytes || len(m.pendingCalls) > maxPendingCalls {
 		c.violationf("%s has a state of %d bytes and %d pending calls", m.name, written, len(m.pendingCalls))
--- a/internal/testbeds/simulation/plantedbug_test.go
+++ b/internal/testbeds/simulation/plantedbug_test.go
@@ -63,8 +63,8 @@
 // made for it, and that very schedule passes without it.
 func TestFamiliesFindPlantedBugs(t *testing.T) {
 	cases := map[PlantedBug]struct{ family, violation string }{
-		UnconfirmedFirstState:  {"cuts", "which is new to it"},
-		ConfirmSupersededView:  {"cuts", "was acknowledged before it was asked"},
+		UnconfirmedFirstState:  {"cuts", "a full update"},
+		ConfirmSupersededView:  {"cuts", "was acknowledged before the read started"},
 		DropCommandID:          {"twins", notLinearizable},
 		AcceptDelayedCalls:     {"cuts", notLinearizable},
 		HideConflict:           {"twins", "is acknowledged as"},
