--- a/internal/testbeds/simulation/inject.go
+++ b/internal/testbeds/simulation/inject.go
@@ -1,8 +1,8 @@
 package simulation
 
-// injectFault has a fault strike, or wait for its moment.
+// injectFault injects a fault, or defers it.
 func (c *cluster) injectFault(fault Fault) {
-	if c.awaitMoment(fault) {
+	if c.deferUntilTrigger(fault) {
 		return
 	}
 	if c.schedule.Tolerance > 0 && c.injectWithTolerance(fault) {
@@ -11,11 +11,11 @@
 	c.tracef("FAULT: %v", fault)
 	c.faultActiveUntil = max(c.faultActiveUntil, c.now+fault.For+restartTime)
 	switch fault.Kind {
-	case KillAll, LosePowerAll, LosePowerWipes:
+	case KillAll, LosePowerAll, LosePowerAllWipeSome:
 		c.stopAllMembers(fault)
-	case LoseZone:
-		c.loseZone(fault)
-	case KillGateway, FreezeGateway, CutGateway:
+	case LoseZonePower:
+		c.losePowerInZone(fault)
+	case KillGateway, PauseGateway, IsolateGateway:
 		if fault.Target < len(c.gateways) {
 			c.injectGatewayFault(c.gateways[fault.Target], fault)
 		}
@@ -30,8 +30,8 @@
 	}
 }
 
-// stopAllMembers stops every member, beginning with the target, and wipes the disks of as many as may be lost if the fault
-// says so.
+// stopAllMembers stops all members, starting with the target, and wipes as many disks as the schedule may lose if the
+// fault says so.
 func (c *cluster) stopAllMembers(fault Fault) {
 	wiped := 0
 	for i := range c.members {
@@ -39,7 +39,7 @@
 		if fault.Kind == KillAll {
 			cause = processKilled
 		}
-		if fault.Kind == LosePowerWipes && c.mayWipe(m, i, wiped) {
+		if fault.Kind == LosePowerAllWipeSome && c.mayWipe(m, i, wiped) {
 			cause = diskWiped
 			wiped++
 		}
@@ -47,7 +47,7 @@
 	}
 }
 
-// mayWipe reports whether a member, the i-th that stops, may lose its disk too.
+// mayWipe reports whether the i-th member to stop may lose its disk.
 func (c *cluster) mayWipe(m *member, i, wiped int) bool {
 	if c.schedule.Tolerance > 0 {
 		return wiped < c.schedule.Tolerance && m.up
@@ -55,7 +55,7 @@
 	return i < (c.schedule.Members-1)/2 && i < (c.schedule.InitialMembers-1)/2
 }
 
-func (c *cluster) loseZone(fault Fault) {
+func (c *cluster) losePowerInZone(fault Fault) {
 	zone := c.zoneName(fault.Target)
 	for _, m := range c.members {
 		if c.zoneName(m.index) == zone {
@@ -69,25 +69,25 @@
 	}
 }
 
-// injectMemberFault strikes one member in a schedule without a Tolerance.
+// injectMemberFault injects a fault into one member in a schedule without a Tolerance.
 func (c *cluster) injectMemberFault(m *member, fault Fault) {
 	switch fault.Kind {
-	case FreezeProcess:
+	case PauseProcess:
 		if m.up {
-			c.downSince[m.index] = c.now
-			c.freeze(&m.process, fault.For)
+			c.unavailableSince[m.index] = c.now
+			c.pause(&m.process, fault.For)
 		}
 	case StepClock:
 		m.clockOffset += fault.For / 2
-		c.tracef("%s: its clock jumps by %.2fs", m.name, (fault.For / 2).Seconds())
-	case CutOff, CutOneWay:
+		c.tracef("%s: clock jumps ahead by %.2fs", m.name, (fault.For / 2).Seconds())
+	case IsolateMember, IsolateMemberOneWay:
 		c.cutLinksOf(m, fault)
 	default:
 		c.injectStopOrDiskFault(m, fault)
 	}
 }
 
-// injectStopOrDiskFault strikes one member with what all schedules have, and reports whether it was that.
+// injectStopOrDiskFault injects a process or disk fault that all schedules share. It reports false for other kinds.
 func (c *cluster) injectStopOrDiskFault(m *member, fault Fault) bool {
 	switch fault.Kind {
 	case KillProcess:
@@ -111,18 +111,18 @@
 	return true
 }
 
-// endFault does something when a fault is over.
+// endFault calls a function when a fault ends.
 func (c *cluster) endFault(fault Fault, do func()) {
 	c.after(fault.For, func() {
 		do()
-		c.noteFault()
+		c.extendFaultPeriod()
 	})
 }
 
-// cutLinksOf cuts a member's links to all other nodes, both ways or in a random direction.
+// cutLinksOf cuts a member's links to all other nodes, in both directions or in a random one.
 func (c *cluster) cutLinksOf(m *member, fault Fault) {
-	if fault.Kind == CutOff {
-		c.downSince[m.index] = c.now
+	if fault.Kind == IsolateMember {
+		c.unavailableSince[m.index] = c.now
 	}
 	inbound := c.random.IntN(2) == 0
 	others := make([]string, 0, len(c.members)+len(c.gateways))
@@ -136,10 +136,10 @@
 	}
 	var links []link
 	for _, other := range others {
-		if fault.Kind == CutOff || !inbound {
+		if fault.Kind == IsolateMember || !inbound {
 			links = append(links, link{m.name, other})
 		}
-		if fault.Kind == CutOff || inbound {
+		if fault.Kind == IsolateMember || inbound {
 			links = append(links, link{other, m.name})
 		}
 	}
--- a/internal/testbeds/simulation/injecttolerance.go
+++ b/internal/testbeds/simulation/injecttolerance.go
@@ -7,23 +7,24 @@
 	"zincloft.example/zincloft/controlplane/membership"
 )
 
-// When gateways reconnect to a member because of Fault.Reconnect.
+// Delays of the reconnects that Fault.Reconnect causes.
 const (
 	maxFirstReconnectDelay = 1500 * time.Millisecond
 	reconnectBeforeEnd     = 300 * time.Millisecond
 	maxLastReconnectDelay  = 600 * time.Millisecond
 )
 
-// injectWithTolerance strikes in a schedule with a Tolerance, and reports whether the fault is of a kind that differs there.
+// injectWithTolerance injects a fault in a schedule with a Tolerance. It reports false for kinds that are handled the
+// same in all schedules.
 func (c *cluster) injectWithTolerance(fault Fault) bool {
-	if fault.When != "" {
-		c.addWaiting(&c.coreHistory.pendingFaults, fault, maxFaultWait)
+	if fault.Trigger != "" {
+		c.deferFault(&c.coreHistory.viewTriggeredFaults, fault, maxFaultWait)
 		return true
 	}
 	switch fault.Kind {
-	case KillGateway, FreezeGateway, CutGateway, CrashReplica, StepClock:
+	case KillGateway, PauseGateway, IsolateGateway, CrashReplica, StepClock:
 		return false
-	case KillAll, LosePowerAll, LosePowerWipes:
+	case KillAll, LosePowerAll, LosePowerAllWipeSome:
 		c.tracef("FAULT: %v", fault)
 		c.stopAllMembers(fault)
 	case AddSpareMember:
@@ -31,7 +32,7 @@
 	default:
 		m := c.targetOf(fault)
 		c.tracef("FAULT: %s: %v", m.name, fault)
-		c.noteFault()
+		c.extendFaultPeriod()
 		c.injectMemberFaultWithTolerance(m, fault)
 		c.scheduleReconnects(m, fault)
 	}
@@ -42,86 +43,86 @@
 	switch fault.Kind {
 	case RemoveMember, ShutDownMember:
 		c.removeMember(m, fault)
-	case FreezeProcess, PauseClock, PauseAllClocks:
-		if m.up && !m.frozen {
+	case PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks:
+		if m.up && !m.paused {
 			c.pauseMember(m, fault)
 		}
-	case CutOff, CutFromMembers, CutFromInbound, CutFromOutbound:
+	case IsolateMember, PartitionMember, DropInbound, DropOutbound:
 		c.isolateMember(m, fault)
 	default:
 		if !c.injectStopOrDiskFault(m, fault) {
-			c.violationf("no such fault: %s", fault.Kind)
+			c.violationf("unknown fault kind %q", fault.Kind)
 		}
 	}
 }
 
-// removeMember takes a member out for good, or until it comes back with its disk when nobody counts on it any more.
+// removeMember removes a member permanently, or until the fault ends, when it returns with its old disk.
 func (c *cluster) removeMember(m *member, fault Fault) {
 	if m.up {
-		c.downSince[m.index] = c.now
+		c.unavailableSince[m.index] = c.now
 	}
 	if fault.Kind == ShutDownMember {
 		c.shutDown(m)
 	} else {
-		c.stopMember(m, powerLost, leftForGood)
-		m.gone = true
+		c.stopMember(m, powerLost, noRestart)
+		m.removed = true
 	}
 	if fault.For == 0 {
 		return
 	}
 	c.after(fault.For, func() {
-		if m.gone && !m.up {
-			m.gone, m.leaving = false, false
+		if m.removed && !m.up {
+			m.removed, m.shuttingDown = false, false
 			c.startMember(m, false)
 		}
 	})
 }
 
-// pauseMember freezes a member, with its clocks if the fault says so.
+// pauseMember pauses a member and the clocks that the fault affects.
 func (c *cluster) pauseMember(m *member, fault Fault) {
-	c.downSince[m.index], m.cutAt = c.now, c.now
+	c.unavailableSince[m.index], m.isolatedAt = c.now, c.now
 	incarnation, from := m.incarnation, c.now
-	c.after(fault.For, func() { // before it thaws
-		if m.incarnation == incarnation && fault.Kind != FreezeProcess {
+	c.after(fault.For, func() { // runs before the member resumes
+		if m.incarnation == incarnation && fault.Kind != PauseProcess {
 			m.clockOffset -= time.Duration(float64(c.now-from) * m.clockRate)
 		}
-		if m.incarnation == incarnation && fault.Kind == PauseAllClocks {
+		if m.incarnation == incarnation && fault.Kind == PauseWithAllClocks {
 			m.wallClockOffset -= c.now - from
 		}
 	})
-	c.freeze(&m.process, fault.For)
-	c.endFault(fault, func() { delete(c.downSince, m.index) })
+	c.pause(&m.process, fault.For)
+	c.endFault(fault, func() { delete(c.unavailableSince, m.index) })
 }
 
-// isolateMember cuts a member off as long as the fault lasts.
+// isolateMember isolates or partitions a member for the duration of the fault.
 func (c *cluster) isolateMember(m *member, fault Fault) {
-	c.downSince[m.index] = c.now
-	if !m.isCutOff() {
-		m.cutAt = c.now
+	c.unavailableSince[m.index] = c.now
+	if !m.isIsolated() {
+		m.isolatedAt = c.now
 	}
-	m.addCuts(fault.Kind, 1)
+	m.adjustIsolation(fault.Kind, 1)
 	c.endFault(fault, func() {
-		m.addCuts(fault.Kind, -1)
-		delete(c.downSince, m.index)
+		m.adjustIsolation(fault.Kind, -1)
+		delete(c.unavailableSince, m.index)
 	})
 }
 
-// addCuts adds to the counts of cuts that a kind of fault is about.
-func (p *process) addCuts(kind FaultKind, n int) {
+// adjustIsolation adds n to the counters of the links that a kind of fault cuts.
+func (p *process) adjustIsolation(kind FaultKind, n int) {
 	switch kind {
-	case CutOff:
-		p.isolationCuts += n
-	case CutFromMembers:
+	case IsolateMember:
+		p.isolations += n
+	case PartitionMember:
 		p.inboundCuts += n
 		p.outboundCuts += n
-	case CutFromInbound:
+	case DropInbound:
 		p.inboundCuts += n
-	case CutFromOutbound:
+	case DropOutbound:
 		p.outboundCuts += n
 	}
 }
 
-// scheduleReconnects has gateways call a member that was struck, soon after that and about when the fault is over.
+// scheduleReconnects has gateways reconnect to an affected member, soon after the fault starts and around its end.
 func (c *cluster) scheduleReconnects(m *member, fault Fault) {
 	if !fault.Reconnect || len(c.gateways) == 0 {
 		return
@@ -131,17 +132,18 @@
 	c.after(max(fault.For-reconnectBeforeEnd, 0)+c.randomBelow(maxLastReconnectDelay), reconnect)
 }
 
-// targetOf is the member that a fault strikes: by its role in the newest view, or by index among those that are not gone.
+// targetOf returns the member that a fault affects: by role in the newest view, or else by index among members that
+// have not been removed.
 func (c *cluster) targetOf(fault Fault) *member {
 	if m, ok := c.memberInRole(fault.Role); ok {
 		return m
 	}
-	if fault.Target < len(c.members) && !c.members[fault.Target].gone {
+	if fault.Target < len(c.members) && !c.members[fault.Target].removed {
 		return c.members[fault.Target]
 	}
 	var remaining []*member
 	for _, m := range c.members {
-		if !m.gone {
+		if !m.removed {
 			remaining = append(remaining, m)
 		}
 	}
@@ -149,7 +151,7 @@
 }
 
 func (c *cluster) memberInRole(role FaultRole) (*member, bool) {
-	if role == RoleNewest && c.coreHistory.newestSpare != nil {
+	if role == RoleNewestSpare && c.coreHistory.newestSpare != nil {
 		return c.coreHistory.newestSpare, true
 	}
 	chain := c.newestView().Chain
@@ -171,7 +173,7 @@
 	return c.memberByAddress[address], true
 }
 
-// newestView is the newest view that a running process has.
+// newestView returns the newest view of any running member.
 func (c *cluster) newestView() (newest membership.View) {
 	for _, m := range c.members {
 		if m.up && m.controller != nil && m.controller.Coordinator().View().Number > newest.Number {
--- a/internal/testbeds/simulation/figures_test.go
+++ b/internal/testbeds/simulation/latency_test.go
@@ -12,7 +12,7 @@
 func TestViewRepairTime(t *testing.T) {
 	t.Parallel()
 	var took []time.Duration
-	for _, kind := range []FaultKind{LosePower, FreezeProcess, CutOff} {
+	for _, kind := range []FaultKind{LosePower, PauseProcess, IsolateMember} {
 		for seed := range seedCount(t, 34) {
 			result := Run(Schedule{Seed: seed, Members: 3, InitialMembers: 3, Duration: 8 * time.Second, Actions: GenerateActions(seed, 10, 1, 8*time.Second),
 				Faults: []Fault{{At: 3*time.Second + time.Duration(seed)*7*time.Millisecond, For: 3 * time.Second, Kind: kind, Target: int(seed) % 3}}})
@@ -29,11 +29,11 @@
 	}
 }
 
-// TestRepairFigures prints what the results page quotes; -v shows it.
-func TestRepairFigures(t *testing.T) {
+// TestViewRepairLatencies prints what the results page quotes; -v shows it.
+func TestViewRepairLatencies(t *testing.T) {
 	t.Parallel()
 	for _, members := range []int{3, 5, 7} {
-		for _, kind := range []FaultKind{LosePower, FreezeProcess, CutOff} {
+		for _, kind := range []FaultKind{LosePower, PauseProcess, IsolateMember} {
 			var repaired, acknowledged []time.Duration
 			for seed := range seedCount(t, 4) {
 				result := Run(Schedule{Seed: seed, Members: members, InitialMembers: 3, Duration: 12 * time.Second, Actions: GenerateActions(seed, 20, 1, 12*time.Second),
@@ -54,12 +54,12 @@
 	}
 }
 
-// TestFamilyFigures prints what the results page quotes of views, successors, catching up and members that were cut off. -v
+// TestFamilyLatencies prints what the results page quotes of views, successors, catching up and members that were cut off. -v
 // shows it, SIMULATION_SEEDS asks for more schedules.
-func TestFamilyFigures(t *testing.T) {
+func TestFamilyLatencies(t *testing.T) {
 	t.Parallel()
 	for _, members := range []int{3, 5, 7} {
-		f := figures{t, members}
+		f := latencyReport{t, members}
 		f.printReplacement()
 		f.printCuts()
 		f.printCatchUp()
@@ -67,24 +67,24 @@
 }
 
 // figures are of control planes of one size.
-type figures struct {
+type latencyReport struct {
 	t       *testing.T
 	members int
 }
 
 // run runs a schedule of this size, in which nothing may go wrong.
-func (f figures) run(seed uint64, s Schedule) Result {
+func (f latencyReport) run(seed uint64, s Schedule) Result {
 	f.t.Helper()
 	s.Seed, s.Members, s.InitialMembers, s.Tolerance, s.Zones, s.LossRate = seed, f.members, 3, toleranceByMembers[f.members], generatedZones, 0.002
 	s.Actions = append([]Action{{At: 500 * time.Millisecond, Kind: PutConfig, Version: 1, Body: 1}}, s.Actions...)
 	result, violation := runChecked(f.t, s)
 	if violation != "" {
-		f.t.Fatalf("%d members, seed %d: %s\n%s\n%s", f.members, seed, violation, s.Text(), traceText(result))
+		f.t.Fatalf("%d members, seed %d: %s\n%s\n%s", f.members, seed, violation, s.JSON(), traceText(result))
 	}
 	return result
 }
 
-func (f figures) print(what string, took []time.Duration) {
+func (f latencyReport) print(what string, took []time.Duration) {
 	f.t.Helper()
 	if len(took) == 0 {
 		f.t.Logf("%d members, %s: never", f.members, what)
@@ -95,7 +95,7 @@
 	f.t.Logf("%d members, %s: p50 %d ms, p99 %d ms, most %d ms (%d)", f.members, what, ms(len(took)/2), ms(len(took)*99/100), ms(len(took)-1), len(took))
 }
 
-func (f figures) printReplacement() {
+func (f latencyReport) printReplacement() {
 	f.t.Helper()
 	var repaired, joined []time.Duration
 	for seed := range seedCount(f.t, 1) {
@@ -110,17 +110,17 @@
 	f.print("a successor is in the chain and caught up, from its start", joined)
 }
 
-func (f figures) printCuts() {
+func (f latencyReport) printCuts() {
 	f.t.Helper()
-	var answers, heartbeats, thawed []time.Duration
+	var responses, heartbeats, thawed []time.Duration
 	for seed := range seedCount(f.t, 1) {
-		for i, kind := range []FaultKind{CutOff, CutFromMembers, CutFromInbound, CutFromOutbound, FreezeProcess, PauseClock, PauseAllClocks} {
+		for i, kind := range []FaultKind{IsolateMember, PartitionMember, DropInbound, DropOutbound, PauseProcess, PauseWithMonotonicClock, PauseWithAllClocks} {
 			result := f.run(seed, cutSchedule(seed, i, kind))
-			answers, thawed = append(answers, result.AnswersWhileCut...), append(thawed, result.AnswersAfterThaw...)
-			heartbeats = append(heartbeats, result.HeartbeatsWhileCut...)
+			responses, thawed = append(responses, result.ResponsesWhileIsolated...), append(thawed, result.ResponsesAfterResume...)
+			heartbeats = append(heartbeats, result.HeartbeatsWhileIsolated...)
 		}
 	}
-	f.print("answers to operators, and to gateways new to it, of one that is cut off, after the cut", answers)
+	f.print("answers to operators, and to gateways new to it, of one that is cut off, after the cut", responses)
 	f.print("heartbeats of replicas that one acknowledged which was cut off, after the cut", heartbeats)
 	f.print("answers of one that has thawed and missed a view, after it thawed", thawed)
 }
@@ -139,7 +139,7 @@
 	return s
 }
 
-func (f figures) printCatchUp() {
+func (f latencyReport) printCatchUp() {
 	f.t.Helper()
 	roles := []FaultRole{RoleHead, RoleMiddle, RoleTail}
 	for _, changes := range []int{10, 100, 1000} {
