--- a/cmd/zinclab/soak.go
+++ b/cmd/zinclab/soak.go
@@ -134,7 +134,7 @@
 	}
 	record := result.Record
 	_, _ = fmt.Fprintf(out, "seed %d: %d faults, %d requests, %d executions, %d orders and reads, recovered after %.1f s, %d violations\n", seed,
-		len(record.Faults), len(record.Requests), len(record.Executions), len(record.Operations), (record.Recovered - record.FaultsOver).Seconds(), len(result.Violations))
+		len(record.Faults), len(record.Requests), len(record.Executions), len(record.Operations), (record.RecoveredAt - record.FaultsEndedAt).Seconds(), len(result.Violations))
 	for _, violation := range result.Violations {
 		_, _ = fmt.Fprintf(out, "  %s\n", violation)
 	}
--- a/internal/daemons/gateway/hostile_test.go
+++ b/internal/daemons/gateway/hostile_test.go
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	f.frontListener = listen(t)
-	ledger := hostile.NewLedger()
+	ledger := hostile.NewRecorder()
 	var replicas []*hostile.Replica
 	var addrs []string
 	for i := range 24 {
--- a/internal/testbeds/soak/check.go
+++ b/internal/testbeds/soak/check.go
@@ -28,22 +28,22 @@
 
 // The rules.
 const (
-	RuleExecutedTwice Rule = "unsafe request executed twice"
-	RuleRefusal       Rule = "request answered as not executed was executed"
-	RuleMixed         Rule = "answer does not belong to its request"
-	RuleUnasked       Rule = "request executed that no client sent"
-	RuleUnanswered    Rule = "request without an answer by its deadline from a gateway that ran"
-	RuleRead          Rule = "reads and acknowledgements are not linearizable"
-	RuleAltered       Rule = "configuration read back differs from what was sent"
-	RuleLost          Rule = "acknowledged configuration lost"
-	RuleStaleConfig   Rule = "gateway serves by an older configuration"
-	RuleConfigBack    Rule = "gateway went back to an older configuration"
-	RuleDrain         Rule = "request to a replica after its acknowledged drain"
-	RuleEvacuation    Rule = "request to an evacuated zone"
-	RuleNoAck         Rule = "order not acknowledged in calm times"
-	RuleExit          Rule = "process ended by itself"
-	RuleFinding       Rule = "daemon tells of a fault of its own"
-	RuleRecovery      Rule = "gateways did not serve again after the last fault"
+	RuleExecutedTwice    Rule = "unsafe request executed twice"
+	RuleRejectedExecuted Rule = "request answered as not executed was executed"
+	RuleResponseMismatch Rule = "answer does not belong to its request"
+	RuleUnknownRequest   Rule = "request executed that no client sent"
+	RuleDeadlineExceeded Rule = "request without an answer by its deadline from a gateway that ran"
+	RuleLinearizability  Rule = "reads and acknowledgements are not linearizable"
+	RuleConfigCorrupted  Rule = "configuration read back differs from what was sent"
+	RuleConfigLost       Rule = "acknowledged configuration lost"
+	RuleStaleConfig      Rule = "gateway serves by an older configuration"
+	RuleConfigRollback   Rule = "gateway went back to an older configuration"
+	RuleDrain            Rule = "request to a replica after its acknowledged drain"
+	RuleEvacuation       Rule = "request to an evacuated zone"
+	RuleUnacknowledged   Rule = "order not acknowledged in calm times"
+	RuleUnexpectedExit   Rule = "process ended by itself"
+	RuleInternalFault    Rule = "daemon tells of a fault of its own"
+	RuleRecovery         Rule = "gateways did not serve again after the last fault"
 )
 
 // Violation is one case in which a promise was broken.
@@ -112,15 +112,15 @@
 			j.violated(RuleExecutedTwice, request.SentAt, "%s by %s: %v", request.ID, request.Gateway, executions)
 		}
 		if promisesNotExecuted(request.Status) && len(executions) > 0 {
-			j.violated(RuleRefusal, request.SentAt, "%s was answered %d by %s: %v", request.ID, request.Status, request.Gateway, executions)
+			j.violated(RuleRejectedExecuted, request.SentAt, "%s was answered %d by %s: %v", request.ID, request.Status, request.Gateway, executions)
 		}
 		if request.Status == 200 && !matchesExecution(request, executions) {
-			j.violated(RuleMixed, request.EndedAt, "%s was answered %q by %s: %v", request.ID, request.Body, request.Gateway, executions)
+			j.violated(RuleResponseMismatch, request.EndedAt, "%s was answered %q by %s: %v", request.ID, request.Body, request.Gateway, executions)
 		}
 		took := request.EndedAt - request.SentAt
 		late := request.TimedOut || took > requestDeadline+lateAnswerSlack
 		if late && j.ranThroughout(request.Gateway, request.SentAt, request.EndedAt) {
-			j.violated(RuleUnanswered, request.SentAt, "%s (%s) had no answer of %s for %v, its deadline was %v; %d %s", request.ID, request.Kind, request.Gateway,
+			j.violated(RuleDeadlineExceeded, request.SentAt, "%s (%s) had no answer of %s for %v, its deadline was %v; %d %s", request.ID, request.Kind, request.Gateway,
 				took.Round(time.Millisecond), requestDeadline, request.Status, request.Problem)
 		}
 	}
@@ -153,7 +153,7 @@
 	for _, execution := range j.record.Executions {
 		request := j.requests[execution.RequestID]
 		if request == nil {
-			j.violated(RuleUnasked, execution.At, "%q at %s", execution.RequestID, execution.Instance)
+			j.violated(RuleUnknownRequest, execution.At, "%q at %s", execution.RequestID, execution.Instance)
 			continue
 		}
 		if !j.inTouch(request.Gateway, execution.At) || !j.inTouch(request.Gateway, request.SentAt) {
@@ -162,7 +162,7 @@
 		instance := j.instances[execution.Instance]
 		if ack := instance.AcknowledgedAt; ack > 0 && execution.At > ack+drainBound+schedulingSlack {
 			j.violated(RuleDrain, execution.At, "%s by %s at %s, whose %s %s acknowledged %v before", request.ID, request.Gateway, instance.ID,
-				instance.LeavesBy, instance.AcknowledgedBy, (execution.At - ack).Round(time.Millisecond))
+				instance.Departure, instance.AcknowledgedBy, (execution.At - ack).Round(time.Millisecond))
 		}
 		if since, evacuated := j.evacuatedSince(instance.Zone, execution.At); evacuated && execution.At > since+evacuationBound+schedulingSlack {
 			j.violated(RuleEvacuation, execution.At, "%s by %s at %s in zone %s, whose evacuation was acknowledged %v before", request.ID, request.Gateway,
@@ -219,13 +219,13 @@
 func (j *judge) checkProcesses() {
 	for _, event := range j.record.Processes {
 		if event.Event == ProcessEnded {
-			j.violated(RuleExit, event.At, "%s: %s", event.Process, event.Detail)
+			j.violated(RuleUnexpectedExit, event.At, "%s: %s", event.Process, event.Detail)
 		}
 	}
 	for _, finding := range j.record.Findings {
-		j.violated(RuleFinding, j.record.EndedAt, "%s: %s", finding.Process, finding.Text)
+		j.violated(RuleInternalFault, j.record.EndedAt, "%s: %s", finding.Process, finding.Text)
 	}
-	if j.record.Recovered == 0 {
-		j.violated(RuleRecovery, j.record.FaultsOver, "not within %v", recoveryTimeout)
+	if j.record.RecoveredAt == 0 {
+		j.violated(RuleRecovery, j.record.FaultsEndedAt, "not within %v", recoveryTimeout)
 	}
 }
--- a/internal/testbeds/soak/check_test.go
+++ b/internal/testbeds/soak/check_test.go
@@ -18,8 +18,8 @@
 			{Kind: PutOperation, Member: "member-1", Version: 5, Call: 1 * second, Return: 2 * second, Status: 200},
 			{Operator: operatorCount, Kind: ReadOperation, Member: "member-2", Version: 5, Call: 60 * second, Return: 61 * second, Status: 200},
 		},
-		Recovered: 50 * second,
-		EndedAt:   70 * second,
+		RecoveredAt: 50 * second,
+		EndedAt:     70 * second,
 	}
 }
 
@@ -37,17 +37,17 @@
 		RuleExecutedTwice: func(r *Record) {
 			r.Executions = append(r.Executions, Execution{RequestID: "r1", Instance: "i-1", At: 11 * second})
 		},
-		RuleRefusal: func(r *Record) { r.Requests[0].Status = 503 },
-		RuleMixed:   func(r *Record) { r.Requests[0].Body = "body of r2 from i-1\n" },
-		RuleUnasked: func(r *Record) {
+		RuleRejectedExecuted: func(r *Record) { r.Requests[0].Status = 503 },
+		RuleResponseMismatch: func(r *Record) { r.Requests[0].Body = "body of r2 from i-1\n" },
+		RuleUnknownRequest: func(r *Record) {
 			r.Executions = append(r.Executions, Execution{RequestID: "r9", Instance: "i-1", At: second})
 		},
-		RuleUnanswered: func(r *Record) { r.Requests[0].EndedAt = 13 * second },
-		RuleRead: func(r *Record) {
+		RuleDeadlineExceeded: func(r *Record) { r.Requests[0].EndedAt = 13 * second },
+		RuleLinearizability: func(r *Record) {
 			r.Operations = append(r.Operations, Operation{Kind: ReadOperation, Member: "member-3", Version: 4, Call: 20 * second, Return: 21 * second, Status: 200})
 		},
-		RuleAltered: func(r *Record) { r.Operations[1].Altered = true },
-		RuleLost:    func(r *Record) { r.Operations[1].Status = 503 },
+		RuleConfigCorrupted: func(r *Record) { r.Operations[1].Altered = true },
+		RuleConfigLost:      func(r *Record) { r.Operations[1].Status = 503 },
 		RuleStaleConfig: func(r *Record) {
 			r.Requests = append(r.Requests, probe(5*second, 404))
 		},
@@ -55,16 +55,16 @@
 		RuleEvacuation: func(r *Record) {
 			r.Operations = append(r.Operations, Operation{Kind: EvacuateOperation, Zone: "c", Call: 3 * second, Return: 4 * second, Status: 200})
 		},
-		RuleNoAck: func(r *Record) {
+		RuleUnacknowledged: func(r *Record) {
 			r.Operations = append(r.Operations,
 				Operation{Kind: PutOperation, Version: 6, Call: 30 * second, Return: 31 * second, Status: 503},
 				Operation{Kind: PutOperation, Version: 6, Call: 34 * second, Return: 36 * second, Status: 503})
 		},
-		RuleExit: func(r *Record) {
+		RuleUnexpectedExit: func(r *Record) {
 			r.Processes = append(r.Processes, ProcessEvent{Process: "member-1", Event: ProcessEnded, At: 40 * second})
 		},
-		RuleFinding:  func(r *Record) { r.Findings = append(r.Findings, Finding{Process: "gateway-1", Text: "panic: "}) },
-		RuleRecovery: func(r *Record) { r.Recovered = 0 },
+		RuleInternalFault: func(r *Record) { r.Findings = append(r.Findings, Finding{Process: "gateway-1", Text: "panic: "}) },
+		RuleRecovery:      func(r *Record) { r.RecoveredAt = 0 },
 	} {
 		record := soundRecord()
 		breaks(record)
@@ -78,13 +78,13 @@
 // TestCheckFindsConfigurationThatWentBack needs faults about, in which an older configuration alone would be excused.
 func TestCheckFindsConfigurationThatWentBack(t *testing.T) {
 	record := soundRecord()
-	record.Faults = []FaultEvent{{Fault: Fault{Kind: CutMember}, BeganAt: 4 * second, EndedAt: 9 * second}}
+	record.Faults = []FaultEvent{{Fault: Fault{Kind: PartitionMember}, BeganAt: 4 * second, EndedAt: 9 * second}}
 	served := probe(5*second, 200)
 	served.Body = "body of " + served.ID + " from i-1\n"
 	record.Executions = append(record.Executions, Execution{RequestID: served.ID, Instance: "i-1", At: 5 * second})
 	record.Requests = append(record.Requests, served, probe(6*second, 404))
 	violations := Check(record)
-	if len(violations) != 1 || violations[0].Rule != RuleConfigBack {
+	if len(violations) != 1 || violations[0].Rule != RuleConfigRollback {
 		t.Errorf("found %v", violations)
 	}
 	record.Processes = []ProcessEvent{{Process: "gateway-1", Event: ProcessStarted, At: 5*second + 500*time.Millisecond}}
@@ -104,7 +104,7 @@
 		{PauseMember, 8 * second, false},
 		{PauseMember, 6 * second, true},
 		{PauseGateway, 8 * second, false},
-		{HoardConnections, 8 * second, true},
+		{ExhaustControlConnections, 8 * second, true},
 		{HostileClients, 8 * second, true},
 	} {
 		record := soundRecord()
@@ -139,10 +139,10 @@
 	coverage := Coverage{}
 	coverage.Add([]FaultEvent{
 		{Fault: Fault{Kind: KillMember}, BeganAt: 0, EndedAt: 2 * second},
-		{Fault: Fault{Kind: CutMember}, BeganAt: second, EndedAt: 3 * second},
+		{Fault: Fault{Kind: PartitionMember}, BeganAt: second, EndedAt: 3 * second},
 		{Fault: Fault{Kind: PauseGateway}, BeganAt: 4 * second, EndedAt: 5 * second},
 	})
-	if len(coverage) != 1 || coverage[[2]FaultKind{CutMember, KillMember}] != 1 {
+	if len(coverage) != 1 || coverage[[2]FaultKind{PartitionMember, KillMember}] != 1 {
 		t.Errorf("coverage %v", coverage)
 	}
 }
--- a/internal/testbeds/soak/checkconfig.go
+++ b/internal/testbeds/soak/checkconfig.go
@@ -30,7 +30,7 @@
 		isPut := operation.Kind == PutOperation
 		isRead := operation.Kind == ReadOperation && operation.Acknowledged()
 		if isRead && operation.Altered {
-			j.violated(RuleAltered, operation.Return, "version %d, read at %s", operation.Version, operation.Member)
+			j.violated(RuleConfigCorrupted, operation.Return, "version %d, read at %s", operation.Version, operation.Member)
 		}
 		if !isPut && !isRead {
 			continue
@@ -58,12 +58,12 @@
 		}
 		if put := j.newestAcknowledged(read.Call); put.Version > read.Version {
 			found = true
-			j.violated(RuleRead, read.Return, "%s answered version %d, %d was acknowledged by %s at %.3f s, before the read was sent at %.3f s",
+			j.violated(RuleLinearizability, read.Return, "%s answered version %d, %d was acknowledged by %s at %.3f s, before the read was sent at %.3f s",
 				read.Member, read.Version, put.Version, put.Member, put.Return.Seconds(), read.Call.Seconds())
 		}
 	}
 	if !found {
-		j.violated(RuleRead, j.record.EndedAt, "no order of the operations explains what was answered")
+		j.violated(RuleLinearizability, j.record.EndedAt, "no order of the operations explains what was answered")
 	}
 }
 
@@ -86,11 +86,11 @@
 		}
 		answered = true
 		if put := j.newestAcknowledged(read.Call); put.Version > read.Version {
-			j.violated(RuleLost, read.Return, "%s answers version %d at the end, %d was acknowledged by %s", read.Member, read.Version, put.Version, put.Member)
+			j.violated(RuleConfigLost, read.Return, "%s answers version %d at the end, %d was acknowledged by %s", read.Member, read.Version, put.Version, put.Member)
 		}
 	}
 	if !answered {
-		j.violated(RuleLost, j.record.EndedAt, "no member answers a read at the end")
+		j.violated(RuleConfigLost, j.record.EndedAt, "no member answers a read at the end")
 	}
 }
 
@@ -114,7 +114,7 @@
 	}
 	for key, at := range first {
 		if !acknowledged[key] && last[key]-at > time.Second && j.calmBetween(at, at+ackBound) {
-			j.violated(RuleNoAck, at, "version %d, called until %.2f s", key.version, last[key].Seconds())
+			j.violated(RuleUnacknowledged, at, "version %d, called until %.2f s", key.version, last[key].Seconds())
 		}
 	}
 }
@@ -122,7 +122,7 @@
 // calmBetween tells whether nothing acted on the control plane or its callers between two moments.
 func (j *judge) calmBetween(from, to time.Duration) bool {
 	return j.settled(from) && !slices.ContainsFunc(j.record.Faults, func(fault FaultEvent) bool {
-		disturbs := fault.Kind.affectsControlPlane() || fault.Kind == LoseAnswers
+		disturbs := fault.Kind.affectsControlPlane() || fault.Kind == DropResponses
 		return disturbs && fault.BeganAt <= to && fault.EndedAt >= from-contactBound
 	})
 }
@@ -155,7 +155,7 @@
 		return
 	}
 	if seen.Version >= probe.Version && probe.SentAt > seen.EndedAt+rollbackSlack && j.sameLife(probe.Gateway, seen.SentAt, probe.EndedAt) {
-		j.violated(RuleConfigBack, probe.SentAt, "%s has no route of version %d, which it had at %.2f s", probe.Gateway, probe.Version, seen.EndedAt.Seconds())
+		j.violated(RuleConfigRollback, probe.SentAt, "%s has no route of version %d, which it had at %.2f s", probe.Gateway, probe.Version, seen.EndedAt.Seconds())
 	}
 	acknowledged := j.acknowledgedAt(probe.Version)
 	if probe.SentAt > acknowledged+configBound+schedulingSlack && j.inTouch(probe.Gateway, probe.SentAt) {
--- a/internal/testbeds/soak/cluster.go
+++ b/internal/testbeds/soak/cluster.go
@@ -71,7 +71,7 @@
 	_, _ = fmt.Fprintf(c.options.Progress, "%7.2f s  %s\n", c.now().Seconds(), fmt.Sprintf(format, arguments...)) // progress is no result
 }
 
-func (c *cluster) noteProcess(name string, change ProcessChange, detail string) {
+func (c *cluster) noteProcess(name string, change ProcessEventKind, detail string) {
 	at := c.now()
 	c.record.change(func(r *Record) {
 		r.Processes = append(r.Processes, ProcessEvent{Process: name, Event: change, At: at, Detail: detail})
@@ -143,11 +143,11 @@
 // settle waits until all gateways serve again after the last fault.
 func (c *cluster) settle(ctx context.Context) {
 	over := c.now()
-	c.record.change(func(r *Record) { r.FaultsOver = over })
+	c.record.change(func(r *Record) { r.FaultsEndedAt = over })
 	for c.now() < over+recoveryTimeout && ctx.Err() == nil {
 		if c.allServe(ctx) {
 			recovered := c.now()
-			c.record.change(func(r *Record) { r.Recovered = recovered })
+			c.record.change(func(r *Record) { r.RecoveredAt = recovered })
 			break
 		}
 		time.Sleep(ackRetryPause)
--- a/internal/testbeds/soak/hoard.go
+++ b/internal/testbeds/soak/exhaustion.go
@@ -22,7 +22,7 @@
 // manner is how a caller holds a connection until ctx ends or the daemon closes it.
 type manner func(ctx context.Context, conn net.Conn, host string)
 
-// manners are what Fault.Manner numbers.
+// manners are what Fault.HoldMode numbers.
 var manners = []manner{holdSilently, holdHalfHead, dripHead, dripBody, restAfterResponse, leaveResponseUnread}
 
 // hoard opens connections to an address and holds them until ctx ends. Each that is closed is opened again.
--- a/internal/testbeds/soak/faults.go
+++ b/internal/testbeds/soak/faults.go
@@ -59,7 +59,7 @@
 
 func (k FaultKind) isOfMembers() bool {
 	switch k {
-	case ReloadMember, LoseAnswers, HoardConnections, HoardPeers, HoardMemberFigures:
+	case ReloadMember, DropResponses, ExhaustControlConnections, ExhaustPeerConnections, ExhaustMemberMetricsConnections:
 		return true
 	case KillEverything:
 		return true
@@ -84,29 +84,29 @@
 		return reload(member)
 	case WipeMember:
 		return wipe(ctx, member)
-	case CutMember, CutMemberOneWay:
-		c.cutMember(ctx, member, fault.Kind == CutMemberOneWay)
+	case PartitionMember, PartitionMemberOneWay:
+		c.cutMember(ctx, member, fault.Kind == PartitionMemberOneWay)
 	case DelayMembers:
 		c.eachMemberLink(func(passes *relay) { passes.setDelay(memberDelay) })
 		<-ctx.Done()
 		c.eachMemberLink(func(passes *relay) { passes.setDelay(0) })
 	case ResetMembers:
 		again(ctx, func() { c.eachMemberLink((*relay).reset) })
-	case KillAcknowledger:
+	case KillAfterAck:
 		c.killAcknowledger(ctx)
-	case CutAcknowledger:
+	case PartitionBeforeAck:
 		c.cutAcknowledger(ctx, member, fault.Target)
-	case LoseAnswers:
+	case DropResponses:
 		passes := c.controlLinks[member.name]
 		passes.setLoseAnswers(true)
 		<-ctx.Done()
 		passes.setLoseAnswers(false)
-	case HoardConnections:
-		hoard(ctx, member.controlAddress(), fault.Manner)
-	case HoardPeers:
-		hoard(ctx, member.peerAddress(), fault.Manner)
-	case HoardMemberFigures:
-		hoard(ctx, member.metricsAddress(), fault.Manner)
+	case ExhaustControlConnections:
+		hoard(ctx, member.controlAddress(), fault.HoldMode)
+	case ExhaustPeerConnections:
+		hoard(ctx, member.peerAddress(), fault.HoldMode)
+	case ExhaustMemberMetricsConnections:
+		hoard(ctx, member.metricsAddress(), fault.HoldMode)
 	default:
 	}
 	return nil
@@ -125,31 +125,31 @@
 		c.rollGateways()
 	case ReloadGateway:
 		return reload(gateway)
-	case CutGateway:
+	case PartitionGateway:
 		c.cutGateway(ctx, gateway)
-	case RestartCutGateway:
+	case RestartPartitionedGateway:
 		gateway.kill()
 		c.cutGateway(ctx, gateway)
 	case ResetClients:
 		again(ctx, c.clientLinks[gateway.name].reset)
 	case CrashReplica:
 		c.fleet.crash(c.running, fault.Target)
-	case CutReplica:
+	case PartitionReplica:
 		heal := c.fleet.linkOf(fault.Target).cut()
 		<-ctx.Done()
 		heal()
-	case Misbehave:
+	case MisbehavingReplicas:
 		c.fleet.misbehave(misbehavingRequests)
 		<-ctx.Done()
 		c.fleet.behave()
 	case HostileClients:
 		sendHostile(ctx, gateway.frontAddress())
-	case HoardFront:
-		hoard(ctx, gateway.frontAddress(), fault.Manner)
-	case HoardReadiness:
-		hoard(ctx, gateway.readinessAddress(), fault.Manner)
-	case HoardFigures:
-		hoard(ctx, gateway.metricsAddress(), fault.Manner)
+	case ExhaustFrontConnections:
+		hoard(ctx, gateway.frontAddress(), fault.HoldMode)
+	case ExhaustReadinessConnections:
+		hoard(ctx, gateway.readinessAddress(), fault.HoldMode)
+	case ExhaustMetricsConnections:
+		hoard(ctx, gateway.metricsAddress(), fault.HoldMode)
 	case DeregisterReplica:
 		c.fleet.leave(c.running, fault.Target, leavesByDeregistering, "")
 	case DrainReplica:
--- a/internal/testbeds/soak/plantedfault.go
+++ b/internal/testbeds/soak/mutation.go
@@ -11,9 +11,9 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// PlantedFault is a change of the source under which a promise is broken, to see that the checker finds it. It is built in with the
+// Mutation is a change of the source under which a promise is broken, to see that the checker finds it. It is built in with the
 // go command's overlay, so that the source itself holds nothing of it.
-type PlantedFault struct {
+type Mutation struct {
 	Name     string
 	File     string // from the module's root
 	Old, New string // Old stands in the file exactly once
@@ -21,18 +21,18 @@
 	Rule     Rule // that finds it in the record, whatever invariants in the daemons say
 }
 
-// ErrFaultNotPlanted says that the text which a planted fault replaces is not, or not once, in its file.
-var ErrFaultNotPlanted = merry.Sentinel("planted fault: the text to replace does not stand in the file exactly once")
+// ErrMutationNotApplied says that the text which a planted fault replaces is not, or not once, in its file.
+var ErrMutationNotApplied = merry.Sentinel("planted fault: the text to replace does not stand in the file exactly once")
 
 // Build builds the daemons with the fault into a folder. root is the module's folder.
-func (p PlantedFault) Build(ctx context.Context, root, binDir string) error {
+func (p Mutation) Build(ctx context.Context, root, binDir string) error {
 	path := filepath.Join(root, p.File)
 	source, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
 	if strings.Count(string(source), p.Old) != 1 {
-		return merry.Prepend(ErrFaultNotPlanted, p.Name)
+		return merry.Prepend(ErrMutationNotApplied, p.Name)
 	}
 	changed := filepath.Join(binDir, "changed.go")
 	if err := os.WriteFile(changed, []byte(strings.Replace(string(source), p.Old, p.New, 1)), 0o600); err != nil {
--- a/internal/testbeds/soak/process.go
+++ b/internal/testbeds/soak/process.go
@@ -35,20 +35,20 @@
 	program string
 	dir     string
 	seeds   []string
-	report  func(ProcessChange, string)
+	report  func(ProcessEventKind, string)
 	finding func(string)
 
 	mu         sync.Mutex
 	command    *exec.Cmd
 	ended      chan struct{}
-	expected   ProcessChange // what the run is about to do to the process; empty: it is to run
-	heldDown   int           // faults that keep it down
+	expected   ProcessEventKind // what the run is about to do to the process; empty: it is to run
+	heldDown   int              // faults that keep it down
 	firstStart bool
 	finished   bool // the run is over
 	restarting sync.WaitGroup
 }
 
-func newDaemon(h host, options Options, seeds []string, report func(ProcessChange, string), finding func(string)) *daemon {
+func newDaemon(h host, options Options, seeds []string, report func(ProcessEventKind, string), finding func(string)) *daemon {
 	program := "gateway"
 	if h.isMember {
 		program = "controlplane"
@@ -164,7 +164,7 @@
 	d.endBy(ProcessStopped, syscall.SIGTERM)
 }
 
-func (d *daemon) endBy(change ProcessChange, signal syscall.Signal) {
+func (d *daemon) endBy(change ProcessEventKind, signal syscall.Signal) {
 	d.mu.Lock()
 	d.expected = change
 	command, ended := d.command, d.ended
--- a/internal/testbeds/soak/record.go
+++ b/internal/testbeds/soak/record.go
@@ -51,7 +51,7 @@
 	Zone           string        `json:"zone"`
 	AcknowledgedAt time.Duration `json:"acknowledged_at"` // of its drain or deregistration, whichever came first
 	AcknowledgedBy string        `json:"acknowledged_by"`
-	LeavesBy       string        `json:"leaves_by"` // drain or deregistration
+	Departure      string        `json:"leaves_by"` // drain or deregistration
 	EndedAt        time.Duration `json:"ended_at"`
 }
 
@@ -92,22 +92,22 @@
 
 // ProcessEvent is the start or the end of a daemon.
 type ProcessEvent struct {
-	Process string        `json:"process"`
-	Event   ProcessChange `json:"event"`
-	At      time.Duration `json:"at"`
-	Detail  string        `json:"detail,omitempty"`
+	Process string           `json:"process"`
+	Event   ProcessEventKind `json:"event"`
+	At      time.Duration    `json:"at"`
+	Detail  string           `json:"detail,omitempty"`
 }
 
-// ProcessChange says what became of a process.
-type ProcessChange string
+// ProcessEventKind says what became of a process.
+type ProcessEventKind string
 
 // The changes of processes.
 const (
-	ProcessStarted ProcessChange = "started"
-	ProcessKilled  ProcessChange = "killed" // by the run
-	ProcessStopped ProcessChange = "stopped"
-	ProcessEnded   ProcessChange = "ended" // by itself
-	ProcessReady   ProcessChange = "ready"
+	ProcessStarted ProcessEventKind = "started"
+	ProcessKilled  ProcessEventKind = "killed" // by the run
+	ProcessStopped ProcessEventKind = "stopped"
+	ProcessEnded   ProcessEventKind = "ended" // by itself
+	ProcessReady   ProcessEventKind = "ready"
 )
 
 // Finding is what a daemon itself tells that should not be: a violated invariant, a panic, a data race.
@@ -120,17 +120,17 @@
 type Record struct {
 	mu sync.Mutex
 
-	Schedule   Schedule       `json:"schedule"`
-	Requests   []Request      `json:"requests"`
-	Executions []Execution    `json:"executions"`
-	Instances  []*Instance    `json:"instances"`
-	Operations []Operation    `json:"operations"`
-	Faults     []FaultEvent   `json:"faults"`
-	Processes  []ProcessEvent `json:"processes"`
-	Findings   []Finding      `json:"findings"`
-	FaultsOver time.Duration  `json:"faults_over"` // when the last fault had ended
-	Recovered  time.Duration  `json:"recovered"`   // when all gateways served again after it; 0: they did not
-	EndedAt    time.Duration  `json:"ended_at"`
+	Schedule      Schedule       `json:"schedule"`
+	Requests      []Request      `json:"requests"`
+	Executions    []Execution    `json:"executions"`
+	Instances     []*Instance    `json:"instances"`
+	Operations    []Operation    `json:"operations"`
+	Faults        []FaultEvent   `json:"faults"`
+	Processes     []ProcessEvent `json:"processes"`
+	Findings      []Finding      `json:"findings"`
+	FaultsEndedAt time.Duration  `json:"faults_over"` // when the last fault had ended
+	RecoveredAt   time.Duration  `json:"recovered"`   // when all gateways served again after it; 0: they did not
+	EndedAt       time.Duration  `json:"ended_at"`
 }
 
 // change changes the record under its lock.
--- a/internal/testbeds/soak/replica.go
+++ b/internal/testbeds/soak/replica.go
@@ -206,7 +206,7 @@
 	})
 }
 
-// Values of Instance.LeavesBy.
+// Values of Instance.Departure.
 const (
 	leavesByDraining      = "drain"
 	leavesByDeregistering = "deregistration"
@@ -226,7 +226,7 @@
 	if acknowledged {
 		now := f.cluster.now()
 		f.cluster.record.change(func(*Record) {
-			r.instance.AcknowledgedAt, r.instance.AcknowledgedBy, r.instance.LeavesBy = now, member, by
+			r.instance.AcknowledgedAt, r.instance.AcknowledgedBy, r.instance.Departure = now, member, by
 		})
 	}
 	return acknowledged
--- a/internal/testbeds/soak/schedule.go
+++ b/internal/testbeds/soak/schedule.go
@@ -12,74 +12,74 @@
 
 // Faults of control-plane members. Target numbers a member.
 const (
-	KillMember       FaultKind = "kill_member"        // SIGKILL, restarted after the fault
-	PauseMember      FaultKind = "pause_member"       // SIGSTOP, SIGCONT
-	StopMember       FaultKind = "stop_member"        // SIGTERM, restarted after its end
-	ReloadMember     FaultKind = "reload_member"      // settings written anew, SIGHUP
-	WipeMember       FaultKind = "wipe_member"        // SIGKILL, its folder emptied, restarted with first_start false
-	CutMember        FaultKind = "cut_member"         // from the other members, in both directions
-	CutMemberOneWay  FaultKind = "cut_member_one_way" // what it sends to the others
-	DelayMembers     FaultKind = "delay_members"      // everything between members
-	ResetMembers     FaultKind = "reset_members"      // connections between members, again and again
-	KillAllMembers   FaultKind = "kill_all_members"
-	KillEverything   FaultKind = "kill_everything" // members and gateways
-	KillAcknowledger FaultKind = "kill_after_ack"  // the member that acknowledges next, at once
-	CutAcknowledger  FaultKind = "cut_before_ack"  // a member from the others while a replica deregisters there
-	LoseAnswers      FaultKind = "lose_answers"    // of the control calls
+	KillMember            FaultKind = "kill_member"        // SIGKILL, restarted after the fault
+	PauseMember           FaultKind = "pause_member"       // SIGSTOP, SIGCONT
+	StopMember            FaultKind = "stop_member"        // SIGTERM, restarted after its end
+	ReloadMember          FaultKind = "reload_member"      // settings written anew, SIGHUP
+	WipeMember            FaultKind = "wipe_member"        // SIGKILL, its folder emptied, restarted with first_start false
+	PartitionMember       FaultKind = "cut_member"         // from the other members, in both directions
+	PartitionMemberOneWay FaultKind = "cut_member_one_way" // what it sends to the others
+	DelayMembers          FaultKind = "delay_members"      // everything between members
+	ResetMembers          FaultKind = "reset_members"      // connections between members, again and again
+	KillAllMembers        FaultKind = "kill_all_members"
+	KillEverything        FaultKind = "kill_everything" // members and gateways
+	KillAfterAck          FaultKind = "kill_after_ack"  // the member that acknowledges next, at once
+	PartitionBeforeAck    FaultKind = "cut_before_ack"  // a member from the others while a replica deregisters there
+	DropResponses         FaultKind = "lose_answers"    // of the control calls
 
 	// Callers hold connections to a port of a member. Target says which member.
-	HoardConnections   FaultKind = "hoard_connection" // control
-	HoardPeers         FaultKind = "hoard_peers"
-	HoardMemberFigures FaultKind = "hoard_member_figures"
+	ExhaustControlConnections       FaultKind = "hoard_connection" // control
+	ExhaustPeerConnections          FaultKind = "hoard_peers"
+	ExhaustMemberMetricsConnections FaultKind = "hoard_member_figures"
 )
 
 // Faults of gateways, replicas and clients. Target numbers a gateway or a replica.
 const (
-	KillGateway       FaultKind = "kill_gateway"
-	PauseGateway      FaultKind = "pause_gateway"
-	StopGateway       FaultKind = "stop_gateway"
-	RollGateways      FaultKind = "roll_gateways" // all are stopped and started in turn
-	ReloadGateway     FaultKind = "reload_gateway"
-	CutGateway        FaultKind = "cut_gateway"     // from all members
-	RestartCutGateway FaultKind = "restart_cut_off" // killed and restarted while it reaches no member
-	ResetClients      FaultKind = "reset_clients"   // connections of clients to a gateway, again and again
-	CrashReplica      FaultKind = "crash_replica"
-	CutReplica        FaultKind = "cut_replica"
-	Misbehave         FaultKind = "misbehaving_replicas"
-	HostileClients    FaultKind = "hostile_clients"
-	DeregisterReplica FaultKind = "deregister_replica" // planned: without draining before
-	DrainReplica      FaultKind = "drain_replica"      // planned
+	KillGateway               FaultKind = "kill_gateway"
+	PauseGateway              FaultKind = "pause_gateway"
+	StopGateway               FaultKind = "stop_gateway"
+	RollGateways              FaultKind = "roll_gateways" // all are stopped and started in turn
+	ReloadGateway             FaultKind = "reload_gateway"
+	PartitionGateway          FaultKind = "cut_gateway"     // from all members
+	RestartPartitionedGateway FaultKind = "restart_cut_off" // killed and restarted while it reaches no member
+	ResetClients              FaultKind = "reset_clients"   // connections of clients to a gateway, again and again
+	CrashReplica              FaultKind = "crash_replica"
+	PartitionReplica          FaultKind = "cut_replica"
+	MisbehavingReplicas       FaultKind = "misbehaving_replicas"
+	HostileClients            FaultKind = "hostile_clients"
+	DeregisterReplica         FaultKind = "deregister_replica" // planned: without draining before
+	DrainReplica              FaultKind = "drain_replica"      // planned
 
 	// Callers hold connections to a port of a gateway. Target says which gateway.
-	HoardFront     FaultKind = "hoard_front"
-	HoardReadiness FaultKind = "hoard_readiness"
-	HoardFigures   FaultKind = "hoard_figures"
+	ExhaustFrontConnections     FaultKind = "hoard_front"
+	ExhaustReadinessConnections FaultKind = "hoard_readiness"
+	ExhaustMetricsConnections   FaultKind = "hoard_figures"
 )
 
 // generatedKinds are the kinds that Generate draws from, each as often as it is listed.
 var generatedKinds = []FaultKind{
-	KillMember, PauseMember, StopMember, ReloadMember, WipeMember, CutMember, CutMember, CutMemberOneWay, DelayMembers, ResetMembers,
-	KillAllMembers, KillEverything, KillAcknowledger, CutAcknowledger, LoseAnswers, HoardConnections, HoardPeers, HoardMemberFigures,
-	HoardFront, HoardFront, HoardReadiness, HoardFigures,
-	KillGateway, PauseGateway, StopGateway, RollGateways, ReloadGateway, CutGateway, RestartCutGateway, ResetClients,
-	CrashReplica, CutReplica, Misbehave, HostileClients, DeregisterReplica, DeregisterReplica, DrainReplica,
+	KillMember, PauseMember, StopMember, ReloadMember, WipeMember, PartitionMember, PartitionMember, PartitionMemberOneWay, DelayMembers, ResetMembers,
+	KillAllMembers, KillEverything, KillAfterAck, PartitionBeforeAck, DropResponses, ExhaustControlConnections, ExhaustPeerConnections, ExhaustMemberMetricsConnections,
+	ExhaustFrontConnections, ExhaustFrontConnections, ExhaustReadinessConnections, ExhaustMetricsConnections,
+	KillGateway, PauseGateway, StopGateway, RollGateways, ReloadGateway, PartitionGateway, RestartPartitionedGateway, ResetClients,
+	CrashReplica, PartitionReplica, MisbehavingReplicas, HostileClients, DeregisterReplica, DeregisterReplica, DrainReplica,
 }
 
 // Fault is one fault of a schedule. Times count from the schedule's begin.
 type Fault struct {
-	Kind   FaultKind     `json:"kind"`
-	At     time.Duration `json:"at"`
-	For    time.Duration `json:"for"`
-	Target int           `json:"target"`
-	Manner int           `json:"manner,omitempty"` // how connections are held, see manners
+	Kind     FaultKind     `json:"kind"`
+	At       time.Duration `json:"at"`
+	For      time.Duration `json:"for"`
+	Target   int           `json:"target"`
+	HoldMode int           `json:"manner,omitempty"` // how connections are held, see manners
 }
 
 // affectsControlPlane tells whether a fault leaves the control plane unsettled, by the users' words: what callers and replicas do is
 // no excuse.
 func (k FaultKind) affectsControlPlane() bool {
 	switch k {
-	case KillMember, PauseMember, StopMember, WipeMember, CutMember, CutMemberOneWay, DelayMembers, ResetMembers, KillAllMembers,
-		KillEverything, KillAcknowledger, CutAcknowledger:
+	case KillMember, PauseMember, StopMember, WipeMember, PartitionMember, PartitionMemberOneWay, DelayMembers, ResetMembers, KillAllMembers,
+		KillEverything, KillAfterAck, PartitionBeforeAck:
 		return true
 	}
 	return false
@@ -88,7 +88,7 @@
 // affectsGateways tells whether a fault acts on a gateway's process or links.
 func (k FaultKind) affectsGateways() bool {
 	switch k {
-	case KillGateway, PauseGateway, StopGateway, RollGateways, ReloadGateway, CutGateway, RestartCutGateway, ResetClients, KillEverything:
+	case KillGateway, PauseGateway, StopGateway, RollGateways, ReloadGateway, PartitionGateway, RestartPartitionedGateway, ResetClients, KillEverything:
 		return true
 	}
 	return false
@@ -142,11 +142,11 @@
 		Target: random.IntN(maxTarget),
 	}
 	switch fault.Kind {
-	case HoardConnections, HoardPeers, HoardMemberFigures, HoardFront, HoardReadiness, HoardFigures:
-		fault.Manner = random.IntN(len(manners))
+	case ExhaustControlConnections, ExhaustPeerConnections, ExhaustMemberMetricsConnections, ExhaustFrontConnections, ExhaustReadinessConnections, ExhaustMetricsConnections:
+		fault.HoldMode = random.IntN(len(manners))
 	default:
 	}
-	if fault.Kind == RestartCutGateway {
+	if fault.Kind == RestartPartitionedGateway {
 		fault.For += requestDeadline // shorter, no client would notice
 	}
 	return fault
--- a/internal/testbeds/soak/soak_run_test.go
+++ b/internal/testbeds/soak/soak_run_test.go
@@ -69,26 +69,26 @@
 }
 
 // plantedFaults are the faults that the checker must find.
-var plantedFaults = []PlantedFault{
+var plantedFaults = []Mutation{
 	{
 		Name: "an order is acknowledged before the tail has it",
 		File: "controlplane/coordinator/proposal.go",
 		Old:  "case proposal.accepted && step.isCommitted(proposal.commitCondition):",
 		New:  "case proposal.accepted:",
 		Schedule: Schedule{Seed: 1, Faults: []Fault{
-			{Kind: CutMember, At: 0, For: 2 * time.Second, Target: 0},
-			{Kind: CutMember, At: 6 * time.Second, For: 2 * time.Second, Target: 1},
-			{Kind: CutMember, At: 12 * time.Second, For: 2 * time.Second, Target: 2},
-			{Kind: CutMember, At: 18 * time.Second, For: 2 * time.Second, Target: 0},
+			{Kind: PartitionMember, At: 0, For: 2 * time.Second, Target: 0},
+			{Kind: PartitionMember, At: 6 * time.Second, For: 2 * time.Second, Target: 1},
+			{Kind: PartitionMember, At: 12 * time.Second, For: 2 * time.Second, Target: 2},
+			{Kind: PartitionMember, At: 18 * time.Second, For: 2 * time.Second, Target: 0},
 		}},
-		Rule: RuleRead,
+		Rule: RuleLinearizability,
 	},
 	{
 		Name:     "an unsafe request is sent again though it may have been executed",
 		File:     "dataplane/retry/retry.go",
 		Old:      "case execution == MayHaveExecuted && !state.Idempotent:",
 		New:      "case execution == MayHaveExecuted && !state.Idempotent && state.Attempts < 0:",
-		Schedule: Schedule{Seed: 2, Faults: []Fault{{Kind: Misbehave, At: 0, For: 2 * time.Second}}},
+		Schedule: Schedule{Seed: 2, Faults: []Fault{{Kind: MisbehavingReplicas, At: 0, For: 2 * time.Second}}},
 		Rule:     RuleExecutedTwice,
 	},
 	{
@@ -122,7 +122,7 @@
 // plantedAttempts bounds the runs in which a planted fault may show: real processes do not repeat by seed.
 const plantedAttempts = 3
 
-func findPlanted(t *testing.T, planted PlantedFault, network byte) {
+func findPlanted(t *testing.T, planted Mutation, network byte) {
 	t.Helper()
 	binDir := t.TempDir()
 	if err := planted.Build(context.Background(), absolute(t, moduleRoot), binDir); err != nil {
--- a/internal/testbeds/soak/topology.go
+++ b/internal/testbeds/soak/topology.go
@@ -37,7 +37,7 @@
 		}
 	}
 	for _, h := range hosts {
-		report := func(change ProcessChange, detail string) { c.noteProcess(h.name, change, detail) }
+		report := func(change ProcessEventKind, detail string) { c.noteProcess(h.name, change, detail) }
 		finding := func(text string) { c.noteFinding(h.name, text) }
 		d := newDaemon(h, c.options, seeds, report, finding)
 		if h.isMember {
--- a/internal/testbeds/standin/hostile/replica.go
+++ b/internal/testbeds/standin/hostile/replica.go
@@ -1,6 +1,6 @@
 // Package hostile holds stand-ins that do, by a seed, what the gateway must bear: replicas that break off, stay silent,
 // truncate, double, delay and forge responses, and clients that send slowly, by halves, ambiguously and not to the end. A
-// Ledger keeps what was executed, so that tests can match responses to requests by content and count executions.
+// Recorder keeps what was executed, so that tests can match responses to requests by content and count executions.
 package hostile
 
 import (
@@ -39,7 +39,7 @@
 // Replica is one hostile replica. Serve takes its connections.
 type Replica struct {
 	FaultRate float64 // of requests that are met by a hostile behaviour
-	Ledger    *Ledger
+	Recorder  *Recorder
 
 	mu  sync.Mutex
 	id  string
@@ -47,8 +47,8 @@
 }
 
 // New makes a replica whose behaviours follow from the seed.
-func New(id string, seed uint64, faultRate float64, ledger *Ledger) *Replica {
-	return &Replica{id: id, FaultRate: faultRate, Ledger: ledger, rng: rand.New(rand.NewPCG(seed, 7))}
+func New(id string, seed uint64, faultRate float64, recorder *Recorder) *Replica {
+	return &Replica{id: id, FaultRate: faultRate, Recorder: recorder, rng: rand.New(rand.NewPCG(seed, 7))}
 }
 
 // SetID gives the address to another instance. Its connections stay: it answers 421 to requests on them for the earlier one.
@@ -104,7 +104,7 @@
 	}
 	chance := r.draw()
 	if chance.fault < r.FaultRate/earlyRejectionPart && request.ContentLength > 0 {
-		r.Ledger.recordBehaviour("early_refusal")
+		r.Recorder.recordBehaviour("early_refusal")
 		c.write(rejection(id, http.StatusServiceUnavailable))
 		if chance.random%2 == 0 {
 			c.reset()
@@ -116,7 +116,7 @@
 		return false
 	}
 	if target := request.Header.Get("X-Target-Instance"); target != "" && target != r.currentID() {
-		r.Ledger.recordBehaviour("another_instance")
+		r.Recorder.recordBehaviour("another_instance")
 		c.write(rejection(id, http.StatusMisdirectedRequest))
 		return true
 	}
@@ -126,14 +126,14 @@
 		x.execute()
 		head, _, _ := strings.Cut(x.response, "\r\n\r\n")
 		c.write(head + "\r\n\r\n")
-		r.Ledger.recordBehaviour("head")
+		r.Recorder.recordBehaviour("head")
 		return true
 	case chance.fault >= r.FaultRate:
 		x.execute()
 		c.write(x.response)
-		r.Ledger.recordBehaviour("well")
+		r.Recorder.recordBehaviour("well")
 	default:
-		r.Ledger.recordBehaviour(chance.behaviour.name)
+		r.Recorder.recordBehaviour(chance.behaviour.name)
 		if !chance.behaviour.respond(x) {
 			return false
 		}
@@ -145,7 +145,7 @@
 func (r *Replica) newExchange(c *replicaConn, request *http.Request, body []byte, random int) *exchange {
 	id := request.Header.Get("X-Attempt-Id")
 	x := &exchange{replicaConn: c, id: id, otherID: fmt.Sprint("other-", random), random: random}
-	x.execute = func() { r.Ledger.recordExecution(id) }
+	x.execute = func() { r.Recorder.recordExecution(id) }
 	x.body = ResponseBody(id, request.Method, request.RequestURI, body)
 	x.head = "X-Attempt-Id: " + id + "\r\nX-Response-Seal: seal-" + id + "\r\nX-Instance-Load: 1,0,64\r\n"
 	x.response = "HTTP/1.1 200 OK\r\n" + x.head + "Keep-Alive: timeout=10\r\nContent-Length: " + strconv.Itoa(len(x.body)) + "\r\n\r\n" + x.body
--- a/internal/tools/demo/cluster.go
+++ b/internal/tools/demo/cluster.go
@@ -126,7 +126,7 @@
 }
 
 func (c *Cluster) startReplicas(ctx context.Context, count int, faults FaultInjection) error {
-	ledger := hostile.NewLedger()
+	ledger := hostile.NewRecorder()
 	for i := range count {
 		replica, err := upstream.Start(fmt.Sprintf("i-demo-%d", i+1))
 		if err != nil {
