--- a/internal/governor/daemon/daemon.go
+++ b/internal/governor/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs a governor: it takes it through its phases, owns the clock and the timers, and has the one goroutine
-// that decides.
+// Package daemon runs a governor process: startup, reload and shutdown, the clock and timers, and the single-goroutine event
+// loop in which all decisions are made.
 package daemon
 
 import (
@@ -27,43 +27,43 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Phase is the state of a Daemon between start and exit.
+// Phase is a stage in the life cycle of a Daemon.
 type Phase string
 
-// Phases, in their order.
+// Phases, in order.
 const (
-	Starting  Phase = "starting"  // the first step is taken; nothing is listened on
-	Serving   Phase = "serving"   // proxies join
-	Reloading Phase = "reloading" // the configuration is read again; Serving follows
-	Stopping  Phase = "stopping"  // connections are being closed
+	Starting  Phase = "starting"  // initializing; no connections are accepted
+	Serving   Phase = "serving"   // accepting connections
+	Reloading Phase = "reloading" // rereading the configuration; Serving follows
+	Stopping  Phase = "stopping"  // closing connections
 	Stopped   Phase = "stopped"
 )
 
-// Daemon owns the governor, the clock and the timers. All of its fields belong to the goroutine of Run.
+// Daemon owns the governor, the clock and the timers. Its fields may be accessed only by the goroutine that calls Run.
 type Daemon struct {
-	phase Phase
-	conf  config.Config
-	log   zerolog.Logger
+	phase  Phase
+	config config.Config
+	log    zerolog.Logger
 
 	startedAt time.Time
-	timers    []timer // soonest first
+	timers    []timer // earliest first
 	governor  rules.Governor
 
-	intake           *intake.Aggregator // nil: reports are passed on as they come
+	intake           *intake.Aggregator // nil: reports are not aggregated
 	intakeLoggedAt   time.Time
 	countsSinceLog   intake.Counts
 	countsSinceStart intake.Counts
 
-	recovery   *recovery.Recovery              // after a start from disk, until discovery has confirmed the list
-	entries    map[rules.ReplicaID]rules.Entry // the current endpoint list; nil where no state is kept
-	writer     *store.Writer                   // nil: no state is kept
+	recovery   *recovery.Recovery              // non-nil from a start with restored state until discovery confirms the list
+	entries    map[rules.ReplicaID]rules.Entry // the current endpoint list; nil if state is not persisted
+	writer     *store.Writer                   // nil: state is not persisted
 	nextSaveAt time.Time
 
-	graphite       *graphite.Sender // nil: nothing is sent
+	graphite       *graphite.Sender // nil: Graphite export is disabled
 	nextSnapshotAt time.Time
 
 	counts     counts.Counter
-	background sync.WaitGroup // goroutines beside those of clients and discovery
+	background sync.WaitGroup // goroutines other than those of clients and discovery
 
 	reloadSignals <-chan os.Signal
 	reloadConfig  ReloadFunc
@@ -73,26 +73,26 @@
 	discovery *discoveryclient.Client
 }
 
-// ReloadFunc reads the configuration again, given the current one. It returns the one that holds from now on, and the keys
-// whose changes wait for the next start.
+// ReloadFunc rereads the configuration. It returns the configuration to use from now on and the keys whose changes take
+// effect only after a restart.
 type ReloadFunc func(current config.Config) (c config.Config, pending []string, err error)
 
-// New returns a Daemon that has not started.
+// New returns a Daemon that does nothing until Run.
 func New(c config.Config, log zerolog.Logger) *Daemon {
-	return &Daemon{conf: c, log: log}
+	return &Daemon{config: c, log: log}
 }
 
-// Run takes the governor through all phases. Each value of reloadSignals has the configuration read again. It returns nil
-// when ctx has ended and everything is closed, or the error that prevented the start or ended the governor.
+// Run serves until ctx is done, and reloads the configuration on each value from reloadSignals. It returns nil after a clean
+// shutdown, or the error that prevented the start or stopped the governor.
 func (d *Daemon) Run(ctx context.Context, listen func() (net.Listener, error), reloadSignals <-chan os.Signal, reload ReloadFunc) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	d.startedAt, d.reloadSignals, d.reloadConfig = time.Now(), reloadSignals, reload
 	d.setPhase(Starting)
 	d.setResourceLimits()
-	d.connectParts(ctx)
-	firstFacts := d.firstFacts()
-	if d.writer != nil { // it closes the file however the start goes
+	d.buildComponents(ctx)
+	initialEvents := d.loadInitialEvents()
+	if d.writer != nil { // started first, as it closes the file even if startup fails
 		d.background.Go(func() { d.writer.Run(ctx) })
 	}
 	listener, collectdConn, err := d.openSockets(ctx, listen)
@@ -102,7 +102,7 @@
 		return err
 	}
 	defer d.stop(listener, cancel)
-	if err := d.step(firstFacts); err != nil {
+	if err := d.step(initialEvents); err != nil {
 		return err
 	}
 	d.setPhase(Serving)
@@ -117,44 +117,44 @@
 	d.phase = p
 }
 
-// setResourceLimits has the runtime use no more than the configured cores and three quarters of the memory.
+// setResourceLimits limits the Go runtime to the configured cores and to three quarters of the configured memory.
 func (d *Daemon) setResourceLimits() {
-	runtime.GOMAXPROCS(max(int(d.conf.Limits.Cores), 1))
-	debug.SetMemoryLimit(d.conf.Limits.MemoryMB << 20 / 4 * 3)
+	runtime.GOMAXPROCS(max(int(d.config.Limits.Cores), 1))
+	debug.SetMemoryLimit(d.config.Limits.MemoryMB << 20 / 4 * 3)
 }
 
-// connectParts makes the queue and what it connects.
-func (d *Daemon) connectParts(ctx context.Context) {
-	d.queue = eventqueue.New(d.conf.Bounds.QueueLength)
-	d.discovery = discoveryclient.New(ctx, d.conf, d.log, func(list rules.List) { d.queue.Post(eventqueue.Input{Event: list}) })
-	d.clients = clients.New(d.conf, d.log, d.queue, &d.counts)
-	if d.conf.Operator.Intake.Enabled() || d.conf.Operator.Collectd.Listen != "" {
-		d.intake, d.intakeLoggedAt = intake.New(d.conf.IntakeSettings()), time.Now()
+// buildComponents creates the queue and the components that it connects.
+func (d *Daemon) buildComponents(ctx context.Context) {
+	d.queue = eventqueue.New(d.config.Bounds.QueueLength)
+	d.discovery = discoveryclient.New(ctx, d.config, d.log, func(list rules.List) { d.queue.Post(eventqueue.Input{Event: list}) })
+	d.clients = clients.New(d.config, d.log, d.queue, &d.counts)
+	if d.config.Operator.Intake.Enabled() || d.config.Operator.Collectd.Listen != "" {
+		d.intake, d.intakeLoggedAt = intake.New(d.config.IntakeSettings()), time.Now()
 	}
 	d.queue.Connect(d.clients, d.discovery)
 }
 
-// firstFacts returns what the governor starts with: the settings, and the endpoint list from disk or else from the
-// configuration.
-func (d *Daemon) firstFacts() []rules.Event {
-	facts := []rules.Event{rules.Start{Seed: d.conf.Seed, Settings: d.conf.Settings.Settings}}
+// loadInitialEvents returns the events of the first step: the settings, and the endpoint list from the state on disk or else
+// from the configuration.
+func (d *Daemon) loadInitialEvents() []rules.Event {
+	events := []rules.Event{rules.Start{Seed: d.config.Seed, Settings: d.config.Settings.Settings}}
 	restored, writer := d.restoreState()
 	d.writer = writer
 	if len(restored) > 0 {
-		return append(facts, restored...)
+		return append(events, restored...)
 	}
-	if len(d.conf.CachedList) == 0 {
-		return facts
+	if len(d.config.CachedList) == 0 {
+		return events
 	}
-	known, err := d.discovery.LoadCachedList(d.conf.CachedList)
-	if err != nil { // no reason not to serve: discovery has the full list
+	cached, err := d.discovery.LoadCachedList(d.config.CachedList)
+	if err != nil { // not fatal: discovery provides the full list
 		d.log.Warn().Err(err).Msg("list failure")
-		return facts
+		return events
 	}
-	return append(facts, known)
+	return append(events, cached)
 }
 
-// openSockets opens the address of the clients and, where it is configured, that for load reports.
+// openSockets opens the listener for clients and, if configured, the UDP socket for collectd.
 func (d *Daemon) openSockets(ctx context.Context, listen func() (net.Listener, error)) (net.Listener, net.PacketConn, error) {
 	listener, err := listen()
 	if err != nil {
@@ -168,7 +168,7 @@
 	return listener, collectdConn, nil
 }
 
-// stop closes everything and waits until all goroutines have ended.
+// stop closes all components and waits for their goroutines.
 func (d *Daemon) stop(listener net.Listener, cancel context.CancelFunc) {
 	d.setPhase(Stopping)
 	closeListener(listener)
@@ -180,29 +180,31 @@
 	d.setPhase(Stopped)
 }
 
-// closeListener closes a listener that is not used any more. There is nothing to be done about an error.
+// closeListener closes a listener. The error is ignored because the listener is no longer used.
 func closeListener(l net.Listener) { _ = l.Close() }
 
-// reload takes over what the configuration says now. A faulty one changes nothing.
+// reload applies the changes in the configuration that can take effect without a restart. An invalid configuration is logged
+// and ignored.
 func (d *Daemon) reload() {
 	d.setPhase(Reloading)
 	defer d.setPhase(Serving)
-	c, pending, err := d.reloadConfig(d.conf)
+	c, pending, err := d.reloadConfig(d.config)
 	if err != nil {
 		d.log.Error().Err(err).Msg("reload failed")
 		return
 	}
-	d.log.Info().Str("discovery", c.Discovery).Str("from", d.conf.Discovery).Strs("at the next start", pending).Msg("reload")
-	if c.Discovery != d.conf.Discovery {
+	d.log.Info().Str("discovery", c.Discovery).Str("from", d.config.Discovery).Strs("at the next start", pending).Msg("reload")
+	if c.Discovery != d.config.Discovery {
 		d.discovery.SetAddress(c.Discovery)
 	}
-	d.conf = c
+	d.config = c
 }
 
-// listenCollectd opens the address for load reports of machines, where the operator file names one.
+// listenCollectd opens the UDP socket for collectd, or returns nil if the operator file has no address for it.
 func (d *Daemon) listenCollectd(ctx context.Context) (net.PacketConn, error) {
-	if d.conf.Operator.Collectd.Listen == "" {
+	if d.config.Operator.Collectd.Listen == "" {
 		return nil, nil
 	}
-	return collectd.Listen(context.WithoutCancel(ctx), d.conf.Operator.Collectd.Listen) // a signal during the start is no failure of it
+	// A stop signal during startup must not be reported as a failure to listen.
+	return collectd.Listen(context.WithoutCancel(ctx), d.config.Operator.Collectd.Listen)
 }
--- a/internal/governor/daemon/daemon_test.go
+++ b/internal/governor/daemon/daemon_test.go
@@ -24,8 +24,8 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// conf returns a configuration of three proxies, two groups and two replicas.
-func conf() config.Config {
+// testConfig returns a configuration with three proxies, two traffic groups and two replicas.
+func testConfig() config.Config {
 	return config.Config{Name: "n0", Limits: config.Limits{Cores: 1, MemoryMB: 192}, Discovery: "127.0.0.1:0",
 		CachedList: []byte(`{"version":1,"full":true,"servers":[{"id":"r1","zone":"a","state":"ready"},{"id":"r2","zone":"a","state":"ready"}]}`),
 		Settings: config.Settings{Zones: []string{"a"}, Tick: 4 * time.Millisecond, Settings: rules.Settings{
@@ -36,78 +36,77 @@
 			MaxReportedTime: time.Minute, JoinTimeout: 10 * time.Second, AcknowledgeTimeout: time.Minute, MaxUnsentBytes: 1 << 20, MaxTotalUnsentBytes: 1 << 20, CountLogInterval: time.Hour, WriteTimeout: time.Second, LateTimerThreshold: 50 * time.Millisecond}}
 }
 
-// TestLife goes from start to exit: a heartbeat, two joins that arrive together, their tables in one message each, three
-// signals to reload, of which one finds a faulty file, and a stop right after them that closes all connections. No reload
-// writes to a proxy.
+// TestLife runs a daemon from start to exit. Two proxies that join together get one message each, reloads (one of them with
+// an invalid file) send nothing to proxies, and a stop during reloads closes all connections.
 func TestLife(t *testing.T) {
 	var trace, log strings.Builder
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		l := testkit.Listen()
-		d := New(conf(), zerolog.New(&log))
+		d := New(testConfig(), zerolog.New(&log))
 		done := make(chan error)
-		hups := make(chan os.Signal)
-		files := []string{"127.0.0.1:1", "", "127.0.0.1:1"}
-		reload := func(now config.Config) (config.Config, []string, error) {
-			if now.Discovery, files = files[0], files[1:]; now.Discovery == "" {
-				return conf(), nil, errors.New("settings: the key is missing")
+		reloadSignals := make(chan os.Signal)
+		addresses := []string{"127.0.0.1:1", "", "127.0.0.1:1"}
+		reload := func(current config.Config) (config.Config, []string, error) {
+			if current.Discovery, addresses = addresses[0], addresses[1:]; current.Discovery == "" {
+				return testConfig(), nil, errors.New("settings: the key is missing")
 			}
-			return now, []string{"limits"}, nil
+			return current, []string{"limits"}, nil
 		}
-		go func() { done <- d.Run(ctx, func() (net.Listener, error) { return l, nil }, hups, reload) }()
-		var heard [3]chan string
+		go func() { done <- d.Run(ctx, func() (net.Listener, error) { return l, nil }, reloadSignals, reload) }()
+		var received [3]chan string
 		for i, first := range []string{"hb", "attach sidecar 0 az a share 2 standing 1", "attach sidecar 1 az a share 2 standing 1"} {
 			c, err := l.Dial(ctx, "", "")
 			if err != nil {
 				t.Fatal(err)
 			}
-			heard[i] = make(chan string, 10)
+			received[i] = make(chan string, 10)
 			go func() {
 				_, _ = c.Write(resp.Append(nil, strings.Fields(first)...))
 				in := resp.NewReader(c, 1<<20, 64)
 				for {
 					words, err := in.NextStrings()
 					if err != nil {
-						heard[i] <- "ended"
+						received[i] <- "ended"
 						return
 					}
-					heard[i] <- strings.Join(words, " ")
+					received[i] <- strings.Join(words, " ")
 				}
 			}()
 			synctest.Wait()
 		}
-		time.Sleep(10 * time.Millisecond) // on the bubble's clock
+		time.Sleep(10 * time.Millisecond) // fake clock
 		synctest.Wait()
 		for range 3 {
-			hups <- syscall.SIGHUP
+			reloadSignals <- syscall.SIGHUP
 		}
 		stop()
-		begun := time.Now()
+		stoppedAt := time.Now()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-		fmt.Fprintf(&trace, "stopped within %v, phase %s\n", time.Since(begun), d.phase)
+		fmt.Fprintf(&trace, "stopped within %v, phase %s\n", time.Since(stoppedAt), d.phase)
 		synctest.Wait()
-		for i, h := range heard {
-			for len(h) > 0 {
-				fmt.Fprintf(&trace, "%d <- %s\n", i, <-h)
+		for i, messages := range received {
+			for len(messages) > 0 {
+				fmt.Fprintf(&trace, "%d <- %s\n", i, <-messages)
 			}
 		}
 	})
 	testkit.CompareTrace(t, trace.String()+regexp.MustCompile(`"time":"[^"]*",`).ReplaceAllString(log.String(), ""))
 }
 
-// TestHeldUp has a timer that is long overdue while reports still come in, as after the process was suspended: they are taken
-// in before it. A timer that is in time waits no longer than a tick.
+// TestHeldUp checks that pending reports are read before a timer that is long overdue, as after the process was suspended,
+// and that a timer that is on time waits no longer than a tick.
 func TestHeldUp(t *testing.T) {
 	var trace strings.Builder
 	for _, late := range []time.Duration{0, time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			d := New(conf(), zerolog.Nop())
+			d := New(testConfig(), zerolog.Nop())
 			d.startedAt = time.Now()
 			d.queue = eventqueue.New(100)
 			d.timers = []timer{{d.now(), 7}, {d.now() + rules.Time(time.Hour), 8}}
-			time.Sleep(late) // on the bubble's clock
+			time.Sleep(late) // fake clock
 			go func() {
 				for i := range 4 {
 					d.queue.Post(eventqueue.Input{Event: rules.EndpointStats{Attempts: i}})
@@ -115,7 +114,7 @@
 				}
 			}()
 			fmt.Fprintf(&trace, "%v late:", late)
-			for _, f := range d.nextFacts(t.Context(), time.NewTimer(0)) {
+			for _, f := range d.nextEvents(t.Context(), time.NewTimer(0)) {
 				fmt.Fprintf(&trace, " %s", testkit.TraceType(f))
 			}
 			fmt.Fprintln(&trace)
@@ -125,27 +124,27 @@
 	testkit.CompareTrace(t, trace.String())
 }
 
-// TestStartFails has an address that can't be opened, and a known list that can't be read, which is no reason not to serve.
+// TestStartFails checks that an address that cannot be opened fails the start, and that an invalid cached list does not.
 func TestStartFails(t *testing.T) {
-	no := func() (net.Listener, error) { return nil, errors.New("address in use") }
-	if err := New(conf(), zerolog.Nop()).Run(t.Context(), no, nil, nil); err == nil || !strings.Contains(err.Error(), "LB_LISTEN: address in use") {
+	failListen := func() (net.Listener, error) { return nil, errors.New("address in use") }
+	if err := New(testConfig(), zerolog.Nop()).Run(t.Context(), failListen, nil, nil); err == nil || !strings.Contains(err.Error(), "LB_LISTEN: address in use") {
 		t.Error(err)
 	}
 	var log strings.Builder
-	c := conf()
+	c := testConfig()
 	c.CachedList = []byte(`{"servers":[]}`)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	serves := func() (net.Listener, error) { return testkit.Listen(), nil }
-	if err := New(c, zerolog.New(&log)).Run(ctx, serves, nil, nil); err != nil || !strings.Contains(log.String(), "known: the list lacks version") {
-		t.Error("a list that can't be read keeps it from serving: ", err, log.String())
+	listen := func() (net.Listener, error) { return testkit.Listen(), nil }
+	if err := New(c, zerolog.New(&log)).Run(ctx, listen, nil, nil); err != nil || !strings.Contains(log.String(), "known: the list lacks version") {
+		t.Error("did not serve with an invalid cached list: ", err, log.String())
 	}
 }
 
-// TestPanicIsNotHidden has an order to watch where there is no queue.
+// TestPanicIsNotHidden makes a step panic, by a watch order without a queue: the error and a stack trace are reported.
 func TestPanicIsNotHidden(t *testing.T) {
 	var log strings.Builder
-	d, s := New(conf(), zerolog.New(&log)), conf().Settings.Settings
+	d, s := New(testConfig(), zerolog.New(&log)), testConfig().Settings.Settings
 	s.ListOnRequest = true
 	if err := d.step([]rules.Event{rules.Start{Settings: s}}); err == nil || !strings.Contains(err.Error(), "panic in a step") ||
 		!strings.Contains(log.String(), "step.go") {
@@ -153,49 +152,48 @@
 	}
 }
 
-// TestDrainDuringFlood keeps the lane of reports full while a replica begins to drain: the very next step orders its
-// removal.
+// TestDrainDuringFlood checks that the next step removes a draining replica even while the report queue is full.
 func TestDrainDuringFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := conf()
+		c := testConfig()
 		c.Operator.Intake = config.IntakeOptions{ReportsMode: config.ReportsPairs, HalfLife: time.Second, MaxAge: 10 * time.Second}
 		d := New(c, zerolog.Nop())
 		d.startedAt, d.queue, d.intake = time.Now(), eventqueue.New(c.Bounds.QueueLength), intake.New(c.IntakeSettings())
-		d.queue.Connect(anySide{}, anySide{})
-		r := func(s ...rules.State) (l rules.List) {
-			for i, state := range s {
+		d.queue.Connect(stubEndpoints{}, stubEndpoints{})
+		listOf := func(states ...rules.State) (l rules.List) {
+			for i, state := range states {
 				l.Entries = append(l.Entries, rules.Entry{Replica: rules.ReplicaID(i), State: state, Listed: 1})
 			}
 			return l
 		}
-		if err := d.step([]rules.Event{rules.Start{Settings: c.Settings.Settings}, r(rules.Ready, rules.Ready), rules.Joined{Proxy: 1, Fresh: true}}); err != nil {
+		if err := d.step([]rules.Event{rules.Start{Settings: c.Settings.Settings}, listOf(rules.Ready, rules.Ready), rules.Joined{Proxy: 1, Fresh: true}}); err != nil {
 			t.Fatal(err)
 		}
 		d.intake.Join(1, 0)
-		var ended atomic.Bool
-		defer func() { ended.Store(true); d.queue.Close(); synctest.Wait() }()
+		var stopped atomic.Bool
+		defer func() { stopped.Store(true); d.queue.Close(); synctest.Wait() }()
 		go func() {
-			for !ended.Load() {
+			for !stopped.Load() {
 				b := intake.NewBatch()
 				b.Proxy, b.Window, b.Records = 1, time.Second, append(b.Records, intake.Record{Replica: 0, Attempts: 1})
 				d.queue.Post(eventqueue.Input{Connection: 1, Batch: b, ReceivedAt: time.Now()})
 			}
 		}()
 		synctest.Wait()
-		d.queue.Post(eventqueue.Input{Event: r(rules.Ready, rules.Draining)})
+		d.queue.Post(eventqueue.Input{Event: listOf(rules.Ready, rules.Draining)})
 		timer := time.NewTimer(time.Hour)
-		for _, o := range d.governor.Step(d.now(), d.nextFacts(t.Context(), timer)) {
-			if l, is := o.(rules.EndpointWeight); is && l.Replica == 1 && l.Weight == 0 {
+		for _, o := range d.governor.Step(d.now(), d.nextEvents(t.Context(), timer)) {
+			if w, ok := o.(rules.EndpointWeight); ok && w.Replica == 1 && w.Weight == 0 {
 				return
 			}
 		}
-		t.Error("the drain has waited behind reports")
+		t.Error("the drain was delayed by reports")
 	})
 }
 
-// anySide stands for both sides of the queue.
-type anySide struct{ eventqueue.Discovery }
+// stubEndpoints is a stub of both sides of the queue.
+type stubEndpoints struct{ eventqueue.Discovery }
 
-func (anySide) Accept(eventqueue.Input) bool { return true }
-func (anySide) Execute([]rules.Order)        {}
-func (anySide) Forget(rules.ReplicaID)       {}
+func (stubEndpoints) Accept(eventqueue.Input) bool { return true }
+func (stubEndpoints) Execute([]rules.Order)        {}
+func (stubEndpoints) Forget(rules.ReplicaID)       {}
--- a/internal/governor/daemon/fronts.go
+++ b/internal/governor/daemon/integrations.go
@@ -11,7 +11,7 @@
 	"zincloft.example/zincloft/internal/governor/graphite"
 )
 
-// startCollectd receives load reports until ctx ends, where there is a connection for them.
+// startCollectd receives load reports until ctx is done. It does nothing if conn is nil.
 func (d *Daemon) startCollectd(ctx context.Context, conn net.PacketConn) {
 	if conn == nil {
 		return
@@ -21,14 +21,14 @@
 }
 
 func (d *Daemon) collectdOptions() collectd.Options {
-	o := d.conf.Operator.Collectd
+	o := d.config.Operator.Collectd
 	options := collectd.Options{
 		AllowedSources:   o.AllowedSources,
 		MinLevel:         o.Security,
 		PacketsPerSecond: o.PacketsPerSecond,
 		ReplicaByHost:    o.ReplicaByHost,
 		Mappings:         o.Mappings,
-		ReadRetryDelay:   d.conf.Bounds.AcceptRetryDelay,
+		ReadRetryDelay:   d.config.Bounds.AcceptRetryDelay,
 	}
 	if o.UsersFile != "" {
 		users := network.NewAuthFile(o.UsersFile)
@@ -40,27 +40,27 @@
 	return options
 }
 
-// startGraphite sends snapshots until ctx ends, where the operator file names a receiver.
+// startGraphite sends snapshots until ctx is done, if the operator file has a Graphite address.
 func (d *Daemon) startGraphite(ctx context.Context) {
-	options := d.conf.GraphiteOptions()
+	options := d.config.GraphiteOptions()
 	if options.Address == "" {
 		return
 	}
 	labels := graphite.Labels{ReplicaName: d.queue.Name}
-	for _, group := range d.conf.Settings.Groups {
+	for _, group := range d.config.Settings.Groups {
 		labels.GroupNames = append(labels.GroupNames, group.Name)
 	}
 	d.graphite = graphite.New(options, labels, d.log)
 	d.background.Go(func() { d.graphite.Run(ctx) })
 }
 
-// sendSnapshot fills a snapshot for Graphite when one is due. It never waits.
+// sendSnapshot fills and submits a Graphite snapshot when one is due. It never blocks.
 func (d *Daemon) sendSnapshot() {
 	now := time.Now()
 	if d.graphite == nil || now.Before(d.nextSnapshotAt) {
 		return
 	}
-	d.nextSnapshotAt = now.Add(d.conf.Operator.Graphite.Interval)
+	d.nextSnapshotAt = now.Add(d.config.Operator.Graphite.Interval)
 	s := d.graphite.AcquireSnapshot()
 	if s == nil {
 		return
--- a/internal/governor/daemon/fronts_test.go
+++ b/internal/governor/daemon/integrations_test.go
@@ -23,11 +23,11 @@
 	"github.com/rs/zerolog"
 )
 
-// TestFrontsOffByDefault runs a governor without an operator file, and with one that has the defaults: there is no intake,
-// nothing is sent and no further address is opened.
-func TestFrontsOffByDefault(t *testing.T) {
+// TestIntegrationsOffByDefault checks that without an operator file, and with one that has the defaults, there is no intake,
+// no Graphite export and no collectd socket.
+func TestIntegrationsOffByDefault(t *testing.T) {
 	for _, path := range []string{"", "../../../deploy/operator.toml"} {
-		c := conf()
+		c := testConfig()
 		var err error
 		if c.Operator, err = config.ReadOperator(path); err != nil {
 			t.Fatal(err)
@@ -37,14 +37,14 @@
 		listened := 0
 		stop()
 		err = d.Run(ctx, func() (net.Listener, error) { listened++; return testkit.Listen(), nil }, nil, nil)
-		if machines, _ := d.listenCollectd(t.Context()); err != nil || listened != 1 || d.intake != nil || d.graphite != nil || machines != nil {
-			t.Errorf("%q: %v, %d listeners, intake %v, graphite %v, machines %v", path, err, listened, d.intake, d.graphite, machines)
+		if conn, _ := d.listenCollectd(t.Context()); err != nil || listened != 1 || d.intake != nil || d.graphite != nil || conn != nil {
+			t.Errorf("%q: %v, %d listeners, intake %v, graphite %v, collectd %v", path, err, listened, d.intake, d.graphite, conn)
 		}
 	}
 }
 
-// TestFronts runs a governor with collectd and Graphite: a load report is taken in, and a point sent to Graphite shows it.
-func TestFronts(t *testing.T) {
+// TestIntegrations sends a load report by collectd and checks that a point sent to Graphite counts it.
+func TestIntegrations(t *testing.T) {
 	g, err := standin.ListenGraphite("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 	}
 	address := free.LocalAddr().String()
 	testkit.Close(t, free)
-	c := conf()
+	c := testConfig()
 	if c.Operator, err = config.ReadOperator(""); err != nil {
 		t.Fatal(err)
 	}
@@ -74,16 +74,16 @@
 		t.Fatal(err)
 	}
 	defer testkit.Close(t, peer)
-	heard := false
-	for ctx.Err() == nil && !heard {
-		_, _ = peer.Write(standin.CollectdPacket{}.AppendString(0, "r1").AppendTime(time.Now()).AppendString(2, "cpu").AppendString(4, "percent").AppendGauges(40)) // refused until it listens
+	counted := false
+	for ctx.Err() == nil && !counted {
+		_, _ = peer.Write(standin.CollectdPacket{}.AppendString(0, "r1").AppendTime(time.Now()).AppendString(2, "cpu").AppendString(4, "percent").AppendGauges(40)) // refused until the daemon listens
 		time.Sleep(20 * time.Millisecond)                                                                                                                           // between packets of a machine
 		for _, l := range g.Lines() {
-			heard = heard || strings.HasPrefix(l, "zincloft.n0.intake.kept ") && !strings.HasPrefix(l, "zincloft.n0.intake.kept 0 ")
+			counted = counted || strings.HasPrefix(l, "zincloft.n0.intake.kept ") && !strings.HasPrefix(l, "zincloft.n0.intake.kept 0 ")
 		}
 	}
-	if !heard {
-		t.Error("no point shows the load report: ", g.Lines())
+	if !counted {
+		t.Error("no point counts the load report: ", g.Lines())
 	}
 	stop()
 	if err := <-done; err != nil {
@@ -91,28 +91,28 @@
 	}
 }
 
-// BenchmarkSteps measures the time from an event to its orders, of a governor of 200 proxies and 1,000 replicas, one of whose
-// proxies reconnects each time: alone, with a Graphite that reads, and with one that has stopped reading. Snapshots are taken
-// each second, ten times as often as usual.
+// BenchmarkSteps measures the latency from an event to its orders with 200 proxies and 1,000 replicas, while a proxy
+// reconnects each time: without Graphite, with a receiver that reads, and with one that stalls. Snapshots are taken each
+// second, ten times as often as by default.
 func BenchmarkSteps(b *testing.B) {
-	for name, manner := range map[string]standin.ConnectionBehaviour{"alone": -1, "graphite reads": standin.ReadsLines, "graphite stalls": standin.StallsReading} {
+	for name, behaviour := range map[string]standin.ConnectionBehaviour{"alone": -1, "graphite reads": standin.ReadsLines, "graphite stalls": standin.StallsReading} {
 		b.Run(name, func(b *testing.B) {
-			c := conf()
+			c := testConfig()
 			c.Settings.Proxies, c.Settings.EntryRate, c.Settings.EntryCapacity = 200, 1e12, 1e12
 			c.Settings.MessageSpan, c.Settings.MessageLimit = time.Millisecond, 0
-			c.Operator, _ = config.ReadOperator("") // nothing is read
-			if manner >= 0 {
+			c.Operator, _ = config.ReadOperator("") // the defaults cannot fail
+			if behaviour >= 0 {
 				g, err := standin.ListenGraphite("127.0.0.1:0")
 				if err != nil {
 					b.Fatal(err)
 				}
 				defer g.Close()
-				g.SetBehaviour(manner)
+				g.SetBehaviour(behaviour)
 				c.Operator.Graphite.Address, c.Operator.Graphite.Interval = g.Address(), time.Second
 			}
 			d := New(c, zerolog.Nop())
 			d.startedAt, d.queue = time.Now(), eventqueue.New(c.Bounds.QueueLength)
-			d.queue.Connect(anySide{}, named{})
+			d.queue.Connect(stubEndpoints{}, stubDiscovery{})
 			ctx, stop := context.WithCancel(b.Context())
 			d.startGraphite(ctx)
 			defer func() { stop(); d.background.Wait() }()
@@ -128,17 +128,17 @@
 				b.Fatal(err)
 			}
 			took := hdrhistogram.New(1, 1e9, 3)
-			views := 0
+			steps := 0
 			for b.Loop() {
-				p := rules.ProxyID(views % 200)
-				facts := []rules.Event{rules.Left{Proxy: p}, rules.Joined{Proxy: p, FlowRate: 10, Fresh: true}}
+				p := rules.ProxyID(steps % 200)
+				events := []rules.Event{rules.Left{Proxy: p}, rules.Joined{Proxy: p, FlowRate: 10, Fresh: true}}
 				from := time.Now()
-				if err := d.step(facts); err != nil {
+				if err := d.step(events); err != nil {
 					b.Fatal(err)
 				}
 				d.sendSnapshot()
 				_ = took.RecordValue(time.Since(from).Nanoseconds()) // under a second
-				views++
+				steps++
 			}
 			b.ReportMetric(float64(took.ValueAtQuantile(50)), "p50-ns")
 			b.ReportMetric(float64(took.ValueAtQuantile(99)), "p99-ns")
@@ -147,12 +147,12 @@
 	}
 }
 
-// BenchmarkView measures what a snapshot costs the deciding goroutine.
+// BenchmarkView measures the time that a snapshot takes in the event loop.
 func BenchmarkView(b *testing.B) {
 	for _, replicas := range []int{60, 1000, 2000} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
 			var g rules.Governor
-			s := conf().Settings.Settings
+			s := testConfig().Settings.Settings
 			s.Proxies, s.EntryRate, s.EntryCapacity = 200, 60_000, 120_000
 			var list rules.List
 			for r := range replicas {
@@ -172,10 +172,12 @@
 	}
 }
 
-// named has a name for each replica.
-type named struct{ eventqueue.Discovery }
+// stubDiscovery is a discovery client that knows a name for every replica.
+type stubDiscovery struct{ eventqueue.Discovery }
 
-func (named) ID([]byte) (rules.ReplicaID, bool)      { return 0, false }
-func (named) Name(id rules.ReplicaID) (string, bool) { return fmt.Sprint("s-", uint32(id)), true }
-func (named) Watch(bool)                             {}
-func (named) Forget(rules.ReplicaID)                 {}
+func (stubDiscovery) ID([]byte) (rules.ReplicaID, bool) { return 0, false }
+func (stubDiscovery) Name(id rules.ReplicaID) (string, bool) {
+	return fmt.Sprint("s-", uint32(id)), true
+}
+func (stubDiscovery) Watch(bool)             {}
+func (stubDiscovery) Forget(rules.ReplicaID) {}
--- a/internal/governor/daemon/loop.go
+++ b/internal/governor/daemon/loop.go
@@ -9,36 +9,37 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// maxLateBatches bounds what is read before a late timer, in times of the queue's length: against senders that never stop.
-const maxLateBatches = 4
+// maxBacklogFactor bounds the inputs read before a late timer, in queue lengths, so that continuous senders cannot delay it
+// forever.
+const maxBacklogFactor = 4
 
-// timer is a time at which the governor wants to be called, with the number that it gave it.
+// timer is a pending rules.WakeAfter order.
 type timer struct {
 	at rules.Time
 	id uint64
 }
 
-// now returns the wall clock of the start plus the monotonic time since then, so that steps of the wall clock do not reach
-// decisions.
+// now returns the wall-clock time of the start plus the monotonic time since, so that adjustments of the wall clock do not
+// affect decisions.
 func (d *Daemon) now() rules.Time {
 	return rules.Time(d.startedAt.UnixNano()) + rules.Time(time.Since(d.startedAt))
 }
 
-// rulesTime returns a moment on the clock of now.
-func (d *Daemon) rulesTime(t time.Time) rules.Time {
+// toRulesTime converts t to the clock that now uses.
+func (d *Daemon) toRulesTime(t time.Time) rules.Time {
 	return rules.Time(d.startedAt.UnixNano()) + rules.Time(t.Sub(d.startedAt))
 }
 
-// loop takes a step for each batch of events until ctx ends.
+// loop runs one governor step per batch of events until ctx is done.
 func (d *Daemon) loop(ctx context.Context) error {
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	for ctx.Err() == nil {
-		facts := d.nextFacts(ctx, wake)
-		if len(facts) == 0 {
+		events := d.nextEvents(ctx, wake)
+		if len(events) == 0 {
 			continue
 		}
-		if err := d.step(facts); err != nil {
+		if err := d.step(events); err != nil {
 			return err
 		}
 		d.sendSnapshot()
@@ -47,12 +48,12 @@
 	return nil
 }
 
-// nextFacts waits until an event has come or a timer is due, and gathers what comes within a tick, as the messages to
-// proxies are limited in number. After the process was suspended it takes in all waiting events before the timers:
-// otherwise replicas and proxies would be judged silent while their reports wait to be read.
-func (d *Daemon) nextFacts(ctx context.Context, wake *time.Timer) []rules.Event {
+// nextEvents waits for an input or a due timer and batches the inputs that arrive within a tick, because the number of
+// messages to proxies is limited. After the process was suspended, it reads all pending inputs before it fires timers:
+// otherwise replicas and proxies would time out while their reports are still queued.
+func (d *Daemon) nextEvents(ctx context.Context, wake *time.Timer) []rules.Event {
 	wake.Reset(d.untilNextTimer())
-	var events []eventqueue.Input
+	var inputs []eventqueue.Input
 	select {
 	case <-ctx.Done():
 		return nil
@@ -60,53 +61,53 @@
 		d.reload()
 		return nil
 	case e := <-d.queue.Urgent():
-		events = append(events, e)
+		inputs = append(inputs, e)
 	case e := <-d.queue.Reports():
-		events = append(events, e)
+		inputs = append(inputs, e)
 	case <-wake.C:
 	}
-	events = d.gatherTick(ctx, wake, events)
+	inputs = d.gatherTick(ctx, wake, inputs)
 	if d.isLate() {
-		events = d.gatherBacklog(ctx, wake, events)
+		inputs = d.gatherBacklog(ctx, wake, inputs)
 	}
-	facts := d.toFacts(d.queue.FilterCurrent(events))
-	return d.trackRecovery(append(facts, d.dueTimers()...))
+	events := d.toEvents(d.queue.FilterCurrent(inputs))
+	return d.trackRecovery(append(events, d.dueTimers()...))
 }
 
-// gatherTick adds the events that come within a tick, up to the length of the queue; urgent ones first.
-func (d *Daemon) gatherTick(ctx context.Context, wake *time.Timer, events []eventqueue.Input) []eventqueue.Input {
-	wake.Reset(max(d.conf.Settings.Tick, time.Millisecond))
-	for range d.conf.Bounds.QueueLength {
+// gatherTick appends the inputs that arrive within a tick, urgent ones first, up to the queue length.
+func (d *Daemon) gatherTick(ctx context.Context, wake *time.Timer, inputs []eventqueue.Input) []eventqueue.Input {
+	wake.Reset(max(d.config.Settings.Tick, time.Millisecond))
+	for range d.config.Bounds.QueueLength {
 		select {
 		case e := <-d.queue.Urgent():
-			events = append(events, e)
+			inputs = append(inputs, e)
 			continue
 		default:
 		}
 		select {
 		case <-ctx.Done():
-			return events
+			return inputs
 		case e := <-d.queue.Urgent():
-			events = append(events, e)
+			inputs = append(inputs, e)
 		case e := <-d.queue.Reports():
-			events = append(events, e)
+			inputs = append(inputs, e)
 		case <-wake.C:
-			return events
+			return inputs
 		}
 	}
-	return events
+	return inputs
 }
 
-// gatherBacklog adds events until none comes within a tick, or the bound is reached.
-func (d *Daemon) gatherBacklog(ctx context.Context, wake *time.Timer, events []eventqueue.Input) []eventqueue.Input {
-	for before := -1; before < len(events) && len(events) < maxLateBatches*d.conf.Bounds.QueueLength; {
-		before = len(events)
-		events = d.gatherTick(ctx, wake, events)
+// gatherBacklog appends inputs until none arrives within a tick or the limit is reached.
+func (d *Daemon) gatherBacklog(ctx context.Context, wake *time.Timer, inputs []eventqueue.Input) []eventqueue.Input {
+	for before := -1; before < len(inputs) && len(inputs) < maxBacklogFactor*d.config.Bounds.QueueLength; {
+		before = len(inputs)
+		inputs = d.gatherTick(ctx, wake, inputs)
 	}
-	return events
+	return inputs
 }
 
-// untilNextTimer returns the time to the next timer, which may be negative.
+// untilNextTimer returns the time until the next timer, negative if it is overdue.
 func (d *Daemon) untilNextTimer() time.Duration {
 	if len(d.timers) == 0 {
 		return math.MaxInt64
@@ -114,13 +115,13 @@
 	return time.Duration(d.timers[0].at - d.now())
 }
 
-// isLate reports whether the next timer is overdue for so long that the process must have been suspended.
-func (d *Daemon) isLate() bool { return -d.untilNextTimer() > d.conf.Bounds.LateTimerThreshold }
+// isLate reports whether the next timer is so overdue that the process must have been suspended.
+func (d *Daemon) isLate() bool { return -d.untilNextTimer() > d.config.Bounds.LateTimerThreshold }
 
-// dueTimers removes the timers that are due and returns them as facts.
-func (d *Daemon) dueTimers() (facts []rules.Event) {
+// dueTimers removes the timers that are due and returns their events.
+func (d *Daemon) dueTimers() (events []rules.Event) {
 	for now := d.now(); len(d.timers) > 0 && d.timers[0].at <= now; d.timers = d.timers[1:] {
-		facts = append(facts, rules.Wake{TimerID: d.timers[0].id})
+		events = append(events, rules.Wake{TimerID: d.timers[0].id})
 	}
-	return facts
+	return events
 }
--- a/internal/governor/daemon/reports.go
+++ b/internal/governor/daemon/reports.go
@@ -8,67 +8,67 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// toFacts converts events into facts for the governor. Reports go through the intake where there is one.
-func (d *Daemon) toFacts(events []eventqueue.Input) (facts []rules.Event) {
+// toEvents converts inputs to governor events. Reports pass through the intake if it is enabled.
+func (d *Daemon) toEvents(inputs []eventqueue.Input) (events []rules.Event) {
 	if d.intake == nil {
-		for _, e := range events {
-			facts = append(facts, e.Event)
+		for _, e := range inputs {
+			events = append(events, e.Event)
 		}
-		return facts
+		return events
 	}
 	now := d.now()
-	for _, e := range events {
-		if fact := d.takeIn(now, e); fact != nil {
-			facts = append(facts, fact)
+	for _, e := range inputs {
+		if event := d.throughIntake(now, e); event != nil {
+			events = append(events, event)
 		}
 	}
 	if d.intake.FlushDue(now) {
-		facts = append(facts, d.intake.Flush(now)...)
+		events = append(events, d.intake.Flush(now)...)
 		d.logIntakeCounts()
 	}
-	return facts
+	return events
 }
 
-// takeIn passes an event through the intake. It returns the fact for the governor, nil where the intake keeps it.
-func (d *Daemon) takeIn(now rules.Time, e eventqueue.Input) rules.Event {
-	switch fact := e.Event.(type) {
+// throughIntake passes an input through the intake. It returns the event for the governor, or nil if the intake consumes it.
+func (d *Daemon) throughIntake(now rules.Time, e eventqueue.Input) rules.Event {
+	switch event := e.Event.(type) {
 	case nil:
-		d.takeInReports(now, e)
+		d.addReports(now, e)
 		return nil
 	case rules.EndpointStats:
-		sums, counts := d.intake.AdjustStats(now, d.rulesTime(e.ReceivedAt), fact)
+		sums, counts := d.intake.AdjustStats(now, d.toRulesTime(e.ReceivedAt), event)
 		if !counts {
 			return nil
 		}
 		return sums
 	case rules.Joined:
-		d.intake.Join(fact.Proxy, fact.Zone)
+		d.intake.Join(event.Proxy, event.Zone)
 	case rules.Left:
-		d.intake.Leave(fact.Proxy)
+		d.intake.Leave(event.Proxy)
 	}
 	return e.Event
 }
 
-// takeInReports passes load reports and a batch of a proxy to the intake.
-func (d *Daemon) takeInReports(now rules.Time, e eventqueue.Input) {
+// addReports adds load reports and a batch of a proxy to the intake.
+func (d *Daemon) addReports(now rules.Time, e eventqueue.Input) {
 	for _, load := range e.Loads {
 		d.intake.AddLoad(now, load)
 	}
 	if e.Batch == nil {
 		return
 	}
-	e.Batch.ReceivedAt = d.rulesTime(e.ReceivedAt)
+	e.Batch.ReceivedAt = d.toRulesTime(e.ReceivedAt)
 	d.intake.AddBatch(now, e.Batch)
 	e.Batch.Free()
 }
 
-// logIntakeCounts adds up the counts of the intake and logs them at intervals.
+// logIntakeCounts accumulates the counts of the intake and logs them every CountLogInterval.
 func (d *Daemon) logIntakeCounts() {
 	for i, n := range d.intake.Counts() {
 		d.countsSinceLog[i] += n
 		d.countsSinceStart[i] += n
 	}
-	if time.Since(d.intakeLoggedAt) < d.conf.Bounds.CountLogInterval {
+	if time.Since(d.intakeLoggedAt) < d.config.Bounds.CountLogInterval {
 		return
 	}
 	line := d.log.Info()
--- a/internal/governor/daemon/state.go
+++ b/internal/governor/daemon/state.go
@@ -11,52 +11,53 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// restoreState opens the store, where the operator file names a folder, and returns the facts that the governor starts with
-// and the writer of the store. Faults of the disk are logged, and the governor serves without a store.
+// restoreState opens the store, if the operator file names a directory, and returns the initial events from it and its
+// writer. Disk errors are logged and the governor runs without a store.
 func (d *Daemon) restoreState() ([]rules.Event, *store.Writer) {
-	o := d.conf.Operator.State
+	o := d.config.Operator.State
 	if o.Dir == "" {
 		return nil, nil
 	}
-	s, kept, damaged, err := store.Open(o.Dir, time.Now())
+	s, saved, damaged, err := store.Open(o.Dir, time.Now())
 	if damaged != nil {
 		d.log.Warn().Err(damaged).Msg("state")
 	}
 	if err != nil {
-		d.log.Warn().Err(err).Msg("state is not kept")
+		d.log.Warn().Err(err).Msg("state is not saved")
 		return nil, nil
 	}
 	d.entries = map[rules.ReplicaID]rules.Entry{}
 	settings := recovery.Settings{HalfLife: o.HalfLife, MaxAge: o.MaxAge}
 	now := d.now()
-	plan := recovery.NewPlan(now, kept, d.conf.Name, d.conf.Discovery, settings)
-	d.log.Info().Str("verdict", string(plan.Assessment)).Dur("age", plan.Age).Float64("trust", plan.Trust).Int("replicas", len(kept.Replicas)).Msg("state")
+	plan := recovery.NewPlan(now, saved, d.config.Name, d.config.Discovery, settings)
+	d.log.Info().Str("verdict", string(plan.Assessment)).Dur("age", plan.Age).Float64("trust", plan.Trust).Int("replicas", len(saved.Replicas)).Msg("state")
 	if len(plan.Events) > 0 {
-		d.discovery.Restore(kept)
-		d.recovery = recovery.Begin(now, kept, plan, settings)
-		for _, r := range kept.Replicas {
+		d.discovery.Restore(saved)
+		d.recovery = recovery.Begin(now, saved, plan, settings)
+		for _, r := range saved.Replicas {
 			d.entries[r.Entry.Replica] = r.Entry
 		}
 	}
 	return plan.Events, store.NewWriter(s, d.log)
 }
 
-// trackRecovery keeps the current endpoint list, and passes facts through the recovery while there is one.
-func (d *Daemon) trackRecovery(facts []rules.Event) []rules.Event {
+// trackRecovery updates the current endpoint list and, until discovery confirms the restored state, passes events through the
+// recovery.
+func (d *Daemon) trackRecovery(events []rules.Event) []rules.Event {
 	if d.entries == nil {
-		return facts
+		return events
 	}
 	var passed []rules.Event
-	for _, fact := range facts {
-		if list, isList := fact.(rules.List); isList {
+	for _, event := range events {
+		if list, ok := event.(rules.List); ok {
 			d.updateEntries(list)
 		}
 		if d.recovery == nil {
-			passed = append(passed, fact)
+			passed = append(passed, event)
 			continue
 		}
 		before, trust := d.recovery.Stage(), d.recovery.Trust(d.now())
-		passed = append(passed, d.recovery.Handle(fact)...)
+		passed = append(passed, d.recovery.Handle(event)...)
 		if step := d.recovery.Stage(); step != before {
 			d.log.Info().Str("step", string(step)).Float64("trust", trust).Msg("recovery")
 		}
@@ -79,38 +80,38 @@
 	}
 }
 
-// saveState hands the state to the writer when that is due. Nothing is written before discovery has answered: until then the
-// state on disk is as good.
+// saveState hands the state to the writer when a save is due. Nothing is written before discovery has answered, because until
+// then the state on disk is equivalent.
 func (d *Daemon) saveState() {
 	now := time.Now()
 	if d.writer == nil || d.recovery != nil || now.Before(d.nextSaveAt) || !d.writer.Ready() {
 		return
 	}
-	d.nextSaveAt = now.Add(d.conf.Operator.State.SyncInterval)
-	version, heard := d.discovery.ListStatus()
-	if heard.IsZero() {
+	d.nextSaveAt = now.Add(d.config.Operator.State.SyncInterval)
+	version, confirmedAt := d.discovery.ListStatus()
+	if confirmedAt.IsZero() {
 		return
 	}
-	d.writer.Offer(d.stateToSave(version, heard))
+	d.writer.Offer(d.collectState(version, confirmedAt))
 }
 
-// stateToSave returns what the next start can use.
-func (d *Daemon) stateToSave(version discoveryclient.Version, heard time.Time) recovery.State {
+// collectState returns the state to persist for the next start.
+func (d *Daemon) collectState(version discoveryclient.Version, confirmedAt time.Time) recovery.State {
 	k := recovery.State{
-		Governor:      d.conf.Name,
-		Discovery:     d.conf.Discovery,
+		Governor:      d.config.Name,
+		Discovery:     d.config.Discovery,
 		Version:       uint64(version),
-		ConfirmedAt:   d.rulesTime(heard),
+		ConfirmedAt:   d.toRulesTime(confirmedAt),
 		WrittenAt:     d.now(),
 		NextReplicaID: d.discovery.NextReplicaID(),
 	}
-	learnt := map[rules.ReplicaID]rules.PriorMeasurement{}
+	learned := map[rules.ReplicaID]rules.PriorMeasurement{}
 	for _, m := range d.governor.AppendMeasurements(nil) {
-		learnt[m.Replica] = m
+		learned[m.Replica] = m
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
 		if name, known := d.discovery.Name(id); known {
-			k.Replicas = append(k.Replicas, recovery.Replica{Name: name, Entry: d.entries[id], Learned: learnt[id]})
+			k.Replicas = append(k.Replicas, recovery.Replica{Name: name, Entry: d.entries[id], Learned: learned[id]})
 		}
 	}
 	return k
--- a/internal/governor/daemon/state_test.go
+++ b/internal/governor/daemon/state_test.go
@@ -22,16 +22,16 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// stateConf has no list but what is on disk, and a discovery that is away.
-func stateConf(dir string) config.Config {
-	c := conf()
+// stateConfig returns a configuration without a cached list and with an unreachable discovery.
+func stateConfig(dir string) config.Config {
+	c := testConfig()
 	c.CachedList = nil
 	c.Operator.State = config.StateOptions{Dir: dir, SyncInterval: time.Second, HalfLife: 10 * time.Minute, MaxAge: 24 * time.Hour}
 	return c
 }
 
-// lived runs a governor for a moment of the bubble, to which a proxy comes, and returns its log and what the proxy was told.
-func lived(t *testing.T, c config.Config) (log, told string) {
+// runGovernor runs a governor for three seconds with one proxy that joins, and returns its log and what the proxy received.
+func runGovernor(t *testing.T, c config.Config) (log, received string) {
 	var lines strings.Builder
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -42,33 +42,33 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		heard := make(chan string, 1)
+		message := make(chan string, 1)
 		go func() {
 			_, _ = p.Write([]byte("*9\r\n$6\r\nattach\r\n$7\r\nsidecar\r\n$1\r\n0\r\n$2\r\naz\r\n$1\r\na\r\n$5\r\nshare\r\n$1\r\n2\r\n$8\r\nstanding\r\n$1\r\n1\r\n"))
 			b := make([]byte, 1<<12)
-			n, _ := p.Read(b) // closed without a word where there is nothing to tell
-			heard <- string(b[:n])
+			n, _ := p.Read(b) // fails if the connection is closed without a message
+			message <- string(b[:n])
 		}()
-		time.Sleep(3 * time.Second) // on the bubble's clock
+		time.Sleep(3 * time.Second) // fake clock
 		stop()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-		told = <-heard
+		received = <-message
 	})
-	return lines.String(), told
+	return lines.String(), received
 }
 
-// TestStartFromDisk starts while discovery is away: with its own list on disk a proxy that joins gets weights; with that of
-// another governor, or none, it does not; and whatever is wrong with the disk, the governor serves and logs it once.
+// TestStartFromDisk starts without discovery: a proxy that joins gets weights only if the governor's own state is on disk.
+// With any other state, or an unusable file, the governor serves and logs the reason once.
 func TestStartFromDisk(t *testing.T) {
-	keep := func(governor string) string {
+	writeState := func(governor string) string {
 		dir := t.TempDir()
 		s, _, _, err := store.Open(dir, time.Now())
 		if err != nil {
 			t.Fatal(err)
 		}
-		at := rules.Time(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano()) - rules.Time(time.Minute) // a bubble's clock begins there
+		at := rules.Time(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).UnixNano()) - rules.Time(time.Minute) // where the fake clock starts
 		if _, err := s.Write(recovery.State{Governor: governor, Discovery: "127.0.0.1:0", Version: 3, ConfirmedAt: at, WrittenAt: at, NextReplicaID: 9, Replicas: []recovery.Replica{
 			{Name: "r7", Entry: rules.Entry{Replica: 7, State: rules.Ready, Listed: 1}}, {Name: "r8", Entry: rules.Entry{Replica: 8, State: rules.Ready, Listed: 1}}}}); err != nil {
 			t.Fatal(err)
@@ -78,48 +78,48 @@
 		}
 		return dir
 	}
-	damaged := keep("n0")
-	if err := os.WriteFile(store.Path(damaged), []byte("not what it was"), 0o600); err != nil {
+	damaged := writeState("n0")
+	if err := os.WriteFile(store.Path(damaged), []byte("overwritten"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	locked := keep("n0")
+	locked := writeState("n0")
 	s, _, _, err := store.Open(locked, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer testkit.Close(t, s)
 	for _, c := range []struct {
-		what, dir, log string
-		told           bool
+		name, dir, log string
+		weights        bool
 	}{
-		{"its own", keep("n0"), `"verdict":"used"`, true},
-		{"another's", keep("n5"), `"verdict":"of another governor or discovery"`, false},
-		{"nothing", t.TempDir(), `"verdict":"nothing is kept"`, false},
-		{"a damaged file", damaged, "set aside as", false},
-		{"a file that is locked", locked, "another process has it open", false},
+		{"own state", writeState("n0"), `"verdict":"used"`, true},
+		{"another governor's state", writeState("n5"), `"verdict":"of another governor or discovery"`, false},
+		{"no state", t.TempDir(), `"verdict":"nothing is kept"`, false},
+		{"damaged file", damaged, "set aside as", false},
+		{"locked file", locked, "another process has it open", false},
 	} {
-		log, told := lived(t, stateConf(c.dir))
+		log, received := runGovernor(t, stateConfig(c.dir))
 		if strings.Count(log, c.log) != 1 || !strings.Contains(log, `"phase":"serving"`) {
-			t.Errorf("%s: log %s", c.what, log)
+			t.Errorf("%s: log %s", c.name, log)
 		}
-		if has := strings.Contains(told, "r7:50,r8:50"); has != c.told {
-			t.Errorf("%s: the proxy is told %q", c.what, told)
+		if got := strings.Contains(received, "r7:50,r8:50"); got != c.weights {
+			t.Errorf("%s: the proxy received %q", c.name, received)
 		}
 	}
 }
 
-// TestSaveState has discovery answer: the current list is saved.
+// TestSaveState checks that the list is saved after discovery has answered.
 func TestSaveState(t *testing.T) {
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("index") == "4" {
 			<-r.Context().Done()
 			return
 		}
-		_, _ = w.Write([]byte(`{"version":4,"full":true,"servers":[{"id":"r5","zone":"a","state":"ready","weight":2.5}]}`)) // else the caller fails
+		_, _ = w.Write([]byte(`{"version":4,"full":true,"servers":[{"id":"r5","zone":"a","state":"ready","weight":2.5}]}`)) // on an error the caller fails
 	}))
 	defer discovery.Close()
 	dir, copied := t.TempDir(), t.TempDir()
-	c := stateConf(dir)
+	c := stateConfig(dir)
 	c.Discovery, c.Operator.State.SyncInterval = strings.TrimPrefix(discovery.URL, "http://"), 100*time.Millisecond
 	c.Settings.ListOnRequest, c.Settings.ListRequestDeadline = true, 10*time.Second
 	c.Bounds.DiscoveryWait, c.Bounds.DiscoveryCallMargin, c.Bounds.MaxDiscoveryBytes = time.Second, time.Second, 1<<20
@@ -129,45 +129,45 @@
 	go func() {
 		done <- New(c, zerolog.Nop()).Run(ctx, func() (net.Listener, error) { return testkit.Listen(), nil }, nil, nil)
 	}()
-	var kept recovery.State
-	for ; ctx.Err() == nil && kept.Version != 4; time.Sleep(20 * time.Millisecond) { // a file that is open can only be looked at as a copy
+	var saved recovery.State
+	for ; ctx.Err() == nil && saved.Version != 4; time.Sleep(20 * time.Millisecond) { // a file that is open can be read only as a copy
 		if b, err := os.ReadFile(store.Path(dir)); err == nil && os.WriteFile(store.Path(copied), b, 0o600) == nil {
-			kept, _ = store.Read(copied) // torn while it is written
+			saved, _ = store.Read(copied) // may fail: the copy may be torn
 		}
 	}
 	stop()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	kept, err := store.Read(dir)
-	if err != nil || len(kept.Replicas) != 1 || kept.Replicas[0].Name != "r5" || kept.Replicas[0].Entry.Listed != 2.5 || kept.Discovery != c.Discovery || kept.ConfirmedAt == 0 {
-		t.Errorf("%+v, %v", kept, err)
+	saved, err := store.Read(dir)
+	if err != nil || len(saved.Replicas) != 1 || saved.Replicas[0].Name != "r5" || saved.Replicas[0].Entry.Listed != 2.5 || saved.Discovery != c.Discovery || saved.ConfirmedAt == 0 {
+		t.Errorf("%+v, %v", saved, err)
 	}
 }
 
-// BenchmarkStateToSave measures what gathering the state costs the deciding goroutine, with 10,000 replicas.
-func BenchmarkStateToSave(b *testing.B) {
-	c := stateConf(b.TempDir())
+// BenchmarkCollectState measures the time that collecting the state of 10,000 replicas takes in the event loop.
+func BenchmarkCollectState(b *testing.B) {
+	c := stateConfig(b.TempDir())
 	d := New(c, zerolog.Nop())
 	d.startedAt = time.Now()
 	d.discovery = discoveryclient.New(b.Context(), c, zerolog.Nop(), func(rules.List) {})
 	d.entries = map[rules.ReplicaID]rules.Entry{}
-	kept := recovery.State{NextReplicaID: 10_000}
-	var l rules.List
+	saved := recovery.State{NextReplicaID: 10_000}
+	var list rules.List
 	for i := range 10_000 {
 		e := rules.Entry{Replica: rules.ReplicaID(i), State: rules.Ready, Listed: 1}
-		l.Entries = append(l.Entries, e)
+		list.Entries = append(list.Entries, e)
 		d.entries[e.Replica] = e
-		kept.Replicas = append(kept.Replicas, recovery.Replica{Name: fmt.Sprint("s", i), Entry: e})
+		saved.Replicas = append(saved.Replicas, recovery.Replica{Name: fmt.Sprint("s", i), Entry: e})
 	}
-	d.discovery.Restore(kept)
-	d.governor.Step(0, []rules.Event{rules.Start{Settings: c.Settings.Settings}, l})
+	d.discovery.Restore(saved)
+	d.governor.Step(0, []rules.Event{rules.Start{Settings: c.Settings.Settings}, list})
 	for r := range 10_000 {
 		d.governor.Step(1, []rules.Event{rules.PriorMeasurement{Replica: rules.ReplicaID(r), Speed: 1.5, Throughput: 3, Trust: 1}})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if k := d.stateToSave(1, time.Now()); len(k.Replicas) != 10_000 || k.Replicas[7].Learned.Speed == 0 {
+		if k := d.collectState(1, time.Now()); len(k.Replicas) != 10_000 || k.Replicas[7].Learned.Speed == 0 {
 			b.Fatal(len(k.Replicas))
 		}
 	}
--- a/internal/governor/daemon/step.go
+++ b/internal/governor/daemon/step.go
@@ -9,9 +9,9 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// step hands facts to the governor and carries out its orders. A panic is returned as an error, which ends the program: a
-// governor whose state may be inconsistent must start afresh.
-func (d *Daemon) step(facts []rules.Event) (err error) {
+// step runs one governor step and executes its orders. A panic is returned as an error, which ends the process, because the
+// governor's state may be inconsistent.
+func (d *Daemon) step(events []rules.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic in a step: %v", p)
@@ -19,13 +19,13 @@
 		}
 	}()
 	now := d.now()
-	for _, order := range d.queue.Dispatch(d.governor.Step(now, facts)) {
+	for _, order := range d.queue.Dispatch(d.governor.Step(now, events)) {
 		d.execute(now, order)
 	}
 	return nil
 }
 
-// execute carries out an order that is the daemon's own.
+// execute carries out an order that the queue leaves to the daemon.
 func (d *Daemon) execute(now rules.Time, order rules.Order) {
 	switch order := order.(type) {
 	case rules.WakeAfter:
@@ -39,6 +39,6 @@
 	case rules.Log:
 		d.log.Info().Msg(order.Text)
 	default:
-		d.log.Warn().Msgf("an order that is not for this site: %T", order)
+		d.log.Warn().Msgf("unexpected order %T", order)
 	}
 }
--- a/internal/governor/discoveryclient/answer.go
+++ b/internal/governor/discoveryclient/answer.go
@@ -23,13 +23,13 @@
 
 // serverEntry is one replica of an answer.
 type serverEntry struct {
-	ID      string   `json:"id"`
-	Zone    string   `json:"zone"`
-	Kind    string   `json:"kind"`
-	Cell    int64    `json:"cell"`
-	State   string   `json:"state"`
-	Weight  *float64 `json:"weight"`
-	Started int64    `json:"started_ms"`
+	ID        string   `json:"id"`
+	Zone      string   `json:"zone"`
+	Kind      string   `json:"kind"`
+	Cell      int64    `json:"cell"`
+	State     string   `json:"state"`
+	Weight    *float64 `json:"weight"`
+	StartedMS int64    `json:"started_ms"`
 }
 
 var stateByName = map[string]rules.State{"ready": rules.Ready, "draining": rules.Draining, "gone": rules.Deregistered}
@@ -51,8 +51,8 @@
 			return answer{}, fmt.Errorf("%s: unknown state %q", s.ID, s.State)
 		case s.Weight != nil && *s.Weight < 0:
 			return answer{}, fmt.Errorf("%s: a weight below 0", s.ID)
-		case s.Started < 0 || s.Started > math.MaxInt64/int64(time.Millisecond):
-			return answer{}, fmt.Errorf("%s: impossible started_ms %d", s.ID, s.Started)
+		case s.StartedMS < 0 || s.StartedMS > math.MaxInt64/int64(time.Millisecond):
+			return answer{}, fmt.Errorf("%s: impossible started_ms %d", s.ID, s.StartedMS)
 		}
 	}
 	return a, nil
@@ -64,17 +64,17 @@
 	list := rules.List{Scope: rules.Changes}
 	if a.Full {
 		list.Scope = rules.Full
-		c.unlistAll()
+		c.markAllUnlisted()
 	}
 	for _, s := range a.Servers {
 		e := rules.Entry{
-			Replica:   c.add(s.ID, stateByName[s.State] != rules.Deregistered),
-			Zone:      rules.ZoneID(indexOf(c.zones, s.Zone)),
-			Kind:      rules.KindID(indexOf(c.kinds, s.Kind)),
+			Replica:   c.idFor(s.ID, stateByName[s.State] != rules.Deregistered),
+			Zone:      rules.ZoneID(indexOrLen(c.zones, s.Zone)),
+			Kind:      rules.KindID(indexOrLen(c.kinds, s.Kind)),
 			Cell:      rules.CellID(s.Cell),
 			State:     stateByName[s.State],
 			Listed:    1,
-			StartedAt: rules.Time(s.Started) * rules.Time(time.Millisecond),
+			StartedAt: rules.Time(s.StartedMS) * rules.Time(time.Millisecond),
 		}
 		if s.Weight != nil {
 			e.Listed = *s.Weight
@@ -84,8 +84,8 @@
 	return list
 }
 
-// indexOf returns the index of a name, or that after the last one.
-func indexOf(in []string, name string) int {
+// indexOrLen returns the index of a name, or that after the last one.
+func indexOrLen(in []string, name string) int {
 	if i := slices.Index(in, name); i >= 0 {
 		return i
 	}
--- a/internal/governor/discoveryclient/client.go
+++ b/internal/governor/discoveryclient/client.go
@@ -31,7 +31,7 @@
 	dial         dialFunc
 	running      sync.WaitGroup // requests and watches
 
-	posting      sync.Mutex         // held while an answer is taken in and posted, so that posts keep the order of versions
+	postMu       sync.Mutex         // held while an answer is taken in and posted, so that posts keep the order of versions
 	mu           sync.Mutex         // guards the following; never held while posting, as post may wait for a caller of Watch
 	endpoint     *endpoint          // at the current address
 	version      Version            // of the list as last posted
@@ -76,9 +76,9 @@
 // requested.
 func (c *Client) Restore(state recovery.State) {
 	for _, replica := range state.Replicas {
-		c.restore(replica.Name, replica.Entry.Replica)
+		c.restoreID(replica.Name, replica.Entry.Replica)
 	}
-	c.reserve(state.NextReplicaID)
+	c.reserveBelow(state.NextReplicaID)
 	c.version, c.hasVersion = Version(state.Version), true
 }
 
@@ -182,8 +182,8 @@
 	if err == nil {
 		decoded, err = decodeAnswer(r.body)
 	}
-	c.posting.Lock()
-	defer c.posting.Unlock()
+	c.postMu.Lock()
+	defer c.postMu.Unlock()
 	ignored, err := c.advance(ctx, r, decoded, err)
 	if ignored {
 		return false
--- a/internal/governor/discoveryclient/client_test.go
+++ b/internal/governor/discoveryclient/client_test.go
@@ -193,7 +193,7 @@
 	again := hear(false, "s-back", "draining")
 	l.Forget(id)
 	name, held := l.Name(id)
-	if len(l.ids) != 2 || len(l.named) != 2 || !held || name != "s-back" || again != id || id == back {
-		t.Error(l.ids, l.named, name, held, again, id, back)
+	if len(l.idByName) != 2 || len(l.replicas) != 2 || !held || name != "s-back" || again != id || id == back {
+		t.Error(l.idByName, l.replicas, name, held, again, id, back)
 	}
 }
--- a/internal/governor/discoveryclient/replicanames.go
+++ b/internal/governor/discoveryclient/replicanames.go
@@ -10,10 +10,10 @@
 // removals must still be written by name. Numbers are never reused, so that late reports can't be taken for another
 // replica's.
 type nameTable struct {
-	namesMu sync.RWMutex
-	ids     map[string]rules.ReplicaID
-	named   map[rules.ReplicaID]namedReplica
-	next    rules.ReplicaID
+	tableMu  sync.RWMutex
+	idByName map[string]rules.ReplicaID
+	replicas map[rules.ReplicaID]namedReplica
+	nextID   rules.ReplicaID
 }
 
 type namedReplica struct {
@@ -22,77 +22,77 @@
 }
 
 func newNameTable() nameTable {
-	return nameTable{ids: map[string]rules.ReplicaID{}, named: map[rules.ReplicaID]namedReplica{}}
+	return nameTable{idByName: map[string]rules.ReplicaID{}, replicas: map[rules.ReplicaID]namedReplica{}}
 }
 
 // ID returns the number of the replica with this name.
 func (t *nameTable) ID(name []byte) (rules.ReplicaID, bool) {
-	t.namesMu.RLock()
-	defer t.namesMu.RUnlock()
-	id, ok := t.ids[string(name)]
+	t.tableMu.RLock()
+	defer t.tableMu.RUnlock()
+	id, ok := t.idByName[string(name)]
 	return id, ok
 }
 
 // Name returns the name of a replica.
 func (t *nameTable) Name(id rules.ReplicaID) (string, bool) {
-	t.namesMu.RLock()
-	defer t.namesMu.RUnlock()
-	replica, ok := t.named[id]
+	t.tableMu.RLock()
+	defer t.tableMu.RUnlock()
+	replica, ok := t.replicas[id]
 	return replica.name, ok
 }
 
 // Forget releases the name of a replica that is gone. A replica that has been listed again meanwhile keeps it: the order
 // to forget was given before that was known.
 func (t *nameTable) Forget(id rules.ReplicaID) {
-	t.namesMu.Lock()
-	defer t.namesMu.Unlock()
-	if replica := t.named[id]; !replica.listed {
-		delete(t.ids, replica.name)
-		delete(t.named, id)
+	t.tableMu.Lock()
+	defer t.tableMu.Unlock()
+	if replica := t.replicas[id]; !replica.listed {
+		delete(t.idByName, replica.name)
+		delete(t.replicas, id)
 	}
 }
 
 // NextReplicaID returns the number that the next new replica gets.
 func (t *nameTable) NextReplicaID() rules.ReplicaID {
-	t.namesMu.RLock()
-	defer t.namesMu.RUnlock()
-	return t.next
+	t.tableMu.RLock()
+	defer t.tableMu.RUnlock()
+	return t.nextID
 }
 
-// restore gives a replica the number that it had in the previous process.
-func (t *nameTable) restore(name string, id rules.ReplicaID) {
-	t.namesMu.Lock()
-	defer t.namesMu.Unlock()
-	t.ids[name], t.named[id], t.next = id, namedReplica{name, true}, max(t.next, id+1)
+// restoreID gives a replica the number that it had in the previous process.
+func (t *nameTable) restoreID(name string, id rules.ReplicaID) {
+	t.tableMu.Lock()
+	defer t.tableMu.Unlock()
+	t.idByName[name], t.replicas[id], t.nextID = id, namedReplica{name, true}, max(t.nextID, id+1)
 }
 
-// reserve keeps new replicas from getting a number below next.
-func (t *nameTable) reserve(next rules.ReplicaID) {
-	t.namesMu.Lock()
-	defer t.namesMu.Unlock()
-	t.next = max(t.next, next)
+// reserveBelow keeps new replicas from getting a number below next.
+func (t *nameTable) reserveBelow(next rules.ReplicaID) {
+	t.tableMu.Lock()
+	defer t.tableMu.Unlock()
+	t.nextID = max(t.nextID, next)
 }
 
-// add returns the number of a replica that an answer names, a new one if it has none.
-func (t *nameTable) add(name string, listed bool) rules.ReplicaID {
-	t.namesMu.Lock()
-	defer t.namesMu.Unlock()
-	id, ok := t.ids[name]
+// idFor returns the number of a replica that an answer names, a new one if it has none.
+func (t *nameTable) idFor(name string, listed bool) rules.ReplicaID {
+	t.tableMu.Lock()
+	defer t.tableMu.Unlock()
+	id, ok := t.idByName[name]
 	if !ok {
-		id = t.next
-		t.next++
-		t.ids[name] = id
+		id = t.nextID
+		t.nextID++
+		t.idByName[name] = id
 	}
-	t.named[id] = namedReplica{name, listed}
+	t.replicas[id] = namedReplica{name, listed}
 	return id
 }
 
-// unlistAll precedes a full list: what that does not name is gone.
-func (t *nameTable) unlistAll() {
-	t.namesMu.Lock()
-	defer t.namesMu.Unlock()
-	for id, replica := range t.named {
+// markAllUnlisted precedes a full list: what that does not name is gone.
+func (t *nameTable) markAllUnlisted() {
+	t.tableMu.Lock()
+	defer t.tableMu.Unlock()
+	for id, replica := range t.replicas {
 		replica.listed = false
-		t.named[id] = replica
+		t.replicas[id] = replica
 	}
 }
--- a/internal/governor/eventqueue/queue.go
+++ b/internal/governor/eventqueue/queue.go
@@ -83,7 +83,7 @@
 // Close releases all callers that wait in Post. It must be called once.
 func (q *Queue) Close() { close(q.closed) }
 
-func (q *Queue) lane(e Input) chan Input {
+func (q *Queue) channelFor(e Input) chan Input {
 	if e.isReport() {
 		return q.reports
 	}
@@ -94,7 +94,7 @@
 // meanwhile they are not read from. After Close it waits no longer and drops what has no room.
 func (q *Queue) Post(e Input) {
 	select {
-	case q.lane(e) <- e:
+	case q.channelFor(e) <- e:
 	case <-q.closed:
 	}
 }
@@ -103,7 +103,7 @@
 // streams: acknowledgements come behind them on the same stream and must not be delayed.
 func (q *Queue) TryPost(e Input) bool {
 	select {
-	case q.lane(e) <- e:
+	case q.channelFor(e) <- e:
 		return true
 	default:
 		return false
--- a/internal/governor/store/benchmark_test.go
+++ b/internal/governor/store/benchmark_test.go
@@ -19,7 +19,7 @@
 				b.Fatal(err)
 			}
 			defer testkit.Close(b, s)
-			k := many(10_000)
+			k := stateOf(10_000)
 			bytes := 0
 			for n := 0; b.Loop(); n++ {
 				for i := range changed {
@@ -41,7 +41,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	if _, err := s.Write(many(10_000)); err != nil {
+	if _, err := s.Write(stateOf(10_000)); err != nil {
 		b.Fatal(err)
 	}
 	testkit.Close(b, s)
@@ -54,8 +54,8 @@
 	}
 }
 
-// many returns a state of n replicas.
-func many(n int) (k recovery.State) {
+// stateOf returns a state of n replicas.
+func stateOf(n int) (k recovery.State) {
 	k.Governor, k.Discovery, k.ConfirmedAt, k.WrittenAt = "n1", "d", 1, 1
 	for i := range n {
 		k.Replicas = append(k.Replicas, recovery.Replica{Name: fmt.Sprintf("s-%08x", i), Entry: rules.Entry{Replica: rules.ReplicaID(i), State: rules.Ready, Listed: 1},
--- a/internal/governor/store/crash_test.go
+++ b/internal/governor/store/crash_test.go
@@ -42,7 +42,7 @@
 	}
 	for n := int(k.Version) + 1; ; n++ {
 		fmt.Println("begins", n)
-		if _, err := s.Write(state(n)); err != nil {
+		if _, err := s.Write(nthState(n)); err != nil {
 			fmt.Println("error:", err)
 			return
 		}
@@ -50,9 +50,9 @@
 	}
 }
 
-// child runs this program on a folder, kills it after a while, and returns the last state that it had written, the last
+// runChild runs this program on a folder, kills it after a while, and returns the last state that it had written, the last
 // that it had begun, and its other output.
-func child(t *testing.T, dir string, after time.Duration, env ...string) (wrote, began int, said string) {
+func runChild(t *testing.T, dir string, after time.Duration, env ...string) (wrote, began int, said string) {
 	t.Helper()
 	c := exec.CommandContext(t.Context(), os.Args[0])
 	c.Env = append(append(os.Environ(), "STORE_CHILD="+dir), env...)
@@ -86,16 +86,16 @@
 	chance := rand.New(rand.NewPCG(5, 6))
 	last := 0
 	for kill := range 200 {
-		wrote, began, said := child(t, dir, time.Duration(chance.IntN(20_000))*time.Microsecond)
+		wrote, began, said := runChild(t, dir, time.Duration(chance.IntN(20_000))*time.Microsecond)
 		if said != "" {
 			t.Fatalf("kill %d: %s", kill, said)
 		}
 		last = max(last, wrote)
-		s, k := opened(t, dir)
+		s, k := mustOpen(t, dir)
 		if n := int(k.Version); n < last || n > max(began, last) {
 			t.Fatalf("kill %d: state %d is found, %d was written whole and %d begun", kill, n, last, began)
 		} else if n > 0 {
-			if d := cmp.Diff(state(n), k); d != "" {
+			if d := cmp.Diff(nthState(n), k); d != "" {
 				t.Fatalf("kill %d: state %d is not what was kept: %s", kill, n, d)
 			}
 			last = n
@@ -112,7 +112,7 @@
 // TestFullDisk has a process write until no file may grow: it gets an error, and the last complete state is found.
 func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
-	_, _, said := child(t, dir, time.Second)
+	_, _, said := runChild(t, dir, time.Second)
 	if said != "" {
 		t.Fatal(said)
 	}
@@ -120,22 +120,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, before := opened(t, dir)
+	s, before := mustOpen(t, dir)
 	testkit.Close(t, s)
-	s, _ = opened(t, dir)
-	big := state(1)
+	s, _ = mustOpen(t, dir)
+	big := nthState(1)
 	big.Version = before.Version
 	for i := range 20_000 { // more than the file's free pages hold
 		big.Replicas = append(big.Replicas, recovery.Replica{Name: fmt.Sprintf("x-%05d", i), Entry: rules.Entry{Replica: rules.ReplicaID(1000 + i)}})
 	}
 	testkit.Close(t, s)
-	_, _, said = child(t, dir, 5*time.Second, "STORE_MOST="+fmt.Sprint(info.Size()/2))
+	_, _, said = runChild(t, dir, 5*time.Second, "STORE_MOST="+fmt.Sprint(info.Size()/2))
 	if !strings.Contains(said, "error:") && !strings.Contains(said, "open:") {
 		t.Errorf("no file could grow, and it said %q", said)
 	}
-	s, k := opened(t, dir)
+	s, k := mustOpen(t, dir)
 	defer testkit.Close(t, s)
-	if d := cmp.Diff(state(int(k.Version)), k); d != "" {
+	if d := cmp.Diff(nthState(int(k.Version)), k); d != "" {
 		t.Error(d)
 	}
 }
@@ -144,9 +144,9 @@
 // or the file is set aside as it was and an empty one takes its place, which can be written.
 func TestCorruption(t *testing.T) {
 	base := t.TempDir()
-	s, _ := opened(t, base)
+	s, _ := mustOpen(t, base)
 	for n := 1; n < 6; n++ {
-		if _, err := s.Write(state(n)); err != nil {
+		if _, err := s.Write(nthState(n)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -180,10 +180,10 @@
 			if kept, err := os.ReadFile(left[0]); err != nil || len(kept) < len(bad) {
 				t.Fatalf("%d: %d bytes of %d are set aside, %v", i, len(kept), len(bad), err)
 			}
-		} else if k.Version != 0 && k.Version != 4 && k.Version != 5 || k.Version > 0 && cmp.Diff(state(int(k.Version)), k) != "" {
+		} else if k.Version != 0 && k.Version != 4 && k.Version != 5 || k.Version > 0 && cmp.Diff(nthState(int(k.Version)), k) != "" {
 			t.Fatalf("%d: state %d is found, and not as it was kept", i, k.Version)
 		}
-		if _, err := s.Write(state(9)); err != nil && !errors.Is(err, ErrDamaged) {
+		if _, err := s.Write(nthState(9)); err != nil && !errors.Is(err, ErrDamaged) {
 			t.Fatalf("%d: %v", i, err)
 		}
 		_ = s.Close() // the file may be what it is
--- a/internal/governor/store/schema.go
+++ b/internal/governor/store/schema.go
@@ -19,76 +19,76 @@
 const checksumBytes = 8 // at the head of each value
 
 var (
-	metaBucket    = []byte("meta")
-	replicaBucket = []byte("replicas")
-	schemaKey     = []byte("schema")
-	headerKey     = []byte("head")
-	schema1Key    = []byte("whole")
+	metaBucket      = []byte("meta")
+	replicaBucket   = []byte("replicas")
+	schemaKey       = []byte("schema")
+	headerKey       = []byte("head")
+	schema1StateKey = []byte("whole")
 )
 
 // header is what is kept beside the replicas.
 type header struct {
-	Governor  string          `json:"governor"`
-	Discovery string          `json:"discovery"`
-	Version   uint64          `json:"version"`
-	Heard     rules.Time      `json:"heard_ns"`
-	Written   rules.Time      `json:"written_ns"`
-	Next      rules.ReplicaID `json:"next"`
-	Replicas  int             `json:"replicas"`
+	Governor      string          `json:"governor"`
+	Discovery     string          `json:"discovery"`
+	Version       uint64          `json:"version"`
+	ConfirmedAt   rules.Time      `json:"heard_ns"`
+	WrittenAt     rules.Time      `json:"written_ns"`
+	NextReplicaID rules.ReplicaID `json:"next"`
+	Replicas      int             `json:"replicas"`
 }
 
 // headerOf returns the header of a state.
 func headerOf(k recovery.State) header {
 	return header{
-		Governor:  k.Governor,
-		Discovery: k.Discovery,
-		Version:   k.Version,
-		Heard:     k.ConfirmedAt,
-		Written:   k.WrittenAt,
-		Next:      k.NextReplicaID,
-		Replicas:  len(k.Replicas),
+		Governor:      k.Governor,
+		Discovery:     k.Discovery,
+		Version:       k.Version,
+		ConfirmedAt:   k.ConfirmedAt,
+		WrittenAt:     k.WrittenAt,
+		NextReplicaID: k.NextReplicaID,
+		Replicas:      len(k.Replicas),
 	}
 }
 
-// kept returns a state with this header and no replicas yet.
-func (h header) kept() recovery.State {
+// state returns a state with this header and no replicas yet.
+func (h header) state() recovery.State {
 	return recovery.State{
 		Governor:      h.Governor,
 		Discovery:     h.Discovery,
 		Version:       h.Version,
-		ConfirmedAt:   h.Heard,
-		WrittenAt:     h.Written,
-		NextReplicaID: h.Next,
+		ConfirmedAt:   h.ConfirmedAt,
+		WrittenAt:     h.WrittenAt,
+		NextReplicaID: h.NextReplicaID,
 	}
 }
 
 // replicaRecord is the value of one replica.
 type replicaRecord struct {
-	Number  rules.ReplicaID `json:"number"`
-	Zone    rules.ZoneID    `json:"zone"`
-	Kind    rules.KindID    `json:"kind"`
-	Cell    rules.CellID    `json:"cell"`
-	State   rules.State     `json:"state"`
-	Listed  float64         `json:"weight"`
-	Started rules.Time      `json:"started_ns"`
-	Speed   float64         `json:"speed,omitempty"`
-	Answers float64         `json:"answers,omitempty"`
-	Out     bool            `json:"held_out,omitempty"`
+	ReplicaID  rules.ReplicaID `json:"number"`
+	Zone       rules.ZoneID    `json:"zone"`
+	Kind       rules.KindID    `json:"kind"`
+	Cell       rules.CellID    `json:"cell"`
+	State      rules.State     `json:"state"`
+	Listed     float64         `json:"weight"`
+	StartedAt  rules.Time      `json:"started_ns"`
+	Speed      float64         `json:"speed,omitempty"`
+	Throughput float64         `json:"answers,omitempty"`
+	Ejected    bool            `json:"held_out,omitempty"`
 }
 
 // recordOf returns the value of a replica.
 func recordOf(r recovery.Replica) replicaRecord {
 	return replicaRecord{
-		Number:  r.Entry.Replica,
-		Zone:    r.Entry.Zone,
-		Kind:    r.Entry.Kind,
-		Cell:    r.Entry.Cell,
-		State:   r.Entry.State,
-		Listed:  r.Entry.Listed,
-		Started: r.Entry.StartedAt,
-		Speed:   r.Learned.Speed,
-		Answers: r.Learned.Throughput,
-		Out:     r.Learned.Ejected,
+		ReplicaID:  r.Entry.Replica,
+		Zone:       r.Entry.Zone,
+		Kind:       r.Entry.Kind,
+		Cell:       r.Entry.Cell,
+		State:      r.Entry.State,
+		Listed:     r.Entry.Listed,
+		StartedAt:  r.Entry.StartedAt,
+		Speed:      r.Learned.Speed,
+		Throughput: r.Learned.Throughput,
+		Ejected:    r.Learned.Ejected,
 	}
 }
 
@@ -97,22 +97,22 @@
 	return recovery.Replica{
 		Name: name,
 		Entry: rules.Entry{
-			Replica:   r.Number,
+			Replica:   r.ReplicaID,
 			Zone:      r.Zone,
 			Kind:      r.Kind,
 			Cell:      r.Cell,
 			State:     r.State,
 			Listed:    r.Listed,
-			StartedAt: r.Started,
+			StartedAt: r.StartedAt,
 		},
-		Learned: rules.PriorMeasurement{Replica: r.Number, Speed: r.Speed, Throughput: r.Answers, Ejected: r.Out},
+		Learned: rules.PriorMeasurement{Replica: r.ReplicaID, Speed: r.Speed, Throughput: r.Throughput, Ejected: r.Ejected},
 	}
 }
 
 // schema1State is the only value of version 1.
 type schema1State struct {
 	header
-	All map[string]replicaRecord `json:"all"`
+	Records map[string]replicaRecord `json:"all"`
 }
 
 // encodeValue encodes a value as JSON behind its checksum.
@@ -180,19 +180,19 @@
 // migrateSchema1 splits the value of version 1 into a header and a value for each replica.
 func migrateSchema1(meta, replicas *bbolt.Bucket) error {
 	var state schema1State
-	if err := decodeValue(meta.Get(schema1Key), &state); err != nil {
+	if err := decodeValue(meta.Get(schema1StateKey), &state); err != nil {
 		return err
 	}
-	for name, record := range state.All {
+	for name, record := range state.Records {
 		if err := putValue(replicas, []byte(name), record); err != nil {
 			return err
 		}
 	}
-	state.Replicas = len(state.All)
+	state.Replicas = len(state.Records)
 	if err := putValue(meta, headerKey, state.header); err != nil {
 		return err
 	}
-	if err := meta.Delete(schema1Key); err != nil {
+	if err := meta.Delete(schema1StateKey); err != nil {
 		return fmt.Errorf("deleting: %w", err)
 	}
 	return nil
--- a/internal/governor/store/store.go
+++ b/internal/governor/store/store.go
@@ -100,7 +100,7 @@
 	if err := decodeValue(encoded, &h); err != nil {
 		return recovery.State{}, err
 	}
-	kept := h.kept()
+	kept := h.state()
 	err := replicas.ForEach(func(name, encoded []byte) error {
 		var record replicaRecord
 		if err := decodeValue(encoded, &record); err != nil {
--- a/internal/governor/store/store_test.go
+++ b/internal/governor/store/store_test.go
@@ -19,9 +19,9 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// state returns the state that the test keeps as its nth. It is a function of n alone, so that whatever is found can be
+// nthState returns the nthState that the test keeps as its nth. It is a function of n alone, so that whatever is found can be
 // compared.
-func state(n int) recovery.State {
+func nthState(n int) recovery.State {
 	chance := rand.New(rand.NewPCG(uint64(n/3), 7)) // neighbours share most of it
 	k := recovery.State{Governor: "n1", Discovery: "127.0.0.1:1", Version: uint64(n), ConfirmedAt: rules.Time(1000 + n), WrittenAt: rules.Time(1001 + n), NextReplicaID: 500}
 	for i := range 20 + chance.IntN(60) {
@@ -32,8 +32,8 @@
 	return k
 }
 
-// opened opens the store of a folder, which must not be damaged.
-func opened(t *testing.T, dir string) (*Store, recovery.State) {
+// mustOpen opens the store of a folder, which must not be damaged.
+func mustOpen(t *testing.T, dir string) (*Store, recovery.State) {
 	t.Helper()
 	s, k, damaged, err := Open(dir, time.Now())
 	if damaged != nil || err != nil {
@@ -46,8 +46,8 @@
 // folders that can't be used.
 func TestUntouchedFiles(t *testing.T) {
 	dir := t.TempDir()
-	s, _ := opened(t, dir)
-	if _, err := s.Write(state(3)); err != nil {
+	s, _ := mustOpen(t, dir)
+	if _, err := s.Write(nthState(3)); err != nil {
 		t.Fatal(err)
 	}
 	for what, err := range map[string]error{
@@ -91,12 +91,12 @@
 
 // TestMigration opens a file of version 1: all of its state is found, and found again as of the current version.
 func TestMigration(t *testing.T) {
-	dir, want := t.TempDir(), state(4)
-	w := schema1State{header: header{Governor: want.Governor, Discovery: want.Discovery, Version: want.Version, Heard: want.ConfirmedAt, Written: want.WrittenAt, Next: want.NextReplicaID},
-		All: map[string]replicaRecord{}}
+	dir, want := t.TempDir(), nthState(4)
+	w := schema1State{header: header{Governor: want.Governor, Discovery: want.Discovery, Version: want.Version, ConfirmedAt: want.ConfirmedAt, WrittenAt: want.WrittenAt, NextReplicaID: want.NextReplicaID},
+		Records: map[string]replicaRecord{}}
 	for _, r := range want.Replicas {
-		w.All[r.Name] = replicaRecord{Number: r.Entry.Replica, State: r.Entry.State, Listed: r.Entry.Listed, Started: r.Entry.StartedAt,
-			Speed: r.Learned.Speed, Answers: r.Learned.Throughput, Out: r.Learned.Ejected}
+		w.Records[r.Name] = replicaRecord{ReplicaID: r.Entry.Replica, State: r.Entry.State, Listed: r.Entry.Listed, StartedAt: r.Entry.StartedAt,
+			Speed: r.Learned.Speed, Throughput: r.Learned.Throughput, Ejected: r.Learned.Ejected}
 	}
 	db, err := bbolt.Open(Path(dir), 0o600, nil)
 	if err != nil {
@@ -104,7 +104,7 @@
 	}
 	if err := db.Update(func(tx *bbolt.Tx) error {
 		b, err := tx.CreateBucket(metaBucket)
-		return errors.Join(err, putValue(b, schemaKey, 1), putValue(b, schema1Key, w))
+		return errors.Join(err, putValue(b, schemaKey, 1), putValue(b, schema1StateKey, w))
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 		t.Error("viewed before it was brought to the present version: ", err)
 	}
 	for range 2 {
-		s, k := opened(t, dir)
+		s, k := mustOpen(t, dir)
 		if d := cmp.Diff(want, k); d != "" {
 			t.Error(d)
 		}
@@ -126,8 +126,8 @@
 
 // TestWriteOnlyChanges counts the bytes of a write that changes one replica of many, and compacts the file afterwards.
 func TestWriteOnlyChanges(t *testing.T) {
-	dir, k := t.TempDir(), state(3)
-	s, _ := opened(t, dir)
+	dir, k := t.TempDir(), nthState(3)
+	s, _ := mustOpen(t, dir)
 	all, err := s.Write(k)
 	if err != nil {
 		t.Fatal(err)
@@ -146,7 +146,7 @@
 	if before, after, err := Compact(dir); err != nil || after > before {
 		t.Error(before, after, err)
 	}
-	s, got := opened(t, dir)
+	s, got := mustOpen(t, dir)
 	defer testkit.Close(t, s)
 	if d := cmp.Diff(k, got); d != "" {
 		t.Error(d)
