--- a/internal/governor/discoveryclient/client.go
+++ b/internal/governor/discoveryclient/client.go
@@ -31,7 +31,7 @@
 	dial         dialFunc
 	running      sync.WaitGroup // requests and watches
 
-	posting      sync.Mutex         // held while an answer is taken in and posted, so that posts keep the order of versions
+	postMu       sync.Mutex         // held while an answer is taken in and posted, so that posts keep the order of versions
 	mu           sync.Mutex         // guards the following; never held while posting, as post may wait for a caller of Watch
 	endpoint     *endpoint          // at the current address
 	version      Version            // of the list as last posted
@@ -59,9 +59,9 @@
 	return client
 }
 
-// LoadKnown takes the list that the configuration brings as the current one and returns it. Without it, or Restore, the
+// LoadCachedList takes the list that the configuration brings as the current one and returns it. Without it, or Restore, the
 // first request is for the full list.
-func (c *Client) LoadKnown(text []byte) (rules.List, error) {
+func (c *Client) LoadCachedList(text []byte) (rules.List, error) {
 	known, err := decodeAnswer(text)
 	if err != nil {
 		return rules.List{}, fmt.Errorf("known: %w", err)
@@ -76,14 +76,14 @@
 // requested.
 func (c *Client) Restore(state recovery.State) {
 	for _, replica := range state.Replicas {
-		c.restore(replica.Name, replica.Entry.Replica)
+		c.restoreID(replica.Name, replica.Entry.Replica)
 	}
-	c.reserve(state.NextReplicaID)
+	c.reserveBelow(state.NextReplicaID)
 	c.version, c.hasVersion = Version(state.Version), true
 }
 
-// Position returns the version of the list as last posted, and the time of the last valid answer, zero if there was none.
-func (c *Client) Position() (Version, time.Time) {
+// ListStatus returns the version of the list as last posted, and the time of the last valid answer, zero if there was none.
+func (c *Client) ListStatus() (Version, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.version, c.lastAnswerAt
@@ -182,8 +182,8 @@
 	if err == nil {
 		decoded, err = decodeAnswer(r.body)
 	}
-	c.posting.Lock()
-	defer c.posting.Unlock()
+	c.postMu.Lock()
+	defer c.postMu.Unlock()
 	ignored, err := c.advance(ctx, r, decoded, err)
 	if ignored {
 		return false
