--- a/internal/testbeds/simulation/disk_test.go
+++ b/internal/testbeds/simulation/disk_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// writeFile writes to a file and carries out what is pending.
+// writeFile writes to a file and applies the operations.
 func writeFile(t *testing.T, d *disk, name string, data []byte) fileHandle {
 	t.Helper()
 	file, err := d.OpenForWrite(name)
@@ -38,7 +38,7 @@
 	applyPending(d)
 }
 
-// TestDiskKeepsSyncedData guards that a loss of power never takes away what was synced, nor its name.
+// TestDiskKeepsSyncedData checks that a power loss keeps synced content and the file's name.
 func TestDiskKeepsSyncedData(t *testing.T) {
 	for seed := range uint64(50) {
 		d, data := newDisk(), []byte("synced")
@@ -50,11 +50,11 @@
 	}
 }
 
-// TestDiskTearsWritesAtSectors guards that of a write that was not synced each sector lasts whole or not at all, and that all of it
-// and none of it and parts of it occur.
+// TestDiskTearsWritesAtSectors checks that each sector of an unsynced write is kept or lost as a whole, and that any
+// number of sectors may be kept.
 func TestDiskTearsWritesAtSectors(t *testing.T) {
 	const sectors = 4
-	lasted := map[int]int{}
+	kept := map[int]int{}
 	for seed := range uint64(400) {
 		d := newDisk()
 		file := writeFile(t, d, "file", bytes.Repeat([]byte{'a'}, sectors*sectorSize))
@@ -74,16 +74,16 @@
 				t.Fatalf("seed %d: %d bytes of sector %d were written", seed, n, i)
 			}
 		}
-		lasted[written]++
+		kept[written]++
 	}
 	for written := range sectors + 1 {
-		if lasted[written] == 0 {
-			t.Errorf("%d sectors never lasted: %v", written, lasted)
+		if kept[written] == 0 {
+			t.Errorf("no power loss kept exactly %d sectors: %v", written, kept)
 		}
 	}
 }
 
-// TestDiskLosesUnsyncedDirectoryEntries guards that a file may be lost, contents and all, whose folder was not synced.
+// TestDiskLosesUnsyncedDirectoryEntries checks that a power loss may remove a file whose directory was not synced.
 func TestDiskLosesUnsyncedDirectoryEntries(t *testing.T) {
 	lost, kept := 0, 0
 	for seed := range uint64(100) {
@@ -108,19 +108,19 @@
 	}
 }
 
-// TestDiskFaults guards what the store sees of a full and of a failing disk.
+// TestDiskFaults checks the errors of a full and of a failing disk.
 func TestDiskFaults(t *testing.T) {
 	d := newDisk()
 	file := writeFile(t, d, "file", []byte("before"))
 	d.full = true
 	if n, err := file.WriteAt([]byte("123456"), 0); n != 2 || !errors.Is(err, errNoSpace) {
-		t.Errorf("a full disk takes %d of 6 bytes: %v", n, err)
+		t.Errorf("full disk: wrote %d of 6 bytes, error %v", n, err)
 	}
 	d.full, d.failing = false, true
 	if err := file.Sync(); !errors.Is(err, errInputOutput) {
-		t.Errorf("a failing disk syncs: %v", err)
+		t.Errorf("failing disk: Sync returned %v", err)
 	}
 	if _, err := d.OpenForWrite("other"); !errors.Is(err, errInputOutput) {
-		t.Errorf("a failing disk opens a file: %v", err)
+		t.Errorf("failing disk: OpenForWrite returned %v", err)
 	}
 }
--- a/internal/testbeds/simulation/eventqueue_test.go
+++ b/internal/testbeds/simulation/eventqueue_test.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// TestEventQueueOrder guards determinism: events come by time, and those of one moment in the order in which they were
-// scheduled.
+// TestEventQueueOrder checks that events are ordered by time, then by scheduling order.
 func TestEventQueueOrder(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	var queue eventQueue
@@ -17,11 +16,11 @@
 		e := event{at: time.Duration(random.IntN(40)), sequence: i}
 		want = append(want, e)
 		queue.push(e)
-		if random.IntN(3) == 0 { // as a run does, take some before all are there
+		if random.IntN(3) == 0 { // interleave pops with pushes
 			taken := queue.pop()
 			earliest := slices.MinFunc(want, compareEvents)
 			if taken.at != earliest.at || taken.sequence != earliest.sequence {
-				t.Fatalf("got the event %d at %d, want %d at %d", taken.sequence, taken.at, earliest.sequence, earliest.at)
+				t.Fatalf("got event %d at %d, want event %d at %d", taken.sequence, taken.at, earliest.sequence, earliest.at)
 			}
 			want = slices.DeleteFunc(want, func(e event) bool { return e.sequence == taken.sequence })
 		}
@@ -29,11 +28,11 @@
 	slices.SortFunc(want, compareEvents)
 	for _, e := range want {
 		if taken := queue.pop(); taken.at != e.at || taken.sequence != e.sequence {
-			t.Fatalf("got the event %d at %d, want %d at %d", taken.sequence, taken.at, e.sequence, e.at)
+			t.Fatalf("got event %d at %d, want event %d at %d", taken.sequence, taken.at, e.sequence, e.at)
 		}
 	}
 	if len(queue) > 0 {
-		t.Errorf("%d events are left", len(queue))
+		t.Errorf("%d events left in the queue", len(queue))
 	}
 }
 
--- a/internal/testbeds/simulation/families_test.go
+++ b/internal/testbeds/simulation/families_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// familyTotals is what the schedules of families came to in all.
+// familyTotals sums up the results of several schedules.
 type familyTotals struct {
 	schedules, acknowledged, rejected, unanswered, joined, caughtUp, maxDiskBytes int
 }
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestFamilies runs schedules of each family with 3, 5 and 7 members. SIMULATION_SEEDS=N asks for N seeds of each, beginning
-// with SIMULATION_FROM, so that a long run may be split; SIMULATION_FAMILY and SIMULATION_MEMBERS run one of them alone, and
-// SIMULATION_SHOW says how many failing schedules of each are shrunk.
+// TestFamilies runs schedules of each family with 3, 5 and 7 members. SIMULATION_SEEDS sets the number of seeds,
+// SIMULATION_FROM the first seed, SIMULATION_FAMILY and SIMULATION_MEMBERS restrict the run, and SIMULATION_SHOW sets
+// how many failing schedules of each family and size are shrunk.
 func TestFamilies(t *testing.T) {
 	t.Parallel()
 	from, n := uint64(environmentInt(t, "SIMULATION_FROM", 0)), uint64(environmentInt(t, "SIMULATION_SEEDS", 1))
@@ -54,18 +54,18 @@
 				}
 			}
 			if failed > 0 {
-				t.Errorf("%s, %d members: %d of %d schedules violate something", family, members, failed, n)
+				t.Errorf("%s, %d members: %d of %d schedules fail", family, members, failed, n)
 			}
 		}
 	}
-	t.Logf("%d schedules, seeds %d to %d: %d commands acknowledged, %d rejected, %d attempts without a clear answer, %d members joined and %d caught up, %d bytes on a disk at most; %d histories undecided",
+	t.Logf("%d schedules, seeds %d to %d: %d commands acknowledged, %d rejected, %d attempts without a conclusive response, %d members joined and %d caught up, at most %d bytes on a disk; %d histories undecided",
 		totals.schedules, from, from+n-1, totals.acknowledged, totals.rejected, totals.unanswered, totals.joined, totals.caughtUp, totals.maxDiskBytes, undecidedHistories.Load())
 	if totals.acknowledged == 0 || onlyFamily == "" && (totals.rejected == 0 || totals.unanswered == 0 || totals.joined == 0 || totals.caughtUp == 0) {
-		t.Error("the schedules test nothing")
+		t.Errorf("the schedules don't cover all outcomes: %+v", *totals)
 	}
 }
 
-// reportShrunk shrinks a schedule that fails and prints what is left.
+// reportShrunk shrinks a failing schedule and reports the result.
 func reportShrunk(t *testing.T, schedule Schedule) {
 	t.Helper()
 	shrunk, result := ShrinkWith(schedule, func(candidate Schedule) (Result, bool) {
@@ -76,9 +76,8 @@
 	t.Errorf("%s; shrunk:\n%s\n%s", violation, shrunk.JSON(), traceText(result))
 }
 
-// TestVersionBelowRetainedClaims guards the checker against a promise that nobody made: in this schedule two operators send different configurations under
-// version 945 while more than 64 higher versions are claimed, so that members remember neither (docs/design/control-review.md). Both are acknowledged
-// and change nothing.
+// TestVersionBelowRetainedClaims checks that the invariants allow two configurations with the same version if more
+// than maxClaims higher versions were claimed before, so that members remember neither.
 func TestVersionBelowRetainedClaims(t *testing.T) {
 	if _, violation := runChecked(t, GenerateFamily("long", 21, 7)); violation != "" {
 		t.Error(violation)
--- a/internal/testbeds/simulation/fault_test.go
+++ b/internal/testbeds/simulation/fault_test.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// TestSingleFaults runs the faults that come to mind first, each under many delays.
+// TestSingleFaults runs basic fault scenarios with several seeds each.
 func TestSingleFaults(t *testing.T) {
 	const s = time.Second
 	at := func(kind FaultKind, target int, duration time.Duration) Fault {
 		return Fault{At: 4 * s, For: duration, Kind: kind, Target: target}
 	}
 	cases := map[string][]Fault{
-		"head loses power":                         {at(LosePower, 0, 3*s)},
-		"middle loses power":                       {at(LosePower, 1, 3*s)},
-		"tail loses power":                         {at(LosePower, 2, 3*s)},
-		"head loses its disk":                      {at(WipeDisk, 0, 2*s)},
-		"tail loses its disk":                      {at(WipeDisk, 2, 2*s)},
-		"whoever acknowledges loses power":         {at(LosePowerOnAcknowledgement, 0, 2*s)},
-		"whoever acknowledges loses its disk":      {at(WipeDiskOnAcknowledgement, 0, 2*s)},
-		"all processes die while a view changes":   {at(LosePower, 0, s), {At: 4100 * time.Millisecond, For: 500 * time.Millisecond, Kind: KillAllOnView}},
-		"head is cut in one direction":             {at(IsolateMemberOneWay, 0, 4*s)},
-		"middle is cut off":                        {at(IsolateMember, 1, 4*s)},
-		"head's disk is full":                      {at(FillDisk, 0, 4*s)},
-		"tail's disk hangs":                        {at(StallDisk, 2, 4*s)},
-		"head's disk hangs":                        {at(StallDisk, 0, 4*s)},
-		"tail freezes":                             {at(PauseProcess, 2, 4*s)},
-		"head freezes":                             {at(PauseProcess, 0, 4*s)},
-		"a joiner dies half filled":                {at(WipeDisk, 1, s), {At: 5900 * time.Millisecond, For: s, Kind: KillProcess, Target: 1}},
-		"one is wiped, and another one after that": {at(WipeDisk, 0, s), {At: 11 * s, For: s, Kind: WipeDisk, Target: 1}, {At: 18 * s, For: s, Kind: WipeDisk, Target: 2}},
+		"head loses power":                          {at(LosePower, 0, 3*s)},
+		"middle loses power":                        {at(LosePower, 1, 3*s)},
+		"tail loses power":                          {at(LosePower, 2, 3*s)},
+		"head loses its disk":                       {at(WipeDisk, 0, 2*s)},
+		"tail loses its disk":                       {at(WipeDisk, 2, 2*s)},
+		"acknowledging member loses power":          {at(LosePowerOnAcknowledgement, 0, 2*s)},
+		"acknowledging member loses its disk":       {at(WipeDiskOnAcknowledgement, 0, 2*s)},
+		"all processes die during a view change":    {at(LosePower, 0, s), {At: 4100 * time.Millisecond, For: 500 * time.Millisecond, Kind: KillAllOnView}},
+		"head is isolated in one direction":         {at(IsolateMemberOneWay, 0, 4*s)},
+		"middle is isolated":                        {at(IsolateMember, 1, 4*s)},
+		"head's disk is full":                       {at(FillDisk, 0, 4*s)},
+		"tail's disk hangs":                         {at(StallDisk, 2, 4*s)},
+		"head's disk hangs":                         {at(StallDisk, 0, 4*s)},
+		"tail is paused":                            {at(PauseProcess, 2, 4*s)},
+		"head is paused":                            {at(PauseProcess, 0, 4*s)},
+		"joining member dies during catch-up":       {at(WipeDisk, 1, s), {At: 5900 * time.Millisecond, For: s, Kind: KillProcess, Target: 1}},
+		"all members are wiped one after the other": {at(WipeDisk, 0, s), {At: 11 * s, For: s, Kind: WipeDisk, Target: 1}, {At: 18 * s, For: s, Kind: WipeDisk, Target: 2}},
 	}
 	for name, faults := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -44,19 +44,19 @@
 	}
 }
 
-// TestLongOutages has gateways and members away for twenty seconds, while configurations, evacuations and replicas change:
-// whoever is back must have what was acknowledged within the bounds, go back in nothing, and spare warming replicas.
+// TestLongOutages checks that gateways and members that were unavailable for 20 s catch up within the bounds, without
+// reverting to older state or overloading warming replicas.
 func TestLongOutages(t *testing.T) {
-	const away = 20 * time.Second
+	const outage = 20 * time.Second
 	cases := map[string][]Fault{
-		"a gateway is cut off from all":             {{Kind: IsolateGateway, Target: 0}, {Kind: IsolateGateway, Target: 1}},
-		"a gateway freezes":                         {{Kind: PauseGateway, Target: 0}, {Kind: PauseGateway, Target: 1}},
-		"a member is cut off":                       {{Kind: IsolateMember, Target: 0}},
-		"a member is cut in one direction":          {{Kind: IsolateMemberOneWay, Target: 1}},
-		"a member freezes":                          {{Kind: PauseProcess, Target: 2}},
-		"a member is wiped":                         {{Kind: WipeDisk, Target: 1}},
-		"a member is cut off, a gateway too":        {{Kind: IsolateMember, Target: 1}, {Kind: IsolateGateway, Target: 2}},
-		"a gateway restarts as a member comes back": {{Kind: IsolateMember, Target: 1}, {At: 19900 * time.Millisecond, For: 200 * time.Millisecond, Kind: KillGateway, Target: 0}},
+		"gateways are isolated":               {{Kind: IsolateGateway, Target: 0}, {Kind: IsolateGateway, Target: 1}},
+		"gateways are paused":                 {{Kind: PauseGateway, Target: 0}, {Kind: PauseGateway, Target: 1}},
+		"member is isolated":                  {{Kind: IsolateMember, Target: 0}},
+		"member is isolated in one direction": {{Kind: IsolateMemberOneWay, Target: 1}},
+		"member is paused":                    {{Kind: PauseProcess, Target: 2}},
+		"member is wiped":                     {{Kind: WipeDisk, Target: 1}},
+		"member and gateway are isolated":     {{Kind: IsolateMember, Target: 1}, {Kind: IsolateGateway, Target: 2}},
+		"gateway restarts as member returns":  {{Kind: IsolateMember, Target: 1}, {At: 19900 * time.Millisecond, For: 200 * time.Millisecond, Kind: KillGateway, Target: 0}},
 	}
 	for name, faults := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -67,7 +67,7 @@
 				for _, fault := range faults {
 					fault.At += 4*time.Second + time.Duration(seed)*130*time.Millisecond
 					if fault.For == 0 {
-						fault.For = away
+						fault.For = outage
 					}
 					schedule.Faults = append(schedule.Faults, fault)
 				}
--- a/internal/testbeds/simulation/generate_test.go
+++ b/internal/testbeds/simulation/generate_test.go
@@ -12,7 +12,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// TestGeneratedSchedules runs generated schedules and checks that the calls of operators are linearizable.
+// TestGeneratedSchedules runs generated schedules and checks that the operator calls are linearizable.
 func TestGeneratedSchedules(t *testing.T) {
 	t.Parallel()
 	for _, members := range []int{3, 5} {
@@ -24,7 +24,7 @@
 				acknowledged, calls = acknowledged+result.Acknowledged, calls+result.AnsweredCalls
 				requests, warmupRequests = requests+result.Requests, warmupRequests+result.WarmupRequests
 				if len(result.Violations) == 0 && !porcupine.CheckOperations(registerModel, operationHistory(result.Operations)) {
-					t.Fatalf("seed %d: the calls are not linearizable:\n%+v\n%s", seed, result.Operations, traceText(result))
+					t.Fatalf("seed %d: operator calls are not linearizable:\n%+v\n%s", seed, result.Operations, traceText(result))
 				}
 				if len(result.Violations) > 0 {
 					schedule, result = Shrink(schedule)
@@ -33,17 +33,17 @@
 			}
 			t.Logf("%d commands acknowledged of %d calls answered, %d requests sent, %d of them to warming replicas", acknowledged, calls, requests, warmupRequests)
 			if acknowledged == 0 || calls == acknowledged || warmupRequests == 0 || requests == warmupRequests {
-				t.Errorf("the schedules test nothing")
+				t.Error("the schedules don't cover commands, reads and requests to warm and warming replicas")
 			}
 		})
 	}
 }
 
-// TestRegressionSchedules runs schedules that once violated an invariant, shrunk. The pages under docs/incidents say which.
+// TestRegressionSchedules runs shrunk schedules that once violated an invariant. They are described in docs/incidents.
 func TestRegressionSchedules(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no kept schedules: %v", err)
+		t.Fatalf("no schedules under testdata: %v", err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -62,11 +62,11 @@
 	}
 }
 
-// TestRunIsDeterministic guards what kept schedules and shrinking rest on: the same schedule always leads to the same history.
+// TestRunIsDeterministic checks that a schedule always yields the same history.
 func TestRunIsDeterministic(t *testing.T) {
 	schedule := Generate(7, 5, 8, 25*time.Second)
 	first, second := Run(schedule), Run(schedule)
 	if !slices.Equal(first.Trace, second.Trace) || first.Requests != second.Requests || first.WarmupRequests != second.WarmupRequests {
-		t.Error("two runs of one schedule differ")
+		t.Error("two runs of the same schedule differ")
 	}
 }
--- a/internal/testbeds/simulation/history_test.go
+++ b/internal/testbeds/simulation/history_test.go
@@ -14,14 +14,15 @@
 	"time"
 )
 
-var updateHistories = flag.Bool("update", false, "write testdata/histories.txt anew; for a change that is meant to change what the software decides, and no other")
+var updateHistories = flag.Bool("update", false, "rewrite testdata/histories.txt; only for changes that are meant to change behaviour")
 
 const historiesFile = "testdata/histories.txt"
 
-// plannerMutex is held while a week is generated: the solver that makes its timetable has buffers that all its users share.
+// plannerMutex serializes GeneratePlannedMaintenance, as the solver's buffers are shared by all callers.
 var plannerMutex sync.Mutex
 
-// historyFamilies are kinds of simulations, each of which runs one by its seed and returns the checksum of its history.
+// historyFamilies are the kinds of simulations, each of which returns the history checksum for a seed. The keys are
+// stored in historiesFile.
 var historyFamilies = func() map[string]func(seed uint64) string {
 	families := map[string]func(uint64) string{
 		"drawn": func(seed uint64) string { return scheduleHistory(Generate(seed, memberCount(seed), 8, 25*time.Second)) },
@@ -30,16 +31,16 @@
 		},
 		"weeks": func(seed uint64) string {
 			plannerMutex.Lock()
-			week, _ := GeneratePlannedMaintenance(seed)
+			plan, _ := GeneratePlannedMaintenance(seed)
 			plannerMutex.Unlock()
-			return scheduleHistory(week.Schedule)
+			return scheduleHistory(plan.Schedule)
 		},
-		"gateways": func(seed uint64) string { // many that follow other members again and again, and are sent updates without a read of the others
+		"gateways": func(seed uint64) string { // many gateways that reconnect often and receive unconfirmed updates
 			s := Generate(seed, 3, 8, 25*time.Second)
 			s.Gateways, s.UnconfirmedUpdates, s.LossRate, s.ReorderRate = 8, true, 0.02, 0.02
 			return scheduleHistory(s)
 		},
-		"rush": func(seed uint64) string { // overflow between sites; the key stands in the file
+		"rush": func(seed uint64) string { // overflow between sites
 			return overflowHistory(OverflowScenario{Seed: seed, Sites: 2 + int(seed%5), OverloadedSites: 1 + int(seed%3)/2, LoadFactor: 3, Duration: 40 * time.Second, WithFaults: seed%4 > 0, Strategy: LeaseOverflow})
 		},
 	}
@@ -49,7 +50,7 @@
 	return families
 }()
 
-// memberCount has seeds take turns at the sizes of a control plane.
+// memberCount returns 3, 5 or 7 members, depending on the seed.
 func memberCount(seed uint64) int { return 3 + 2*int(seed%3) }
 
 func scheduleHistory(s Schedule) string {
@@ -64,7 +65,7 @@
 	return h.sum()
 }
 
-// historyID names a history: the n-th of a family.
+// historyID identifies a history by family and seed.
 type historyID struct {
 	family string
 	seed   uint64
@@ -76,7 +77,7 @@
 	return cmp.Or(cmp.Compare(a.family, b.family), cmp.Compare(a.seed, b.seed))
 }
 
-// historyIDs are the first seeds of each family.
+// historyIDs returns the first seeds of each family.
 func historyIDs(seeds int) (ids []historyID) {
 	for _, family := range sortedKeys(historyFamilies) {
 		for seed := range uint64(seeds) {
@@ -86,7 +87,7 @@
 	return ids
 }
 
-// runHistories runs histories, some at once, and hands each checksum to a function, one after the other.
+// runHistories runs simulations in parallel and passes each checksum to done, one call at a time.
 func runHistories(ids []historyID, parallelism int, done func(id historyID, sum string)) {
 	var running sync.WaitGroup
 	var one sync.Mutex
@@ -104,7 +105,7 @@
 	running.Wait()
 }
 
-// readHistories reads lines of a family, a seed and a checksum.
+// readHistories reads a file with a family, a seed and a checksum on each line.
 func readHistories(t *testing.T, path string) map[historyID]string {
 	t.Helper()
 	file, err := os.Open(path)
@@ -147,38 +148,37 @@
 	}
 }
 
-// TestHistories guards that a change of the source's form alone (names, files, functions) leaves each decision, message
-// and disk write as it was: the same seeds have the same histories as with commit 2705c65, which wrote the file. It says
-// nothing of whether a history is good; the other tests do. Whoever means to change what is decided writes the file anew by
+// TestHistories guards against unintended behaviour changes: with the same seeds, all decisions, messages and disk
+// writes must match the checksums in testdata/histories.txt. After an intended change, rewrite the file with
 //
 //	go test ./internal/testbeds/simulation -run TestHistories -update
 //
-// and says so in the commit.
+// and mention it in the commit.
 //
-// It does not run beside other tests, as some of them use the solver too (plannerMutex).
+// It is not a parallel test, because other tests use the solver too (plannerMutex).
 func TestHistories(t *testing.T) {
-	const seedsOfEach, parallelism = 4, 4
+	const seeds, parallelism = 4, 4
 	got := map[historyID]string{}
-	runHistories(historyIDs(seedsOfEach), parallelism, func(id historyID, sum string) { got[id] = sum })
+	runHistories(historyIDs(seeds), parallelism, func(id historyID, sum string) { got[id] = sum })
 	if *updateHistories {
 		writeHistories(t, historiesFile, got)
 	}
 	want := readHistories(t, historiesFile)
-	for _, id := range historyIDs(seedsOfEach) {
+	for _, id := range historyIDs(seeds) {
 		if got[id] != want[id] {
-			t.Errorf("%v has the history %s, want %s", id, got[id], want[id])
+			t.Errorf("%v: got checksum %s, want %s", id, got[id], want[id])
 		}
 	}
 	if len(got) != len(want) {
-		t.Errorf("%d histories, want %d", len(got), len(want))
+		t.Errorf("got %d histories, want %d", len(got), len(want))
 	}
 }
 
-// TestManyHistories writes the checksums of many histories for a comparison of two builds, one a line:
+// TestManyHistories writes many checksums to a file, to compare two builds:
 //
 //	HISTORY_SEEDS=200 HISTORY_OUT=/tmp/histories.txt go test ./internal/testbeds/simulation -run TestManyHistories -timeout 1h
 //
-// HISTORY_PARALLEL is how many are run at once, 4 if it is not set. HISTORY_FIRST is the first seed.
+// HISTORY_PARALLEL sets the number of parallel runs (default 4), HISTORY_FIRST the first seed.
 func TestManyHistories(t *testing.T) {
 	if os.Getenv("HISTORY_SEEDS") == "" {
 		t.Skip("HISTORY_SEEDS is not set")
@@ -199,29 +199,28 @@
 		ids[i].seed += uint64(number("HISTORY_FIRST", 0))
 	}
 	sums := map[historyID]string{}
-	began := time.Now()
+	start := time.Now()
 	runHistories(ids, number("HISTORY_PARALLEL", 4), func(id historyID, sum string) { sums[id] = sum })
 	writeHistories(t, os.Getenv("HISTORY_OUT"), sums)
-	t.Logf("%d histories in %v", len(sums), time.Since(began).Round(time.Second))
+	t.Logf("%d histories in %v", len(sums), time.Since(start).Round(time.Second))
 }
 
-// TestHistoryDependsOnDecisions guards that a checksum changes with what is decided, and does not change from one run to the
-// next.
+// TestHistoryDependsOnDecisions checks that a checksum is deterministic and changes with the decisions.
 func TestHistoryDependsOnDecisions(t *testing.T) {
 	s := Generate(1, 3, 8, 25*time.Second)
 	sum := scheduleHistory(s)
 	if again := scheduleHistory(s); again != sum {
-		t.Errorf("two runs of one schedule have the histories %s and %s", sum, again)
+		t.Errorf("two runs of the same schedule have checksums %s and %s", sum, again)
 	}
-	for fault, change := range map[string]func(*Schedule){
-		"a version":     func(s *Schedule) { s.Actions[0].Version++; s.Actions[0].Kind = PutConfig },
-		"a fault's end": func(s *Schedule) { s.Faults[0].For += time.Millisecond },
-		"no identity":   func(s *Schedule) { s.PlantedBug = DropCommandID },
+	for name, change := range map[string]func(*Schedule){
+		"version":        func(s *Schedule) { s.Actions[0].Version++; s.Actions[0].Kind = PutConfig },
+		"fault duration": func(s *Schedule) { s.Faults[0].For += time.Millisecond },
+		"no command ID":  func(s *Schedule) { s.PlantedBug = DropCommandID },
 	} {
 		changed := s
 		changed.Actions, changed.Faults = slices.Clone(s.Actions), slices.Clone(s.Faults)
 		if change(&changed); scheduleHistory(changed) == sum {
-			t.Errorf("%s: the history has not changed", fault)
+			t.Errorf("%s: the checksum has not changed", name)
 		}
 	}
 }
--- a/internal/testbeds/simulation/invariant_recovery.go
+++ b/internal/testbeds/simulation/invariant_recovery.go
@@ -10,15 +10,14 @@
 
 const (
 	monitorInterval    = 50 * time.Millisecond
-	recoveryCheckEvery = 10 // of the intervals, one in so many
-	// formationBound is when the first view has grown to all members: seven from three take 3.9 s, one after the other, and
-	// up to 4.5 s where links lose messages.
+	recoveryCheckEvery = 10 // monitor intervals
+	// formationBound is the time by which the first view has grown to all members.
 	formationBound   = 5 * time.Second
-	durabilityWindow = time.Second // what was committed before it must be on every disk
-	maxDiskBytes     = 64 << 10    // on one disk
+	durabilityWindow = time.Second // older commits must be on every disk
+	maxDiskBytes     = 64 << 10    // per disk
 )
 
-// monitorCore looks at the control plane from outside, again and again, in schedules with a Tolerance.
+// monitorCore observes the control plane at intervals in schedules with a Tolerance.
 func (c *cluster) monitorCore() {
 	if c.finished {
 		return
@@ -37,7 +36,7 @@
 	}
 }
 
-// measureCatchUp notes members that have just got into the chain with all that was committed on disk.
+// measureCatchUp records members that have just joined the chain with all committed state on disk.
 func (c *cluster) measureCatchUp(view membership.View) {
 	for _, m := range c.members {
 		if !m.isHealthy() || m.caughtUp || !slices.Contains(view.Chain, m.id()) || m.durableSequence() < c.coreHistory.newestSequence {
@@ -52,10 +51,10 @@
 	}
 }
 
-// id is the ID of a member with the disk that it has. It must be serving.
+// id returns the ID of a member with its current disk. The member must be serving.
 func (m *member) id() string { return m.controller.Coordinator().Self().ID }
 
-// durableSequence is the number of the register that a loss of power would leave on a member's disk.
+// durableSequence returns the sequence number of the register that would survive a power loss.
 func (m *member) durableSequence() uint64 {
 	if state := m.disk.durableState(); state != nil {
 		return state.Register.Sequence
@@ -63,8 +62,8 @@
 	return 0
 }
 
-// checkRecovery: after some calm all members that run are back in the chain, and after more of it they have contact to a
-// quorum, and enough of them vote.
+// checkRecovery checks that, after some time without faults, all running members have recovered and enough of them are
+// voters.
 func (c *cluster) checkRecovery(view membership.View) {
 	healthy, lost, voting := 0, 0, 0
 	for _, m := range c.members {
@@ -87,31 +86,32 @@
 	}
 }
 
-// checkMemberRecovered: a healthy member has on disk what was committed, is in the chain and, if all has been calm for
-// longer, has contact to a quorum; its disk does not fill up. It reports whether that holds.
+// checkMemberRecovered checks that a healthy member has committed state on disk, is in the chain, has bounded disk
+// usage and, after a longer time without faults, has contact to a quorum. It reports false if the member has not
+// caught up or has no quorum.
 func (c *cluster) checkMemberRecovered(m *member, view membership.View) bool {
 	sequence, bytes := m.durableSequence(), m.disk.size()
 	c.result.MaxDiskBytes = max(c.result.MaxDiskBytes, bytes)
 	if committed := valueAt(c.coreHistory.sequences, c.now-durabilityWindow); sequence < committed || !slices.Contains(view.Chain, m.id()) {
-		c.violationf("%s has been up since %.2f s, and has not caught up: it holds %d of %d on disk, the chain of view %d is %s",
+		c.violationf("%s has been up since %.2f s but has not caught up: sequence number on disk %d of %d, chain of view %d: %s",
 			m.name, m.startedAt.Seconds(), sequence, committed, view.Number, strings.Join(view.Chain, " > "))
 		return false
 	}
 	if bytes > maxDiskBytes {
-		c.violationf("%s keeps %d bytes after %d changes", m.name, bytes, c.coreHistory.newestSequence)
+		c.violationf("%s uses %d bytes of disk after %d changes", m.name, bytes, c.coreHistory.newestSequence)
 	}
 	if c.faultFreeFor(faultFreeBeforeCall) && !m.controller.Coordinator().HasQuorumContact(c.monotonicTime(&m.process)) {
-		c.violationf("%s has no quorum contact, though all has been calm", m.name)
+		c.violationf("%s has no quorum contact after a long time without faults", m.name)
 		return false
 	}
 	return true
 }
 
-// checkVoterMargin: as many more may be lost as the tolerance leaves. With all members there, that takes 2f+1 voters or
-// more.
+// checkVoterMargin checks that a quorum of voters remains after the further losses that the tolerance allows. With all
+// members running, this takes at least 2f+1 voters.
 func (c *cluster) checkVoterMargin(view membership.View, healthy, lost, voting int) {
 	more := max(c.schedule.Tolerance-max(c.schedule.Members-healthy, lost), 0)
 	if voting-more < view.Quorum() {
-		c.violationf("%d of %d voters of view %d are there, and %d more may be lost", voting, len(view.Voters), view.Number, more)
+		c.violationf("%d of %d voters of view %d are healthy, which is too few for %d more losses", voting, len(view.Voters), view.Number, more)
 	}
 }
--- a/internal/testbeds/simulation/invariant_request.go
+++ b/internal/testbeds/simulation/invariant_request.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// maxWarmupOvercommit is how much of what a warming replica bears may be dealt out at one moment: nine tenths are, by the
-// number of gateways, which members learn of one after the other when it changes.
+// maxWarmupOvercommit limits the warm-up rate granted by all members together, relative to what a warming replica
+// accepts. Members grant nine tenths of it, divided by the number of gateways, and learn of a change of that number
+// one after the other.
 const maxWarmupOvercommit = 1.25
 
 // checkRequest checks a request that a gateway sends to a replica.
@@ -16,27 +17,28 @@
 	c.checkWarmupRate(r)
 }
 
-// checkNotDrained: a replica gets no requests after the deadline of a drain that was acknowledged.
+// checkNotDrained checks that a replica receives no requests after the deadline of an acknowledged drain.
 func (c *cluster) checkNotDrained(g *gatewayNode, r *replica) {
 	if r.drainAcknowledgedAt > 0 && c.isPropagationOverdue(r.drainAcknowledgedAt, drainDeadline) {
-		c.violationf("%s sends to %s, whose drain was acknowledged at %.2f s", g.name, r.id, r.drainAcknowledgedAt.Seconds())
+		c.violationf("%s sent a request to %s, whose drain was acknowledged at %.2f s", g.name, r.id, r.drainAcknowledgedAt.Seconds())
 	}
 }
 
-// checkNotEvacuated: a zone gets no requests after the bound of an evacuation that was acknowledged.
+// checkNotEvacuated checks that a zone receives no requests after evacuationBound from an acknowledged evacuation.
 func (c *cluster) checkNotEvacuated(g *gatewayNode, r *replica) {
 	if at, evacuated := c.evacuatedAt[r.zone]; evacuated && c.isPropagationOverdue(at, evacuationBound) {
-		c.violationf("%s sends to %s in zone %s, whose evacuation was acknowledged at %.2f s", g.name, r.id, r.zone, at.Seconds())
+		c.violationf("%s sent a request to %s in zone %s, whose evacuation was acknowledged at %.2f s", g.name, r.id, r.zone, at.Seconds())
 	}
 }
 
-// isPropagationOverdue reports whether what was acknowledged at a moment must be in force at all gateways, given a bound and that faults
-// delay it.
+// isPropagationOverdue reports whether all gateways must have applied a change, given its propagation bound and recent
+// faults.
 func (c *cluster) isPropagationOverdue(acknowledgedAt, bound time.Duration) bool {
 	return c.now > max(acknowledgedAt, c.faultActiveUntil+contactTimeout)+bound && c.faultFreeFor(contactTimeout)
 }
 
-// checkWarmupRate: a warming replica gets no more requests within a second than it bears, with some allowance for bursts.
+// checkWarmupRate checks that a warming replica receives no more requests per second than it accepts, with an
+// allowance for bursts.
 func (c *cluster) checkWarmupRate(r *replica) {
 	if !c.isWarming(r) {
 		r.warmupArrivals = nil
@@ -45,12 +47,12 @@
 	c.result.WarmupRequests++
 	r.warmupArrivals = append(slices.DeleteFunc(r.warmupArrivals, func(at time.Duration) bool { return c.now-at >= time.Second }), c.now)
 	if n := float64(len(r.warmupArrivals)); n > warmupRate*warmupBurstFactor+warmupSlack {
-		c.violationf("%s is warming up and gets its %.0fth request within a second", r.id, n)
+		c.violationf("%s received %.0f requests within a second while warming up", r.id, n)
 	}
 }
 
-// checkWarmupQuotas: what all running gateways together may send to a warming replica at one moment is bounded, also while
-// the quotas change hands.
+// checkWarmupQuotas checks that the warm-up rates of all running gateways together stay within bounds at all times,
+// also while quotas are reassigned.
 func (c *cluster) checkWarmupQuotas() {
 	for _, r := range c.replicas {
 		if !c.isWarming(r) {
@@ -67,7 +69,7 @@
 			}
 		}
 		if sum > warmupRate*maxWarmupOvercommit {
-			c.violationf("%d gateways may send %.1f requests a second to %s, which is warming up", holders, sum, r.id)
+			c.violationf("%d gateways may send %.1f requests per second to %s while it warms up", holders, sum, r.id)
 		}
 	}
 }
--- a/internal/testbeds/simulation/invariant_retry.go
+++ b/internal/testbeds/simulation/invariant_retry.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// retryWindow is the window in which the bounds of retries hold.
+// retryWindow is the window in which the retry bound holds.
 const retryWindow = 10 * time.Second
 
-// retryLog has the moments of the requests and of the retries of all gateways, the oldest first, for as long as they count.
+// retryLog has the times of recent requests and retries of all gateways, the oldest first.
 type retryLog struct {
 	requests, retries []time.Duration
 }
 
-// exhaustRetryBudget has a gateway take all retries that its budget allows, as if every attempt failed: whatever gateways start, stop or forget, together
-// they must stay within the bound.
+// exhaustRetryBudget makes a gateway use all retries that its budget allows, as if every attempt failed, and checks
+// the bound on the sum of all gateways' retries. The bound holds across restarts.
 func (c *cluster) exhaustRetryBudget(g *gatewayNode) {
 	log := &c.retryLog
 	log.prune(c.now - 2*retryWindow)
@@ -28,12 +28,12 @@
 	}
 	c.result.Retries++
 	if spent, allowed := countAfter(log.retries, c.now-retryWindow), log.allowed(c.now); float64(spent) > allowed {
-		c.violationf("%s retries, the %dth in a window in which %.1f are allowed", g.name, spent, allowed)
+		c.violationf("%s retried, which makes %d retries in a window that allows %.1f", g.name, spent, allowed)
 	}
 }
 
-// allowed is how many retries there may be in the window that ends now. Requests count by that window, by the one before it or by the one half a
-// window before, whichever holds most.
+// allowed returns how many retries may occur in the window that ends now. The request count is the highest of this
+// window, the previous one and the one in between that starts half a window earlier.
 func (l *retryLog) allowed(now time.Duration) float64 {
 	most := 0
 	for _, end := range []time.Duration{now, now - retryWindow/2, now - retryWindow} {
@@ -47,7 +47,7 @@
 	l.retries = l.retries[len(l.retries)-countAfter(l.retries, until):]
 }
 
-// countAfter counts the moments after one; they are in order.
+// countAfter counts the times after a given one. The times are sorted.
 func countAfter(moments []time.Duration, after time.Duration) int {
 	first, _ := slices.BinarySearch(moments, after+1)
 	return len(moments) - first
--- a/internal/testbeds/simulation/invariant_window.go
+++ b/internal/testbeds/simulation/invariant_window.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	maxGatewaysDrained = 1 // of a region's three gateways, by agreedFloor
+	maxGatewaysDrained = 1 // of the three gateways in a region, given agreedFloor
 	windowSettleTime   = 9 * time.Second
 )
 
-// checkFencingTokenMonotonic: the fencing token of maintenance windows never goes back.
+// checkFencingTokenMonotonic checks that the fencing token of maintenance windows does not decrease.
 func (c *cluster) checkFencingTokenMonotonic(m *member, state maintenance.State) {
 	if state.FencingToken < c.windowState.FencingToken {
-		c.violationf("%s: the fencing token of windows went back from %d to %d", m.name, c.windowState.FencingToken, state.FencingToken)
+		c.violationf("%s: fencing token of maintenance windows decreased from %d to %d", m.name, c.windowState.FencingToken, state.FencingToken)
 	}
 }
 
-// checkDrainedGateways: the windows that are granted at once never take more than the agreed floor leaves.
+// checkDrainedGateways checks that concurrently granted windows leave the agreed capacity floor.
 func (c *cluster) checkDrainedGateways(m *member, state maintenance.State) {
 	out := map[string]int{}
 	for _, window := range state.Windows {
@@ -29,13 +29,13 @@
 	}
 	for _, zone := range sortedKeys(out) {
 		if out[zone] > maxGatewaysDrained {
-			c.violationf("%s: %d gateways of zone %s are out at once, %d may be", m.name, out[zone], zone, maxGatewaysDrained)
+			c.violationf("%s: %d gateways of zone %s have a maintenance window at the same time, the limit is %d", m.name, out[zone], zone, maxGatewaysDrained)
 		}
 	}
 }
 
-// checkWindowSettles: once all has been calm for long, a gateway without a window serves, and no window is still between two
-// states.
+// checkWindowSettles checks that, after a long time without faults or changes, a gateway without a window serves and
+// no window is in a transitional phase.
 func (c *cluster) checkWindowSettles(g *gatewayNode) {
 	isSettled := c.faultFreeFor(windowSettleTime) && c.now-c.windowsChangedAt >= windowSettleTime && c.now-g.startedAt >= windowSettleTime
 	if !c.windowState.Enabled() || !isSettled || g.member == nil {
@@ -43,9 +43,9 @@
 	}
 	window, hasWindow := c.windowState.Instructions()[g.id]
 	if !hasWindow && !g.router.IsServing() {
-		c.violationf("%s does not serve, though it has no window any more", g.name)
+		c.violationf("%s does not serve after its maintenance window has ended", g.name)
 	}
 	if hasWindow && (window.Phase == fleet.PhaseDraining || window.Phase == fleet.PhaseReturning) {
-		c.violationf("the window of %s is still %s, %.1f s after the last change", g.name, window.Phase, (c.now - c.windowsChangedAt).Seconds())
+		c.violationf("the maintenance window of %s is still %s %.1f s after the last change", g.name, window.Phase, (c.now - c.windowsChangedAt).Seconds())
 	}
 }
--- a/internal/testbeds/simulation/linearizability_test.go
+++ b/internal/testbeds/simulation/linearizability_test.go
@@ -10,10 +10,10 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// maxEffectDelay is for how long a command without a clear answer may still take effect after its caller gave up.
+// maxEffectDelay is how long after its caller gave up a command without a conclusive response may still take effect.
 const maxEffectDelay = 500 * time.Millisecond
 
-// registerModel is what operators should see of a control plane as a whole: one register that only grows.
+// registerModel models the control plane as a single register that only increases.
 var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -25,7 +25,7 @@
 	},
 }
 
-// operationHistory turns calls into what the check takes. A call without a clear answer may take effect until the end.
+// operationHistory converts calls for porcupine. A call without a conclusive response may take effect until the end.
 func operationHistory(operations []Operation) (history []porcupine.Operation) {
 	for i, op := range operations {
 		end := int64(op.Return)
@@ -37,15 +37,15 @@
 	return history
 }
 
-// registerState is what the register holds under one key: the newest configuration, or whether a zone is evacuated (body 1).
+// registerState is the value of one key: the newest configuration, or whether a zone is evacuated (body 1).
 type registerState struct {
 	version uint64
 	body    int
 }
 
-// keyedRegisterModel is the register with all that operators ask of it, by key: the configuration, where the highest version
-// holds, a second body under it is rejected, and what is not above it changes nothing; and each zone. A command without a
-// clear answer may take effect once, until maxEffectDelay after it was given up, or never.
+// keyedRegisterModel models the register by key. For the configuration, the highest version wins, a different body
+// with the same version is rejected, and lower versions have no effect. Zones are independent. A command without a
+// conclusive response may take effect once, up to maxEffectDelay after the caller gave up, or never.
 var keyedRegisterModel = (&porcupine.NondeterministicModel{
 	Partition: partitionByKey,
 	Init:      func() []any { return []any{registerState{}} },
@@ -70,8 +70,7 @@
 	return parts
 }
 
-// stepRegister returns the states that the register may be in after an attempt; none if the attempt cannot have been answered
-// as it was.
+// stepRegister returns the possible states after an attempt, or none if its response contradicts the state.
 func stepRegister(state registerState, attempt Attempt) []registerState {
 	next := state
 	switch attempt.Kind {
@@ -99,12 +98,11 @@
 	return []registerState{state, next}
 }
 
-// attemptHistory turns attempts into what the check takes. As each committed register was seen, much of it is decided
-// beforehand; a check of hundreds of calls that are made again and again while members are away would not end otherwise:
-//   - left out are reads without an answer, and whatever was not clearly answered and brought about no change that was seen
-//     (nor one that may have been passed over); of attempts at a zone the last few that may have are kept;
-//   - left out are configurations that were acknowledged when a newer one had been seen, or itself, and changed nothing;
-//   - where one attempt alone can have brought a configuration in, it did so between the two registers that were seen.
+// attemptHistory converts attempts for porcupine. Because all committed registers are observed, most attempts can be
+// decided in advance, without which the check would not terminate on long histories:
+//   - Reads without a response are omitted, as are inconclusive attempts without any effect that was observed or may have been missed. For zones, the last few attempts that may have caused a change are kept.
+//   - Acknowledged configurations are omitted if the same or a newer one had been observed before, so that they had no effect.
+//   - If only one attempt can have committed a configuration, its interval is narrowed to the time between the observations of the two registers.
 func attemptHistory(all []Attempt) (history []porcupine.Operation) {
 	h := newHistoryReduction(all)
 	for i, attempt := range all {
@@ -126,18 +124,19 @@
 	return history
 }
 
-// firstCommit is when a configuration was first seen committed, and the register before that.
+// firstCommit is the time at which a configuration was first observed as committed, and the time of the previous
+// observation.
 type firstCommit struct{ notBefore, at time.Duration }
 
-// historyReduction decides which attempts a check needs.
+// historyReduction decides which attempts the check needs.
 type historyReduction struct {
 	all              []Attempt
 	rejectedVersions map[uint64]bool
-	readByOperators  map[int]bool         // configurations, by body
-	configs          []Attempt            // as seen committed, in order
-	zones            map[string][]Attempt // the same of zones
+	readByOperators  map[int]bool         // configurations that operators read, by body
+	configs          []Attempt            // committed configurations, in order
+	zones            map[string][]Attempt // committed states of zones, by key
 	firstSeen        map[int]firstCommit  // by body
-	candidates       map[int][]int        // attempts that may have brought a body in
+	candidates       map[int][]int        // attempts that may have committed a configuration, by body
 	dropped          map[int]bool
 }
 
@@ -166,7 +165,7 @@
 	return h
 }
 
-// addCommitted takes a value that was seen committed.
+// addCommitted adds an observation of committed state.
 func (h *historyReduction) addCommitted(seen Attempt) {
 	if seen.Key != "" {
 		h.zones[seen.Key] = append(h.zones[seen.Key], seen)
@@ -182,7 +181,7 @@
 	h.configs = append(h.configs, seen)
 }
 
-// isIrrelevant reports whether an attempt is left out, but for what keepZoneChanges keeps.
+// isIrrelevant reports whether an attempt is omitted, unless keepZoneChanges keeps it.
 func (h *historyReduction) isIrrelevant(attempt Attempt) bool {
 	seen, wasSeen := h.firstSeen[attempt.BodyID]
 	cameAfter := wasSeen && attempt.Call > seen.at
@@ -199,13 +198,13 @@
 	return false
 }
 
-// wasSuperseded reports whether a newer version than an attempt's had been seen when it was answered.
+// wasSuperseded reports whether a newer version had been observed when an attempt was answered.
 func (h *historyReduction) wasSuperseded(attempt Attempt) bool {
 	n, _ := slices.BinarySearchFunc(h.configs, attempt.Return+1, func(seen Attempt, at time.Duration) int { return cmp.Compare(seen.Call, at) })
 	return n > 0 && h.configs[n-1].Version > attempt.Version
 }
 
-// addCandidate notes an attempt that may have brought a configuration in that was seen.
+// addCandidate records an attempt that may have committed an observed configuration.
 func (h *historyReduction) addCandidate(i int, attempt Attempt) {
 	seen, wasSeen := h.firstSeen[attempt.BodyID]
 	if attempt.Kind == AttemptPut && wasSeen && !attempt.Conflict && attempt.Call <= seen.at && attempt.latestEffect() >= seen.notBefore {
@@ -213,8 +212,8 @@
 	}
 }
 
-// keepZoneChanges keeps, for each change of a zone that was seen or may have been passed over, the last few attempts that may
-// have brought it about.
+// keepZoneChanges keeps the last few attempts that may have caused each zone change that was observed or may have been
+// missed.
 func (h *historyReduction) keepZoneChanges() {
 	const kept = 4
 	for _, key := range sortedKeys(h.zones) {
@@ -222,7 +221,7 @@
 		for _, seen := range h.zones[key] {
 			for body, kind := range []AttemptKind{AttemptRestore, AttemptEvacuate} {
 				if (seen.BodyID == before.BodyID || seen.BodyID != body) && seen.Sequence <= before.Sequence+1 {
-					continue // nothing was changed to that
+					continue // no change to this state
 				}
 				possible := h.possibleCauses(key, kind, before.Call, seen.Call)
 				for _, i := range possible[:min(len(possible), kept)] {
@@ -234,7 +233,7 @@
 	}
 }
 
-// possibleCauses are the attempts at a zone without a clear answer that may have taken effect between two moments, the last
+// possibleCauses returns the inconclusive attempts on a zone that may have taken effect within an interval, the latest
 // first.
 func (h *historyReduction) possibleCauses(key string, kind AttemptKind, from, to time.Duration) (possible []int) {
 	for i, attempt := range h.all {
@@ -246,7 +245,7 @@
 	return possible
 }
 
-// latestEffect is by when an attempt has taken effect, if ever.
+// latestEffect returns the latest time at which an attempt may take effect.
 func (attempt Attempt) latestEffect() time.Duration {
 	switch {
 	case attempt.Answered:
@@ -257,13 +256,13 @@
 	return attempt.Return + maxEffectDelay
 }
 
-// notLinearizable is what runChecked says of calls that do not add up to one register.
-const notLinearizable = "the calls are not linearizable"
+// notLinearizable is the violation that runChecked reports for calls without a valid linearization.
+const notLinearizable = "operator calls are not linearizable"
 
-// undecidedHistories counts histories that took too long to check.
+// undecidedHistories counts checks that timed out.
 var undecidedHistories atomic.Int64
 
-// runChecked runs a schedule with a Tolerance and returns what was wrong, if anything.
+// runChecked runs a schedule with a Tolerance and returns the first violation, if any.
 func runChecked(t *testing.T, schedule Schedule) (result Result, violation string) {
 	t.Helper()
 	result = Run(schedule)
--- a/internal/testbeds/simulation/main_test.go
+++ b/internal/testbeds/simulation/main_test.go
@@ -9,11 +9,11 @@
 )
 
 func TestMain(m *testing.M) {
-	debug.SetGCPercent(800) // a run makes much garbage and keeps little
+	debug.SetGCPercent(800) // runs allocate much but retain little
 	os.Exit(m.Run())
 }
 
-// environmentInt is a number from the environment.
+// environmentInt returns a number from an environment variable.
 func environmentInt(t *testing.T, name string, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv(name)
@@ -27,11 +27,10 @@
 	return n
 }
 
-// seedCount is how many seeds are run. SIMULATION_SEEDS asks for another number.
+// seedCount returns the number of seeds to run, which SIMULATION_SEEDS overrides.
 func seedCount(t *testing.T, defaultValue int) uint64 {
 	t.Helper()
 	return uint64(environmentInt(t, "SIMULATION_SEEDS", defaultValue))
 }
 
-// traceText is the trace of a run as tests print it.
 func traceText(result Result) string { return strings.Join(result.Trace, "\n") }
--- a/internal/testbeds/simulation/maintenance.go
+++ b/internal/testbeds/simulation/maintenance.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	agreedFloor   = 20.0 // requests a second that must be carried in each region, also after the loss of a gateway; each carries some 80
+	agreedFloor   = 20.0 // requests per second that each region must carry, also after the loss of a gateway; a gateway carries about 80
 	windowName    = "work"
-	windowsRecord = "windows" // of the register
+	windowsRecord = "windows" // key in chainreplication.Register.Records
 )
 
-// windowCommand is what an action asks of maintenance windows.
+// windowCommand returns the maintenance command of an action.
 func (c *cluster) windowCommand(action Action) *maintenance.Command {
 	command := &maintenance.Command{Verb: string(action.Kind), WindowName: windowName}
 	if action.Kind == SetWindowFloors {
@@ -36,7 +36,7 @@
 
 func regionName(i int) string { return fmt.Sprintf("r%d", i) }
 
-// windowsCommitted checks the maintenance windows in a committed register, and notes them.
+// windowsCommitted checks and records the maintenance windows in a committed register.
 func (c *cluster) windowsCommitted(m *member, register chainreplication.Register) {
 	record, ok := register.Records[windowsRecord]
 	if !ok || record.Revision <= c.windowRevision {
@@ -44,7 +44,7 @@
 	}
 	var state maintenance.State
 	if err := cbor.Unmarshal(record.Value, &state); err != nil {
-		c.violationf("%s holds windows that cannot be read: %v", m.name, err)
+		c.violationf("%s: cannot decode maintenance windows: %v", m.name, err)
 		return
 	}
 	c.checkFencingTokenMonotonic(m, state)
@@ -58,9 +58,9 @@
 	c.windowState, c.windowRevision, c.windowsChangedAt = state, record.Revision, c.now
 }
 
-// windowChanged notes that a window has come to another phase.
+// windowChanged records that a window has entered another phase.
 func (c *cluster) windowChanged(m *member, window maintenance.Window) {
-	c.tracef("%s: the window of %s is %s (fencing token %d) %s", m.name, c.gatewayByID(window.Node).name, window.Phase, window.FencingToken, window.Reason)
+	c.tracef("%s: maintenance window of %s is %s (fencing token %d) %s", m.name, c.gatewayByID(window.Node).name, window.Phase, window.FencingToken, window.Reason)
 	switch window.Phase {
 	case fleet.PhaseDrained:
 		c.result.DrainedWindows++
@@ -69,12 +69,12 @@
 	}
 }
 
-// gatewayByID is the gateway that makes itself known by a name. There must be one.
+// gatewayByID returns the gateway with an ID, which must exist.
 func (c *cluster) gatewayByID(id string) *gatewayNode {
 	return c.gateways[slices.IndexFunc(c.gateways, func(g *gatewayNode) bool { return g.id == id })]
 }
 
-// openWindowIndex is the index in Result.RequestLatencies of a request that is forwarded now.
+// openWindowIndex returns the index in Result.RequestLatencies for a request that is forwarded now.
 func (c *cluster) openWindowIndex() int {
 	if len(c.windowState.Instructions()) > 0 {
 		return 1
--- a/internal/testbeds/simulation/member.go
+++ b/internal/testbeds/simulation/member.go
@@ -11,57 +11,57 @@
 	"zincloft.example/zincloft/internal/daemons/statestore"
 )
 
-// stateKey is the key under which a member's store keeps its state.
+// stateKey is the key of the member's state in its store.
 const stateKey = "state"
 
-// member is a machine of the control plane with its process.
+// member is a control-plane machine with its process.
 type member struct {
 	process
 	index   int
 	address string
 
-	controller *controller.Controller // nil: down, or not serving yet
+	controller *controller.Controller // nil: stopped or not serving yet
 	store      *statestore.Store
 	disk       *disk
 
-	wipeCount       int           // makes the IDs of the disks distinct
-	wallClockOffset time.Duration // of its time of day
+	wipeCount       int // makes disk IDs unique
+	wallClockOffset time.Duration
 
-	isSpare      bool // came at a new address
-	shuttingDown bool // was sent SIGTERM
-	removed      bool // and does not come back unless its fault says so
+	isSpare      bool // was added at a new address
+	shuttingDown bool // has received SIGTERM
+	removed      bool // does not restart, unless the fault has an end
 	removedAt    time.Duration
-	caughtUp     bool // in this incarnation: is in the chain and has on disk what was committed
+	caughtUp     bool // in this incarnation, has been in the chain with all committed state on disk
 
-	newestSequence uint64 // newest committed number in this incarnation
+	newestSequence uint64 // committed sequence number in this incarnation
 
 	pendingCalls map[uint64]func(controller.Response) // by token
-	waitingCalls map[uint64]*operatorCall             // those of operators among them
-	streams      map[uint64]*gatewayNode              // by the stream's token
+	waitingCalls map[uint64]*operatorCall             // operator calls among pendingCalls, by token
+	streams      map[uint64]*gatewayNode              // by stream token
 
-	messagesSent   int           // in the second at hand
-	messagesSecond time.Duration // that second
+	messagesSent   int           // within messagesSecond
+	messagesSecond time.Duration // second of simulated time
 }
 
 func newMember(index int, name, address string) *member {
 	return &member{process: process{name: name, isMember: true}, index: index, address: address, disk: newDisk()}
 }
 
-// isHealthy reports whether a member runs and nothing acts on it.
+// isHealthy reports whether a member runs and is unaffected by faults.
 func (m *member) isHealthy() bool {
 	return m.up && !m.shuttingDown && !m.paused && m.controller != nil && !m.isIsolated() && !m.disk.full && !m.disk.failing && !m.disk.stalled
 }
 
-// isReachable reports whether a caller that connects reaches a process that serves.
+// isReachable reports whether a caller can connect to a serving process.
 func (m *member) isReachable() bool { return m.up && !m.paused && m.controller != nil }
 
-// wallClockTime is the time of day at a member.
+// wallClockTime returns the wall clock reading of a member.
 func (c *cluster) wallClockTime(m *member) time.Duration {
 	const start = 1000 * time.Hour
 	return start + c.now + m.wallClockOffset
 }
 
-// step has a member decide on an event and carries out its actions.
+// step has a member handle an event and executes the resulting actions.
 func (c *cluster) step(m *member, event controller.Event) {
 	if m.controller == nil {
 		return
@@ -90,7 +90,7 @@
 	c.respond(m, actions.Responses)
 	c.closeStreams(m, actions.CloseStreams)
 	if actions.ShutdownComplete {
-		c.tracef("%s has left", m.name)
+		c.tracef("%s has shut down", m.name)
 		c.stopMember(m, processKilled, noRestart)
 	}
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// respond answers calls that wait at a member.
+// respond delivers responses to pending calls.
 func (c *cluster) respond(m *member, responses []controller.Response) {
 	for _, response := range responses {
 		c.history.response(c, m, response)
@@ -120,13 +120,13 @@
 	}
 }
 
-// viewInstalled notes that a member has a new view.
+// viewInstalled records that a member has installed a new view.
 func (c *cluster) viewInstalled(m *member, view membership.View) {
 	c.injectViewTriggered(view)
 	c.injectOnViewChange()
 	c.result.NewestView = max(c.result.NewestView, view.Number)
-	c.tracef("%s is in view %d: chain %s", m.name, view.Number, strings.Join(view.Chain, " > "))
-	for _, i := range slices.Sorted(maps.Keys(c.unavailableSince)) { // in order, so that the same schedule always has the same result
+	c.tracef("%s installed view %d: chain %s", m.name, view.Number, strings.Join(view.Chain, " > "))
+	for _, i := range slices.Sorted(maps.Keys(c.unavailableSince)) { // sorted for determinism
 		at := c.unavailableSince[i]
 		if i != m.index && !c.members[i].hasIDIn(view.Chain) {
 			c.result.ViewRepairTimes = append(c.result.ViewRepairTimes, c.now-at)
@@ -135,7 +135,7 @@
 	}
 }
 
-// isAmong reports whether one of some IDs is of this member, with whichever disk.
+// hasIDIn reports whether one of the IDs belongs to this member, with any disk.
 func (m *member) hasIDIn(ids []string) bool {
 	for _, id := range ids {
 		if strings.HasPrefix(id, m.address+"/") {
--- a/internal/testbeds/simulation/memberlifecycle.go
+++ b/internal/testbeds/simulation/memberlifecycle.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	startRetryDelay  = 300 * time.Millisecond // after the first write of an incarnation has failed
-	maxTickDelay     = 5                      // milliseconds, below which ticks come late
-	longTickDelay    = 60 * time.Millisecond  // of one tick in longTickOneIn
+	startRetryDelay  = 300 * time.Millisecond // after the first write of an incarnation failed
+	maxTickDelay     = 5                      // milliseconds, exclusive bound of the delay of ticks
+	longTickDelay    = 60 * time.Millisecond  // additional delay of one tick in longTickOneIn
 	longTickOneIn    = 200
 	terminationGrace = 6 * time.Second // from SIGTERM to SIGKILL
-	noRestart        = -1              // as the downtime of a member that does not come back
+	noRestart        = -1              // downtime of a member that does not restart
 	controlLinkMbps  = 1000
 )
 
-// The zones and regions in the settings of members.
+// Zones and regions in the members' settings.
 var (
 	memberZones   = []string{"a", "b", "c"}
 	regionsByZone = map[string]string{"a": "r0", "b": "r1", "c": "r2"}
 )
 
-// stopCause says how a member's process ends, and with it what becomes of the disk and of connections.
+// stopCause is the way in which a member stops. It determines what happens to its disk and connections.
 type stopCause int
 
 const (
@@ -35,8 +35,8 @@
 	diskWiped
 )
 
-// startMember starts a member as its daemon does: it opens the store, initializes what an empty disk lacks, and awaits the
-// first write before it listens. The first start of all forms the first view.
+// startMember starts a member as its daemon does: it opens the store, initializes missing state and completes a first
+// write before it serves. The first start forms the first view.
 func (c *cluster) startMember(m *member, first bool) {
 	c.startProcess(&m.process)
 	c.extendFaultPeriod()
@@ -62,21 +62,21 @@
 		return
 	}
 	c.history.start(c, m, raw)
-	// First the renames of files that the store set aside when it was opened: two writers would take each other's operations.
+	// Apply the operations of opening the store first: persist drops pending ones.
 	c.runDiskOperations(m, func() { c.serveAfterWrite(m, decisions, raw) })
 }
 
-// openStore opens a member's store and reads the state in it.
+// openStore opens a member's store and reads its state.
 func (c *cluster) openStore(m *member) (state coordinator.PersistentState, ok bool) {
 	store, err := statestore.Open(m.disk)
 	if err != nil {
-		c.violationf("%s cannot open its store: %v", m.name, err)
+		c.violationf("%s: cannot open the store: %v", m.name, err)
 		return state, false
 	}
 	m.store = store
 	if raw, found := store.Get(stateKey); found {
 		if state, err = coordinator.DecodePersistentState(raw); err != nil {
-			c.violationf("%s cannot read its disk: %v", m.name, err)
+			c.violationf("%s: cannot decode the stored state: %v", m.name, err)
 			return state, false
 		}
 	}
@@ -100,7 +100,7 @@
 	return controller.New(c.monotonicTime(&m.process), options, self, state)
 }
 
-// serveAfterWrite has a member serve once its state is on disk, however often it takes.
+// serveAfterWrite starts serving once the state has been persisted. It retries failed writes.
 func (c *cluster) serveAfterWrite(m *member, decisions *controller.Controller, raw []byte) {
 	store := m.store
 	c.persist(m, raw, func(problem string) {
@@ -118,7 +118,7 @@
 	})
 }
 
-// tick has a member's timer fire now, and again and again while that incarnation lasts.
+// tick fires a member's timer at intervals for the lifetime of the incarnation.
 func (c *cluster) tick(m *member, incarnation int) {
 	fire := func() { c.step(m, controller.Event{}) }
 	if m.paused && c.schedule.Tolerance > 0 {
@@ -135,7 +135,7 @@
 	}
 }
 
-// stopMember ends a member's process, and starts it again after the downtime, unless that is noRestart.
+// stopMember stops a member and restarts it after the downtime, unless that is noRestart.
 func (c *cluster) stopMember(m *member, cause stopCause, downtime time.Duration) {
 	if !m.up {
 		return
@@ -168,7 +168,7 @@
 	})
 }
 
-// isInOwnChain reports whether a member is in the chain of the view that it has.
+// isInOwnChain reports whether a member is in the chain of its current view.
 func (m *member) isInOwnChain() bool {
 	if m.controller == nil {
 		return false
@@ -182,12 +182,12 @@
 		return
 	}
 	if err := m.store.Close(); err != nil {
-		c.tracef("%s: its store does not close: %v", m.name, err)
+		c.tracef("%s: cannot close the store: %v", m.name, err)
 	}
 }
 
-// dropConnections has callers and gateways notice that a process has ended. Streams end at once, but without power nobody
-// tells the gateways.
+// dropConnections ends the connections of a stopped process. A killed process closes its streams at once; after a
+// power loss, gateways have to time out.
 func (c *cluster) dropConnections(m *member, cause stopCause) {
 	for _, token := range sortedTokens(m.waitingCalls) {
 		call := m.waitingCalls[token]
@@ -202,7 +202,7 @@
 	}
 }
 
-// shutDown ends a member in order: SIGTERM, and SIGKILL after a grace period.
+// shutDown shuts a member down gracefully: by SIGTERM, and by SIGKILL after terminationGrace.
 func (c *cluster) shutDown(m *member) {
 	if !m.up {
 		m.removed, m.removedAt = true, c.now
@@ -217,7 +217,7 @@
 	c.runOn(&m.process, incarnation, func() { c.step(m, controller.Event{Shutdown: true}) })
 	c.after(terminationGrace, func() {
 		if m.up && m.incarnation == incarnation {
-			c.tracef("%s has not ended within the grace period", m.name)
+			c.tracef("%s did not shut down within the grace period", m.name)
 			c.stopMember(m, processKilled, noRestart)
 		}
 	})
@@ -229,7 +229,7 @@
 	n := c.coreHistory.spareCount
 	m := newMember(len(c.members), "member "+string(rune('A'+n-1)), spareAddress(n))
 	m.isSpare = true
-	c.tracef("FAULT: %s is new", m.name)
+	c.tracef("FAULT: %s is added", m.name)
 	c.coreHistory.newestSpare = m
 	c.addMember(m)
 	c.startMember(m, false)
--- a/internal/testbeds/simulation/network.go
+++ b/internal/testbeds/simulation/network.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Delays of messages: a fixed part and, on average, a random one.
+// Message delays: a fixed part and an exponentially distributed one.
 const (
 	minMessageDelay       = 500 * time.Microsecond
-	meanExtraMessageDelay = time.Millisecond // beyond the fixed part
+	meanExtraMessageDelay = time.Millisecond // in addition to minMessageDelay
 )
 
-// link is one direction between two nodes, by their names.
+// link is a connection in one direction between two nodes, by name.
 type link struct{ from, to string }
 
-// send takes a message from one process to another. Messages on a link arrive in order, but for the share (reorder) that
-// comes late; another share (loss) is lost, as is what would arrive while the link is cut or after the receiver has ended.
+// send delivers a message from one process to another. Messages on a link arrive in order, except for a share
+// (reorder) that is delayed; another share (loss) is lost. Messages are also lost if the link is cut or the receiver
+// has ended by the time of arrival.
 func (c *cluster) send(from, to *process, loss, reorder float64, arrive func()) {
 	if c.random.Float64() < loss {
 		return
 	}
 	l := link{from.name, to.name}
 	at := c.now + minMessageDelay + time.Duration(c.random.ExpFloat64()*float64(meanExtraMessageDelay))
-	if c.random.Float64() < reorder { // on an older connection, handled late
+	if c.random.Float64() < reorder { // delayed, as on an older connection
 		at += c.randomBelow(max(c.schedule.MaxReorderDelay, 1))
 	} else {
 		at = max(at, c.lastArrival[l])
@@ -33,10 +34,10 @@
 	})
 }
 
-// sendReliably takes a message over a connection that loses and reorders nothing, as long as the link is not cut.
+// sendReliably delivers a message without loss or reordering, unless the link is cut.
 func (c *cluster) sendReliably(from, to *process, arrive func()) { c.send(from, to, 0, 0, arrive) }
 
-// cutFor cuts links for a while. Cuts of one link may overlap.
+// cutFor cuts links for a while. Cuts of a link may overlap.
 func (c *cluster) cutFor(links []link, span time.Duration) {
 	for _, l := range links {
 		c.cutLinks[l]++
@@ -44,7 +45,7 @@
 	}
 }
 
-// isCut reports whether nothing passes from one process to another.
+// isCut reports whether messages from one process to another are dropped.
 func (c *cluster) isCut(from, to *process) bool {
 	if c.cutLinks[link{from.name, to.name}] > 0 || from.isolations > 0 || to.isolations > 0 {
 		return true
@@ -52,7 +53,7 @@
 	return from.isMember && to.isMember && (from.outboundCuts > 0 || to.inboundCuts > 0)
 }
 
-// isCutOff reports whether a member is cut off, in one direction at least, from all other members.
+// isIsolated reports whether a member is cut off from all other members in at least one direction.
 func (p *process) isIsolated() bool {
 	return p.isolations > 0 || p.outboundCuts > 0 || p.inboundCuts > 0
 }
--- a/internal/testbeds/simulation/operator.go
+++ b/internal/testbeds/simulation/operator.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	operatorDeadline       = 5 * time.Second // of a call with all its attempts
-	operatorAttemptTimeout = time.Second     // of one attempt; then another member is called
+	operatorDeadline       = 5 * time.Second // of a call including retries
+	operatorAttemptTimeout = time.Second     // of one attempt, after which another member is called
 	connectRetryDelay      = 200 * time.Millisecond
 	inconclusiveRetryDelay = 100 * time.Millisecond
-	maxAttemptsAtSame      = 4 // with RetrySame
+	maxAttemptsAtSame      = 4 // with Action.RetrySame
 	finalReadDeadline      = 6 * time.Second
 	finalReadTimeout       = 5 * time.Second
 	delayedCallTime        = time.Second // with the planted bug AcceptDelayedCalls
 	finalReadCallNumber    = -1
 )
 
-// operatorCall is a call of an operator, with all its attempts.
+// operatorCall is a call of an operator including retries.
 type operatorCall struct {
-	number     int // the index of its action
+	number     int // index of the action
 	action     Action
-	body       string // of a configuration
+	body       string // configuration to submit
 	version    uint64
 	minVersion uint64 // newest version acknowledged before a read began
 	deadline   time.Duration
@@ -37,19 +37,19 @@
 	endedAt   time.Duration
 
 	attempts      int
-	attemptedAt   time.Duration // the last attempt
+	attemptedAt   time.Duration // start of the last attempt
 	calledMembers []*member
-	redirect      *member // where the last answer sends the caller
-	responseLost  bool    // one answer was lost on its way
+	redirect      *member // target of the last redirect
+	responseLost  bool    // a response was dropped on purpose
 
-	attemptIndex   int // 1 + the index in Result.Attempts of the attempt at hand; 0: none
-	operationIndex int // in Result.Operations, of a write
+	attemptIndex   int // 1 + the index of the current attempt in Result.Attempts; 0: none
+	operationIndex int // index of a write in Result.Operations
 }
 
-// zone is the zone that a call is about.
+// zone returns the zone that a call refers to.
 func (c *cluster) zone(call *operatorCall) string { return c.zoneName(call.action.Target) }
 
-// perform has an operator or a replica do what an action says.
+// startAction executes an action of an operator or replica.
 func (c *cluster) startAction(index int, action Action) {
 	switch action.Kind {
 	case DrainReplica:
@@ -71,7 +71,7 @@
 	c.attempt(call)
 }
 
-// preparePut gives a call the configuration that it puts.
+// preparePut creates the configuration of a call and records the write.
 func (c *cluster) preparePut(call *operatorCall) {
 	name := call.number
 	if call.action.Body > 0 {
@@ -83,11 +83,11 @@
 	c.result.Operations = append(c.result.Operations, Operation{Version: call.version, Call: call.startedAt})
 }
 
-// prepareRestore notes that a zone is about to be used again.
+// prepareRestore records that a zone is about to be restored.
 func (c *cluster) prepareRestore(call *operatorCall) {
 	zone := c.zone(call)
 	if at, evacuated := c.evacuatedAt[zone]; evacuated && c.now > at+evacuationBound && c.faultFreeFor(contactTimeout) {
-		for _, r := range c.replicas { // without requests they may have become cold shortly before
+		for _, r := range c.replicas { // without requests the replicas may have become cold again
 			if r.zone == zone && r.alive {
 				r.warmupUntil = max(r.warmupUntil, c.now+warmupTime)
 			}
@@ -97,7 +97,7 @@
 	c.restoreCalls = append(c.restoreCalls, call)
 }
 
-// attempt sends a call to some member, once more.
+// attempt makes the next attempt of a call.
 func (c *cluster) attempt(call *operatorCall) {
 	c.recordAttemptEnd(call)
 	if call.done || c.now > call.deadline || c.finished {
@@ -128,7 +128,7 @@
 	})
 }
 
-// callEvent is a call as the called member's decisions get it. The attempt is recorded.
+// callEvent returns the controller event of an attempt and records the attempt.
 func (c *cluster) callEvent(call *operatorCall, token uint64) controller.Event {
 	event := controller.Event{Token: token}
 	c.recordAttempt(call)
@@ -146,7 +146,7 @@
 	return event
 }
 
-// deliverCall has a member take a call now or, in schedules with a Tolerance, once it thaws: it lies in the socket until then.
+// deliverCall delivers a call to a member. In schedules with a Tolerance, a paused member receives it when it resumes.
 func (c *cluster) deliverCall(m *member, event controller.Event) {
 	if c.schedule.Tolerance == 0 {
 		c.step(m, event)
@@ -162,8 +162,8 @@
 	})
 }
 
-// nextMember is the member that the next attempt calls: the one that a redirect or the schedule names, the same again, or
-// one that was not called yet.
+// nextMember returns the member for the next attempt: the one given by a redirect or the action, the first one again,
+// or a random one that has not been called.
 func (c *cluster) nextMember(call *operatorCall) *member {
 	if c.schedule.Tolerance == 0 {
 		return c.pickMember()
@@ -197,17 +197,17 @@
 	return first.up && !first.paused
 }
 
-// dropsResponse reports whether an answer is lost on its way, which happens to a call once if its action says so.
+// dropsResponse reports whether a response is lost in transit, which happens once per call with Action.LoseResponse.
 func (c *cluster) dropsResponse(m *member, call *operatorCall, response controller.Response) bool {
 	if !call.action.LoseResponse || call.responseLost || response.Status != http.StatusOK {
 		return false
 	}
 	call.responseLost = true
-	c.tracef("%s: the answer %d to call %d is lost", m.name, response.Status, call.number)
+	c.tracef("%s: response %d to call %d is lost", m.name, response.Status, call.number)
 	return true
 }
 
-// receiveResponse has an operator take an answer.
+// receiveResponse handles a response to an operator.
 func (c *cluster) receiveResponse(m *member, call *operatorCall, response controller.Response) {
 	if call.done {
 		return
@@ -227,12 +227,12 @@
 	}
 }
 
-// isConclusive reports whether an answer says what became of a call.
+// isConclusive reports whether a status tells the outcome of a call.
 func isConclusive(status int) bool {
 	return status == http.StatusOK || status == http.StatusNotFound || status == http.StatusConflict
 }
 
-// receiveInconclusiveResponse has an operator take an answer that says neither yes nor no: the call is made again.
+// receiveInconclusiveResponse handles a response that leaves the outcome unknown, and retries the call.
 func (c *cluster) receiveInconclusiveResponse(call *operatorCall, response controller.Response) {
 	c.recordAttemptEnd(call)
 	if c.schedule.Tolerance > 0 {
@@ -275,34 +275,34 @@
 	c.checkDurability(call)
 }
 
-// overlapsRestore reports whether a call that takes the same evacuation back was under way at the same time, so that it
-// cannot be said which of the two came last.
+// overlapsRestore reports whether a call to restore the same zone was concurrent, which leaves the final state
+// undetermined.
 func (c *cluster) overlapsRestore(call *operatorCall) bool {
 	return slices.ContainsFunc(c.restoreCalls, func(other *operatorCall) bool {
 		return c.zone(other) == c.zone(call) && (other.startedAt >= call.startedAt || !other.done || other.endedAt >= call.startedAt)
 	})
 }
 
-// finalRead reads once more when all has been calm again: what was acknowledged must be there.
+// finalRead reads the configuration after all faults have ended. It must return what was acknowledged.
 func (c *cluster) finalRead() {
-	c.tracef("the final read: version %d or newer", c.acknowledgedVersion)
+	c.tracef("final read, expects version %d or newer", c.acknowledgedVersion)
 	call := &operatorCall{number: finalReadCallNumber, action: Action{Kind: ReadConfig}, minVersion: c.acknowledgedVersion, startedAt: c.now, deadline: c.now + finalReadDeadline}
 	c.attempt(call)
 	c.after(finalReadTimeout, func() {
 		if !call.done {
-			c.violationf("the final read was not answered")
+			c.violationf("the final read received no conclusive response")
 		}
 		c.finished = true
 	})
 }
 
-// configurationBody is a configuration as operators put it. The name tells configurations with one version apart.
+// configurationBody returns a configuration document. The name distinguishes configurations with the same version.
 func configurationBody(version uint64, name int) string {
 	return fmt.Sprintf(`{"version":"%08x","services":[{"name":%q,"max_connections":100,"cold_start":"3s","cold_per_s":%g}],"virtual_hosts":[{"hostname":"h%d","path_routes":[`+
 		`{"name":"r","path_prefix":"/","kind":"safe","timeout":"3s","target_latency":"1s","max_attempts":2,"service":%q}]}]}`, version, serviceName, warmupRate, name, serviceName)
 }
 
-// bodyLabel is what tells a configuration apart in the trace: its host's name.
+// bodyLabel returns the hostname in a configuration, which identifies it in the trace.
 func bodyLabel(body string) string {
 	const key = `"hostname":`
 	if i := strings.Index(body, key); i >= 0 {
--- a/internal/testbeds/simulation/overflow.go
+++ b/internal/testbeds/simulation/overflow.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// OverflowStrategy is how sites hand on requests for which they have no room.
+// OverflowStrategy is the way in which an overloaded site forwards requests.
 type OverflowStrategy string
 
-// The strategies. LeaseOverflow is that of dataplane/overflow, the others are there for comparison.
+// The strategies. LeaseOverflow is the one of dataplane/overflow; the others are for comparison.
 const (
 	LeaseOverflow  OverflowStrategy = "leases"
 	NoOverflow     OverflowStrategy = "none"
-	RandomOverflow OverflowStrategy = "random" // to any other site, without asking
-	OracleOverflow OverflowStrategy = "oracle" // to whichever has room at the moment, seen without delay
+	RandomOverflow OverflowStrategy = "random" // to a random site, without asking
+	OracleOverflow OverflowStrategy = "oracle" // to the first site with spare slots, known without delay
 )
 
-// OverflowScenario is what a simulation of several sites does, of which some are overloaded for most of the time.
+// OverflowScenario describes a simulation of several sites, some of which are overloaded most of the time.
 type OverflowScenario struct {
 	Seed            uint64
 	Sites           int
-	OverloadedSites int     // of them
-	LoadFactor      float64 // times the usual load
+	OverloadedSites int     // the first ones
+	LoadFactor      float64 // load of overloaded sites relative to the base load
 	Duration        time.Duration
-	WithFaults      bool // links that are cut in one direction or hold messages back, a site that restarts, further overload later
+	WithFaults      bool // one-way link cuts and delays, a site restart, and a further overloaded site
 	Strategy        OverflowStrategy
 }
 
-// OverflowResult is what was seen.
+// OverflowResult has the measurements of a scenario.
 type OverflowResult struct {
 	Violations                 []string
-	Lookups, UnansweredLookups int             // first attempts, and those not answered within their deadline
-	Orders, AnsweredOrders     int             // orders, and those that were answered
-	UncertainOrders            int             // orders that may have run
-	ForwardedRequests          int             // requests
-	LocalLatencies             []time.Duration // of the own clients of sites that were not overloaded
+	Lookups, UnansweredLookups int // client lookups, and those not answered within their deadline
+	Orders, AnsweredOrders     int // client orders, and those that were answered
+	UncertainOrders            int // orders that may have been executed
+	ForwardedRequests          int
+	LocalLatencies             []time.Duration // of requests served by their own site, if it is not overloaded
 	ForwardedLatencies         []time.Duration // of forwarded requests that were answered
 
-	// Seconds of slots at other sites that forwarded requests used, and of slots at sites that were not overloaded that were
-	// free while others rejected requests.
+	// UsedSlotSeconds is the slot time that forwarded requests used at other sites. IdleSlotSeconds is the slot time
+	// that was free at sites without overload while others rejected requests.
 	UsedSlotSeconds, IdleSlotSeconds float64
 }
 
-// P99 is the latency that 99 in 100 stay within; 0 if there are none.
+// P99 returns the 99th percentile, or 0 if there are no latencies.
 func P99(latencies []time.Duration) time.Duration {
 	if len(latencies) == 0 {
 		return 0
--- a/internal/testbeds/simulation/overflow_test.go
+++ b/internal/testbeds/simulation/overflow_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// overflowTotals is what the scenarios of one strategy came to in all.
+// overflowTotals sums up the results of one strategy.
 type overflowTotals struct {
-	unanswered, lookups, orders, charged, uncertain, forwarded int
-	own, forwardedLatencies                                    []time.Duration
-	usedSlotSeconds                                            float64
+	unanswered, lookups, orders, answeredOrders, uncertain, forwarded int
+	own, forwardedLatencies                                           []time.Duration
+	usedSlotSeconds                                                   float64
 }
 
 func (totals *overflowTotals) add(result OverflowResult) {
 	totals.unanswered += result.UnansweredLookups
 	totals.lookups += result.Lookups
 	totals.orders += result.Orders
-	totals.charged += result.AnsweredOrders
+	totals.answeredOrders += result.AnsweredOrders
 	totals.uncertain += result.UncertainOrders
 	totals.forwarded += result.ForwardedRequests
 	totals.usedSlotSeconds += result.UsedSlotSeconds
@@ -24,8 +24,8 @@
 	totals.forwardedLatencies = append(totals.forwardedLatencies, result.ForwardedLatencies...)
 }
 
-// TestOverflowBetweenSites runs sites at three times their load, with links that are cut in one direction or hold everything
-// back, duplicates that come late, and sites that restart. -v and SIMULATION_SEEDS=200 print what the results page quotes.
+// TestOverflowBetweenSites checks that overflow helps sites at three times their load without harming others, despite
+// link faults, late duplicates and site restarts.
 func TestOverflowBetweenSites(t *testing.T) {
 	t.Parallel()
 	byStrategy := map[OverflowStrategy]*overflowTotals{}
@@ -40,18 +40,18 @@
 			}
 			totals.add(result)
 		}
-		t.Logf("%-7s %d of %d lookups unanswered, %d of %d orders charged and answered, %d uncertain; %d forwarded, their p99 %v; own clients of others p99 %v; %.0f slot seconds used",
-			strategy, totals.unanswered, totals.lookups, totals.charged, totals.orders, totals.uncertain, totals.forwarded,
+		t.Logf("%-7s %d of %d lookups unanswered, %d of %d orders answered, %d uncertain; %d forwarded, p99 %v; local requests of other sites p99 %v; %.0f slot seconds used",
+			strategy, totals.unanswered, totals.lookups, totals.answeredOrders, totals.orders, totals.uncertain, totals.forwarded,
 			P99(totals.forwardedLatencies).Round(time.Millisecond), P99(totals.own).Round(time.Millisecond), totals.usedSlotSeconds)
 	}
 	leases, none, oracle := byStrategy[LeaseOverflow], byStrategy[NoOverflow], byStrategy[OracleOverflow]
-	if leases.unanswered*2 > none.unanswered || leases.charged < none.charged {
-		t.Error("overflow did not help")
+	if leases.unanswered*2 > none.unanswered || leases.answeredOrders < none.answeredOrders {
+		t.Error("overflow did not halve the unanswered lookups, or fewer orders were answered")
 	}
 	if float64(P99(leases.own)) > 1.05*float64(P99(none.own)) {
-		t.Error("forwarded requests made the other sites' own clients slower")
+		t.Error("forwarded requests raised the p99 latency of other sites' clients by more than 5 %")
 	}
 	if leases.usedSlotSeconds < 0.5*oracle.usedSlotSeconds {
-		t.Error("less than half of the room was used that an oracle uses")
+		t.Error("used less than half of the slot time that the oracle uses")
 	}
 }
--- a/internal/testbeds/simulation/overflowfault.go
+++ b/internal/testbeds/simulation/overflowfault.go
@@ -6,26 +6,26 @@
 
 const (
 	overloadStart       = 3 * time.Second
-	overloadEnd         = 8 * time.Second // before the end of the scenario
+	overloadEnd         = 8 * time.Second // before the end
 	secondOverloadStart = 4 * time.Second
 	secondOverloadEnd   = 10 * time.Second // before the end
 
 	siteLinkFaults        = 4
 	siteLinkFaultsFrom    = 5 * time.Second
 	minLinkFaultDuration  = 500  // milliseconds
-	linkFaultDurationSpan = 3000 // milliseconds
+	linkFaultDurationSpan = 3000 // milliseconds, added to minLinkFaultDuration, exclusive bound
 
 	siteStopAt    = 8 * time.Second
 	siteRestartAt = 9 * time.Second
 )
 
-// overload multiplies a site's load from a moment until some time before the end.
+// overload multiplies a site's load by the scenario's factor from a start time until some time before the end.
 func (o *overflowSimulation) overload(s *site, from, beforeEnd time.Duration) {
 	o.after(from, func() { s.rate *= o.scenario.LoadFactor })
 	o.after(o.scenario.Duration-beforeEnd, func() { s.rate /= o.scenario.LoadFactor })
 }
 
-// scheduleFaults draws faults of links, the restart of a site, and another site's overload.
+// scheduleFaults draws link faults, a site restart and the overload of a further site.
 func (o *overflowSimulation) scheduleFaults() {
 	if o.scenario.Sites > 2 && o.random.IntN(2) == 0 {
 		s := o.sites[o.scenario.OverloadedSites+o.random.IntN(o.scenario.Sites-o.scenario.OverloadedSites)]
@@ -44,7 +44,7 @@
 	}
 }
 
-// scheduleLinkFault has a link lose everything for a while, or hold it back and deliver it then.
+// scheduleLinkFault makes a link drop messages for a while, or delay them until the fault ends.
 func (o *overflowSimulation) scheduleLinkFault(l siteLink) {
 	at := siteLinkFaultsFrom + time.Duration(o.random.Int64N(int64(o.scenario.Duration/2)))
 	end := at + o.milliseconds(minLinkFaultDuration, linkFaultDurationSpan)
--- a/internal/testbeds/simulation/overflowrequest.go
+++ b/internal/testbeds/simulation/overflowrequest.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	orderShare          = 0.25 // of requests; the others are lookups
+	orderShare          = 0.25 // share of requests that are orders; the others are lookups
 	siteLatencyTarget   = 800 * time.Millisecond
 	clientDeadline      = 3 * time.Second
-	clientRetryMargin   = 300 * time.Millisecond // a client makes no attempt so shortly before its deadline
+	clientRetryMargin   = 300 * time.Millisecond // a client stops retrying this long before its deadline
 	minClientRetryDelay = 200                    // milliseconds
-	clientRetryJitter   = 300                    // milliseconds
-	duplicateOneIn      = 50                     // forwarded requests, with faults
+	clientRetryJitter   = 300                    // milliseconds, added to minClientRetryDelay, exclusive bound
+	duplicateOneIn      = 50                     // forwarded requests are duplicated, in scenarios with faults
 	maxDuplicateDelay   = 2500                   // milliseconds
 )
 
-// siteRequest is a client's request, with all its attempts.
+// siteRequest is a client request including retries.
 type siteRequest struct {
 	id         int
-	isOrder    bool // which must not run twice
-	home       int  // the site that the client calls
+	isOrder    bool // must not be executed twice
+	home       int  // site that the client calls
 	arrivedAt  time.Duration
 	attempts   int
 	executions int
 	answered   bool
-	uncertain  bool // it was forwarded, and whether it ran is unknown
+	uncertain  bool // was forwarded without a reply, so the outcome is unknown
 }
 
-// scheduleArrival has the next client's request come to a site, and all further ones.
+// scheduleArrival schedules the next client request at a site, which in turn schedules the one after it.
 func (o *overflowSimulation) scheduleArrival(s *site) {
 	o.after(time.Duration(o.random.ExpFloat64()/s.rate*float64(time.Second)), func() {
 		request := &siteRequest{id: len(o.requests), isOrder: o.random.Float64() < orderShare, home: s.index, arrivedAt: o.now}
@@ -40,7 +40,7 @@
 	})
 }
 
-// attempt is one attempt of a client: the request is admitted, forwarded, or rejected and made again.
+// attempt makes one attempt of a client: the site admits the request, forwards it or rejects it.
 func (o *overflowSimulation) attempt(s *site, request *siteRequest) {
 	request.attempts++
 	if o.history != nil {
@@ -71,14 +71,14 @@
 	retry()
 }
 
-// retry has a client make another attempt after a while, if its deadline allows it.
+// retry schedules another attempt if the client's deadline permits.
 func (o *overflowSimulation) retry(s *site, request *siteRequest) {
 	if o.now-request.arrivedAt < clientDeadline-clientRetryMargin {
 		o.after(o.milliseconds(minClientRetryDelay, clientRetryJitter), func() { o.attempt(s, request) })
 	}
 }
 
-// chooseDestination is the site to which a request is forwarded, if there is one.
+// chooseDestination returns the site to which a request is forwarded, if any.
 func (o *overflowSimulation) chooseDestination(s *site, request *siteRequest) (destination int, token overflow.Token, ok bool) {
 	switch o.scenario.Strategy {
 	case LeaseOverflow:
@@ -100,8 +100,8 @@
 	return 0, overflow.Token{}, false
 }
 
-// forward hands a request to another site. The home site hears what became of it, or nothing: then the outcome is
-// uncertain, and an order is not tried anywhere else.
+// forward sends a request to another site. If the home site receives no reply, the outcome is uncertain: a lookup is
+// retried, an order is not.
 func (o *overflowSimulation) forward(home *site, destination int, request *siteRequest, token overflow.Token, retry func()) {
 	target, incarnation, heard := o.sites[destination], home.incarnation, false
 	reply := func(receive func()) {
@@ -112,7 +112,7 @@
 			}
 		})
 	}
-	if o.scenario.WithFaults && o.random.IntN(duplicateOneIn) == 0 { // a duplicate, which arrives late
+	if o.scenario.WithFaults && o.random.IntN(duplicateOneIn) == 0 { // delayed duplicate
 		o.send(home.index, destination, func() {
 			o.after(o.milliseconds(0, maxDuplicateDelay), func() { o.receiveForwarded(target, request, token, func(func()) {}, func() {}) })
 		})
@@ -131,7 +131,7 @@
 	})
 }
 
-// receiveForwarded has a site admit a request that another one forwards, or reply that it has not run.
+// receiveForwarded has a site admit a forwarded request, or reply that it was not executed.
 func (o *overflowSimulation) receiveForwarded(target *site, request *siteRequest, token overflow.Token, reply func(func()), retry func()) {
 	if !target.up {
 		return
@@ -145,7 +145,7 @@
 			return
 		}
 	}
-	limit := target.usableSlots() // its own clients go first
+	limit := target.usableSlots() // reserves slots for the site's own clients
 	if o.scenario.Strategy == RandomOverflow {
 		limit = target.slots
 	}
@@ -163,7 +163,7 @@
 	})
 }
 
-// admit has a request run at a site, now or after those in its queue.
+// admit executes a request at a site, or queues it if all slots are in use.
 func (o *overflowSimulation) admit(s *site, request *siteRequest, forwarded bool, ended func()) {
 	if s.running >= s.slots {
 		s.queue = append(s.queue, request)
@@ -181,7 +181,7 @@
 	}
 	o.after(time.Duration(float64(siteServiceTime)*(0.7+0.6*o.random.Float64())), func() {
 		if s.incarnation != incarnation || !s.up {
-			return // the site stopped in mid-work: the client waits for its deadline
+			return // the site stopped; the client runs into its deadline
 		}
 		s.running--
 		if !forwarded && !request.answered {
--- a/internal/testbeds/simulation/overflowsimulation.go
+++ b/internal/testbeds/simulation/overflowsimulation.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	overflowStream = 1 // of the generator that a scenario draws from
+	overflowStream = 1 // PCG stream of a scenario
 	siteLinkJitter = 2 * time.Millisecond
 )
 
-// siteLink is one direction between two sites, by their indexes.
+// siteLink is a connection in one direction between two sites, by index.
 type siteLink struct{ from, to int }
 
-// overflowSimulation is everything that one scenario simulates.
+// overflowSimulation is the state of one scenario.
 type overflowSimulation struct {
 	scenario        OverflowScenario
-	history         *historyChecksum // nil: none is kept
+	history         *historyChecksum // nil: not recorded
 	random          *rand.Rand
 	now             time.Duration
 	queue           eventQueue
@@ -25,7 +25,7 @@
 	sites           []*site
 	cutLinks        map[siteLink]bool
 	delayingLinks   map[siteLink]bool
-	delayedMessages map[siteLink][]func() // of links that hold back
+	delayedMessages map[siteLink][]func() // of delayingLinks
 	requests        []*siteRequest
 	result          OverflowResult
 }
@@ -33,7 +33,7 @@
 // RunOverflow simulates a scenario.
 func RunOverflow(scenario OverflowScenario) OverflowResult { return runOverflow(scenario, nil) }
 
-// runOverflow simulates a scenario and adds what happens to a history, if one is given.
+// runOverflow simulates a scenario and records it in history, which may be nil.
 func runOverflow(scenario OverflowScenario, history *historyChecksum) OverflowResult {
 	o := &overflowSimulation{
 		scenario:        scenario,
@@ -75,7 +75,8 @@
 	}
 }
 
-// count adds a request to the result, and checks that no order ran twice and that each that was answered ran.
+// count adds a request to the result, and checks that no order was executed twice and that each answered order was
+// executed.
 func (o *overflowSimulation) count(request *siteRequest) {
 	result := &o.result
 	if !request.isOrder {
@@ -93,10 +94,10 @@
 		result.UncertainOrders++
 	}
 	if request.executions > 1 {
-		result.Violations = append(result.Violations, fmt.Sprintf("order %d ran %d times", request.id, request.executions))
+		result.Violations = append(result.Violations, fmt.Sprintf("order %d was executed %d times", request.id, request.executions))
 	}
 	if request.answered && request.executions != 1 {
-		result.Violations = append(result.Violations, fmt.Sprintf("order %d was answered and ran %d times", request.id, request.executions))
+		result.Violations = append(result.Violations, fmt.Sprintf("order %d was answered but executed %d times", request.id, request.executions))
 	}
 }
 
@@ -109,10 +110,10 @@
 	return time.Duration(least+o.random.IntN(span)) * time.Millisecond
 }
 
-// siteLatency is what a message between two sites takes.
+// siteLatency returns the network latency between two sites.
 func siteLatency(a, b int) time.Duration { return time.Duration(10+(a*7+b*7)%71) * time.Millisecond }
 
-// send takes a message to another site, if it arrives.
+// send delivers a message to another site, subject to link faults.
 func (o *overflowSimulation) send(from, to int, arrive func()) {
 	l := siteLink{from, to}
 	o.after(siteLatency(from, to)+time.Duration(o.random.Int64N(int64(siteLinkJitter))), func() {
--- a/internal/testbeds/simulation/overflowsite.go
+++ b/internal/testbeds/simulation/overflowsite.go
@@ -11,26 +11,26 @@
 const (
 	siteServiceTime = 200 * time.Millisecond
 	siteSlots       = 60
-	siteBaseLoad    = 0.45 // of what a site can serve, as usually comes
-	usableSlotShare = 0.85 // of a site's slots, by which forwarded requests may use what its own clients leave
+	siteBaseLoad    = 0.45 // share of the capacity that the base load uses
+	usableSlotShare = 0.85 // share of a site's slots up to which it accepts forwarded requests
 )
 
-// overflowService is the one service that all sites offer.
+// overflowService is the service that all sites offer.
 const overflowService = "svc"
 
-// site is one site with its gateways, seen as one.
+// site is a site whose gateways are modelled as one.
 type site struct {
 	index       int
 	up          bool
 	incarnation int
 	overloaded  bool
-	rate        float64 // of arrivals a second
+	rate        float64 // arrivals per second
 
 	slots   int
 	running int
 	queue   []*siteRequest
 
-	rejected, forwarded, served int // in the second at hand
+	rejected, forwarded, served int // within the current second
 	stats                       overflow.Stats
 
 	lender   *overflow.Lender
@@ -39,23 +39,23 @@
 	lent     *overflow.LentQuota
 }
 
-// hasSpareSlots reports whether a site has slots that its own clients do not need.
+// hasSpareSlots reports whether a site has room for forwarded requests.
 func (s *site) hasSpareSlots() bool { return s.running < s.usableSlots() }
 
 func (s *site) usableSlots() int { return int(usableSlotShare * float64(s.slots)) }
 
-// parseSite is the index of a site by its name, which the simulation itself has given.
+// parseSite returns the index of a site by name.
 func parseSite(name string) int {
 	index, err := strconv.Atoi(name)
 	if err != nil {
-		panic(fmt.Sprintf("simulation: %q is no site", name))
+		panic(fmt.Sprintf("simulation: invalid site name %q", name))
 	}
 	return index
 }
 
 func siteName(index int) string { return strconv.Itoa(index) }
 
-// startSite begins a new incarnation of a site, which knows nothing of earlier leases.
+// startSite starts a new incarnation of a site, which has no leases.
 func (o *overflowSimulation) startSite(s *site) {
 	s.up, s.incarnation = true, s.incarnation+1
 	s.lender, s.borrower = overflow.NewLender(fmt.Sprintf("s%d.%d", s.index, s.incarnation)), overflow.NewBorrower()
@@ -63,7 +63,7 @@
 	s.running, s.queue = 0, nil
 }
 
-// schedulePeriodicTasks has a site measure itself once a second, and ask other sites for leases.
+// schedulePeriodicTasks has a site update its statistics once a second and request leases from other sites.
 func (o *overflowSimulation) schedulePeriodicTasks(s *site) {
 	o.after(time.Second, func() {
 		if s.up {
@@ -76,7 +76,7 @@
 	})
 }
 
-// measure has a site look at the second that is over.
+// measure updates a site's statistics with the last second.
 func (o *overflowSimulation) measure(s *site) {
 	s.stats = overflow.Stats{Slots: float64(s.slots), Rate: float64(s.served), ServiceSeconds: siteServiceTime.Seconds(), RejectedRate: float64(s.rejected)}
 	if s.rejected > 0 {
@@ -99,7 +99,7 @@
 	}
 }
 
-// requestLeases has a site ask others for what its borrower wants.
+// requestLeases sends the borrower's lease requests to other sites.
 func (o *overflowSimulation) requestLeases(s *site) {
 	var peers []overflow.PeerSite
 	for _, other := range o.sites {
@@ -125,7 +125,7 @@
 	}
 }
 
-// grantLease has a site decide on another's request. A lease that names no address grants nothing.
+// grantLease has a site decide on a lease request. A lease without an address grants nothing.
 func (o *overflowSimulation) grantLease(lender, borrower *site, request overflow.LeaseRequest) overflow.Lease {
 	lease, ok := lender.lender.Grant(o.now, siteName(borrower.index), overflowService, request.Rate, lender.stats.SpareRate(), 0)
 	if o.history != nil {
--- a/internal/testbeds/simulation/plantedbug.go
+++ b/internal/testbeds/simulation/plantedbug.go
@@ -10,35 +10,35 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// PlantedBug is a bug that a run has on purpose, to see that the invariants find it.
+// PlantedBug is a bug that a run contains on purpose, to verify that the invariants detect it.
 type PlantedBug string
 
-// The bugs that schedules without a Tolerance find.
+// Bugs that schedules without a Tolerance detect.
 const (
-	IgnoreViewNumber      PlantedBug = "a message along the chain is taken whatever view it is of"
-	KeepVoteAfterWipe     PlantedBug = "a member that lost its disk keeps its vote"
-	AcknowledgeBeforeSync PlantedBug = "a write is reported as done before the sync"
-	SkipFolderSync        PlantedBug = "a new file's folder is not synced"
-	AcceptStaleState      PlantedBug = "a gateway takes an older register"
-	DiscardReportedDrains PlantedBug = "what another member says of a drain is confirmed and not kept"
-	UndividedWarmupQuota  PlantedBug = "each member deals out all that a warming replica bears"
+	IgnoreViewNumber      PlantedBug = "chain messages are accepted regardless of their view number"
+	KeepVoteAfterWipe     PlantedBug = "a member with a wiped disk keeps its vote"
+	AcknowledgeBeforeSync PlantedBug = "a write is acknowledged before the sync"
+	SkipFolderSync        PlantedBug = "the directory of a new file is not synced"
+	AcceptStaleState      PlantedBug = "a gateway accepts an older register"
+	DiscardReportedDrains PlantedBug = "drains reported by other members are confirmed but not stored"
+	UndividedWarmupQuota  PlantedBug = "each member grants the whole warm-up rate of a replica"
 )
 
-// The bugs that it takes a Tolerance to find.
+// Bugs that only schedules with a Tolerance detect.
 const (
-	UnconfirmedFirstState  PlantedBug = "a gateway that connects is sent what is held, without asking the other members"
-	ConfirmSupersededView  PlantedBug = "a view is confirmed by members that know of a later one"
-	DropCommandID          PlantedBug = "a command that is entered again is a new one"
-	AcceptDelayedCalls     PlantedBug = "what lay in the socket of a frozen member is taken for new"
-	HideConflict           PlantedBug = "the head does not say that a number belongs to another command"
-	DiscardClaimsOnRestart PlantedBug = "numbers that were taken are forgotten at a restart"
-	LeaveWithoutHandover   PlantedBug = "a member that leaves ends without waiting for the others"
+	UnconfirmedFirstState  PlantedBug = "a gateway that connects receives the member's state without confirmation by a quorum"
+	ConfirmSupersededView  PlantedBug = "a view is confirmed by members that know a newer one"
+	DropCommandID          PlantedBug = "a resubmitted command is treated as a new one"
+	AcceptDelayedCalls     PlantedBug = "calls delivered while a member was paused are handled as new"
+	HideConflict           PlantedBug = "the head does not report version conflicts"
+	DiscardClaimsOnRestart PlantedBug = "claimed versions are discarded on restart"
+	LeaveWithoutHandover   PlantedBug = "a member shuts down without a handover"
 )
 
-// hasBug reports whether a bug is planted in this run.
+// hasBug reports whether the run contains a planted bug.
 func (c *cluster) hasBug(bug PlantedBug) bool { return c.schedule.PlantedBug == bug }
 
-// applyBugToMessage alters a message between members as a member with the planted bug would have sent or read it.
+// applyBugToMessage alters a message between members to what a member with the planted bug would send or accept.
 func (c *cluster) applyBugToMessage(m *member, event controller.Event) controller.Event {
 	if event.Message != nil && c.hasBug(DiscardReportedDrains) {
 		message := *event.Message
@@ -69,7 +69,7 @@
 	return event
 }
 
-// withViewOf makes a message along the chain one of the view that its receiver has.
+// withViewOf returns a chain message with the receiver's view number.
 func withViewOf(m *member, message chainreplication.Message) *chainreplication.Message {
 	view := m.controller.Coordinator().View()
 	if i := view.Position(m.controller.Coordinator().Self().ID); message.Kind == chainreplication.Forward && i > 0 {
@@ -80,7 +80,7 @@
 	return &message
 }
 
-// withUndividedQuota is an update whose warm-up rates are each what all members together may grant.
+// withUndividedQuota returns an update whose warm-up rates are multiplied by the number of members.
 func (c *cluster) withUndividedQuota(update *messages.StateUpdate) *messages.StateUpdate {
 	altered := *update
 	altered.WarmupRates = nil
@@ -91,7 +91,7 @@
 	return &altered
 }
 
-// resetRouter replaces a gateway's router by an empty one, which takes any update.
+// resetRouter replaces a gateway's router by an empty one, which accepts any update.
 func (c *cluster) resetRouter(g *gatewayNode) {
 	g.router = router.New(router.Settings{Zone: c.zoneName(g.index), Zones: c.zoneCount(), Seed: 1})
 }
--- a/internal/testbeds/simulation/plantedbug_test.go
+++ b/internal/testbeds/simulation/plantedbug_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestInvariantsFindPlantedBugs plants bugs on purpose: invariants that miss them are worth nothing.
+// TestInvariantsFindPlantedBugs checks that the invariants detect planted bugs.
 func TestInvariantsFindPlantedBugs(t *testing.T) {
 	for _, bug := range []PlantedBug{IgnoreViewNumber, KeepVoteAfterWipe, AcknowledgeBeforeSync, SkipFolderSync, AcceptStaleState, DiscardReportedDrains, UndividedWarmupQuota} {
 		t.Run(string(bug), func(t *testing.T) {
@@ -16,7 +16,7 @@
 				if result := Run(schedule); len(result.Violations) > 0 {
 					schedule.PlantedBug = ""
 					if sound := Run(schedule); len(sound.Violations) > 0 {
-						continue // more faults than must be borne
+						continue // fails without the bug too
 					}
 					t.Logf("found with seed %d: %s", seed, result.Violations[0])
 					return
@@ -27,12 +27,12 @@
 	}
 }
 
-// scheduleFor is a schedule with a planted bug that may show it.
+// scheduleFor returns a schedule that can expose a planted bug.
 func scheduleFor(bug PlantedBug, seed uint64) Schedule {
 	schedule := Generate(seed, 3, 8, 25*time.Second)
 	schedule.PlantedBug = bug
 	switch bug {
-	case IgnoreViewNumber: // views must change often, and messages of older ones come late
+	case IgnoreViewNumber: // frequent view changes and late messages from older views
 		schedule.ReorderRate, schedule.MaxReorderDelay, schedule.Gateways, schedule.Faults = 0.3, 3*time.Second, 0, nil
 		kinds := []FaultKind{IsolateMember, PauseProcess, LosePower, IsolateMemberOneWay}
 		for at := 2 * time.Second; at < 22*time.Second; at += 2400 * time.Millisecond {
@@ -40,7 +40,7 @@
 				Kind: kinds[int(seed)%4], Target: int(at/time.Millisecond+time.Duration(seed)) % 3})
 		}
 		schedule.Actions = append(schedule.Actions, increasingPuts(80)...)
-	case AcceptStaleState: // members must lag, and gateways follow others; what the members themselves now prevent is put in
+	case AcceptStaleState: // lagging members and gateways that reconnect; members don't confirm updates
 		schedule.UnconfirmedUpdates = true
 		schedule.LossRate, schedule.Gateways, schedule.Actions, schedule.Faults = 0.2, 6, nil, nil
 		schedule.Actions = append(schedule.Actions, increasingPuts(80)...)
@@ -51,7 +51,7 @@
 	return schedule
 }
 
-// increasingPuts are configurations whose versions rise steadily.
+// increasingPuts returns puts with increasing versions at regular intervals.
 func increasingPuts(n int) (actions []Action) {
 	for i := range n {
 		actions = append(actions, Action{At: time.Second + time.Duration(i)*280*time.Millisecond, Kind: PutConfig, Version: uint64(1000 + i)})
@@ -59,8 +59,7 @@
 	return actions
 }
 
-// TestFamiliesFindPlantedBugs plants bugs that it takes a Tolerance to find: each is found by a schedule of a family that is
-// made for it, and that very schedule passes without it.
+// TestFamiliesFindPlantedBugs checks that schedules of the families detect planted bugs that others don't.
 func TestFamiliesFindPlantedBugs(t *testing.T) {
 	cases := map[PlantedBug]struct{ family, violation string }{
 		UnconfirmedFirstState:  {"cuts", "a full update"},
@@ -79,7 +78,7 @@
 				if _, violation := runChecked(t, schedule); violation != "" && strings.Contains(violation, want.violation) {
 					schedule.PlantedBug = ""
 					if _, without := runChecked(t, schedule); without != "" {
-						continue // not the bug's doing
+						continue // fails without the bug too
 					}
 					t.Logf("found with seed %d: %s", seed, violation)
 					return
@@ -90,7 +89,7 @@
 	}
 }
 
-// familyScheduleFor is a schedule of a family with a planted bug, altered so that it may show it.
+// familyScheduleFor returns a schedule of a family, adapted to expose a planted bug.
 func familyScheduleFor(bug PlantedBug, family string, seed uint64) Schedule {
 	schedule := GenerateFamily(family, seed, 3)
 	schedule.PlantedBug = bug
@@ -99,14 +98,14 @@
 		proposeOppositesWhileViewChanges(&schedule, seed)
 	case ConfirmSupersededView:
 		readAndPutWhileTailIsPartitioned(&schedule)
-	case LeaveWithoutHandover: // the head leaves, its successor is there, and another member is lost meanwhile
+	case LeaveWithoutHandover: // the head shuts down after a spare has joined, while another member is lost
 		schedule.Faults = []Fault{{At: 8 * time.Second, Kind: AddSpareMember}, {At: 16 * time.Second, Kind: ShutDownMember, Role: RoleHead},
 			{At: 16*time.Second + time.Duration(seed)*5*time.Millisecond, For: 12 * time.Second, Kind: PauseProcess, Role: RoleTail}}
 	}
 	return schedule
 }
 
-// proposeOppositesWhileViewChanges has a command and its opposite be under way when the view changes.
+// proposeOppositesWhileViewChanges submits a command and its opposite during a view change.
 func proposeOppositesWhileViewChanges(schedule *Schedule, seed uint64) {
 	schedule.Gateways, schedule.Replicas, schedule.Actions, schedule.Faults = 0, 0, nil, nil
 	for at := 8 * time.Second; at < 22*time.Second; at += 6 * time.Second {
@@ -118,7 +117,7 @@
 	}
 }
 
-// readAndPutWhileTailIsPartitioned has what tells of the later view be lost, and much be read and changed meanwhile.
+// readAndPutWhileTailIsPartitioned adds frequent reads and puts while messages about the new view are lost.
 func readAndPutWhileTailIsPartitioned(schedule *Schedule) {
 	schedule.LossRate, schedule.Gateways, schedule.Replicas, schedule.Actions, schedule.Faults = 0.2, 0, 0, nil, nil
 	for at := 8 * time.Second; at < 22*time.Second; at += 4 * time.Second {
--- a/internal/testbeds/simulation/process.go
+++ b/internal/testbeds/simulation/process.go
@@ -5,32 +5,31 @@
 	"time"
 )
 
-// clockDrift is the width of the range from which clocks' rates are drawn, around that of simulated time.
+// clockDrift is the width of the range of clock rates around 1.
 const clockDrift = 0.004
 
-// process is what members and gateways have in common: a process on a machine with links and a clock, which may be killed,
-// frozen and thawed.
+// process is a member or gateway process on a machine with links and a clock. It can be killed and paused.
 type process struct {
-	name        string // in the trace, and of its links
-	incarnation int    // counts its starts
+	name        string // in the trace and in links
+	incarnation int    // number of starts
 	startedAt   time.Duration
 	up          bool
 
-	clockRate   float64 // of its monotonic clock, against simulated time
+	clockRate   float64 // of the monotonic clock, relative to simulated time
 	clockOffset time.Duration
 
 	paused            bool
-	queuedWhilePaused []func() // what arrived meanwhile
-	pendingTick       func()   // at most one, since a timer that has elapsed several times fires once
+	queuedWhilePaused []func()
+	pendingTick       func() // at most one, since a timer that expires repeatedly during a pause fires once
 	resumedAt         time.Duration
 
 	isMember                  bool
-	inboundCuts, outboundCuts int // how many faults cut it from other members, by direction
-	isolations                int // how many cut it from all nodes
+	inboundCuts, outboundCuts int // active faults that cut it off from other members, by direction
+	isolations                int // active faults that cut it off from all nodes
 	isolatedAt                time.Duration
 }
 
-// startProcess begins a new incarnation, with a clock of its own.
+// startProcess starts a new incarnation with a new clock.
 func (c *cluster) startProcess(p *process) {
 	p.incarnation++
 	p.up, p.startedAt = true, c.now
@@ -39,12 +38,12 @@
 	p.clockRate = 1 + clockDrift*(c.random.Float64()-0.5)
 }
 
-// monotonicTime is what a process reads from its monotonic clock, which starts at zero with the process and drifts.
+// monotonicTime returns the reading of a process's monotonic clock, which starts at zero with the process and drifts.
 func (c *cluster) monotonicTime(p *process) time.Duration {
 	return time.Duration(float64(c.now-p.startedAt)*p.clockRate) + p.clockOffset
 }
 
-// runOn has a process do something now, or when it thaws, or never if that incarnation has ended.
+// runOn runs a function on a process: now, when it resumes, or never if the incarnation has ended.
 func (c *cluster) runOn(p *process, incarnation int, do func()) {
 	switch {
 	case !p.up || p.incarnation != incarnation:
@@ -55,7 +54,7 @@
 	}
 }
 
-// freeze stops a process for a while, as a paused virtual machine is. What arrives meanwhile is done when it thaws.
+// pause stops a process for a while, like a suspended virtual machine. Its events are queued until it resumes.
 func (c *cluster) pause(p *process, span time.Duration) {
 	if !p.up {
 		return
@@ -73,10 +72,10 @@
 	p.paused, p.resumedAt = false, c.now
 	held := p.queuedWhilePaused
 	p.queuedWhilePaused = nil
-	if p.pendingTick != nil { // the timer may fire before what lay in the sockets is read, or after
+	if p.pendingTick != nil { // the timer fires at a random position among the queued messages
 		held, p.pendingTick = slices.Insert(held, c.random.IntN(len(held)+1), p.pendingTick), nil
 	}
-	c.tracef("%s thaws", p.name)
+	c.tracef("%s resumes", p.name)
 	for _, do := range held {
 		do()
 	}
--- a/internal/testbeds/simulation/replica.go
+++ b/internal/testbeds/simulation/replica.go
@@ -11,17 +11,17 @@
 
 const (
 	heartbeatInterval   = 1500 * time.Millisecond
-	heartbeatJitter     = 60  // milliseconds, below which it is longer
-	firstHeartbeatDelay = 300 // milliseconds, the same
+	heartbeatJitter     = 60  // milliseconds added to heartbeatInterval, exclusive bound
+	firstHeartbeatDelay = 300 // milliseconds, exclusive bound
 	heartbeatTimeout    = time.Second
 	heartbeatRetryDelay = 100 * time.Millisecond
 	maxHeartbeatRetries = 4
 	warmupTime          = 3 * time.Second
-	terminationTime     = 8 * time.Second // from the begin of a drain, with or without an acknowledgement
-	replicaSlots        = 1               // so few that warming replicas are needed
+	terminationTime     = 8 * time.Second // from the start of a drain, acknowledged or not
+	replicaSlots        = 1               // low, so that traffic reaches warming replicas
 )
 
-// replica is one instance of a replica.
+// replica is a service instance.
 type replica struct {
 	id, zone    string
 	alive       bool
@@ -31,15 +31,15 @@
 	drainAcknowledgedAt time.Duration // 0: not yet
 
 	heartbeatSequence uint64
-	redirect          string // the address that the last answer sends it to
+	redirect          string // address that the last response redirects to
 
-	warmupArrivals []time.Duration // of requests within the last second, while it warms up
+	warmupArrivals []time.Duration // requests within the last second of warm-up
 }
 
-// isWarming reports whether a replica runs and warms up.
+// isWarming reports whether a replica runs and is warming up.
 func (c *cluster) isWarming(r *replica) bool { return r.alive && c.now < r.warmupUntil }
 
-// startReplica starts a replica in a zone. What is there from the beginning is warm.
+// startReplica starts a replica in a zone. Initial replicas don't warm up.
 func (c *cluster) startReplica(zone int, warming bool) {
 	r := &replica{id: fmt.Sprintf("i%d", len(c.replicas)), zone: c.zoneName(zone), alive: true}
 	if warming {
@@ -49,7 +49,7 @@
 	c.after(c.randomMilliseconds(firstHeartbeatDelay), func() { c.heartbeatRepeatedly(r) })
 }
 
-// heartbeatRepeatedly has a replica send a heartbeat now and at intervals.
+// heartbeatRepeatedly sends a replica's heartbeats at intervals.
 func (c *cluster) heartbeatRepeatedly(r *replica) {
 	if !r.alive || c.finished {
 		return
@@ -58,7 +58,7 @@
 	c.after(heartbeatInterval+c.randomMilliseconds(heartbeatJitter), func() { c.heartbeatRepeatedly(r) })
 }
 
-// sendHeartbeat has a replica call a member, and others until one acknowledges.
+// sendHeartbeat sends a heartbeat to a member, and to others until one acknowledges it.
 func (c *cluster) sendHeartbeat(r *replica, retries int) {
 	if !r.alive || retries > maxHeartbeatRetries {
 		return
@@ -98,7 +98,7 @@
 	})
 }
 
-// instance is a replica as its heartbeat tells of it.
+// instance returns the instance that a heartbeat reports.
 func (c *cluster) instance(r *replica) fleet.Instance {
 	return fleet.Instance{
 		ID:           r.id,
@@ -112,7 +112,7 @@
 	}
 }
 
-// callFromReplica has a member decide on a replica's call.
+// callFromReplica has a member handle a call of a replica.
 func (c *cluster) callFromReplica(m *member, event controller.Event, answered func(controller.Response)) {
 	c.lastToken++
 	event.Token = c.lastToken
@@ -125,8 +125,8 @@
 	c.step(m, event)
 }
 
-// drainReplica has a replica begin to drain. It ends when the drain was acknowledged and its deadline is over, or soon
-// after that in any case.
+// drainReplica starts to drain a replica. It terminates after the acknowledgement and the drain deadline, or after
+// terminationTime at the latest.
 func (c *cluster) drainReplica(r *replica) {
 	if !r.alive || r.draining {
 		return
@@ -142,11 +142,11 @@
 	}
 	c.checkDrainDurability(m, r)
 	r.drainAcknowledgedAt = c.now
-	c.tracef("%s: the drain of %s is acknowledged", m.name, r.id)
+	c.tracef("%s: acknowledged the drain of %s", m.name, r.id)
 	c.after(drainDeadline+time.Second, func() { c.terminateReplica(r) })
 }
 
-// terminateReplica ends a replica's process, which deregisters.
+// terminateReplica deregisters a replica and ends its process.
 func (c *cluster) terminateReplica(r *replica) {
 	m := c.pickMember()
 	if r.alive && m.isReachable() {
--- a/internal/testbeds/simulation/result.go
+++ b/internal/testbeds/simulation/result.go
@@ -2,75 +2,75 @@
 
 import "time"
 
-// Result is what was seen in a run.
+// Result has the violations and measurements of a run.
 type Result struct {
-	Violations []string // of invariants; a run ends with the first
-	Trace      []string // a line for each thing of note, with its time in seconds
+	Violations []string // a run ends with the first
+	Trace      []string // one line per notable event
 
-	Acknowledged   int // commands that were acknowledged
-	AnsweredCalls  int // calls of operators that were answered clearly, commands and reads
-	Requests       int // that gateways sent to replicas
-	WarmupRequests int // of them, to replicas that were warming up
-	Retries        int // requests that their gateway's budget allowed a retry
+	Acknowledged   int // acknowledged commands
+	AnsweredCalls  int // operator calls with a conclusive response, commands and reads
+	Requests       int // requests that gateways sent to replicas
+	WarmupRequests int // requests to replicas that were warming up
+	Retries        int // how often a gateway's budget allowed retries
 	NewestView     uint64
 	DrainedWindows int // maintenance windows in which a gateway was drained
 	NewestSequence uint64
-	MaxDiskBytes   int // most bytes on one disk
+	MaxDiskBytes   int // highest usage of a single disk
 	Operations     []Operation
 	Attempts       []Attempt
 
-	// RequestLatencies are of requests while no maintenance window was open, and while one was.
+	// RequestLatencies are measured while no maintenance window is open (index 0) and while one is (index 1).
 	RequestLatencies [2][]time.Duration
-	// CommandLatencies run from the call that was answered to its acknowledgement.
+	// CommandLatencies are measured from the successful attempt to its acknowledgement.
 	CommandLatencies []time.Duration
-	// ViewRepairTimes run from a kill, freeze or cut of a member of the chain until a view without it was installed.
+	// ViewRepairTimes are measured from the loss of a chain member to the installation of a view without it.
 	ViewRepairTimes []time.Duration
-	// ConfigPropagationTimes run from the commit of a configuration until a gateway with a stream had it in force.
+	// ConfigPropagationTimes are measured from a commit to its application by a gateway with a stream.
 	ConfigPropagationTimes []time.Duration
 
-	// The rest is measured in schedules with a Tolerance.
+	// The remaining fields are measured in schedules with a Tolerance.
 
-	// CatchUpTimes run from the start of a member until it was in the chain and had on disk what was committed.
+	// CatchUpTimes are measured from a member's start until it is in the chain with all committed state on disk.
 	CatchUpTimes []time.Duration
-	// JoinTimes are the same of members at a new address.
+	// JoinTimes are the same for members at a new address.
 	JoinTimes []time.Duration
-	// ResponsesWhileIsolated run from the begin of a cut to each answer that the member cut off still gave.
+	// ResponsesWhileIsolated are measured from a member's isolation to each response that it still gives.
 	ResponsesWhileIsolated []time.Duration
-	// HeartbeatsWhileIsolated are the same of answers to heartbeats of replicas.
+	// HeartbeatsWhileIsolated are the same for responses to heartbeats of replicas.
 	HeartbeatsWhileIsolated []time.Duration
-	// ResponsesAfterResume run from a thaw to each answer that was given while others had a newer view.
+	// ResponsesAfterResume are measured from the end of a pause to each response given with an outdated view.
 	ResponsesAfterResume []time.Duration
 }
 
-// Operation is one call of an operator, for a check of the whole history against one register that only grows: a write
+// Operation is an operator call for a linearizability check against a single register that only increases: a write
 // raises the register to at least its version, a read returns it.
 type Operation struct {
 	Read         bool
 	Version      uint64
-	Call, Return time.Duration // Return 0: there was no clear answer
+	Call, Return time.Duration // Return is 0 without a conclusive response
 }
 
-// AttemptKind says what an Attempt asked for.
+// AttemptKind is the operation that an Attempt requests.
 type AttemptKind string
 
 // The kinds of attempts.
 const (
 	AttemptRead     AttemptKind = "read"
-	AttemptPut      AttemptKind = "put"  // a configuration
-	AttemptEvacuate AttemptKind = "out"  // a zone
-	AttemptRestore  AttemptKind = "back" // a zone
+	AttemptPut      AttemptKind = "put"  // submit a configuration
+	AttemptEvacuate AttemptKind = "out"  // evacuate a zone
+	AttemptRestore  AttemptKind = "back" // restore a zone
 )
 
-// Attempt is one call to one member, for a check of linearizability: what it asked for and what came of it. Each committed
-// register that is seen counts as a read of all keys.
+// Attempt is one call to one member, for a linearizability check. Each committed register that is observed is recorded
+// as a read of all keys.
 type Attempt struct {
-	Key      string // what it is about: the configuration (empty), or a zone
+	Key      string // the zone, or empty for the configuration
 	Kind     AttemptKind
 	Version  uint64
-	BodyID   int    // of the configuration; of a zone 1 if it is evacuated
-	Sequence uint64 // of the committed register that was seen; 0: the call of an operator
-	Conflict bool   // answered by 409
-	Answered bool   // clearly
+	BodyID   int    // of the configuration; for a zone, 1 if it is evacuated
+	Sequence uint64 // of an observed committed register; 0 for operator calls
+	Conflict bool   // rejected with 409
+	Answered bool   // received a conclusive response
 	Call     time.Duration
-	Return   time.Duration // without a clear answer: when the caller gave up
+	Return   time.Duration // without a conclusive response, when the caller gave up
 }
--- a/internal/testbeds/simulation/retry_test.go
+++ b/internal/testbeds/simulation/retry_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRetryBudgetAcrossRestarts guards the sum of all gateways' retries while all of them are restarted ten times within one window, some cut off from all
-// members, and while members fail: each incarnation began with a full share of the slack.
+// TestRetryBudgetAcrossRestarts checks the bound on all gateways' retries when they restart ten times within one
+// window, while some are isolated and members fail.
 func TestRetryBudgetAcrossRestarts(t *testing.T) {
 	retries := 0
 	for seed := range seedCount(t, 8) {
@@ -17,7 +17,7 @@
 		}
 	}
 	if retries == 0 {
-		t.Error("no budget ever allowed a retry")
+		t.Error("no budget allowed a retry")
 	}
 }
 
@@ -30,7 +30,7 @@
 		for gateway := range schedule.Gateways {
 			schedule.Faults = append(schedule.Faults, Fault{At: at + time.Duration(gateway)*time.Millisecond, For: 20 * time.Millisecond, Kind: KillGateway, Target: gateway})
 		}
-		if restart%3 == int(seed%3) { // some of them can't ask how many they are
+		if restart%3 == int(seed%3) { // half of the gateways cannot learn the number of gateways
 			for gateway := 0; gateway < schedule.Gateways; gateway += 2 {
 				schedule.Faults = append(schedule.Faults, Fault{At: at, For: 1500 * time.Millisecond, Kind: IsolateGateway, Target: gateway})
 			}
--- a/internal/testbeds/simulation/schedule.go
+++ b/internal/testbeds/simulation/schedule.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Schedule gives everything that one run does. It is kept as JSON; the keys are older than the names of the fields.
+// Schedule defines a run. Its JSON keys predate the field names.
 type Schedule struct {
-	Seed           uint64        // of every random choice in the run
+	Seed           uint64        // of all random choices in the run
 	Members        int           `json:"Machines"`
-	InitialMembers int           `json:"Seeds"` // of the members, those that form the first view
+	InitialMembers int           `json:"Seeds"` // members that form the first view
 	Gateways       int           `json:"Foragers"`
-	Replicas       int           // that there are from the beginning
-	Zones          int           // 0: 2
+	Replicas       int           // initial replicas
+	Zones          int           // 0: defaultZones
 	Duration       time.Duration `json:"Lasts"` // of faults and actions; the run ends some seconds later
 
 	Faults  []Fault  `json:"Troubles"`
 	Actions []Action `json:"Acts"`
 
-	LossRate        float64       `json:"Loss"`    // share of the messages between members that is lost
-	ReorderRate     float64       `json:"Reorder"` // share that comes late, behind later messages
+	LossRate        float64       `json:"Loss"`    // share of messages between members that are lost
+	ReorderRate     float64       `json:"Reorder"` // share of messages that are delayed past later ones
 	MaxReorderDelay time.Duration `json:"Late"`
 
 	PlantedBug PlantedBug `json:"Fault,omitempty"`
 
-	// Tolerance, where set, is how many members may be lost at once. Such a schedule may have the faults that say so, and
-	// more is checked: linearizability by key, and that members come back and take part again.
+	// Tolerance, if set, is the number of members that may be lost at once. Such a schedule may contain more kinds of
+	// faults, and its run is also checked for linearizability by key and for the recovery of members.
 	Tolerance     int           `json:",omitempty"`
-	MaxStartDelay time.Duration `json:"Spread,omitempty"` // members start within this
+	MaxStartDelay time.Duration `json:"Spread,omitempty"` // initial members start at random times within it
 
-	// UnconfirmedUpdates has a member tell each gateway that connects what it holds to be committed, before it has asked the
-	// other members. It takes that to see what a gateway itself guards when a member is wrong.
+	// UnconfirmedUpdates makes members send their state to a gateway that connects without confirmation by a quorum.
+	// It tests the gateway's own protection against stale state.
 	UnconfirmedUpdates bool `json:"Unasked,omitempty"`
 }
 
-// ActionKind says what an Action does.
+// ActionKind identifies what an Action does.
 type ActionKind string
 
-// The actions of operators on the configuration and on zones.
+// Actions of operators on the configuration and on zones.
 const (
 	PutConfig    ActionKind = "put"
 	EvacuateZone ActionKind = "evacuate"
@@ -45,13 +45,13 @@
 	ReadConfig   ActionKind = "read"
 )
 
-// The actions of replicas.
+// Actions of replicas.
 const (
 	DrainReplica ActionKind = "drain"
-	StartReplica ActionKind = "begin" // which warms up
+	StartReplica ActionKind = "begin" // start a replica that warms up
 )
 
-// The actions of operators on maintenance windows. The values are the verbs of the call.
+// Actions of operators on maintenance windows. The values are the verbs of the call.
 const (
 	SetWindowFloors ActionKind = "agree"
 	RequestWindow   ActionKind = "ask"
@@ -59,19 +59,19 @@
 	CancelWindows   ActionKind = "cancel"
 )
 
-// Action is something that operators or replicas do.
+// Action is something that an operator or replica does.
 type Action struct {
 	At           time.Duration
 	Kind         ActionKind
 	Version      uint64 // PutConfig
 	To           int    `json:",omitempty"`     // 1 + the index of the member that is called first; 0: any
-	RetrySame    bool   `json:"Back,omitempty"` // that member is called again, and not another
-	LoseResponse bool   `json:"Lost,omitempty"` // the first answer is lost on its way
-	Body         int    `json:",omitempty"`     // PutConfig: names what is put; 0: the index of the action does
-	Target       int    `json:"On"`             // the zone, the replica or the gateway that is meant, by index
+	RetrySame    bool   `json:"Back,omitempty"` // retries call that member again
+	LoseResponse bool   `json:"Lost,omitempty"` // the first response is lost in transit
+	Body         int    `json:",omitempty"`     // for PutConfig, identifies the configuration; 0: the index of the action does
+	Target       int    `json:"On"`             // index of the zone, replica or gateway
 }
 
-// endOfFaultsAndActions is when the last fault has ended and the schedule has run out.
+// endOfFaultsAndActions returns the time at which the last fault and the last action have ended.
 func (s Schedule) endOfFaultsAndActions() time.Duration {
 	end := s.Duration
 	for _, fault := range s.Faults {
--- a/internal/testbeds/simulation/shrink.go
+++ b/internal/testbeds/simulation/shrink.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// longSchedule is from how many faults and actions on a schedule is shrunk in one round only.
+// longSchedule is the number of faults and actions above which a schedule is shrunk in one round only.
 const longSchedule = 60
 
-// Shrink drops faults (but no spares), actions, gateways and replicas from a schedule as long as it still violates an
+// Shrink removes faults (but not spares), actions, gateways and replicas from a schedule while it still violates an
 // invariant.
 func Shrink(schedule Schedule) (Schedule, Result) {
 	return ShrinkWith(schedule, func(candidate Schedule) (Result, bool) {
@@ -14,7 +14,7 @@
 	})
 }
 
-// ShrinkWith does the same with a check of one's own, which runs a schedule and reports whether it still fails.
+// ShrinkWith is like Shrink with a custom check, which runs a schedule and reports whether it still fails.
 func ShrinkWith(schedule Schedule, check func(Schedule) (Result, bool)) (Schedule, Result) {
 	s := &shrinker{schedule: schedule, check: check}
 	s.result, _ = check(schedule)
@@ -30,14 +30,14 @@
 	return s.schedule, s.result
 }
 
-// shrinker has the smallest schedule so far that fails, and its result.
+// shrinker holds the smallest failing schedule so far and its result.
 type shrinker struct {
 	schedule Schedule
 	result   Result
 	check    func(Schedule) (Result, bool)
 }
 
-// try takes a candidate if it still fails, and reports whether it does.
+// try keeps a candidate if it still fails, and reports whether it does.
 func (s *shrinker) try(candidate Schedule) bool {
 	result, fails := s.check(candidate)
 	if fails {
@@ -46,7 +46,7 @@
 	return fails
 }
 
-// dropFaults drops single faults. Spares stay: without them more members would be lost than may be.
+// dropFaults removes single faults. Spares stay, as removing one could exceed the number of members that may be lost.
 func (s *shrinker) dropFaults() (smaller bool) {
 	for i := 0; i < len(s.schedule.Faults); i++ {
 		if s.schedule.Faults[i].Kind == AddSpareMember {
@@ -62,7 +62,7 @@
 	return smaller
 }
 
-// dropActions drops runs of actions, first long ones and then ever shorter ones.
+// dropActions removes runs of actions of decreasing length.
 func (s *shrinker) dropActions() (smaller bool) {
 	for length := len(s.schedule.Actions) / 2; length > 0; length /= 2 {
 		for i := 0; i+length <= len(s.schedule.Actions); {
@@ -78,7 +78,7 @@
 	return smaller
 }
 
-// dropNodes lowers a number of nodes.
+// dropNodes decreases a number of nodes.
 func (s *shrinker) dropNodes(count func(*Schedule) *int) (smaller bool) {
 	for *count(&s.schedule) > 0 {
 		candidate := s.schedule
--- a/internal/testbeds/simulation/shrink_test.go
+++ b/internal/testbeds/simulation/shrink_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestShrinkRemovesUnneededParts shrinks by a check that needs one fault, one action and one gateway: only these are left,
-// and the spare, without which more members would be lost than may be.
+// TestShrinkRemovesUnneededParts shrinks with a check that needs one fault, one action and one gateway, and expects
+// only these and the spares to remain.
 func TestShrinkRemovesUnneededParts(t *testing.T) {
 	schedule := GenerateFamily("replaced", 3, 5)
 	needed := Fault{At: 9 * time.Second, Kind: PauseProcess, Target: 1}
@@ -20,16 +20,16 @@
 		})
 	}
 	if got := countSpares(schedule); got != spares {
-		t.Errorf("%d spares are left of %d", got, spares)
+		t.Errorf("%d of %d spares left", got, spares)
 	}
 	if len(schedule.Faults) != spares+1 || !slices.Contains(schedule.Faults, needed) {
-		t.Errorf("the faults left are %v", schedule.Faults)
+		t.Errorf("faults left: %v", schedule.Faults)
 	}
 	if len(schedule.Actions) != 1 || schedule.Actions[0] != neededAction {
-		t.Errorf("the actions left are %v", schedule.Actions)
+		t.Errorf("actions left: %v", schedule.Actions)
 	}
 	if schedule.Gateways != 1 || schedule.Replicas != 0 {
-		t.Errorf("%d gateways and %d replicas are left", schedule.Gateways, schedule.Replicas)
+		t.Errorf("got %d gateways and %d replicas, want 1 and 0", schedule.Gateways, schedule.Replicas)
 	}
 }
 
--- a/internal/testbeds/simulation/storage.go
+++ b/internal/testbeds/simulation/storage.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// What operations of a disk take.
+// Durations of disk operations.
 const (
 	diskOperationTime  = 50 * time.Microsecond
 	minSyncTime        = 500 * time.Microsecond
-	meanExtraSyncTime  = time.Millisecond // beyond the least
+	meanExtraSyncTime  = time.Millisecond // in addition to minSyncTime
 	diskStallPoll      = 5 * time.Millisecond
 	unsyncedReportTime = 100 * time.Microsecond // with the planted bug AcknowledgeBeforeSync
 )
 
-// persist has a member's store write its state, and carries out the operations on its disk. What was still pending of an
-// earlier write is dropped.
+// persist has a member's store write its state and applies the disk operations. Pending operations of an earlier write
+// are dropped.
 func (c *cluster) persist(m *member, raw []byte, done func(problem string)) {
 	c.history.persist(c, m, raw)
 	m.disk.pending = nil
@@ -30,8 +30,8 @@
 	c.runDiskOperations(m, func() { done(problem) })
 }
 
-// runDiskOperations carries out what is pending on a member's disk, one operation after the other, each in its time. Then it calls
-// done, if there is one.
+// runDiskOperations applies a member's pending disk operations one after the other, and then calls done unless it is
+// nil.
 func (c *cluster) runDiskOperations(m *member, done func()) {
 	c.runNextDiskOperation(m, m.incarnation, done)
 }
--- a/internal/testbeds/simulation/warmup_test.go
+++ b/internal/testbeds/simulation/warmup_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// TestOverlappingWarmups guards a replica that begins to warm up a second time before the first time is over, as its zone is
-// restored: gw-cold-after-evacuation. The second time ends a little later than the first, and a heartbeat that says so must
-// count.
+// TestOverlappingWarmups checks that members honour a heartbeat that extends a replica's warm-up when its zone is
+// restored before the first warm-up ends.
 func TestOverlappingWarmups(t *testing.T) {
 	const ms = time.Millisecond
 	warmupRequests := 0
@@ -22,13 +21,12 @@
 		}
 	}
 	if warmupRequests == 0 {
-		t.Error("no warming replica was called")
+		t.Error("no request reached a warming replica")
 	}
 }
 
-// TestWarmupQuotaTransfer guards the sum over all gateways while warm-up quotas change hands: replicas warm up again and
-// again, members are killed, frozen, cut and wiped in turn and gateways killed and frozen, so that gateways follow other
-// members all the time.
+// TestWarmupQuotaTransfer checks the bound on the sum of all warm-up quotas while faults make gateways reconnect to
+// other members.
 func TestWarmupQuotaTransfer(t *testing.T) {
 	warmupRequests := 0
 	for seed := range seedCount(t, 12) {
@@ -40,7 +38,7 @@
 	}
 	t.Logf("%d requests to warming replicas", warmupRequests)
 	if warmupRequests == 0 {
-		t.Error("no warming replica was called")
+		t.Error("no request reached a warming replica")
 	}
 }
 
@@ -54,7 +52,7 @@
 	gatewayKinds := []FaultKind{KillGateway, PauseGateway, IsolateGateway}
 	for i := range 8 {
 		at := time.Duration(3000+3000*i)*time.Millisecond + time.Duration(seed*37%900)*time.Millisecond
-		if i%2 == 1 { // all gateways follow other members while the replica warms up
+		if i%2 == 1 { // all gateways reconnect while the replica warms up
 			for j := range schedule.Gateways {
 				schedule.Faults = append(schedule.Faults, Fault{At: at + 500*time.Millisecond, For: 1100 * time.Millisecond, Kind: IsolateGateway, Target: j})
 			}
