--- a/internal/testbeds/simulation/cluster.go
+++ b/internal/testbeds/simulation/cluster.go
@@ -16,7 +16,7 @@
 	catchUpTime         = 4 * time.Second        // a restarted member counts as unavailable for this long
 	restartTime         = 300 * time.Millisecond // process start-up time
 	faultFreeBeforeCall = 6 * time.Second        // a call that starts after this long without faults must be answered
-	contactTimeout      = 3 * time.Second        // without quorum contact for this long a member must acknowledge nothing; gateways are checked after a fault-free time of this length
+	contactTimeout      = 3 * time.Second        // a member without quorum contact for this long must acknowledge nothing; gateways are checked after as long without faults
 
 	configPropagationBound = 2 * time.Second
 	drainDeadline          = 2 * time.Second
@@ -32,9 +32,9 @@
 
 // Phases at the end of a run, measured from the end of the last fault.
 const (
-	coreSettleTime = 4 * time.Second // only in schedules with a Tolerance
-	finalReadDelay = 8 * time.Second
-	runGrace       = 14 * time.Second
+	controlPlaneSettleTime = 4 * time.Second // only in schedules with a Tolerance
+	finalReadDelay         = 8 * time.Second
+	runGrace               = 14 * time.Second
 )
 
 // randomStream is the PCG stream of a run. The schedule generators use other streams, so one seed gives them
@@ -76,7 +76,7 @@
 	acknowledgedAt      time.Duration
 	evacuatedAt         map[string]time.Duration // zones with an acknowledged evacuation that has not been reverted
 	restoreCalls        []*operatorCall
-	coreHistory         coreHistory
+	controlPlaneHistory controlPlaneHistory
 
 	windowState      maintenance.State // last committed state
 	windowRevision   uint64
@@ -98,9 +98,9 @@
 	}
 	end := schedule.endOfFaultsAndActions()
 	if schedule.Tolerance > 0 {
-		c.coreHistory.initialize()
-		c.monitorCore()
-		end += coreSettleTime
+		c.controlPlaneHistory.initialize()
+		c.monitorControlPlane()
+		end += controlPlaneSettleTime
 	}
 	c.after(end+finalReadDelay, c.finalRead)
 	for len(c.queue) > 0 && c.now < end+runGrace && len(c.result.Violations) == 0 {
@@ -142,7 +142,7 @@
 	}
 	for i := range schedule.Members {
 		m := newMember(i, fmt.Sprintf("member %d", i), fmt.Sprintf("10.0.0.%d:7000", i+1))
-		m.disk.skipsFolderSync = schedule.PlantedBug == SkipFolderSync
+		m.disk.skipsDirectorySync = schedule.PlantedBug == SkipDirectorySync
 		c.addMember(m)
 	}
 	return c
@@ -188,19 +188,19 @@
 	return time.Duration(c.random.IntN(n)) * time.Millisecond
 }
 
-// tracef appends a line to the trace.
 func (c *cluster) tracef(format string, args ...any) {
 	c.result.Trace = append(c.result.Trace, fmt.Sprintf("%8.3f  ", c.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// violationf records an invariant violation.
 func (c *cluster) violationf(format string, args ...any) {
 	c.tracef("VIOLATION: "+format, args...)
 	c.result.Violations = append(c.result.Violations, fmt.Sprintf(format, args...))
 }
 
-// faultFreeFor reports whether no fault has been active for at least span.
-func (c *cluster) faultFreeFor(span time.Duration) bool { return c.now > c.faultActiveUntil+span }
+// faultFreeFor reports whether no fault has been active for at least the duration.
+func (c *cluster) faultFreeFor(duration time.Duration) bool {
+	return c.now > c.faultActiveUntil+duration
+}
 
 // extendFaultPeriod marks the present as affected by a fault that has just started or ended. It applies to schedules
 // with a Tolerance only; in others, injectFault knows the duration in advance.
--- a/internal/testbeds/simulation/corehistory.go
+++ b/internal/testbeds/simulation/controlplanehistory.go
@@ -9,8 +9,8 @@
 	"zincloft.example/zincloft/controlplane/controller"
 )
 
-// coreHistory is what has been observed of the control plane in schedules with a Tolerance.
-type coreHistory struct {
+// controlPlaneHistory is what has been observed of the control plane in schedules with a Tolerance.
+type controlPlaneHistory struct {
 	hasCommit      bool
 	newestSequence uint64            // highest committed sequence number on any member
 	sequences      []observation     // of newestSequence
@@ -51,13 +51,13 @@
 	return 0
 }
 
-func (h *coreHistory) initialize() {
+func (h *controlPlaneHistory) initialize() {
 	h.sequenceByBody, h.claims, h.rejectedBodies = map[string]uint64{}, map[uint64]claim{}, map[string]bool{}
 	h.bodyIDs = map[string]int{"": 0}
 }
 
 // bodyID returns the number of a configuration, assigned in the order of first use.
-func (h *coreHistory) bodyID(body string) int {
+func (h *controlPlaneHistory) bodyID(body string) int {
 	id, ok := h.bodyIDs[body]
 	if !ok {
 		id = len(h.bodyIDs)
@@ -74,7 +74,7 @@
 	attempt := Attempt{Version: call.version, Call: c.now}
 	switch call.action.Kind {
 	case PutConfig:
-		attempt.Kind, attempt.BodyID = AttemptPut, c.coreHistory.bodyID(call.body)
+		attempt.Kind, attempt.BodyID = AttemptPut, c.controlPlaneHistory.bodyID(call.body)
 	case EvacuateZone:
 		attempt.Kind, attempt.Key = AttemptEvacuate, c.zone(call)
 	case RestoreZone:
@@ -123,13 +123,13 @@
 	attempt := &c.result.Attempts[call.attemptIndex-1]
 	attempt.Return, attempt.Answered, attempt.Conflict = c.now, true, response.Status == http.StatusConflict
 	if attempt.Kind == AttemptRead && response.Status == http.StatusOK {
-		attempt.Version, attempt.BodyID = c.versionByBody[string(response.Body)], c.coreHistory.bodyID(string(response.Body))
+		attempt.Version, attempt.BodyID = c.versionByBody[string(response.Body)], c.controlPlaneHistory.bodyID(string(response.Body))
 	}
 	call.attemptIndex = 0
 }
 
 func (c *cluster) recordAcknowledgedVersion(version uint64) {
-	h := &c.coreHistory
+	h := &c.controlPlaneHistory
 	if version > valueAt(h.acknowledgedVersions, c.now) {
 		h.acknowledgedVersions = append(h.acknowledgedVersions, observation{c.now, version})
 	}
@@ -148,7 +148,7 @@
 
 // recordCommitted records a newly committed register as a read of all keys at the current time.
 func (c *cluster) recordCommitted(m *member, register chainreplication.Register) {
-	h := &c.coreHistory
+	h := &c.controlPlaneHistory
 	if c.schedule.Tolerance == 0 || h.hasCommit && register.Sequence <= h.newestSequence {
 		return
 	}
--- a/internal/testbeds/simulation/discovery.go
+++ b/internal/testbeds/simulation/discovery.go
@@ -22,17 +22,17 @@
 // seedAddresses returns the addresses in a process's settings: the initial members at first, later up to three random
 // members, at least one of which has not been removed.
 func (c *cluster) seedAddresses(first bool) (seeds []string) {
-	if first || c.coreHistory.spareCount == 0 {
+	if first || c.controlPlaneHistory.spareCount == 0 {
 		for _, m := range c.members[:c.schedule.InitialMembers] {
 			seeds = append(seeds, m.address)
 		}
 		return seeds
 	}
-	listed, hasLasting := c.listedMembers(), false
+	listed, hasPermanent := c.listedMembers(), false
 	for _, i := range c.random.Perm(len(listed)) {
 		m := listed[i]
-		if len(seeds) < maxSeedAddresses-1 || len(seeds) == maxSeedAddresses-1 && (hasLasting || !m.removed) {
-			seeds, hasLasting = append(seeds, m.address), hasLasting || !m.removed
+		if len(seeds) < maxSeedAddresses-1 || len(seeds) == maxSeedAddresses-1 && (hasPermanent || !m.removed) {
+			seeds, hasPermanent = append(seeds, m.address), hasPermanent || !m.removed
 		}
 	}
 	return seeds
--- a/internal/testbeds/simulation/disk.go
+++ b/internal/testbeds/simulation/disk.go
@@ -26,10 +26,10 @@
 	files   map[string]*file
 	pending []diskOperation
 
-	full            bool // writes are cut short
-	failing         bool // writes and syncs return errors
-	stalled         bool // pending operations are not applied
-	skipsFolderSync bool // the planted bug SkipFolderSync
+	full               bool // writes are cut short
+	failing            bool // writes and syncs return errors
+	stalled            bool // pending operations are not applied
+	skipsDirectorySync bool // the planted bug SkipDirectorySync
 
 	revision        uint64 // incremented whenever the durable content may have changed
 	durable         *coordinator.PersistentState
@@ -47,11 +47,11 @@
 type diskOperationKind string
 
 const (
-	diskCreate     diskOperationKind = "create"
-	diskWrite      diskOperationKind = "write"
-	diskSync       diskOperationKind = "sync"
-	diskSyncFolder diskOperationKind = "folder"
-	diskRename     diskOperationKind = "rename"
+	diskCreate        diskOperationKind = "create"
+	diskWrite         diskOperationKind = "write"
+	diskSync          diskOperationKind = "sync"
+	diskSyncDirectory diskOperationKind = "folder"
+	diskRename        diskOperationKind = "rename"
 )
 
 type diskOperation struct {
@@ -63,7 +63,7 @@
 }
 
 // isSync reports whether the operation flushes data to the medium.
-func (o diskOperation) isSync() bool { return o.kind == diskSync || o.kind == diskSyncFolder }
+func (o diskOperation) isSync() bool { return o.kind == diskSync || o.kind == diskSyncDirectory }
 
 func newDisk() *disk { return &disk{files: map[string]*file{}} }
 
@@ -84,7 +84,6 @@
 	return fileHandle{d, name}, nil
 }
 
-// Rename renames a file.
 func (d *disk) Rename(from, to string) error {
 	d.pending = append(d.pending, diskOperation{kind: diskRename, name: from, to: to})
 	return nil
@@ -92,11 +91,10 @@
 
 // SyncDirectory makes the names of all files durable.
 func (d *disk) SyncDirectory() error {
-	d.pending = append(d.pending, diskOperation{kind: diskSyncFolder})
+	d.pending = append(d.pending, diskOperation{kind: diskSyncDirectory})
 	return nil
 }
 
-// fileHandle is an open file.
 type fileHandle struct {
 	disk *disk
 	name string
@@ -135,7 +133,6 @@
 	return b
 }
 
-// apply executes one operation.
 func (d *disk) apply(o diskOperation) {
 	f := d.files[o.name]
 	if o.kind != diskWrite {
@@ -151,9 +148,9 @@
 		f.unsynced = append(f.unsynced, o)
 	case diskSync:
 		f.synced, f.unsynced = f.content, nil
-	case diskSyncFolder:
+	case diskSyncDirectory:
 		for _, f := range d.files {
-			f.named = f.named || !d.skipsFolderSync
+			f.named = f.named || !d.skipsDirectorySync
 		}
 	case diskRename:
 		if f != nil {
@@ -205,7 +202,6 @@
 	return b
 }
 
-// wipe erases the disk.
 func (d *disk) wipe() {
 	d.files, d.pending = map[string]*file{}, nil
 	d.revision++
--- a/internal/testbeds/simulation/eventqueue.go
+++ b/internal/testbeds/simulation/eventqueue.go
@@ -17,7 +17,6 @@
 // eventQueue is a binary min-heap of events. It avoids container/heap, whose interface calls slow a run down.
 type eventQueue []event
 
-// push adds an event.
 func (q *eventQueue) push(e event) {
 	*q = append(*q, e)
 	heap, i := *q, len(*q)-1
--- a/internal/testbeds/simulation/families.go
+++ b/internal/testbeds/simulation/families.go
@@ -28,7 +28,7 @@
 const (
 	familyGateways     = 2
 	familyReplicas     = 2
-	firstConfigTime    = 500 * time.Millisecond
+	firstPutTime       = 500 * time.Millisecond
 	cutDuration        = 20 * time.Second
 	maxClusterDowntime = 900 * time.Millisecond
 	changeInterval     = 40 * time.Millisecond // in generateLongHistory
@@ -53,7 +53,7 @@
 	}
 	g.budget = make(faultBudget, g.schedule.Tolerance)
 	drawLinks(g.random, &g.schedule)
-	g.addAction(Action{At: firstConfigTime, Kind: PutConfig, Version: 1})
+	g.addAction(Action{At: firstPutTime, Kind: PutConfig, Version: 1})
 	if generate := familyGenerators[family]; generate != nil {
 		generate(g)
 	}
@@ -70,7 +70,6 @@
 // chance returns true with probability 1/n.
 func (g *generator) chance(n int) bool { return g.random.IntN(n) == 0 }
 
-// pickKind returns a random fault kind.
 func (g *generator) pickKind(kinds ...FaultKind) FaultKind { return pickOne(g.random, kinds...) }
 
 // evacuateOrRestore returns EvacuateZone or RestoreZone at random.
@@ -204,9 +203,9 @@
 }
 
 // addCommandStorm adds a burst of commands and reads around a time.
-func (g *generator) addCommandStorm(about time.Duration) {
+func (g *generator) addCommandStorm(around time.Duration) {
 	for range 14 {
-		at := g.durationBetween(about-100*time.Millisecond, about+1200*time.Millisecond)
+		at := g.durationBetween(around-100*time.Millisecond, around+1200*time.Millisecond)
 		a := Action{At: at, Kind: PutConfig, Version: versionAt(at) + uint64(g.random.IntN(4)), To: g.randomMember(), LoseResponse: g.chance(6), RetrySame: g.chance(2)}
 		switch g.random.IntN(4) {
 		case 0:
--- a/internal/testbeds/simulation/familyactions.go
+++ b/internal/testbeds/simulation/familyactions.go
@@ -54,7 +54,7 @@
 	return true
 }
 
-// addReplicaAction starts or drains a replica.
+// addReplicaAction adds an action that starts or drains a replica.
 func (g *generator) addReplicaAction(a Action) {
 	a.Kind, a.Target = StartReplica, g.random.IntN(generatedZones)
 	if g.chance(2) {
--- a/internal/testbeds/simulation/fault.go
+++ b/internal/testbeds/simulation/fault.go
@@ -10,7 +10,7 @@
 
 // Faults of one member, which is given by index or role.
 const (
-	KillProcess         FaultKind = "kill"   // and restart it immediately
+	KillProcess         FaultKind = "kill"   // the process restarts after restartTime
 	LosePower           FaultKind = "power"  // unsynced data is lost; the member restarts at the end of the fault
 	WipeDisk            FaultKind = "wipe"   // the member restarts with an empty disk
 	PauseProcess        FaultKind = "freeze" // its clocks keep running
@@ -109,15 +109,15 @@
 
 // String describes the fault for the trace.
 func (f Fault) String() string {
-	what := "of member"
+	target := "of member"
 	switch f.Kind {
 	case KillGateway, PauseGateway, IsolateGateway:
-		what = "of gateway"
+		target = "of gateway"
 	case CrashReplica:
-		what = "of replica"
+		target = "of replica"
 	}
 	if f.Role != "" {
-		what += fmt.Sprintf(" (the %s)", f.Role)
+		target += fmt.Sprintf(" (the %s)", f.Role)
 	}
-	return fmt.Sprintf("%.2fs %s %s %d for %.2fs", f.At.Seconds(), f.Kind, what, f.Target, f.For.Seconds())
+	return fmt.Sprintf("%.2fs %s %s %d for %.2fs", f.At.Seconds(), f.Kind, target, f.Target, f.For.Seconds())
 }
--- a/internal/testbeds/simulation/faulttrigger.go
+++ b/internal/testbeds/simulation/faulttrigger.go
@@ -16,8 +16,8 @@
 
 	maxDelayAfterAnswer   = 4 * time.Millisecond
 	maxDelayAfterView     = 6 * time.Millisecond
-	maxDelayAtOnce        = 8 * time.Millisecond   // with Fault.Trigger: immediately after the view change,
-	maxDelayWhileSettling = 700 * time.Millisecond // or while members still catch up with the view
+	maxDelayAtOnce        = 8 * time.Millisecond   // with Fault.Trigger, immediately after the view change
+	maxDelayWhileSettling = 700 * time.Millisecond // with Fault.Trigger, while members still catch up with the view
 
 	maxRestartSpread = 300 // milliseconds between the first and the last restart after a fault of all members
 )
@@ -38,20 +38,20 @@
 }
 
 // deferFault adds a fault to a list and removes it when it has waited for too long.
-func (c *cluster) deferFault(waiting *[]Fault, fault Fault, maxWait time.Duration) {
-	*waiting = append(*waiting, fault)
+func (c *cluster) deferFault(deferred *[]Fault, fault Fault, maxWait time.Duration) {
+	*deferred = append(*deferred, fault)
 	c.after(maxWait, func() {
-		*waiting = slices.DeleteFunc(*waiting, func(other Fault) bool { return other == fault })
+		*deferred = slices.DeleteFunc(*deferred, func(other Fault) bool { return other == fault })
 	})
 }
 
 // injectNextDeferred injects the first deferred fault of a list into a member, or into all if it is of such a kind.
-func (c *cluster) injectNextDeferred(waiting *[]Fault, m *member) {
-	if len(*waiting) == 0 {
+func (c *cluster) injectNextDeferred(deferred *[]Fault, m *member) {
+	if len(*deferred) == 0 {
 		return
 	}
-	fault := (*waiting)[0]
-	*waiting = (*waiting)[1:]
+	fault := (*deferred)[0]
+	*deferred = (*deferred)[1:]
 	c.faultActiveUntil = c.now + fault.For + restartTime
 	fault.Target, fault.Kind = m.index, triggeredKind[fault.Kind]
 	c.after(c.randomBelow(maxDelayAfterAnswer), func() { c.injectFault(fault) })
@@ -71,14 +71,14 @@
 
 // injectViewTriggered injects the faults whose Trigger matches the view.
 func (c *cluster) injectViewTriggered(view membership.View) {
-	if len(c.coreHistory.viewTriggeredFaults) == 0 {
+	if len(c.controlPlaneHistory.viewTriggeredFaults) == 0 {
 		return
 	}
-	waiting := c.coreHistory.viewTriggeredFaults
-	c.coreHistory.viewTriggeredFaults = nil
-	for _, fault := range waiting {
+	deferred := c.controlPlaneHistory.viewTriggeredFaults
+	c.controlPlaneHistory.viewTriggeredFaults = nil
+	for _, fault := range deferred {
 		if !c.matchesTrigger(fault.Trigger, view) {
-			c.coreHistory.viewTriggeredFaults = append(c.coreHistory.viewTriggeredFaults, fault)
+			c.controlPlaneHistory.viewTriggeredFaults = append(c.controlPlaneHistory.viewTriggeredFaults, fault)
 			continue
 		}
 		fault.Trigger = ""
@@ -90,9 +90,9 @@
 	}
 }
 
-// matchesTrigger reports whether a new view is what a fault waits for.
+// matchesTrigger reports whether a new view satisfies a fault's trigger.
 func (c *cluster) matchesTrigger(trigger FaultTrigger, view membership.View) bool {
-	spare := c.coreHistory.newestSpare
+	spare := c.controlPlaneHistory.newestSpare
 	switch trigger {
 	case TriggerSpareJoined:
 		return spare != nil && spare.hasIDIn(view.Chain)
--- a/internal/testbeds/simulation/gateway.go
+++ b/internal/testbeds/simulation/gateway.go
@@ -38,7 +38,7 @@
 }
 
 // gatewayName returns the name of a gateway. It must not change: the control plane assigns replicas to gateways by a
-// hash of it, so history checksums and kept schedules depend on it.
+// hash of it, so history checksums and the schedules under testdata depend on it.
 func gatewayName(index int) string { return fmt.Sprintf("forager %d", index) }
 
 // startGateway starts a new incarnation of a gateway, which connects to a member and receives requests.
@@ -49,11 +49,10 @@
 	g.member, g.stream, g.version, g.sequence, g.nextCandidate = nil, 0, 0, 0, 0
 	g.seedAddresses = c.seedAddresses(false)
 	incarnation := g.incarnation
-	c.after(c.randomMilliseconds(followJitter), func() { c.followRepeatedly(g, incarnation) })
+	c.after(c.randomMilliseconds(streamCheckJitter), func() { c.maintainStreamRepeatedly(g, incarnation) })
 	c.after(time.Second, func() { c.requestRepeatedly(g, incarnation) })
 }
 
-// injectGatewayFault injects a fault into one gateway.
 func (c *cluster) injectGatewayFault(g *gatewayNode, fault Fault) {
 	switch fault.Kind {
 	case KillGateway:
--- a/internal/testbeds/simulation/gatewaystream.go
+++ b/internal/testbeds/simulation/gatewaystream.go
@@ -9,27 +9,27 @@
 
 // Timing of streams between gateways and members.
 const (
-	streamTimeout     = time.Second // a gateway disconnects from a member that is silent for this long; same as in internal/daemons/gateway
-	dialTimeout       = 300 * time.Millisecond
-	refusedDialTime   = time.Millisecond
-	minFollowInterval = 50 * time.Millisecond
-	followJitter      = 100             // milliseconds added to minFollowInterval, exclusive bound
-	streamReadTimeout = 4 * time.Second // after which a member notices that a gateway has disconnected
-	reportInterval    = time.Second
-	reportUtilization = 0.2
+	streamTimeout          = time.Second // a gateway disconnects from a member that is silent for this long; same as in internal/daemons/gateway
+	dialTimeout            = 300 * time.Millisecond
+	refusedDialTime        = time.Millisecond
+	minStreamCheckInterval = 50 * time.Millisecond
+	streamCheckJitter      = 100             // milliseconds added to minStreamCheckInterval, exclusive bound
+	streamReadTimeout      = 4 * time.Second // after which a member notices that a gateway has disconnected
+	reportInterval         = time.Second
+	reportUtilization      = 0.2
 )
 
-// followRepeatedly maintains a gateway's stream at intervals.
-func (c *cluster) followRepeatedly(g *gatewayNode, incarnation int) {
+// maintainStreamRepeatedly maintains a gateway's stream at intervals.
+func (c *cluster) maintainStreamRepeatedly(g *gatewayNode, incarnation int) {
 	if !g.up || g.incarnation != incarnation {
 		return
 	}
-	c.runOn(&g.process, incarnation, func() { c.followStream(g) })
-	c.after(minFollowInterval+c.randomMilliseconds(followJitter), func() { c.followRepeatedly(g, incarnation) })
+	c.runOn(&g.process, incarnation, func() { c.maintainStream(g) })
+	c.after(minStreamCheckInterval+c.randomMilliseconds(streamCheckJitter), func() { c.maintainStreamRepeatedly(g, incarnation) })
 }
 
-// followStream disconnects a gateway from a silent member, and connects it to another when it has no stream.
-func (c *cluster) followStream(g *gatewayNode) {
+// maintainStream disconnects a gateway from a silent member, and connects it to another when it has no stream.
+func (c *cluster) maintainStream(g *gatewayNode) {
 	if g.member != nil {
 		if c.now-g.lastReceivedAt > streamTimeout {
 			c.streamLost(g, g.stream)
@@ -57,7 +57,6 @@
 	return m
 }
 
-// acceptStream has a member accept a gateway's stream.
 func (c *cluster) acceptStream(m *member, g *gatewayNode, stream uint64) {
 	if m.controller == nil {
 		return
@@ -94,7 +93,6 @@
 	}
 }
 
-// closeStreams has a member close streams.
 func (c *cluster) closeStreams(m *member, streams []uint64) {
 	for _, stream := range streams {
 		if g := m.streams[stream]; g != nil {
--- a/internal/testbeds/simulation/generatewindows.go
+++ b/internal/testbeds/simulation/generatewindows.go
@@ -11,23 +11,23 @@
 
 // Parameters of schedules with maintenance windows.
 const (
-	windowGateways     = 9 // three in each region
-	windowReplicas     = 4
-	windowActions      = 40
-	firstConfigAt      = 1200 * time.Millisecond
-	agreementAt        = 2 * time.Second
-	firstWindowAt      = 5 * time.Second
-	grantFaultAt       = 6 * time.Second
-	zoneFaultAt        = 20 * time.Second
-	timetableSlots     = 60 // of one second each
-	plannedFaults      = 2
-	plannedMinDuration = 30 * time.Second
-	plannedMembers     = 3
-	firstSlotTime      = 6 // seconds
-	timeAfterLastSlot  = 8 // seconds
-	minPlannedWindows  = 3
-	minWindowSlots     = 6
-	windowSlotsRange   = 5
+	windowGateways       = 9 // three in each region
+	windowReplicas       = 4
+	windowActions        = 40
+	firstConfigAt        = 1200 * time.Millisecond
+	agreementAt          = 2 * time.Second
+	firstWindowAt        = 5 * time.Second
+	grantFaultAt         = 6 * time.Second
+	zoneFaultAt          = 20 * time.Second
+	timetableSlots       = 60 // of one second each
+	plannedFaults        = 2
+	plannedMinDuration   = 30 * time.Second
+	plannedMembers       = 3
+	firstSlotSecond      = 6 // seconds
+	secondsAfterLastSlot = 8 // seconds
+	minPlannedWindows    = 3
+	minWindowSlots       = 6
+	windowSlotsSpread    = 5
 )
 
 // GenerateWindows draws a schedule in which several operators request, finish and cancel maintenance windows at
@@ -102,9 +102,9 @@
 	for _, assignment := range timetable.Assignments {
 		target := slices.IndexFunc(request.Nodes, func(node capacity.Node) bool { return node.Name == assignment.Node })
 		s.Actions = append(s.Actions,
-			Action{At: time.Duration(firstSlotTime+assignment.Start) * time.Second, Kind: RequestWindow, Target: target},
-			Action{At: time.Duration(firstSlotTime+assignment.End) * time.Second, Kind: FinishWindow, Target: target})
-		s.Duration = max(s.Duration, time.Duration(timeAfterLastSlot+assignment.End)*time.Second)
+			Action{At: time.Duration(firstSlotSecond+assignment.Start) * time.Second, Kind: RequestWindow, Target: target},
+			Action{At: time.Duration(firstSlotSecond+assignment.End) * time.Second, Kind: FinishWindow, Target: target})
+		s.Duration = max(s.Duration, time.Duration(secondsAfterLastSlot+assignment.End)*time.Second)
 	}
 	sortActions(s.Actions)
 	plan.Schedule = s
@@ -125,7 +125,7 @@
 	for _, i := range order {
 		name := request.Nodes[i].Name
 		request.Windows = append(request.Windows, maintenanceplanner.WindowRequest{Name: name, Nodes: []string{name}, Latest: timetableSlots,
-			DurationSlots: minWindowSlots + random.IntN(windowSlotsRange)})
+			DurationSlots: minWindowSlots + random.IntN(windowSlotsSpread)})
 	}
 	return request
 }
--- a/internal/testbeds/simulation/history.go
+++ b/internal/testbeds/simulation/history.go
@@ -126,7 +126,7 @@
 }
 
 // diskEntryKinds are the values of disk operation kinds in the checksum.
-var diskEntryKinds = map[diskOperationKind]int{diskCreate: 1, diskWrite: 2, diskSync: 3, diskSyncFolder: 4, diskRename: 5}
+var diskEntryKinds = map[diskOperationKind]int{diskCreate: 1, diskWrite: 2, diskSync: 3, diskSyncDirectory: 4, diskRename: 5}
 
 // operation records a disk operation without its data: the order of map entries in a file is not deterministic, so
 // persist records the content.
--- a/internal/testbeds/simulation/history_test.go
+++ b/internal/testbeds/simulation/history_test.go
@@ -65,7 +65,6 @@
 	return h.sum()
 }
 
-// historyID identifies a history by family and seed.
 type historyID struct {
 	family string
 	seed   uint64
@@ -90,15 +89,15 @@
 // runHistories runs simulations in parallel and passes each checksum to done, one call at a time.
 func runHistories(ids []historyID, parallelism int, done func(id historyID, sum string)) {
 	var running sync.WaitGroup
-	var one sync.Mutex
+	var mutex sync.Mutex
 	slot := make(chan struct{}, parallelism)
 	for _, id := range ids {
 		slot <- struct{}{}
 		running.Go(func() {
 			defer func() { <-slot }()
 			sum := historyFamilies[id.family](id.seed)
-			one.Lock()
-			defer one.Unlock()
+			mutex.Lock()
+			defer mutex.Unlock()
 			done(id, sum)
 		})
 	}
--- a/internal/testbeds/simulation/injecttolerance.go
+++ b/internal/testbeds/simulation/injecttolerance.go
@@ -18,7 +18,7 @@
 // same in all schedules.
 func (c *cluster) injectWithTolerance(fault Fault) bool {
 	if fault.Trigger != "" {
-		c.deferFault(&c.coreHistory.viewTriggeredFaults, fault, maxFaultWait)
+		c.deferFault(&c.controlPlaneHistory.viewTriggeredFaults, fault, maxFaultWait)
 		return true
 	}
 	switch fault.Kind {
@@ -151,8 +151,8 @@
 }
 
 func (c *cluster) memberInRole(role FaultRole) (*member, bool) {
-	if role == RoleNewestSpare && c.coreHistory.newestSpare != nil {
-		return c.coreHistory.newestSpare, true
+	if role == RoleNewestSpare && c.controlPlaneHistory.newestSpare != nil {
+		return c.controlPlaneHistory.newestSpare, true
 	}
 	chain := c.newestView().Chain
 	if len(chain) == 0 {
--- a/internal/testbeds/simulation/invariant_acknowledgement.go
+++ b/internal/testbeds/simulation/invariant_acknowledgement.go
@@ -105,7 +105,7 @@
 
 // toleratedDiskLosses returns how many disks may be lost at once.
 func (c *cluster) toleratedDiskLosses() int {
-	if c.coreHistory.initialViewComplete {
+	if c.controlPlaneHistory.initialViewComplete {
 		return c.schedule.Tolerance
 	}
 	return min((c.schedule.Members-1)/2, (c.schedule.InitialMembers-1)/2)
--- a/internal/testbeds/simulation/invariant_commit.go
+++ b/internal/testbeds/simulation/invariant_commit.go
@@ -14,7 +14,7 @@
 
 // isEvictedClaim reports whether maxClaims higher versions were acknowledged, so that members need not remember this
 // one.
-func (h *coreHistory) isEvictedClaim(version uint64) bool {
+func (h *controlPlaneHistory) isEvictedClaim(version uint64) bool {
 	higher := 0
 	for claimed := range h.claims {
 		if claimed > version {
@@ -39,12 +39,12 @@
 
 // checkSequenceAgreement checks that members agree on the register committed with each sequence number.
 func (c *cluster) checkSequenceAgreement(m *member, register chainreplication.Register) {
-	what := fmt.Sprintf("version %d %q, evacuated %v", register.Version, bodyLabel(string(register.Body)), register.EvacuatedZones)
-	if before, ok := c.committedBySequence[register.Sequence]; ok && before != what {
-		c.violationf("sequence number %d is committed as %s on %s, and as %s on another member", register.Sequence, what, m.name, before)
+	description := fmt.Sprintf("version %d %q, evacuated %v", register.Version, bodyLabel(string(register.Body)), register.EvacuatedZones)
+	if before, ok := c.committedBySequence[register.Sequence]; ok && before != description {
+		c.violationf("sequence number %d is committed as %s on %s, and as %s on another member", register.Sequence, description, m.name, before)
 	} else if !ok {
-		c.committedBySequence[register.Sequence] = what
-		c.tracef("%s: committed %d: %s", m.name, register.Sequence, what)
+		c.committedBySequence[register.Sequence] = description
+		c.tracef("%s: committed %d: %s", m.name, register.Sequence, description)
 	}
 }
 
@@ -64,7 +64,7 @@
 
 // checkCommittedIsNotRejected checks that a configuration rejected with 409 is never committed.
 func (c *cluster) checkCommittedIsNotRejected(m *member, register chainreplication.Register) {
-	if body := string(register.Body); c.coreHistory.rejectedBodies[body] {
+	if body := string(register.Body); c.controlPlaneHistory.rejectedBodies[body] {
 		c.violationf("%s: version %d %s is committed, but was rejected before", m.name, register.Version, bodyLabel(body))
 	}
 }
@@ -74,8 +74,8 @@
 	if call.action.Kind != PutConfig {
 		c.violationf("call %d (%s) was rejected with 409", call.number, call.action.Kind)
 	}
-	c.coreHistory.rejectedBodies[call.body] = true
-	if c.coreHistory.sequenceByBody[call.body] > 0 {
+	c.controlPlaneHistory.rejectedBodies[call.body] = true
+	if c.controlPlaneHistory.sequenceByBody[call.body] > 0 {
 		c.violationf("%s rejected call %d, version %d %s, which was committed before", m.name, call.number, call.version, bodyLabel(call.body))
 	}
 }
@@ -83,7 +83,7 @@
 // checkVersionIsUnique checks that no two configurations are acknowledged with the same version while members remember
 // it.
 func (c *cluster) checkVersionIsUnique(call *operatorCall) {
-	h := &c.coreHistory
+	h := &c.controlPlaneHistory
 	earlier, ok := h.claims[call.version]
 	if !ok {
 		sequence := valueAt(h.sequences, call.startedAt) // lower bound, as the commit may not have been observed
--- a/internal/testbeds/simulation/invariant_gateway.go
+++ b/internal/testbeds/simulation/invariant_gateway.go
@@ -13,7 +13,7 @@
 		return
 	}
 	c.measureStaleResponse(m)
-	if acknowledged := valueAt(c.coreHistory.acknowledgedVersions, c.now-contactTimeout); update.ConfigVersion < acknowledged {
+	if acknowledged := valueAt(c.controlPlaneHistory.acknowledgedVersions, c.now-contactTimeout); update.ConfigVersion < acknowledged {
 		c.violationf("%s sent %s a full update with version %d, but %d was acknowledged more than %v before", m.name, g.name, update.ConfigVersion, acknowledged, contactTimeout)
 	}
 	for _, zone := range sortedKeys(c.evacuatedAt) {
--- a/internal/testbeds/simulation/invariant_recovery.go
+++ b/internal/testbeds/simulation/invariant_recovery.go
@@ -17,15 +17,15 @@
 	maxDiskBytes     = 64 << 10    // per disk
 )
 
-// monitorCore observes the control plane at intervals in schedules with a Tolerance.
-func (c *cluster) monitorCore() {
+// monitorControlPlane observes the control plane at intervals in schedules with a Tolerance.
+func (c *cluster) monitorControlPlane() {
 	if c.finished {
 		return
 	}
-	c.after(monitorInterval, c.monitorCore)
+	c.after(monitorInterval, c.monitorControlPlane)
 	view := c.newestView()
 	c.measureCatchUp(view)
-	h := &c.coreHistory
+	h := &c.controlPlaneHistory
 	h.monitorCount++
 	if h.monitorCount%recoveryCheckEvery > 0 {
 		return
@@ -39,7 +39,7 @@
 // measureCatchUp records members that have just joined the chain with all committed state on disk.
 func (c *cluster) measureCatchUp(view membership.View) {
 	for _, m := range c.members {
-		if !m.isHealthy() || m.caughtUp || !slices.Contains(view.Chain, m.id()) || m.durableSequence() < c.coreHistory.newestSequence {
+		if !m.isHealthy() || m.caughtUp || !slices.Contains(view.Chain, m.id()) || m.durableSequence() < c.controlPlaneHistory.newestSequence {
 			continue
 		}
 		m.caughtUp = true
@@ -92,13 +92,13 @@
 func (c *cluster) checkMemberRecovered(m *member, view membership.View) bool {
 	sequence, bytes := m.durableSequence(), m.disk.size()
 	c.result.MaxDiskBytes = max(c.result.MaxDiskBytes, bytes)
-	if committed := valueAt(c.coreHistory.sequences, c.now-durabilityWindow); sequence < committed || !slices.Contains(view.Chain, m.id()) {
+	if committed := valueAt(c.controlPlaneHistory.sequences, c.now-durabilityWindow); sequence < committed || !slices.Contains(view.Chain, m.id()) {
 		c.violationf("%s has been up since %.2f s but has not caught up: sequence number on disk %d of %d, chain of view %d: %s",
 			m.name, m.startedAt.Seconds(), sequence, committed, view.Number, strings.Join(view.Chain, " > "))
 		return false
 	}
 	if bytes > maxDiskBytes {
-		c.violationf("%s uses %d bytes of disk after %d changes", m.name, bytes, c.coreHistory.newestSequence)
+		c.violationf("%s uses %d bytes of disk after %d changes", m.name, bytes, c.controlPlaneHistory.newestSequence)
 	}
 	if c.faultFreeFor(faultFreeBeforeCall) && !m.controller.Coordinator().HasQuorumContact(c.monotonicTime(&m.process)) {
 		c.violationf("%s has no quorum contact after a long time without faults", m.name)
--- a/internal/testbeds/simulation/invariant_retry.go
+++ b/internal/testbeds/simulation/invariant_retry.go
@@ -27,8 +27,8 @@
 		return
 	}
 	c.result.Retries++
-	if spent, allowed := countAfter(log.retries, c.now-retryWindow), log.allowed(c.now); float64(spent) > allowed {
-		c.violationf("%s retried, which makes %d retries in a window that allows %.1f", g.name, spent, allowed)
+	if used, allowed := countAfter(log.retries, c.now-retryWindow), log.allowed(c.now); float64(used) > allowed {
+		c.violationf("%s retried, which makes %d retries in a window that allows %.1f", g.name, used, allowed)
 	}
 }
 
@@ -48,7 +48,7 @@
 }
 
 // countAfter counts the times after a given one. The times are sorted.
-func countAfter(moments []time.Duration, after time.Duration) int {
-	first, _ := slices.BinarySearch(moments, after+1)
-	return len(moments) - first
+func countAfter(times []time.Duration, after time.Duration) int {
+	first, _ := slices.BinarySearch(times, after+1)
+	return len(times) - first
 }
--- a/internal/testbeds/simulation/latency_test.go
+++ b/internal/testbeds/simulation/latency_test.go
@@ -84,15 +84,15 @@
 	return result
 }
 
-func (f latencyReport) log(what string, took []time.Duration) {
+func (f latencyReport) log(name string, took []time.Duration) {
 	f.t.Helper()
 	if len(took) == 0 {
-		f.t.Logf("%d members, %s: no measurements", f.members, what)
+		f.t.Logf("%d members, %s: no measurements", f.members, name)
 		return
 	}
 	slices.Sort(took)
 	ms := func(i int) int64 { return took[i].Milliseconds() }
-	f.t.Logf("%d members, %s: p50 %d ms, p99 %d ms, max %d ms (%d)", f.members, what, ms(len(took)/2), ms(len(took)*99/100), ms(len(took)-1), len(took))
+	f.t.Logf("%d members, %s: p50 %d ms, p99 %d ms, max %d ms (%d)", f.members, name, ms(len(took)/2), ms(len(took)*99/100), ms(len(took)-1), len(took))
 }
 
 func (f latencyReport) logReplacement() {
--- a/internal/testbeds/simulation/linearizability_test.go
+++ b/internal/testbeds/simulation/linearizability_test.go
@@ -100,9 +100,12 @@
 
 // attemptHistory converts attempts for porcupine. Because all committed registers are observed, most attempts can be
 // decided in advance, without which the check would not terminate on long histories:
-//   - Reads without a response are omitted, as are inconclusive attempts without any effect that was observed or may have been missed. For zones, the last few attempts that may have caused a change are kept.
-//   - Acknowledged configurations are omitted if the same or a newer one had been observed before, so that they had no effect.
-//   - If only one attempt can have committed a configuration, its interval is narrowed to the time between the observations of the two registers.
+//   - Reads without a response are omitted, as are inconclusive attempts without any effect that was observed or may have
+//     been missed. For zones, the last few attempts that may have caused a change are kept.
+//   - Acknowledged configurations are omitted if the same or a newer one had been observed before, so that they had no
+//     effect.
+//   - If only one attempt can have committed a configuration, its interval is narrowed to the time between the
+//     observations of the two registers.
 func attemptHistory(all []Attempt) (history []porcupine.Operation) {
 	h := newHistoryReduction(all)
 	for i, attempt := range all {
--- a/internal/testbeds/simulation/memberlifecycle.go
+++ b/internal/testbeds/simulation/memberlifecycle.go
@@ -54,16 +54,16 @@
 		state.Register.Claims = nil
 	}
 	state.Initialize(m.address, seeds, first || c.hasBug(KeepVoteAfterWipe), fmt.Sprintf("w%d", m.wipeCount))
-	decisions := c.newController(m, seeds, state)
+	ctl := c.newController(m, seeds, state)
 	c.tracef("%s starts as %s, view %d, register %d (version %d)", m.name, state.DiskID, state.View.View.Number, state.Register.Sequence, state.Register.Version)
-	raw, err := decisions.PersistentState()
+	raw, err := ctl.PersistentState()
 	if err != nil {
 		c.violationf("%s: %v", m.name, err)
 		return
 	}
 	c.history.start(c, m, raw)
 	// Apply the operations of opening the store first: persist drops pending ones.
-	c.runDiskOperations(m, func() { c.serveAfterWrite(m, decisions, raw) })
+	c.runDiskOperations(m, func() { c.serveAfterWrite(m, ctl, raw) })
 }
 
 // openStore opens a member's store and reads its state.
@@ -101,18 +101,18 @@
 }
 
 // serveAfterWrite starts serving once the state has been persisted. It retries failed writes.
-func (c *cluster) serveAfterWrite(m *member, decisions *controller.Controller, raw []byte) {
+func (c *cluster) serveAfterWrite(m *member, ctl *controller.Controller, raw []byte) {
 	store := m.store
 	c.persist(m, raw, func(problem string) {
 		if problem != "" {
 			c.after(startRetryDelay, func() {
 				if m.up && m.store == store {
-					c.serveAfterWrite(m, decisions, raw)
+					c.serveAfterWrite(m, ctl, raw)
 				}
 			})
 			return
 		}
-		m.controller = decisions
+		m.controller = ctl
 		c.step(m, controller.Event{Start: true})
 		c.tick(m, m.incarnation)
 	})
@@ -210,7 +210,7 @@
 	}
 	incarnation := m.incarnation
 	m.shuttingDown = true
-	if c.hasBug(LeaveWithoutHandover) {
+	if c.hasBug(ShutDownWithoutHandover) {
 		c.stopMember(m, processKilled, noRestart)
 		return
 	}
@@ -225,12 +225,12 @@
 
 // addSpare starts a new member at a new address.
 func (c *cluster) addSpare() {
-	c.coreHistory.spareCount++
-	n := c.coreHistory.spareCount
+	c.controlPlaneHistory.spareCount++
+	n := c.controlPlaneHistory.spareCount
 	m := newMember(len(c.members), "member "+string(rune('A'+n-1)), spareAddress(n))
 	m.isSpare = true
 	c.tracef("FAULT: %s is added", m.name)
-	c.coreHistory.newestSpare = m
+	c.controlPlaneHistory.newestSpare = m
 	c.addMember(m)
 	c.startMember(m, false)
 }
--- a/internal/testbeds/simulation/network.go
+++ b/internal/testbeds/simulation/network.go
@@ -38,10 +38,10 @@
 func (c *cluster) sendReliably(from, to *process, arrive func()) { c.send(from, to, 0, 0, arrive) }
 
 // cutFor cuts links for a while. Cuts of a link may overlap.
-func (c *cluster) cutFor(links []link, span time.Duration) {
+func (c *cluster) cutFor(links []link, duration time.Duration) {
 	for _, l := range links {
 		c.cutLinks[l]++
-		c.after(span, func() { c.cutLinks[l]-- })
+		c.after(duration, func() { c.cutLinks[l]-- })
 	}
 }
 
--- a/internal/testbeds/simulation/overflowfault.go
+++ b/internal/testbeds/simulation/overflowfault.go
@@ -56,9 +56,9 @@
 	o.after(at, func() { o.delayingLinks[l] = true })
 	o.after(end, func() {
 		o.delayingLinks[l] = false
-		held := o.delayedMessages[l]
+		queued := o.delayedMessages[l]
 		o.delayedMessages[l] = nil
-		for _, arrive := range held {
+		for _, arrive := range queued {
 			arrive()
 		}
 	})
--- a/internal/testbeds/simulation/overflowrequest.go
+++ b/internal/testbeds/simulation/overflowrequest.go
@@ -103,11 +103,11 @@
 // forward sends a request to another site. If the home site receives no reply, the outcome is uncertain: a lookup is
 // retried, an order is not.
 func (o *overflowSimulation) forward(home *site, destination int, request *siteRequest, token overflow.Token, retry func()) {
-	target, incarnation, heard := o.sites[destination], home.incarnation, false
+	target, incarnation, replied := o.sites[destination], home.incarnation, false
 	reply := func(receive func()) {
 		o.send(destination, home.index, func() {
-			if home.up && home.incarnation == incarnation && !heard {
-				heard = true
+			if home.up && home.incarnation == incarnation && !replied {
+				replied = true
 				receive()
 			}
 		})
@@ -119,10 +119,10 @@
 	}
 	o.send(home.index, destination, func() { o.receiveForwarded(target, request, token, reply, retry) })
 	o.after(clientDeadline/2, func() {
-		if heard || !home.up || home.incarnation != incarnation {
+		if replied || !home.up || home.incarnation != incarnation {
 			return
 		}
-		heard = true
+		replied = true
 		if request.isOrder {
 			request.uncertain = true
 		} else {
--- a/internal/testbeds/simulation/overflowsimulation.go
+++ b/internal/testbeds/simulation/overflowsimulation.go
@@ -106,8 +106,8 @@
 	o.queue.push(event{o.now + delay, o.lastEvent, do})
 }
 
-func (o *overflowSimulation) milliseconds(least, span int) time.Duration {
-	return time.Duration(least+o.random.IntN(span)) * time.Millisecond
+func (o *overflowSimulation) milliseconds(minimum, spread int) time.Duration {
+	return time.Duration(minimum+o.random.IntN(spread)) * time.Millisecond
 }
 
 // siteLatency returns the network latency between two sites.
--- a/internal/testbeds/simulation/plantedbug.go
+++ b/internal/testbeds/simulation/plantedbug.go
@@ -18,7 +18,7 @@
 	IgnoreViewNumber      PlantedBug = "chain messages are accepted regardless of their view number"
 	KeepVoteAfterWipe     PlantedBug = "a member with a wiped disk keeps its vote"
 	AcknowledgeBeforeSync PlantedBug = "a write is acknowledged before the sync"
-	SkipFolderSync        PlantedBug = "the directory of a new file is not synced"
+	SkipDirectorySync     PlantedBug = "the directory of a new file is not synced"
 	AcceptStaleState      PlantedBug = "a gateway accepts an older register"
 	DiscardReportedDrains PlantedBug = "drains reported by other members are confirmed but not stored"
 	UndividedWarmupQuota  PlantedBug = "each member grants the whole warm-up rate of a replica"
@@ -26,13 +26,13 @@
 
 // Bugs that only schedules with a Tolerance detect.
 const (
-	UnconfirmedFirstState  PlantedBug = "a gateway that connects receives the member's state without confirmation by a quorum"
-	ConfirmSupersededView  PlantedBug = "a view is confirmed by members that know a newer one"
-	DropCommandID          PlantedBug = "a resubmitted command is treated as a new one"
-	AcceptDelayedCalls     PlantedBug = "calls delivered while a member was paused are handled as new"
-	HideConflict           PlantedBug = "the head does not report version conflicts"
-	DiscardClaimsOnRestart PlantedBug = "claimed versions are discarded on restart"
-	LeaveWithoutHandover   PlantedBug = "a member shuts down without a handover"
+	UnconfirmedFirstState   PlantedBug = "a gateway that connects receives the member's state without confirmation by a quorum"
+	ConfirmSupersededView   PlantedBug = "a view is confirmed by members that know a newer one"
+	DropCommandID           PlantedBug = "a resubmitted command is treated as a new one"
+	AcceptDelayedCalls      PlantedBug = "calls delivered while a member was paused are handled as new"
+	HideConflict            PlantedBug = "the head does not report version conflicts"
+	DiscardClaimsOnRestart  PlantedBug = "claimed versions are discarded on restart"
+	ShutDownWithoutHandover PlantedBug = "a member shuts down without a handover"
 )
 
 // hasBug reports whether the run contains a planted bug.
--- a/internal/testbeds/simulation/plantedbug_test.go
+++ b/internal/testbeds/simulation/plantedbug_test.go
@@ -8,14 +8,14 @@
 
 // TestInvariantsFindPlantedBugs checks that the invariants detect planted bugs.
 func TestInvariantsFindPlantedBugs(t *testing.T) {
-	for _, bug := range []PlantedBug{IgnoreViewNumber, KeepVoteAfterWipe, AcknowledgeBeforeSync, SkipFolderSync, AcceptStaleState, DiscardReportedDrains, UndividedWarmupQuota} {
+	for _, bug := range []PlantedBug{IgnoreViewNumber, KeepVoteAfterWipe, AcknowledgeBeforeSync, SkipDirectorySync, AcceptStaleState, DiscardReportedDrains, UndividedWarmupQuota} {
 		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(400) {
 				schedule := scheduleFor(bug, seed)
 				if result := Run(schedule); len(result.Violations) > 0 {
 					schedule.PlantedBug = ""
-					if sound := Run(schedule); len(sound.Violations) > 0 {
+					if withoutBug := Run(schedule); len(withoutBug.Violations) > 0 {
 						continue // fails without the bug too
 					}
 					t.Logf("found with seed %d: %s", seed, result.Violations[0])
@@ -62,13 +62,13 @@
 // TestFamiliesFindPlantedBugs checks that schedules of the families detect planted bugs that others don't.
 func TestFamiliesFindPlantedBugs(t *testing.T) {
 	cases := map[PlantedBug]struct{ family, violation string }{
-		UnconfirmedFirstState:  {"cuts", "a full update"},
-		ConfirmSupersededView:  {"cuts", "was acknowledged before the read started"},
-		DropCommandID:          {"twins", notLinearizable},
-		AcceptDelayedCalls:     {"cuts", notLinearizable},
-		HideConflict:           {"twins", "is acknowledged as"},
-		DiscardClaimsOnRestart: {"twins", "is acknowledged as"},
-		LeaveWithoutHandover:   {"twins", "has no quorum contact"},
+		UnconfirmedFirstState:   {"cuts", "a full update"},
+		ConfirmSupersededView:   {"cuts", "was acknowledged before the read started"},
+		DropCommandID:           {"twins", notLinearizable},
+		AcceptDelayedCalls:      {"cuts", notLinearizable},
+		HideConflict:            {"twins", "is acknowledged as"},
+		DiscardClaimsOnRestart:  {"twins", "is acknowledged as"},
+		ShutDownWithoutHandover: {"twins", "has no quorum contact"},
 	}
 	for bug, want := range cases {
 		t.Run(string(bug), func(t *testing.T) {
@@ -98,7 +98,7 @@
 		proposeOppositesWhileViewChanges(&schedule, seed)
 	case ConfirmSupersededView:
 		readAndPutWhileTailIsPartitioned(&schedule)
-	case LeaveWithoutHandover: // the head shuts down after a spare has joined, while another member is lost
+	case ShutDownWithoutHandover: // the head shuts down after a spare has joined, while another member is lost
 		schedule.Faults = []Fault{{At: 8 * time.Second, Kind: AddSpareMember}, {At: 16 * time.Second, Kind: ShutDownMember, Role: RoleHead},
 			{At: 16*time.Second + time.Duration(seed)*5*time.Millisecond, For: 12 * time.Second, Kind: PauseProcess, Role: RoleTail}}
 	}
@@ -109,7 +109,7 @@
 func proposeOppositesWhileViewChanges(schedule *Schedule, seed uint64) {
 	schedule.Gateways, schedule.Replicas, schedule.Actions, schedule.Faults = 0, 0, nil, nil
 	for at := 8 * time.Second; at < 22*time.Second; at += 6 * time.Second {
-		after := time.Duration(seed%40) * 15 * time.Millisecond // the view changes about a second after the cut
+		after := time.Duration(seed%40) * 15 * time.Millisecond // the view changes about 1 s after the tail is isolated
 		schedule.Faults = append(schedule.Faults, Fault{At: at, For: 1500 * time.Millisecond, Kind: IsolateMember, Role: RoleTail})
 		schedule.Actions = append(schedule.Actions, Action{At: at - time.Second, Kind: EvacuateZone, To: 2},
 			Action{At: at + 400*time.Millisecond + after, Kind: RestoreZone, To: 2},
--- a/internal/testbeds/simulation/process.go
+++ b/internal/testbeds/simulation/process.go
@@ -55,13 +55,13 @@
 }
 
 // pause stops a process for a while, like a suspended virtual machine. Its events are queued until it resumes.
-func (c *cluster) pause(p *process, span time.Duration) {
+func (c *cluster) pause(p *process, duration time.Duration) {
 	if !p.up {
 		return
 	}
 	p.paused = true
 	incarnation := p.incarnation
-	c.after(span, func() {
+	c.after(duration, func() {
 		if p.up && p.incarnation == incarnation && p.paused {
 			c.resume(p)
 		}
@@ -70,13 +70,13 @@
 
 func (c *cluster) resume(p *process) {
 	p.paused, p.resumedAt = false, c.now
-	held := p.queuedWhilePaused
+	queued := p.queuedWhilePaused
 	p.queuedWhilePaused = nil
 	if p.pendingTick != nil { // the timer fires at a random position among the queued messages
-		held, p.pendingTick = slices.Insert(held, c.random.IntN(len(held)+1), p.pendingTick), nil
+		queued, p.pendingTick = slices.Insert(queued, c.random.IntN(len(queued)+1), p.pendingTick), nil
 	}
 	c.tracef("%s resumes", p.name)
-	for _, do := range held {
+	for _, do := range queued {
 		do()
 	}
 }
