--- a/internal/testbeds/simulation/cluster.go
+++ b/internal/testbeds/simulation/cluster.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// after schedules a function. Functions scheduled for the same time run in scheduling order.
+// after schedules a function to run after a delay. Functions scheduled for the same time run in scheduling order.
 func (c *cluster) after(delay time.Duration, do func()) {
 	c.lastEvent++
 	c.queue.push(event{c.now + delay, c.lastEvent, do})
--- a/internal/testbeds/simulation/controlplanehistory.go
+++ b/internal/testbeds/simulation/controlplanehistory.go
@@ -13,7 +13,7 @@
 type controlPlaneHistory struct {
 	hasCommit      bool
 	newestSequence uint64            // highest committed sequence number on any member
-	sequences      []observation     // of newestSequence
+	sequences      []observation     // of newestSequence, in order
 	sequenceByBody map[string]uint64 // of the first register that contained a configuration
 
 	acknowledgedVersions []observation
--- a/internal/testbeds/simulation/invariant_retry.go
+++ b/internal/testbeds/simulation/invariant_retry.go
@@ -18,12 +18,12 @@
 func (c *cluster) exhaustRetryBudget(g *gatewayNode) {
 	log := &c.retryLog
 	log.prune(c.now - 2*retryWindow)
-	drawn := false
+	retried := false
 	for g.router.TryRetry(c.monotonicTime(&g.process), serviceName) {
 		log.retries = append(log.retries, c.now)
-		drawn = true
+		retried = true
 	}
-	if !drawn {
+	if !retried {
 		return
 	}
 	c.result.Retries++
@@ -33,13 +33,13 @@
 }
 
 // allowed returns how many retries may occur in the window that ends now. The request count is the highest of this
-// window, the previous one and the one in between that starts half a window earlier.
+// window, the one that ended half a window ago and the one that ended a window ago.
 func (l *retryLog) allowed(now time.Duration) float64 {
-	most := 0
+	maxRequests := 0
 	for _, end := range []time.Duration{now, now - retryWindow/2, now - retryWindow} {
-		most = max(most, countAfter(l.requests, end-retryWindow)-countAfter(l.requests, end))
+		maxRequests = max(maxRequests, countAfter(l.requests, end-retryWindow)-countAfter(l.requests, end))
 	}
-	return gatewayRetryRatio*float64(most) + gatewayRetrySlack
+	return gatewayRetryRatio*float64(maxRequests) + gatewayRetrySlack
 }
 
 func (l *retryLog) prune(until time.Duration) {
--- a/internal/testbeds/simulation/operator.go
+++ b/internal/testbeds/simulation/operator.go
@@ -29,7 +29,7 @@
 	action     Action
 	body       string // configuration to submit
 	version    uint64
-	minVersion uint64 // newest version acknowledged before a read began
+	minVersion uint64 // highest version acknowledged before a read starts
 	deadline   time.Duration
 
 	startedAt time.Duration
--- a/internal/testbeds/simulation/plantedbug.go
+++ b/internal/testbeds/simulation/plantedbug.go
@@ -26,7 +26,7 @@
 
 // Bugs that only schedules with a Tolerance detect.
 const (
-	UnconfirmedFirstState   PlantedBug = "a gateway that connects receives the member's state without confirmation by a quorum"
+	UnconfirmedFirstState   PlantedBug = "a gateway that connects receives state that no quorum has confirmed"
 	ConfirmSupersededView   PlantedBug = "a view is confirmed by members that know a newer one"
 	DropCommandID           PlantedBug = "a resubmitted command is treated as a new one"
 	AcceptDelayedCalls      PlantedBug = "calls delivered while a member was paused are handled as new"
--- a/internal/testbeds/simulation/schedule.go
+++ b/internal/testbeds/simulation/schedule.go
@@ -29,8 +29,8 @@
 	Tolerance     int           `json:",omitempty"`
 	MaxStartDelay time.Duration `json:"Spread,omitempty"` // initial members start at random times within it
 
-	// UnconfirmedUpdates makes members send their state to a gateway that connects without confirmation by a quorum.
-	// It tests the gateway's own protection against stale state.
+	// UnconfirmedUpdates makes members send their state to each gateway that connects before a quorum has confirmed
+	// it. It tests the gateway's own protection against stale state.
 	UnconfirmedUpdates bool `json:"Unasked,omitempty"`
 }
 
