--- a/internal/governor/clients/batch.go
+++ b/internal/governor/clients/batch.go
@@ -9,8 +9,8 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// decodeBatch reads what a proxy has met at each replica (docs/reports.md). A record of an unknown replica is skipped alone,
-// as one that has just gone is no fault of the sender; any other fault makes the whole batch invalid.
+// decodeBatch decodes a proxy's statistics for each replica (docs/reports.md). A record for an unknown replica is skipped and
+// counted, because the replica may just have been removed; any other error makes the whole batch invalid.
 func (c *codec) decodeBatch(f *fields) *intake.Batch {
 	f.require("sidecar", "window", "records")
 	b := intake.NewBatch()
@@ -38,36 +38,36 @@
 }
 
 const (
-	recordParts       = 4 // replica:tries:dropped:milliseconds
-	recordPartsOfLoad = 7 // and with a load report :util:inflight:milliseconds since it was received
+	recordParts         = 4 // replica:attempts:dropped:mean latency in ms
+	recordPartsWithLoad = 7 // followed by a load report, :util:inflight:age in ms
 )
 
-// decodeRecord reads one record of a batch, and reports whether its replica is known and whether it is valid.
+// decodeRecord decodes one record of a batch and reports whether its replica is known and whether the record is valid.
 func (c *codec) decodeRecord(f *fields, text []byte) (r intake.Record, known, valid bool) {
-	var buffer [recordPartsOfLoad][]byte
+	var buffer [recordPartsWithLoad][]byte
 	parts, ok := splitRecord(text, &buffer)
 	if !ok {
 		return r, false, false
 	}
-	var validTries, validDropped, validTook bool
+	var validAttempts, validDropped, validLatency bool
 	r.Report = noReport
-	r.Attempts, validTries = parseInteger(parts[1], math.MaxInt32)
+	r.Attempts, validAttempts = parseInteger(parts[1], math.MaxInt32)
 	r.Dropped, validDropped = parseInteger(parts[2], r.Attempts)
-	r.MeanLatency, validTook = f.parseMilliseconds(parts[3])
+	r.MeanLatency, validLatency = f.parseMilliseconds(parts[3])
 	validLoad := true
-	if len(parts) == recordPartsOfLoad {
-		var validUtil, validInFlight, validHeard bool
+	if len(parts) == recordPartsWithLoad {
+		var validUtil, validInFlight, validAge bool
 		r.Report.Utilization, validUtil = parseFloat(parts[4])
 		r.Report.InFlight, validInFlight = parseFloat(parts[5])
-		r.ReportAge, validHeard = f.parseMilliseconds(parts[6])
-		validLoad = validUtil && validInFlight && validHeard
+		r.ReportAge, validAge = f.parseMilliseconds(parts[6])
+		validLoad = validUtil && validInFlight && validAge
 	}
 	r.Replica, known = c.replica(parts[0])
-	return r, known, r.Attempts > 0 && validTries && validDropped && validTook && validLoad
+	return r, known, r.Attempts > 0 && validAttempts && validDropped && validLatency && validLoad
 }
 
-// splitRecord splits a record at its colons into the buffer and reports whether it has a valid number of parts.
-func splitRecord(text []byte, buffer *[recordPartsOfLoad][]byte) (parts [][]byte, valid bool) {
+// splitRecord splits a record at colons into buffer and reports whether the number of parts is valid.
+func splitRecord(text []byte, buffer *[recordPartsWithLoad][]byte) (parts [][]byte, valid bool) {
 	count := 0
 	for more := true; more; count++ {
 		if count == len(buffer) {
@@ -75,10 +75,10 @@
 		}
 		buffer[count], text, more = bytes.Cut(text, colon)
 	}
-	return buffer[:count], count == recordParts || count == recordPartsOfLoad
+	return buffer[:count], count == recordParts || count == recordPartsWithLoad
 }
 
-// parseMilliseconds reads milliseconds and reports whether they are a number within maxReportedTime.
+// parseMilliseconds parses a number of milliseconds and reports whether it is valid and within maxReportedTime.
 func (f *fields) parseMilliseconds(text []byte) (time.Duration, bool) {
 	number, isNumber := parseFloat(text)
 	d, within := f.milliseconds(number)
--- a/internal/governor/clients/codec.go
+++ b/internal/governor/clients/codec.go
@@ -8,13 +8,13 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// codec decodes and encodes messages. It knows the site's names. The keywords of the protocol stand in its files only.
+// codec decodes and encodes messages of the proxy protocol and translates between names and the numbers of package rules.
 type codec struct {
 	zones, groups       []string
 	proxies             int
-	maxReportedTime     time.Duration // that a message may report
-	acceptsBatches      bool          // of single proxies are accepted
-	ordersPairEjections bool          // governors of this fleet order pair ejections, so a proxy that joins may have some
+	maxReportedTime     time.Duration // longest duration accepted in a message
+	acceptsBatches      bool          // batches of single proxies are accepted
+	ordersPairEjections bool          // governors of this fleet order pair ejections, so a joining proxy may hold some
 	replica             func([]byte) (rules.ReplicaID, bool)
 	name                func(rules.ReplicaID) (string, bool)
 }
--- a/internal/governor/clients/codec_test.go
+++ b/internal/governor/clients/codec_test.go
@@ -11,7 +11,7 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// BenchmarkDecode measures a message from its bytes to a typed value.
+// BenchmarkDecode measures reading and decoding one message.
 func BenchmarkDecode(b *testing.B) {
 	c := newCodec(config.Config{Bounds: config.Bounds{MaxReportedTime: time.Minute}, Operator: config.Operator{Intake: config.IntakeOptions{ReportsMode: config.ReportsPairs}},
 		Settings: config.Settings{Zones: []string{"a"}, Settings: rules.Settings{Proxies: 10}}}, names{})
@@ -22,7 +22,7 @@
 	} {
 		b.Run(name, func(b *testing.B) {
 			message := resp.Append(nil, strings.Fields(words)...)
-			in := resp.NewReader(&endless{message: message}, 1<<20, 64)
+			in := resp.NewReader(&repeatReader{message: message}, 1<<20, 64)
 			b.ReportAllocs()
 			for b.Loop() {
 				words, err := in.Next()
@@ -40,19 +40,19 @@
 	}
 }
 
-// endless repeats a message.
-type endless struct {
+// repeatReader returns a message over and over.
+type repeatReader struct {
 	message []byte
-	at      int
+	offset  int
 }
 
-func (e *endless) Read(b []byte) (n int, err error) {
-	n = copy(b, e.message[e.at:])
-	e.at = (e.at + n) % len(e.message)
+func (r *repeatReader) Read(b []byte) (n int, err error) {
+	n = copy(b, r.message[r.offset:])
+	r.offset = (r.offset + n) % len(r.message)
 	return n, nil
 }
 
-// FuzzDecode checks that whatever is read as a message has possible figures, and that nothing ends the decoder.
+// FuzzDecode checks that decoded messages hold only values in range, and that no input panics the decoder.
 func FuzzDecode(f *testing.F) {
 	c := newCodec(config.Config{Bounds: config.Bounds{MaxReportedTime: time.Minute}, Operator: config.Operator{Intake: config.IntakeOptions{ReportsMode: config.ReportsPairs}},
 		Settings: config.Settings{Zones: []string{"a"}, Settings: rules.Settings{Proxies: 10, Groups: []rules.TrafficGroup{{Name: "look"}}}}}, names{})
--- a/internal/governor/clients/conn.go
+++ b/internal/governor/clients/conn.go
@@ -17,29 +17,29 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// conn is one connection: a proxy's stream once it has named a proxy, a collector's once it has named a zone, and
-// unidentified until then.
+// conn is one connection. It is unidentified until its first valid join makes it the stream of a proxy or the connection of a
+// collector.
 type conn struct {
 	net.Conn
 	server     *Server
 	acceptedAt time.Time
-	limiter    *rate.Limiter // of bytes read; nil: none
+	limiter    *rate.Limiter // limits bytes read; nil: unlimited
 
-	proxy rules.ProxyID // of a stream; used by readLoop only, like zone
-	zone  rules.ZoneID  // of a collector
+	proxy rules.ProxyID // if a stream; accessed by readLoop only, like zone
+	zone  rules.ZoneID  // if a collector
 
 	mu             sync.Mutex
-	role           role        // written by readLoop only, which need not lock to read it
-	lastUsefulAt   time.Time   // when a collector last delivered a valid report
-	unacknowledged []uint16    // versions that the peer has been sent, oldest first
-	pending        net.Buffers // messages may be shared with other connections: their bytes are never changed
+	role           role        // written by readLoop only, which may read it without the lock
+	lastUsefulAt   time.Time   // time of the last valid report
+	unacknowledged []uint16    // versions sent and not acknowledged, oldest first
+	pending        net.Buffers // messages may be shared with other connections, so their bytes must not be modified
 	unsentBytes    int         // pending or being written
-	writing        bool        // writeLoop runs; it does not while nothing is pending
+	writing        bool        // writeLoop is running
 	closed         bool
 	reason         closeReason
 }
 
-// role is what a connection has identified itself as.
+// role is the kind of peer that a connection has identified itself as.
 type role string
 
 const (
@@ -48,15 +48,15 @@
 	roleCollector    role = "collector"
 )
 
-// closeReason is why a connection has ended. Causes are a fixed set; the detail may quote the peer or an address.
+// closeReason is why a connection was closed. Causes are a fixed set; the detail may quote the peer or an address.
 type closeReason struct{ cause, detail string }
 
-// log writes the line of a leave, which begins with the peer.
+// log writes the log line of a closed connection. The line already holds the peer.
 func (r closeReason) log(line *zerolog.Event) {
 	line.Str("cause", r.cause).Str("detail", r.detail).Msg("leave")
 }
 
-// reasonOf reduces an error to one of a fixed set of causes.
+// reasonOf maps a read or write error to one of a fixed set of causes.
 func reasonOf(err error) (cause, detail string) {
 	var protocolError resp.ProtocolError
 	switch {
@@ -74,13 +74,12 @@
 	return "failed", err.Error()
 }
 
-// readLoop takes in messages until the connection ends. Nothing else posts this connection's events, so they keep their
-// order.
+// readLoop handles messages until the connection ends. Only it posts the events of this connection, so they stay in order.
 //
-// It decides what invalid input leads to. Broken framing ends the connection. A message that is framed well but has an
-// invalid field, or no place on this connection, is skipped as a whole and counted, and it is a sign of life like any other.
-// A connection that has not joined may send only heartbeats and a valid join, within JoinTimeout of being accepted: this
-// bounds those that stay silent, that send heartbeats only, or that send byte by byte.
+// Invalid framing closes the connection. A well-framed message that has an invalid field or is not allowed on this connection
+// is skipped and counted, and still counts as activity. A connection that has not joined may send only heartbeats and a valid
+// join, within JoinTimeout of being accepted, which also bounds peers that stay silent, send only heartbeats, or send byte by
+// byte.
 func (c *conn) readLoop() {
 	bounds := c.server.bounds
 	reader := resp.NewReader(c, bounds.MaxFirstMessageBytes, bounds.MaxMessageElements)
@@ -110,7 +109,7 @@
 	c.server.removeConn(c)
 }
 
-// reportEnd posts the end of a stream, and logs or counts that of any other connection.
+// reportEnd posts the end of a stream, and logs that of a collector or counts that of an unidentified connection.
 func (c *conn) reportEnd() {
 	switch c.role {
 	case roleStream:
@@ -122,8 +121,8 @@
 	}
 }
 
-// throttle delays a stream, and nothing else, that exceeds its rate limit: this bounds floods of reports. The stream's
-// acknowledgements wait too, so one that never stops times out in the end.
+// throttle delays reading from a stream that exceeds its rate limit, so that a flood of reports delays only its sender. The
+// stream's acknowledgements are delayed too, so a sender that never stops eventually times out.
 func (c *conn) throttle(bytes int) {
 	if c.limiter == nil || c.role != roleStream {
 		return
@@ -137,7 +136,7 @@
 	}
 }
 
-// closeWith closes the connection. The first reason given is kept.
+// closeWith closes the connection. Only the first reason is kept.
 func (c *conn) closeWith(cause, detail string) {
 	c.mu.Lock()
 	if !c.closed {
@@ -148,10 +147,10 @@
 	c.closeConn()
 }
 
-// closeConn closes the socket. An error is of no interest: nothing is read or written after it.
+// closeConn closes the socket. The error is ignored because nothing is read or written afterwards.
 func (c *conn) closeConn() { _ = c.Close() }
 
-// closeReason returns why the connection has ended.
+// closeReason returns why the connection was closed.
 func (c *conn) closeReason() closeReason {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/governor/clients/decode.go
+++ b/internal/governor/clients/decode.go
@@ -10,15 +10,15 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// What a message may be beside an event of package rules and a batch.
+// Decoded messages other than events of package rules and batches.
 type (
-	// heartbeat asks for an answer.
+	// heartbeat requires an answer.
 	heartbeat struct{}
-	// collectorJoin makes its connection a collector of a zone.
+	// collectorJoin identifies the connection as that of a zone's collector.
 	collectorJoin struct{ zone rules.ZoneID }
-	// invalidMessage is framed well and otherwise unusable.
+	// invalidMessage is a well-framed message that cannot be used.
 	invalidMessage struct {
-		cause             string // one of a fixed set: without text of the peer
+		cause             string // one of a fixed set, without text of the peer
 		isAcknowledgement bool
 	}
 )
@@ -29,8 +29,8 @@
 	queueFull         = invalidMessage{cause: "no room for reports"}
 )
 
-// decode returns the typed value of a message: an event of package rules, a batch, a heartbeat or a collectorJoin, or an
-// invalidMessage if any field of it is missing or impossible, or has an unknown name.
+// decode returns the typed value of a message: an event of package rules, a batch, a heartbeat or a collectorJoin. It returns
+// an invalidMessage if a required field is missing or a field is out of range or names something unknown.
 func (c *codec) decode(elements [][]byte) any {
 	if len(elements)%2 == 0 {
 		return invalidMessage{cause: "words without a pair"}
@@ -50,7 +50,7 @@
 	return invalidMessage{cause: kind + " " + f.invalid, isAcknowledgement: kind == "done"}
 }
 
-// decodeKind reads the fields of a message of a kind. It returns nil for an unknown kind.
+// decodeKind decodes the fields of a message of the given kind. It returns nil for an unknown kind.
 func (c *codec) decodeKind(kind string, f *fields) any {
 	switch kind {
 	case "hb":
@@ -67,9 +67,9 @@
 			Delay:   f.duration("lag_ms"),
 		}
 	case "upstream_stats":
-		return c.decodeSums(f)
+		return c.decodeEndpointStats(f)
 	case "client_stats":
-		return c.decodeUsage(f)
+		return c.decodeGroupTraffic(f)
 	case "met":
 		if c.acceptsBatches {
 			return c.decodeBatch(f)
@@ -90,8 +90,8 @@
 	}
 }
 
-// decodeSums reads what the proxies of a zone have met at a replica.
-func (c *codec) decodeSums(f *fields) rules.EndpointStats {
+// decodeEndpointStats decodes the statistics of a zone's proxies for one replica.
+func (c *codec) decodeEndpointStats(f *fields) rules.EndpointStats {
 	f.require("host", "n", "bad", "window")
 	zone := f.index("az", c.zones)
 	host, _ := f.value("host")
@@ -99,7 +99,7 @@
 	if !known {
 		f.fail("host")
 	}
-	sums := rules.EndpointStats{
+	stats := rules.EndpointStats{
 		Replica:     replica,
 		Zone:        rules.ZoneID(zone),
 		Window:      f.positiveDuration("window"),
@@ -108,16 +108,17 @@
 		Attempts:    f.integer("n", math.MaxInt32),
 		Dropped:     f.integer("bad", math.MaxInt32),
 	}
-	if sums.Dropped > sums.Attempts {
+	if stats.Dropped > stats.Attempts {
 		f.fail("bad")
-	} else if sums.Dropped < sums.Attempts {
+	} else if stats.Dropped < stats.Attempts {
 		f.require("avg")
 	}
-	return sums
+	return stats
 }
 
-// decodeUsage reads the flows that a proxy has taken in. More may be dropped than have come, as they may have come before.
-func (c *codec) decodeUsage(f *fields) rules.GroupTraffic {
+// decodeGroupTraffic decodes the flows that a proxy has accepted and dropped. More may be dropped than accepted, because they
+// may have been accepted in an earlier window.
+func (c *codec) decodeGroupTraffic(f *fields) rules.GroupTraffic {
 	f.require("sidecar", "n", "bad", "window")
 	return rules.GroupTraffic{
 		Proxy:   c.proxy(f),
@@ -132,18 +133,18 @@
 	return rules.ProxyID(f.integer("sidecar", c.proxies-1))
 }
 
-// report reads a load report. Unknown figures are ignored.
+// report decodes a load report. Unknown metrics are ignored.
 func (f *fields) report(name string) rules.LoadReport {
 	r := noReport
 	text, _ := f.value(name)
 	for len(text) > 0 {
 		var pair []byte
 		pair, text, _ = bytes.Cut(text, comma)
-		key, of, paired := bytes.Cut(pair, colon)
+		key, value, paired := bytes.Cut(pair, colon)
 		if len(pair) == 0 {
 			continue
 		}
-		v, ok := parseFloat(of)
+		v, ok := parseFloat(value)
 		if !paired || !ok {
 			f.fail(name)
 		}
--- a/internal/governor/clients/ejection.go
+++ b/internal/governor/clients/ejection.go
@@ -7,14 +7,14 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// ejectionChanges returns what a bound proxy is to eject or restore, beside the parts of its message. A replica that it may
-// have ejected without our knowledge is restored when it first gets a weight for it.
+// ejectionChanges returns the replicas that a bound proxy must eject or restore, given the other parts of its message. A
+// replica that the proxy may have ejected earlier is restored when the proxy first gets a weight for it.
 func (s *routingState) ejectionChanges(proxy *proxyState, parts []assignment) (changes assignment) {
 	if len(proxy.table) == 0 {
 		return changes
 	}
 	restore := s.unknownEjections(proxy, parts)
-	for replica := range proxy.ejected {
+	for replica := range proxy.sentEjections {
 		restore[replica] = restore[replica] || !s.isEjected(proxy, replica)
 	}
 	for _, replica := range slices.Sorted(maps.Keys(restore)) {
@@ -22,28 +22,28 @@
 			changes.restore = append(changes.restore, replica)
 		}
 	}
-	ejected := maps.Clone(s.withdrawn)
-	maps.Copy(ejected, proxy.ejections)
+	ejected := maps.Clone(s.fleetEjections)
+	maps.Copy(ejected, proxy.pairEjections)
 	for _, replica := range slices.Sorted(maps.Keys(ejected)) {
-		if !proxy.ejected[replica] {
+		if !proxy.sentEjections[replica] {
 			changes.eject = append(changes.eject, replica)
 		}
 	}
-	proxy.ejected = ejected
+	proxy.sentEjections = ejected
 	return changes
 }
 
-// unknownEjections returns the replicas that the parts are the first to give the proxy a weight for, and whether each is to
-// be restored.
+// unknownEjections returns the replicas for which these parts give the proxy its first weight, and whether each must be
+// restored.
 func (s *routingState) unknownEjections(proxy *proxyState, parts []assignment) map[rules.ReplicaID]bool {
 	restore := map[rules.ReplicaID]bool{}
-	if proxy.seen == nil {
+	if proxy.weighted == nil {
 		return restore
 	}
 	for _, part := range parts {
 		for _, w := range part.weights {
-			if w.value > 0 && !proxy.seen[w.replica] {
-				proxy.seen[w.replica] = true
+			if w.value > 0 && !proxy.weighted[w.replica] {
+				proxy.weighted[w.replica] = true
 				restore[w.replica] = !s.isEjected(proxy, w.replica)
 			}
 		}
@@ -53,5 +53,5 @@
 
 // isEjected reports whether a proxy must not use a replica.
 func (s *routingState) isEjected(proxy *proxyState, replica rules.ReplicaID) bool {
-	return s.withdrawn[replica] || proxy.ejections[replica]
+	return s.fleetEjections[replica] || proxy.pairEjections[replica]
 }
--- a/internal/governor/clients/encode.go
+++ b/internal/governor/clients/encode.go
@@ -8,35 +8,35 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// assignment is one part of a message to a proxy. Fields that are empty are not sent.
+// assignment is one part of a message to a proxy. Empty fields are not sent.
 type assignment struct {
 	groups         rules.GroupSet // 0: all
 	full           bool
 	weights        []weight
 	level          *rules.Admit
 	eject, restore []rules.ReplicaID
-	mark           *rules.AckRequest
-	continued      bool // by another part of the message
+	ackRequest     *rules.AckRequest
+	continued      bool // another part of the message follows
 }
 
-// weight is that of a replica in a table.
+// weight is the weight of a replica in a table.
 type weight struct {
 	replica rules.ReplicaID
 	value   float64
 }
 
-// lineCount returns the size of the part in lines of the channel to the proxies.
-func (p *assignment) lineCount() int {
+// entryCount returns the number of entries in the part, as the channel to the proxies counts them.
+func (p *assignment) entryCount() int {
 	n := len(p.weights) + len(p.eject) + len(p.restore)
-	for _, one := range []bool{p.full, p.level != nil, p.mark != nil} {
-		if one {
+	for _, isSet := range []bool{p.full, p.level != nil, p.ackRequest != nil} {
+		if isSet {
 			n++
 		}
 	}
 	return n
 }
 
-// encode appends a part of a message to b.
+// encode appends the encoded part to b.
 func (c *codec) encode(b []byte, p *assignment) []byte {
 	elements := []string{"assign"}
 	add := func(name, value string) { elements = append(elements, name, value) }
@@ -54,13 +54,13 @@
 		add("policy", strconv.Itoa(int(p.level.Retry)))
 	}
 	if len(p.eject) > 0 {
-		add("eject", c.join(p.eject))
+		add("eject", c.joinNames(p.eject))
 	}
 	if len(p.restore) > 0 {
-		add("restore", c.join(p.restore))
+		add("restore", c.joinNames(p.restore))
 	}
-	if p.mark != nil {
-		add("nonce_out", strconv.Itoa(int(p.mark.Version)))
+	if p.ackRequest != nil {
+		add("nonce_out", strconv.Itoa(int(p.ackRequest.Version)))
 	}
 	if p.continued {
 		add("continued", "1")
@@ -91,12 +91,12 @@
 	return string(text)
 }
 
-// join returns the names of replicas, with commas between.
-func (c *codec) join(ids []rules.ReplicaID) string {
-	var named []string
+// joinNames returns the names of replicas, separated by commas.
+func (c *codec) joinNames(ids []rules.ReplicaID) string {
+	var names []string
 	for _, id := range ids {
 		name, _ := c.name(id)
-		named = append(named, name)
+		names = append(names, name)
 	}
-	return strings.Join(named, ",")
+	return strings.Join(names, ",")
 }
--- a/internal/governor/clients/eviction.go
+++ b/internal/governor/clients/eviction.go
@@ -6,10 +6,9 @@
 	"time"
 )
 
-// evict closes the oldest connection that has not joined, or, where there is none, the collector that has been idle for
-// longest. It returns how long to wait before another look, 0 if no connection may be closed. A connection that has not
-// joined keeps MinEvictionAge: the join of a proxy comes with its connection, and many others at once must not keep it from
-// being read. The caller holds mu.
+// evict closes the oldest unidentified connection or, if there is none, the collector that has been idle the longest. It
+// returns how long to wait before trying again, or 0 if no connection may be closed. Unidentified connections are not evicted
+// before MinEvictionAge, so that a burst of connections cannot evict a proxy before its join is read. The caller holds mu.
 func (s *Server) evict() time.Duration {
 	var victim *conn
 	for c := range s.conns {
@@ -37,9 +36,9 @@
 	return s.bounds.AcceptRetryDelay
 }
 
-// addCollector adds a collector of a zone. Where there are too many, the one that has been idle for longest is closed: it has
-// most likely vanished without a notice, as nothing is ever written to it that could tell. Where the others are all active,
-// the new one is closed: whoever names a zone must not end its working collector.
+// addCollector adds a collector of a zone. If there are too many, it closes the one that has been idle the longest, whose peer
+// has probably vanished: nothing is written to collectors, so a lost peer is not detected otherwise. If all others are active,
+// it closes the new one, so that an impostor cannot replace a working collector.
 func (s *Server) addCollector(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +54,7 @@
 	}
 }
 
-// idlest returns the collector that has been idle for longest, nil where all have delivered something lately.
+// idlest returns the collector that has been idle the longest, or nil if none has exceeded CollectorIdleTimeout.
 func (s *Server) idlest(collectors []*conn) (idlest *conn) {
 	for _, c := range collectors {
 		c.mu.Lock()
@@ -68,7 +67,7 @@
 	return idlest
 }
 
-// lastUse returns when a collector last delivered something, or was accepted.
+// lastUse returns when a collector last delivered a valid report or, if it has not, when it was accepted.
 func (c *conn) lastUse() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,20 +77,20 @@
 	return c.lastUsefulAt
 }
 
-// evictLargestBacklog closes the connection with the most unsent bytes, as there are too many in all.
+// evictLargestBacklog closes the connection with the most unsent bytes. It is called when the total exceeds its limit.
 func (s *Server) evictLargestBacklog() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var most *conn
+	var largest *conn
 	bytes := 0
 	for c := range s.conns {
 		c.mu.Lock()
 		if !c.closed && c.unsentBytes > bytes {
-			most, bytes = c, c.unsentBytes
+			largest, bytes = c, c.unsentBytes
 		}
 		c.mu.Unlock()
 	}
-	if most != nil {
-		most.closeWith("does not read", "too much waits for all peers")
+	if largest != nil {
+		largest.closeWith("does not read", "too much waits for all peers")
 	}
 }
--- a/internal/governor/clients/fields.go
+++ b/internal/governor/clients/fields.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// fields are the fields of a message. The first invalid one is remembered.
+// fields reads the fields of a message and remembers the first invalid one.
 type fields struct {
-	pairs           [][]byte // name, value, name, value
+	pairs           [][]byte // alternating names and values
 	maxReportedTime time.Duration
-	invalid         string // name of the first invalid field
+	invalid         string // name of the first invalid field; "": none
 }
 
 // fail marks a field as invalid.
 func (f *fields) fail(name string) { f.invalid = cmp.Or(f.invalid, name) }
 
-// value returns the value of a field, the last one of a field that is given twice.
+// value returns the value of a field. If the field is repeated, the last value counts.
 func (f *fields) value(name string) (v []byte, given bool) {
 	for i := 0; i+1 < len(f.pairs); i += 2 {
 		if string(f.pairs[i]) == name {
@@ -27,7 +27,7 @@
 	return v, given
 }
 
-// require marks those fields as invalid that are missing.
+// require marks missing fields as invalid.
 func (f *fields) require(names ...string) {
 	for _, name := range names {
 		if _, ok := f.value(name); !ok {
@@ -36,7 +36,7 @@
 	}
 }
 
-// integer reads an integer from 0 to maxValue; 0 if it is missing.
+// integer returns an integer field in the range 0 to maxValue, or 0 if it is missing.
 func (f *fields) integer(name string, maxValue int) int {
 	text, ok := f.value(name)
 	if !ok {
@@ -54,7 +54,7 @@
 	return n, err == nil && n >= 0 && n <= maxValue
 }
 
-// float reads a number from 0 up; 0 if it is missing.
+// float returns a non-negative number field, or 0 if it is missing.
 func (f *fields) float(name string) float64 {
 	text, ok := f.value(name)
 	if !ok {
@@ -72,8 +72,8 @@
 	return v, err == nil && v >= 0 && v <= math.MaxInt32
 }
 
-// duration reads milliseconds. A time that is too long to be true is invalid: the governor would learn from it for the rest
-// of the day.
+// duration returns a field in milliseconds. A duration above maxReportedTime is invalid, because it would distort the
+// governor's statistics for hours.
 func (f *fields) duration(name string) time.Duration {
 	d, ok := f.milliseconds(f.float(name))
 	if !ok {
@@ -82,7 +82,7 @@
 	return d
 }
 
-// milliseconds converts a number and reports whether it is within maxReportedTime.
+// milliseconds converts a number of milliseconds and reports whether it is within maxReportedTime.
 func (f *fields) milliseconds(ms float64) (time.Duration, bool) {
 	v := ms * float64(time.Millisecond)
 	if v > float64(f.maxReportedTime) {
@@ -91,7 +91,7 @@
 	return time.Duration(math.Round(v)), true
 }
 
-// positiveDuration reads the time over which something was counted.
+// positiveDuration returns a duration field that must be above 0.
 func (f *fields) positiveDuration(name string) time.Duration {
 	d := f.duration(name)
 	if d <= 0 {
@@ -100,7 +100,7 @@
 	return d
 }
 
-// index reads a name and returns its index among the known ones.
+// index returns the index of a field's value in known, or -1 if it is not there.
 func (f *fields) index(name string, known []string) int {
 	text, _ := f.value(name)
 	for i, candidate := range known {
--- a/internal/governor/clients/handle.go
+++ b/internal/governor/clients/handle.go
@@ -9,7 +9,7 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// handle carries out a message and returns it. One that has no place on this connection is returned as an invalidMessage.
+// handle processes a message and returns it, or an invalidMessage if the message is not allowed on this connection.
 func (c *conn) handle(m any) any {
 	switch m := m.(type) {
 	case heartbeat:
@@ -56,8 +56,8 @@
 	return m
 }
 
-// postReport posts what may wait. A collector waits until there is room; a stream can't, as a proxy's acknowledgements come
-// behind its reports, so what has no room is counted and dropped.
+// postReport posts a report. If the queue is full, a collector's connection blocks. A proxy's stream must not, because its
+// acknowledgements follow its reports, so its report is dropped and counted.
 func (c *conn) postReport(e eventqueue.Input, m any) any {
 	e.Connection, e.ReceivedAt = c, time.Now()
 	if c.role == roleCollector {
@@ -68,17 +68,17 @@
 	return m
 }
 
-// awaits reports whether the acknowledgement of a version is due.
+// awaits reports whether an acknowledgement of the version is outstanding.
 func (c *conn) awaits(version uint16) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Contains(c.unacknowledged, version)
 }
 
-// updateDeadline sets the time until which a peer that has joined must send something: for a stream, while it owes an
-// acknowledgement. This ends connections whose peers have vanished, have stopped inside a message, or send byte by byte. A
-// proxy that owes nothing may be quiet for long. An invalid acknowledgement counts as that of the oldest version: otherwise
-// a live proxy would time out. Collectors never owe anything; idle ones are evicted.
+// updateDeadline sets the read deadline after a message of a peer that has joined. There is one only while the peer owes an
+// acknowledgement, so a proxy that owes none may stay idle, and collectors have no deadline: idle ones are evicted. The
+// deadline ends connections whose peers have vanished, stop inside a message, or send byte by byte. An invalid acknowledgement
+// counts as that of the oldest version, as otherwise a live proxy would time out.
 func (c *conn) updateDeadline(m any) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/governor/clients/publication.go
+++ b/internal/governor/clients/publication.go
@@ -1,26 +1,26 @@
 package clients
 
-// sendChanges sends each proxy what the step has changed for it. Proxies that get the same share the bytes.
+// sendChanges sends each proxy the changes of the step that concern it. Proxies with equal messages share the bytes.
 func (s *routingState) sendChanges(c *codec) {
-	toAll := s.mark != nil && s.mark.AllProxies
-	for _, id := range s.order {
+	toAll := s.ackRequest != nil && s.ackRequest.AllProxies
+	for _, id := range s.proxyIDs {
 		proxy := s.proxies[id]
 		if !toAll && s.isUnchanged(proxy) {
 			continue
 		}
 		s.viewsBuffer = s.viewsFor(proxy, s.viewsBuffer[:0])
 		message := s.message(c, proxy, s.viewsBuffer)
-		if len(message) > 0 && s.mark != nil {
-			proxy.conn.sendMarked(message, s.mark.Version)
+		if len(message) > 0 && s.ackRequest != nil {
+			proxy.conn.sendWithAckRequest(message, s.ackRequest.Version)
 		} else if len(message) > 0 {
 			proxy.conn.send(message)
 		}
-		proxy.newlyBound, proxy.ejectionsChanged = 0, false
+		proxy.newlyBound, proxy.pairEjectionsChanged = 0, false
 	}
 	s.endStep()
 }
 
-// endStep forgets the changes of the step and what was made of them.
+// endStep clears the changes of the step and the caches built from them.
 func (s *routingState) endStep() {
 	for _, t := range s.tables {
 		t.cleared, t.changedLevels = false, 0
@@ -28,16 +28,16 @@
 	}
 	clear(s.renderedViews)
 	clear(s.encodedMessages)
-	s.mark, s.withdrawalsChanged = nil, false
+	s.ackRequest, s.fleetEjectionsChanged = nil, false
 }
 
-// message returns what a proxy is to be sent, empty if nothing. Proxies without ejections of any kind that have the same
-// views share one message.
+// message returns the encoded message for a proxy, empty if there is nothing to send. Proxies that have equal views and no
+// ejections share one message.
 func (s *routingState) message(c *codec, proxy *proxyState, views []tableView) []byte {
-	isShared := len(s.withdrawn) == 0 && len(proxy.ejected) == 0 && len(proxy.ejections) == 0 && proxy.seen == nil
+	isShared := len(s.fleetEjections) == 0 && len(proxy.sentEjections) == 0 && len(proxy.pairEjections) == 0 && proxy.weighted == nil
 	if isShared {
 		s.keyBuffer = appendKey(s.keyBuffer[:0], views)
-		if message, made := s.encodedMessages[string(s.keyBuffer)]; made {
+		if message, cached := s.encodedMessages[string(s.keyBuffer)]; cached {
 			return message
 		}
 	}
@@ -53,7 +53,7 @@
 	return message
 }
 
-// appendKey appends what tells views apart.
+// appendKey appends a key that identifies the views.
 func appendKey(key []byte, views []tableView) []byte {
 	for _, view := range views {
 		full := byte(0)
@@ -65,21 +65,21 @@
 	return key
 }
 
-// parts returns the parts of a message, the last of which has the version to acknowledge.
+// parts returns the parts of a proxy's message. The last part carries the acknowledgement request.
 func (s *routingState) parts(proxy *proxyState, views []tableView) []assignment {
 	var parts []assignment
 	for _, view := range views {
 		parts = append(parts, s.assignments(view)...)
 	}
-	if changes := s.ejectionChanges(proxy, parts); changes.lineCount() > 0 {
+	if changes := s.ejectionChanges(proxy, parts); changes.entryCount() > 0 {
 		parts = append(parts, changes)
 	}
-	if s.mark == nil || len(parts) == 0 && !s.mark.AllProxies {
+	if s.ackRequest == nil || len(parts) == 0 && !s.ackRequest.AllProxies {
 		return parts
 	}
 	if len(parts) == 0 {
 		parts = append(parts, assignment{})
 	}
-	parts[len(parts)-1].mark = s.mark
+	parts[len(parts)-1].ackRequest = s.ackRequest
 	return parts
 }
--- a/internal/governor/clients/render.go
+++ b/internal/governor/clients/render.go
@@ -8,24 +8,23 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// tableView is what a table shows to some traffic groups: all of it, or its changes. It is the same for all proxies that it
-// concerns.
+// tableView selects the content of a table for some traffic groups: all of it, or its changes in the step. It does not depend
+// on the proxy, so that its rendering can be shared.
 type tableView struct {
 	table rules.TableID
 	set   rules.GroupSet
 	full  bool
 }
 
-// viewsFor appends the views that a proxy is to be sent: all of a table to newly bound groups, its changes to the others.
-// Groups of one table go together, and one place stays for withdrawals, so the parts of a message are at most two for each
-// group and one more.
+// viewsFor appends the views to send to a proxy: the full table for newly bound groups, its changes for the others. Groups
+// bound to the same table share views, so that a message has at most two parts per group and one more for ejections.
 func (s *routingState) viewsFor(proxy *proxyState, views []tableView) []tableView {
 	type use struct {
 		table rules.TableID
 		set   rules.GroupSet
 	}
-	var room [16]use
-	uses := room[:0]
+	var buffer [16]use
+	uses := buffer[:0]
 	for g := range s.groups {
 		t, ok := proxy.table[rules.GroupID(g)]
 		if !ok {
@@ -47,23 +46,24 @@
 	return views
 }
 
-// assignments returns the parts that a view makes, which are rendered once a step.
+// assignments returns the parts for a view, rendered at most once per step.
 func (s *routingState) assignments(view tableView) []assignment {
 	if view.set == 0 {
 		return nil
 	}
-	parts, made := s.renderedViews[view]
-	if !made {
+	parts, cached := s.renderedViews[view]
+	if !cached {
 		parts = s.render(view)
 		s.renderedViews[view] = parts
 	}
 	return parts
 }
 
-// render makes the parts of a view. Groups under one level go into one part; where all do, the level goes with the weights.
+// render returns the parts for a view. Groups with the same admission level share a part; if all groups do, the level is sent
+// with the weights.
 func (s *routingState) render(view tableView) []assignment {
 	var parts []assignment
-	if weights := s.renderWeights(view); weights.lineCount() > 0 {
+	if weights := s.renderWeights(view); weights.entryCount() > 0 {
 		parts = append(parts, weights)
 	}
 	levels := s.renderLevels(view)
@@ -87,7 +87,7 @@
 	return part
 }
 
-// renderLevels makes a part for each admission level of the groups.
+// renderLevels returns a part for each distinct admission level of the groups.
 func (s *routingState) renderLevels(view tableView) (levels []assignment) {
 	t := s.table(view.table)
 	changed := t.changedLevels | s.table(rules.AllTables).changedLevels
--- a/internal/governor/clients/routingstate.go
+++ b/internal/governor/clients/routingstate.go
@@ -6,28 +6,27 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// routingState is the sum of the orders so far: the content of each routing table, and which proxy is bound to which. Only
-// the deciding goroutine uses it. During a step it collects changes; sendChanges then sends messages that show the state at
-// the end of the step.
+// routingState is the result of all orders so far: the content of each routing table and the tables that each proxy is bound
+// to. Only the event loop uses it. During a step it collects changes, which sendChanges then sends as they stand at the end
+// of the step.
 type routingState struct {
-	groups    int
-	proxies   map[rules.ProxyID]*proxyState
-	order     []rules.ProxyID // of the proxies, ascending
-	tables    map[rules.TableID]*table
-	withdrawn map[rules.ReplicaID]bool // from all proxies
-
+	groups         int
+	proxies        map[rules.ProxyID]*proxyState
+	proxyIDs       []rules.ProxyID // keys of proxies, ascending
+	tables         map[rules.TableID]*table
+	fleetEjections map[rules.ReplicaID]bool // replicas ejected for all proxies
 	// Changes of the current step.
-	mark               *rules.AckRequest // the version to acknowledge
-	withdrawalsChanged bool
+	ackRequest            *rules.AckRequest // nil: no acknowledgement is requested
+	fleetEjectionsChanged bool
 
 	// Caches and buffers of sendChanges.
 	renderedViews   map[tableView][]assignment
-	encodedMessages map[string][]byte // by the views that they show
+	encodedMessages map[string][]byte // by the key of their views
 	viewsBuffer     []tableView
 	keyBuffer       []byte
 }
 
-// table is the content of a routing table. The one numbered AllTables has levels only, which hold for all proxies.
+// table is the content of a routing table. Table AllTables holds only admission levels, which apply to all proxies.
 type table struct {
 	weights map[rules.ReplicaID]float64
 	levels  map[rules.GroupID]rules.Admit
@@ -40,16 +39,16 @@
 
 // proxyState is the state of a joined proxy.
 type proxyState struct {
-	conn             *conn
-	table            map[rules.GroupID]rules.TableID
-	newlyBound       rules.GroupSet           // in the current step
-	ejections        map[rules.ReplicaID]bool // replicas ejected for this proxy alone
-	ejectionsChanged bool                     // in the current step
+	conn                 *conn
+	table                map[rules.GroupID]rules.TableID
+	newlyBound           rules.GroupSet           // in the current step
+	pairEjections        map[rules.ReplicaID]bool // replicas ejected for this proxy alone
+	pairEjectionsChanged bool                     // in the current step
 
-	// A proxy keeps its ejections over a change of streams, also those of a previous process or of another governor. So
-	// they are known only of a fresh proxy.
-	ejected map[rules.ReplicaID]bool // replicas that it was ordered to eject on this stream
-	seen    map[rules.ReplicaID]bool // replicas that it was given weights for; nil if all its ejections are known
+	// A proxy keeps its ejections when it reconnects, including those ordered by a previous process or another governor, so
+	// only a fresh proxy's ejections are known.
+	sentEjections map[rules.ReplicaID]bool // replicas ejected by messages on this stream
+	weighted      map[rules.ReplicaID]bool // replicas that have had a weight on this stream; nil if all ejections of the proxy are known
 }
 
 func newRoutingState(groups int) routingState {
@@ -57,33 +56,32 @@
 		groups:          groups,
 		proxies:         map[rules.ProxyID]*proxyState{},
 		tables:          map[rules.TableID]*table{},
-		withdrawn:       map[rules.ReplicaID]bool{},
+		fleetEjections:  map[rules.ReplicaID]bool{},
 		renderedViews:   map[tableView][]assignment{},
 		encodedMessages: map[string][]byte{},
 	}
 }
 
-// addProxy adds a proxy that has joined by a connection, in place of any earlier state of it.
+// addProxy adds a proxy that has joined on a connection, replacing any earlier state of it.
 func (s *routingState) addProxy(j rules.Joined, c *conn) {
 	proxy := &proxyState{conn: c, table: map[rules.GroupID]rules.TableID{}}
 	if j.MayHoldEjections {
-		proxy.seen = map[rules.ReplicaID]bool{}
+		proxy.weighted = map[rules.ReplicaID]bool{}
 	}
 	s.proxies[j.Proxy] = proxy
-	if at, found := slices.BinarySearch(s.order, j.Proxy); !found {
-		s.order = slices.Insert(s.order, at, j.Proxy)
+	if at, found := slices.BinarySearch(s.proxyIDs, j.Proxy); !found {
+		s.proxyIDs = slices.Insert(s.proxyIDs, at, j.Proxy)
 	}
 }
 
-// dropProxy drops the state of a proxy.
-func (s *routingState) dropProxy(id rules.ProxyID) {
+func (s *routingState) deleteProxy(id rules.ProxyID) {
 	delete(s.proxies, id)
-	if at, found := slices.BinarySearch(s.order, id); found {
-		s.order = slices.Delete(s.order, at, at+1)
+	if at, found := slices.BinarySearch(s.proxyIDs, id); found {
+		s.proxyIDs = slices.Delete(s.proxyIDs, at, at+1)
 	}
 }
 
-// table returns a table, a new one if there is none.
+// table returns a table, which it creates if necessary.
 func (s *routingState) table(id rules.TableID) *table {
 	t := s.tables[id]
 	if t == nil {
@@ -94,7 +92,7 @@
 	return t
 }
 
-// groupIDs returns the groups of a set; all for the empty one.
+// groupIDs returns the groups in a set. The empty set stands for all groups.
 func (s *routingState) groupIDs(set rules.GroupSet) (ids []rules.GroupID) {
 	for group := range s.groups {
 		if set == 0 || set&(1<<group) != 0 {
@@ -104,7 +102,7 @@
 	return ids
 }
 
-// apply applies an order and notes what it changes.
+// apply applies an order and records what it changes.
 func (s *routingState) apply(order rules.Order) {
 	switch order := order.(type) {
 	case rules.EndpointWeight:
@@ -120,12 +118,12 @@
 	case rules.Bind:
 		s.bind(order)
 	case rules.ReplicaEjection:
-		s.withdrawalsChanged = true
-		setMember(s.withdrawn, order.Replica, order.Ejected)
+		s.fleetEjectionsChanged = true
+		setMember(s.fleetEjections, order.Replica, order.Ejected)
 	case rules.PairEjection:
 		s.eject(order)
 	case rules.AckRequest:
-		s.mark = &order
+		s.ackRequest = &order
 	}
 }
 
@@ -155,20 +153,20 @@
 	}
 }
 
-// eject changes the ejections of one proxy.
+// eject ejects or restores a replica for one proxy.
 func (s *routingState) eject(order rules.PairEjection) {
 	proxy := s.proxies[order.Proxy]
 	if proxy == nil {
 		return
 	}
-	if proxy.ejections == nil {
-		proxy.ejections = map[rules.ReplicaID]bool{}
+	if proxy.pairEjections == nil {
+		proxy.pairEjections = map[rules.ReplicaID]bool{}
 	}
-	proxy.ejectionsChanged = true
-	setMember(proxy.ejections, order.Replica, order.Ejected)
+	proxy.pairEjectionsChanged = true
+	setMember(proxy.pairEjections, order.Replica, order.Ejected)
 }
 
-// setMember adds a replica to a set, or removes it.
+// setMember adds a replica to a set or removes it.
 func setMember(set map[rules.ReplicaID]bool, replica rules.ReplicaID, isMember bool) {
 	if isMember {
 		set[replica] = true
@@ -177,19 +175,19 @@
 	delete(set, replica)
 }
 
-// Forget drops the state of a replica that is gone.
+// Forget drops the state of a replica that has been removed.
 func (s *routingState) Forget(r rules.ReplicaID) {
-	delete(s.withdrawn, r)
+	delete(s.fleetEjections, r)
 	for _, proxy := range s.proxies {
-		delete(proxy.ejected, r)
-		delete(proxy.seen, r)
-		delete(proxy.ejections, r)
+		delete(proxy.sentEjections, r)
+		delete(proxy.weighted, r)
+		delete(proxy.pairEjections, r)
 	}
 }
 
-// isUnchanged reports whether the step has changed nothing for a proxy.
+// isUnchanged reports whether the step has no changes for a proxy.
 func (s *routingState) isUnchanged(proxy *proxyState) bool {
-	if proxy.newlyBound != 0 || proxy.ejectionsChanged || s.withdrawalsChanged || s.tableChanged(rules.AllTables) {
+	if proxy.newlyBound != 0 || proxy.pairEjectionsChanged || s.fleetEjectionsChanged || s.tableChanged(rules.AllTables) {
 		return false
 	}
 	for _, table := range proxy.table {
@@ -205,15 +203,15 @@
 	return t != nil && (t.cleared || t.changedLevels != 0 || len(t.changedWeights) > 0)
 }
 
-// admission returns the admission of a group: the lower of its table's level and that for all tables, and the table's own
-// way to retry.
+// admission returns the admission level of a group, the lower of its table's level and that for all tables, with the retry
+// policy of its table.
 func (s *routingState) admission(t *table, g rules.GroupID) (rules.Admit, bool) {
-	own, has := t.levels[g]
-	all, both := s.table(rules.AllTables).levels[g]
-	if !has {
-		return all, both
+	own, hasOwn := t.levels[g]
+	all, hasAll := s.table(rules.AllTables).levels[g]
+	if !hasOwn {
+		return all, hasAll
 	}
-	if both {
+	if hasAll {
 		own.Level = min(own.Level, all.Level)
 	}
 	return own, true
--- a/internal/governor/clients/server.go
+++ b/internal/governor/clients/server.go
@@ -1,5 +1,5 @@
-// Package clients serves the proxies and collectors: it has their connections, the codec of their protocol, and the routing
-// state of each proxy.
+// Package clients serves the connections of proxies and collectors. It decodes and encodes their protocol and tracks the
+// routing state of each proxy.
 package clients
 
 import (
@@ -19,46 +19,44 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Categories of counts, which are keys of the log.
+// Categories of counts, which are log keys.
 const (
 	skippedMessages   counts.Category = "passed over" // invalid messages on connections that have joined
 	unidentifiedConns counts.Category = "strangers"   // connections that ended without a join
-	delayedMessages   counts.Category = "held back"   // messages of streams over their rate limit
+	delayedMessages   counts.Category = "held back"   // messages of streams that exceed their rate limit
 	refusedConns      counts.Category = "refused"     // connections that were not accepted
 )
 
-// readBurstSeconds is the burst of a stream's rate limit: it may bring the bytes of so many seconds at once, as after the
-// proxy was suspended.
+// readBurstSeconds is the burst of a stream's rate limit, in seconds of its rate. It lets a proxy that was suspended catch up.
 const readBurstSeconds = 4
 
-// Server serves the connections of proxies and collectors. Accept, Execute and Forget belong to the deciding goroutine.
+// Server serves the connections of proxies and collectors. Accept, Execute and Forget may be called only by the event loop.
 type Server struct {
 	routingState
 	codec                codec
 	bounds               config.Bounds
-	streamBytesPerSecond int // rate limit of reading a stream; 0: none
+	streamBytesPerSecond int // rate limit for reading from a stream; 0: none
 	log                  zerolog.Logger
 	counts               *counts.Counter
 
 	inbox       Inbox
-	unsentBytes atomic.Int64 // of all connections
-
-	mu         sync.Mutex
-	conns      map[*conn]struct{}
-	connClosed chan struct{} // a connection has been removed
-	collectors map[rules.ZoneID][]*conn
-	closing    chan struct{}
-	handlers   sync.WaitGroup
+	unsentBytes atomic.Int64 // total of all connections
+	mu          sync.Mutex
+	conns       map[*conn]struct{}
+	connClosed  chan struct{} // signals that a connection has been removed
+	collectors  map[rules.ZoneID][]*conn
+	closing     chan struct{}
+	handlers    sync.WaitGroup
 }
 
-// Inbox takes the events of connections. Post waits for room; TryPost does not, and reports whether there was any.
+// Inbox receives the events of connections. Post blocks while the queue is full; TryPost reports false instead.
 type Inbox interface {
 	eventqueue.ReplicaNames
 	Post(eventqueue.Input)
 	TryPost(eventqueue.Input) bool
 }
 
-// New returns a Server without connections.
+// New returns a Server that accepts no connections before Serve.
 func New(c config.Config, log zerolog.Logger, inbox Inbox, counter *counts.Counter) *Server {
 	return &Server{
 		routingState:         newRoutingState(len(c.Settings.Groups)),
@@ -75,8 +73,8 @@
 	}
 }
 
-// Serve accepts connections until the listener is closed. When that fails for another reason, as when there are no more
-// descriptors, it tries again after a delay.
+// Serve accepts connections until the listener is closed. After any other error, such as running out of file descriptors, it
+// retries after AcceptRetryDelay.
 func (s *Server) Serve(l net.Listener) {
 	go s.logCounts()
 	for {
@@ -92,7 +90,7 @@
 	}
 }
 
-// logCounts logs what was counted, a line at intervals.
+// logCounts logs the counts every CountLogInterval.
 func (s *Server) logCounts() {
 	for {
 		select {
@@ -104,7 +102,7 @@
 	}
 }
 
-// addConn starts a connection as soon as there is room for it, and closes it where there will be none.
+// addConn starts serving a connection once there is room for it, or closes it if none can be made.
 func (s *Server) addConn(netConn net.Conn) {
 	c := &conn{Conn: netConn, server: s, role: roleUnidentified, acceptedAt: time.Now()}
 	if s.streamBytesPerSecond > 0 {
@@ -120,8 +118,8 @@
 	s.handlers.Go(c.readLoop)
 }
 
-// lockWithRoom waits until there is room for another connection and returns with mu locked. It returns false, without the
-// lock, where there will be no room, or the server is closing.
+// lockWithRoom waits until there is room for another connection and returns true with mu locked. It returns false without the
+// lock if no room can be made or the server is closing.
 func (s *Server) lockWithRoom() bool {
 	for {
 		s.mu.Lock()
@@ -155,7 +153,7 @@
 	}
 }
 
-// removeConn forgets a connection that has ended.
+// removeConn removes a closed connection.
 func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,7 +167,7 @@
 	}
 }
 
-// Close ends all connections and returns when all goroutines have ended.
+// Close closes all connections and waits for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	close(s.closing)
@@ -181,44 +179,44 @@
 	s.counts.Log(s.log)
 }
 
-// Accept updates the state of a proxy with an event of a connection and reports whether the event is current. A new stream
-// of a proxy replaces the old one at once; what the old one still sends, its end too, is ignored.
+// Accept updates the state of a proxy with an input from a connection and reports whether the input is current. A new stream
+// of a proxy replaces the old one at once, and later inputs from the old one, including its end, are not current.
 func (s *Server) Accept(e eventqueue.Input) bool {
 	c := e.Connection.(*conn)
 	if e.Batch != nil {
 		proxy := s.proxies[e.Batch.Proxy]
 		return proxy != nil && proxy.conn == c
 	}
-	switch fact := e.Event.(type) {
+	switch event := e.Event.(type) {
 	case rules.Joined:
-		if proxy := s.proxies[fact.Proxy]; proxy != nil {
+		if proxy := s.proxies[event.Proxy]; proxy != nil {
 			proxy.conn.closeWith("replaced by a new stream", "")
-			s.removeProxy(fact.Proxy, proxy.conn.closeReason())
+			s.removeProxy(event.Proxy, proxy.conn.closeReason())
 		}
-		s.addProxy(fact, c)
-		s.log.Info().Uint16("proxy", uint16(fact.Proxy)).Bool("fresh", fact.Fresh).Msg("join")
+		s.addProxy(event, c)
+		s.log.Info().Uint16("proxy", uint16(event.Proxy)).Bool("fresh", event.Fresh).Msg("join")
 	case rules.Left:
-		proxy := s.proxies[fact.Proxy]
+		proxy := s.proxies[event.Proxy]
 		if proxy == nil || proxy.conn != c {
 			return false
 		}
-		s.removeProxy(fact.Proxy, c.closeReason())
+		s.removeProxy(event.Proxy, c.closeReason())
 	case rules.Applied:
-		proxy := s.proxies[fact.Proxy]
+		proxy := s.proxies[event.Proxy]
 		return proxy != nil && proxy.conn == c
 	case rules.GroupTraffic:
-		return s.proxies[fact.Proxy] != nil
+		return s.proxies[event.Proxy] != nil
 	}
 	return true
 }
 
-// removeProxy drops a proxy and logs its leave.
+// removeProxy deletes a proxy and logs that it left.
 func (s *Server) removeProxy(id rules.ProxyID, reason closeReason) {
 	reason.log(s.log.Info().Uint16("proxy", uint16(id)))
-	s.dropProxy(id)
+	s.deleteProxy(id)
 }
 
-// Execute writes the orders of one step, as one message to each proxy concerned. It never waits for a peer.
+// Execute sends the orders of one step, as one message to each proxy concerned. It never blocks on a peer.
 func (s *Server) Execute(orders []rules.Order) {
 	for _, o := range orders {
 		s.apply(o)
--- a/internal/governor/clients/write.go
+++ b/internal/governor/clients/write.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// sendMarked sends a message whose version is to be acknowledged.
-func (c *conn) sendMarked(message []byte, version uint16) {
+// sendWithAckRequest sends a message that the peer must acknowledge with the version.
+func (c *conn) sendWithAckRequest(message []byte, version uint16) {
 	c.mu.Lock()
 	var err error
 	if c.unacknowledged = append(c.unacknowledged, version); len(c.unacknowledged) == 1 {
 		err = c.SetReadDeadline(time.Now().Add(c.server.bounds.AcknowledgeTimeout))
 	}
 	c.mu.Unlock()
-	if err == nil { // otherwise the connection has ended
+	if err == nil { // otherwise the connection is closed
 		c.send(message)
 	}
 }
 
-// send queues a message for the peer and never waits. A peer that does not read is disconnected.
+// send queues a message for the peer and never blocks. A peer whose unsent messages exceed the limit is disconnected.
 func (c *conn) send(message []byte) {
 	c.mu.Lock()
 	if c.closed {
@@ -43,7 +43,7 @@
 	}
 }
 
-// writeLoop writes what is pending until nothing is.
+// writeLoop writes pending messages until there are none.
 func (c *conn) writeLoop() {
 	for {
 		c.mu.Lock()
@@ -72,11 +72,11 @@
 	}
 }
 
-// releaseUnsent takes bytes off the counts of unsent ones.
+// releaseUnsent subtracts written bytes from the counts of unsent bytes.
 func (c *conn) releaseUnsent(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.closed { // otherwise closeWith has done so
+	if !c.closed { // otherwise closeWith has subtracted them
 		c.unsentBytes -= n
 		c.server.unsentBytes.Add(int64(-n))
 	}
