--- a/internal/governor/discoveryclient/answer.go
+++ b/internal/governor/discoveryclient/answer.go
@@ -11,17 +11,17 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Version is the number that discovery gives to a state of the endpoint list.
+// Version is discovery's version number of the endpoint list.
 type Version uint64
 
-// answer is an endpoint list, or changes of it, in the JSON form of discovery.
+// answer is an endpoint list, or changes to it, as discovery encodes it in JSON.
 type answer struct {
 	Version *Version      `json:"version"`
 	Full    bool          `json:"full"`
 	Servers []serverEntry `json:"servers"`
 }
 
-// serverEntry is one replica of an answer.
+// serverEntry is one replica in an answer.
 type serverEntry struct {
 	ID        string   `json:"id"`
 	Zone      string   `json:"zone"`
@@ -34,11 +34,11 @@
 
 var stateByName = map[string]rules.State{"ready": rules.Ready, "draining": rules.Draining, "gone": rules.Deregistered}
 
-// decodeAnswer decodes an answer and validates all of it before any is used, so that an invalid one changes nothing.
+// decodeAnswer decodes and validates a whole answer, so that no part of an invalid one is used.
 func decodeAnswer(text []byte) (answer, error) {
 	var a answer
 	if err := json.Unmarshal(text, &a); err != nil {
-		return answer{}, fmt.Errorf("the list is not the expected JSON: %w", err)
+		return answer{}, fmt.Errorf("decoding the endpoint list: %w", err)
 	}
 	if a.Version == nil {
 		return answer{}, errors.New("the list lacks version")
@@ -46,20 +46,20 @@
 	for _, s := range a.Servers {
 		switch _, ok := stateByName[s.State]; {
 		case s.ID == "":
-			return answer{}, errors.New("an entry of the list lacks id")
+			return answer{}, errors.New("a list entry lacks id")
 		case !ok:
 			return answer{}, fmt.Errorf("%s: unknown state %q", s.ID, s.State)
 		case s.Weight != nil && *s.Weight < 0:
-			return answer{}, fmt.Errorf("%s: a weight below 0", s.ID)
+			return answer{}, fmt.Errorf("%s: negative weight %v", s.ID, *s.Weight)
 		case s.StartedMS < 0 || s.StartedMS > math.MaxInt64/int64(time.Millisecond):
-			return answer{}, fmt.Errorf("%s: impossible started_ms %d", s.ID, s.StartedMS)
+			return answer{}, fmt.Errorf("%s: started_ms %d is out of range", s.ID, s.StartedMS)
 		}
 	}
 	return a, nil
 }
 
-// toRules converts a valid answer into an event of package rules and numbers its replicas. A zone or kind that the settings
-// lack gets the index after the last one.
+// toRules converts a valid answer to an event of package rules and assigns IDs to its replicas. A zone or kind that is not in
+// the settings gets the index after the last one.
 func (c *Client) toRules(a answer) rules.List {
 	list := rules.List{Scope: rules.Changes}
 	if a.Full {
@@ -84,10 +84,10 @@
 	return list
 }
 
-// indexOrLen returns the index of a name, or that after the last one.
-func indexOrLen(in []string, name string) int {
-	if i := slices.Index(in, name); i >= 0 {
+// indexOrLen returns the index of name in names, or len(names) if it is not there.
+func indexOrLen(names []string, name string) int {
+	if i := slices.Index(names, name); i >= 0 {
 		return i
 	}
-	return len(in)
+	return len(names)
 }
--- a/internal/governor/discoveryclient/client.go
+++ b/internal/governor/discoveryclient/client.go
@@ -1,5 +1,5 @@
-// Package discoveryclient is the client of discovery: it requests the endpoint list, follows its changes, and keeps the
-// numbers by which the rules know replicas.
+// Package discoveryclient is the client of service discovery. It requests the endpoint list, watches its changes, and maps
+// replica names to the IDs that package rules uses.
 package discoveryclient
 
 import (
@@ -19,8 +19,8 @@
 // serversPath is the resource of the endpoint list.
 const serversPath = "/v1/servers"
 
-// Client requests the endpoint list when it is told to and posts each answer as an event. Its methods may be called
-// concurrently, but for LoadKnown and Restore, which come before all others.
+// Client requests the endpoint list on demand and posts each answer as an event. Its methods may be called concurrently,
+// except LoadCachedList and Restore, which must be called before all others.
 type Client struct {
 	nameTable
 	zones, kinds []string
@@ -31,17 +31,17 @@
 	dial         dialFunc
 	running      sync.WaitGroup // requests and watches
 
-	postMu       sync.Mutex         // held while an answer is taken in and posted, so that posts keep the order of versions
-	mu           sync.Mutex         // guards the following; never held while posting, as post may wait for a caller of Watch
-	endpoint     *endpoint          // at the current address
-	version      Version            // of the list as last posted
+	postMu       sync.Mutex         // held while an answer is applied and posted, so that posts are in the order of versions
+	mu           sync.Mutex         // guards the fields below; not held while posting, as post may wait for a caller of Watch
+	endpoint     *endpoint          // for the current address
+	version      Version            // of the list last posted
 	hasVersion   bool               // changes since version can be requested
-	lastAnswerAt time.Time          // of a valid answer; zero: none yet
+	lastAnswerAt time.Time          // time of the last valid answer; zero: none yet
 	watching     bool               // a watch is wanted and has not failed
-	stopWatch    context.CancelFunc // of the current watch
+	stopWatch    context.CancelFunc // ends the current watch
 }
 
-// New returns a Client whose calls end with ctx. It calls nobody before Watch or Fetch. Answers, and failures too, go to
+// New returns a Client whose requests end with ctx. It makes none before Watch or Fetch. Answers and failures are passed to
 // post, one at a time.
 func New(ctx context.Context, c config.Config, log zerolog.Logger, post func(rules.List)) *Client {
 	client := &Client{
@@ -59,21 +59,21 @@
 	return client
 }
 
-// LoadCachedList takes the list that the configuration brings as the current one and returns it. Without it, or Restore, the
+// LoadCachedList makes the list from the configuration the current one and returns it. Without LoadCachedList or Restore, the
 // first request is for the full list.
 func (c *Client) LoadCachedList(text []byte) (rules.List, error) {
-	known, err := decodeAnswer(text)
+	cached, err := decodeAnswer(text)
 	if err != nil {
 		return rules.List{}, fmt.Errorf("known: %w", err)
 	}
-	c.version, c.hasVersion = *known.Version, true
-	list := c.toRules(known)
+	c.version, c.hasVersion = *cached.Version, true
+	list := c.toRules(cached)
 	list.Scope = rules.Cached
 	return list, nil
 }
 
-// Restore takes over what the previous process has kept: the replicas' numbers, and the version whose changes are
-// requested.
+// Restore restores the IDs of replicas and the list version from the state of a previous process, so that only changes since
+// that version are requested.
 func (c *Client) Restore(state recovery.State) {
 	for _, replica := range state.Replicas {
 		c.restoreID(replica.Name, replica.Entry.Replica)
@@ -82,14 +82,14 @@
 	c.version, c.hasVersion = Version(state.Version), true
 }
 
-// ListStatus returns the version of the list as last posted, and the time of the last valid answer, zero if there was none.
+// ListStatus returns the version of the list last posted and the time of the last valid answer, zero if there was none.
 func (c *Client) ListStatus() (Version, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.version, c.lastAnswerAt
 }
 
-// Watch begins to follow changes of the list, in place of any earlier watch, or ends that.
+// Watch starts watching changes of the list, replacing any earlier watch, or stops watching.
 func (c *Client) Watch(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,8 +107,8 @@
 	}
 }
 
-// SetAddress changes the address of discovery at once. Requests to the previous address are abandoned; a watch goes on at
-// the new one from the current version, so that no change in between is missed.
+// SetAddress changes the address of discovery. Requests to the previous address are canceled. A watch continues at the new
+// address from the current version, so that no changes are missed.
 func (c *Client) SetAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,7 +119,7 @@
 	}
 }
 
-// Fetch requests the full list once, and again where the address changes meanwhile. It does not wait for the answer.
+// Fetch requests the full list, and repeats the request if the address changes meanwhile. It does not wait for the answer.
 func (c *Client) Fetch() {
 	c.running.Add(1)
 	go func() {
@@ -135,11 +135,11 @@
 	}()
 }
 
-// Wait returns when all requests have ended, which they do after the context of New has.
+// Wait waits until all requests have ended, which they do once the context passed to New is done.
 func (c *Client) Wait() { c.running.Wait() }
 
-// watchLoop requests what was missed, then makes one blocking request after the other until one fails or ctx ends. The
-// first answer is posted even if it holds no change, as it answers the order to watch.
+// watchLoop requests the changes so far, then makes blocking requests until one fails or ctx is done. The first answer is
+// posted even without changes, because it confirms the order to watch.
 func (c *Client) watchLoop(ctx context.Context, endpoint *endpoint) {
 	defer c.running.Done()
 	for first := true; ; first = false {
@@ -159,7 +159,7 @@
 	}
 }
 
-// current returns the version as last posted, whether there is one, and the endpoint at the current address.
+// current returns the version last posted, whether there is one, and the endpoint for the current address.
 func (c *Client) current() (Version, bool, *endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,12 +170,12 @@
 type response struct {
 	body            []byte
 	err             error
-	requestedAt     Version // the version that was current when the request was made
-	skipIfUnchanged bool    // an answer without changes is not posted
+	requestedAt     Version // version that was current when the request was made
+	skipIfUnchanged bool    // do not post an answer without changes
 }
 
-// handleAnswer takes in the outcome of a request and posts it, and reports whether it was valid. The outcome of a request
-// whose context has ended is ignored: an earlier watch is ended with mu held, so nothing of it can follow.
+// handleAnswer applies and posts the outcome of a request and reports whether it was a valid answer. The outcome of a request
+// whose context is done is ignored. A replaced watch is canceled with mu held, so none of its answers can follow.
 func (c *Client) handleAnswer(ctx context.Context, r response) bool {
 	var decoded answer
 	err := r.err
@@ -199,8 +199,8 @@
 	return true
 }
 
-// advance moves the version to that of an answer. An answer that is older than what has come since would undo it, and so
-// would changes on top of it: both are failures, after which the full list is requested.
+// advance sets the version to that of an answer. An answer older than the current version would undo newer changes, so it is
+// a failure, after which the full list is requested. A full list may be older if no other answer came since the request.
 func (c *Client) advance(ctx context.Context, r response, decoded answer, err error) (ignored bool, failure error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/governor/discoveryclient/client_test.go
+++ b/internal/governor/discoveryclient/client_test.go
@@ -18,7 +18,7 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// action is what the stand-in of discovery does with one request.
+// action is how the fake discovery handles one request.
 type action func(c *Client, w http.ResponseWriter, r *http.Request)
 
 func answers(version int, full bool, servers ...string) action {
@@ -27,21 +27,21 @@
 	}
 }
 
-// after delays an action, unless the client gives up before.
+// after delays an action. It skips the action if the client cancels the request first.
 func after(d time.Duration, a action) action {
-	return func(l *Client, w http.ResponseWriter, r *http.Request) {
+	return func(c *Client, w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(d):
-			a(l, w, r)
+			a(c, w, r)
 		case <-r.Context().Done():
 		}
 	}
 }
 
-// movesTo changes the address while a request to the previous one waits.
+// movesTo changes the address while a request to the previous one is pending.
 func movesTo(address string) action {
-	return func(l *Client, _ http.ResponseWriter, r *http.Request) {
-		l.SetAddress(address)
+	return func(c *Client, _ http.ResponseWriter, r *http.Request) {
+		c.SetAddress(address)
 		<-r.Context().Done()
 	}
 }
@@ -50,16 +50,16 @@
 	return fmt.Sprintf(`{"id":%q,"addr":"10.1.0.18:3000","zone":"b","kind":"m2","cell":3,"state":%q,"weight":1.5,"started_ms":7}`, id, state)
 }
 
-// runWatch has a client watch a discovery that takes these actions, until they are used up, and compares its requests and
-// events with the trace in testdata. After a failure the watch is ordered again a second later. Connections are accepted
-// only after the time down.
+// runWatch runs a client against a fake discovery that takes these actions, one per request, and compares the client's
+// requests and events with the trace in testdata. A second after each failure the watch is started again. Connections are
+// accepted only after the time down.
 func runWatch(t *testing.T, known string, down time.Duration, actions ...action) {
 	t.Helper()
 	var trace strings.Builder
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		lines, failed := make(chan string, 100), make(chan struct{}, 100)
-		l := New(ctx, config.Config{Discovery: "10.2.0.1:8500", Settings: config.Settings{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}},
+		c := New(ctx, config.Config{Discovery: "10.2.0.1:8500", Settings: config.Settings{Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}},
 			Bounds: config.Bounds{DiscoveryWait: 20 * time.Second, DiscoveryCallMargin: 2 * time.Second, MaxDiscoveryBytes: 2000}}, zerolog.Nop(),
 			func(e rules.List) {
 				lines <- fmt.Sprintf("  heard %+v", e)
@@ -68,19 +68,19 @@
 				}
 			})
 		socket := testkit.Listen()
-		l.dial = socket.Dial
-		l.SetAddress("10.2.0.1:8500")
-		begun, connections, over := time.Now(), atomic.Int32{}, atomic.Bool{}
+		c.dial = socket.Dial
+		c.SetAddress("10.2.0.1:8500")
+		start, connections, finished := time.Now(), atomic.Int32{}, atomic.Bool{}
 		s := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			lines <- fmt.Sprintf("%v call %s of %s", time.Since(begun), r.URL, r.Host)
+			lines <- fmt.Sprintf("%v call %s of %s", time.Since(start), r.URL, r.Host)
 			if len(actions) == 0 {
-				over.Store(true)
+				finished.Store(true)
 				<-r.Context().Done()
 				return
 			}
 			a := actions[0]
 			actions = actions[1:]
-			a(l, w, r)
+			a(c, w, r)
 		}), ConnState: func(_ net.Conn, s http.ConnState) {
 			if s == http.StateNew {
 				connections.Add(1)
@@ -88,30 +88,30 @@
 		}}
 		time.AfterFunc(down, func() { _ = s.Serve(socket) })
 		if known != "" {
-			first, err := l.LoadCachedList([]byte(known))
+			first, err := c.LoadCachedList([]byte(known))
 			if err != nil {
 				t.Fatal(err)
 			}
 			fmt.Fprintf(&trace, "known %+v\n", first)
 		}
-		l.Watch(true)
-		for !over.Load() {
-			time.Sleep(100 * time.Millisecond) // on the bubble's clock
+		c.Watch(true)
+		for !finished.Load() {
+			time.Sleep(100 * time.Millisecond) // fake clock
 			synctest.Wait()
 			if len(failed) > 0 {
 				<-failed
-				time.AfterFunc(time.Second, func() { l.Watch(true) })
+				time.AfterFunc(time.Second, func() { c.Watch(true) })
 			}
 		}
 		for len(lines) > 0 {
 			fmt.Fprintln(&trace, <-lines)
 		}
 		fmt.Fprintf(&trace, "%d connections\n", connections.Load())
-		name, found := l.Name(0)
-		id, back := l.ID([]byte(name))
+		name, found := c.Name(0)
+		id, back := c.ID([]byte(name))
 		fmt.Fprintf(&trace, "first name %q %v, back to %d %v\n", name, found, id, back)
 		cancel()
-		l.Wait()
+		c.Wait()
 		testkit.Close(t, &s)
 	})
 	testkit.CompareTrace(t, trace.String())
@@ -131,14 +131,14 @@
 func TestFailures(t *testing.T) {
 	status := func(_ *Client, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	reset := func(*Client, http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
-	cut := func(_ *Client, w http.ResponseWriter, _ *http.Request) {
+	truncated := func(_ *Client, w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "500")
 		_, _ = w.Write([]byte(`{"version":42,"full":true,"servers":[`))
 		panic(http.ErrAbortHandler)
 	}
-	words := func(_ *Client, w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "no list") }
+	notJSON := func(_ *Client, w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "no list") }
 	long := answers(42, true, strings.Repeat(" ", 3000))
-	runWatch(t, known, 0, status, reset, cut, words, long, after(30*time.Second, status), answers(42, false, `{"id":"s-9","state":"lost"}`),
+	runWatch(t, known, 0, status, reset, truncated, notJSON, long, after(30*time.Second, status), answers(42, false, `{"id":"s-9","state":"lost"}`),
 		answers(42, false, server("s-3", "ready")))
 }
 
@@ -151,16 +151,16 @@
 	runWatch(t, known, 20500*time.Millisecond, answers(42, false, server("s-2", "ready")))
 }
 
-// TestMove changes the address before the first answer, while a request waits, twice in a row, and while the full list is
-// requested: no change in between is missed, and answers of the previous address are ignored.
+// TestMove changes the address before the first answer, during a request, twice in a row, and during a request for the full
+// list: no change is missed, and answers from the previous address are ignored.
 func TestMove(t *testing.T) {
-	twice := func(l *Client, w http.ResponseWriter, r *http.Request) {
-		l.SetAddress("10.2.0.8:8500")
-		l.SetAddress("10.2.0.9:8500")
-		answers(70, true)(l, w, r)
+	twice := func(c *Client, w http.ResponseWriter, r *http.Request) {
+		c.SetAddress("10.2.0.8:8500")
+		c.SetAddress("10.2.0.9:8500")
+		answers(70, true)(c, w, r)
 	}
-	failed := func(l *Client, w http.ResponseWriter, _ *http.Request) {
-		time.AfterFunc(500*time.Millisecond, l.Fetch)
+	failed := func(c *Client, w http.ResponseWriter, _ *http.Request) {
+		time.AfterFunc(500*time.Millisecond, c.Fetch)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	runWatch(t, known, 0, movesTo("10.2.0.2:8500"), answers(42, false, server("s-2", "ready")), after(time.Second, movesTo("10.2.0.4:8500")),
@@ -168,32 +168,32 @@
 		answers(45, false, server("s-3", "ready")))
 }
 
-// TestForget has replicas come under ever new names: only listed ones are held, and one that is listed again before the
-// order to forget it arrives keeps its number.
+// TestForget checks that memory is kept only for listed replicas, and that a replica that is listed again before the order to
+// forget it arrives keeps its ID.
 func TestForget(t *testing.T) {
-	l := Client{nameTable: newNameTable()}
-	hear := func(full bool, id string, state string) rules.ReplicaID {
-		return l.toRules(answer{Full: full, Servers: []serverEntry{{ID: id, State: state}}}).Entries[0].Replica
+	c := Client{nameTable: newNameTable()}
+	apply := func(full bool, id string, state string) rules.ReplicaID {
+		return c.toRules(answer{Full: full, Servers: []serverEntry{{ID: id, State: state}}}).Entries[0].Replica
 	}
-	back := hear(false, "s-back", "ready")
+	returning := apply(false, "s-back", "ready")
 	for i := range 1000 {
 		name := fmt.Sprint("s-", i)
-		id := hear(i%2 == 0, name, "ready")
+		id := apply(i%2 == 0, name, "ready")
 		if i%2 == 1 {
-			hear(false, name, "gone")
-			l.Forget(id)
+			apply(false, name, "gone")
+			c.Forget(id)
 		}
 	}
-	l.Forget(back)
+	c.Forget(returning)
 	for id := range rules.ReplicaID(998) {
-		l.Forget(id)
+		c.Forget(id)
 	}
-	id := hear(false, "s-back", "ready")
-	hear(false, "s-back", "gone")
-	again := hear(false, "s-back", "draining")
-	l.Forget(id)
-	name, held := l.Name(id)
-	if len(l.idByName) != 2 || len(l.replicas) != 2 || !held || name != "s-back" || again != id || id == back {
-		t.Error(l.idByName, l.replicas, name, held, again, id, back)
+	id := apply(false, "s-back", "ready")
+	apply(false, "s-back", "gone")
+	again := apply(false, "s-back", "draining")
+	c.Forget(id)
+	name, held := c.Name(id)
+	if len(c.idByName) != 2 || len(c.replicas) != 2 || !held || name != "s-back" || again != id || id == returning {
+		t.Error(c.idByName, c.replicas, name, held, again, id, returning)
 	}
 }
--- a/internal/governor/discoveryclient/endpoint.go
+++ b/internal/governor/discoveryclient/endpoint.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// maxHeaderBytes bounds the headers of an answer.
+// maxHeaderBytes limits the headers of an answer.
 const maxHeaderBytes = 64 << 10
 
-var errAnswerTooLong = errors.New("the answer is too long")
+var errAnswerTooLong = errors.New("the answer exceeds the size limit")
 
 // dialFunc opens a connection, as net.Dialer.DialContext does.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// endpoint makes requests to discovery at one address through an in-process reverse proxy. completeTransport is all that
-// touches the network, so that a caller never sees a partial answer.
+// endpoint makes requests to discovery at one address through an in-process reverse proxy. All network access goes through
+// completeTransport, so that callers never see a partial answer.
 type endpoint struct {
 	proxy     *httputil.ReverseProxy
 	transport *completeTransport
-	ctx       context.Context // ends when the address changes
+	ctx       context.Context // canceled when the address changes
 	close     context.CancelFunc
 }
 
@@ -47,7 +47,7 @@
 	}}
 }
 
-// get returns the body of an answer with status 200 that has arrived completely within timeout.
+// get returns the body of an answer that has status 200 and arrives completely within timeout.
 func (e *endpoint) get(ctx context.Context, target string, timeout time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -67,8 +67,8 @@
 	return w.body.Bytes(), nil
 }
 
-// completeTransport is a round tripper that returns complete answers only. It guards against bodies that are truncated,
-// that are longer than maxBytes, or that never end.
+// completeTransport is a round tripper that returns only complete answers. It rejects bodies that are truncated or longer than
+// maxBytes.
 type completeTransport struct {
 	base     *http.Transport
 	maxBytes int64
@@ -80,10 +80,10 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = res.Body.Close() }() // the body has been read, or is given up
+	defer func() { _ = res.Body.Close() }() // nothing more is read
 	body, err := io.ReadAll(io.LimitReader(res.Body, t.maxBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("the answer is cut: %w", err)
+		return nil, fmt.Errorf("reading the answer: %w", err)
 	}
 	if int64(len(body)) > t.maxBytes {
 		return nil, errAnswerTooLong
@@ -92,7 +92,7 @@
 	return res, nil
 }
 
-// bufferedReply is the http.ResponseWriter that the reverse proxy answers to.
+// bufferedReply is the http.ResponseWriter that collects the answer from the reverse proxy.
 type bufferedReply struct {
 	header http.Header
 	status int
--- a/internal/governor/discoveryclient/replicanames.go
+++ b/internal/governor/discoveryclient/replicanames.go
@@ -6,9 +6,8 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// nameTable assigns a number to each listed replica. A replica that has left the list keeps its name until Forget, as its
-// removals must still be written by name. Numbers are never reused, so that late reports can't be taken for another
-// replica's.
+// nameTable assigns an ID to each listed replica. A replica that has left the list keeps its name until Forget, because its
+// removal is still sent by name. IDs are never reused, so that a late report is not attributed to another replica.
 type nameTable struct {
 	tableMu  sync.RWMutex
 	idByName map[string]rules.ReplicaID
@@ -18,14 +17,14 @@
 
 type namedReplica struct {
 	name   string
-	listed bool // in the list as last posted
+	listed bool // in the list last posted
 }
 
 func newNameTable() nameTable {
 	return nameTable{idByName: map[string]rules.ReplicaID{}, replicas: map[rules.ReplicaID]namedReplica{}}
 }
 
-// ID returns the number of the replica with this name.
+// ID returns the ID of the replica with this name.
 func (t *nameTable) ID(name []byte) (rules.ReplicaID, bool) {
 	t.tableMu.RLock()
 	defer t.tableMu.RUnlock()
@@ -41,8 +40,7 @@
 	return replica.name, ok
 }
 
-// Forget releases the name of a replica that is gone. A replica that has been listed again meanwhile keeps it: the order
-// to forget was given before that was known.
+// Forget releases the name of a removed replica, unless the replica has been listed again since the order was given.
 func (t *nameTable) Forget(id rules.ReplicaID) {
 	t.tableMu.Lock()
 	defer t.tableMu.Unlock()
@@ -52,28 +50,28 @@
 	}
 }
 
-// NextReplicaID returns the number that the next new replica gets.
+// NextReplicaID returns the ID that the next new replica gets.
 func (t *nameTable) NextReplicaID() rules.ReplicaID {
 	t.tableMu.RLock()
 	defer t.tableMu.RUnlock()
 	return t.nextID
 }
 
-// restoreID gives a replica the number that it had in the previous process.
+// restoreID assigns a replica the ID that it had in the previous process.
 func (t *nameTable) restoreID(name string, id rules.ReplicaID) {
 	t.tableMu.Lock()
 	defer t.tableMu.Unlock()
 	t.idByName[name], t.replicas[id], t.nextID = id, namedReplica{name, true}, max(t.nextID, id+1)
 }
 
-// reserveBelow keeps new replicas from getting a number below next.
+// reserveBelow prevents new replicas from getting an ID below next.
 func (t *nameTable) reserveBelow(next rules.ReplicaID) {
 	t.tableMu.Lock()
 	defer t.tableMu.Unlock()
 	t.nextID = max(t.nextID, next)
 }
 
-// idFor returns the number of a replica that an answer names, a new one if it has none.
+// idFor returns the ID of a replica in an answer, and assigns one if it has none.
 func (t *nameTable) idFor(name string, listed bool) rules.ReplicaID {
 	t.tableMu.Lock()
 	defer t.tableMu.Unlock()
@@ -87,7 +85,7 @@
 	return id
 }
 
-// markAllUnlisted precedes a full list: what that does not name is gone.
+// markAllUnlisted marks all replicas as not listed. It is called before a full list is applied.
 func (t *nameTable) markAllUnlisted() {
 	t.tableMu.Lock()
 	defer t.tableMu.Unlock()
--- a/internal/governor/eventqueue/queue.go
+++ b/internal/governor/eventqueue/queue.go
@@ -1,5 +1,5 @@
-// Package eventqueue connects the network code with the goroutine that decides: events of proxies, collectors, machines
-// and discovery go in, and the orders of each step go back to those that carry them out.
+// Package eventqueue connects the network code to the event loop. It queues the inputs from proxies, collectors, collectd and
+// discovery, and dispatches the orders of each step to the components that execute them.
 package eventqueue
 
 import (
@@ -9,56 +9,55 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Input is one input of the deciding goroutine: a fact, or in its place a batch of a proxy's reports or load reports of
-// machines.
+// Input is one input of the event loop. It holds an event, a batch or load reports.
 type Input struct {
-	Connection any                  // of the client side, by which it came; nil where it came by none
-	Event      rules.Event          // a join, a leave, an acknowledgement, sums, or an answer of discovery
-	Batch      *intake.Batch        // reports of a single proxy
-	Loads      []intake.MachineLoad // load reports of machines
-	ReceivedAt time.Time            // of a report
+	Connection any                  // client connection that it came from; nil: none
+	Event      rules.Event          // a join, leave, acknowledgement, statistics, or an answer of discovery
+	Batch      *intake.Batch        // statistics of a single proxy
+	Loads      []intake.MachineLoad // load reports from collectd
+	ReceivedAt time.Time            // set for reports
 }
 
-// isReport reports whether an event may wait behind all others. Joins, leaves, acknowledgements and the endpoint list may
-// not: a drain must take effect however much is reported.
-func (e Input) isReport() bool {
-	switch e.Event.(type) {
+// isReport reports whether an input may wait behind all others. Joins, leaves, acknowledgements and the endpoint list may not,
+// so that a drain takes effect under any load of reports.
+func (in Input) isReport() bool {
+	switch in.Event.(type) {
 	case nil, rules.EndpointStats, rules.GroupTraffic:
 		return true
 	}
 	return false
 }
 
-// Clients are the connections of proxies and collectors. Only the deciding goroutine calls them.
+// Clients serves the connections of proxies and collectors. Its methods are called only by the event loop.
 type Clients interface {
-	// Accept updates the state of a proxy with an event and reports whether the event is current: what a replaced
-	// stream still sends is not.
+	// Accept updates the state of a proxy with an input and reports whether the input is current. Inputs from a stream
+	// that has been replaced are not.
 	Accept(Input) bool
-	// Execute writes the orders of one step to the proxies concerned.
+	// Execute sends the orders of one step to the proxies concerned.
 	Execute([]rules.Order)
-	// Forget drops the state of a replica that is gone.
+	// Forget drops the state of a replica that has been removed.
 	Forget(rules.ReplicaID)
 }
 
-// ReplicaNames maps the names that discovery gives to replicas to the numbers that the rules use, and back.
+// ReplicaNames maps replica names, as discovery gives them, to replica IDs and back.
 type ReplicaNames interface {
 	ID(name []byte) (rules.ReplicaID, bool)
 	Name(rules.ReplicaID) (string, bool)
 }
 
-// Discovery is the client of discovery. Its answers are posted as events.
+// Discovery is the client of service discovery. Its answers are posted as events.
 type Discovery interface {
 	ReplicaNames
-	// Watch begins to follow changes of the endpoint list, or ends that.
+	// Watch starts or stops watching changes of the endpoint list.
 	Watch(on bool)
 	// Fetch requests the full endpoint list once.
 	Fetch()
-	// Forget releases the name of a replica that is gone.
+	// Forget releases the name of a replica that has been removed.
 	Forget(rules.ReplicaID)
 }
 
-// Queue carries events to the one goroutine that decides and dispatches its orders. Reports have a lane of their own, so
-// that nothing else ever waits behind them.
+// Queue carries inputs to the event loop and dispatches its orders. Reports have a queue of their own, so that they never
+// delay other inputs.
 type Queue struct {
 	urgent, reports chan Input
 	closed          chan struct{}
@@ -66,7 +65,7 @@
 	discovery       Discovery
 }
 
-// New returns a Queue that holds up to capacity reports and as many other events.
+// New returns a Queue that holds up to capacity reports and as many other inputs.
 func New(capacity int) *Queue {
 	return &Queue{
 		urgent:  make(chan Input, capacity),
@@ -75,61 +74,61 @@
 	}
 }
 
-// Connect sets who carries out orders. It must be called once, before any other method.
+// Connect sets the components that execute orders. It must be called once, before any other method.
 func (q *Queue) Connect(clients Clients, discovery Discovery) {
 	q.clients, q.discovery = clients, discovery
 }
 
-// Close releases all callers that wait in Post. It must be called once.
+// Close unblocks all callers of Post. It must be called once.
 func (q *Queue) Close() { close(q.closed) }
 
-func (q *Queue) channelFor(e Input) chan Input {
-	if e.isReport() {
+func (q *Queue) channelFor(in Input) chan Input {
+	if in.isReport() {
 		return q.reports
 	}
 	return q.urgent
 }
 
-// Post enqueues an event. It waits while the event's lane is full, which is the back pressure on peers that send too much:
-// meanwhile they are not read from. After Close it waits no longer and drops what has no room.
-func (q *Queue) Post(e Input) {
+// Post enqueues an input. It blocks while the queue is full, which applies back pressure: the caller's connection is not read
+// meanwhile. After Close it does not block and drops inputs that have no room.
+func (q *Queue) Post(in Input) {
 	select {
-	case q.channelFor(e) <- e:
+	case q.channelFor(in) <- in:
 	case <-q.closed:
 	}
 }
 
-// TryPost enqueues an event unless its lane is full, and reports whether it did. It is for the reports on proxies'
-// streams: acknowledgements come behind them on the same stream and must not be delayed.
-func (q *Queue) TryPost(e Input) bool {
+// TryPost enqueues an input unless the queue is full, and reports whether it did. It is used for reports on proxies' streams,
+// where blocking would delay the acknowledgements that follow.
+func (q *Queue) TryPost(in Input) bool {
 	select {
-	case q.channelFor(e) <- e:
+	case q.channelFor(in) <- in:
 		return true
 	default:
 		return false
 	}
 }
 
-// Urgent is the lane of all events but reports.
+// Urgent returns the queue of all inputs except reports.
 func (q *Queue) Urgent() <-chan Input { return q.urgent }
 
-// Reports is the lane of reports.
+// Reports returns the queue of reports.
 func (q *Queue) Reports() <-chan Input { return q.reports }
 
-// FilterCurrent has the client side take note of the events of its connections and returns those that are current. It reuses
-// the slice.
-func (q *Queue) FilterCurrent(events []Input) []Input {
-	current := events[:0]
-	for _, e := range events {
-		if e.Connection == nil || q.clients.Accept(e) {
-			current = append(current, e)
+// FilterCurrent passes the inputs from connections to Clients.Accept and returns the inputs that are current. It reuses the
+// slice.
+func (q *Queue) FilterCurrent(inputs []Input) []Input {
+	current := inputs[:0]
+	for _, in := range inputs {
+		if in.Connection == nil || q.clients.Accept(in) {
+			current = append(current, in)
 		}
 	}
 	return current
 }
 
-// Dispatch hands the orders of one step to the sides that carry them out and returns those that are the caller's own:
-// timers, log lines, and replicas to forget.
+// Dispatch passes the orders of one step to Clients and Discovery and returns those for the caller: timers, log lines,
+// replicas to forget, and orders that no component executes.
 func (q *Queue) Dispatch(orders []rules.Order) (own []rules.Order) {
 	var routing []rules.Order
 	var forgotten []rules.ReplicaID
@@ -150,14 +149,14 @@
 	if len(routing) > 0 {
 		q.clients.Execute(routing)
 	}
-	for _, replica := range forgotten { // only now: the step's last removals needed their names
+	for _, replica := range forgotten { // last, because Execute needs the names of removed replicas
 		q.clients.Forget(replica)
 		q.discovery.Forget(replica)
 	}
 	return own
 }
 
-// ID returns the number of the replica with this name.
+// ID returns the ID of the replica with this name.
 func (q *Queue) ID(name []byte) (rules.ReplicaID, bool) { return q.discovery.ID(name) }
 
 // Name returns the name of a replica.
--- a/internal/governor/eventqueue/queue_test.go
+++ b/internal/governor/eventqueue/queue_test.go
@@ -10,7 +10,7 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// recorder stands for both sides and records the calls.
+// recorder implements Clients and Discovery and records the calls.
 type recorder struct{ calls []string }
 
 func (r *recorder) record(format string, a ...any) {
@@ -24,29 +24,28 @@
 func (r *recorder) ID([]byte) (rules.ReplicaID, bool)   { return 0, false }
 func (r *recorder) Name(rules.ReplicaID) (string, bool) { return "", false }
 
-// TestDispatch has a replica's last removal in the step that forgets it: the removal is executed before the name is
-// released.
+// TestDispatch checks that a replica's removal is executed before its name is released, when both are ordered in one step.
 func TestDispatch(t *testing.T) {
-	q, sides := New(1), &recorder{}
-	q.Connect(sides, sides)
+	q, components := New(1), &recorder{}
+	q.Connect(components, components)
 	own := q.Dispatch([]rules.Order{rules.WatchList{On: true}, rules.EndpointWeight{Replica: 4}, rules.Forget{Replica: 4}, rules.WakeAfter{TimerID: 1}, rules.FetchList{}})
 	want := []string{"watch true", "fetch", "execute [{Table:0 Replica:4 Weight:0}]", "forget 4", "forget 4"}
-	if d := cmp.Diff(want, sides.calls); d != "" || len(own) != 2 {
+	if d := cmp.Diff(want, components.calls); d != "" || len(own) != 2 {
 		t.Error(d, own)
 	}
 }
 
-// TestReportsDelayNothingElse fills the lane of reports: joins, leaves, acknowledgements and the endpoint list still have
-// room in theirs, and a further report is rejected.
+// TestReportsDelayNothingElse fills the queue of reports: another report is rejected, while joins, leaves, acknowledgements
+// and the endpoint list still have room.
 func TestReportsDelayNothingElse(t *testing.T) {
 	q := New(4)
 	for q.TryPost(Input{Batch: &intake.Batch{}}) {
 	}
 	if q.TryPost(Input{Event: rules.EndpointStats{}}) || q.TryPost(Input{Event: rules.GroupTraffic{}}) {
-		t.Error("a report was accepted by a full lane")
+		t.Error("a report was accepted by a full queue")
 	}
-	for _, fact := range []rules.Event{rules.Joined{}, rules.Left{}, rules.Applied{}, rules.List{}} {
-		q.Post(Input{Event: fact}) // would wait for ever
+	for _, event := range []rules.Event{rules.Joined{}, rules.Left{}, rules.Applied{}, rules.List{}} {
+		q.Post(Input{Event: event}) // blocks forever if reports take the room
 	}
 	if len(q.Urgent()) != 4 || len(q.Reports()) != 4 {
 		t.Error(len(q.Urgent()), len(q.Reports()))
--- a/internal/governor/resp/append.go
+++ b/internal/governor/resp/append.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-const terminator = "\r\n" // of a header and of a bulk string
+const terminator = "\r\n" // ends headers and bulk strings
 
-// Append appends a message of these elements to b.
+// Append appends a message with these elements to b.
 func Append(b []byte, elements ...string) []byte {
 	b = appendHeader(b, '*', len(elements))
 	for _, element := range elements {
--- a/internal/governor/resp/reader.go
+++ b/internal/governor/resp/reader.go
@@ -1,5 +1,5 @@
-// Package resp reads and writes messages in the framing of RESP2, the Redis serialization protocol: arrays of bulk
-// strings, with limits on their size and number.
+// Package resp reads and writes messages in RESP2, the Redis serialization protocol. A message is an array of bulk strings.
+// The reader limits its size and the number of its elements.
 package resp
 
 import (
@@ -13,41 +13,40 @@
 )
 
 const (
-	readChunkBytes   = 4 << 10 // the payload grows by no more than this before the bytes have arrived
-	bufferBytes      = 1 << 10 // small: thousands of streams are open at once, and most of their messages are short
-	maxRetainedBytes = 8 << 10 // of payload memory that is kept for the next message
-	usualElements    = 64      // messages of no more elements need no allocation for their offsets
-	maxHeaderBytes   = 20      // of a header after its prefix; a 64-bit number and CR LF fit
+	readChunkBytes   = 4 << 10 // maximum growth of the payload ahead of the bytes received
+	bufferBytes      = 1 << 10 // small, as thousands of streams are open and most messages are short
+	maxRetainedBytes = 8 << 10 // payload memory reused for the next message
+	usualElements    = 64      // messages with more elements allocate memory for their offsets
+	maxHeaderBytes   = 20      // maximum size of a header after its prefix; a 64-bit number and CR LF fit
 )
 
-// Reader reads messages from a stream. Its memory grows with the bytes that have arrived, not with the sizes that were
-// announced.
+// Reader reads messages from a stream. It allocates memory for bytes received, not for sizes announced in headers.
 type Reader struct {
-	MaxBytes    int // bytes of one message with its framing
-	MaxElements int // bulk strings of one message
+	MaxBytes    int // maximum size of a message, including framing
+	MaxElements int // maximum number of bulk strings in a message
 
 	source    *bufio.Reader
-	remaining int    // bytes that the current message may still have
-	payload   []byte // elements of the current message, one after the other
+	remaining int    // bytes left until the current message exceeds MaxBytes
+	payload   []byte // concatenated elements of the current message
 	elements  [][]byte
-	header    [maxHeaderBytes]byte // buffer of readHeaderLine, to save an allocation a header
+	header    [maxHeaderBytes]byte // buffer of readHeaderLine, saves an allocation per header
 }
 
-// NewReader returns a Reader on source that accepts messages of at most maxBytes and maxElements.
+// NewReader returns a Reader that reads messages of at most maxBytes and maxElements from source.
 func NewReader(source io.Reader, maxBytes, maxElements int) *Reader {
 	return &Reader{MaxBytes: maxBytes, MaxElements: maxElements, source: bufio.NewReaderSize(source, bufferBytes)}
 }
 
-// ProtocolError reports input that is not a message, or one that exceeds a limit. The start of the next message can't be
-// found after it, so the stream is of no further use.
+// ProtocolError reports input that is not a valid message or exceeds a limit. The stream cannot be used afterwards, because
+// the start of the next message is unknown.
 type ProtocolError string
 
 func (e ProtocolError) Error() string { return string(e) }
 
 func protocolErrorf(format string, a ...any) error { return ProtocolError(fmt.Sprintf(format, a...)) }
 
-// Next reads one message and returns its elements, which are valid until the next call. It returns io.EOF only where the
-// input ends between messages, io.ErrUnexpectedEOF where it ends inside one, and a ProtocolError for invalid framing.
+// Next reads one message and returns its elements, which are valid until the next call. It returns io.EOF only if the input
+// ends between messages, io.ErrUnexpectedEOF if it ends inside one, and a ProtocolError for invalid framing.
 func (r *Reader) Next() ([][]byte, error) {
 	if cap(r.payload) > maxRetainedBytes {
 		r.payload = nil
@@ -57,8 +56,8 @@
 	if err != nil {
 		return nil, err
 	}
-	var room [usualElements]int
-	ends := room[:0]
+	var buffer [usualElements]int
+	ends := buffer[:0]
 	for range count {
 		if err = r.readElement(); err != nil {
 			return nil, truncated(err)
@@ -66,14 +65,14 @@
 		ends = append(ends, len(r.payload))
 	}
 	start := 0
-	for _, end := range ends { // sliced only now that the payload no longer moves
+	for _, end := range ends { // sliced only after the payload has stopped growing, which may move it
 		r.elements = append(r.elements, r.payload[start:end:end])
 		start = end
 	}
 	return r.elements, nil
 }
 
-// NextStrings is Next for callers that keep the elements.
+// NextStrings is like Next but returns copies of the elements, which stay valid.
 func (r *Reader) NextStrings() ([]string, error) {
 	elements, err := r.Next()
 	if err != nil {
@@ -86,10 +85,10 @@
 	return strings, nil
 }
 
-// Size returns the number of bytes of the last message, framing included.
+// Size returns the size of the last message in bytes, including framing.
 func (r *Reader) Size() int { return r.MaxBytes - r.remaining }
 
-// truncated converts the end of the input inside a message into io.ErrUnexpectedEOF.
+// truncated converts io.EOF inside a message to io.ErrUnexpectedEOF.
 func truncated(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -124,13 +123,13 @@
 			return err
 		}
 		if got != byte(want) {
-			return protocolErrorf("a word without its end")
+			return protocolErrorf("a bulk string without its terminator")
 		}
 	}
 	return nil
 }
 
-// readHeader reads a line of a prefix byte and a decimal number from 0 to maxValue.
+// readHeader reads a header: a prefix byte and a decimal number in the range 0 to maxValue.
 func (r *Reader) readHeader(prefix byte, maxValue int) (int, error) {
 	got, err := r.source.ReadByte()
 	if err != nil {
@@ -153,7 +152,7 @@
 	return value, nil
 }
 
-// readHeaderLine reads the rest of a header up to and with its line feed.
+// readHeaderLine reads the rest of a header, including its line feed.
 func (r *Reader) readHeaderLine(prefix byte) ([]byte, error) {
 	line := r.header[:0]
 	for len(line) < maxHeaderBytes {
@@ -168,7 +167,7 @@
 	return nil, notANumber(prefix)
 }
 
-// parseHeader reads the number of a header line, which begins with a digit and ends with CR LF.
+// parseHeader parses a header line, which must be a decimal number that starts with a digit, followed by CR LF.
 func parseHeader(line []byte) (value int, valid bool) {
 	digits, terminated := bytes.CutSuffix(line, []byte(terminator))
 	if !terminated || len(digits) == 0 || digits[0] < '0' || digits[0] > '9' {
