--- a/internal/governor/store/benchmark_test.go
+++ b/internal/governor/store/benchmark_test.go
@@ -10,7 +10,7 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// BenchmarkWrite measures a write of 10,000 replicas of which one has changed, or all.
+// BenchmarkWrite measures a write of 10,000 replicas of which one or all have changed.
 func BenchmarkWrite(b *testing.B) {
 	for _, changed := range []int{1, 10_000} {
 		b.Run(fmt.Sprint(changed), func(b *testing.B) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// BenchmarkOpen measures a start from a file of 10,000 replicas.
+// BenchmarkOpen measures opening a file of 10,000 replicas.
 func BenchmarkOpen(b *testing.B) {
 	dir := b.TempDir()
 	s, _, _, err := Open(dir, time.Now())
--- a/internal/governor/store/crash_test.go
+++ b/internal/governor/store/crash_test.go
@@ -23,15 +23,15 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// TestMain lets tests start this program as a child that writes states until it is killed or the disk is full.
+// TestMain runs the tests, or with STORE_CHILD set writes states until the process is killed or a write fails.
 func TestMain(m *testing.M) {
 	dir := os.Getenv("STORE_CHILD")
 	if dir == "" {
 		os.Exit(m.Run())
 	}
-	if most, err := strconv.ParseUint(os.Getenv("STORE_MOST"), 10, 64); err == nil {
+	if limit, err := strconv.ParseUint(os.Getenv("STORE_MOST"), 10, 64); err == nil {
 		signal.Ignore(syscall.SIGXFSZ)
-		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: most, Max: most}); err != nil {
+		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
 			panic(err)
 		}
 	}
@@ -50,9 +50,9 @@
 	}
 }
 
-// runChild runs this program on a folder, kills it after a while, and returns the last state that it had written, the last
-// that it had begun, and its other output.
-func runChild(t *testing.T, dir string, after time.Duration, env ...string) (wrote, began int, said string) {
+// runChild runs the child process on dir and kills it after the given time. It returns the number of the last state written,
+// the number of the last state whose write had begun, and the child's other output.
+func runChild(t *testing.T, dir string, after time.Duration, env ...string) (wrote, began int, output string) {
 	t.Helper()
 	c := exec.CommandContext(t.Context(), os.Args[0])
 	c.Env = append(append(os.Environ(), "STORE_CHILD="+dir), env...)
@@ -66,37 +66,37 @@
 	var kill *time.Timer
 	for lines := bufio.NewScanner(out); lines.Scan(); {
 		if kill == nil {
-			kill = time.AfterFunc(after, func() { _ = c.Process.Kill() }) // one that has ended is killed already
+			kill = time.AfterFunc(after, func() { _ = c.Process.Kill() }) // fails if the child has exited
 		}
 		if _, err := fmt.Sscanf(lines.Text(), "wrote %d", &wrote); err == nil {
 			continue
 		}
 		if _, err := fmt.Sscanf(lines.Text(), "begins %d", &began); err != nil {
-			said += lines.Text() + "\n"
+			output += lines.Text() + "\n"
 		}
 	}
-	_ = c.Wait() // killed, as meant
-	return wrote, began, said
+	_ = c.Wait() // fails because the child was killed
+	return wrote, began, output
 }
 
-// TestKillDuringWrite kills a process at 200 seeded points of writing, on one folder: each start afterwards finds a complete
-// state, the last one that was reported as written or the one after it.
+// TestKillDuringWrite kills a writing process 200 times at random points, on one file. After each kill the file must hold a
+// complete state: the last one reported as written or one whose write had begun.
 func TestKillDuringWrite(t *testing.T) {
 	dir := t.TempDir()
-	chance := rand.New(rand.NewPCG(5, 6))
+	rng := rand.New(rand.NewPCG(5, 6))
 	last := 0
 	for kill := range 200 {
-		wrote, began, said := runChild(t, dir, time.Duration(chance.IntN(20_000))*time.Microsecond)
-		if said != "" {
-			t.Fatalf("kill %d: %s", kill, said)
+		wrote, began, output := runChild(t, dir, time.Duration(rng.IntN(20_000))*time.Microsecond)
+		if output != "" {
+			t.Fatalf("kill %d: %s", kill, output)
 		}
 		last = max(last, wrote)
 		s, k := mustOpen(t, dir)
 		if n := int(k.Version); n < last || n > max(began, last) {
-			t.Fatalf("kill %d: state %d is found, %d was written whole and %d begun", kill, n, last, began)
+			t.Fatalf("kill %d: found state %d, last written %d, last begun %d", kill, n, last, began)
 		} else if n > 0 {
 			if d := cmp.Diff(nthState(n), k); d != "" {
-				t.Fatalf("kill %d: state %d is not what was kept: %s", kill, n, d)
+				t.Fatalf("kill %d: state %d differs from what was written: %s", kill, n, d)
 			}
 			last = n
 		}
@@ -109,12 +109,12 @@
 	}
 }
 
-// TestFullDisk has a process write until no file may grow: it gets an error, and the last complete state is found.
+// TestFullDisk limits the file size of a writing process: a write must fail, and the last complete state must stay readable.
 func TestFullDisk(t *testing.T) {
 	dir := t.TempDir()
-	_, _, said := runChild(t, dir, time.Second)
-	if said != "" {
-		t.Fatal(said)
+	_, _, output := runChild(t, dir, time.Second)
+	if output != "" {
+		t.Fatal(output)
 	}
 	info, err := os.Stat(Path(dir))
 	if err != nil {
@@ -125,13 +125,13 @@
 	s, _ = mustOpen(t, dir)
 	big := nthState(1)
 	big.Version = before.Version
-	for i := range 20_000 { // more than the file's free pages hold
+	for i := range 20_000 { // more than fits in the file's free pages
 		big.Replicas = append(big.Replicas, recovery.Replica{Name: fmt.Sprintf("x-%05d", i), Entry: rules.Entry{Replica: rules.ReplicaID(1000 + i)}})
 	}
 	testkit.Close(t, s)
-	_, _, said = runChild(t, dir, 5*time.Second, "STORE_MOST="+fmt.Sprint(info.Size()/2))
-	if !strings.Contains(said, "error:") && !strings.Contains(said, "open:") {
-		t.Errorf("no file could grow, and it said %q", said)
+	_, _, output = runChild(t, dir, 5*time.Second, "STORE_MOST="+fmt.Sprint(info.Size()/2))
+	if !strings.Contains(output, "error:") && !strings.Contains(output, "open:") {
+		t.Errorf("no error beyond the file size limit, output %q", output)
 	}
 	s, k := mustOpen(t, dir)
 	defer testkit.Close(t, s)
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestCorruption flips single bits of a file, or truncates it, at seeded places: either the state is found as it was written,
-// or the file is set aside as it was and an empty one takes its place, which can be written.
+// TestCorruption flips single bits of a file or truncates it at random offsets. Open must either return the state as it was
+// written, or rename the damaged file and replace it with a writable one.
 func TestCorruption(t *testing.T) {
 	base := t.TempDir()
 	s, _ := mustOpen(t, base)
@@ -155,14 +155,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	chance := rand.New(rand.NewPCG(8, 9))
-	aside := 0
+	rng := rand.New(rand.NewPCG(8, 9))
+	renamed := 0
 	for i := range 150 {
 		dir, bad := t.TempDir(), slices.Clone(good)
 		if i%5 == 0 {
-			bad = bad[:chance.IntN(len(bad))]
+			bad = bad[:rng.IntN(len(bad))]
 		} else {
-			bad[chance.IntN(len(bad))] ^= 1 << chance.IntN(8)
+			bad[rng.IntN(len(bad))] ^= 1 << rng.IntN(8)
 		}
 		if err := os.WriteFile(Path(dir), bad, 0o600); err != nil {
 			t.Fatal(err)
@@ -172,23 +172,23 @@
 			t.Fatalf("%d: %v", i, err)
 		}
 		if damaged != nil {
-			aside++
-			left, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*"))
-			if len(left) != 1 || len(k.Replicas) != 0 {
-				t.Fatalf("%d: %v are set aside and %d replicas found, %v", i, left, len(k.Replicas), damaged)
+			renamed++
+			files, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*"))
+			if len(files) != 1 || len(k.Replicas) != 0 {
+				t.Fatalf("%d: damaged files %v, found %d replicas, %v", i, files, len(k.Replicas), damaged)
 			}
-			if kept, err := os.ReadFile(left[0]); err != nil || len(kept) < len(bad) {
-				t.Fatalf("%d: %d bytes of %d are set aside, %v", i, len(kept), len(bad), err)
+			if content, err := os.ReadFile(files[0]); err != nil || len(content) < len(bad) {
+				t.Fatalf("%d: the damaged file has %d bytes, want %d, %v", i, len(content), len(bad), err)
 			}
 		} else if k.Version != 0 && k.Version != 4 && k.Version != 5 || k.Version > 0 && cmp.Diff(nthState(int(k.Version)), k) != "" {
-			t.Fatalf("%d: state %d is found, and not as it was kept", i, k.Version)
+			t.Fatalf("%d: state %d differs from what was written", i, k.Version)
 		}
 		if _, err := s.Write(nthState(9)); err != nil && !errors.Is(err, ErrDamaged) {
 			t.Fatalf("%d: %v", i, err)
 		}
-		_ = s.Close() // the file may be what it is
+		_ = s.Close() // may fail on a damaged file
 	}
-	if aside < 3 { // most bytes of a small file are of free pages
-		t.Errorf("%d of 150 were set aside", aside)
+	if renamed < 3 { // few, as most bytes of a small file belong to free pages
+		t.Errorf("%d of 150 were renamed", renamed)
 	}
 }
--- a/internal/governor/store/database.go
+++ b/internal/governor/store/database.go
@@ -12,12 +12,12 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// lockTimeout bounds the wait for the file's lock. The lock of a killed process outlives it while its memory is torn down,
-// which takes a while on a busy machine.
+// lockTimeout limits the wait for the file lock. The lock of a killed process is released only when the kernel has torn the
+// process down, which can take a while on a busy machine.
 const lockTimeout = 3 * time.Second
 
-// recoverFaults runs f and converts what bbolt does on a file with invalid pages, a panic or a fault in mapped memory, into
-// an error that wraps ErrDamaged.
+// recoverFaults runs f and converts a panic or a fault in mapped memory, which bbolt raises on invalid pages, to an error that
+// wraps ErrDamaged.
 func recoverFaults(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -28,7 +28,7 @@
 	return f()
 }
 
-// openDatabase opens a file and locks it. Its errors wrap ErrLocked, ErrNotExist or ErrDamaged where one of them applies.
+// openDatabase opens and locks a file. Errors wrap ErrLocked, ErrNotExist or ErrDamaged where applicable.
 func openDatabase(path string, readOnly bool) (db *bbolt.DB, err error) {
 	err = recoverFaults(func() error {
 		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly})
@@ -47,7 +47,7 @@
 	return nil, fmt.Errorf("%s: %w", path, err)
 }
 
-// isDamage reports whether an error of opening a file means that its content is invalid.
+// isDamage reports whether an error from opening a file means that its content is invalid.
 func isDamage(err error) bool {
 	for _, damage := range []error{bolterrors.ErrInvalid, bolterrors.ErrChecksum, bolterrors.ErrVersionMismatch, ErrDamaged} {
 		if errors.Is(err, damage) {
@@ -57,6 +57,5 @@
 	return strings.Contains(err.Error(), "file size too small") // bbolt has no error value for it
 }
 
-// closeDatabase closes a database whose content has been read, or has been given up because of an error that is returned
-// instead.
+// closeDatabase closes a database after reading or after an earlier error. Its own error is ignored.
 func closeDatabase(db *bbolt.DB) { _ = recoverFaults(db.Close) }
--- a/internal/governor/store/inspect.go
+++ b/internal/governor/store/inspect.go
@@ -11,9 +11,9 @@
 	"zincloft.example/zincloft/recovery"
 )
 
-const compactTransactionBytes = 1 << 20 // copied in one transaction of Compact
+const compactTransactionBytes = 1 << 20 // maximum size of a transaction of Compact
 
-// Read reads the store of a folder without changing it. It fails with ErrLocked while a governor has it open.
+// Read reads the store in dir without changing it. It fails with ErrLocked while a governor has it open.
 func Read(dir string) (recovery.State, error) {
 	db, err := openDatabase(Path(dir), true)
 	if err != nil {
@@ -27,9 +27,9 @@
 	return s.readAll()
 }
 
-// Verify reads all of a folder's store, its free pages too, and returns the number of replicas that it keeps.
+// Verify reads the store in dir, checks all its pages, including free ones, and returns the number of replicas in it.
 func Verify(dir string) (replicas int, err error) {
-	kept, err := Read(dir)
+	state, err := Read(dir)
 	if err != nil {
 		return 0, err
 	}
@@ -39,10 +39,10 @@
 	}
 	defer closeDatabase(db)
 	err = recoverFaults(func() error { return db.View(checkPages) })
-	return len(kept.Replicas), err
+	return len(state.Replicas), err
 }
 
-// checkPages returns the first error that bbolt's check finds. It reads all of them, as the check ends only then.
+// checkPages returns the first error that bbolt's check finds. It drains the channel, as the check ends only then.
 func checkPages(tx *bbolt.Tx) error {
 	var first error
 	for err := range tx.Check() {
@@ -53,8 +53,8 @@
 	return first
 }
 
-// Compact rewrites a folder's store without its free pages and replaces the file in one step. It returns the sizes before
-// and after in bytes.
+// Compact rewrites the store in dir without free pages and replaces the file atomically. It returns the file sizes before and
+// after.
 func Compact(dir string) (before, after int64, err error) {
 	path := Path(dir)
 	db, err := openDatabase(path, false)
@@ -64,7 +64,7 @@
 	defer closeDatabase(db)
 	compacted := path + ".compact"
 	if err := os.Remove(compacted); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return 0, 0, fmt.Errorf("an earlier try: %w", err)
+		return 0, 0, fmt.Errorf("removing the file of an earlier attempt: %w", err)
 	}
 	fresh, err := openDatabase(compacted, false)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return before, after, nil
 }
 
-// fileSize returns the size of a file, 0 where it can't be told.
+// fileSize returns the size of a file, or 0 if it cannot be determined.
 func fileSize(path string) int64 {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/governor/store/schema.go
+++ b/internal/governor/store/schema.go
@@ -12,11 +12,11 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// SchemaVersion is the version of the file's form. Version 1 had the whole state in one value; version 2 has a value for
-// each replica, so that only what changed is written.
+// SchemaVersion is the version of the file format. Version 1 stored the whole state as one value. Version 2 has a value for
+// each replica, so that a write holds only the changes.
 const SchemaVersion = 2
 
-const checksumBytes = 8 // at the head of each value
+const checksumBytes = 8 // prefix of each value
 
 var (
 	metaBucket      = []byte("meta")
@@ -26,7 +26,7 @@
 	schema1StateKey = []byte("whole")
 )
 
-// header is what is kept beside the replicas.
+// header is the part of the state that does not belong to a replica.
 type header struct {
 	Governor      string          `json:"governor"`
 	Discovery     string          `json:"discovery"`
@@ -50,7 +50,7 @@
 	}
 }
 
-// state returns a state with this header and no replicas yet.
+// state returns a state with this header and without replicas.
 func (h header) state() recovery.State {
 	return recovery.State{
 		Governor:      h.Governor,
@@ -62,7 +62,7 @@
 	}
 }
 
-// replicaRecord is the value of one replica.
+// replicaRecord is the stored form of a replica.
 type replicaRecord struct {
 	ReplicaID  rules.ReplicaID `json:"number"`
 	Zone       rules.ZoneID    `json:"zone"`
@@ -76,7 +76,7 @@
 	Ejected    bool            `json:"held_out,omitempty"`
 }
 
-// recordOf returns the value of a replica.
+// recordOf returns the stored form of a replica.
 func recordOf(r recovery.Replica) replicaRecord {
 	return replicaRecord{
 		ReplicaID:  r.Entry.Replica,
@@ -92,7 +92,7 @@
 	}
 }
 
-// replica returns the replica of a value.
+// replica returns the replica that a record stores.
 func (r replicaRecord) replica(name string) recovery.Replica {
 	return recovery.Replica{
 		Name: name,
@@ -109,13 +109,13 @@
 	}
 }
 
-// schema1State is the only value of version 1.
+// schema1State is the only value in a file of version 1.
 type schema1State struct {
 	header
 	Records map[string]replicaRecord `json:"all"`
 }
 
-// encodeValue encodes a value as JSON behind its checksum.
+// encodeValue encodes a value as a checksum followed by JSON.
 func encodeValue(v any) ([]byte, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -124,10 +124,10 @@
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(text)), text...), nil
 }
 
-// decodeValue decodes a value whose checksum holds. Other errors wrap ErrDamaged.
+// decodeValue verifies the checksum of a value and decodes it. Errors wrap ErrDamaged.
 func decodeValue(b []byte, v any) error {
 	if len(b) < checksumBytes || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[checksumBytes:]) {
-		return fmt.Errorf("%w: a value without its checksum", ErrDamaged)
+		return fmt.Errorf("%w: checksum mismatch", ErrDamaged)
 	}
 	if err := json.Unmarshal(b[checksumBytes:], v); err != nil {
 		return fmt.Errorf("%w: %w", ErrDamaged, err)
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// migrate brings an empty file, or one of an older version, to SchemaVersion.
+// migrate initializes an empty file or migrates one of an older version to SchemaVersion.
 func (s *Store) migrate(tx *bbolt.Tx) error {
 	meta, err := tx.CreateBucketIfNotExists(metaBucket)
 	if err != nil {
@@ -172,7 +172,7 @@
 			return err
 		}
 	default:
-		return fmt.Errorf("%s: %w: schema %d, ours is %d", s.path, ErrNewerSchema, schema, SchemaVersion)
+		return fmt.Errorf("%s: %w: schema %d, the newest supported is %d", s.path, ErrNewerSchema, schema, SchemaVersion)
 	}
 	return putValue(meta, schemaKey, SchemaVersion)
 }
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// checkSchema returns an error unless a file that is opened for reading alone has SchemaVersion.
+// checkSchema returns an error unless a file that is open for reading has SchemaVersion.
 func checkSchema(tx *bbolt.Tx) error {
 	schema := 0
 	if meta := tx.Bucket(metaBucket); meta != nil {
@@ -207,10 +207,10 @@
 		}
 	}
 	if schema > SchemaVersion {
-		return fmt.Errorf("%w: schema %d, ours is %d", ErrNewerSchema, schema, SchemaVersion)
+		return fmt.Errorf("%w: schema %d, the newest supported is %d", ErrNewerSchema, schema, SchemaVersion)
 	}
 	if schema < SchemaVersion {
-		return fmt.Errorf("schema %d: a governor brings it to %d at its next start", schema, SchemaVersion)
+		return fmt.Errorf("schema %d: the next start of a governor migrates it to %d", schema, SchemaVersion)
 	}
 	return nil
 }
--- a/internal/governor/store/store.go
+++ b/internal/governor/store/store.go
@@ -1,6 +1,5 @@
-// Package store keeps on disk what a governor's next start can use, in a bbolt file: one writer at a time, each write a
-// transaction, each value with a checksum of its own. Faults of the disk never reach a decision: they are logged, and the
-// governor serves.
+// Package store persists a governor's state for its next start in a bbolt file. Each write is a transaction, and each value
+// has a checksum. Disk errors are logged and do not affect serving.
 package store
 
 import (
@@ -18,7 +17,7 @@
 
 const fileName = "state.db"
 
-// Errors that callers tell apart.
+// Errors that callers distinguish.
 var (
 	ErrLocked      = errors.New("another process has it open")
 	ErrDamaged     = errors.New("damaged")
@@ -26,71 +25,71 @@
 	ErrNotExist    = errors.New("there is none")
 )
 
-// Store is an open file. Its methods must not be called concurrently.
+// Store is an open state file. Its methods must not be called concurrently.
 type Store struct {
 	db      *bbolt.DB
 	path    string
-	written map[string][]byte // values of the replicas as last written or read, by name
+	written map[string][]byte // stored values of the replicas, by name
 }
 
-// Path returns the file of the store in a folder.
+// Path returns the path of the store in dir.
 func Path(dir string) string { return filepath.Join(dir, fileName) }
 
-// Open opens the store of a folder for writing and reads what it keeps. A damaged file is renamed, never deleted, and an
-// empty one takes its place; damaged then says what was wrong. A file that is locked, that has a newer schema, or that
-// can't be opened is left as it is, and there is no store.
-func Open(dir string, now time.Time) (s *Store, kept recovery.State, damaged error, err error) {
+// Open opens the store in dir for writing and reads its state. A damaged file is renamed, not deleted, and replaced by an
+// empty one; damaged then describes the damage. A file that is locked, has a newer schema or cannot be opened is left
+// unchanged, and err is set.
+func Open(dir string, now time.Time) (s *Store, state recovery.State, damaged error, err error) {
 	path := Path(dir)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, kept, nil, fmt.Errorf("state.dir: %w", err)
+		return nil, state, nil, fmt.Errorf("state.dir: %w", err)
 	}
-	s, kept, err = openStore(path)
+	s, state, err = openStore(path)
 	if !errors.Is(err, ErrDamaged) {
-		return s, kept, nil, err
+		return s, state, nil, err
 	}
 	aside := fmt.Sprintf("%s.damaged-%s", path, now.UTC().Format("20060102T150405.000"))
 	if renameErr := os.Rename(path, aside); renameErr != nil {
 		return nil, recovery.State{}, err, fmt.Errorf("setting aside: %w", renameErr)
 	}
 	damaged = fmt.Errorf("%w; set aside as %s", err, filepath.Base(aside))
-	s, kept, err = openStore(path)
-	return s, kept, damaged, err
+	s, state, err = openStore(path)
+	return s, state, damaged, err
 }
 
-// openStore opens a file, creates or migrates it, and reads what it keeps.
+// openStore opens a file, creates or migrates it, and reads its state.
 func openStore(path string) (*Store, recovery.State, error) {
 	db, err := openDatabase(path, false)
 	if err != nil {
 		return nil, recovery.State{}, err
 	}
 	s := &Store{db: db, path: path, written: map[string][]byte{}}
-	var kept recovery.State
+	var state recovery.State
 	err = recoverFaults(func() error { return db.Update(s.migrate) })
 	if err == nil {
-		kept, err = s.readAll()
+		state, err = s.readAll()
 	}
 	if err != nil {
 		closeDatabase(db)
 		return nil, recovery.State{}, err
 	}
-	return s, kept, nil
+	return s, state, nil
 }
 
-// readAll reads the state. One damaged value makes all of it invalid: the rest would be an endpoint list with holes.
-func (s *Store) readAll() (kept recovery.State, err error) {
+// readAll reads the state. One damaged value invalidates all of it, because the rest would be an incomplete endpoint list.
+func (s *Store) readAll() (state recovery.State, err error) {
 	err = recoverFaults(func() error {
 		return s.db.View(func(tx *bbolt.Tx) error {
-			kept, err = s.readState(tx)
+			state, err = s.readState(tx)
 			return err
 		})
 	})
-	return kept, err
+	return state, err
 }
 
 func (s *Store) readState(tx *bbolt.Tx) (recovery.State, error) {
 	meta, replicas := tx.Bucket(metaBucket), tx.Bucket(replicaBucket)
 	if meta == nil || replicas == nil {
-		return recovery.State{}, fmt.Errorf("%w: it lacks its buckets", ErrDamaged)
+		return recovery.State{}, fmt.Errorf("%w: a bucket is missing", ErrDamaged)
 	}
 	encoded := meta.Get(headerKey)
 	if encoded == nil {
@@ -100,24 +99,23 @@
 	if err := decodeValue(encoded, &h); err != nil {
 		return recovery.State{}, err
 	}
-	kept := h.state()
+	state := h.state()
 	err := replicas.ForEach(func(name, encoded []byte) error {
 		var record replicaRecord
 		if err := decodeValue(encoded, &record); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 		s.written[string(name)] = slices.Clone(encoded)
-		kept.Replicas = append(kept.Replicas, record.replica(string(name)))
+		state.Replicas = append(state.Replicas, record.replica(string(name)))
 		return nil
 	})
-	if err == nil && len(kept.Replicas) != h.Replicas {
-		err = fmt.Errorf("%w: %d replicas where there were %d", ErrDamaged, len(kept.Replicas), h.Replicas)
+	if err == nil && len(state.Replicas) != h.Replicas {
+		err = fmt.Errorf("%w: found %d replicas, the header counts %d", ErrDamaged, len(state.Replicas), h.Replicas)
 	}
-	return kept, err
+	return state, err
 }
 
-// Write replaces the state in one transaction, which holds only what has changed. It returns the bytes of the values
-// written.
+// Write replaces the state in one transaction, which writes only the changes. It returns the size of the values written.
 func (s *Store) Write(k recovery.State) (bytes int, err error) {
 	values := make(map[string][]byte, len(k.Replicas))
 	for _, r := range k.Replicas {
@@ -146,8 +144,8 @@
 	return bytes, nil
 }
 
-// updateReplicas puts the values that differ from those written and deletes those of replicas that are gone. It returns the
-// bytes put.
+// updateReplicas writes the values that have changed and deletes those of removed replicas. It returns the size of the values
+// written.
 func (s *Store) updateReplicas(replicas *bbolt.Bucket, values map[string][]byte) (bytes int, err error) {
 	for name, value := range values {
 		if string(s.written[name]) == string(value) {
@@ -169,5 +167,5 @@
 	return bytes, nil
 }
 
-// Close closes the file. The Store must not be used after it.
+// Close closes the file. The Store must not be used afterwards.
 func (s *Store) Close() error { return recoverFaults(s.db.Close) }
--- a/internal/governor/store/store_test.go
+++ b/internal/governor/store/store_test.go
@@ -19,20 +19,19 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// nthState returns the nthState that the test keeps as its nth. It is a function of n alone, so that whatever is found can be
-// compared.
+// nthState returns the nth test state. It depends only on n, so that a state that is read can be compared by its version.
 func nthState(n int) recovery.State {
-	chance := rand.New(rand.NewPCG(uint64(n/3), 7)) // neighbours share most of it
+	rng := rand.New(rand.NewPCG(uint64(n/3), 7)) // three consecutive states share most values
 	k := recovery.State{Governor: "n1", Discovery: "127.0.0.1:1", Version: uint64(n), ConfirmedAt: rules.Time(1000 + n), WrittenAt: rules.Time(1001 + n), NextReplicaID: 500}
-	for i := range 20 + chance.IntN(60) {
+	for i := range 20 + rng.IntN(60) {
 		id := rules.ReplicaID(i)
-		k.Replicas = append(k.Replicas, recovery.Replica{Name: fmt.Sprintf("s-%03d", i), Entry: rules.Entry{Replica: id, State: rules.Ready, Listed: chance.Float64(),
-			StartedAt: rules.Time(n)}, Learned: rules.PriorMeasurement{Replica: id, Speed: chance.Float64(), Throughput: 3, Ejected: i%7 == 0}})
+		k.Replicas = append(k.Replicas, recovery.Replica{Name: fmt.Sprintf("s-%03d", i), Entry: rules.Entry{Replica: id, State: rules.Ready, Listed: rng.Float64(),
+			StartedAt: rules.Time(n)}, Learned: rules.PriorMeasurement{Replica: id, Speed: rng.Float64(), Throughput: 3, Ejected: i%7 == 0}})
 	}
 	return k
 }
 
-// mustOpen opens the store of a folder, which must not be damaged.
+// mustOpen opens the store in dir, which must not be damaged.
 func mustOpen(t *testing.T, dir string) (*Store, recovery.State) {
 	t.Helper()
 	s, k, damaged, err := Open(dir, time.Now())
@@ -42,22 +41,22 @@
 	return s, k
 }
 
-// TestUntouchedFiles has files that must not be changed: one that another process has open, one of a newer schema, and
-// folders that can't be used.
+// TestUntouchedFiles checks the errors for a locked file, a file with a newer schema, and unusable directories, and that the
+// file is not changed.
 func TestUntouchedFiles(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := mustOpen(t, dir)
 	if _, err := s.Write(nthState(3)); err != nil {
 		t.Fatal(err)
 	}
-	for what, err := range map[string]error{
+	for operation, err := range map[string]error{
 		"open":    func() error { _, _, _, err := Open(dir, time.Now()); return err }(),
-		"view":    func() error { _, err := Read(dir); return err }(),
+		"read":    func() error { _, err := Read(dir); return err }(),
 		"verify":  func() error { _, err := Verify(dir); return err }(),
 		"compact": func() error { _, _, err := Compact(dir); return err }(),
 	} {
 		if !errors.Is(err, ErrLocked) {
-			t.Errorf("%s of a file that is open: %v", what, err)
+			t.Errorf("%s of a locked file: %v", operation, err)
 		}
 	}
 	if err := s.db.Update(func(tx *bbolt.Tx) error { return putValue(tx.Bucket(metaBucket), schemaKey, SchemaVersion+1) }); err != nil {
@@ -75,27 +74,27 @@
 		t.Errorf("a newer file: %v", err)
 	}
 	if after, err := os.ReadFile(Path(dir)); err != nil || len(after) != len(before) {
-		t.Error("a newer file was touched: ", err)
+		t.Error("a newer file was changed: ", err)
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, _, err := Open(filepath.Join(file, "dir"), time.Now()); err == nil || !strings.Contains(err.Error(), "state.dir") {
-		t.Errorf("a folder that can't be: %v", err)
+		t.Errorf("a directory that cannot be created: %v", err)
 	}
 	if _, err := Read(t.TempDir()); !errors.Is(err, ErrNotExist) {
-		t.Errorf("a folder without a file: %v", err)
+		t.Errorf("a directory without a file: %v", err)
 	}
 }
 
-// TestMigration opens a file of version 1: all of its state is found, and found again as of the current version.
+// TestMigration opens a file of schema version 1 twice: the migrated state must be complete each time.
 func TestMigration(t *testing.T) {
 	dir, want := t.TempDir(), nthState(4)
-	w := schema1State{header: header{Governor: want.Governor, Discovery: want.Discovery, Version: want.Version, ConfirmedAt: want.ConfirmedAt, WrittenAt: want.WrittenAt, NextReplicaID: want.NextReplicaID},
+	old := schema1State{header: header{Governor: want.Governor, Discovery: want.Discovery, Version: want.Version, ConfirmedAt: want.ConfirmedAt, WrittenAt: want.WrittenAt, NextReplicaID: want.NextReplicaID},
 		Records: map[string]replicaRecord{}}
 	for _, r := range want.Replicas {
-		w.Records[r.Name] = replicaRecord{ReplicaID: r.Entry.Replica, State: r.Entry.State, Listed: r.Entry.Listed, StartedAt: r.Entry.StartedAt,
+		old.Records[r.Name] = replicaRecord{ReplicaID: r.Entry.Replica, State: r.Entry.State, Listed: r.Entry.Listed, StartedAt: r.Entry.StartedAt,
 			Speed: r.Learned.Speed, Throughput: r.Learned.Throughput, Ejected: r.Learned.Ejected}
 	}
 	db, err := bbolt.Open(Path(dir), 0o600, nil)
@@ -104,13 +103,13 @@
 	}
 	if err := db.Update(func(tx *bbolt.Tx) error {
 		b, err := tx.CreateBucket(metaBucket)
-		return errors.Join(err, putValue(b, schemaKey, 1), putValue(b, schema1StateKey, w))
+		return errors.Join(err, putValue(b, schemaKey, 1), putValue(b, schema1StateKey, old))
 	}); err != nil {
 		t.Fatal(err)
 	}
 	testkit.Close(t, db)
 	if _, err := Read(dir); err == nil || !strings.Contains(err.Error(), "schema 1") {
-		t.Error("viewed before it was brought to the present version: ", err)
+		t.Error("read before migration: ", err)
 	}
 	for range 2 {
 		s, k := mustOpen(t, dir)
@@ -124,7 +123,7 @@
 	}
 }
 
-// TestWriteOnlyChanges counts the bytes of a write that changes one replica of many, and compacts the file afterwards.
+// TestWriteOnlyChanges checks that a write after a change of one replica is small, and that the state survives Compact.
 func TestWriteOnlyChanges(t *testing.T) {
 	dir, k := t.TempDir(), nthState(3)
 	s, _ := mustOpen(t, dir)
--- a/internal/governor/store/writer.go
+++ b/internal/governor/store/writer.go
@@ -8,13 +8,13 @@
 	"zincloft.example/zincloft/recovery"
 )
 
-// Writer writes states in a goroutine of its own, beside the one that decides. A state that is offered while another waits
-// is dropped: the next one holds all of it.
+// Writer writes states in its own goroutine, so that disk access never blocks the event loop. A state that is offered while
+// another is pending is dropped, as the next one supersedes it.
 type Writer struct {
 	store   *Store
 	log     zerolog.Logger
 	pending chan recovery.State
-	failing bool // the last write has failed, which has been logged
+	failing bool // the last write failed, and the failure has been logged
 }
 
 // NewWriter returns a Writer that writes nothing before Run.
@@ -22,10 +22,10 @@
 	return &Writer{store: s, log: log, pending: make(chan recovery.State, 1)}
 }
 
-// Ready reports whether Offer would accept a state.
+// Ready reports whether Offer would accept a state now.
 func (w *Writer) Ready() bool { return len(w.pending) == 0 }
 
-// Offer hands over a state to be written. It never waits.
+// Offer queues a state to be written unless another is pending. It never blocks.
 func (w *Writer) Offer(k recovery.State) {
 	select {
 	case w.pending <- k:
@@ -33,8 +33,8 @@
 	}
 }
 
-// Run writes until ctx ends, then writes what still waits and closes the store. A failure is logged when it begins and when
-// it ends.
+// Run writes states until ctx is done, then writes the pending state and closes the store. It logs the first of consecutive
+// failures and the first success after them.
 func (w *Writer) Run(ctx context.Context) {
 	for {
 		select {
--- a/internal/governor/store/writer_test.go
+++ b/internal/governor/store/writer_test.go
@@ -8,18 +8,18 @@
 	"zincloft.example/zincloft/internal/testbeds/testkit"
 )
 
-// TestWriterLogsFailureOnce takes the database away from a writer: it logs one failure and the recovery, and what was offered
-// last before the end is written.
+// TestWriterLogsFailureOnce checks that repeated failures are logged once, as is the recovery, and that the state pending at
+// the end is written.
 func TestWriterLogsFailureOnce(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := mustOpen(t, dir)
 	var log strings.Builder
 	w := NewWriter(s, testkit.Logger(&log))
-	good := s.db
+	db := s.db
 	s.db = nil
 	w.write(nthState(1))
 	w.write(nthState(2))
-	s.db = good
+	s.db = db
 	w.write(nthState(3))
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
@@ -31,6 +31,6 @@
 	s, k := mustOpen(t, dir)
 	defer testkit.Close(t, s)
 	if k.Version != 4 {
-		t.Errorf("state %d is kept", k.Version)
+		t.Errorf("state %d was written, want 4", k.Version)
 	}
 }
