--- a/internal/testbeds/soak/check.go
+++ b/internal/testbeds/soak/check.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Bounds that the checker judges by, as in settingsTemplate.
+// Bounds that the checker verifies, as in settingsTemplate.
 const (
 	contactBound    = 3 * time.Second
 	configBound     = 2 * time.Second
@@ -16,37 +16,37 @@
 	ackBound        = 5 * time.Second
 	rollbackSlack   = 250 * time.Millisecond
 
-	// schedulingSlack is what a busy machine may add to any time that is measured here.
+	// schedulingSlack allows for scheduling delays on a loaded machine.
 	schedulingSlack = 250 * time.Millisecond
 
-	// lateResponseSlack is how long after its deadline a request may be answered.
+	// lateResponseSlack is how long after its deadline a request may still be answered.
 	lateResponseSlack = 500 * time.Millisecond
 )
 
-// Rule names a promise.
+// Rule describes the violation of one guarantee.
 type Rule string
 
-// The rules.
+// Rules that Check verifies.
 const (
 	RuleExecutedTwice    Rule = "unsafe request executed twice"
-	RuleRejectedExecuted Rule = "request answered as not executed was executed"
-	RuleResponseMismatch Rule = "answer does not belong to its request"
-	RuleUnknownRequest   Rule = "request executed that no client sent"
-	RuleDeadlineExceeded Rule = "request without an answer by its deadline from a gateway that ran"
+	RuleRejectedExecuted Rule = "request rejected as not executed was executed"
+	RuleResponseMismatch Rule = "response does not match its request"
+	RuleUnknownRequest   Rule = "executed request was not sent by any client"
+	RuleDeadlineExceeded Rule = "running gateway did not answer a request by its deadline"
 	RuleLinearizability  Rule = "reads and acknowledgements are not linearizable"
-	RuleConfigCorrupted  Rule = "configuration read back differs from what was sent"
+	RuleConfigCorrupted  Rule = "configuration read back differs from the one written"
 	RuleConfigLost       Rule = "acknowledged configuration lost"
-	RuleStaleConfig      Rule = "gateway serves by an older configuration"
-	RuleConfigRollback   Rule = "gateway went back to an older configuration"
-	RuleDrain            Rule = "request to a replica after its acknowledged drain"
-	RuleEvacuation       Rule = "request to an evacuated zone"
-	RuleUnacknowledged   Rule = "order not acknowledged in calm times"
-	RuleUnexpectedExit   Rule = "process ended by itself"
-	RuleInternalFault    Rule = "daemon tells of a fault of its own"
-	RuleRecovery         Rule = "gateways did not serve again after the last fault"
+	RuleStaleConfig      Rule = "gateway uses an outdated configuration"
+	RuleConfigRollback   Rule = "gateway reverted to an older configuration"
+	RuleDrain            Rule = "request executed by a replica after its acknowledged departure"
+	RuleEvacuation       Rule = "request executed in an evacuated zone"
+	RuleUnacknowledged   Rule = "operation not acknowledged by a stable control plane"
+	RuleUnexpectedExit   Rule = "process exited unexpectedly"
+	RuleInternalFault    Rule = "daemon reported an internal fault"
+	RuleRecovery         Rule = "gateways did not recover after the last fault"
 )
 
-// Violation is one case in which a promise was broken.
+// Violation is one violation of a guarantee.
 type Violation struct {
 	Rule     Rule
 	At       time.Duration
@@ -57,10 +57,9 @@
 	return fmt.Sprintf("%s at %.2f s: %s", v.Rule, v.At.Seconds(), v.Evidence)
 }
 
-// maxViolationsPerRule bounds what is listed: the first ones say enough.
 const maxViolationsPerRule = 5
 
-// judge checks one record.
+// checker indexes one record and collects its violations.
 type checker struct {
 	record     *Record
 	requests   map[string]*Request
@@ -70,7 +69,7 @@
 	counts     map[Rule]int
 }
 
-// Check judges a record. It lists violations in the order of their times, a few of each rule.
+// Check returns the violations in a record, sorted by time, with at most maxViolationsPerRule for each rule.
 func Check(record *Record) []Violation {
 	c := &checker{
 		record:     record,
@@ -103,7 +102,7 @@
 	}
 }
 
-// checkRequests checks each request by its answer and its executions.
+// checkRequests compares each request's response with its executions and its deadline.
 func (c *checker) checkRequests() {
 	for i := range c.record.Requests {
 		request := &c.record.Requests[i]
@@ -112,15 +111,15 @@
 			c.report(RuleExecutedTwice, request.SentAt, "%s by %s: %v", request.ID, request.Gateway, executions)
 		}
 		if promisesNotExecuted(request.Status) && len(executions) > 0 {
-			c.report(RuleRejectedExecuted, request.SentAt, "%s was answered %d by %s: %v", request.ID, request.Status, request.Gateway, executions)
+			c.report(RuleRejectedExecuted, request.SentAt, "%s got status %d from %s: %v", request.ID, request.Status, request.Gateway, executions)
 		}
 		if request.Status == 200 && !matchesExecution(request, executions) {
-			c.report(RuleResponseMismatch, request.EndedAt, "%s was answered %q by %s: %v", request.ID, request.Body, request.Gateway, executions)
+			c.report(RuleResponseMismatch, request.EndedAt, "%s got body %q from %s: %v", request.ID, request.Body, request.Gateway, executions)
 		}
 		took := request.EndedAt - request.SentAt
 		late := request.TimedOut || took > requestDeadline+lateResponseSlack
 		if late && c.clientPathUndisturbed(request.Gateway, request.SentAt, request.EndedAt) {
-			c.report(RuleDeadlineExceeded, request.SentAt, "%s (%s) had no answer of %s for %v, its deadline was %v; %d %s", request.ID, request.Kind, request.Gateway,
+			c.report(RuleDeadlineExceeded, request.SentAt, "%s (%s) to %s took %v, deadline %v: status %d %s", request.ID, request.Kind, request.Gateway,
 				took.Round(time.Millisecond), requestDeadline, request.Status, request.Problem)
 		}
 	}
@@ -128,14 +127,14 @@
 
 func promisesNotExecuted(status int) bool { return slices.Contains([]int{408, 421, 429, 503}, status) }
 
-// matchesExecution tells whether an answer's body is that of a replica which executed the request.
+// matchesExecution reports whether a response body is from a replica that executed the request.
 func matchesExecution(request *Request, executions []Execution) bool {
 	return slices.ContainsFunc(executions, func(execution Execution) bool {
 		return request.Body == "body of "+request.ID+" from "+execution.Instance+"\n"
 	})
 }
 
-// clientPathUndisturbed tells whether a gateway's process ran, and nothing acted on its clients' links, between two moments.
+// clientPathUndisturbed reports whether a gateway kept running and no fault acted on its client links between two times.
 func (c *checker) clientPathUndisturbed(gateway string, from, to time.Duration) bool {
 	for _, event := range c.record.Processes {
 		if event.Process == gateway && event.At >= from-schedulingSlack && event.At <= to {
@@ -148,7 +147,7 @@
 	})
 }
 
-// checkExecutions checks each execution by when and where it was.
+// checkExecutions checks that no request was executed by a replica that had left or in an evacuated zone.
 func (c *checker) checkExecutions() {
 	for _, execution := range c.record.Executions {
 		request := c.requests[execution.RequestID]
@@ -161,17 +160,17 @@
 		}
 		instance := c.instances[execution.Instance]
 		if ack := instance.AcknowledgedAt; ack > 0 && execution.At > ack+drainBound+schedulingSlack {
-			c.report(RuleDrain, execution.At, "%s by %s at %s, whose %s %s acknowledged %v before", request.ID, request.Gateway, instance.ID,
+			c.report(RuleDrain, execution.At, "%s sent by %s to %s, whose %s was acknowledged by %s %v earlier", request.ID, request.Gateway, instance.ID,
 				instance.Departure, instance.AcknowledgedBy, (execution.At - ack).Round(time.Millisecond))
 		}
 		if since, evacuated := c.evacuatedSince(instance.Zone, execution.At); evacuated && execution.At > since+evacuationBound+schedulingSlack {
-			c.report(RuleEvacuation, execution.At, "%s by %s at %s in zone %s, whose evacuation was acknowledged %v before", request.ID, request.Gateway,
+			c.report(RuleEvacuation, execution.At, "%s sent by %s to %s in zone %s, whose evacuation was acknowledged %v earlier", request.ID, request.Gateway,
 				instance.ID, instance.Zone, execution.At-since)
 		}
 	}
 }
 
-// evacuatedSince tells when the newest evacuation of a zone was acknowledged that nobody had begun to take back by a moment.
+// evacuatedSince returns when the latest evacuation of a zone was acknowledged, unless a restore had been requested by then.
 func (c *checker) evacuatedSince(zone string, by time.Duration) (since time.Duration, evacuated bool) {
 	for _, operation := range c.record.Operations {
 		switch {
@@ -185,11 +184,11 @@
 	return since, evacuated
 }
 
-// controlPlaneStable tells whether the control plane was in touch at a moment: nothing had acted on it for as long as contact takes.
+// controlPlaneStable reports whether no fault had acted on the control plane for at least the contact bound.
 func (c *checker) controlPlaneStable(at time.Duration) bool {
 	for _, fault := range c.record.Faults {
 		contact := contactBound
-		if fault.Kind == KillEverything { // as after a closing fault
+		if fault.Kind == KillEverything { // gateways and members both have to reconnect
 			contact *= 2
 		}
 		if fault.Kind.affectsControlPlane() && fault.BeganAt <= at && fault.EndedAt+contact >= at {
@@ -205,7 +204,7 @@
 	})
 }
 
-// inContact tells whether a gateway and the control plane were in touch at a moment.
+// inContact reports whether the control plane was stable and no fault had acted on the gateway for at least the contact bound.
 func (c *checker) inContact(gateway string, at time.Duration) bool {
 	if !c.controlPlaneStable(at) || c.processChanged(at, func(process string) bool { return process == gateway }) {
 		return false
@@ -215,7 +214,7 @@
 	})
 }
 
-// checkProcesses checks that no daemon ended by itself or told of a fault of its own, and that all served in the end.
+// checkProcesses checks that no daemon exited unexpectedly or reported an internal fault, and that all gateways recovered.
 func (c *checker) checkProcesses() {
 	for _, event := range c.record.Processes {
 		if event.Event == ProcessEnded {
--- a/internal/testbeds/soak/check_test.go
+++ b/internal/testbeds/soak/check_test.go
@@ -8,7 +8,7 @@
 
 const second = time.Second
 
-// validRecord is a calm run: a replica, a configuration, a request.
+// validRecord returns a record without faults and violations: one replica, one configuration, one request.
 func validRecord() *Record {
 	return &Record{
 		Requests:   []Request{{ID: "r1", Gateway: "gateway-1", Kind: UnsafeRequest, SentAt: 10 * second, EndedAt: 10*second + 20*time.Millisecond, Status: 200, Body: "body of r1 from i-1\n"}},
@@ -23,15 +23,15 @@
 	}
 }
 
-// probe is a probe that found no route.
+// probe returns a probe of gateway-1 for configuration version 5.
 func probe(sentAt time.Duration, status int) Request {
 	return Request{ID: "p" + sentAt.String(), Gateway: "gateway-1", Kind: ProbeRequest, Version: 5, SentAt: sentAt, EndedAt: sentAt + 10*time.Millisecond, Status: status}
 }
 
-// TestCheckFindsEachRule breaks each rule in a record that is sound otherwise: exactly that rule must be found.
+// TestCheckFindsEachRule breaks one rule at a time in a valid record and expects exactly that violation.
 func TestCheckFindsEachRule(t *testing.T) {
 	if violations := Check(validRecord()); len(violations) > 0 {
-		t.Fatalf("the sound record: %v", violations)
+		t.Fatalf("violations in the valid record: %v", violations)
 	}
 	for rule, breaks := range map[Rule]func(*Record){
 		RuleExecutedTwice: func(r *Record) {
@@ -70,13 +70,14 @@
 		breaks(record)
 		violations := Check(record)
 		if len(violations) != 1 || violations[0].Rule != rule {
-			t.Errorf("%s: found %v", rule, violations)
+			t.Errorf("rule %q: got violations %v", rule, violations)
 		}
 	}
 }
 
-// TestCheckFindsConfigurationThatWentBack needs faults about, in which an older configuration alone would be excused.
-func TestCheckFindsConfigurationThatWentBack(t *testing.T) {
+// TestCheckFindsConfigurationRollback verifies that a rollback is reported even during faults, which excuse an outdated configuration,
+// but not after a restart of the gateway.
+func TestCheckFindsConfigurationRollback(t *testing.T) {
 	record := validRecord()
 	record.Faults = []FaultEvent{{Fault: Fault{Kind: PartitionMember}, BeganAt: 4 * second, EndedAt: 9 * second}}
 	served := probe(5*second, 200)
@@ -85,17 +86,17 @@
 	record.Requests = append(record.Requests, served, probe(6*second, 404))
 	violations := Check(record)
 	if len(violations) != 1 || violations[0].Rule != RuleConfigRollback {
-		t.Errorf("found %v", violations)
+		t.Errorf("got violations %v", violations)
 	}
 	record.Processes = []ProcessEvent{{Process: "gateway-1", Event: ProcessStarted, At: 5*second + 500*time.Millisecond}}
 	if violations := Check(record); len(violations) > 0 {
-		t.Errorf("another life of the gateway: %v", violations)
+		t.Errorf("after a gateway restart: %v", violations)
 	}
 }
 
-// TestFaultsExcuse lists what binds in touch only: a fault on the control plane, or a process that was started, excuses it for as long
-// as contact takes, and a misbehaving caller excuses nothing.
-func TestFaultsExcuse(t *testing.T) {
+// TestFaultsSuspendContactRules verifies that rules that require contact with the control plane are suspended during faults on it or on
+// the gateway and for the contact bound after them, but not during faults of callers.
+func TestFaultsSuspendContactRules(t *testing.T) {
 	for _, test := range []struct {
 		kind  FaultKind
 		ended time.Duration
@@ -112,17 +113,18 @@
 		record.Faults = []FaultEvent{{Fault: Fault{Kind: test.kind}, BeganAt: 5 * second, EndedAt: test.ended}}
 		found := slices.ContainsFunc(Check(record), func(violation Violation) bool { return violation.Rule == RuleDrain })
 		if found != test.found {
-			t.Errorf("%s until %v: found %v", test.kind, test.ended, found)
+			t.Errorf("%s until %v: RuleDrain reported: %v, want %v", test.kind, test.ended, found, test.found)
 		}
 	}
 }
 
-// TestGenerate guards that seeds repeat, that faults overlap and that no more disks are lost at once than may be.
+// TestGenerate verifies that a seed always generates the same schedule, that an episode wipes at most one disk, and that Coverage counts
+// overlapping faults.
 func TestGenerate(t *testing.T) {
 	for seed := range uint64(200) {
 		schedule := Generate(seed, 3)
 		if again := Generate(seed, 3); !slices.Equal(schedule.Faults, again.Faults) {
-			t.Fatalf("seed %d does not repeat", seed)
+			t.Fatalf("seed %d generates different schedules", seed)
 		}
 		wipes := map[time.Duration]int{}
 		for _, fault := range schedule.Faults {
@@ -132,7 +134,7 @@
 		}
 		for episode, count := range wipes {
 			if count > 1 {
-				t.Errorf("seed %d, episode %d: %d disks are lost", seed, episode, count)
+				t.Errorf("seed %d, episode %d: %d disks are wiped", seed, episode, count)
 			}
 		}
 	}
--- a/internal/testbeds/soak/checkconfig.go
+++ b/internal/testbeds/soak/checkconfig.go
@@ -7,11 +7,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// linearizabilityTimeout bounds the search; a history that it does not decide counts as sound, and is told in the evidence of nothing.
+// linearizabilityTimeout bounds the search. A history that is not decided in this time counts as linearizable and is not reported.
 const linearizabilityTimeout = 20 * time.Second
 
-// registerModel is what operators should see of the control plane as a whole: one register that only grows. A put raises it to its
-// version at least, a read returns it.
+// registerModel models the configuration version as a register that never decreases: a put raises it to at least its version, a read
+// returns it.
 var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
@@ -23,7 +23,7 @@
 	},
 }
 
-// checkOperations checks what operators asked and were answered.
+// checkOperations checks that the operators' puts and reads are linearizable, and that reads return unmodified configurations.
 func (c *checker) checkOperations() {
 	var history []porcupine.Operation
 	for i, operation := range c.record.Operations {
@@ -37,7 +37,7 @@
 		}
 		end := int64(operation.Return)
 		if !operation.Acknowledged() {
-			end = int64(c.record.EndedAt + time.Hour) // it may take effect until the end
+			end = int64(c.record.EndedAt + time.Hour) // it may take effect at any later time
 		}
 		history = append(history, porcupine.Operation{ClientId: i, Input: operation, Call: int64(operation.Call), Return: end})
 	}
@@ -48,8 +48,8 @@
 	c.checkAcknowledgements()
 }
 
-// reportStaleReads finds the reads that answered less than what was acknowledged before they were sent. Where there is none, the
-// history as a whole is at fault.
+// reportStaleReads reports the reads that returned an older version than one acknowledged before they were sent. If there are none, it
+// reports the history as a whole.
 func (c *checker) reportStaleReads() {
 	found := false
 	for _, read := range c.record.Operations {
@@ -58,16 +58,16 @@
 		}
 		if put := c.newestAcknowledged(read.Call); put.Version > read.Version {
 			found = true
-			c.report(RuleLinearizability, read.Return, "%s answered version %d, %d was acknowledged by %s at %.3f s, before the read was sent at %.3f s",
+			c.report(RuleLinearizability, read.Return, "%s returned version %d, but version %d was acknowledged by %s at %.3f s, before the read was sent at %.3f s",
 				read.Member, read.Version, put.Version, put.Member, put.Return.Seconds(), read.Call.Seconds())
 		}
 	}
 	if !found {
-		c.report(RuleLinearizability, c.record.EndedAt, "no order of the operations explains what was answered")
+		c.report(RuleLinearizability, c.record.EndedAt, "no sequential order of the operations is consistent with their results")
 	}
 }
 
-// newestAcknowledged is the put of the highest version that was acknowledged by a moment.
+// newestAcknowledged returns the put with the highest version acknowledged by a time.
 func (c *checker) newestAcknowledged(by time.Duration) (newest Operation) {
 	for _, operation := range c.record.Operations {
 		if operation.Kind == PutOperation && operation.Acknowledged() && operation.Return <= by && operation.Version > newest.Version {
@@ -77,7 +77,7 @@
 	return newest
 }
 
-// checkFinalReads checks that what was acknowledged is read back at the end.
+// checkFinalReads checks that the reads at the end of the run return the newest acknowledged configuration.
 func (c *checker) checkFinalReads() {
 	answered := false
 	for _, read := range c.record.Operations {
@@ -86,26 +86,26 @@
 		}
 		answered = true
 		if put := c.newestAcknowledged(read.Call); put.Version > read.Version {
-			c.report(RuleConfigLost, read.Return, "%s answers version %d at the end, %d was acknowledged by %s", read.Member, read.Version, put.Version, put.Member)
+			c.report(RuleConfigLost, read.Return, "final read at %s returned version %d, but version %d was acknowledged by %s", read.Member, read.Version, put.Version, put.Member)
 		}
 	}
 	if !answered {
-		c.report(RuleConfigLost, c.record.EndedAt, "no member answers a read at the end")
+		c.report(RuleConfigLost, c.record.EndedAt, "no member answered a final read")
 	}
 }
 
-// checkAcknowledgements checks that an order which is given again and again is acknowledged in calm times.
+// checkAcknowledgements checks that a stable control plane acknowledges each repeated put.
 func (c *checker) checkAcknowledgements() {
-	type order struct {
+	type put struct {
 		kind    OperationKind
 		version uint64
 	}
-	first, acknowledged, last := map[order]time.Duration{}, map[order]bool{}, map[order]time.Duration{}
+	first, acknowledged, last := map[put]time.Duration{}, map[put]bool{}, map[put]time.Duration{}
 	for _, operation := range c.record.Operations {
 		if operation.Kind != PutOperation {
 			continue
 		}
-		key := order{operation.Kind, operation.Version}
+		key := put{operation.Kind, operation.Version}
 		if _, known := first[key]; !known {
 			first[key] = operation.Call
 		}
@@ -114,12 +114,12 @@
 	}
 	for key, at := range first {
 		if !acknowledged[key] && last[key]-at > time.Second && c.stableBetween(at, at+ackBound) {
-			c.report(RuleUnacknowledged, at, "version %d, called until %.2f s", key.version, last[key].Seconds())
+			c.report(RuleUnacknowledged, at, "version %d, attempted until %.2f s", key.version, last[key].Seconds())
 		}
 	}
 }
 
-// stableBetween tells whether nothing acted on the control plane or its callers between two moments.
+// stableBetween reports whether no fault acted on the control plane or its responses between two times.
 func (c *checker) stableBetween(from, to time.Duration) bool {
 	return c.controlPlaneStable(from) && !slices.ContainsFunc(c.record.Faults, func(fault FaultEvent) bool {
 		disturbs := fault.Kind.affectsControlPlane() || fault.Kind == DropResponses
@@ -127,10 +127,9 @@
 	})
 }
 
-// checkConfigurations checks which configuration the gateways served by, as probes saw it: a probe's path has a route from its
-// version on.
+// checkConfigurations checks from probes which configuration the gateways used: a probe's path is routed from its version on.
 func (c *checker) checkConfigurations() {
-	seen := map[string]Request{} // the answered probe of the highest version, by gateway
+	seen := map[string]Request{} // successful probe with the highest version, by gateway
 	probes := slices.Clone(c.record.Requests)
 	slices.SortStableFunc(probes, func(a, b Request) int { return int(a.EndedAt - b.EndedAt) })
 	for _, probe := range probes {
@@ -148,22 +147,22 @@
 	}
 }
 
-// checkMissingRoute checks a probe that found no route: the gateway serves by an older configuration than the probe's, or by one so
-// much newer that the route is gone.
+// checkMissingRoute checks a probe that was not routed: the gateway uses an older configuration than the probe's version, or one so
+// much newer that it no longer has the route.
 func (c *checker) checkMissingRoute(probe, seen Request) {
 	if c.newestSent(probe.EndedAt) >= probe.Version+probeRoutes {
 		return
 	}
 	if seen.Version >= probe.Version && probe.SentAt > seen.EndedAt+rollbackSlack && c.sameProcess(probe.Gateway, seen.SentAt, probe.EndedAt) {
-		c.report(RuleConfigRollback, probe.SentAt, "%s has no route of version %d, which it had at %.2f s", probe.Gateway, probe.Version, seen.EndedAt.Seconds())
+		c.report(RuleConfigRollback, probe.SentAt, "%s has no route for version %d, which it had at %.2f s", probe.Gateway, probe.Version, seen.EndedAt.Seconds())
 	}
 	acknowledged := c.acknowledgedAt(probe.Version)
 	if probe.SentAt > acknowledged+configBound+schedulingSlack && c.inContact(probe.Gateway, probe.SentAt) {
-		c.report(RuleStaleConfig, probe.SentAt, "%s has no route of version %d, which was acknowledged at %.2f s", probe.Gateway, probe.Version, acknowledged.Seconds())
+		c.report(RuleStaleConfig, probe.SentAt, "%s has no route for version %d, which was acknowledged at %.2f s", probe.Gateway, probe.Version, acknowledged.Seconds())
 	}
 }
 
-// newestSent is the highest version that an operator had sent by a moment.
+// newestSent returns the highest version that an operator had sent by a time.
 func (c *checker) newestSent(by time.Duration) (version uint64) {
 	for _, operation := range c.record.Operations {
 		if operation.Kind == PutOperation && operation.Call <= by {
@@ -173,7 +172,7 @@
 	return version
 }
 
-// acknowledgedAt is when a version or a higher one was first acknowledged.
+// acknowledgedAt returns when a version or a higher one was first acknowledged.
 func (c *checker) acknowledgedAt(version uint64) time.Duration {
 	at := c.record.EndedAt
 	for _, operation := range c.record.Operations {
@@ -184,7 +183,7 @@
 	return at
 }
 
-// sameProcess tells whether a gateway's process neither ended nor began between two moments.
+// sameProcess reports whether a gateway's process neither exited nor started between two times.
 func (c *checker) sameProcess(gateway string, from, to time.Duration) bool {
 	return !slices.ContainsFunc(c.record.Processes, func(event ProcessEvent) bool {
 		return event.Process == gateway && event.At >= from && event.At <= to
--- a/internal/testbeds/soak/client.go
+++ b/internal/testbeds/soak/client.go
@@ -16,8 +16,8 @@
 
 const (
 	clientsPerGateway = 2
-	requestPause      = 40 * time.Millisecond // between two requests of a client, on average
-	requestDeadline   = 2 * time.Second       // told in X-Deadline-Ms
+	requestPause      = 40 * time.Millisecond // mean pause between two requests of a client
+	requestDeadline   = 2 * time.Second       // sent in X-Deadline-Ms
 	responseSlack     = 700 * time.Millisecond
 	clientDialTimeout = time.Second
 	unsafeShare       = 0.4
@@ -28,11 +28,11 @@
 	probePath         = "/probe-"
 )
 
-// client sends one request after the other to one gateway, each with an identity of its own, and repeats none.
+// client sends requests to one gateway sequentially, each with a unique ID, and never retries.
 type client struct {
 	cluster *cluster
 	gateway *daemon
-	address string // of the relay before the gateway
+	address string // of the relay to the gateway
 	name    string
 	random  *rand.Rand
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// nextRequest chooses the next request.
+// nextRequest generates the next request.
 func (c *client) nextRequest() Request {
 	c.sent++
 	request := Request{ID: fmt.Sprintf("%s-%d", c.name, c.sent), Gateway: c.gateway.name, Kind: SafeRequest}
@@ -64,7 +64,7 @@
 		request.Kind = UnsafeRequest
 	case chance < unsafeShare+probeShare:
 		by := c.cluster.now()
-		if c.random.IntN(2) == 0 { // one that must be in force by now
+		if c.random.IntN(2) == 0 { // a version that every gateway must use by now
 			by -= configBound + 2*schedulingSlack
 		}
 		if version := c.cluster.operators.newestAcknowledged(by); version > 0 {
@@ -74,7 +74,7 @@
 	return request
 }
 
-// send sends a request and notes what came of it. A connection that did not answer as it should is given up.
+// send sends a request and stores the outcome in it. It closes the connection after an error.
 func (c *client) send(request *Request) {
 	request.SentAt = c.cluster.now()
 	defer func() { request.EndedAt = c.cluster.now() }()
@@ -124,7 +124,7 @@
 
 func (c *client) closeConn() {
 	if c.conn != nil {
-		_ = c.conn.Close() // it is given up
+		_ = c.conn.Close() // the gateway may have closed it
 		c.conn = nil
 	}
 }
@@ -136,7 +136,7 @@
 	return http.MethodGet
 }
 
-// encode is the request as it is sent.
+// encode returns the request in wire format.
 func (r *Request) encode() string {
 	path, body := safePath, ""
 	switch r.Kind {
@@ -150,7 +150,7 @@
 		r.method(), path, hostSafe, r.ID, requestDeadline.Milliseconds(), len(body), body)
 }
 
-// malformedRequests are what clients send that misbehave: half requests, garbage, and requests that two readers could read differently.
+// malformedRequests are truncated requests, garbage, and requests with ambiguous framing.
 var malformedRequests = []string{
 	"GET /read/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-",
 	"POST /order/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: hostile\r\nContent-Length: 100\r\n\r\nhalf",
@@ -160,7 +160,7 @@
 	"",
 }
 
-// sendMalformedRequests opens connections that send hostileTexts and end with a reset, until ctx ends.
+// sendMalformedRequests opens connections, sends one of malformedRequests on each and resets it, until ctx ends.
 func sendMalformedRequests(ctx context.Context, address string) {
 	for i := 0; ctx.Err() == nil; i++ {
 		dialer := net.Dialer{Timeout: clientDialTimeout}
@@ -169,7 +169,7 @@
 			time.Sleep(requestPause)
 			continue
 		}
-		_, _ = io.WriteString(conn, malformedRequests[i%len(malformedRequests)]) // it may be refused at any byte
+		_, _ = io.WriteString(conn, malformedRequests[i%len(malformedRequests)]) // the gateway may close the connection early
 		time.Sleep(requestPause / 4)
 		resetConn(conn)
 	}
--- a/internal/testbeds/soak/exhaustion.go
+++ b/internal/testbeds/soak/exhaustion.go
@@ -12,22 +12,19 @@
 )
 
 const (
-	// exhaustionConnections are more than a daemon has descriptors.
-	exhaustionConnections = maxDescriptors + 100
-
-	// slowSendInterval is the time between two bytes of a caller that sends one by one.
-	slowSendInterval = 200 * time.Millisecond
+	exhaustionConnections = maxDescriptors + 100   // more than a daemon can accept
+	slowSendInterval      = 200 * time.Millisecond // between two bytes
 )
 
-// manner is how a caller holds a connection until ctx ends or the daemon closes it.
+// manner holds a connection open until ctx ends or the daemon closes it.
 type holdMode func(ctx context.Context, conn net.Conn, host string)
 
-// holdModes are what Fault.HoldMode numbers.
+// holdModes are indexed by Fault.HoldMode.
 var holdModes = []holdMode{holdIdle, holdPartialHead, sendHeadSlowly, sendBodySlowly, holdKeepAlive, holdUnreadResponse}
 
-// exhaustConnections opens connections to an address and holds them until ctx ends. Each that is closed is opened again.
-func exhaustConnections(ctx context.Context, address string, choice int) {
-	hold := holdModes[choice%len(holdModes)]
+// exhaustConnections holds exhaustionConnections connections to an address until ctx ends and reopens those that are closed.
+func exhaustConnections(ctx context.Context, address string, mode int) {
+	hold := holdModes[mode%len(holdModes)]
 	var conns sync.WaitGroup
 	for range exhaustionConnections {
 		conns.Go(func() {
@@ -39,7 +36,7 @@
 	conns.Wait()
 }
 
-// holdConnection holds one connection until it is closed or ctx ends.
+// holdConnection opens one connection and holds it until it is closed or ctx ends.
 func holdConnection(ctx context.Context, address string, hold holdMode) {
 	dialer := net.Dialer{Timeout: clientDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -47,13 +44,13 @@
 		time.Sleep(requestPause)
 		return
 	}
-	defer func() { _ = conn.Close() }() // it is given up
+	defer func() { _ = conn.Close() }() // the daemon may have closed it
 	release := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	defer release()
 	hold(ctx, conn, address)
 }
 
-// holdIdle reads until the connection ends, whichever way.
+// holdIdle sends nothing and waits until the connection ends.
 func holdIdle(_ context.Context, conn net.Conn, _ string) { _, _ = conn.Read(make([]byte, 1)) }
 
 func holdPartialHead(ctx context.Context, conn net.Conn, host string) {
@@ -65,7 +62,8 @@
 	sendSlowly(ctx, conn, "GET /hoard HTTP/1.1\r\nHost: "+host+"\r\nX-Padding: 0123456789\r\n")
 }
 
-// sendBodySlowly sends a head at once and its body byte by byte. No route has the path, and no control call the name: nothing is executed.
+// sendBodySlowly sends a head at once and its body byte by byte. The path matches no route and no control call, so nothing is
+// executed.
 func sendBodySlowly(ctx context.Context, conn net.Conn, host string) {
 	_, _ = fmt.Fprintf(conn, "POST /hoard HTTP/1.1\r\nHost: %s\r\nContent-Length: 1000\r\n\r\n", host) // as above
 	sendSlowly(ctx, conn, "0123456789")
@@ -85,14 +83,14 @@
 	holdIdle(ctx, conn, "")
 }
 
-// holdKeepAlive has a proper request answered and keeps the connection, as ordinary clients do.
+// holdKeepAlive sends a valid request, reads the response and keeps the connection idle.
 func holdKeepAlive(ctx context.Context, conn net.Conn, host string) {
 	_, _ = fmt.Fprintf(conn, "GET /hoard HTTP/1.1\r\nHost: %s\r\n\r\n", host) // as above
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return
 	}
-	_, _ = io.Copy(io.Discard, response.Body) // a body that ends early changes nothing
+	_, _ = io.Copy(io.Discard, response.Body) // a truncated body is fine
 	_ = response.Body.Close()
 	holdIdle(ctx, conn, host)
 }
--- a/internal/testbeds/soak/operator.go
+++ b/internal/testbeds/soak/operator.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	operatorCount       = 2
-	operatorPause       = 250 * time.Millisecond // between two calls of an operator, on average
-	callTimeout         = time.Second            // as the users' callers wait
-	probeRoutes         = 40                     // newest versions that a configuration has a route for
-	readShare           = 0.4
-	evacuationShare     = 0.08
-	evacuatedZone       = "c"
-	maxAttemptsPerOrder = 6
+	operatorCount        = 2
+	operatorPause        = 250 * time.Millisecond // mean pause between two calls of an operator
+	callTimeout          = time.Second
+	probeRoutes          = 40 // a configuration routes the probe paths of this many newest versions
+	readShare            = 0.4
+	evacuationShare      = 0.08
+	evacuatedZone        = "c"
+	maxOperationAttempts = 6
 )
 
 const (
@@ -32,7 +32,8 @@
 	routeTemplate = `{"name":%q,"path_prefix":%q,"kind":%q,"timeout":"3000ms","target_latency":"600ms","max_attempts":2,"service":%q}`
 )
 
-// configuration is the configuration of a version: routes for reads and orders, and one for each version that came before it.
+// configuration returns the configuration of a version: routes for reads and orders, and a probe route for each of the last
+// probeRoutes versions.
 func configuration(version uint64) []byte {
 	routes := []string{
 		fmt.Sprintf(routeTemplate, "reads", safePath, "safe", "reads"),
@@ -45,23 +46,24 @@
 	return fmt.Appendf(nil, configurationHead, version, strings.Join(routes, ","))
 }
 
-// operators send configurations whose versions rise, evacuate a zone now and then, and read the configuration at any member.
+// operators write configurations with increasing versions, occasionally evacuate a zone, and read the configuration from random
+// members.
 type operators struct {
 	cluster *cluster
 
 	mu           sync.Mutex
-	version      uint64                // handed out last
-	acknowledged []acknowledgedVersion // rising
+	version      uint64                // last one returned by nextVersion
+	acknowledged []acknowledgedVersion // in ascending order
 	ackCallbacks []func(member string)
 }
 
-// acknowledgedVersion is a configuration version that was acknowledged when none above it had been.
+// acknowledgedVersion is a configuration version that was the highest acknowledged one at a time.
 type acknowledgedVersion struct {
 	version uint64
 	at      time.Duration
 }
 
-// newestAcknowledged is the highest version that was acknowledged by a moment; 0: none.
+// newestAcknowledged returns the highest version acknowledged by a time, or 0 if there is none.
 func (o *operators) newestAcknowledged(by time.Duration) uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -88,25 +90,25 @@
 	return o.version
 }
 
-// onNextAcknowledgement has do called with the member that acknowledges anything next, before its caller knows.
-func (o *operators) onNextAcknowledgement(do func(member string)) {
+// onNextAcknowledgement registers a callback for the next acknowledgement of any member. It runs before the caller gets the response.
+func (o *operators) onNextAcknowledgement(callback func(member string)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.ackCallbacks = append(o.ackCallbacks, do)
+	o.ackCallbacks = append(o.ackCallbacks, callback)
 }
 
-// notifyAcknowledgement calls those who wait for the next acknowledgement.
+// notifyAcknowledgement calls and removes the registered callbacks.
 func (o *operators) notifyAcknowledgement(member string) {
 	o.mu.Lock()
-	waiting := o.ackCallbacks
+	callbacks := o.ackCallbacks
 	o.ackCallbacks = nil
 	o.mu.Unlock()
-	for _, do := range waiting {
-		do(member)
+	for _, callback := range callbacks {
+		callback(member)
 	}
 }
 
-// run gives orders until ctx ends.
+// run makes calls until ctx ends.
 func (o *operators) run(ctx context.Context, number int, random *rand.Rand) {
 	evacuated := false
 	for ctx.Err() == nil {
@@ -137,11 +139,12 @@
 	return o.cluster.members[random.IntN(len(o.cluster.members))].name
 }
 
-// callUntilAcknowledged gives an order to one member after the other until it is acknowledged.
-func (o *operators) callUntilAcknowledged(ctx context.Context, order Operation, random *rand.Rand) {
-	for attempt := range maxAttemptsPerOrder {
-		order.Member = o.randomMember(random)
-		if o.call(order).Acknowledged() {
+// callUntilAcknowledged repeats an operation at random members until it is acknowledged or has been attempted maxOperationAttempts
+// times.
+func (o *operators) callUntilAcknowledged(ctx context.Context, operation Operation, random *rand.Rand) {
+	for attempt := range maxOperationAttempts {
+		operation.Member = o.randomMember(random)
+		if o.call(operation).Acknowledged() {
 			return
 		}
 		select {
@@ -152,15 +155,15 @@
 	}
 }
 
-// call makes one call to one member and records it.
+// call performs an operation at one member and records it.
 func (o *operators) call(operation Operation) Operation {
 	operation.Call = o.cluster.now()
 	query, body := operation.query()
-	status, answer := o.cluster.callMember(operation.Member, query, body)
+	status, response := o.cluster.callMember(operation.Member, query, body)
 	operation.Return, operation.Status = o.cluster.now(), status
 	if status == http.StatusOK && operation.Kind == ReadOperation {
-		operation.Version = versionOf(answer)
-		operation.Altered = !bytes.Equal(answer, configuration(operation.Version))
+		operation.Version = versionOf(response)
+		operation.Altered = !bytes.Equal(response, configuration(operation.Version))
 	}
 	if operation.Acknowledged() && operation.Kind == PutOperation {
 		o.recordAcknowledged(operation)
@@ -190,45 +193,44 @@
 	return version
 }
 
-// callMember makes a control call to a member through the relay before it. The status is 0 where there is no clear answer; redirects
-// are followed once.
-func (c *cluster) callMember(member, query string, body []byte) (status int, answer []byte) {
+// callMember makes a control call to a member through its relay and follows one redirect. The status is 0 if the outcome is unknown.
+func (c *cluster) callMember(member, query string, body []byte) (status int, response []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	link := c.controlLinks[member]
-	status, answer, location := callOnce(ctx, "http://"+link.address()+"/api/rpc?"+query, body)
+	status, response, location := callOnce(ctx, "http://"+link.address()+"/api/rpc?"+query, body)
 	if status != http.StatusTemporaryRedirect {
 		if status == http.StatusOK && !strings.Contains(query, "describe") {
 			c.operators.notifyAcknowledgement(member)
 		}
-		return status, answer
+		return status, response
 	}
 	for _, other := range c.members {
 		if strings.HasPrefix(location, "http://"+other.controlAddress()+"/") {
-			status, answer, _ = callOnce(ctx, "http://"+c.controlLinks[other.name].address()+"/api/rpc?"+query, body)
-			return status, answer
+			status, response, _ = callOnce(ctx, "http://"+c.controlLinks[other.name].address()+"/api/rpc?"+query, body)
+			return status, response
 		}
 	}
 	return 0, nil
 }
 
-func callOnce(ctx context.Context, url string, body []byte) (status int, answer []byte, location string) {
+func callOnce(ctx context.Context, url string, body []byte) (status int, responseBody []byte, location string) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, ""
 	}
-	request.Close = true // no connection is kept, so that no library repeats a call
+	request.Close = true // net/http may repeat a call that fails on a reused connection
 	response, err := controlTransport.RoundTrip(request)
 	if err != nil {
 		return 0, nil, ""
 	}
 	defer func() { _ = response.Body.Close() }() // it was read
-	answer, err = io.ReadAll(response.Body)
+	responseBody, err = io.ReadAll(response.Body)
 	if err != nil {
 		return 0, nil, ""
 	}
-	return response.StatusCode, answer, response.Header.Get("Location")
+	return response.StatusCode, responseBody, response.Header.Get("Location")
 }
 
-// controlTransport opens a connection for each call.
+// controlTransport opens a new connection for each call.
 var controlTransport = &http.Transport{DisableKeepAlives: true}
--- a/internal/testbeds/soak/record.go
+++ b/internal/testbeds/soak/record.go
@@ -12,8 +12,10 @@
 
 const recordFile = "record.json"
 
+// RequestKind classifies the requests of clients.
 type RequestKind string
 
+// Request kinds.
 const (
 	SafeRequest   RequestKind = "safe"
 	UnsafeRequest RequestKind = "unsafe"
@@ -52,8 +54,10 @@
 	EndedAt        time.Duration `json:"ended_at"`
 }
 
+// OperationKind classifies the calls of operators.
 type OperationKind string
 
+// Operation kinds.
 const (
 	PutOperation      OperationKind = "put"
 	ReadOperation     OperationKind = "read"
@@ -93,8 +97,10 @@
 	Detail  string           `json:"detail,omitempty"`
 }
 
+// ProcessEventKind classifies state changes of a process.
 type ProcessEventKind string
 
+// Process event kinds.
 const (
 	ProcessStarted ProcessEventKind = "started"
 	ProcessKilled  ProcessEventKind = "killed" // by a fault
--- a/internal/testbeds/soak/relay.go
+++ b/internal/testbeds/soak/relay.go
@@ -14,17 +14,16 @@
 	relayDialTimeout  = time.Second
 )
 
-// relay passes connections from its own address on to a target, and is one directed link: from whoever dials it to the target. Faults
-// act on what passes through it. A cut holds bytes and the ends of connections back until it is over; unlike on a real network, a new
-// connection is accepted meanwhile, and nothing of it passes on.
+// relay is a TCP proxy for one target that injects network faults. While it is blocked it withholds data and connection closes in both
+// directions. Unlike a partitioned network it still accepts new connections, but forwards nothing from them.
 type relay struct {
 	listener net.Listener
 	target   string
 
 	mu            sync.Mutex
-	blocks        int // faults that cut the link; 0: it passes
+	blocks        int // number of faults that block the link; 0: it forwards
 	delay         time.Duration
-	dropResponses bool // what the target sends is dropped, and the connection reset
+	dropResponses bool // the connection is reset when the target sends a response
 	conns         map[net.Conn]bool
 	closed        bool
 }
@@ -41,7 +40,7 @@
 
 func (r *relay) address() string { return r.listener.Addr().String() }
 
-// cut holds everything back until the returned function is called.
+// block withholds all data until unblock is called.
 func (r *relay) block() (unblock func()) {
 	r.addBlocks(1)
 	return sync.OnceFunc(func() { r.addBlocks(-1) })
@@ -59,13 +58,13 @@
 	r.delay = delay
 }
 
-func (r *relay) setDropResponses(lose bool) {
+func (r *relay) setDropResponses(drop bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.dropResponses = lose
+	r.dropResponses = drop
 }
 
-// reset ends all connections with a reset in both directions.
+// reset resets both sides of all connections.
 func (r *relay) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,22 +114,22 @@
 	defer r.untrack(to)
 	done := make(chan struct{})
 	go func() {
-		r.pass(from, to, false)
+		r.forward(from, to, false)
 		close(done)
 	}()
-	r.pass(to, from, true)
+	r.forward(to, from, true)
 	<-done
 }
 
-// pass passes bytes from one end to the other until one of them ends. answers is set for what the target sends.
-func (r *relay) pass(from, to net.Conn, answers bool) {
+// forward copies data from one connection to the other until either ends. responses is true for the direction from the target.
+func (r *relay) forward(from, to net.Conn, responses bool) {
 	buffer := make([]byte, relayBufferBytes)
 	for {
 		n, err := from.Read(buffer)
 		if !r.awaitLink() {
 			return
 		}
-		if n > 0 && answers && r.dropsResponses() {
+		if n > 0 && responses && r.dropsResponses() {
 			resetConn(from)
 			resetConn(to)
 			return
@@ -142,32 +141,32 @@
 			}
 		}
 		if err != nil {
-			endAfter(to, err)
+			forwardClose(to, err)
 			return
 		}
 	}
 }
 
-// endAfter passes the end of one side on to the other: a close as a close, a reset as a reset.
-func endAfter(to net.Conn, err error) {
-	if tcp, ok := to.(*net.TCPConn); ok && err == io.EOF { //nolint:errorlint // bare by the contract of io.Reader
+// forwardClose propagates the end of one side to the other: a close as a half-close, any error as a reset.
+func forwardClose(to net.Conn, err error) {
+	if tcp, ok := to.(*net.TCPConn); ok && err == io.EOF { //nolint:errorlint // io.Reader returns io.EOF unwrapped
 		_ = tcp.CloseWrite() // fails on a closed connection only
 		return
 	}
 	resetConn(to)
 }
 
-// awaitLink waits while the link is cut, then for its delay. It tells whether the relay still runs.
+// awaitLink waits while the link is blocked, then for its delay. It returns false if the relay has been closed.
 func (r *relay) awaitLink() bool {
 	waited := false
 	for {
 		r.mu.Lock()
-		block, delay, closed := r.blocks > 0, r.delay, r.closed
+		blocked, delay, closed := r.blocks > 0, r.delay, r.closed
 		r.mu.Unlock()
 		switch {
 		case closed:
 			return false
-		case block:
+		case blocked:
 			time.Sleep(relayPollInterval)
 		case delay > 0 && !waited:
 			waited = true
@@ -194,5 +193,5 @@
 	r.mu.Lock()
 	delete(r.conns, conn)
 	r.mu.Unlock()
-	_ = conn.Close() // it may have been closed before
+	_ = conn.Close() // it may be closed already
 }
--- a/internal/testbeds/soak/replica.go
+++ b/internal/testbeds/soak/replica.go
@@ -14,53 +14,53 @@
 
 const (
 	heartbeatInterval    = 1500 * time.Millisecond
-	drainDeadline        = 2 * time.Second // of the settings
-	departureServingTime = 6 * time.Second // a replica that leaves serves on longer than it has to
+	drainDeadline        = 2 * time.Second // as in settingsTemplate
+	departureServingTime = 6 * time.Second // longer than the drain deadline, to detect late requests
 	serviceTime          = 20 * time.Millisecond
 	replicaSlots         = 8
-	departureAttempts    = 12 // calls until a replica ends without an acknowledgement
+	departureAttempts    = 12 // then the replica stops without an acknowledgement
 	ackRetryPause        = 200 * time.Millisecond
 )
 
-// fleetLayout lists the service and the zone of each replica that there is at any time.
+// fleetLayout lists the service and the zone of each replica. A replica that stops is replaced at its position.
 var fleetLayout = []struct{ service, zone string }{
 	{"reads", "a"}, {"reads", "b"}, {"reads", "c"}, {"reads", "a"},
 	{"orders", "a"}, {"orders", "b"}, {"orders", "c"},
 }
 
-// misbehaviours are drawn from while replicas misbehave.
+// misbehaviours are the behaviours that setMisbehaviours picks from.
 var misbehaviours = []upstream.Behaviour{
 	upstream.AnswersCorrectly, upstream.RejectsNotExecuted, upstream.TruncatesResponse, upstream.SendsGarbage, upstream.OmitsSeal,
 	upstream.ClosesWithoutResponse, upstream.NeverResponds, upstream.SendsExtraResponse, upstream.SendsStaleResponseFirst,
 	upstream.RespondsInternalError, upstream.ClosesAfterResponse, upstream.OmitsNotExecuted, upstream.OmitsAttemptID,
 }
 
-// fleet is the replicas: in each place one that lives, beside those that are leaving.
+// fleet manages the running replicas and those that are leaving.
 type fleet struct {
 	cluster *cluster
 	random  *rand.Rand
 
 	mu       sync.Mutex
-	replicas []*replica
+	replicas []*replica // by position in fleetLayout
 	started  int
 	leaving  sync.WaitGroup
 }
 
-// replica is one life of a replica.
+// replica is a fake replica from its start to its end.
 type replica struct {
 	server   *upstream.Replica
-	link     *relay // between the gateways and it
+	link     *relay // from the gateways
 	instance *Instance
-	target   string // member that takes its next heartbeat
+	target   string // member that receives the next heartbeat
 	sequence uint64
-	stop     context.CancelFunc // of its heartbeats
+	stop     context.CancelFunc // stops the heartbeats
 }
 
 func newFleet(c *cluster, random *rand.Rand) *fleet {
 	return &fleet{cluster: c, random: random, replicas: make([]*replica, len(fleetLayout))}
 }
 
-// startAll starts a replica in each place.
+// startAll starts a replica at each position.
 func (f *fleet) startAll(ctx context.Context) error {
 	for position := range fleetLayout {
 		if err := f.replace(ctx, position); err != nil {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// replace starts a new replica in a place, whatever was there.
+// replace starts a new replica at a position. It does not stop the previous one.
 func (f *fleet) replace(ctx context.Context, position int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,7 +118,7 @@
 	}
 }
 
-// heartbeat sends one heartbeat, and tells whether it was acknowledged. Without, the next one goes to another member.
+// heartbeat sends one heartbeat and reports whether it was acknowledged. If not, the next one goes to another member.
 func (f *fleet) heartbeat(r *replica, state string) bool {
 	r.sequence++
 	body := upstream.NewHeartbeat(r.instance.Service, r.link.address(), r.instance.Zone, replicaSlots, r.sequence)
@@ -127,17 +127,17 @@
 	if err != nil {
 		return false
 	}
-	status, answer := f.cluster.callMember(r.target, "call=instances.heartbeat&of="+r.instance.ID, encoded)
+	status, response := f.cluster.callMember(r.target, "call=instances.heartbeat&of="+r.instance.ID, encoded)
 	if status != http.StatusOK {
 		f.advanceTarget(r)
 		return false
 	}
-	var told struct {
+	var decoded struct {
 		HeartbeatTarget string `json:"heartbeat_target"`
 	}
-	if json.Unmarshal(answer, &told) == nil && state == "ready" {
+	if json.Unmarshal(response, &decoded) == nil && state == "ready" {
 		for _, member := range f.cluster.members {
-			if member.controlAddress() == told.HeartbeatTarget {
+			if member.controlAddress() == decoded.HeartbeatTarget {
 				r.target = member.name
 			}
 		}
@@ -155,19 +155,19 @@
 	}
 }
 
-// detach removes the replica of a place, and starts another there.
+// detach stops the heartbeats of the replica at a position, replaces it and returns it.
 func (f *fleet) detach(ctx context.Context, position int) *replica {
 	f.mu.Lock()
 	detached := f.replicas[position%len(f.replicas)]
 	f.mu.Unlock()
 	detached.stop()
 	if err := f.replace(ctx, position%len(fleetLayout)); err != nil {
-		f.cluster.progressf("a replica cannot be started: %v", err)
+		f.cluster.progressf("starting a replica failed: %v", err)
 	}
 	return detached
 }
 
-// crash ends a replica without a word.
+// crash stops a replica without notice.
 func (f *fleet) crash(ctx context.Context, position int) {
 	crashed := f.detach(ctx, position)
 	f.stopReplica(crashed)
@@ -180,21 +180,21 @@
 	r.link.close()
 }
 
-// leave has a replica leave as planned: it says that it drains, or deregisters at once, serves on and ends. at names the member that
-// is told first; empty: that of its heartbeats.
-func (f *fleet) leave(ctx context.Context, position int, by, at string) {
+// leave makes a replica leave as planned: it announces a drain or deregisters, continues to serve and stops. member receives the first
+// announcement; if it is empty, the target of the heartbeats does.
+func (f *fleet) leave(ctx context.Context, position int, departure, member string) {
 	leaving := f.detach(ctx, position)
-	if at != "" {
-		leaving.target = at
+	if member != "" {
+		leaving.target = member
 	}
 	f.leaving.Go(func() {
 		for range departureAttempts {
-			if f.announceDeparture(leaving, by) {
+			if f.announceDeparture(leaving, departure) {
 				break
 			}
 			time.Sleep(ackRetryPause)
 		}
-		if by == departureDrain { // it repeats what it said, as replicas do
+		if departure == departureDrain { // a draining replica continues to send heartbeats
 			for range int(departureServingTime / heartbeatInterval) {
 				time.Sleep(heartbeatInterval)
 				f.heartbeat(leaving, "draining")
@@ -212,10 +212,10 @@
 	departureDeregistration = "deregistration"
 )
 
-// announceDeparture tells a member that the replica leaves, and tells whether that was acknowledged.
-func (f *fleet) announceDeparture(r *replica, by string) bool {
+// announceDeparture announces a departure to the target member and reports whether it was acknowledged.
+func (f *fleet) announceDeparture(r *replica, departure string) bool {
 	member, acknowledged := r.target, false
-	if by == departureDrain {
+	if departure == departureDrain {
 		acknowledged = f.heartbeat(r, "draining")
 	} else {
 		status, _ := f.cluster.callMember(r.target, "call=instances.deregister&of="+r.instance.ID, nil)
@@ -226,13 +226,13 @@
 	if acknowledged {
 		now := f.cluster.now()
 		f.cluster.record.update(func(*Record) {
-			r.instance.AcknowledgedAt, r.instance.AcknowledgedBy, r.instance.Departure = now, member, by
+			r.instance.AcknowledgedAt, r.instance.AcknowledgedBy, r.instance.Departure = now, member, departure
 		})
 	}
 	return acknowledged
 }
 
-// setMisbehaviours has all replicas meet a number of requests in ways drawn at random.
+// setMisbehaviours makes all replicas answer their next requests with random misbehaviours.
 func (f *fleet) setMisbehaviours(requests int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -245,7 +245,7 @@
 	}
 }
 
-// clearMisbehaviours ends misbehave.
+// clearMisbehaviours makes all replicas answer correctly again.
 func (f *fleet) clearMisbehaviours() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -260,7 +260,7 @@
 	return f.replicas[position%len(f.replicas)].link
 }
 
-// close ends all replicas, once those that leave have left.
+// close waits for leaving replicas, then stops all others.
 func (f *fleet) close() {
 	f.leaving.Wait()
 	f.mu.Lock()
--- a/internal/testbeds/soak/schedule.go
+++ b/internal/testbeds/soak/schedule.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// FaultKind identifies a type of fault.
 type FaultKind string
 
 // Faults on control-plane members. Fault.Target selects a member by number.
--- a/internal/testbeds/soak/soak_run_test.go
+++ b/internal/testbeds/soak/soak_run_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// The tests of this file start processes and are judged by real time, so CI runs them by themselves:
+// The tests in this file start processes and depend on real time. They need the build tag soak and must not run alongside other tests:
 //
 //	go test -tags soak -run Soak ./internal/testbeds/soak
 //
-// A folder in SOAK_KEEP has the records and logs kept there.
+// If SOAK_KEEP names a directory, records and logs are kept there.
 
 const moduleRoot = "../../.."
 
@@ -40,7 +40,7 @@
 	return full
 }
 
-// TestSoakShort is the soak's short form: a few seeds of two episodes each.
+// TestSoakShort runs a few generated schedules of two episodes each.
 func TestSoakShort(t *testing.T) {
 	binDir := t.TempDir()
 	if err := Build(t.Context(), absolute(t, moduleRoot), binDir); err != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// runSchedule plays a schedule and fails with each violation.
+// runSchedule executes a schedule and fails the test for each violation.
 func runSchedule(t *testing.T, binDir string, schedule Schedule, network byte) {
 	t.Helper()
 	result, err := Run(t.Context(), Options{BinDir: binDir, Dir: outputDir(t), Schedule: schedule, Network: network})
@@ -64,14 +64,14 @@
 	for _, violation := range result.Violations {
 		t.Error(violation)
 	}
-	t.Logf("%d requests, %d executions, %d orders and reads, %d faults", len(result.Record.Requests), len(result.Record.Executions),
+	t.Logf("%d requests, %d executions, %d operations, %d faults", len(result.Record.Requests), len(result.Record.Executions),
 		len(result.Record.Operations), len(result.Record.Faults))
 }
 
-// mutations are the faults that the checker must find.
+// mutations each break one guarantee. The checker must detect all of them.
 var mutations = []Mutation{
 	{
-		Name: "an order is acknowledged before the tail has it",
+		Name: "configuration acknowledged before it is committed",
 		File: "controlplane/coordinator/proposal.go",
 		Old:  "case proposal.accepted && step.isCommitted(proposal.commitCondition):",
 		New:  "case proposal.accepted:",
@@ -84,7 +84,7 @@
 		Rule: RuleLinearizability,
 	},
 	{
-		Name:     "an unsafe request is sent again though it may have been executed",
+		Name:     "unsafe request retried although it may have been executed",
 		File:     "dataplane/retry/retry.go",
 		Old:      "case execution == MayHaveExecuted && !state.Idempotent:",
 		New:      "case execution == MayHaveExecuted && !state.Idempotent && state.Attempts < 0:",
@@ -92,7 +92,7 @@
 		Rule:     RuleExecutedTwice,
 	},
 	{
-		Name:     "a gateway serves by its first configuration for ever",
+		Name:     "gateway ignores all configurations after the first",
 		File:     "dataplane/router/update.go",
 		Old:      "r.config != nil && r.config.Version >= update.ConfigVersion",
 		New:      "r.config != nil",
@@ -100,7 +100,7 @@
 		Rule:     RuleStaleConfig,
 	},
 	{
-		Name:     "a deregistration is acknowledged and not carried out",
+		Name:     "deregistration acknowledged but not applied",
 		File:     "controlplane/registry/merge.go",
 		Old:      "		r.markDeregistered(report.receivedAt, known)\n",
 		New:      "",
@@ -109,36 +109,36 @@
 	},
 }
 
-// TestSoakFindsPlantedFaults builds the daemons with each planted fault: a checker that misses one is worth nothing.
+// TestSoakFindsPlantedFaults runs daemons built with each mutation and expects the checker to report the broken guarantee.
 func TestSoakFindsPlantedFaults(t *testing.T) {
-	for i, planted := range mutations {
-		t.Run(planted.Name, func(t *testing.T) {
+	for i, mutation := range mutations {
+		t.Run(mutation.Name, func(t *testing.T) {
 			t.Parallel()
-			runMutation(t, planted, byte(50+i))
+			runMutation(t, mutation, byte(50+i))
 		})
 	}
 }
 
-// mutationAttempts bounds the runs in which a planted fault may show: real processes do not repeat by seed.
+// mutationAttempts limits the runs for each mutation. Real processes are not deterministic, so one run may not show the fault.
 const mutationAttempts = 3
 
-func runMutation(t *testing.T, planted Mutation, network byte) {
+func runMutation(t *testing.T, mutation Mutation, network byte) {
 	t.Helper()
 	binDir := t.TempDir()
-	if err := planted.Build(context.Background(), absolute(t, moduleRoot), binDir); err != nil {
+	if err := mutation.Build(context.Background(), absolute(t, moduleRoot), binDir); err != nil {
 		t.Fatal(err)
 	}
 	for range mutationAttempts {
-		result, err := Run(t.Context(), Options{BinDir: binDir, Dir: outputDir(t), Schedule: planted.Schedule, Network: network})
+		result, err := Run(t.Context(), Options{BinDir: binDir, Dir: outputDir(t), Schedule: mutation.Schedule, Network: network})
 		if err != nil {
 			t.Fatal(err)
 		}
-		found := slices.IndexFunc(result.Violations, func(violation Violation) bool { return violation.Rule == planted.Rule })
+		found := slices.IndexFunc(result.Violations, func(violation Violation) bool { return violation.Rule == mutation.Rule })
 		if found >= 0 {
-			t.Logf("found: %s", result.Violations[found])
+			t.Logf("detected: %s", result.Violations[found])
 			return
 		}
-		t.Logf("not found in one run; violations: %v", result.Violations)
+		t.Logf("not detected in one run; violations: %v", result.Violations)
 	}
-	t.Errorf("not found by the rule %q in %d runs", planted.Rule, mutationAttempts)
+	t.Errorf("rule %q did not detect the mutation in %d runs", mutation.Rule, mutationAttempts)
 }
