--- a/internal/testbeds/standin/collectd.go
+++ b/internal/testbeds/standin/collectd.go
@@ -10,7 +10,7 @@
 // PartType is the type of a part of a collectd packet.
 type PartType uint16
 
-// Types of parts, as collectd's network protocol numbers them.
+// Part types of collectd's binary network protocol.
 const (
 	PartHost           PartType = 0
 	PartTime           PartType = 1 // in seconds
@@ -23,38 +23,37 @@
 	PartTimeHighRes    PartType = 8 // in units of 2^-30 seconds
 )
 
-// dataSourceGauge is the type of a value that is a gauge; the others are parameters of AppendCounters.
-const dataSourceGauge = 1
+const dataSourceGauge = 1 // data source type code of a gauge
 
 const partHeaderSize = 4
 
-// CollectdPacket builds packets of collectd's network protocol, valid and corrupt ones. Its methods return the packet with a
-// part appended.
+// CollectdPacket builds valid and corrupt packets of collectd's network protocol. The Append methods return the packet with one part
+// appended.
 type CollectdPacket []byte
 
-// AppendPart adds a part of any type.
+// AppendPart appends a part with a raw body.
 func (p CollectdPacket) AppendPart(partType PartType, body []byte) CollectdPacket {
 	p = binary.BigEndian.AppendUint16(p, uint16(partType))
 	p = binary.BigEndian.AppendUint16(p, uint16(partHeaderSize+len(body)))
 	return append(p, body...)
 }
 
-// AppendString adds a part that is a string: host, plugin, type or an instance of these.
+// AppendString appends a string part, such as a host or plugin name.
 func (p CollectdPacket) AppendString(partType PartType, text string) CollectdPacket {
 	return p.AppendPart(partType, append([]byte(text), 0))
 }
 
-// AppendNumber adds a part that is a number: a time or an interval.
+// AppendNumber appends a numeric part, such as a time or an interval.
 func (p CollectdPacket) AppendNumber(partType PartType, n uint64) CollectdPacket {
 	return p.AppendPart(partType, binary.BigEndian.AppendUint64(nil, n))
 }
 
-// AppendTime adds a time in high resolution.
+// AppendTime appends a high-resolution time.
 func (p CollectdPacket) AppendTime(t time.Time) CollectdPacket {
 	return p.AppendNumber(PartTimeHighRes, uint64(t.Unix())<<30|uint64(t.Nanosecond())<<30/uint64(time.Second))
 }
 
-// AppendGauges adds a part of values that are gauges.
+// AppendGauges appends a values part of gauges.
 func (p CollectdPacket) AppendGauges(values ...float64) CollectdPacket {
 	body := valueTypes(len(values), dataSourceGauge)
 	for _, value := range values {
@@ -63,7 +62,7 @@
 	return p.AppendPart(PartValues, body)
 }
 
-// AppendCounters adds a part of values of one data source type that counts: 0 counter, 2 derive, 3 absolute.
+// AppendCounters appends a values part of one integer data source type: 0 counter, 2 derive, 3 absolute.
 func (p CollectdPacket) AppendCounters(dataSource byte, values ...uint64) CollectdPacket {
 	body := valueTypes(len(values), dataSource)
 	for _, value := range values {
@@ -72,7 +71,7 @@
 	return p.AppendPart(PartValues, body)
 }
 
-// valueTypes begins the body of a part of values: their number, then the type of each.
+// valueTypes returns the start of a values part's body: the number of values, then the type of each.
 func valueTypes(count int, dataSource byte) []byte {
 	body := binary.BigEndian.AppendUint16(nil, uint16(count))
 	for range count {
@@ -81,7 +80,7 @@
 	return body
 }
 
-// Corrupt returns the packet with random changes: of a byte, of its length, or bytes inserted.
+// Corrupt returns a copy of the packet with random bytes changed or inserted, or truncated at a random position.
 func (p CollectdPacket) Corrupt(random *rand.Rand) CollectdPacket {
 	corrupt := append(CollectdPacket{}, p...)
 	for range 1 + random.IntN(4) {
--- a/internal/testbeds/standin/graphite.go
+++ b/internal/testbeds/standin/graphite.go
@@ -1,5 +1,4 @@
-// Package standin holds stand-ins of outside systems, for tests: they behave as the published protocol says, and also in ways
-// that it does not foresee.
+// Package standin provides test fakes of external systems. They follow the published protocols and can also be told to misbehave.
 package standin
 
 import (
@@ -11,7 +10,7 @@
 	"time"
 )
 
-// ConnectionBehaviour is how a Graphite receiver treats a connection.
+// ConnectionBehaviour is how a Graphite receiver handles a connection.
 type ConnectionBehaviour int
 
 // Behaviours of a Graphite receiver.
@@ -19,17 +18,17 @@
 	ReadsLines       ConnectionBehaviour = iota
 	StallsReading                        // accepts the connection and reads nothing
 	ResetsConnection                     // reads a line, then resets
-	HalfCloses                           // closes its sending half, and reads on
+	HalfCloses                           // closes its sending side and continues to read
 	ReadsSlowly                          // reads a few bytes at a time
 )
 
 const (
-	smallReadBuffer = 4 << 10 // of the socket, so that a sender soon notices that nothing is read
-	slowReadSize    = 16      // bytes at a time
+	smallReadBuffer = 4 << 10 // socket buffer; a sender blocks soon when nothing is read
+	slowReadSize    = 16      // bytes per read
 	slowReadPause   = time.Millisecond
 )
 
-// Graphite receives lines over TCP. Its methods may be called by several goroutines.
+// Graphite is a fake Graphite receiver for the plaintext protocol over TCP. It is safe for concurrent use.
 type Graphite struct {
 	listener net.Listener
 	running  sync.WaitGroup
@@ -40,7 +39,7 @@
 	lines       []string
 }
 
-// ListenGraphite begins to receive at a loopback address; ":0" takes any port.
+// ListenGraphite starts a receiver at a loopback address. Port 0 selects a free port.
 func ListenGraphite(address string) (*Graphite, error) {
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -51,10 +50,10 @@
 	return g, nil
 }
 
-// Address returns the address that it listens at.
+// Address returns the listening address.
 func (g *Graphite) Address() string { return g.listener.Addr().String() }
 
-// SetBehaviour sets the behaviour of later connections and closes those that are open.
+// SetBehaviour sets the behaviour for new connections and closes the open ones.
 func (g *Graphite) SetBehaviour(behaviour ConnectionBehaviour) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -72,9 +71,9 @@
 	return append([]string{}, g.lines...)
 }
 
-// Close stops listening, closes all connections and waits until they are served.
+// Close stops listening, closes all connections and waits for their goroutines.
 func (g *Graphite) Close() {
-	_ = g.listener.Close() // it only fails when it is closed already
+	_ = g.listener.Close() // fails only if it is closed already
 	g.SetBehaviour(StallsReading)
 	g.running.Wait()
 }
--- a/internal/testbeds/standin/hostile/behaviours.go
+++ b/internal/testbeds/standin/hostile/behaviours.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// exchange is one request as a behaviour sees it.
+// exchange is one request and the connection that it arrived on.
 type exchange struct {
 	*replicaConn
-	id, otherID string // identities: the request's, another's
-	response    string // the right response
-	head        string // its head without framing
+	id, otherID string // attempt IDs: of this request, and of another one
+	response    string // the correct response
+	head        string // headers of the correct response without framing
 	body        string
 	random      int
-	execute     func() // counts an execution of the request
+	execute     func() // records an execution of the request
 }
 
-// behaviour is one way to meet a request. respond tells whether the connection is kept.
+// behaviour is one way to respond to a request. respond returns false if the connection must be closed.
 type behaviour struct {
 	name    string
 	respond func(x *exchange) (keep bool)
@@ -29,10 +29,10 @@
 
 // drain reads until the gateway closes the connection.
 func (x *exchange) drain() {
-	_, _ = io.Copy(io.Discard, x.Conn) // ends with an error where the gateway resets it
+	_, _ = io.Copy(io.Discard, x.Conn) // fails if the gateway resets the connection
 }
 
-// rejection is a response that states that the request was not executed; id may be empty.
+// rejection returns a response that states that the request was not executed. Without an id, it has no attempt ID.
 func rejection(id string, status int) string {
 	s := "HTTP/1.1 " + strconv.Itoa(status) + " No\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n"
 	if id != "" {
@@ -41,24 +41,24 @@
 	return s + "\r\n"
 }
 
-// forgedResponse is a response that no request has.
+// forgedResponse returns a success response with a forged seal.
 func forgedResponse(id, head, body string) string {
 	return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + id + "\r\nX-Response-Seal: forged\r\n" + head + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// followUp says whether the right response follows what a behaviour sends.
+// followUp says whether the correct response follows the bytes of a behaviour.
 type followUp bool
 
 const (
 	followedByResponse followUp = true
-	alone              followUp = false
+	withoutResponse    followUp = false
 )
 
-// executeThen executes the request and sends something in the place of its response.
-func executeThen(name string, then followUp, keep bool, instead func(x *exchange) string) behaviour {
+// executeThen executes the request and sends the result of output, which is followed by the correct response if then says so.
+func executeThen(name string, then followUp, keep bool, output func(x *exchange) string) behaviour {
 	return behaviour{name, func(x *exchange) bool {
 		x.execute()
-		sent := instead(x)
+		sent := output(x)
 		if then == followedByResponse {
 			sent += x.response
 		}
@@ -67,9 +67,9 @@
 	}}
 }
 
-// rejectWith sends something without executing the request.
-func rejectWith(name string, instead func(x *exchange) string) behaviour {
-	return behaviour{name, func(x *exchange) bool { x.write(instead(x)); return true }}
+// rejectWith sends the result of output without executing the request.
+func rejectWith(name string, output func(x *exchange) string) behaviour {
+	return behaviour{name, func(x *exchange) bool { x.write(output(x)); return true }}
 }
 
 var behaviours = []behaviour{
@@ -100,7 +100,7 @@
 		time.AfterFunc(x.shortDelay(), x.reset)
 		return true
 	}},
-	{"late_surplus", func(x *exchange) bool { // to this request, once more, in the place of a later one
+	{"late_surplus", func(x *exchange) bool { // repeats the response after a delay, as if to a later request
 		x.execute()
 		x.write(x.response)
 		time.AfterFunc(x.shortDelay(), func() { x.write(x.response) })
@@ -142,8 +142,8 @@
 		return true
 	}},
 	executeThen("surplus_before", followedByResponse, true, func(x *exchange) string { return forgedResponse(x.otherID, "", "forged") }),
-	executeThen("surplus_behind", alone, true, func(x *exchange) string { return x.response + forgedResponse(x.otherID, "", "forged") }),
-	executeThen("doubled", alone, true, func(x *exchange) string { return x.response + x.response }),
+	executeThen("surplus_behind", withoutResponse, true, func(x *exchange) string { return x.response + forgedResponse(x.otherID, "", "forged") }),
+	executeThen("doubled", withoutResponse, true, func(x *exchange) string { return x.response + x.response }),
 	executeThen("nameless_before", followedByResponse, true, func(x *exchange) string {
 		return strings.Replace(forgedResponse("-", "", "forged"), "X-Attempt-Id: -\r\n", "", 1)
 	}),
@@ -158,45 +158,45 @@
 		return forgedResponse(x.otherID, "", strings.Repeat("x", 256<<10)+forgedResponse(x.id, "", "forged")+"tail")
 	}),
 	executeThen("many_surplus", followedByResponse, true, func(x *exchange) string { return strings.Repeat(forgedResponse(x.otherID, "", "forged"), 6) }),
-	executeThen("others_name", alone, true, func(x *exchange) string { return forgedResponse(x.otherID, "", x.body) }),
-	executeThen("no_name", alone, true, func(x *exchange) string { return strings.Replace(x.response, "X-Attempt-Id: "+x.id+"\r\n", "", 1) }),
-	executeThen("two_names", alone, true, func(x *exchange) string { return forgedResponse(x.id, "X-Attempt-Id: "+x.otherID+"\r\n", "forged") }),
-	executeThen("no_seal", alone, true, func(x *exchange) string {
+	executeThen("others_name", withoutResponse, true, func(x *exchange) string { return forgedResponse(x.otherID, "", x.body) }),
+	executeThen("no_name", withoutResponse, true, func(x *exchange) string { return strings.Replace(x.response, "X-Attempt-Id: "+x.id+"\r\n", "", 1) }),
+	executeThen("two_names", withoutResponse, true, func(x *exchange) string { return forgedResponse(x.id, "X-Attempt-Id: "+x.otherID+"\r\n", "forged") }),
+	executeThen("no_seal", withoutResponse, true, func(x *exchange) string {
 		return strings.Replace(forgedResponse(x.id, "", "forged"), "X-Response-Seal: forged\r\n", "", 1)
 	}),
-	executeThen("encoded", alone, true, func(x *exchange) string { return forgedResponse(x.id, "Content-Encoding: gzip\r\n", "forged") }),
-	executeThen("two_framings", alone, true, func(x *exchange) string { return forgedResponse(x.id, "Transfer-Encoding: chunked\r\n", "0\r\n\r\n") }),
-	executeThen("two_lengths", alone, true, func(x *exchange) string { return forgedResponse(x.id, "Content-Length: 1\r\n", "forged") }),
-	executeThen("unframed", alone, false, func(x *exchange) string { return "HTTP/1.1 200 OK\r\n" + x.head + "\r\nforged" }),
+	executeThen("encoded", withoutResponse, true, func(x *exchange) string { return forgedResponse(x.id, "Content-Encoding: gzip\r\n", "forged") }),
+	executeThen("two_framings", withoutResponse, true, func(x *exchange) string { return forgedResponse(x.id, "Transfer-Encoding: chunked\r\n", "0\r\n\r\n") }),
+	executeThen("two_lengths", withoutResponse, true, func(x *exchange) string { return forgedResponse(x.id, "Content-Length: 1\r\n", "forged") }),
+	executeThen("unframed", withoutResponse, false, func(x *exchange) string { return "HTTP/1.1 200 OK\r\n" + x.head + "\r\nforged" }),
 	executeThen("piece_before", followedByResponse, true, func(x *exchange) string { return "HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\nX-Piece: " }),
-	executeThen("garbage", alone, false, func(x *exchange) string { return "\x00\x01 not an answer\r\n\r\n" }),
+	executeThen("garbage", withoutResponse, false, func(x *exchange) string { return "\x00\x01 not an answer\r\n\r\n" }),
 	executeThen("garbage_before", followedByResponse, true, func(x *exchange) string { return "not an answer\r\n" }),
-	executeThen("endless_head", alone, false, func(x *exchange) string { return "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Y: zzzzzzzzzzzz\r\n", 8000) }),
+	executeThen("endless_head", withoutResponse, false, func(x *exchange) string { return "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Y: zzzzzzzzzzzz\r\n", 8000) }),
 	executeThen("interim", followedByResponse, true, func(x *exchange) string {
 		return "HTTP/1.1 102 Soon\r\n\r\nHTTP/1.1 103 Hints\r\nX-Attempt-Id: " + x.otherID + "\r\n\r\n"
 	}),
 	executeThen("interim_flood", followedByResponse, true, func(x *exchange) string { return strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50) }),
-	executeThen("switches", alone, false, func(x *exchange) string { return "HTTP/1.1 101 Other\r\n" + x.head + "\r\n" }),
-	executeThen("cut", alone, false, func(x *exchange) string { return x.response[:len(x.response)-1-x.random%len(x.body)] }),
-	executeThen("cut_chunks", alone, false, func(x *exchange) string {
+	executeThen("switches", withoutResponse, false, func(x *exchange) string { return "HTTP/1.1 101 Other\r\n" + x.head + "\r\n" }),
+	executeThen("cut", withoutResponse, false, func(x *exchange) string { return x.response[:len(x.response)-1-x.random%len(x.body)] }),
+	executeThen("cut_chunks", withoutResponse, false, func(x *exchange) string {
 		return "HTTP/1.1 200 OK\r\n" + x.head + "Transfer-Encoding: chunked\r\n\r\n" + strconv.FormatInt(int64(len(x.body)), 16) + "\r\n" + x.body + "\r\n"
 	}),
-	executeThen("chunks_and_trailers", alone, true, func(x *exchange) string {
+	executeThen("chunks_and_trailers", withoutResponse, true, func(x *exchange) string {
 		return "HTTP/1.1 200 OK\r\n" + x.head + "Trailer: X-Attempt-Id\r\nTransfer-Encoding: chunked\r\n\r\n" + strconv.FormatInt(int64(len(x.body)), 16) + "\r\n" + x.body + "\r\n0\r\nX-Attempt-Id: " + x.otherID + "\r\n\r\n"
 	}),
-	executeThen("no_content_with_body", alone, true, func(x *exchange) string { return "HTTP/1.1 204 None\r\n" + x.head + "Content-Length: 6\r\n\r\nforged" }),
-	executeThen("not_modified", alone, true, func(x *exchange) string { return "HTTP/1.1 304 Same\r\n" + x.head + "Content-Length: 6\r\n\r\n" }),
-	executeThen("takes_the_seal", alone, true, func(x *exchange) string {
+	executeThen("no_content_with_body", withoutResponse, true, func(x *exchange) string { return "HTTP/1.1 204 None\r\n" + x.head + "Content-Length: 6\r\n\r\nforged" }),
+	executeThen("not_modified", withoutResponse, true, func(x *exchange) string { return "HTTP/1.1 304 Same\r\n" + x.head + "Content-Length: 6\r\n\r\n" }),
+	executeThen("takes_the_seal", withoutResponse, true, func(x *exchange) string {
 		return strings.Replace(x.response, "\r\n", "\r\nConnection: X-Response-Seal, X-Attempt-Id\r\n", 1)
 	}),
-	executeThen("failure", alone, true, func(x *exchange) string {
+	executeThen("failure", withoutResponse, true, func(x *exchange) string {
 		return "HTTP/1.1 500 Bad\r\nX-Attempt-Id: " + x.id + "\r\nContent-Length: 0\r\n\r\n"
 	}),
-	executeThen("unproven_503", alone, true, func(x *exchange) string { return strings.Replace(rejection(x.id, 503), "X-Not-Executed: 1\r\n", "", 1) }),
-	executeThen("unproven_429", alone, true, func(x *exchange) string { return strings.Replace(rejection(x.id, 429), "X-Not-Executed: 1\r\n", "", 1) }),
-	executeThen("unproven_408", alone, true, func(x *exchange) string { return strings.Replace(rejection(x.id, 408), "X-Not-Executed: 1\r\n", "", 1) }),
-	executeThen("old_http", alone, true, func(x *exchange) string { return strings.Replace(x.response, "HTTP/1.1", "HTTP/1.0", 1) }),
-	executeThen("no_time", alone, true, func(x *exchange) string {
+	executeThen("unproven_503", withoutResponse, true, func(x *exchange) string { return strings.Replace(rejection(x.id, 503), "X-Not-Executed: 1\r\n", "", 1) }),
+	executeThen("unproven_429", withoutResponse, true, func(x *exchange) string { return strings.Replace(rejection(x.id, 429), "X-Not-Executed: 1\r\n", "", 1) }),
+	executeThen("unproven_408", withoutResponse, true, func(x *exchange) string { return strings.Replace(rejection(x.id, 408), "X-Not-Executed: 1\r\n", "", 1) }),
+	executeThen("old_http", withoutResponse, true, func(x *exchange) string { return strings.Replace(x.response, "HTTP/1.1", "HTTP/1.0", 1) }),
+	executeThen("no_time", withoutResponse, true, func(x *exchange) string {
 		return strings.Replace(x.response, "\r\n", "\r\nKeep-Alive: timeout=0\r\n", 1)
 	}),
 	rejectWith("full", func(x *exchange) string { return rejection(x.id, 503) }),
--- a/internal/testbeds/standin/hostile/client.go
+++ b/internal/testbeds/standin/hostile/client.go
@@ -13,21 +13,21 @@
 
 const (
 	connectionTimeout = 10 * time.Second
-	behaviourCount    = 12 // of a client's connection; those without a case are sequential requests
-	maxReadBadAnswers = 4
-	maxQuotedBytes    = 300 // of a request, in a violation
+	behaviourCount    = 12 // connection behaviours to choose from; those without a case send requests sequentially
+	maxResponseReads  = 4  // responses read after an invalid request
+	maxQuotedBytes    = 300
 )
 
-// ClientResult is what a client heard of a request.
+// ClientResult is the outcome of a request as the client sees it.
 type ClientResult struct {
 	ID        string
 	Safe      bool   // idempotent
-	Invalid   bool   // not to be taken for a request at all
-	Status    int    // 0: none, the connection ended or the client left
-	Violation string // what was wrong with the response; empty: nothing
+	Invalid   bool   // malformed: the gateway must reject it
+	Status    int    // 0: no response, because the connection ended or the client closed it
+	Violation string // what is wrong with the response; empty if it is correct
 }
 
-// Client sends requests to a gateway, valid and invalid ones, by its seed. It is not safe for concurrent use.
+// Client sends valid and invalid requests to a gateway. It is not safe for concurrent use.
 type Client struct {
 	Addr     string
 	Host     string
@@ -36,7 +36,7 @@
 	requests int
 }
 
-// NewClient makes a client whose behaviour follows from the seed.
+// NewClient returns a client whose behaviour is determined by the seed.
 func NewClient(addr, host, name string, seed uint64) *Client {
 	return &Client{Addr: addr, Host: host, Name: name, rng: rand.New(rand.NewPCG(seed, 9))}
 }
@@ -48,7 +48,7 @@
 	reader *bufio.Reader
 }
 
-// RunConnection opens one connection and uses it in one of many ways. It returns what was heard of each request.
+// RunConnection opens one connection, uses it with a random behaviour and returns the result of each request.
 func (c *Client) RunConnection() []ClientResult {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(context.Background(), "tcp", c.Addr)
@@ -64,9 +64,9 @@
 	case 1:
 		return connection.pipeline()
 	case 2:
-		return connection.leaveWhileSending()
+		return connection.closeWhileSending()
 	case 3:
-		return connection.leaveWhileWaiting()
+		return connection.closeWhileWaiting()
 	case 4:
 		return connection.sendSlowly()
 	case 5, 6:
@@ -77,16 +77,16 @@
 	return connection.sendSequentially()
 }
 
-// send writes to the gateway, which may have closed the connection.
+// send writes to the gateway. It ignores errors, because the gateway may have closed the connection.
 func (c *connection) send(s string) { _, _ = io.WriteString(c.conn, s) }
 
-// sendSequentially sends one request after the other.
+// sendSequentially sends several requests, each after the response to the previous one.
 func (c *connection) sendSequentially() (results []ClientResult) {
 	for range 1 + c.rng.IntN(20) {
 		request := c.validRequest()
 		c.send(request.wire)
-		result, more := c.receive(request)
-		if results = append(results, result); !more {
+		result, reusable := c.receive(request)
+		if results = append(results, result); !reusable {
 			return results
 		}
 		if result.Status == http.StatusServiceUnavailable {
@@ -107,19 +107,19 @@
 			c.send(request.wire)
 		}
 	}()
-	more := true
+	reusable := true
 	for _, request := range sent {
 		result := ClientResult{ID: request.id, Safe: request.safe}
-		if more {
-			result, more = c.receive(request)
+		if reusable {
+			result, reusable = c.receive(request)
 		}
 		results = append(results, result)
 	}
 	return results
 }
 
-// leaveWhileSending closes the connection behind a part of a request, with a reset or without.
-func (c *connection) leaveWhileSending() []ClientResult {
+// closeWhileSending sends part of a request and closes or resets the connection.
+func (c *connection) closeWhileSending() []ClientResult {
 	request := c.validRequest()
 	c.send(request.wire[:c.rng.IntN(len(request.wire)+1)])
 	if c.rng.IntN(2) == 0 {
@@ -128,8 +128,8 @@
 	return []ClientResult{{ID: request.id, Safe: request.safe}}
 }
 
-// leaveWhileWaiting closes the connection while an attempt is in flight.
-func (c *connection) leaveWhileWaiting() []ClientResult {
+// closeWhileWaiting sends a request and closes the connection after a short wait for the response.
+func (c *connection) closeWhileWaiting() []ClientResult {
 	request := c.validRequest()
 	c.send(request.wire)
 	_ = c.conn.SetReadDeadline(time.Now().Add(time.Duration(c.rng.IntN(3000)) * time.Microsecond)) // fails on a closed connection only
@@ -150,38 +150,38 @@
 	return []ClientResult{result}
 }
 
-// sendInvalid sends an invalid request, perhaps behind a valid one.
+// sendInvalid sends an invalid request, sometimes after a valid one.
 func (c *connection) sendInvalid() (results []ClientResult) {
 	if c.rng.IntN(2) == 0 {
 		request := c.validRequest()
 		c.send(request.wire)
-		result, more := c.receive(request)
-		if results = append(results, result); !more {
+		result, reusable := c.receive(request)
+		if results = append(results, result); !reusable {
 			return results
 		}
 	}
 	request := c.invalidRequest()
 	go c.send(request.wire)
-	for range maxReadBadAnswers {
-		result, more := c.receive(request)
+	for range maxResponseReads {
+		result, reusable := c.receive(request)
 		result.Invalid = true
 		result.Violation = ""
-		if result.Status != 0 && !isRefusal(result.Status) {
-			result.Violation = fmt.Sprintf("%d for %q", result.Status, request.wire[:min(len(request.wire), maxQuotedBytes)])
+		if result.Status != 0 && !isRejection(result.Status) {
+			result.Violation = fmt.Sprintf("status %d for invalid request %q", result.Status, request.wire[:min(len(request.wire), maxQuotedBytes)])
 		}
-		if results = append(results, result); !more || result.Status == 0 {
+		if results = append(results, result); !reusable || result.Status == 0 {
 			return results
 		}
 	}
 	return results
 }
 
-// isRefusal tells whether a status says that an invalid request was not taken for one.
-func isRefusal(status int) bool {
+// isRejection reports whether a status rejects an invalid request.
+func isRejection(status int) bool {
 	return status/100 == 4 || status == http.StatusHTTPVersionNotSupported || status == http.StatusNotImplemented
 }
 
-// closeWriteSide closes the client's half of the connection behind a request.
+// closeWriteSide sends a request, half-closes the connection and reads the response.
 func (c *connection) closeWriteSide() []ClientResult {
 	request := c.validRequest()
 	c.send(request.wire)
@@ -190,8 +190,8 @@
 	return []ClientResult{result}
 }
 
-// receive reads the response to a request and matches it by content. more is set where the connection goes on.
-func (c *connection) receive(request *clientRequest) (result ClientResult, more bool) {
+// receive reads the response to a request and verifies its content. reusable is false if the connection has ended.
+func (c *connection) receive(request *clientRequest) (result ClientResult, reusable bool) {
 	result = ClientResult{ID: request.id, Safe: request.safe}
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: request.method})
 	if err != nil {
@@ -207,7 +207,7 @@
 	return result, !response.Close
 }
 
-// violation tells what is wrong with a response to the request; empty: nothing.
+// violation describes what is wrong with a response to the request. It is empty if the response is correct.
 func (q *clientRequest) violation(response *http.Response, body string) string {
 	status, id := response.StatusCode, response.Header.Get("X-Attempt-Id")
 	isHead := q.method == http.MethodHead
@@ -215,11 +215,11 @@
 	case id != "" && id != q.id:
 		return fmt.Sprintf("%s got the response to %s: %d %.80q", q.id, id, status, body)
 	case status/100 == 2 && (id != q.id || response.Header.Get("X-Response-Seal") != "seal-"+q.id):
-		return fmt.Sprintf("%s got a success without its seal: %v %.80q", q.id, response.Header, body)
+		return fmt.Sprintf("%s got a success response without a valid seal: %v %.80q", q.id, response.Header, body)
 	case status == http.StatusOK && !isHead && body != ResponseBody(q.id, q.method, q.uri, q.body):
-		return fmt.Sprintf("%s got another body: %.80q", q.id, body)
+		return fmt.Sprintf("%s got an unexpected body: %.80q", q.id, body)
 	case status != http.StatusOK && status < http.StatusBadRequest && !isHead && body != "":
-		return fmt.Sprintf("%s got a body with %d: %.80q", q.id, status, body)
+		return fmt.Sprintf("%s got an unexpected body with status %d: %.80q", q.id, status, body)
 	case status == http.StatusServiceUnavailable && response.Header.Get("Retry-After") == "":
 		return q.id + " was rejected without Retry-After"
 	}
--- a/internal/testbeds/standin/hostile/recorder.go
+++ b/internal/testbeds/standin/hostile/recorder.go
@@ -5,14 +5,14 @@
 	"sync"
 )
 
-// Recorder counts over all replicas which requests were executed, and what the replicas did. It is safe for concurrent use.
+// Recorder counts executions and behaviours of all replicas that share it. It is safe for concurrent use.
 type Recorder struct {
 	mu         sync.Mutex
-	executions map[string]int // by the request's identity
+	executions map[string]int // by attempt ID
 	behaviours map[string]int // by name
 }
 
-// NewRecorder makes an empty recorder.
+// NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
 	return &Recorder{executions: map[string]int{}, behaviours: map[string]int{}}
 }
@@ -29,21 +29,21 @@
 	r.mu.Unlock()
 }
 
-// Executions returns how often a request was executed.
+// Executions returns how often the request with an attempt ID was executed.
 func (r *Recorder) Executions(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.executions[id]
 }
 
-// Behaviours returns how often replicas did what.
+// Behaviours returns how often each behaviour was used.
 func (r *Recorder) Behaviours() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.behaviours)
 }
 
-// Reset empties the recorder.
+// Reset clears all counts.
 func (r *Recorder) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbeds/standin/hostile/replica.go
+++ b/internal/testbeds/standin/hostile/replica.go
@@ -1,6 +1,6 @@
-// Package hostile holds stand-ins that do, by a seed, what the gateway must bear: replicas that break off, stay silent,
-// truncate, double, delay and forge responses, and clients that send slowly, by halves, ambiguously and not to the end. A
-// Recorder keeps what was executed, so that tests can match responses to requests by content and count executions.
+// Package hostile provides seeded misbehaving peers for tests of the gateway: replicas that truncate, duplicate, delay, withhold and
+// forge responses, and clients that send slow, truncated and ambiguous requests. Response bodies depend on the request, so that tests
+// can match them, and a Recorder counts executions.
 package hostile
 
 import (
@@ -20,14 +20,14 @@
 const (
 	idleTimeout        = 30 * time.Second
 	writeTimeout       = 2 * time.Second
-	earlyRejectionPart = 40         // of the fault rate: one of so many faults is a rejection before the body was read
-	largeBodyBytes     = 1100 << 10 // beyond what the gateway buffers
-	maxKeptResponses   = 2          // of a connection, to be repeated
-	maxKeptBytes       = 10000      // of such a response
+	earlyRejectionPart = 40         // one in this many faults is a rejection before the body is read
+	largeBodyBytes     = 1100 << 10 // more than the gateway buffers
+	maxSentResponses   = 2          // responses kept per connection for replay
+	maxKeptBytes       = 10000      // size limit of a kept response
 	maxRandom          = 1 << 20
 )
 
-// ResponseBody is the body of the only right response to a request.
+// ResponseBody returns the body of the correct response to a request.
 func ResponseBody(id, method, uri string, body []byte) string {
 	s := fmt.Sprintf("%s %s %s %08x\n", id, method, uri, crc32.ChecksumIEEE(body))
 	if strings.Contains(uri, "large") {
@@ -36,9 +36,9 @@
 	return s
 }
 
-// Replica is one hostile replica. Serve takes its connections.
+// Replica is a misbehaving replica.
 type Replica struct {
-	FaultRate float64 // of requests that are met by a hostile behaviour
+	FaultRate float64 // share of requests that get a hostile behaviour
 	Recorder  *Recorder
 
 	mu  sync.Mutex
@@ -46,12 +46,13 @@
 	rng *rand.Rand
 }
 
-// New makes a replica whose behaviours follow from the seed.
+// New returns a replica whose behaviours are determined by the seed.
 func New(id string, seed uint64, faultRate float64, recorder *Recorder) *Replica {
 	return &Replica{id: id, FaultRate: faultRate, Recorder: recorder, rng: rand.New(rand.NewPCG(seed, 7))}
 }
 
-// SetID gives the address to another instance. Its connections stay: it answers 421 to requests on them for the earlier one.
+// SetID simulates the reuse of the address by another instance. Open connections stay open; requests on them for the previous instance
+// get 421.
 func (r *Replica) SetID(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,22 +65,22 @@
 	return r.id
 }
 
-// drawn is the random part of an exchange.
-type drawn struct {
-	fault     float64 // below FaultRate: the request is met by behaviour
+// randomChoice holds the random choices for one request.
+type randomChoice struct {
+	fault     float64 // behaviour is used if this is below FaultRate
 	behaviour behaviour
 	random    int
 }
 
-func (r *Replica) draw() drawn {
+func (r *Replica) choose() randomChoice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fault := r.rng.Float64()
 	chosen := behaviours[r.rng.IntN(len(behaviours))]
-	return drawn{fault, chosen, r.rng.IntN(maxRandom)}
+	return randomChoice{fault, chosen, r.rng.IntN(maxRandom)}
 }
 
-// Serve takes a connection's requests until it ends.
+// Serve handles the requests of a connection until it ends.
 func (r *Replica) Serve(conn net.Conn) {
 	c := &replicaConn{Conn: conn}
 	defer closeQuietly(conn)
@@ -95,18 +96,18 @@
 	}
 }
 
-// serveRequest meets one request. It tells whether the connection is kept.
+// serveRequest responds to one request. It returns false if the connection must be closed.
 func (r *Replica) serveRequest(c *replicaConn, request *http.Request) (keep bool) {
 	id := request.Header.Get("X-Attempt-Id")
 	if request.URL.Path == "/health" && id == "" {
 		c.write("HTTP/1.1 200 OK\r\nX-Instance-Id: " + r.currentID() + "\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	chance := r.draw()
-	if chance.fault < r.FaultRate/earlyRejectionPart && request.ContentLength > 0 {
+	choice := r.choose()
+	if choice.fault < r.FaultRate/earlyRejectionPart && request.ContentLength > 0 {
 		r.Recorder.recordBehaviour("early_refusal")
 		c.write(rejection(id, http.StatusServiceUnavailable))
-		if chance.random%2 == 0 {
+		if choice.random%2 == 0 {
 			c.reset()
 		}
 		return false
@@ -120,7 +121,7 @@
 		c.write(rejection(id, http.StatusMisdirectedRequest))
 		return true
 	}
-	x := r.newExchange(c, request, body, chance.random)
+	x := r.newExchange(c, request, body, choice.random)
 	switch {
 	case request.Method == http.MethodHead:
 		x.execute()
@@ -128,13 +129,13 @@
 		c.write(head + "\r\n\r\n")
 		r.Recorder.recordBehaviour("head")
 		return true
-	case chance.fault >= r.FaultRate:
+	case choice.fault >= r.FaultRate:
 		x.execute()
 		c.write(x.response)
 		r.Recorder.recordBehaviour("well")
 	default:
-		r.Recorder.recordBehaviour(chance.behaviour.name)
-		if !chance.behaviour.respond(x) {
+		r.Recorder.recordBehaviour(choice.behaviour.name)
+		if !choice.behaviour.respond(x) {
 			return false
 		}
 	}
@@ -152,21 +153,21 @@
 	return x
 }
 
-// replicaConn is one connection. Late responses are written beside others, each in one piece.
+// replicaConn is a connection with serialized writes, because delayed responses are written by other goroutines.
 type replicaConn struct {
 	net.Conn
 	mu            sync.Mutex
-	sentResponses []string // complete responses, to be repeated
+	sentResponses []string // complete responses, for replay
 }
 
 func (c *replicaConn) write(s string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on a closed connection only, as the write does then
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on a closed connection only
 	_, _ = io.WriteString(c.Conn, s)                     // the gateway may have closed the connection
 }
 
-// reset closes the connection with a reset.
+// reset closes the connection with a TCP reset.
 func (c *replicaConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails on a closed connection only
@@ -177,10 +178,10 @@
 func (c *replicaConn) keepResponse(response string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.sentResponses) < maxKeptResponses && len(response) < maxKeptBytes {
+	if len(c.sentResponses) < maxSentResponses && len(response) < maxKeptBytes {
 		c.sentResponses = append(c.sentResponses, response)
 	}
 }
 
-// closeQuietly closes what is of no use any more: an error of it changes nothing.
+// closeQuietly closes c and ignores the error.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/testbeds/standin/hostile/requests.go
+++ b/internal/testbeds/standin/hostile/requests.go
@@ -8,15 +8,15 @@
 
 const maxChunkBytes = 1 << 14
 
-// clientRequest is a request as a client sends it.
+// clientRequest is a request of a client and its wire format.
 type clientRequest struct {
 	id, method, uri string
 	body            []byte
 	safe            bool
-	wire            string // its bytes
+	wire            string
 }
 
-// validRequest makes a request that is to be answered.
+// validRequest returns a random valid request.
 func (c *Client) validRequest() *clientRequest {
 	c.requests++
 	q := &clientRequest{id: fmt.Sprintf("%s-%d", c.Name, c.requests), method: http.MethodPost, safe: c.rng.IntN(2) == 0}
@@ -49,7 +49,7 @@
 	return q
 }
 
-// chunked encodes a body in chunks of random sizes.
+// chunked encodes a body as chunks of random sizes.
 func (c *Client) chunked(body []byte) string {
 	var b strings.Builder
 	for rest := body; len(rest) > 0; {
@@ -61,7 +61,7 @@
 	return b.String()
 }
 
-// invalidRequest makes a request that must reach no replica, with another one smuggled in or behind it.
+// invalidRequest returns a random request that the gateway must not forward. Most contain a second, smuggled request.
 func (c *Client) invalidRequest() *clientRequest {
 	c.requests++
 	q := &clientRequest{id: fmt.Sprintf("bad-%s-%d", c.Name, c.requests)}
--- a/internal/testbeds/standin/upstream/behaviour.go
+++ b/internal/testbeds/standin/upstream/behaviour.go
@@ -10,31 +10,31 @@
 	"time"
 )
 
-// Behaviour is how a request is met.
+// Behaviour is how a Replica responds to a request.
 type Behaviour string
 
 // Behaviours of a Replica.
 const (
 	AnswersCorrectly        Behaviour = ""           // a complete response
 	RejectsNotExecuted      Behaviour = "sheds"      // 503, not executed
-	Misdirected             Behaviour = "other"      // 421: another replica has the address
+	Misdirected             Behaviour = "other"      // 421: the address belongs to another instance
 	TruncatesResponse       Behaviour = "cut"        // executes it; the response ends early
-	SendsGarbage            Behaviour = "garbage"    // executes it, and sends bytes that are no response
-	OmitsSeal               Behaviour = "unsealed"   // executes it; the response lacks its seal
+	SendsGarbage            Behaviour = "garbage"    // executes it, and sends bytes that are not HTTP
+	OmitsSeal               Behaviour = "unsealed"   // executes it; the response has no seal
 	ClaimsEncoding          Behaviour = "encoded"    // executes it, and claims a content encoding
 	ClosesWithoutResponse   Behaviour = "lost"       // executes it, and closes without a response
 	NeverResponds           Behaviour = "silent"     // executes it, and sends nothing
-	SendsExtraResponse      Behaviour = "surplus"    // answers, and sends a second response behind it
-	SendsStaleResponseFirst Behaviour = "late"       // sends a response to another request first
+	SendsExtraResponse      Behaviour = "surplus"    // sends the response and a second one after it
+	SendsStaleResponseFirst Behaviour = "late"       // sends a response to another request before the correct one
 	RespondsInternalError   Behaviour = "fails"      // executes it, 500
-	ClosesAfterResponse     Behaviour = "closes"     // answers, and closes the connection without announcing it
-	OmitsNotExecuted        Behaviour = "unproven"   // executes it, 503, and does not say whether it was executed
-	OmitsAttemptID          Behaviour = "noidentity" // executes it; the response names no attempt
+	ClosesAfterResponse     Behaviour = "closes"     // sends the response and closes the connection without announcing it
+	OmitsNotExecuted        Behaviour = "unproven"   // executes it, 503 without X-Not-Executed
+	OmitsAttemptID          Behaviour = "noidentity" // executes it; the response has no attempt ID
 )
 
 const (
 	healthPath             = "/health"
-	truncatedBytes         = 5 // that TruncatesResponse leaves out
+	truncatedBytes         = 5 // left out by TruncatesResponse
 	foreignResponseHeaders = "X-Attempt-Id: other\r\nX-Response-Seal: s\r\n"
 )
 
@@ -42,14 +42,14 @@
 
 // serve handles the requests of a connection until it ends or a behaviour closes it.
 func (r *Replica) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // the gateway may have closed it before
+	defer func() { _ = conn.Close() }() // the gateway may have closed it already
 	in := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		body, _ := io.ReadAll(request.Body) // a request whose body was cut off has arrived all the same
+		body, _ := io.ReadAll(request.Body) // a request with a truncated body is recorded too
 		request.Body = io.NopCloser(strings.NewReader(string(body)))
 		attempt := request.Header.Get("X-Attempt-Id")
 		if request.URL.Path == healthPath && attempt == "" {
@@ -66,7 +66,7 @@
 	}
 }
 
-// record chooses how a request is met, and counts it.
+// record selects the behaviour for a request, stores the request and counts its execution.
 func (r *Replica) record(request *http.Request, attempt string) Behaviour {
 	r.mu.Lock()
 	behaviour := AnswersCorrectly
@@ -91,7 +91,7 @@
 	return behaviour
 }
 
-// respond answers an attempt. It returns whether the connection is to be kept.
+// respond writes the response to an attempt. It returns false if the connection must be closed.
 func (r *Replica) respond(conn net.Conn, in io.Reader, behaviour Behaviour, attempt string) (keep bool) {
 	echo := "X-Attempt-Id: " + attempt + "\r\n"
 	seal := echo + "X-Response-Seal: seal-" + attempt + "\r\nX-Instance-Load: 1,0,4\r\nKeep-Alive: timeout=10\r\n"
@@ -117,7 +117,7 @@
 	case ClosesWithoutResponse:
 		return false
 	case NeverResponds:
-		_, _ = io.Copy(io.Discard, in) // until the gateway gives up
+		_, _ = io.Copy(io.Discard, in) // until the gateway closes the connection
 		return false
 	case SendsExtraResponse:
 		write(conn, complete+foreign)
@@ -136,7 +136,7 @@
 	return true
 }
 
-// write sends bytes; where the gateway has gone the next read of a request ends the connection.
+// write sends text. It ignores errors: if the connection has ended, the next read of a request fails.
 func write(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 
 // response formats a response with its length; each header ends in CRLF.
--- a/internal/testbeds/standin/upstream/heartbeat.go
+++ b/internal/testbeds/standin/upstream/heartbeat.go
@@ -1,6 +1,6 @@
 package upstream
 
-// Heartbeat is the body of the call instances.heartbeat, with the fields that the protocol page names.
+// Heartbeat is the body of the control call instances.heartbeat.
 type Heartbeat struct {
 	Address       string `json:"address"`
 	ColdRemaining string `json:"cold_remaining"` // a duration
@@ -12,7 +12,7 @@
 	Zone          string `json:"zone"`
 }
 
-// NewHeartbeat returns the heartbeat of a replica that is ready and warm.
+// NewHeartbeat returns the heartbeat of a replica that is ready and has completed its warm-up.
 func NewHeartbeat(service, address, zone string, slots int, sequence uint64) Heartbeat {
 	return Heartbeat{
 		Address:       address,
--- a/internal/testbeds/standin/upstream/upstream.go
+++ b/internal/testbeds/standin/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream is a stand-in for a replica, for tests and the demo: it answers requests on loopback as the protocol page
-// says, or misbehaves where told to, and counts the attempts that it executes.
+// Package upstream provides a fake replica for tests and the demo. It answers requests on loopback according to the protocol, or
+// misbehaves on demand, and counts the attempts that it executes.
 package upstream
 
 import (
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// Replica is one stand-in. Its methods may be called by several goroutines.
+// Replica is a fake replica. Its methods are safe for concurrent use.
 type Replica struct {
 	ID          string
-	ServiceTime time.Duration // of each request; set before the first one comes
+	ServiceTime time.Duration // delay of each response; must be set before the first request
 
 	listener net.Listener
 
@@ -30,7 +30,7 @@
 	connectionCount int
 }
 
-// Start listens on loopback. The first requests are met with the given behaviours.
+// Start starts a replica on a free loopback port. Its first requests get the given behaviours, later ones are answered correctly.
 func Start(id string, behaviours ...Behaviour) (*Replica, error) {
 	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,52 +47,52 @@
 	return r, nil
 }
 
-// Addr returns the address that it listens at.
+// Addr returns the listening address.
 func (r *Replica) Addr() string { return r.listener.Addr().String() }
 
-// SetBehaviours sets how the next requests are met; later ones are answered correctly.
+// SetBehaviours sets the behaviours for the next requests. Later ones are answered correctly.
 func (r *Replica) SetBehaviours(behaviours ...Behaviour) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.behaviours = behaviours
 }
 
-// SetResponseHook has hook called with the attempt ID before each response.
+// SetResponseHook sets a function that is called with the attempt ID before each response.
 func (r *Replica) SetResponseHook(hook func(attempt string)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.beforeResponse = hook
 }
 
-// SetExecutionHook has hook called with the attempt ID when a request begins to be executed.
+// SetExecutionHook sets a function that is called with the attempt ID when the execution of a request starts.
 func (r *Replica) SetExecutionHook(hook func(attempt string)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.onExecution = hook
 }
 
-// SetConnectionHandler has serve handle the connections that come from now on, in place of the behaviours.
+// SetConnectionHandler sets a function that handles new connections in place of the behaviours.
 func (r *Replica) SetConnectionHandler(serve func(net.Conn)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.serveConnection = serve
 }
 
-// Executions returns how often attempts were executed, by their IDs.
+// Executions returns how often each attempt was executed, by attempt ID.
 func (r *Replica) Executions() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.executions)
 }
 
-// Requests lists the requests that arrived.
+// Requests returns the received requests.
 func (r *Replica) Requests() []*http.Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.requests)
 }
 
-// ConnectionCount returns how many connections were opened to it.
+// ConnectionCount returns how many connections have been accepted.
 func (r *Replica) ConnectionCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,7 +101,7 @@
 
 // Close stops listening and closes all connections.
 func (r *Replica) Close() {
-	_ = r.listener.Close() // it only fails when it is closed already
+	_ = r.listener.Close() // fails only if it is closed already
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for conn := range r.connections {
