--- a/internal/testbeds/layering/doc.go
+++ b/internal/testbeds/layering/doc.go
@@ -1,2 +1,2 @@
-// Package layering holds the module's imports to their layers, which docs/architecture.md names.
+// Package layering contains tests that enforce the import layers described in docs/architecture.md.
 package layering
--- a/internal/testbeds/layering/imports_test.go
+++ b/internal/testbeds/layering/imports_test.go
@@ -15,8 +15,7 @@
 	modulePath = "zincloft.example/zincloft/"
 )
 
-// layers are the layers of the gateway and the control plane, the lowest first. A package imports none of a higher layer, and none of the other
-// side: the folders of one layer are divided.
+// layers lists the directories of each layer, lowest layer first. A package must not import a package of a higher layer.
 var layers = [][]string{
 	{"invariant", "fleet", "capacity", "peersampling"},
 	{"gatewayconfig", "messages"},
@@ -26,7 +25,8 @@
 	{"cmd"},
 }
 
-// position is the layer and the folder within it that a package belongs to; not ok: it is held to nothing here, as rules and intake.
+// position returns the layer and the directory that a package belongs to. Packages outside layers, such as rules and intake, are not
+// checked.
 func position(path string) (layer int, folder string, ok bool) {
 	for layer, folders := range layers {
 		for _, folder := range folders {
@@ -38,11 +38,11 @@
 	return 0, "", false
 }
 
-// sidesLayer is the layer whose folders are two sides that must not know each other.
-const sidesLayer = 2
+// planesLayer is the layer whose directories, controlplane and dataplane, must not import each other.
+const planesLayer = 2
 
-// TestImportsRunDownward guards the arrows between packages: from messages to controlplane and from dataplane to controlplane some ran up.
-func TestImportsRunDownward(t *testing.T) {
+// TestImportsFollowLayers verifies that no package imports a higher layer, and that controlplane and dataplane stay independent.
+func TestImportsFollowLayers(t *testing.T) {
 	checked := 0
 	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -65,13 +65,13 @@
 			if err != nil {
 				return err
 			}
-			target, ofModule := strings.CutPrefix(imported, modulePath)
+			target, inModule := strings.CutPrefix(imported, modulePath)
 			targetLayer, targetFolder, ok := position(target)
-			if !ofModule || !ok {
+			if !inModule || !ok {
 				continue
 			}
 			checked++
-			if targetLayer > layer || layer == sidesLayer && targetLayer == layer && targetFolder != folder {
+			if targetLayer > layer || layer == planesLayer && targetLayer == layer && targetFolder != folder {
 				t.Errorf("%s imports %s", importer, target)
 			}
 		}
@@ -81,12 +81,12 @@
 		t.Fatal(err)
 	}
 	if checked < 100 {
-		t.Errorf("only %d imports were found", checked)
+		t.Errorf("checked %d imports, want at least 100", checked)
 	}
 }
 
-// TestDecisionsDoNoIO guards the state machines: packages of decisions import no package of I/O.
-func TestDecisionsDoNoIO(t *testing.T) {
+// TestStateMachinesDoNoIO verifies that packages of deterministic logic do not import packages for I/O.
+func TestStateMachinesDoNoIO(t *testing.T) {
 	for _, folder := range []string{"fleet", "capacity", "messages", "controlplane", "dataplane", "gatewayconfig", "peersampling"} {
 		err := filepath.WalkDir(filepath.Join(moduleRoot, folder), func(path string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
--- a/internal/testbeds/sizes/sizes.go
+++ b/internal/testbeds/sizes/sizes.go
@@ -1,5 +1,5 @@
-// Package sizes generates fleets and configurations of a wanted size, alike from run to run, for the capacity benchmarks. Names and addresses have
-// the lengths of those that production sites have.
+// Package sizes deterministically generates fleets and configurations of a given size for the capacity benchmarks. Names and addresses
+// have the same lengths as in production.
 package sizes
 
 import (
@@ -10,23 +10,24 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// Fleet is how much there is of each thing.
+// Fleet holds the number of objects of each type.
 type Fleet struct {
 	Gateways, Replicas, Services, Routes, Zones int
 }
 
-// minReplicas and maxScaledZones bound a scaled fleet.
+// Limits of a scaled fleet.
 const (
 	minReplicas    = 3
 	maxScaledZones = 3
 )
 
-// ProductionFleet is the size that the users plan for.
+// ProductionFleet returns the size of the largest planned deployment.
 func ProductionFleet() Fleet {
 	return Fleet{Gateways: 3300, Replicas: 47000, Services: 1300, Routes: 51000, Zones: 27}
 }
 
-// Scale returns a fleet that is so many times as large, with at least one of each thing and at most three zones.
+// Scale returns the fleet scaled by a factor, with at least one object of each type, minReplicas replicas and at most maxScaledZones
+// zones.
 func (f Fleet) Scale(factor float64) Fleet {
 	scaled := func(count, minimum int) int { return max(int(float64(count)*factor+0.5), minimum) }
 	return Fleet{
@@ -38,24 +39,25 @@
 	}
 }
 
-// ServiceName names the i-th service.
+// ServiceName returns the name of the i-th service.
 func ServiceName(i int) string { return fmt.Sprintf("service-%04d", i) }
 
-// ZoneName names the i-th zone.
+// ZoneName returns the name of the i-th zone.
 func ZoneName(i int) string { return "zone-" + string(rune('a'+i%26)) + strconv.Itoa(i/26) }
 
-// Hostname names the i-th virtual host.
+// Hostname returns the hostname of the i-th virtual host.
 func Hostname(i int) string { return fmt.Sprintf("tenant-%05d.example", i) }
 
-// PathPrefix is the i-th route's path prefix.
+// PathPrefix returns the path prefix of the i-th route.
 func PathPrefix(i int) string { return fmt.Sprintf("/path-%05d/", i) }
 
-// Instances are the replicas of a fleet, dealt over services and zones in turn. All are warm and known by one heartbeat.
+// Instances returns the replicas of a fleet, distributed round-robin over services and zones. All are warm and have sent one
+// heartbeat.
 func (f Fleet) Instances() []fleet.Instance {
 	instances := make([]fleet.Instance, f.Replicas)
 	for i := range instances {
 		instances[i] = fleet.Instance{
-			ID:       fmt.Sprintf("i-%08x", uint32(i)*2654435761), // spread by Knuth's multiplicative hash
+			ID:       fmt.Sprintf("i-%08x", uint32(i)*2654435761), // Knuth's multiplicative hash
 			Service:  ServiceName(i % f.Services),
 			Addr:     fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
 			Zone:     ZoneName(i / f.Services % f.Zones),
@@ -66,8 +68,8 @@
 	return instances
 }
 
-// Configuration returns a configuration in JSON in which the routes are dealt over virtual hosts of so many routes each, and each
-// route goes to one service. All under one host is what a platform with a single name has.
+// Configuration returns a JSON configuration with routesPerHost routes per virtual host. The services are assigned to the routes
+// round-robin.
 func (f Fleet) Configuration(version uint64, routesPerHost int) []byte {
 	var out strings.Builder
 	fmt.Fprintf(&out, `{"version":"%08x","services":[`, version)
--- a/internal/testbeds/testkit/close.go
+++ b/internal/testbeds/testkit/close.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Close closes c, as a deferred call, and fails the test if that returns an error.
+// Close closes c and fails the test on an error. It is meant for deferred calls.
 func Close(t testing.TB, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
--- a/internal/testbeds/testkit/listener.go
+++ b/internal/testbeds/testkit/listener.go
@@ -1,5 +1,5 @@
-// Package testkit holds what the tests of several packages share: an in-memory listener, comparison with kept traces, and
-// checked closing.
+// Package testkit provides helpers for the tests of several packages: an in-memory listener, comparison with golden traces, and Close
+// with an error check.
 package testkit
 
 import (
@@ -8,8 +8,8 @@
 	"sync"
 )
 
-// Listener is an in-memory net.Listener whose connections are made by Dial. They are net.Pipe pairs, so that code that
-// uses sockets can run in a bubble of testing/synctest.
+// Listener is an in-memory net.Listener. Dial creates its connections with net.Pipe, so that code that uses connections can run in a
+// testing/synctest bubble.
 type Listener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -23,10 +23,10 @@
 
 // Dial connects to the listener and returns the client's end. Its signature fits http.Transport.DialContext.
 func (l *Listener) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	ours, theirs := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case l.conns <- theirs:
-		return ours, nil
+	case l.conns <- server:
+		return client, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
--- a/internal/testbeds/testkit/trace.go
+++ b/internal/testbeds/testkit/trace.go
@@ -12,10 +12,10 @@
 	"github.com/rs/zerolog"
 )
 
-var update = flag.Bool("update", false, "rewrite the kept traces")
+var update = flag.Bool("update", false, "rewrite the golden traces")
 
-// CompareTrace compares a trace with the one that testdata keeps under the test's name in lower case. With the flag
-// -update it writes the kept one first.
+// CompareTrace compares a trace with the golden file in testdata that has the lowercase name of the test. With the flag -update it
+// rewrites the golden file first.
 func CompareTrace(t *testing.T, got string) {
 	t.Helper()
 	file := filepath.Join("testdata", strings.ToLower(strings.TrimPrefix(t.Name(), "Test"))+".trace")
@@ -24,14 +24,14 @@
 			t.Fatal(err)
 		}
 	}
-	kept, err := os.ReadFile(file)
+	golden, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(strings.Split(string(kept), "\n"), strings.Split(got, "\n")); d != "" {
-		t.Errorf("differs from %s (-kept +now):\n%s", file, d)
+	if d := cmp.Diff(strings.Split(string(golden), "\n"), strings.Split(got, "\n")); d != "" {
+		t.Errorf("trace differs from %s (-golden +got):\n%s", file, d)
 	}
 }
 
-// Logger returns a logger that writes to w without timestamps, so that its lines can be compared.
+// Logger returns a logger that writes to w without timestamps, so that its output can be compared.
 func Logger(w io.Writer) zerolog.Logger { return zerolog.New(zerolog.SyncWriter(w)) }
--- a/internal/testbeds/testkit/tracenames.go
+++ b/internal/testbeds/testkit/tracenames.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// traceNames maps the names of types and fields to the ones under which kept traces print them. A trace is a recording: a
-// type that is renamed in the code keeps its printed name, so that recordings made before and after can be compared.
+// traceNames maps type and field names in the code to the names in the golden traces. Golden traces are not rewritten when a type or
+// field is renamed.
 var traceNames = strings.NewReplacer(
 	"rules.EndpointStats", "rules.Sums",
 	"rules.GroupTraffic", "rules.Intake",
@@ -30,8 +30,8 @@
 	"Window:", "Over:",
 )
 
-// TraceType returns the name of v's type as kept traces print it.
+// TraceType returns the name of v's type as printed in golden traces.
 func TraceType(v any) string { return traceNames.Replace(fmt.Sprintf("%T", v)) }
 
-// TraceValue returns v with the names of its fields, as kept traces print it.
+// TraceValue returns v with its field names as printed in golden traces.
 func TraceValue(v any) string { return traceNames.Replace(fmt.Sprintf("%+v", v)) }
