--- a/internal/testbeds/soak/soak_run_test.go
+++ b/internal/testbeds/soak/soak_run_test.go
@@ -73,7 +73,7 @@
 	{
 		Name: "configuration acknowledged before it is committed",
 		File: "controlplane/coordinator/proposal.go",
-		Old:  "case proposal.accepted && step.isCommitted(proposal.commitCondition):",
+		Old:  "case proposal.accepted && snapshot.isCommitted(proposal.commitCondition):",
 		New:  "case proposal.accepted:",
 		Schedule: Schedule{Seed: 1, Faults: []Fault{
 			{Kind: PartitionMember, At: 0, For: 2 * time.Second, Target: 0},
