--- a/internal/testbeds/compatibility/disk_test.go
+++ b/internal/testbeds/compatibility/disk_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -11,7 +12,6 @@
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/bbolt"
 
-	"encoding/json"
 	"zincloft.example/zincloft/controlplane/coordinator"
 	"zincloft.example/zincloft/controlplane/maintenanceplanner"
 	"zincloft.example/zincloft/internal/daemons/statestore"
@@ -22,14 +22,14 @@
 )
 
 const (
-	stateFolder    = "testdata/statestore"    // the control plane's state: cell.0 and cell.1
-	governorFolder = "testdata/governorstore" // the governor's state: state.db
-	windowsFolder  = "testdata/windowsfile"   // windows.yaml and what was read from it
+	stateDir    = "testdata/statestore"    // state store of the control plane: cell.0 and cell.1
+	governorDir = "testdata/governorstore" // state store of the governor: state.db
+	windowsDir  = "testdata/windowsfile"   // maintenance windows file and the results of reading it
 
 	stateKey = "state"
 )
 
-// controlPlaneState is what the newest file of the kept state store holds.
+// controlPlaneState returns the state in the newest file of the golden state store.
 func controlPlaneState() coordinator.PersistentState {
 	value, _ := filled(reflect.TypeFor[coordinator.PersistentState](), laterFields)
 	k := value.Interface().(coordinator.PersistentState)
@@ -37,7 +37,7 @@
 	return k
 }
 
-// stateWrites are the two writes that filled the kept state store, one for each of its files.
+// stateWrites returns the two writes that created the golden state store, one for each of its files.
 func stateWrites(t *testing.T) [2]map[string][]byte {
 	t.Helper()
 	var states [2][]byte
@@ -51,10 +51,10 @@
 	return [2]map[string][]byte{{stateKey: states[0], "other": []byte("\x00\xff\r\n")}, {stateKey: states[1]}}
 }
 
-// writeStateStore has the current code make the two writes in a new folder.
-func writeStateStore(t *testing.T, folder string) {
+// writeStateStore performs stateWrites in an empty directory.
+func writeStateStore(t *testing.T, dir string) {
 	t.Helper()
-	s, err := statestore.Open(statestore.Directory(folder))
+	s, err := statestore.Open(statestore.Directory(dir))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,20 +66,20 @@
 	}
 }
 
-// TestStateStoreFiles compares the names and bytes of the files of the state store with the kept ones.
+// TestStateStoreFiles verifies that the state store writes the same files as the golden ones.
 func TestStateStoreFiles(t *testing.T) {
-	recordFolder(t, stateFolder, writeStateStore)
-	now := t.TempDir()
-	writeStateStore(t, now)
-	sameFiles(t, now, stateFolder, "cell.0", "cell.1")
+	recordDir(t, stateDir, writeStateStore)
+	written := t.TempDir()
+	writeStateStore(t, written)
+	compareFiles(t, written, stateDir, "cell.0", "cell.1")
 }
 
-// TestStateStoreIsRead has the current code open the kept state store.
-func TestStateStoreIsRead(t *testing.T) {
-	folder := copyFolder(t, stateFolder)
+// TestReadGoldenStateStore verifies that the current code reads the golden state store and can write to it.
+func TestReadGoldenStateStore(t *testing.T) {
+	dir := copyDir(t, stateDir)
 	writes := stateWrites(t)
 
-	copies, err := statestore.Inspect(folder)
+	copies, err := statestore.Inspect(dir)
 	if err != nil || len(copies) != 2 {
 		t.Fatalf("%d copies, %v", len(copies), err)
 	}
@@ -96,17 +96,17 @@
 		}
 	}
 
-	s, err := statestore.Open(statestore.Directory(folder))
+	s, err := statestore.Open(statestore.Directory(dir))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer testkit.Close(t, s)
 	if len(s.Quarantined) > 0 {
-		t.Errorf("set aside: %v", s.Quarantined)
+		t.Errorf("quarantined files: %v", s.Quarantined)
 	}
 	raw, ok := s.Get(stateKey)
 	if !ok {
-		t.Fatal("the newest state is not found")
+		t.Fatalf("no value for key %q", stateKey)
 	}
 	got, err := coordinator.DecodePersistentState(raw)
 	if err != nil {
@@ -118,24 +118,24 @@
 	if err := s.Put(map[string][]byte{stateKey: []byte("third")}); err != nil {
 		t.Fatal(err)
 	}
-	sameFiles(t, folder, stateFolder, "cell.1") // the third write goes to the file of the first
+	compareFiles(t, dir, stateDir, "cell.1") // the third write replaces cell.0
 }
 
-// governorState is what the kept governor's store holds: two replicas in the order of their names.
+// governorState returns the contents of the golden governor store: two replicas, sorted by name.
 func governorState() recovery.State {
 	value, _ := filled(reflect.TypeFor[recovery.State](), laterFields)
 	k := value.Interface().(recovery.State)
 	k.Replicas[0].Name, k.Replicas[1].Name = "a", "b"
-	for i := range k.Replicas { // the number is kept once, and trust is worked out anew
+	for i := range k.Replicas { // the store holds the replica number once and does not hold the trust
 		r := &k.Replicas[i]
 		r.Learned.Replica, r.Learned.Trust = r.Entry.Replica, 0
 	}
 	return k
 }
 
-func writeGovernorStore(t *testing.T, folder string) {
+func writeGovernorStore(t *testing.T, dir string) {
 	t.Helper()
-	s, _, damaged, err := store.Open(folder, time.Unix(0, 0))
+	s, _, damaged, err := store.Open(dir, time.Unix(0, 0))
 	if err != nil || damaged != nil {
 		t.Fatal(err, damaged)
 	}
@@ -147,26 +147,26 @@
 	}
 }
 
-// TestGovernorStoreValues compares the buckets, keys and values of the governor's store with the kept ones. The bytes
-// of the file are the database's own affair.
+// TestGovernorStoreValues verifies that the governor writes the same buckets, keys and values as in the golden store. The bytes of the
+// file depend on the database library and are not compared.
 func TestGovernorStoreValues(t *testing.T) {
-	recordFolder(t, governorFolder, writeGovernorStore)
-	now := t.TempDir()
-	writeGovernorStore(t, now)
-	got, want := databaseValues(t, now), databaseValues(t, copyFolder(t, governorFolder))
+	recordDir(t, governorDir, writeGovernorStore)
+	written := t.TempDir()
+	writeGovernorStore(t, written)
+	got, want := databaseValues(t, written), databaseValues(t, copyDir(t, governorDir))
 	if len(want) == 0 || !reflect.DeepEqual(got, want) {
 		t.Errorf("written %q, want %q", got, want)
 	}
 }
 
-// TestGovernorStoreIsRead has the current code open the kept governor's store.
-func TestGovernorStoreIsRead(t *testing.T) {
+// TestReadGoldenGovernorStore verifies that the current code reads and opens the golden governor store.
+func TestReadGoldenGovernorStore(t *testing.T) {
 	want := governorState()
-	got, err := store.Read(copyFolder(t, governorFolder))
+	got, err := store.Read(copyDir(t, governorDir))
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("viewed %+v, %v, want %+v", got, err, want)
+		t.Errorf("read %+v, %v, want %+v", got, err, want)
 	}
-	s, got, damaged, err := store.Open(copyFolder(t, governorFolder), time.Unix(0, 0))
+	s, got, damaged, err := store.Open(copyDir(t, governorDir), time.Unix(0, 0))
 	if err != nil || damaged != nil {
 		t.Fatal(err, damaged)
 	}
@@ -176,10 +176,10 @@
 	}
 }
 
-// databaseValues are all values of state.db in a folder, by bucket and key.
-func databaseValues(t *testing.T, folder string) map[string]string {
+// databaseValues returns all values of state.db in a directory, by "bucket/key".
+func databaseValues(t *testing.T, dir string) map[string]string {
 	t.Helper()
-	db, err := bbolt.Open(filepath.Join(folder, "state.db"), 0o600, &bbolt.Options{ReadOnly: true})
+	db, err := bbolt.Open(filepath.Join(dir, "state.db"), 0o600, &bbolt.Options{ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,10 +199,9 @@
 	return values
 }
 
-// TestWindowsFile reads the kept file of maintenance windows, which has every key, and compares the command and the
-// timetable that come of it with the kept ones.
+// TestWindowsFile verifies that the golden maintenance windows file, which sets every key, results in the golden command and timetable.
 func TestWindowsFile(t *testing.T) {
-	f, err := maintenancefile.Read(filepath.Join(windowsFolder, "windows.yaml"))
+	f, err := maintenancefile.Read(filepath.Join(windowsDir, "windows.yaml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -215,7 +214,7 @@
 		t.Fatal(err)
 	}
 	for name, got := range map[string][]byte{"agree.json": append(agree, '\n'), "timetable.txt": []byte(f.Render(timetable))} {
-		path := filepath.Join(windowsFolder, name)
+		path := filepath.Join(windowsDir, name)
 		if _, err := os.Stat(path); *record && os.IsNotExist(err) {
 			if err := os.WriteFile(path, got, 0o644); err != nil {
 				t.Fatal(err)
@@ -231,30 +230,30 @@
 	}
 }
 
-// recordFolder writes a kept folder that does not exist, with -record.
-func recordFolder(t *testing.T, folder string, write func(*testing.T, string)) {
+// recordDir creates a golden directory that does not exist yet, with -record.
+func recordDir(t *testing.T, dir string, write func(*testing.T, string)) {
 	t.Helper()
-	if _, err := os.Stat(folder); !*record || !os.IsNotExist(err) {
+	if _, err := os.Stat(dir); !*record || !os.IsNotExist(err) {
 		return
 	}
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	write(t, folder)
+	write(t, dir)
 }
 
-// copyFolder copies a kept folder, so that opening it cannot change it.
-func copyFolder(t *testing.T, folder string) string {
+// copyDir copies a golden directory, so that tests cannot change it.
+func copyDir(t *testing.T, dir string) string {
 	t.Helper()
 	to := t.TempDir()
-	if err := os.CopyFS(to, os.DirFS(folder)); err != nil {
+	if err := os.CopyFS(to, os.DirFS(dir)); err != nil {
 		t.Fatal(err)
 	}
 	return to
 }
 
-// sameFiles compares some files of two folders, and that the first folder has none that the second lacks.
-func sameFiles(t *testing.T, got, want string, names ...string) {
+// compareFiles compares the named files of two directories, and verifies that got has no file that want lacks.
+func compareFiles(t *testing.T, got, want string, names ...string) {
 	t.Helper()
 	for _, name := range names {
 		g, err := os.ReadFile(filepath.Join(got, name))
@@ -275,7 +274,7 @@
 	}
 	for _, e := range entries {
 		if _, err := os.Stat(filepath.Join(want, e.Name())); err != nil {
-			t.Errorf("%s is written, which was not before", e.Name())
+			t.Errorf("unexpected file %s", e.Name())
 		}
 	}
 }
--- a/internal/testbeds/compatibility/doc.go
+++ b/internal/testbeds/compatibility/doc.go
@@ -1,16 +1,15 @@
-// Package compatibility guards the encodings that outlive one build: messages between processes of different versions,
-// files on disk, and the JSON that the project's own programs exchange. It holds tests only.
+// Package compatibility contains tests for encodings that must stay compatible across versions: messages between processes,
+// files on disk, and the JSON that the project's own programs exchange.
 //
-// Each file under testdata was written by commit 2705c65 from a value with every exported field set (NAME.hex,
-// NAME.json) or from the zero value (NAME.zero.hex, NAME.zero.json). The current code must encode the same values to
-// the same bytes and decode the bytes to the same values. A file of testdata is therefore never rewritten to make a
-// test pass. A new type gets its files by
+// The golden files under testdata were written by commit 2705c65 from values with every exported field set (NAME.hex,
+// NAME.json) and from zero values (NAME.zero.hex, NAME.zero.json). The current code must encode the same values to the same
+// bytes and decode the bytes to the same values, so golden files must never be rewritten. The files for a new type are created by
 //
 //	go test ./internal/testbeds/compatibility -record
 //
-// which writes the files that do not exist yet and leaves all others as they are. See testdata/README.md.
+// which does not touch existing files. See testdata/README.md.
 //
-// A new field of a type that is sampled already gets the next free CBOR number and omitempty, so that processes of both
-// versions understand each other. It is named in laterFields: the samples of before then leave it at zero, and -record writes
-// a further one, NAME.later, in which it is set.
+// A new field of an existing type gets the next free CBOR number and omitempty, so that processes of both versions can
+// exchange it. It must be added to laterFields: the existing golden files then leave it at zero, and -record writes
+// an additional file, NAME.later, in which it is set.
 package compatibility
--- a/internal/testbeds/compatibility/encoding_test.go
+++ b/internal/testbeds/compatibility/encoding_test.go
@@ -32,20 +32,20 @@
 	"zincloft.example/zincloft/recovery"
 )
 
-var record = flag.Bool("record", false, "write the samples that have no file yet")
+var record = flag.Bool("record", false, "write golden files that do not exist yet")
 
-// encoding is a way to turn a value into bytes and back, as the programs do it.
+// encoding is a codec of the programs.
 type encoding struct {
 	encode func(any) ([]byte, error)
 	decode func([]byte, any) error
-	hex    bool // kept as hexadecimal text
+	hex    bool // golden files are hexadecimal text
 }
 
 var (
 	inCBOR = encoding{cbor.Marshal, cbor.Unmarshal, true}
 	inJSON = encoding{json.Marshal, json.Unmarshal, false}
 
-	// inFrame is a frame of a connection between processes, its length included.
+	// inFrame encodes a length-prefixed frame of a connection between processes.
 	inFrame = encoding{
 		func(v any) ([]byte, error) { m := v.(peertransport.Frame); return peertransport.EncodeFrame(&m) },
 		func(raw []byte, v any) error {
@@ -59,7 +59,7 @@
 	}
 )
 
-// samples are all types whose encoding travels between processes or lies on disk. The names are those of the files.
+// samples lists all types that are sent between processes or stored on disk, with the names of their golden files.
 var samples = []struct {
 	name     string
 	encoding encoding
@@ -105,7 +105,7 @@
 	{"peersampling/node", inCBOR, reflect.TypeFor[peersampling.Descriptor]()},
 	{"peertransport/frame", inFrame, reflect.TypeFor[peertransport.Frame]()},
 
-	// Bodies and answers of control calls, and what programs export.
+	// Requests and responses of control calls, and exported JSON.
 	{"calls/windows.command", inJSON, reflect.TypeFor[maintenance.Command]()},
 	{"calls/windows.describe", inJSON, reflect.TypeFor[controller.MaintenanceStatus]()},
 	{"calls/core.describe", inJSON, reflect.TypeFor[coordinator.Status]()},
@@ -113,27 +113,27 @@
 	{"exports/view", inJSON, reflect.TypeFor[membership.View]()},
 	{"exports/governor-state", inJSON, reflect.TypeFor[recovery.State]()},
 
-	// Files of experiments and of simulated days.
+	// Files of experiments, emulations and simulations.
 	{"files/experiment-row", inJSON, reflect.TypeFor[experiment.Record]()},
 	{"files/emulation-result", inJSON, reflect.TypeFor[emulate.Result]()},
 	{"files/simulation-schedule", inJSON, reflect.TypeFor[simulation.Schedule]()},
 }
 
-// laterFields are fields that were added to a type after its samples had been recorded: "package.Type.Field" for each. The
-// samples of before leave them at zero, as programs of before do; a further sample, NAME.later, has all fields set.
+// laterFields are the fields that were added to a type after its golden files were written, as "package.Type.Field". They are zero in
+// those files; NAME.later has all fields set.
 var laterFields = fieldSet{
 	"coordinator.Message.HintsPersisted": true,
 	"peertransport.Frame.PersistRequest": true,
 }
 
-// TestEncodings compares the encodings of filled and of zero values with the kept ones, and the decoded ones with the
-// values.
+// TestEncodings verifies that filled and zero values are encoded to the bytes of the golden files, and that these are decoded to the
+// same values.
 func TestEncodings(t *testing.T) {
 	for _, s := range samples {
 		t.Run(s.name, func(t *testing.T) {
 			full, omitted := filled(s.of, laterFields)
 			if zero := zeroFields(s.of.String(), full, laterFields); len(zero) > 0 {
-				t.Fatalf("the sample leaves fields at zero: %v", zero)
+				t.Fatalf("fields of the sample are zero: %v", zero)
 			}
 			compare(t, s.name, s.encoding, full)
 			if omitted {
@@ -151,28 +151,29 @@
 	if err != nil {
 		t.Fatalf("%s: encoding: %v", name, err)
 	}
-	want := kept(t, name, e, raw)
+	want := readGolden(t, name, e, raw)
 	if !bytes.Equal(raw, want) {
-		t.Errorf("%s: the encoding has changed:\n got %s\nwant %s", name, printable(e, raw), printable(e, want))
+		t.Errorf("%s: the encoding has changed:\n got %s\nwant %s", name, format(e, raw), format(e, want))
 	}
 	decoded := reflect.New(value.Type())
 	if err := e.decode(want, decoded.Interface()); err != nil {
-		t.Fatalf("%s: decoding what was kept: %v", name, err)
+		t.Fatalf("%s: decoding the golden file: %v", name, err)
 	}
 	if !reflect.DeepEqual(decoded.Elem().Interface(), value.Interface()) {
-		t.Errorf("%s: what was kept is decoded as\n%+v\nwant\n%+v", name, decoded.Elem().Interface(), value.Interface())
+		t.Errorf("%s: the golden file is decoded to\n%+v\nwant\n%+v", name, decoded.Elem().Interface(), value.Interface())
 	}
 }
 
-func printable(e encoding, raw []byte) string {
+// format returns an encoding as it is stored in golden files.
+func format(e encoding, raw []byte) string {
 	if e.hex {
 		return hex.EncodeToString(raw)
 	}
 	return string(raw)
 }
 
-// kept reads a sample's file; with -record it writes a missing one first.
-func kept(t *testing.T, name string, e encoding, now []byte) []byte {
+// readGolden reads the golden file of a sample. With -record it first writes current to a missing file.
+func readGolden(t *testing.T, name string, e encoding, current []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name+".json")
 	if e.hex {
@@ -182,7 +183,7 @@
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(path, []byte(printable(e, now)+"\n"), 0o644); err != nil {
+		if err := os.WriteFile(path, []byte(format(e, current)+"\n"), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -201,8 +202,8 @@
 	return raw
 }
 
-// TestSamplesAreListed finds kept files that no sample reads any more.
-func TestSamplesAreListed(t *testing.T) {
+// TestGoldenFilesAreUsed verifies that each golden file belongs to a sample.
+func TestGoldenFilesAreUsed(t *testing.T) {
 	listed := map[string]bool{}
 	for _, s := range samples {
 		listed[s.name], listed[s.name+".zero"] = true, true
@@ -217,8 +218,8 @@
 	for _, file := range files {
 		name := strings.TrimPrefix(filepath.ToSlash(file), "testdata/")
 		ext := filepath.Ext(name)
-		if (ext == ".hex" || ext == ".json") && filepath.Dir(file) != windowsFolder && !listed[strings.TrimSuffix(name, ext)] {
-			t.Errorf("no sample reads %s", file)
+		if (ext == ".hex" || ext == ".json") && filepath.Dir(file) != windowsDir && !listed[strings.TrimSuffix(name, ext)] {
+			t.Errorf("%s belongs to no sample", file)
 		}
 	}
 }
--- a/internal/testbeds/compatibility/fill_test.go
+++ b/internal/testbeds/compatibility/fill_test.go
@@ -7,27 +7,27 @@
 	"testing"
 )
 
-// filler sets every exported field of a value, nested ones too, to a value that differs from zero. What it sets depends
-// on the order and the types of the fields only, so that a renamed field keeps its value.
+// filler recursively sets every exported field of a value to a nonzero value. The values depend only on the order and the types of the
+// fields, so that a renamed field keeps its value.
 type filler struct {
-	count  int
-	omit   fieldSet // left at zero
-	passed bool     // a field of omit was met
+	count   int
+	omit    fieldSet // left at zero
+	omitted bool     // a field of omit was found
 }
 
-// fieldSet holds names of fields as "package.Type.Field".
+// fieldSet is a set of fields, named "package.Type.Field".
 type fieldSet map[string]bool
 
 func (s fieldSet) has(of reflect.Type, field reflect.StructField) bool {
 	return s[of.String()+"."+field.Name]
 }
 
-// filled returns a value of a type with all fields filled but those to omit, and whether it has any of these.
+// filled returns a value of a type with all fields set except those of omit, and whether the type has any of these.
 func filled(of reflect.Type, omit fieldSet) (value reflect.Value, omitted bool) {
 	v := reflect.New(of).Elem()
 	f := filler{omit: omit}
 	f.fill(v)
-	return v, f.passed
+	return v, f.omitted
 }
 
 func (f *filler) fill(v reflect.Value) {
@@ -51,7 +51,7 @@
 		f.fillElements(v)
 	case reflect.Array:
 		f.fillElements(v)
-	case reflect.Map: // of one entry, as the order of several is not fixed in CBOR
+	case reflect.Map: // a single entry, because the encoding order of several is not deterministic
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
 		f.fill(key)
 		f.fill(value)
@@ -63,7 +63,7 @@
 			switch {
 			case !encoded(field):
 			case f.omit.has(v.Type(), field):
-				f.passed = true
+				f.omitted = true
 			default:
 				f.fill(v.Field(i))
 			}
@@ -79,12 +79,12 @@
 	}
 }
 
-// encoded tells whether the encoders write a field.
+// encoded reports whether the encoders write a field.
 func encoded(field reflect.StructField) bool {
 	return field.IsExported() && field.Tag.Get("json") != "-" && field.Tag.Get("cbor") != "-"
 }
 
-// zeroFields lists the paths of the encoded fields that hold their zero value, but for those to omit.
+// zeroFields returns the paths of the encoded fields that are zero, except those of omit.
 func zeroFields(path string, v reflect.Value, omit fieldSet) (zero []string) {
 	if v.IsZero() {
 		return []string{path}
@@ -110,7 +110,7 @@
 	return zero
 }
 
-func TestZeroFieldsFindsWhatIsNotFilled(t *testing.T) {
+func TestZeroFieldsFindsUnsetFields(t *testing.T) {
 	type inner struct{ A, B int }
 	type outer struct {
 		Inner  inner
@@ -130,21 +130,21 @@
 	}
 }
 
-// TestFieldsAddedLaterAreLeftOut checks that a field that is named as added later leaves the other fields' values as they were.
-func TestFieldsAddedLaterAreLeftOut(t *testing.T) {
+// TestOmittedFieldsKeepOtherValues verifies that an omitted field does not change the values of the other fields.
+func TestOmittedFieldsKeepOtherValues(t *testing.T) {
 	type before struct{ A, B int }
 	type after struct{ A, Added, B int }
 	omit := fieldSet{reflect.TypeFor[after]().String() + ".Added": true}
-	was, _ := filled(reflect.TypeFor[before](), omit)
-	is, omitted := filled(reflect.TypeFor[after](), omit)
-	want := after{A: was.Interface().(before).A, B: was.Interface().(before).B}
-	if got := is.Interface().(after); got != want || !omitted {
+	old, _ := filled(reflect.TypeFor[before](), omit)
+	value, omitted := filled(reflect.TypeFor[after](), omit)
+	want := after{A: old.Interface().(before).A, B: old.Interface().(before).B}
+	if got := value.Interface().(after); got != want || !omitted {
 		t.Errorf("filled: %+v, want %+v (omitted %v)", got, want, omitted)
 	}
-	if zero := zeroFields("after", is, omit); len(zero) > 0 {
+	if zero := zeroFields("after", value, omit); len(zero) > 0 {
 		t.Errorf("zero fields: %v", zero)
 	}
-	if zero := zeroFields("after", is, nil); len(zero) != 1 {
-		t.Errorf("zero fields where none is omitted: %v", zero)
+	if zero := zeroFields("after", value, nil); len(zero) != 1 {
+		t.Errorf("zero fields without omit: %v, want one", zero)
 	}
 }
