--- a/internal/testbeds/compatibility/disk_test.go
+++ b/internal/testbeds/compatibility/disk_test.go
@@ -32,17 +32,17 @@
 // controlPlaneState returns the state in the newest file of the golden state store.
 func controlPlaneState() coordinator.PersistentState {
 	value, _ := filled(reflect.TypeFor[coordinator.PersistentState](), laterFields)
-	k := value.Interface().(coordinator.PersistentState)
-	k.Register.Body = []byte(`{"version":"0000002a"}`) // a configuration, as exports print it
-	return k
+	state := value.Interface().(coordinator.PersistentState)
+	state.Register.Body = []byte(`{"version":"0000002a"}`) // a configuration, as exports print it
+	return state
 }
 
 // stateWrites returns the two writes that created the golden state store, one for each of its files.
 func stateWrites(t *testing.T) [2]map[string][]byte {
 	t.Helper()
 	var states [2][]byte
-	for i, k := range []coordinator.PersistentState{{DiskID: "first"}, controlPlaneState()} {
-		raw, err := cbor.Marshal(k)
+	for i, state := range []coordinator.PersistentState{{DiskID: "first"}, controlPlaneState()} {
+		raw, err := cbor.Marshal(state)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -124,13 +124,13 @@
 // governorState returns the contents of the golden governor store: two replicas, sorted by name.
 func governorState() recovery.State {
 	value, _ := filled(reflect.TypeFor[recovery.State](), laterFields)
-	k := value.Interface().(recovery.State)
-	k.Replicas[0].Name, k.Replicas[1].Name = "a", "b"
-	for i := range k.Replicas { // the store holds the replica number once and does not hold the trust
-		r := &k.Replicas[i]
+	state := value.Interface().(recovery.State)
+	state.Replicas[0].Name, state.Replicas[1].Name = "a", "b"
+	for i := range state.Replicas { // the store holds the replica number once and does not hold the trust
+		r := &state.Replicas[i]
 		r.Learned.Replica, r.Learned.Trust = r.Entry.Replica, 0
 	}
-	return k
+	return state
 }
 
 func writeGovernorStore(t *testing.T, dir string) {
--- a/internal/testbeds/layering/imports_test.go
+++ b/internal/testbeds/layering/imports_test.go
@@ -27,11 +27,11 @@
 
 // position returns the layer and the directory that a package belongs to. Packages outside layers, such as rules and intake, are not
 // checked.
-func position(path string) (layer int, folder string, ok bool) {
-	for layer, folders := range layers {
-		for _, folder := range folders {
-			if path == folder || strings.HasPrefix(path, folder+"/") {
-				return layer, folder, true
+func position(path string) (layer int, dir string, ok bool) {
+	for layer, dirs := range layers {
+		for _, dir := range dirs {
+			if path == dir || strings.HasPrefix(path, dir+"/") {
+				return layer, dir, true
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 		if err != nil {
 			return err
 		}
-		layer, folder, ok := position(filepath.ToSlash(importer))
+		layer, dir, ok := position(filepath.ToSlash(importer))
 		if !ok {
 			return nil
 		}
@@ -66,12 +66,12 @@
 				return err
 			}
 			target, inModule := strings.CutPrefix(imported, modulePath)
-			targetLayer, targetFolder, ok := position(target)
+			targetLayer, targetDir, ok := position(target)
 			if !inModule || !ok {
 				continue
 			}
 			checked++
-			if targetLayer > layer || layer == planesLayer && targetLayer == layer && targetFolder != folder {
+			if targetLayer > layer || layer == planesLayer && targetLayer == layer && targetDir != dir {
 				t.Errorf("%s imports %s", importer, target)
 			}
 		}
@@ -87,8 +87,8 @@
 
 // TestStateMachinesDoNoIO verifies that packages of deterministic logic do not import packages for I/O.
 func TestStateMachinesDoNoIO(t *testing.T) {
-	for _, folder := range []string{"fleet", "capacity", "messages", "controlplane", "dataplane", "gatewayconfig", "peersampling"} {
-		err := filepath.WalkDir(filepath.Join(moduleRoot, folder), func(path string, entry fs.DirEntry, err error) error {
+	for _, dir := range []string{"fleet", "capacity", "messages", "controlplane", "dataplane", "gatewayconfig", "peersampling"} {
+		err := filepath.WalkDir(filepath.Join(moduleRoot, dir), func(path string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
--- a/internal/testbeds/soak/check.go
+++ b/internal/testbeds/soak/check.go
@@ -38,7 +38,7 @@
 	RuleConfigLost       Rule = "acknowledged configuration lost"
 	RuleStaleConfig      Rule = "gateway uses an outdated configuration"
 	RuleConfigRollback   Rule = "gateway reverted to an older configuration"
-	RuleDrain            Rule = "request executed by a replica after its acknowledged departure"
+	RuleDeparture        Rule = "request executed by a replica after its acknowledged departure"
 	RuleEvacuation       Rule = "request executed in an evacuated zone"
 	RuleUnacknowledged   Rule = "operation not acknowledged by a stable control plane"
 	RuleUnexpectedExit   Rule = "process exited unexpectedly"
@@ -160,7 +160,7 @@
 		}
 		instance := c.instances[execution.Instance]
 		if ack := instance.AcknowledgedAt; ack > 0 && execution.At > ack+drainBound+schedulingSlack {
-			c.report(RuleDrain, execution.At, "%s sent by %s to %s, whose %s was acknowledged by %s %v earlier", request.ID, request.Gateway, instance.ID,
+			c.report(RuleDeparture, execution.At, "%s sent by %s to %s, whose %s was acknowledged by %s %v earlier", request.ID, request.Gateway, instance.ID,
 				instance.Departure, instance.AcknowledgedBy, (execution.At - ack).Round(time.Millisecond))
 		}
 		if since, evacuated := c.evacuatedSince(instance.Zone, execution.At); evacuated && execution.At > since+evacuationBound+schedulingSlack {
--- a/internal/testbeds/soak/check_test.go
+++ b/internal/testbeds/soak/check_test.go
@@ -51,7 +51,7 @@
 		RuleStaleConfig: func(r *Record) {
 			r.Requests = append(r.Requests, probe(5*second, 404))
 		},
-		RuleDrain: func(r *Record) { r.Instances[0].AcknowledgedAt = 7 * second },
+		RuleDeparture: func(r *Record) { r.Instances[0].AcknowledgedAt = 7 * second },
 		RuleEvacuation: func(r *Record) {
 			r.Operations = append(r.Operations, Operation{Kind: EvacuateOperation, Zone: "c", Call: 3 * second, Return: 4 * second, Status: 200})
 		},
@@ -111,9 +111,9 @@
 		record := validRecord()
 		record.Instances[0].AcknowledgedAt = 7 * second
 		record.Faults = []FaultEvent{{Fault: Fault{Kind: test.kind}, BeganAt: 5 * second, EndedAt: test.ended}}
-		found := slices.ContainsFunc(Check(record), func(violation Violation) bool { return violation.Rule == RuleDrain })
+		found := slices.ContainsFunc(Check(record), func(violation Violation) bool { return violation.Rule == RuleDeparture })
 		if found != test.found {
-			t.Errorf("%s until %v: RuleDrain reported: %v, want %v", test.kind, test.ended, found, test.found)
+			t.Errorf("%s until %v: RuleDeparture reported: %v, want %v", test.kind, test.ended, found, test.found)
 		}
 	}
 }
--- a/internal/testbeds/soak/exhaustion.go
+++ b/internal/testbeds/soak/exhaustion.go
@@ -16,7 +16,7 @@
 	slowSendInterval      = 200 * time.Millisecond // between two bytes
 )
 
-// manner holds a connection open until ctx ends or the daemon closes it.
+// holdMode holds a connection open until ctx ends or the daemon closes it.
 type holdMode func(ctx context.Context, conn net.Conn, host string)
 
 // holdModes are indexed by Fault.HoldMode.
--- a/internal/testbeds/soak/faults.go
+++ b/internal/testbeds/soak/faults.go
@@ -38,11 +38,11 @@
 }
 
 // sleepUntil sleeps until a time of the run. It returns false if ctx ends first.
-func sleepUntil(ctx context.Context, c *cluster, moment time.Duration) bool {
+func sleepUntil(ctx context.Context, c *cluster, at time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(moment - c.now()):
+	case <-time.After(at - c.now()):
 		return true
 	}
 }
--- a/internal/testbeds/soak/replica.go
+++ b/internal/testbeds/soak/replica.go
@@ -85,8 +85,8 @@
 	if err != nil {
 		return err
 	}
-	shape := fleetLayout[position]
-	started := &replica{server: server, link: link, instance: &Instance{ID: id, Service: shape.service, Zone: shape.zone}}
+	layout := fleetLayout[position]
+	started := &replica{server: server, link: link, instance: &Instance{ID: id, Service: layout.service, Zone: layout.zone}}
 	started.target = f.cluster.members[f.random.IntN(len(f.cluster.members))].name
 	server.SetExecutionHook(func(attempt string) { f.cluster.recordExecution(attempt, id) })
 	f.cluster.record.update(func(r *Record) { r.Instances = append(r.Instances, started.instance) })
--- a/internal/testbeds/soak/schedule.go
+++ b/internal/testbeds/soak/schedule.go
@@ -28,7 +28,7 @@
 	DropResponses         FaultKind = "lose_answers"    // to control calls
 
 	// Callers hold more connections to one port of a member than it has descriptors.
-	ExhaustControlConnections       FaultKind = "hoard_connection" // control
+	ExhaustControlConnections       FaultKind = "hoard_connection"
 	ExhaustPeerConnections          FaultKind = "hoard_peers"
 	ExhaustMemberMetricsConnections FaultKind = "hoard_member_figures"
 )
@@ -117,10 +117,10 @@
 	random := rand.New(rand.NewPCG(seed, 1))
 	schedule := Schedule{Seed: seed}
 	for episode := range episodes {
-		begin := time.Duration(episode) * episodeInterval
+		start := time.Duration(episode) * episodeInterval
 		disks := 0
 		for range 2 + random.IntN(2) {
-			fault := randomFault(random, begin)
+			fault := randomFault(random, start)
 			if fault.Kind.losesDisk() {
 				if disks++; disks > 1 {
 					continue // the cluster tolerates the loss of one disk at a time
@@ -133,10 +133,10 @@
 	return schedule
 }
 
-func randomFault(random *rand.Rand, begin time.Duration) Fault {
+func randomFault(random *rand.Rand, start time.Duration) Fault {
 	fault := Fault{
 		Kind:   generatedKinds[random.IntN(len(generatedKinds))],
-		At:     begin + time.Duration(random.Int64N(int64(episodeSpread))),
+		At:     start + time.Duration(random.Int64N(int64(episodeSpread))),
 		For:    minFaultTime + time.Duration(random.Int64N(int64(maxFaultTime-minFaultTime))),
 		Target: random.IntN(maxTarget),
 	}
--- a/internal/testbeds/soak/soak_run_test.go
+++ b/internal/testbeds/soak/soak_run_test.go
@@ -105,7 +105,7 @@
 		Old:      "		r.markDeregistered(report.receivedAt, known)\n",
 		New:      "",
 		Schedule: Schedule{Seed: 4, Faults: []Fault{{Kind: DeregisterReplica, At: 3 * time.Second}}},
-		Rule:     RuleDrain,
+		Rule:     RuleDeparture,
 	},
 }
 
--- a/internal/testbeds/standin/hostile/replica.go
+++ b/internal/testbeds/standin/hostile/replica.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	idleTimeout        = 30 * time.Second
-	writeTimeout       = 2 * time.Second
-	earlyRejectionPart = 40         // one in this many faults is a rejection before the body is read
-	largeBodyBytes     = 1100 << 10 // more than the gateway buffers
-	maxSentResponses   = 2          // responses kept per connection for replay
-	maxKeptBytes       = 10000      // size limit of a kept response
-	maxRandom          = 1 << 20
+	idleTimeout          = 30 * time.Second
+	writeTimeout         = 2 * time.Second
+	earlyRejectionPart   = 40         // one in this many faults is a rejection before the body is read
+	largeBodyBytes       = 1100 << 10 // more than the gateway buffers
+	maxSentResponses     = 2          // responses kept per connection for replay
+	maxSentResponseBytes = 10000      // size limit of a kept response
+	maxRandom            = 1 << 20
 )
 
 // ResponseBody returns the body of the correct response to a request.
@@ -178,7 +178,7 @@
 func (c *replicaConn) keepResponse(response string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.sentResponses) < maxSentResponses && len(response) < maxKeptBytes {
+	if len(c.sentResponses) < maxSentResponses && len(response) < maxSentResponseBytes {
 		c.sentResponses = append(c.sentResponses, response)
 	}
 }
