--- a/internal/daemons/connlimit/limiter.go
+++ b/internal/daemons/connlimit/limiter.go
@@ -169,5 +169,5 @@
 	for rule := range ruleCount {
 		entry = entry.Uint64(rule.String(), l.Reclaimed(rule))
 	}
-	entry.Msg("")
+	entry.Msg("connection limit reached")
 }
--- a/internal/daemons/connlimit/listener.go
+++ b/internal/daemons/connlimit/listener.go
@@ -71,6 +71,6 @@
 func (l *Limiter) reportAcceptError(err error) {
 	l.acceptErrors.Add(1)
 	if l.logLimiter.Allow() {
-		l.logger.Warn().Str("event", "accept_failed").Str("listener", l.name).Err(err).Msg("")
+		l.logger.Warn().Str("event", "accept_failed").Str("listener", l.name).Err(err).Msg("accepting a connection failed")
 	}
 }
--- a/internal/daemons/gateway/attempt.go
+++ b/internal/daemons/gateway/attempt.go
@@ -83,7 +83,7 @@
 func (g *Gateway) logAttempt(endpoint, attemptID string, outcome replica.Outcome) {
 	g.logger.Info().Str("event", "attempt").Str("attempt", loggedID(attemptID)).Str("replica", endpoint).
 		Uint64("conn", outcome.ConnID).Int("use", outcome.ConnRequestCount).Str("execution", outcome.Execution.String()).
-		Str("cause", string(outcome.Cause)).Int("skipped", outcome.SkippedResponses).Msg("")
+		Str("cause", string(outcome.Cause)).Int("skipped", outcome.SkippedResponses).Msg("attempt ended")
 }
 
 // queueEffects passes effects to the report loop without blocking. Effects are dropped when the queue is full, as a
--- a/internal/daemons/gateway/badrequest.go
+++ b/internal/daemons/gateway/badrequest.go
@@ -18,6 +18,6 @@
 func (g *Gateway) recordBadRequest(client string, cause badRequestCause) {
 	g.count(countBadRequest)
 	if g.logLimiter.Allow() {
-		g.logger.Info().Str("event", "bad_request").Str("client", client).Str("cause", string(cause)).Msg("")
+		g.logger.Info().Str("event", "bad_request").Str("client", client).Str("cause", string(cause)).Msg("invalid request from a client")
 	}
 }
--- a/internal/daemons/gateway/controlstream.go
+++ b/internal/daemons/gateway/controlstream.go
@@ -72,7 +72,7 @@
 		frame, err := peertransport.ReadFrame(netConn)
 		if err != nil {
 			if stream.established {
-				g.logger.Info().Str("event", "stream_lost").Str("member", member).Err(err).Msg("")
+				g.logger.Info().Str("event", "stream_lost").Str("member", member).Err(err).Msg("connection to the control plane lost")
 			}
 			return stream.established
 		}
@@ -80,7 +80,7 @@
 			continue
 		}
 		if g.applyUpdate(frame.StateUpdate) {
-			g.logger.Info().Str("event", "stream_stale").Str("member", member).Msg("")
+			g.logger.Info().Str("event", "stream_stale").Str("member", member).Msg("state update may be stale and was not applied; closing the stream")
 			return stream.established
 		}
 		if !stream.established && frame.StateUpdate.Full {
@@ -95,7 +95,7 @@
 // establish starts reporting to a member that has sent its full state.
 func (s *controlStream) establish(sequence uint64, done <-chan struct{}) {
 	s.established = true
-	s.gateway.logger.Info().Str("event", "stream_established").Str("member", s.member).Uint64("sequence", sequence).Msg("")
+	s.gateway.logger.Info().Str("event", "stream_established").Str("member", s.member).Uint64("sequence", sequence).Msg("receiving state from the control plane")
 	s.send(&peertransport.Frame{LoadReport: s.gateway.initialReport()})
 	go s.sendReports(done)
 }
@@ -155,10 +155,10 @@
 	draining := !g.router.IsServing()
 	g.mu.Unlock()
 	if g.draining.Swap(draining) != draining {
-		g.logger.Info().Str("event", "maintenance").Bool("draining", draining).Uint64("fencing_token", update.Maintenance.FencingToken).Msg("")
+		g.logger.Info().Str("event", "maintenance").Bool("draining", draining).Uint64("fencing_token", update.Maintenance.FencingToken).Msg("draining state changed")
 	}
 	if result.ConfigError != "" {
-		g.logger.Error().Str("event", "config_rejected").Uint64("version", update.ConfigVersion).Str("error", result.ConfigError).Msg("")
+		g.logger.Error().Str("event", "config_rejected").Uint64("version", update.ConfigVersion).Str("error", result.ConfigError).Msg("invalid configuration rejected; the previous one stays in effect")
 	}
 	for _, endpoint := range result.RemovedEndpoints {
 		g.pool.CloseIdle(endpoint)
@@ -167,7 +167,7 @@
 		if previous := g.config.Swap(config); previous != nil {
 			invariant.NotBelow(invariant.ConfigVersionMonotonic, config.Version, previous.Version)
 		}
-		g.logger.Info().Str("event", "config_applied").Uint64("version", config.Version).Int("routes", config.RouteCount).Msg("")
+		g.logger.Info().Str("event", "config_applied").Uint64("version", config.Version).Int("routes", config.RouteCount).Msg("configuration applied")
 		g.startFrontServer(config.Limits)
 	}
 	if result.FullTable {
--- a/internal/daemons/gateway/counters.go
+++ b/internal/daemons/gateway/counters.go
@@ -98,5 +98,5 @@
 	for _, event := range slices.Sorted(maps.Keys(counts)) {
 		entry = entry.Uint64(string(event), counts[event])
 	}
-	entry.Msg("")
+	entry.Msg("event counts since the last report")
 }
--- a/internal/daemons/gateway/failures.go
+++ b/internal/daemons/gateway/failures.go
@@ -109,7 +109,7 @@
 func (g *Gateway) completeFailure(number uint64, attemptID string, attempt AttemptRecord) {
 	g.failures.complete(number, attempt)
 	if g.logLimiter.Allow() {
-		g.logger.Info().Str("event", "pending_attempt_ended").Str("attempt", loggedID(attemptID)).Str("outcome", attempt.summary()).Msg("")
+		g.logger.Info().Str("event", "pending_attempt_ended").Str("attempt", loggedID(attemptID)).Str("outcome", attempt.summary()).Msg("attempt ended after its request")
 	}
 }
 
@@ -130,7 +130,7 @@
 	}
 	g.logger.Info().Str("event", "request_failed").Str("attempt", failed.AttemptID).Str("route", failed.Route).Str("service", failed.Service).
 		Int("status", failed.Status).Str("ended_by", string(failed.EndedBy)).Str("reason", failed.Reason).Dur("timeout", failed.Timeout).
-		Dur("duration", failed.Duration).Uint64("config_version", failed.ConfigVersion).Strs("attempts", attempts).Msg("")
+		Dur("duration", failed.Duration).Uint64("config_version", failed.ConfigVersion).Strs("attempts", attempts).Msg("request failed")
 	return number
 }
 
--- a/internal/daemons/gateway/lifecycle.go
+++ b/internal/daemons/gateway/lifecycle.go
@@ -56,7 +56,7 @@
 	go g.maintainControlStream(streamContext)
 	openUnconfigured := time.AfterFunc(unconfiguredServeDelay, func() { g.startFrontServer(unconfiguredLimits) })
 	defer openUnconfigured.Stop()
-	g.logger.Info().Str("event", "started").Str("name", g.settings.Name).Str("zone", g.settings.Zone).Str("front", g.settings.FrontAddress).Msg("")
+	g.logger.Info().Str("event", "started").Str("name", g.settings.Name).Str("zone", g.settings.Zone).Str("front", g.settings.FrontAddress).Msg("gateway started")
 	return g.loop(ctx, reload)
 }
 
@@ -119,10 +119,10 @@
 		case <-reload:
 			g.reloadSettings()
 		case <-ctx.Done():
-			g.logger.Info().Str("event", "stopping").Msg("")
+			g.logger.Info().Str("event", "stopping").Msg("gateway is shutting down")
 			g.shutdown()
 			g.logCounters()
-			g.logger.Info().Str("event", "stopped").Msg("")
+			g.logger.Info().Str("event", "stopped").Msg("gateway stopped")
 			return nil
 		}
 	}
@@ -183,7 +183,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	if err := g.shutdownServer(ctx); err != nil {
-		g.logger.Info().Str("event", "shutdown_incomplete").Err(err).Msg("")
+		g.logger.Info().Str("event", "shutdown_incomplete").Err(err).Msg("grace period ended before all requests were answered")
 	}
 }
 
@@ -211,11 +211,11 @@
 func (g *Gateway) reloadSettings() {
 	settings, err := nodesettings.Load()
 	if err != nil {
-		g.logger.Error().Str("event", "settings_rejected").Err(err).Msg("")
+		g.logger.Error().Str("event", "settings_rejected").Err(err).Msg("settings could not be reloaded; the previous seed addresses stay in use")
 		return
 	}
 	g.mu.Lock()
 	g.settings.Seeds = settings.Seeds
 	g.mu.Unlock()
-	g.logger.Info().Str("event", "settings_loaded").Int("seeds", len(settings.Seeds)).Msg("")
+	g.logger.Info().Str("event", "settings_loaded").Int("seeds", len(settings.Seeds)).Msg("seed addresses reloaded")
 }
--- a/internal/daemons/program/log.go
+++ b/internal/daemons/program/log.go
@@ -42,6 +42,27 @@
 	return append(line, value...)
 }
 
+// eventMessages are the messages of the events that the control-plane controller reports.
+var eventMessages = map[string]string{
+	"clock_stopped":                "clock or process was suspended",
+	"config_committed":             "configuration committed",
+	"config_unreadable":            "committed configuration could not be parsed; the previous one stays in effect",
+	"disk_health":                  "health of the state disk changed",
+	"draining":                     "instance is draining",
+	"evacuations_changed":          "set of evacuated zones changed",
+	"gateway_left":                 "gateway disconnected",
+	"heartbeat_timed_out":          "instance expired without a heartbeat",
+	"instance_deregistered":        "instance deregistered",
+	"instance_ejected":             "instance ejected as an outlier",
+	"maintenance_state_unreadable": "maintenance state could not be decoded",
+	"maintenance_state_unwritable": "maintenance state could not be encoded",
+	"maintenance_window_changed":   "maintenance window changed",
+	"quorum_contact":               "contact with a quorum changed",
+	"shutdown_started":             "member is shutting down",
+	"stalled":                      "member resumed after a stall",
+	"view_installed":               "new view installed",
+}
+
 // LogEvent logs an event and its fields with level warn or info.
 func LogEvent(logger *log.Logger, warn bool, event string, fields iter.Seq2[string, any]) {
 	entry := logger.Info()
@@ -61,5 +82,5 @@
 			entry = entry.Any(key, value)
 		}
 	}
-	entry.Msg("")
+	entry.Msg(eventMessages[event])
 }
--- a/internal/daemons/program/main.go
+++ b/internal/daemons/program/main.go
@@ -67,7 +67,7 @@
 		return
 	}
 	if err := serve(daemon); err != nil {
-		logger.Error().Str("event", "run_failed").Err(err).Msg("")
+		logger.Error().Str("event", "run_failed").Err(err).Msg("program ended with an error")
 		os.Exit(exitFailure)
 	}
 }
--- a/internal/daemons/program/violations.go
+++ b/internal/daemons/program/violations.go
@@ -18,7 +18,7 @@
 	limiter := rate.NewLimiter(violationLogRate, violationLogBurst)
 	invariant.SetReporter(func(violation invariant.Violation) {
 		if limiter.Allow() {
-			logger.Error().Str("event", "invariant_violated").Stringer("invariant", violation.Name).Str("evidence", violation.Evidence).Msg("")
+			logger.Error().Str("event", "invariant_violated").Stringer("invariant", violation.Name).Str("evidence", violation.Evidence).Msg("invariant violated")
 		}
 	})
 }
