--- a/internal/testbeds/modelcheck/membershipmodel/fault.go
+++ b/internal/testbeds/modelcheck/membershipmodel/fault.go
@@ -18,20 +18,20 @@
 
 // Faults of the reconfiguration model.
 const (
-	LeaverExitsAtOnce      Fault = iota + 100 // A leaver exits at once.
-	JoinBeforeCommit                          // A machine joins the chain out of a view without a commit, also where it is not needed.
-	LeaverDroppedEarly                        // A leaver is dropped from the chain while too few others in it are synced.
-	LeaverTrustsTail                          // A leaver exits on the tail's commit alone and hears nobody else after it.
-	LeaverIgnoresNewerView                    // A leaver counts confirmations of members that know of a later view.
-	LeaverExitsAsVoter                        // A leaver exits while it is a voter beyond those that are needed.
-	LeaverNotReadmitted                       // A leaver is not taken back into the chain, also where it is needed.
-	UnsyncedReplacement                       // A new machine takes a voter's seat at once, while it is empty.
-	UnsyncedAddition                          // A new machine is added to the voters at once, while it is empty.
-	LeaseRead                                 // A read trusts in contact and asks nobody.
-	CommandAppliedTwice                       // The identities of commands are not remembered.
-	ReturningMemberLeads                      // A member that returns with its disk becomes head.
-	ConflictAcknowledged                      // A command for a version that is taken is acknowledged, whatever its content.
-	ConflictReportedEarly                     // A conflict is reported before what it conflicts with is committed.
+	LeavingMemberExitsImmediately Fault = iota + 100 // A leaver exits at once.
+	JoinBeforeCommit                                 // A machine joins the chain out of a view without a commit, also where it is not needed.
+	LeavingMemberDroppedEarly                        // A leaver is dropped from the chain while too few others in it are synced.
+	LeavingMemberTrustsTail                          // A leaver exits on the tail's commit alone and hears nobody else after it.
+	LeavingMemberIgnoresNewerView                    // A leaver counts confirmations of members that know of a later view.
+	LeavingMemberExitsAsVoter                        // A leaver exits while it is a voter beyond those that are needed.
+	LeavingMemberNotReadmitted                       // A leaver is not taken back into the chain, also where it is needed.
+	UnsyncedReplacement                              // A new machine takes a voter's seat at once, while it is empty.
+	UnsyncedAddition                                 // A new machine is added to the voters at once, while it is empty.
+	LeaseRead                                        // A read trusts in contact and asks nobody.
+	CommandAppliedTwice                              // The identities of commands are not remembered.
+	ReturningMemberBecomesHead                       // A member that returns with its disk becomes head.
+	ConflictAcknowledged                             // A command for a version that is taken is acknowledged, whatever its content.
+	ConflictReportedEarly                            // A conflict is reported before what it conflicts with is committed.
 )
 
 // Result is what an exploration found.
--- a/internal/testbeds/modelcheck/membershipmodel/messages_test.go
+++ b/internal/testbeds/modelcheck/membershipmodel/messages_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestMessageFaultsAreFound plants faults in the message model: a check that misses them is worth nothing.
-func TestMessageFaultsAreFound(t *testing.T) {
+// TestInjectedMessageFaultsAreDetected plants faults in the message model: a check that misses them is worth nothing.
+func TestInjectedMessageFaultsAreDetected(t *testing.T) {
 	const maxStates, maxWalkedStates = 2e6, 2e4
 	for _, test := range []struct {
 		name   string
--- a/internal/testbeds/modelcheck/membershipmodel/reconfiguration_candidates.go
+++ b/internal/testbeds/modelcheck/membershipmodel/reconfiguration_candidates.go
@@ -63,7 +63,7 @@
 	if search.current.hasInChain(i) || !m.isHeard() {
 		return false
 	}
-	if m.leaving && (!isVoter || search.model.fault == LeaverNotReadmitted || !search.needsLeavers()) {
+	if m.leaving && (!isVoter || search.model.fault == LeavingMemberNotReadmitted || !search.needsLeavers()) {
 		return false
 	}
 	if search.viewCommitted || search.model.fault == JoinBeforeCommit {
@@ -112,7 +112,7 @@
 	if next.length() == 0 || next.unsynced.has(next.at(0)) {
 		return // Nobody is left who certainly holds what was acknowledged.
 	}
-	if search.dropsLeaverEarly(&next, dropped) && search.model.fault != LeaverDroppedEarly {
+	if search.dropsLeaverEarly(&next, dropped) && search.model.fault != LeavingMemberDroppedEarly {
 		return
 	}
 	search.add(next, search.current.voters)
@@ -151,7 +151,7 @@
 	}
 	switch {
 	case joiner == noJoiner:
-	case search.model.fault == ReturningMemberLeads && current.voters.has(joiner):
+	case search.model.fault == ReturningMemberBecomesHead && current.voters.has(joiner):
 		copy(next.chain[1:], next.chain[:length])
 		next.chain[0] = uint8(joiner + 1)
 	default:
--- a/internal/testbeds/modelcheck/membershipmodel/reconfiguration_environment.go
+++ b/internal/testbeds/modelcheck/membershipmodel/reconfiguration_environment.go
@@ -21,7 +21,7 @@
 }
 
 func (model *reconfigurationModel) startNewcomer(w *world) {
-	if int(w.newcomers) >= model.scope.Newcomers || w.started >= maxIdentities {
+	if int(w.newcomers) >= model.scope.NewMachines || w.started >= maxIdentities {
 		return
 	}
 	next := *w
@@ -41,7 +41,7 @@
 	next := *w
 	m := &next.machines[i]
 	if m.leaving {
-		if int(next.returns) >= model.scope.Returns {
+		if int(next.returns) >= model.scope.Rejoins {
 			return
 		}
 		next.returns++
@@ -63,7 +63,7 @@
 
 func (model *reconfigurationModel) wipe(w *world, i int) {
 	m := &w.machines[i]
-	if int(w.wipes) >= model.scope.Wipes || w.started >= maxIdentities || m.leaving {
+	if int(w.wipes) >= model.scope.DiskLosses || w.started >= maxIdentities || m.leaving {
 		return
 	}
 	next := *w
--- a/internal/testbeds/modelcheck/membershipmodel/reconfiguration_invariants.go
+++ b/internal/testbeds/modelcheck/membershipmodel/reconfiguration_invariants.go
@@ -99,7 +99,7 @@
 		return false
 	}
 	hasLearner := v.members()&^v.voters != 0
-	if v.voters.count() <= 2*model.tolerance+1 && !hasLearner || model.fault == LeaverExitsAsVoter {
+	if v.voters.count() <= 2*model.tolerance+1 && !hasLearner || model.fault == LeavingMemberExitsAsVoter {
 		return true
 	}
 	for j := range int(w.started) {
--- a/internal/testbeds/modelcheck/membershipmodel/reconfiguration_leaving.go
+++ b/internal/testbeds/modelcheck/membershipmodel/reconfiguration_leaving.go
@@ -13,7 +13,7 @@
 		if i == leaver || !sawCommit || m.confirmedBy.has(i) || !v.hasInChain(i) || !v.voters.has(i) {
 			continue
 		}
-		if other.accepted != acceptedNothing && model.fault != LeaverIgnoresNewerView {
+		if other.accepted != acceptedNothing && model.fault != LeavingMemberIgnoresNewerView {
 			continue
 		}
 		next := *w
@@ -26,12 +26,12 @@
 func (model *reconfigurationModel) expandExit(w *world, i int) {
 	m := &w.machines[i]
 	confirmedBy := m.confirmedBy
-	if model.fault == LeaverTrustsTail && m.commitsSeen > 0 {
+	if model.fault == LeavingMemberTrustsTail && m.commitsSeen > 0 {
 		confirmedBy = w.views[m.view].members()
 	}
-	knowsNoLaterView := m.accepted == acceptedNothing || model.fault == LeaverIgnoresNewerView
+	knowsNoLaterView := m.accepted == acceptedNothing || model.fault == LeavingMemberIgnoresNewerView
 	mayExit := m.view > 0 && knowsNoLaterView && model.mayLeave(w, m.view, i, confirmedBy)
-	if !mayExit && model.fault != LeaverExitsAtOnce {
+	if !mayExit && model.fault != LeavingMemberExitsImmediately {
 		return
 	}
 	next := *w
--- a/internal/testbeds/modelcheck/membershipmodel/reconfiguration_scope.go
+++ b/internal/testbeds/modelcheck/membershipmodel/reconfiguration_scope.go
@@ -9,13 +9,13 @@
 // than half of its members.
 type Scope struct {
 	Members             int // At first, on seed addresses.
-	Newcomers           int // Machines started at new addresses.
+	NewMachines         int // Machines started at new addresses.
 	Losses              int // Machines lost for good.
-	Wipes               int // Disks lost; the machine returns under another identity.
+	DiskLosses          int // Disks lost; the machine returns under another identity.
 	Kills               int // The disk is kept; the machine may be started again.
 	Suspicions          int // Of machines that run.
 	Leaves              int // Graceful shutdowns.
-	Returns             int // Of machines that had left, with their disk.
+	Rejoins             int // Of machines that had left, with their disk.
 	Commands            int // Different ones: the first two are for one configuration version, the third for none.
 	Submissions         int // Commands that reach a head, repeated ones included.
 	Reads               int
@@ -43,13 +43,13 @@
 		count int
 		name  string
 	}{
-		{s.Newcomers, "newcomers"},
+		{s.NewMachines, "newcomers"},
 		{s.Losses, "losses"},
-		{s.Wipes, "wipes"},
+		{s.DiskLosses, "wipes"},
 		{s.Kills, "kills"},
 		{s.Suspicions, "suspicions"},
 		{s.Leaves, "leaves"},
-		{s.Returns, "returns"},
+		{s.Rejoins, "returns"},
 		{s.Submissions, "submissions"},
 		{s.Reads, "reads"},
 		{s.Views, "views"},
--- a/internal/testbeds/modelcheck/membershipmodel/reconfiguration_test.go
+++ b/internal/testbeds/modelcheck/membershipmodel/reconfiguration_test.go
@@ -11,19 +11,19 @@
 
 var (
 	scopeUnsyncedHead   = Scope{Members: 3, Kills: 3, Commands: 1, Submissions: 1, Views: 3, ExceedsTolerance: true}
-	scopeStartsUnsynced = Scope{Members: 3, Newcomers: 1, Kills: 1, Views: 3, StartsUnsynced: true}
+	scopeStartsUnsynced = Scope{Members: 3, NewMachines: 1, Kills: 1, Views: 3, StartsUnsynced: true}
 	scopeLeave          = Scope{Members: 3, Kills: 2, Leaves: 1, Views: 4, SupersededProposals: 1}
 	scopeLeaveLoss      = Scope{Members: 3, Kills: 1, Losses: 1, Leaves: 1, Views: 4, SupersededProposals: 1}
-	scopeReplace        = Scope{Members: 3, Newcomers: 1, Losses: 1, Leaves: 1, Views: 3}
-	scopeLoss           = Scope{Members: 3, Newcomers: 1, Kills: 1, Losses: 1, Views: 4}
-	scopeWipe           = Scope{Members: 3, Newcomers: 1, Wipes: 1, Losses: 1, Views: 4}
+	scopeReplace        = Scope{Members: 3, NewMachines: 1, Losses: 1, Leaves: 1, Views: 3}
+	scopeLoss           = Scope{Members: 3, NewMachines: 1, Kills: 1, Losses: 1, Views: 4}
+	scopeWipe           = Scope{Members: 3, NewMachines: 1, DiskLosses: 1, Losses: 1, Views: 4}
 	scopeRead           = Scope{Members: 3, Suspicions: 1, Commands: 1, Submissions: 1, Reads: 1, Views: 2}
 	scopeCommands       = Scope{Members: 3, Kills: 1, Commands: 2, Submissions: 3, Views: 2}
 )
 
-// TestReconfigurationFaultsAreFound plants faults in the rules of membership, commands and reads: each must be found, and
+// TestInjectedReconfigurationFaultsAreDetected plants faults in the rules of membership, commands and reads: each must be found, and
 // in a scope in which the rules hold without it (TestReconfigurationIsSound has the same ones).
-func TestReconfigurationFaultsAreFound(t *testing.T) {
+func TestInjectedReconfigurationFaultsAreDetected(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		fault Fault
@@ -31,16 +31,16 @@
 	}{
 		{"a head that was never synced", UnsyncedHead, scopeUnsyncedHead},
 		{"a newcomer that joins while the others are still marked", JoinBeforeCommit, scopeStartsUnsynced},
-		{"a leaver that is not waited for", LeaverExitsAtOnce, scopeLeave},
-		{"a leaver that is dropped while too few others are synced", LeaverDroppedEarly, scopeLeave},
-		{"a leaver that trusts the tail alone", LeaverTrustsTail, scopeLeave},
-		{"a leaver that ignores a newer view", LeaverIgnoresNewerView, scopeLeaveLoss},
-		{"a leaver that exits as a voter though it has a successor", LeaverExitsAsVoter, scopeReplace},
-		{"a leaver that is not readmitted", LeaverNotReadmitted, scopeLeave},
+		{"a leaver that is not waited for", LeavingMemberExitsImmediately, scopeLeave},
+		{"a leaver that is dropped while too few others are synced", LeavingMemberDroppedEarly, scopeLeave},
+		{"a leaver that trusts the tail alone", LeavingMemberTrustsTail, scopeLeave},
+		{"a leaver that ignores a newer view", LeavingMemberIgnoresNewerView, scopeLeaveLoss},
+		{"a leaver that exits as a voter though it has a successor", LeavingMemberExitsAsVoter, scopeReplace},
+		{"a leaver that is not readmitted", LeavingMemberNotReadmitted, scopeLeave},
 		{"a newcomer that is added to the voters while it is empty", UnsyncedAddition, scopeLoss},
 		{"a lease that outlives a freeze", LeaseRead, scopeRead},
 		{"a repeated command that is applied again", CommandAppliedTwice, scopeCommands},
-		{"a head with an old register", ReturningMemberLeads, scopeCommands},
+		{"a head with an old register", ReturningMemberBecomesHead, scopeCommands},
 		{"two acknowledged under one version", ConflictAcknowledged, scopeCommands},
 		{"a conflict that is reported at once", ConflictReportedEarly, scopeCommands},
 	} {
@@ -107,20 +107,20 @@
 		t.Skip("MODEL_SECONDS is not set")
 	}
 	for _, scope := range []Scope{
-		{Members: 3, Newcomers: 1, Losses: 1, Wipes: 1, Leaves: 1, Views: 5},
-		{Members: 3, Newcomers: 1, Losses: 1, Leaves: 1, Views: 6},
-		{Members: 3, Newcomers: 1, Losses: 1, Leaves: 1, Views: 4, Commands: 1, Submissions: 1},
-		{Members: 3, Newcomers: 1, Losses: 1, Leaves: 1, Views: 3, SupersededProposals: 1},
-		{Members: 3, Newcomers: 1, Wipes: 1, Leaves: 1, Views: 5},
-		{Members: 3, Newcomers: 1, Kills: 1, Leaves: 1, Views: 4},
-		{Members: 3, Newcomers: 1, Leaves: 1, Returns: 1, Views: 5},
-		{Members: 3, Kills: 1, Suspicions: 1, Leaves: 1, Returns: 1, Commands: 1, Submissions: 1, Views: 4},
+		{Members: 3, NewMachines: 1, Losses: 1, DiskLosses: 1, Leaves: 1, Views: 5},
+		{Members: 3, NewMachines: 1, Losses: 1, Leaves: 1, Views: 6},
+		{Members: 3, NewMachines: 1, Losses: 1, Leaves: 1, Views: 4, Commands: 1, Submissions: 1},
+		{Members: 3, NewMachines: 1, Losses: 1, Leaves: 1, Views: 3, SupersededProposals: 1},
+		{Members: 3, NewMachines: 1, DiskLosses: 1, Leaves: 1, Views: 5},
+		{Members: 3, NewMachines: 1, Kills: 1, Leaves: 1, Views: 4},
+		{Members: 3, NewMachines: 1, Leaves: 1, Rejoins: 1, Views: 5},
+		{Members: 3, Kills: 1, Suspicions: 1, Leaves: 1, Rejoins: 1, Commands: 1, Submissions: 1, Views: 4},
 		{Members: 3, Kills: 1, Suspicions: 1, Commands: 1, Submissions: 1, Reads: 1, Views: 2},
-		{Members: 3, Wipes: 1, Kills: 1, Commands: 2, Submissions: 3, Views: 3},
-		{Members: 5, Newcomers: 1, Losses: 2, Views: 5},
-		{Members: 5, Newcomers: 1, Losses: 1, Leaves: 1, Views: 4},
+		{Members: 3, DiskLosses: 1, Kills: 1, Commands: 2, Submissions: 3, Views: 3},
+		{Members: 5, NewMachines: 1, Losses: 2, Views: 5},
+		{Members: 5, NewMachines: 1, Losses: 1, Leaves: 1, Views: 4},
 		{Members: 5, Losses: 1, Kills: 1, Leaves: 1, Views: 4},
-		{Members: 5, Wipes: 1, Kills: 1, Commands: 1, Submissions: 1, Views: 3},
+		{Members: 5, DiskLosses: 1, Kills: 1, Commands: 1, Submissions: 1, Views: 3},
 	} {
 		t.Run(fmt.Sprint(scope), func(t *testing.T) {
 			t.Parallel()
--- a/internal/testbeds/modelcheck/requestmodel/check.go
+++ b/internal/testbeds/modelcheck/requestmodel/check.go
@@ -29,7 +29,7 @@
 		return s.violation.String()
 	}
 	for i, c := range s.clients {
-		if !e.bounds.Safe[i] && c.executions > 1 {
+		if !e.bounds.Idempotent[i] && c.executions > 1 {
 			return "an unsafe request was executed twice"
 		}
 		if c.outcome == outcomeNotExecuted && c.executions > 0 {
--- a/internal/testbeds/modelcheck/requestmodel/client.go
+++ b/internal/testbeds/modelcheck/requestmodel/client.go
@@ -7,7 +7,7 @@
 	if c.state == notStarted {
 		e.sendAttempt(s, i, 0, e.label("client %d asks", i))
 	}
-	if c.state == inFlight && c.attempts[1].state == notStarted && c.attempts[0].state == inFlight && e.bounds.Safe[i] && !c.gone {
+	if c.state == inFlight && c.attempts[1].state == notStarted && c.attempts[0].state == inFlight && e.bounds.Idempotent[i] && !c.gone {
 		e.sendAttempt(s, i, 1, "hedged")
 	}
 	if c.state == inFlight && !c.gone {
@@ -28,7 +28,7 @@
 // leave has a client leave: the attempts of an idempotent request are canceled, others are left to end.
 func (e *explorer) leave(s state, i int) {
 	s.clients[i].gone = true
-	if e.bounds.Safe[i] {
+	if e.bounds.Idempotent[i] {
 		for k := range s.conns {
 			if s.conns[k].state == connBusy && int(s.conns[k].client) == i {
 				s.closeConn(k)
--- a/internal/testbeds/modelcheck/requestmodel/explore.go
+++ b/internal/testbeds/modelcheck/requestmodel/explore.go
@@ -33,7 +33,7 @@
 }
 
 func (e *explorer) explore() Result {
-	first := state{surplus: e.bounds.SurplusResponses, failures: e.bounds.Failures}
+	first := state{surplus: e.bounds.UnsolicitedResponses, failures: e.bounds.Failures}
 	reached := []node{{state: first, from: -1}}
 	seen := map[uint64]struct{}{e.hash(first): {}}
 	for at := 0; at < len(reached); at++ {
@@ -101,11 +101,11 @@
 		c := &s.clients[i]
 		if c.state == finished {
 			*c = client{state: finished, outcome: c.outcome, executions: c.executions, delayed: c.delayed}
-			if e.bounds.Safe[i] && c.outcome != outcomeNotExecuted {
+			if e.bounds.Idempotent[i] && c.outcome != outcomeNotExecuted {
 				c.executions, c.delayed = 0, 0
 			}
 		}
-		if e.bounds.Safe[i] {
+		if e.bounds.Idempotent[i] {
 			c.executions = min(c.executions, 1)
 		}
 	}
--- a/internal/testbeds/modelcheck/requestmodel/gateway.go
+++ b/internal/testbeds/modelcheck/requestmodel/gateway.go
@@ -75,13 +75,13 @@
 		e.readMessage(s, k)
 	case c.state == connBusy && c.closedByReplica:
 		execution := retry.MayHaveExecuted
-		if e.fault == TrustsReset {
+		if e.fault == TreatsResetAsNotExecuted {
 			execution = retry.NotExecuted
 		}
 		e.endAttempt(s, k, execution, false, e.label("connection %d ended", k))
 	case c.state == connBusy && s.failures > 0:
 		s.failures--
-		e.endAttempt(s, k, retry.MayHaveExecuted, e.fault == ReusesAfterSilence, e.label("silence on connection %d", k))
+		e.endAttempt(s, k, retry.MayHaveExecuted, e.fault == ReusesAfterTimeout, e.label("silence on connection %d", k))
 	case c.state == connIdle && !c.pastKeepAlive:
 		s.conns[k].pastKeepAlive = true
 		e.add(s, "connection %d has been idle for its keep-alive timeout", k)
@@ -98,7 +98,7 @@
 	own := idOf(int(c.client))
 	label := e.label("connection %d reads %v", k, m)
 	named := m.namedClient
-	if e.fault == IgnoresIdentity {
+	if e.fault == IgnoresRequestID {
 		named = own
 	}
 	quiet := c.buffer[0].kind == noMessage && !c.closedByReplica || e.fault == ReusesWithBufferedBytes
@@ -109,7 +109,7 @@
 	case named != 0 && named != own:
 		c.tainted = true
 		e.add(s, "%s: another request's", label)
-	case m.kind == rejection && (named != 0 || e.fault == TrustsNamelessRejection):
+	case m.kind == rejection && (named != 0 || e.fault == TrustsUnidentifiedRejection):
 		e.endAttempt(s, k, retry.NotExecuted, reusable, label)
 	case m.kind == rejection || named == 0:
 		e.endAttempt(s, k, retry.MayHaveExecuted, false, label)
@@ -165,7 +165,7 @@
 		if c.state != connBusy || int(c.client) != i {
 			continue
 		}
-		if e.fault == KeepsHedgedConnection {
+		if e.fault == ReusesHedgedConnection {
 			c.release()
 		} else {
 			s.closeConn(k)
@@ -174,10 +174,10 @@
 }
 
 func (e *explorer) shouldRetry(c *client, i int, execution retry.Execution) bool {
-	if c.gone && e.fault != RetriesForGoneClient {
+	if c.gone && e.fault != RetriesForDisconnectedClient {
 		return false
 	}
-	idempotent := e.bounds.Safe[i] || e.fault == RetriesUnsafeAfterSilence
+	idempotent := e.bounds.Idempotent[i] || e.fault == RetriesUnsafeAfterTimeout
 	return retry.ShouldRetry(execution, retry.State{Idempotent: idempotent, MaxAttempts: maxAttempts, Attempts: int(c.sent), TimeLeft: time.Second})
 }
 
--- a/internal/testbeds/modelcheck/requestmodel/model.go
+++ b/internal/testbeds/modelcheck/requestmodel/model.go
@@ -14,25 +14,25 @@
 
 // The faults.
 const (
-	NoFault                   Fault = iota
-	ReusesWithBufferedBytes         // a connection is reused with bytes behind the response
-	RetriesUnsafeAfterSilence       // a request that is not idempotent goes to a second replica after a silence
-	IgnoresIdentity                 // a response's identity is not compared
-	TrustsReset                     // a reset is taken for proof that the request was not executed
-	ReusesPastKeepAlive             // a pooled connection is used beyond its keep-alive timeout
-	TrustsNamelessRejection         // a rejection that names no request is trusted
-	ReportsLastExecution            // the execution of the last attempt counts, not the strongest of all
-	RetriesForGoneClient            // a request whose client has left is sent again
-	ReusesAfterSilence              // a connection goes back to the pool when its attempt ends without a response
-	KeepsHedgedConnection           // the connection of a slower attempt goes back to the pool before its response came
+	NoFault                      Fault = iota
+	ReusesWithBufferedBytes            // a connection is reused with bytes behind the response
+	RetriesUnsafeAfterTimeout          // a request that is not idempotent goes to a second replica after a silence
+	IgnoresRequestID                   // a response's identity is not compared
+	TreatsResetAsNotExecuted           // a reset is taken for proof that the request was not executed
+	ReusesPastKeepAlive                // a pooled connection is used beyond its keep-alive timeout
+	TrustsUnidentifiedRejection        // a rejection that names no request is trusted
+	ReportsLastExecution               // the execution of the last attempt counts, not the strongest of all
+	RetriesForDisconnectedClient       // a request whose client has left is sent again
+	ReusesAfterTimeout                 // a connection goes back to the pool when its attempt ends without a response
+	ReusesHedgedConnection             // the connection of a slower attempt goes back to the pool before its response came
 )
 
 // Bounds limit an exploration.
 type Bounds struct {
-	Safe             [2]bool // whether each client's request is idempotent
-	SurplusResponses uint8   // responses that nobody asked for
-	Failures         uint8   // resets, silences, truncated and invalid responses
-	MaxStates        int     // the exploration ends after so many
+	Idempotent           [2]bool // whether each client's request is idempotent
+	UnsolicitedResponses uint8   // responses that nobody asked for
+	Failures             uint8   // resets, silences, truncated and invalid responses
+	MaxStates            int     // the exploration ends after so many
 }
 
 // Result is what an exploration found.
--- a/internal/testbeds/modelcheck/requestmodel/model_test.go
+++ b/internal/testbeds/modelcheck/requestmodel/model_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestFaultsAreFound plants bugs: a check that misses them is worth nothing. The number of states until a bug is found is
-// pinned, as are those of TestNoFault: a change of the model's form alone leaves them as they are.
-func TestFaultsAreFound(t *testing.T) {
+// TestInjectedFaultsAreDetected plants bugs: a check that misses them is worth nothing. The number of states until a bug is found is
+// pinned, as are those of TestNoViolationWithoutFault: a change of the model's form alone leaves them as they are.
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	unsafe, mixed := [2]bool{}, [2]bool{false, true}
 	for _, test := range []struct {
 		name   string
@@ -17,16 +17,16 @@
 		found  string
 		states int
 	}{
-		{"bytes behind the response", ReusesWithBufferedBytes, Bounds{Safe: unsafe, SurplusResponses: 1}, "with bytes behind", 2457},
-		{"a retry after a silence", RetriesUnsafeAfterSilence, Bounds{Safe: unsafe, Failures: 1}, "executed twice", 241},
-		{"an identity that is not compared", IgnoresIdentity, Bounds{Safe: unsafe, SurplusResponses: 1}, "executed was answered 503", 8565},
-		{"a promise after a reset", TrustsReset, Bounds{Safe: unsafe, Failures: 2}, "executed", 2011},
-		{"a pooled connection past its keep-alive timeout", ReusesPastKeepAlive, Bounds{Safe: unsafe}, "past its keep-alive timeout", 352},
-		{"a nameless rejection of an earlier request", TrustsNamelessRejection, Bounds{Safe: unsafe, SurplusResponses: 1}, "executed was answered 503", 8670},
-		{"an unknown execution forgotten after a later proof", ReportsLastExecution, Bounds{Safe: mixed, Failures: 1}, "executed was answered 503", 1528},
-		{"a retry for a client that is gone", RetriesForGoneClient, Bounds{Safe: unsafe}, "client had left", 112},
-		{"a connection reused after a silence", ReusesAfterSilence, Bounds{Safe: unsafe, Failures: 1}, "still carried another", 59},
-		{"the connection of a slower attempt reused", KeepsHedgedConnection, Bounds{Safe: mixed}, "still carried another", 589},
+		{"bytes behind the response", ReusesWithBufferedBytes, Bounds{Idempotent: unsafe, UnsolicitedResponses: 1}, "with bytes behind", 2457},
+		{"a retry after a silence", RetriesUnsafeAfterTimeout, Bounds{Idempotent: unsafe, Failures: 1}, "executed twice", 241},
+		{"an identity that is not compared", IgnoresRequestID, Bounds{Idempotent: unsafe, UnsolicitedResponses: 1}, "executed was answered 503", 8565},
+		{"a promise after a reset", TreatsResetAsNotExecuted, Bounds{Idempotent: unsafe, Failures: 2}, "executed", 2011},
+		{"a pooled connection past its keep-alive timeout", ReusesPastKeepAlive, Bounds{Idempotent: unsafe}, "past its keep-alive timeout", 352},
+		{"a nameless rejection of an earlier request", TrustsUnidentifiedRejection, Bounds{Idempotent: unsafe, UnsolicitedResponses: 1}, "executed was answered 503", 8670},
+		{"an unknown execution forgotten after a later proof", ReportsLastExecution, Bounds{Idempotent: mixed, Failures: 1}, "executed was answered 503", 1528},
+		{"a retry for a client that is gone", RetriesForDisconnectedClient, Bounds{Idempotent: unsafe}, "client had left", 112},
+		{"a connection reused after a silence", ReusesAfterTimeout, Bounds{Idempotent: unsafe, Failures: 1}, "still carried another", 59},
+		{"the connection of a slower attempt reused", ReusesHedgedConnection, Bounds{Idempotent: mixed}, "still carried another", 589},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.bounds.MaxStates = 4e5
@@ -42,20 +42,20 @@
 	}
 }
 
-func TestNoFault(t *testing.T) {
+func TestNoViolationWithoutFault(t *testing.T) {
 	type exploration struct {
 		bounds Bounds
 		states int // 0: not pinned
 	}
 	explorations := []exploration{
-		{Bounds{Safe: [2]bool{false, false}, SurplusResponses: 1, Failures: 1, MaxStates: 3e6}, 832029},
-		{Bounds{Safe: [2]bool{false, true}, SurplusResponses: 1, Failures: 1, MaxStates: 3e6}, 845126},
-		{Bounds{Safe: [2]bool{true, true}, SurplusResponses: 0, Failures: 1, MaxStates: 3e6}, 65441},
+		{Bounds{Idempotent: [2]bool{false, false}, UnsolicitedResponses: 1, Failures: 1, MaxStates: 3e6}, 832029},
+		{Bounds{Idempotent: [2]bool{false, true}, UnsolicitedResponses: 1, Failures: 1, MaxStates: 3e6}, 845126},
+		{Bounds{Idempotent: [2]bool{true, true}, UnsolicitedResponses: 0, Failures: 1, MaxStates: 3e6}, 65441},
 	}
 	if os.Getenv("ZINCLOFT_LONG") != "" {
 		explorations = append(explorations,
-			exploration{Bounds{Safe: [2]bool{false, false}, SurplusResponses: 2, Failures: 1, MaxStates: 1e7}, 0},
-			exploration{Bounds{Safe: [2]bool{false, true}, SurplusResponses: 1, Failures: 2, MaxStates: 1e7}, 0})
+			exploration{Bounds{Idempotent: [2]bool{false, false}, UnsolicitedResponses: 2, Failures: 1, MaxStates: 1e7}, 0},
+			exploration{Bounds{Idempotent: [2]bool{false, true}, UnsolicitedResponses: 1, Failures: 2, MaxStates: 1e7}, 0})
 	}
 	for _, x := range explorations {
 		result := Explore(x.bounds, NoFault)
