--- a/internal/testbeds/modelcheck/requestmodel/check.go
+++ b/internal/testbeds/modelcheck/requestmodel/check.go
@@ -1,39 +1,39 @@
 package requestmodel
 
-// violation is a rule of the gateway's that a step broke.
+// violation is an invariant of the gateway that a step violated.
 type violation uint8
 
 const (
 	noViolation violation = iota
-	wrongCaller
+	wrongClient
 	sentPastKeepAlive
-	sentBehindBytes
-	sentForGoneClient
+	sentWithBufferedBytes
+	sentForDisconnectedClient
 	sentOnBusyConn
 )
 
 func (v violation) String() string {
 	return [...]string{
-		noViolation:       "",
-		wrongCaller:       "a response went to another client",
-		sentPastKeepAlive: "a request was sent on a connection past its keep-alive timeout",
-		sentBehindBytes:   "a request was sent on a connection with bytes behind the response",
-		sentForGoneClient: "a request was sent though its client had left",
-		sentOnBusyConn:    "a request was sent on a connection that still carried another",
+		noViolation:               "",
+		wrongClient:               "a response was delivered to the wrong client",
+		sentPastKeepAlive:         "a request was sent on a connection past its keep-alive timeout",
+		sentWithBufferedBytes:     "a request was sent on a connection with unread bytes",
+		sentForDisconnectedClient: "a request was sent for a disconnected client",
+		sentOnBusyConn:            "a request was sent on a connection with another request in flight",
 	}[v]
 }
 
-// check tells which promise a state breaks; empty: none.
+// check returns the invariant that a state violates, or "".
 func (e *explorer) check(s *state) string {
 	if s.violation != noViolation {
 		return s.violation.String()
 	}
 	for i, c := range s.clients {
 		if !e.bounds.Idempotent[i] && c.executions > 1 {
-			return "an unsafe request was executed twice"
+			return "a non-idempotent request was executed more than once"
 		}
 		if c.outcome == outcomeNotExecuted && c.executions > 0 {
-			return "a request that was executed was answered 503"
+			return "an executed request was answered with 503"
 		}
 	}
 	return ""
--- a/internal/testbeds/modelcheck/requestmodel/explore.go
+++ b/internal/testbeds/modelcheck/requestmodel/explore.go
@@ -7,25 +7,25 @@
 	"slices"
 )
 
-// explorer explores one set of bounds, breadth first.
+// explorer explores the states within its bounds breadth first.
 type explorer struct {
 	bounds     Bounds
 	fault      Fault
 	seed       maphash.Seed
-	successors []step // of the state that is expanded
-	labelled   bool   // steps have labels: only those of a trace, as they cost most of the time
+	successors []step // result of successorsOf, reused
+	labeled    bool   // whether steps get labels; set only to build a trace, as formatting dominates the run time
 }
 
-// step is a step to another state.
+// step is a transition to a successor state.
 type step struct {
 	state state
 	label string
 }
 
-// node is a state that was reached, and the index of the one it was reached from; -1: the first.
+// node is a reached state with the index of its predecessor, or -1 for the initial state.
 type node struct {
-	state state
-	from  int
+	state  state
+	parent int
 }
 
 func newExplorer(bounds Bounds, fault Fault) *explorer {
@@ -33,33 +33,33 @@
 }
 
 func (e *explorer) explore() Result {
-	first := state{surplus: e.bounds.UnsolicitedResponses, failures: e.bounds.Failures}
-	reached := []node{{state: first, from: -1}}
-	seen := map[uint64]struct{}{e.hash(first): {}}
-	for at := 0; at < len(reached); at++ {
+	initial := state{unsolicited: e.bounds.UnsolicitedResponses, failures: e.bounds.Failures}
+	reached := []node{{state: initial, parent: -1}}
+	seen := map[uint64]struct{}{e.hash(initial): {}}
+	for head := 0; head < len(reached); head++ {
 		if len(reached) > e.bounds.MaxStates {
 			return Result{States: len(reached)}
 		}
-		for _, next := range e.expand(reached[at].state) {
+		for _, next := range e.successorsOf(reached[head].state) {
 			h := e.hash(next.state)
 			if _, ok := seen[h]; ok {
 				continue
 			}
 			seen[h] = struct{}{}
-			reached = append(reached, node{next.state, at})
-			if broken := e.check(&next.state); broken != "" {
-				return Result{States: len(reached), Violation: broken, Trace: e.trace(reached)}
+			reached = append(reached, node{next.state, head})
+			if violation := e.check(&next.state); violation != "" {
+				return Result{States: len(reached), Violation: violation, Trace: e.trace(reached)}
 			}
 		}
 	}
 	return Result{States: len(reached), Complete: true}
 }
 
-// trace returns the labels of the steps to the state that was reached last.
+// trace returns the labels of the steps that lead to the last reached state.
 func (e *explorer) trace(reached []node) (labels []string) {
-	e.labelled = true
-	for i := len(reached) - 1; i > 0; i = reached[i].from {
-		steps := e.expand(reached[reached[i].from].state)
+	e.labeled = true
+	for i := len(reached) - 1; i > 0; i = reached[i].parent {
+		steps := e.successorsOf(reached[reached[i].parent].state)
 		taken := slices.IndexFunc(steps, func(s step) bool { return s.state == reached[i].state })
 		if taken >= 0 {
 			labels = append(labels, steps[taken].label)
@@ -69,7 +69,7 @@
 	return labels
 }
 
-// hash is the same for states that differ in the numbers of connections and replicas only.
+// hash returns the same value for states that differ only in the numbering of connections or replicas.
 func (e *explorer) hash(s state) uint64 {
 	h := uint64(math.MaxUint64)
 	for _, v := range [...]state{s, s.swapReplicas()} {
@@ -78,8 +78,8 @@
 	return h
 }
 
-// expand returns all steps from a state, until the next call.
-func (e *explorer) expand(s state) []step {
+// successorsOf returns all steps from a state. The result is valid until the next call.
+func (e *explorer) successorsOf(s state) []step {
 	e.successors = e.successors[:0]
 	for i := range s.clients {
 		e.clientSteps(s, i)
@@ -95,7 +95,7 @@
 	return e.successors
 }
 
-// add adds a step. What bears on nothing any more is cleared, so that fewer states differ.
+// add adds a step. It clears what can no longer have an effect, which reduces the number of distinct states.
 func (e *explorer) add(s state, format string, args ...any) {
 	for i := range s.clients {
 		c := &s.clients[i]
@@ -112,9 +112,9 @@
 	e.successors = append(e.successors, step{s, e.label(format, args...)})
 }
 
-// label formats a step's label, where labels are wanted.
+// label formats a step's label if labels are enabled.
 func (e *explorer) label(format string, args ...any) string {
-	if !e.labelled {
+	if !e.labeled {
 		return ""
 	}
 	return fmt.Sprintf(format, args...)
--- a/internal/testbeds/modelcheck/requestmodel/gateway.go
+++ b/internal/testbeds/modelcheck/requestmodel/gateway.go
@@ -7,14 +7,14 @@
 	"zincloft.example/zincloft/dataplane/retry"
 )
 
-// sendAttempt sends a client's n-th attempt to each replica in turn that has not had the request, by each connection that
-// could be taken. It tells whether there was any.
+// sendAttempt adds a step for each replica and connection on which a client's n-th attempt can be sent, and reports whether there
+// was one. The second attempt goes to another replica than the first.
 func (e *explorer) sendAttempt(s state, i, n int, label string) (sent bool) {
 	for r := uint8(0); r < replicaCount; r++ {
 		if n == 1 && s.clients[i].attempts[0].replica == r {
 			continue
 		}
-		dialed := false // a second new connection would make the same state
+		dialed := false // further new connections lead to equivalent states
 		for k := range s.conns {
 			reused := e.isReusable(&s.conns[k], i, r)
 			if !reused && (s.conns[k].state != connClosed || dialed) {
@@ -33,7 +33,7 @@
 	return sent
 }
 
-// isReusable tells whether an idle connection to replica r may carry client i's request.
+// isReusable reports whether a connection is idle and may carry client i's request to replica r.
 func (e *explorer) isReusable(c *conn, i int, r uint8) bool {
 	if c.state != connIdle || c.replica != r || c.carried&idOf(i).bit() != 0 || c.closedByReplica {
 		return false
@@ -44,20 +44,20 @@
 	return c.buffer[0].kind == noMessage || e.fault == ReusesWithBufferedBytes
 }
 
-// sendOn sends client i's n-th attempt on a connection, and notes which rule that breaks.
+// sendOn sends client i's n-th attempt on a connection and records a violated invariant.
 func (s *state) sendOn(k, i, n int) {
 	c := &s.conns[k]
 	if c.pastKeepAlive {
 		s.violation = sentPastKeepAlive
 	}
 	if c.buffer[0].kind != noMessage {
-		s.violation = sentBehindBytes
+		s.violation = sentWithBufferedBytes
 	}
 	if c.request > 0 || c.executing > 0 {
 		s.violation = sentOnBusyConn
 	}
-	if s.clients[i].gone {
-		s.violation = sentForGoneClient
+	if s.clients[i].disconnected {
+		s.violation = sentForDisconnectedClient
 	}
 	c.state, c.client, c.attempt, c.request = connBusy, uint8(i), uint8(n), idOf(i)
 	c.uses++
@@ -67,7 +67,8 @@
 	s.clients[i].attempts[n] = attempt{state: inFlight, replica: c.replica}
 }
 
-// gatewaySteps are the gateway's on a connection: it reads, finds its end, gives up waiting, and sweeps idle ones.
+// gatewaySteps adds the gateway's steps on a connection: reading a message or the end of the stream, timing out, and closing an
+// idle connection.
 func (e *explorer) gatewaySteps(s state, k int) {
 	c := s.conns[k]
 	switch {
@@ -78,50 +79,50 @@
 		if e.fault == TreatsResetAsNotExecuted {
 			execution = retry.NotExecuted
 		}
-		e.endAttempt(s, k, execution, false, e.label("connection %d ended", k))
+		e.endAttempt(s, k, execution, false, e.label("connection %d was closed by the replica", k))
 	case c.state == connBusy && s.failures > 0:
 		s.failures--
-		e.endAttempt(s, k, retry.MayHaveExecuted, e.fault == ReusesAfterTimeout, e.label("silence on connection %d", k))
+		e.endAttempt(s, k, retry.MayHaveExecuted, e.fault == ReusesAfterTimeout, e.label("attempt on connection %d times out", k))
 	case c.state == connIdle && !c.pastKeepAlive:
 		s.conns[k].pastKeepAlive = true
-		e.add(s, "connection %d has been idle for its keep-alive timeout", k)
+		e.add(s, "connection %d reaches its keep-alive timeout", k)
 	case c.state == connIdle:
 		s.closeConn(k)
-		e.add(s, "connection %d is swept", k)
+		e.add(s, "idle connection %d is closed", k)
 	}
 }
 
-// readMessage is what internal/daemons/replica makes of the next message on a connection that carries an attempt.
+// readMessage handles the next message on a connection that carries an attempt, as internal/daemons/replica does.
 func (e *explorer) readMessage(s state, k int) {
 	c := &s.conns[k]
 	m := pop(&c.buffer)
-	own := idOf(int(c.client))
+	expected := idOf(int(c.client))
 	label := e.label("connection %d reads %v", k, m)
-	named := m.namedClient
+	claimed := m.claimedClient
 	if e.fault == IgnoresRequestID {
-		named = own
+		claimed = expected
 	}
-	quiet := c.buffer[0].kind == noMessage && !c.closedByReplica || e.fault == ReusesWithBufferedBytes
-	reusable := quiet && !c.tainted
+	noPendingInput := c.buffer[0].kind == noMessage && !c.closedByReplica || e.fault == ReusesWithBufferedBytes
+	reusable := noPendingInput && !c.hadMismatch
 	switch {
-	case m.kind == garbage || m.kind == truncated:
+	case m.kind == invalid || m.kind == truncated:
 		e.endAttempt(s, k, retry.MayHaveExecuted, false, label)
-	case named != 0 && named != own:
-		c.tainted = true
-		e.add(s, "%s: another request's", label)
-	case m.kind == rejection && (named != 0 || e.fault == TrustsUnidentifiedRejection):
+	case claimed != 0 && claimed != expected:
+		c.hadMismatch = true
+		e.add(s, "%s: skipped, as it is for another request", label)
+	case m.kind == rejection && (claimed != 0 || e.fault == TrustsUnidentifiedRejection):
 		e.endAttempt(s, k, retry.NotExecuted, reusable, label)
-	case m.kind == rejection || named == 0:
+	case m.kind == rejection || claimed == 0:
 		e.endAttempt(s, k, retry.MayHaveExecuted, false, label)
 	default:
-		if m.origin != own {
-			s.violation = wrongCaller
+		if m.origin != expected {
+			s.violation = wrongClient
 		}
 		e.endAttempt(s, k, retry.Answered, reusable, label)
 	}
 }
 
-// endAttempt takes the execution of the attempt on a connection and goes on as internal/daemons/gateway does.
+// endAttempt ends the attempt on a connection and answers or retries the request, as internal/daemons/gateway does.
 func (e *explorer) endAttempt(s state, k int, execution retry.Execution, keepConn bool, label string) {
 	i, n := int(s.conns[k].client), int(s.conns[k].attempt)
 	if keepConn {
@@ -136,7 +137,7 @@
 	}
 	c.attempts[n].state, c.attempts[n].execution = finished, execution
 	if execution == retry.Answered {
-		e.endSlowerAttempt(&s, i)
+		e.cancelOtherAttempt(&s, i)
 		c.state, c.outcome = finished, outcomeAnswered
 		e.add(s, "%s: answered", label)
 		return
@@ -152,14 +153,14 @@
 		return
 	}
 	c.state, c.outcome = finished, c.finalOutcome()
-	e.add(s, "%s: the end", label)
+	e.add(s, "%s: failed", label)
 }
 
-// release puts a connection back into the pool.
+// release returns a connection to the pool.
 func (c *conn) release() { c.state, c.client, c.attempt = connIdle, 0, 0 }
 
-// endSlowerAttempt closes the connection of the attempt that another one was faster than.
-func (e *explorer) endSlowerAttempt(s *state, i int) {
+// cancelOtherAttempt closes the connection of the request's other attempt if that is still in flight.
+func (e *explorer) cancelOtherAttempt(s *state, i int) {
 	for k := range s.conns {
 		c := &s.conns[k]
 		if c.state != connBusy || int(c.client) != i {
@@ -174,18 +175,18 @@
 }
 
 func (e *explorer) shouldRetry(c *client, i int, execution retry.Execution) bool {
-	if c.gone && e.fault != RetriesForDisconnectedClient {
+	if c.disconnected && e.fault != RetriesForDisconnectedClient {
 		return false
 	}
-	idempotent := e.bounds.Idempotent[i] || e.fault == RetriesUnsafeAfterTimeout
+	idempotent := e.bounds.Idempotent[i] || e.fault == RetriesNonIdempotentAfterTimeout
 	return retry.ShouldRetry(execution, retry.State{Idempotent: idempotent, MaxAttempts: maxAttempts, Attempts: int(c.sent), TimeLeft: time.Second})
 }
 
-// finalOutcome is what a client hears whose attempts have all ended without a response.
+// finalOutcome returns the outcome of a request whose attempts have all ended without a response.
 func (c *client) finalOutcome() outcome {
 	switch {
-	case c.gone:
-		return outcomeClientGone
+	case c.disconnected:
+		return outcomeClientDisconnected
 	case retry.FinalStatus(c.execution, false) == http.StatusServiceUnavailable:
 		return outcomeNotExecuted
 	}
--- a/internal/testbeds/modelcheck/requestmodel/model.go
+++ b/internal/testbeds/modelcheck/requestmodel/model.go
@@ -1,49 +1,49 @@
-// Package requestmodel is a model checker for the way of requests to replicas and back: a small state machine without I/O,
-// explored exhaustively. Two clients, two replicas, two connections and two attempts each meet in every order of what may
-// happen between them: deliveries; responses that are complete, truncated, surplus, late, nameless or another request's;
-// resets and silence; clients that leave; connections that the replica forgets.
+// Package requestmodel is a model checker for the forwarding of requests to replicas: a small state machine without I/O that is
+// explored exhaustively. It covers two clients with up to two attempts each, two replicas and two connections, in every order of
+// events: deliveries; responses that are complete, truncated, unsolicited, delayed, without a request ID or with that of another
+// request; resets and timeouts; client disconnects; connections dropped by the replica.
 //
-// The decisions are those of dataplane/retry; what internal/daemons/replica makes of a connection's bytes is stated here once more,
-// as rules (gateway.go). Faults can be planted to see that the check finds them.
+// Retry decisions are made by dataplane/retry. The handling of connections by internal/daemons/replica is modeled independently
+// (gateway.go). Faults can be injected to verify that the exploration detects them.
 //
-// In one point the model trusts replicas: they reject only what they do not execute.
+// The model assumes that replicas reject only requests that they do not execute.
 package requestmodel
 
-// Fault is a bug that is planted on purpose.
+// Fault is a bug that is injected into the model.
 type Fault int
 
-// The faults.
+// Faults.
 const (
-	NoFault                      Fault = iota
-	ReusesWithBufferedBytes            // a connection is reused with bytes behind the response
-	RetriesUnsafeAfterTimeout          // a request that is not idempotent goes to a second replica after a silence
-	IgnoresRequestID                   // a response's identity is not compared
-	TreatsResetAsNotExecuted           // a reset is taken for proof that the request was not executed
-	ReusesPastKeepAlive                // a pooled connection is used beyond its keep-alive timeout
-	TrustsUnidentifiedRejection        // a rejection that names no request is trusted
-	ReportsLastExecution               // the execution of the last attempt counts, not the strongest of all
-	RetriesForDisconnectedClient       // a request whose client has left is sent again
-	ReusesAfterTimeout                 // a connection goes back to the pool when its attempt ends without a response
-	ReusesHedgedConnection             // the connection of a slower attempt goes back to the pool before its response came
+	NoFault                          Fault = iota
+	ReusesWithBufferedBytes                // a connection is reused with unread bytes after the response
+	RetriesNonIdempotentAfterTimeout       // a non-idempotent request is retried after a timeout
+	IgnoresRequestID                       // the request ID of a response is not checked
+	TreatsResetAsNotExecuted               // a reset is treated as proof that the request was not executed
+	ReusesPastKeepAlive                    // a pooled connection is reused after its keep-alive timeout
+	TrustsUnidentifiedRejection            // a rejection without a request ID is accepted
+	ReportsLastExecution                   // the execution status of the last attempt is reported instead of the strongest of all
+	RetriesForDisconnectedClient           // a request is retried after its client has disconnected
+	ReusesAfterTimeout                     // a connection returns to the pool after a timeout
+	ReusesHedgedConnection                 // the connection of a canceled attempt returns to the pool before its response
 )
 
 // Bounds limit an exploration.
 type Bounds struct {
-	Idempotent           [2]bool // whether each client's request is idempotent
-	UnsolicitedResponses uint8   // responses that nobody asked for
-	Failures             uint8   // resets, silences, truncated and invalid responses
-	MaxStates            int     // the exploration ends after so many
+	Idempotent           [2]bool // by client: whether its request is idempotent
+	UnsolicitedResponses uint8   // number of responses without a request
+	Failures             uint8   // number of resets, timeouts, and truncated or invalid responses
+	MaxStates            int     // exploration stops beyond this number
 }
 
-// Result is what an exploration found.
+// Result is the result of an exploration.
 type Result struct {
 	States    int
-	Complete  bool     // all states within the bounds were seen
-	Violation string   // the promise that was broken; empty: none
-	Trace     []string // the steps that lead to it
+	Complete  bool     // all states within the bounds were explored
+	Violation string   // the violated invariant, or ""
+	Trace     []string // the steps that lead to the violation
 }
 
-// Explore visits all states within the bounds, the nearest first, until a promise is broken.
+// Explore explores all states within the bounds breadth first until an invariant is violated.
 func Explore(bounds Bounds, fault Fault) Result {
 	return newExplorer(bounds, fault).explore()
 }
--- a/internal/testbeds/modelcheck/requestmodel/model_test.go
+++ b/internal/testbeds/modelcheck/requestmodel/model_test.go
@@ -6,34 +6,34 @@
 	"testing"
 )
 
-// TestInjectedFaultsAreDetected plants bugs: a check that misses them is worth nothing. The number of states until a bug is found is
-// pinned, as are those of TestNoViolationWithoutFault: a change of the model's form alone leaves them as they are.
+// TestInjectedFaultsAreDetected guards against invariants that miss a fault. Here and in TestNoViolationWithoutFault, the numbers
+// of states are pinned to detect unintended changes of the model.
 func TestInjectedFaultsAreDetected(t *testing.T) {
-	unsafe, mixed := [2]bool{}, [2]bool{false, true}
+	nonIdempotent, mixed := [2]bool{}, [2]bool{false, true}
 	for _, test := range []struct {
 		name   string
 		fault  Fault
 		bounds Bounds
-		found  string
+		want   string
 		states int
 	}{
-		{"bytes behind the response", ReusesWithBufferedBytes, Bounds{Idempotent: unsafe, UnsolicitedResponses: 1}, "with bytes behind", 2457},
-		{"a retry after a silence", RetriesUnsafeAfterTimeout, Bounds{Idempotent: unsafe, Failures: 1}, "executed twice", 241},
-		{"an identity that is not compared", IgnoresRequestID, Bounds{Idempotent: unsafe, UnsolicitedResponses: 1}, "executed was answered 503", 8565},
-		{"a promise after a reset", TreatsResetAsNotExecuted, Bounds{Idempotent: unsafe, Failures: 2}, "executed", 2011},
-		{"a pooled connection past its keep-alive timeout", ReusesPastKeepAlive, Bounds{Idempotent: unsafe}, "past its keep-alive timeout", 352},
-		{"a nameless rejection of an earlier request", TrustsUnidentifiedRejection, Bounds{Idempotent: unsafe, UnsolicitedResponses: 1}, "executed was answered 503", 8670},
-		{"an unknown execution forgotten after a later proof", ReportsLastExecution, Bounds{Idempotent: mixed, Failures: 1}, "executed was answered 503", 1528},
-		{"a retry for a client that is gone", RetriesForDisconnectedClient, Bounds{Idempotent: unsafe}, "client had left", 112},
-		{"a connection reused after a silence", ReusesAfterTimeout, Bounds{Idempotent: unsafe, Failures: 1}, "still carried another", 59},
-		{"the connection of a slower attempt reused", ReusesHedgedConnection, Bounds{Idempotent: mixed}, "still carried another", 589},
+		{"reuse with buffered bytes", ReusesWithBufferedBytes, Bounds{Idempotent: nonIdempotent, UnsolicitedResponses: 1}, "with unread bytes", 2457},
+		{"retry of a non-idempotent request after a timeout", RetriesNonIdempotentAfterTimeout, Bounds{Idempotent: nonIdempotent, Failures: 1}, "executed more than once", 241},
+		{"request ID not checked", IgnoresRequestID, Bounds{Idempotent: nonIdempotent, UnsolicitedResponses: 1}, "executed request was answered with 503", 8565},
+		{"reset treated as not executed", TreatsResetAsNotExecuted, Bounds{Idempotent: nonIdempotent, Failures: 2}, "executed", 2011},
+		{"reuse past the keep-alive timeout", ReusesPastKeepAlive, Bounds{Idempotent: nonIdempotent}, "past its keep-alive timeout", 352},
+		{"rejection without a request ID accepted", TrustsUnidentifiedRejection, Bounds{Idempotent: nonIdempotent, UnsolicitedResponses: 1}, "executed request was answered with 503", 8670},
+		{"execution status of the last attempt reported", ReportsLastExecution, Bounds{Idempotent: mixed, Failures: 1}, "executed request was answered with 503", 1528},
+		{"retry for a disconnected client", RetriesForDisconnectedClient, Bounds{Idempotent: nonIdempotent}, "for a disconnected client", 112},
+		{"reuse after a timeout", ReusesAfterTimeout, Bounds{Idempotent: nonIdempotent, Failures: 1}, "another request in flight", 59},
+		{"reuse of the connection of a hedged attempt", ReusesHedgedConnection, Bounds{Idempotent: mixed}, "another request in flight", 589},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.bounds.MaxStates = 4e5
 			result := Explore(test.bounds, test.fault)
 			t.Logf("%d states: %s\n%s", result.States, result.Violation, strings.Join(result.Trace, "\n"))
-			if result.Violation == "" || !strings.Contains(result.Violation, test.found) {
-				t.Errorf("%q in %d states, all: %v", result.Violation, result.States, result.Complete)
+			if result.Violation == "" || !strings.Contains(result.Violation, test.want) {
+				t.Errorf("violation %q after %d states, want %q; complete: %v", result.Violation, result.States, test.want, result.Complete)
 			}
 			if result.States != test.states {
 				t.Errorf("%d states, want %d", result.States, test.states)
@@ -59,7 +59,7 @@
 	}
 	for _, x := range explorations {
 		result := Explore(x.bounds, NoFault)
-		t.Logf("%+v: %d states, all: %v", x.bounds, result.States, result.Complete)
+		t.Logf("%+v: %d states, complete: %v", x.bounds, result.States, result.Complete)
 		if result.Violation != "" {
 			t.Errorf("%s\n%s", result.Violation, strings.Join(result.Trace, "\n"))
 		}
--- a/internal/testbeds/modelcheck/requestmodel/replica.go
+++ b/internal/testbeds/modelcheck/requestmodel/replica.go
@@ -1,6 +1,6 @@
 package requestmodel
 
-// deliverySteps move what is on the way to the gateway.
+// deliverySteps adds the steps that deliver messages and the end of the stream to the gateway.
 func (e *explorer) deliverySteps(s state, k int) {
 	c := &s.conns[k]
 	if c.wire[0].kind != noMessage {
@@ -12,31 +12,31 @@
 	}
 	if c.closing && !c.closedByReplica {
 		c.closedByReplica = true
-		e.add(s, "the end of connection %d arrives", k)
+		e.add(s, "the close of connection %d arrives", k)
 	}
 }
 
-// replicaSteps are all that a replica may do on a connection.
+// replicaSteps adds all steps of a replica on a connection.
 func (e *explorer) replicaSteps(s state, k int) {
 	if s.conns[k].closing {
 		return
 	}
 	e.receiveSteps(s, k)
 	e.respondSteps(s, k)
-	e.surplusSteps(s, k)
-	e.forgetSteps(s, k)
+	e.unsolicitedSteps(s, k)
+	e.dropConnSteps(s, k)
 }
 
-// sending is what a replica does beside changing its state.
-type sending struct {
-	isFailure bool // it is one of the bounded failures
-	closes    bool // it closes the connection behind the message
+// replicaAction is the externally visible part of a replica's step.
+type replicaAction struct {
+	isFailure bool // counts against Bounds.Failures
+	closes    bool // closes the connection after the message
 	message   message
 	label     string
 }
 
-// send adds the step to a state in which the replica has sent something, where the bounds and the wire have room for it.
-func (e *explorer) send(s state, k int, sent sending) {
+// send adds the step in which the replica performs an action, if the bounds and the queue allow it.
+func (e *explorer) send(s state, k int, sent replicaAction) {
 	if sent.isFailure {
 		if s.failures == 0 {
 			return
@@ -51,32 +51,33 @@
 	e.add(s, "on connection %d the replica %s", k, sent.label)
 }
 
-// receiveSteps are those on a request that arrives: it meets a forgotten connection, is rejected, lost or executed.
+// receiveSteps adds the steps for an arriving request: it is executed, rejected, lost, or refused because the connection was
+// dropped.
 func (e *explorer) receiveSteps(s state, k int) {
 	id := s.conns[k].request
 	if id == 0 {
 		return
 	}
 	s.conns[k].request = 0
-	if s.conns[k].forgotten {
-		e.send(s, k, sending{closes: true, label: "knows nothing of the connection"})
+	if s.conns[k].droppedByReplica {
+		e.send(s, k, replicaAction{closes: true, label: "resets the dropped connection"})
 		return
 	}
 	if s.conns[k].executing != 0 {
 		return
 	}
-	e.send(s, k, sending{isFailure: true, closes: true, label: "breaks off before it executed anything"})
+	e.send(s, k, replicaAction{isFailure: true, closes: true, label: "closes the connection without executing the request"})
 	rejected := s
 	rejected.conns[k].answered |= id.bit()
 	rejected.conns[k].rejected |= id.bit()
-	e.send(rejected, k, sending{message: message{rejection, id, id}, label: "rejects"})
-	e.send(rejected, k, sending{isFailure: true, message: message{rejection, 0, id}, label: "rejects and names nobody"})
+	e.send(rejected, k, replicaAction{message: message{rejection, id, id}, label: "rejects the request"})
+	e.send(rejected, k, replicaAction{isFailure: true, message: message{rejection, 0, id}, label: "rejects the request without a request ID"})
 	s.conns[k].executing = id
 	s.clients[id-1].executions++
-	e.add(s, "on connection %d the replica executes what client %d asks", k, id-1)
+	e.add(s, "on connection %d the replica executes the request of client %d", k, id-1)
 }
 
-// respondSteps are those on a request that was executed.
+// respondSteps adds the steps that end an executed request.
 func (e *explorer) respondSteps(s state, k int) {
 	id := s.conns[k].executing
 	if id == 0 {
@@ -84,52 +85,53 @@
 	}
 	s.conns[k].executing = 0
 	s.conns[k].answered |= id.bit()
-	for _, sent := range []sending{
+	for _, sent := range []replicaAction{
 		{message: message{response, id, id}, label: "responds"},
 		{message: message{response, id, id}, closes: true, label: "responds and closes"},
-		{message: message{response, 0, id}, isFailure: true, label: "responds and names nobody"},
-		{message: message{response, id.other(), id}, isFailure: true, label: "responds and names another request"},
-		{message: message{truncated, id, id}, isFailure: true, closes: true, label: "truncates its response"},
-		{message: message{garbage, 0, 0}, isFailure: true, closes: true, label: "sends what is no response"},
-		{isFailure: true, closes: true, label: "breaks off"},
+		{message: message{response, 0, id}, isFailure: true, label: "responds without a request ID"},
+		{message: message{response, id.other(), id}, isFailure: true, label: "responds with another request's ID"},
+		{message: message{truncated, id, id}, isFailure: true, closes: true, label: "sends a truncated response"},
+		{message: message{invalid, 0, 0}, isFailure: true, closes: true, label: "sends an invalid response"},
+		{isFailure: true, closes: true, label: "closes the connection"},
 	} {
 		e.send(s, k, sent)
 	}
 }
 
-// surplusSteps are responses that nobody asked for.
-func (e *explorer) surplusSteps(s state, k int) {
-	if s.surplus == 0 {
+// unsolicitedSteps adds the steps in which a replica repeats a response or sends invalid bytes without a request.
+func (e *explorer) unsolicitedSteps(s state, k int) {
+	if s.unsolicited == 0 {
 		return
 	}
-	s.surplus--
+	s.unsolicited--
 	for id := clientID(1); id <= clientCount; id++ {
 		switch c := &s.conns[k]; {
 		case c.answered&id.bit() == 0:
 		case c.rejected&id.bit() != 0:
-			e.send(s, k, sending{message: message{rejection, id, id}, label: "rejects once more"})
-			e.send(s, k, sending{message: message{rejection, 0, id}, label: "rejects once more and names nobody"})
+			e.send(s, k, replicaAction{message: message{rejection, id, id}, label: "repeats a rejection"})
+			e.send(s, k, replicaAction{message: message{rejection, 0, id}, label: "repeats a rejection without a request ID"})
 		default:
-			e.send(s, k, sending{message: message{response, id, id}, label: "responds once more"})
-			e.send(s, k, sending{message: message{response, 0, id}, label: "responds once more and names nobody"})
+			e.send(s, k, replicaAction{message: message{response, id, id}, label: "repeats a response"})
+			e.send(s, k, replicaAction{message: message{response, 0, id}, label: "repeats a response without a request ID"})
 		}
 	}
 	if s.conns[k].uses > 0 {
-		e.send(s, k, sending{message: message{garbage, 0, 0}, label: "sends bytes"})
+		e.send(s, k, replicaAction{message: message{invalid, 0, 0}, label: "sends unsolicited bytes"})
 	}
 }
 
-// forgetSteps have the replica forget or close an idle connection: past its keep-alive timeout, or sooner as a failure.
-func (e *explorer) forgetSteps(s state, k int) {
+// dropConnSteps adds the steps in which the replica drops an idle connection, with or without closing it. Before the keep-alive
+// timeout this counts as a failure.
+func (e *explorer) dropConnSteps(s state, k int) {
 	c := &s.conns[k]
-	if c.state != connIdle || c.forgotten || !c.pastKeepAlive && s.failures == 0 {
+	if c.state != connIdle || c.droppedByReplica || !c.pastKeepAlive && s.failures == 0 {
 		return
 	}
 	if !c.pastKeepAlive {
 		s.failures--
 	}
-	c.forgotten = true
-	e.add(s, "the replica forgets connection %d", k)
+	c.droppedByReplica = true
+	e.add(s, "the replica drops connection %d without closing it", k)
 	c.closing = true
 	e.add(s, "the replica closes connection %d", k)
 }
--- a/internal/testbeds/modelcheck/requestmodel/state.go
+++ b/internal/testbeds/modelcheck/requestmodel/state.go
@@ -7,28 +7,28 @@
 	replicaCount = 2
 	connCount    = 2
 	maxAttempts  = 2
-	queueLength  = 2 // messages on the wire, and messages in a buffer
+	queueLength  = 2 // messages in transit, and messages in a buffer
 )
 
-// state is a state of the whole model. It is comparable, so that it can be hashed.
+// state is a state of the model. It must be comparable, as it is hashed.
 type state struct {
-	clients   [clientCount]client
-	conns     [connCount]conn
-	surplus   uint8 // responses that nobody asked for, still to come
-	failures  uint8 // still to come
-	violation violation
+	clients     [clientCount]client
+	conns       [connCount]conn
+	unsolicited uint8 // remaining unsolicited responses
+	failures    uint8 // remaining failures
+	violation   violation
 }
 
-// client is a client and what the gateway holds of its request.
+// client is a client with the gateway's state of its request.
 type client struct {
-	state      progress
-	gone       bool
-	attempts   [maxAttempts]attempt
-	outcome    outcome
-	execution  retry.Execution // of its attempts, the strongest
-	executions uint8
-	delayed    uint8 // bits of replicas: the request of a closed connection may still arrive there
-	sent       uint8 // attempts
+	state        progress
+	disconnected bool
+	attempts     [maxAttempts]attempt
+	outcome      outcome
+	execution    retry.Execution // strongest of all attempts
+	executions   uint8
+	delayed      uint8 // set of replicas at which a request sent on a closed connection may still arrive
+	sent         uint8 // number of attempts sent
 }
 
 type attempt struct {
@@ -39,43 +39,42 @@
 
 // conn is a connection between the gateway and a replica.
 type conn struct {
-	state           connState
-	replica         uint8
-	client          uint8 // whose attempt it carries
-	attempt         uint8
-	uses            uint8
-	carried         uint8 // bits of clients whose requests it has carried
-	tainted         bool  // a response to another request came on it
-	pastKeepAlive   bool  // beyond the time that the replica stated
-	forgotten       bool  // by the replica
-	closing         bool  // its end is on the way to the gateway
-	closedByReplica bool  // its end has arrived
-
-	request   clientID // on the way to the replica
-	executing clientID // at the replica
-	answered  uint8    // bits of clients: answered or rejected by the replica, which may say so once more
-	rejected  uint8    // bits of clients
-
-	wire   [queueLength]message // on the way to the gateway
-	buffer [queueLength]message // at the gateway, not read yet
+	state            connState
+	replica          uint8
+	client           uint8 // index of the client whose attempt it carries
+	attempt          uint8
+	uses             uint8
+	carried          uint8 // set of clients whose requests it has carried
+	hadMismatch      bool  // a response to another request was received
+	pastKeepAlive    bool  // idle for longer than the keep-alive timeout announced by the replica
+	droppedByReplica bool  // without closing it
+	closing          bool  // closed by the replica; the close is in transit
+	closedByReplica  bool  // the close has arrived at the gateway
+
+	request   clientID // in transit to the replica
+	executing clientID // being executed by the replica
+	answered  uint8    // set of clients whose requests the replica has answered or rejected
+	rejected  uint8    // set of clients whose requests the replica has rejected
+
+	wire   [queueLength]message // in transit to the gateway
+	buffer [queueLength]message // received by the gateway but not read
 }
 
-// message is what a replica sends.
+// message is a message from a replica.
 type message struct {
-	kind        messageKind
-	namedClient clientID // whose request it names
-	origin      clientID // whose request it is about in truth
+	kind          messageKind
+	claimedClient clientID // client of the request ID in the message; 0 if there is none
+	origin        clientID // client whose request caused the message
 }
 
-// clientID is a client's number from 1; 0: nobody.
+// clientID is 1 + the index of a client, or 0 for none. It also serves as the ID of the client's request.
 type clientID uint8
 
 func idOf(client int) clientID { return clientID(client + 1) }
 
-// bit is the client's bit in sets of clients.
+// bit returns the set that contains only this client.
 func (id clientID) bit() uint8 { return 1 << (id - 1) }
 
-// other is the other client.
 func (id clientID) other() clientID { return 3 - id }
 
 type messageKind uint8
@@ -85,7 +84,7 @@
 	response
 	rejection
 	truncated
-	garbage
+	invalid
 )
 
 type connState uint8
@@ -96,7 +95,7 @@
 	connBusy
 )
 
-// progress is that of a request or of an attempt.
+// progress is the progress of a request or an attempt.
 type progress uint8
 
 const (
@@ -105,18 +104,18 @@
 	finished
 )
 
-// outcome is how a client's request ended.
+// outcome is the result of a request as reported to its client.
 type outcome uint8
 
 const (
 	outcomeNone outcome = iota
 	outcomeAnswered
-	outcomeNotExecuted // 503: it was not executed, and never will be
-	outcomeUnknown     // 502 or 504
-	outcomeClientGone
+	outcomeNotExecuted // status 503: not executed, and will not be
+	outcomeUnknown     // status 502 or 504
+	outcomeClientDisconnected
 )
 
-// push appends a message to a queue, where there is room.
+// push appends a message to a queue and reports whether there was room.
 func push(queue *[queueLength]message, m message) bool {
 	for i := range queue {
 		if queue[i].kind == noMessage {
@@ -133,7 +132,7 @@
 	return m
 }
 
-// closeConn closes a connection at the gateway. What it had sent may still arrive.
+// closeConn closes a connection at the gateway. A request in transit may still arrive at the replica.
 func (s *state) closeConn(k int) {
 	c := &s.conns[k]
 	if c.request > 0 {
@@ -142,7 +141,7 @@
 	*c = conn{}
 }
 
-// swapReplicas returns the same state with the replicas' numbers exchanged.
+// swapReplicas returns the state with the two replicas exchanged.
 func (s state) swapReplicas() state {
 	for i := range s.clients {
 		c := &s.clients[i]
@@ -161,7 +160,7 @@
 	return s
 }
 
-// swapConns returns the same state with the connections' numbers exchanged.
+// swapConns returns the state with the two connections exchanged.
 func (s state) swapConns() state {
 	s.conns[0], s.conns[1] = s.conns[1], s.conns[0]
 	return s
