--- a/internal/tools/daydraw/draw.go
+++ b/internal/tools/daydraw/draw.go
@@ -16,17 +16,17 @@
 // configChange is the kind of which days get a series.
 const configChange = "config_change"
 
-// Day is one drawn day as text, written like a day of a site file.
-type Day struct {
+// Scenario is one drawn day as text, written like a day of a site file.
+type Scenario struct {
 	Name string
 	Text string
 }
 
 // Draw draws day number n, from 1, by options that Validate accepts. The same options and catalogue always give the same day.
-func (c Catalogue) Draw(options Options, n int) (Day, error) {
+func (c Catalogue) Draw(options Options, n int) (Scenario, error) {
 	kinds := c.family(options.Family)
 	if len(kinds) == 0 {
-		return Day{}, fmt.Errorf("family %s: %w", options.Family, ErrNoKinds)
+		return Scenario{}, fmt.Errorf("family %s: %w", options.Family, ErrNoKinds)
 	}
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%s %d", options.Family, n) // a hash never fails
@@ -36,7 +36,7 @@
 	}
 	g.addConfigChanges(kinds)
 	name := fmt.Sprintf("%s-%d-%d", options.Family, options.Seed, n)
-	return Day{Name: name, Text: g.text(name, c.Closing)}, nil
+	return Scenario{Name: name, Text: g.text(name, c.Closing)}, nil
 }
 
 // entry is a fault or planned work.
@@ -86,7 +86,7 @@
 func (g *generator) text(name string, closing []FaultKind) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "name = %q\nslot = \"trouble\"\nseed = %d\none = %s\nzero = %s\n",
-		name, g.IntN(1<<31-1), formatDecimal(g.options.ScoreOne), formatDecimal(g.options.ScoreZero))
+		name, g.IntN(1<<31-1), formatDecimal(g.options.FullScoreNetValue), formatDecimal(g.options.ZeroScoreNetValue))
 	if len(closing) > 0 && g.IntN(3) > 0 {
 		kind := closing[g.IntN(len(closing))]
 		fmt.Fprintf(&out, "closing = { %s }\n", g.entryFields(kind))
--- a/internal/tools/daydraw/draw_test.go
+++ b/internal/tools/daydraw/draw_test.go
@@ -23,7 +23,7 @@
 
 func testOptions(family string) Options {
 	return Options{Seed: 7, Family: family, Zones: []string{"north", "south", "it's \"x\""}, Length: 32, MinEntries: 4, MaxEntries: 14,
-		MaxConfigChanges: 120, ScoreOne: 0.95, ScoreZero: 0.6}
+		MaxConfigChanges: 120, FullScoreNetValue: 0.95, ZeroScoreNetValue: 0.6}
 }
 
 func parseCatalogue(t *testing.T, raw []byte) Catalogue {
@@ -35,7 +35,7 @@
 	return catalogue
 }
 
-func draw(t *testing.T, catalogue Catalogue, options Options, n int) (Day, parsedDay) {
+func draw(t *testing.T, catalogue Catalogue, options Options, n int) (Scenario, parsedDay) {
 	t.Helper()
 	if err := options.Validate(); err != nil {
 		t.Fatal(err)
@@ -186,7 +186,7 @@
 
 func ExampleCatalogue_Draw() {
 	catalogue, _ := ParseCatalogue([]byte("[[kind]]\nname = \"core_cut\"\nhow = [[\"one_way\"]]\ncount = [1, 1]\nfor_s = [20.0, 20.0]\n"))
-	options := Options{Seed: 1, Family: FamilyAll, Zones: []string{"a"}, Length: 32, MinEntries: 1, MaxEntries: 1, ScoreOne: 0.95, ScoreZero: 0.6}
+	options := Options{Seed: 1, Family: FamilyAll, Zones: []string{"a"}, Length: 32, MinEntries: 1, MaxEntries: 1, FullScoreNetValue: 0.95, ZeroScoreNetValue: 0.6}
 	day, _ := catalogue.Draw(options, 1)
 	_, fields, _ := strings.Cut(day.Text, "kind")
 	fields, _, _ = strings.Cut(fields, "\n")
--- a/internal/tools/daydraw/options.go
+++ b/internal/tools/daydraw/options.go
@@ -18,15 +18,15 @@
 
 // Options say which days are drawn.
 type Options struct {
-	Seed             uint64
-	Family           string
-	Zones            []string
-	Length           float64 // seconds of traffic before a closing fault
-	MinEntries       int     // of a day, without its series of configuration changes
-	MaxEntries       int
-	MaxConfigChanges int     // in a day with a series of them
-	ScoreOne         float64 // worth less prices that scores 1
-	ScoreZero        float64 // worth less prices that scores 0
+	Seed              uint64
+	Family            string
+	Zones             []string
+	Length            float64 // seconds of traffic before a closing fault
+	MinEntries        int     // of a day, without its series of configuration changes
+	MaxEntries        int
+	MaxConfigChanges  int     // in a day with a series of them
+	FullScoreNetValue float64 // worth less prices that scores 1
+	ZeroScoreNetValue float64 // worth less prices that scores 0
 }
 
 // Validate returns an error that names the first option that is out of bounds.
@@ -42,8 +42,8 @@
 		return fmt.Errorf("entries: %d to %d is no range within 0 to %d", o.MinEntries, o.MaxEntries, maxEntries)
 	case o.MaxConfigChanges < 0 || o.MaxConfigChanges > maxConfigChanges:
 		return fmt.Errorf("changes: %d is not between 0 and %d", o.MaxConfigChanges, maxConfigChanges)
-	case !(o.ScoreZero < o.ScoreOne):
-		return fmt.Errorf("marks: zero (%v) is not below one (%v)", o.ScoreZero, o.ScoreOne)
+	case !(o.ZeroScoreNetValue < o.FullScoreNetValue):
+		return fmt.Errorf("marks: zero (%v) is not below one (%v)", o.ZeroScoreNetValue, o.FullScoreNetValue)
 	}
 	return nil
 }
--- a/internal/tools/daydraw/options_test.go
+++ b/internal/tools/daydraw/options_test.go
@@ -12,7 +12,7 @@
 		"length":  func(o *Options) { o.Length = 0 },
 		"entries": func(o *Options) { o.MinEntries = 15 },
 		"changes": func(o *Options) { o.MaxConfigChanges = -1 },
-		"marks":   func(o *Options) { o.ScoreZero = 1 },
+		"marks":   func(o *Options) { o.ZeroScoreNetValue = 1 },
 	} {
 		options := testOptions(FamilyAll)
 		change(&options)
--- a/internal/tools/emulate/baseline.go
+++ b/internal/tools/emulate/baseline.go
@@ -9,16 +9,16 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// The policies that rules.Governor is compared with. They know nothing of channels: run them with Config.FreeChannel.
+// The policies that rules.Governor is compared with. They know nothing of channels: run them with Config.UnlimitedChannel.
 const (
-	// Even gives all replicas the same weight.
-	Even = "even"
+	// EqualWeights gives all replicas the same weight.
+	EqualWeights = "even"
 	// LeastLoaded sends everything to the quarter of the replicas that report the least load. Reports are late.
 	LeastLoaded = "least_loaded"
-	// TwoChoices is Even with the proxies picking by PickTwoChoices.
+	// TwoChoices is EqualWeights with the proxies picking by PickPowerOfTwoChoices.
 	TwoChoices = "two_choices"
-	// TrueState sees what each replica does and which are up, trueStateDelay late: an upper bound.
-	TrueState = "true_state"
+	// Oracle sees what each replica does and which are up, trueStateDelay late: an upper bound.
+	Oracle = "true_state"
 )
 
 const (
@@ -27,17 +27,17 @@
 	baselineTableSize = 8
 	// leastLoadedPerTable is how many replicas of each table LeastLoaded uses.
 	leastLoadedPerTable = baselineTableSize / 4
-	// trueStateDelay is how late TrueState sees the fleet.
+	// trueStateDelay is how late Oracle sees the fleet.
 	trueStateDelay = 500 * time.Millisecond
-	// minIdleShare is the share of its cores that TrueState counts as idle on a replica that is busy, so that it keeps a weight.
+	// minIdleShare is the share of its cores that Oracle counts as idle on a replica that is busy, so that it keeps a weight.
 	minIdleShare = 0.15
 	// updateInterval is how often a baseline renews its tables, and updateMark marks the wake-ups for it.
 	updateInterval = trueStateDelay / 2
 	updateMark     = 1
 )
 
-// Baselines returns the names of all baselines.
-func Baselines() []string { return []string{Even, LeastLoaded, TwoChoices, TrueState} }
+// BaselinePolicies returns the names of all baselines.
+func BaselinePolicies() []string { return []string{EqualWeights, LeastLoaded, TwoChoices, Oracle} }
 
 // baseline is a Decider that gives each eight replicas a table, and each proxy one of the tables, by their numbers.
 type baseline struct {
@@ -46,7 +46,7 @@
 	load         map[rules.ReplicaID]float64 // utilization last reported
 	ready        map[rules.ReplicaID]bool
 	tables       map[rules.TableID]map[rules.ReplicaID]float64 // as ordered
-	observations []observation                                 // of TrueState, oldest first
+	observations []observation                                 // of Oracle, oldest first
 }
 
 // observation is the true state at a time.
@@ -57,7 +57,7 @@
 
 // NewBaseline returns a constructor of the baseline of a name, for Config.NewDecider; nil if there is none.
 func NewBaseline(policy string) func(*Simulation, int) Decider {
-	if !slices.Contains(Baselines(), policy) {
+	if !slices.Contains(BaselinePolicies(), policy) {
 		return nil
 	}
 	return func(sim *Simulation, _ int) Decider {
@@ -153,7 +153,7 @@
 // weights are the weights of all replicas by the policy.
 func (b *baseline) weights(now rules.Time) map[rules.ReplicaID]float64 {
 	switch b.policy {
-	case TrueState:
+	case Oracle:
 		return b.trueStateWeights(now)
 	case LeastLoaded:
 		return b.leastLoadedWeights()
--- a/internal/tools/emulate/channel.go
+++ b/internal/tools/emulate/channel.go
@@ -150,7 +150,7 @@
 func (g *governor) enqueue(session *proxySession, lines float64) {
 	sim := g.sim
 	sending := time.Duration(lines / sim.fleet.ChannelRate * g.channelSlowdown * float64(time.Second))
-	if sim.config.FreeChannel {
+	if sim.config.UnlimitedChannel {
 		sending = 0
 	}
 	g.channelFreeAt = max(g.channelFreeAt, sim.now) + rules.Time(sending)
--- a/internal/tools/emulate/clientbehavior.go
+++ b/internal/tools/emulate/clientbehavior.go
@@ -28,8 +28,8 @@
 // arrivalFactor is how many times its usual rate of flows a proxy has.
 func (sim *Simulation) arrivalFactor(p *proxy) float64 {
 	factor := 1.0
-	sim.eachActiveFault(FaultBurst, func(f *activeFault) { factor *= max(f.Factor, minArrivalFactor) })
-	sim.eachActiveFault(FaultShift, func(f *activeFault) {
+	sim.eachActiveFault(FaultTrafficBurst, func(f *activeFault) { factor *= max(f.Factor, minArrivalFactor) })
+	sim.eachActiveFault(FaultTrafficShift, func(f *activeFault) {
 		target := 0
 		if f.Zone != nil {
 			target = *f.Zone
@@ -47,7 +47,7 @@
 // clientTimeoutShare is the share of a flow's expiry after which its client gives an attempt up.
 func (sim *Simulation) clientTimeoutShare() float64 {
 	share := sim.fleet.ClientTimeoutShare
-	sim.eachActiveFault(FaultImpatience, func(f *activeFault) { share *= min(f.Factor, 1) })
+	sim.eachActiveFault(FaultShortClientTimeout, func(f *activeFault) { share *= min(f.Factor, 1) })
 	return share
 }
 
--- a/internal/tools/emulate/fault.go
+++ b/internal/tools/emulate/fault.go
@@ -12,32 +12,32 @@
 
 // The kinds of fault, as scenario files name them.
 const (
-	FaultCrash           = "crash"
-	FaultVanish          = "vanish"
-	FaultHang            = "hang"
-	FaultSlow            = "slow"
-	FaultAgeing          = "ageing"
-	FaultStolenCPU       = "stolen"
-	FaultErrors          = "errors"
-	FaultPartial         = "partial"
-	FaultFalseReports    = "false_reports"
-	FaultZonePartition   = "zone_cut"
-	FaultZoneLoss        = "zone_loss"
-	FaultGrowth          = "growth"
-	FaultDeploy          = "deploy"
-	FaultBurst           = "burst"
-	FaultShift           = "shift"
-	FaultImpatience      = "impatient"
-	FaultRetryStorm      = "insistent"
-	FaultGovernorCrash   = "governors_die"
-	FaultProxyCrash      = "proxies_die"
-	FaultDisconnect      = "streams_break"
-	FaultDiscoveryOutage = "list_down"
-	FaultDiscoveryDelay  = "list_late"
-	FaultSlowChannel     = "channel_slow"
-	FaultReportLoss      = "reports_lost"
-	FaultReportDelay     = "reports_late"
-	FaultNone            = "clear_of_troubles"
+	FaultCrash               = "crash"
+	FaultSilentCrash         = "vanish"
+	FaultHang                = "hang"
+	FaultSlow                = "slow"
+	FaultProgressiveSlowdown = "ageing"
+	FaultCPUSteal            = "stolen"
+	FaultErrors              = "errors"
+	FaultPartialErrors       = "partial"
+	FaultFalseReports        = "false_reports"
+	FaultZonePartition       = "zone_cut"
+	FaultZoneLoss            = "zone_loss"
+	FaultScaleOut            = "growth"
+	FaultDeploy              = "deploy"
+	FaultTrafficBurst        = "burst"
+	FaultTrafficShift        = "shift"
+	FaultShortClientTimeout  = "impatient"
+	FaultRetryStorm          = "insistent"
+	FaultGovernorCrash       = "governors_die"
+	FaultProxyCrash          = "proxies_die"
+	FaultDisconnect          = "streams_break"
+	FaultDiscoveryOutage     = "list_down"
+	FaultDiscoveryDelay      = "list_late"
+	FaultSlowChannel         = "channel_slow"
+	FaultReportLoss          = "reports_lost"
+	FaultReportDelay         = "reports_late"
+	FaultNone                = "clear_of_troubles"
 )
 
 // Fault is something that goes wrong, or changes, for a time.
@@ -55,32 +55,32 @@
 
 // faultDescriptions describe the kinds to people. A result's log of faults has them too, so they stay as they are.
 var faultDescriptions = map[string]string{
-	FaultCrash:           "a share of the replicas dies; cold after back",
-	FaultVanish:          "the same, without a word: nothing is reset",
-	FaultHang:            "a share of the replicas takes flows and answers none",
-	FaultSlow:            "a share of the replicas is factor times slower",
-	FaultAgeing:          "a share of the replicas slows down steadily to factor times slower",
-	FaultStolenCPU:       "another program takes a factor of each core of a share of the replicas",
-	FaultErrors:          "a share of the replicas quickly fails a factor of its flows",
-	FaultPartial:         "a share of the replicas fails all flows of a factor of the proxies",
-	FaultFalseReports:    "a share of the replicas reports no load",
-	FaultZonePartition:   "a zone is cut off from the others",
-	FaultZoneLoss:        "all replicas of a zone die; cold after back",
-	FaultGrowth:          "factor times as many replicas are added, one after the other",
-	FaultDeploy:          "a share of the replicas drains and is replaced by new ones, one after the other",
-	FaultBurst:           "factor times the flows",
-	FaultShift:           "factor times the flows in a zone, less elsewhere",
-	FaultImpatience:      "clients give up after a factor of their time",
-	FaultRetryStorm:      "clients come again factor times",
-	FaultGovernorCrash:   "a share of the governors is killed; back after back",
-	FaultProxyCrash:      "a share of the proxies is killed; back after back",
-	FaultDisconnect:      "a share of the streams breaks",
-	FaultDiscoveryOutage: "discovery is down",
-	FaultDiscoveryDelay:  "discovery is factor times as late",
-	FaultSlowChannel:     "channels are factor times slower",
-	FaultReportLoss:      "a factor of the reports is lost",
-	FaultReportDelay:     "reports are later by factor periods",
-	FaultNone:            "nothing: a mark that others may wait for",
+	FaultCrash:               "a share of the replicas dies; cold after back",
+	FaultSilentCrash:         "the same, without a word: nothing is reset",
+	FaultHang:                "a share of the replicas takes flows and answers none",
+	FaultSlow:                "a share of the replicas is factor times slower",
+	FaultProgressiveSlowdown: "a share of the replicas slows down steadily to factor times slower",
+	FaultCPUSteal:            "another program takes a factor of each core of a share of the replicas",
+	FaultErrors:              "a share of the replicas quickly fails a factor of its flows",
+	FaultPartialErrors:       "a share of the replicas fails all flows of a factor of the proxies",
+	FaultFalseReports:        "a share of the replicas reports no load",
+	FaultZonePartition:       "a zone is cut off from the others",
+	FaultZoneLoss:            "all replicas of a zone die; cold after back",
+	FaultScaleOut:            "factor times as many replicas are added, one after the other",
+	FaultDeploy:              "a share of the replicas drains and is replaced by new ones, one after the other",
+	FaultTrafficBurst:        "factor times the flows",
+	FaultTrafficShift:        "factor times the flows in a zone, less elsewhere",
+	FaultShortClientTimeout:  "clients give up after a factor of their time",
+	FaultRetryStorm:          "clients come again factor times",
+	FaultGovernorCrash:       "a share of the governors is killed; back after back",
+	FaultProxyCrash:          "a share of the proxies is killed; back after back",
+	FaultDisconnect:          "a share of the streams breaks",
+	FaultDiscoveryOutage:     "discovery is down",
+	FaultDiscoveryDelay:      "discovery is factor times as late",
+	FaultSlowChannel:         "channels are factor times slower",
+	FaultReportLoss:          "a factor of the reports is lost",
+	FaultReportDelay:         "reports are later by factor periods",
+	FaultNone:                "nothing: a mark that others may wait for",
 }
 
 // FaultKinds returns all kinds of fault, sorted.
--- a/internal/tools/emulate/faultinjection.go
+++ b/internal/tools/emulate/faultinjection.go
@@ -81,19 +81,19 @@
 // injection returns what puts a fault of its kind into effect; nil where nothing has to be done.
 func (f *activeFault) injection() func() {
 	switch f.Kind {
-	case FaultCrash, FaultVanish, FaultZoneLoss:
+	case FaultCrash, FaultSilentCrash, FaultZoneLoss:
 		return f.crashReplicas
-	case FaultHang, FaultSlow, FaultStolenCPU, FaultErrors, FaultPartial, FaultFalseReports:
+	case FaultHang, FaultSlow, FaultCPUSteal, FaultErrors, FaultPartialErrors, FaultFalseReports:
 		return f.disturbReplicas
-	case FaultAgeing:
+	case FaultProgressiveSlowdown:
 		return f.ageReplicas
 	case FaultZonePartition:
 		return f.partitionZone
-	case FaultGrowth:
+	case FaultScaleOut:
 		return f.addReplicas
 	case FaultDeploy:
 		return f.replaceReplicas
-	case FaultBurst, FaultShift, FaultImpatience, FaultRetryStorm:
+	case FaultTrafficBurst, FaultTrafficShift, FaultShortClientTimeout, FaultRetryStorm:
 		return f.changeClients
 	case FaultGovernorCrash:
 		return f.crashGovernors
@@ -159,7 +159,7 @@
 		targets = f.targetReplicas()
 	}
 	for _, r := range targets {
-		r.crash(f.Kind == FaultVanish)
+		r.crash(f.Kind == FaultSilentCrash)
 		r.state = rules.Deregistered
 		f.sim.discovery.update(r)
 		f.scheduleRecovery(func() {
@@ -177,11 +177,11 @@
 		f.disturb(func(r *replica) *float64 { return &r.hung }, 1, 0)
 	case FaultSlow:
 		f.disturb(func(r *replica) *float64 { return &r.slowdown }, max(f.Factor, 1), 1)
-	case FaultStolenCPU:
+	case FaultCPUSteal:
 		f.disturb(func(r *replica) *float64 { return &r.stolenShare }, min(f.Factor, maxStolenShare), 0)
 	case FaultErrors:
 		f.disturb(func(r *replica) *float64 { return &r.errorShare }, f.Factor, 0)
-	case FaultPartial:
+	case FaultPartialErrors:
 		f.disturb(func(r *replica) *float64 { return &r.partialShare }, f.Factor, 0)
 	case FaultFalseReports:
 		f.disturb(func(r *replica) *float64 { return &r.falseReports }, 1, 0)
--- a/internal/tools/emulate/fleet.go
+++ b/internal/tools/emulate/fleet.go
@@ -14,8 +14,8 @@
 
 // The distributions of work around its traffic group's mean.
 const (
-	Exponential = "exponential"
-	Constant    = "constant"
+	ExponentialWork = "exponential"
+	ConstantWork    = "constant"
 )
 
 // What it means for a traffic group that a flow runs twice.
@@ -67,7 +67,7 @@
 	// Arrivals.
 	Load             float64       `toml:"load"`       // share of all cores that the flows would keep busy
 	ProxyRateCV      float64       `toml:"proxy_cv"`   // coefficient of variation of the proxies' rates of flows
-	WorkDistribution string        `toml:"work_model"` // Exponential or Constant
+	WorkDistribution string        `toml:"work_model"` // ExponentialWork or ConstantWork
 	Duration         time.Duration `toml:"length"`     // of arrivals
 	SettleTime       time.Duration `toml:"settle"`     // after the last arrival, for flows under way to end
 
@@ -106,13 +106,13 @@
 	DisconnectDetectionDelay time.Duration `toml:"noticed"`   // least time until a broken stream is noticed; twice of it at most
 
 	// What governors have to keep to.
-	MaxUnservedTime         time.Duration `toml:"bare_most"`     // a proxy may be without a replica
-	DrainGrace              time.Duration `toml:"drain_grace"`   // a replica that drains may still be sent flows
-	DiscoveryRequestTimeout time.Duration `toml:"ask_within"`    // discovery has to be asked at least so often
-	WarmupDuration          time.Duration `toml:"warm_after"`    // from a replica's start
-	WarmupInitialShare      float64       `toml:"cold_from"`     // share of its speed at its start, from which it rises linearly
-	OverloadMultiple        float64       `toml:"fall_multiple"` // of what it can do, that crashes a replica that warms up
-	OverloadWindow          time.Duration `toml:"fall_after"`    // over which that is measured
+	MaxUnservedTime      time.Duration `toml:"bare_most"`     // a proxy may be without a replica
+	DrainGrace           time.Duration `toml:"drain_grace"`   // a replica that drains may still be sent flows
+	MaxDiscoveryInterval time.Duration `toml:"ask_within"`    // discovery has to be asked at least so often
+	WarmupDuration       time.Duration `toml:"warm_after"`    // from a replica's start
+	WarmupInitialShare   float64       `toml:"cold_from"`     // share of its speed at its start, from which it rises linearly
+	OverloadMultiple     float64       `toml:"fall_multiple"` // of what it can do, that crashes a replica that warms up
+	OverloadWindow       time.Duration `toml:"fall_after"`    // over which that is measured
 }
 
 // Validate returns an error that names the TOML key of the first impossible value.
@@ -123,8 +123,8 @@
 	if f.Proxies > maxProxies || len(f.Groups) > maxTrafficGroups || f.Zones > maxZones || len(f.Kinds) > maxMachineKinds {
 		return errors.New("at most 65,536 proxies, 16 traffic groups, 256 zones and 256 kinds")
 	}
-	if f.WorkDistribution != Exponential && f.WorkDistribution != Constant {
-		return fmt.Errorf("work_model: want %s or %s, got %q", Exponential, Constant, f.WorkDistribution)
+	if f.WorkDistribution != ExponentialWork && f.WorkDistribution != ConstantWork {
+		return fmt.Errorf("work_model: want %s or %s, got %q", ExponentialWork, ConstantWork, f.WorkDistribution)
 	}
 	for _, group := range f.Groups {
 		if _, err := parseEffect(group.Effect); err != nil {
@@ -193,7 +193,7 @@
 	s := rules.Settings{
 		Governors: f.Governors, Proxies: f.Proxies, Zones: f.Zones, ListOnRequest: true, Period: f.ReportPeriod, EntryRate: f.ChannelRate, EntryCapacity: f.ChannelCapacity,
 		MessageEntries: f.MessageOverhead, MessageLimit: f.MaxMessages, MaxMessageDelay: f.MaxMessageDelay, MessageSpan: f.MessageWindow, FailuresToAvoid: f.FailuresToAvoid, FirstAttemptBudgets: f.AttemptTimeoutFactor,
-		MinConnections: float64(f.MaxConnectionsPerCore), ConnectionIdleTimeout: f.ConnectionIdleTimeout, MaxUnboundTime: f.MaxUnservedTime, DrainGrace: f.DrainGrace, ListRequestDeadline: f.DiscoveryRequestTimeout,
+		MinConnections: float64(f.MaxConnectionsPerCore), ConnectionIdleTimeout: f.ConnectionIdleTimeout, MaxUnboundTime: f.MaxUnservedTime, DrainGrace: f.DrainGrace, ListRequestDeadline: f.MaxDiscoveryInterval,
 		WarmupTime: f.WarmupDuration, ColdCapacity: f.WarmupInitialShare, OverloadMultiple: f.OverloadMultiple, OverloadTime: f.OverloadWindow,
 	}
 	if f.AdmissionLevels {
--- a/internal/tools/emulate/flow.go
+++ b/internal/tools/emulate/flow.go
@@ -49,7 +49,7 @@
 		f.group++
 	}
 	f.work = sim.fleet.Groups[f.group].MeanWork.Seconds()
-	if sim.fleet.WorkDistribution == Exponential {
+	if sim.fleet.WorkDistribution == ExponentialWork {
 		f.work *= sim.arrivalStream.ExpFloat64()
 	}
 	return f
--- a/internal/tools/emulate/monitor.go
+++ b/internal/tools/emulate/monitor.go
@@ -13,11 +13,11 @@
 
 // The invariants that every run checks.
 const (
-	ProxiesHaveReplicas Invariant = "no proxy is left without a replica"
-	EffectsHappenOnce   Invariant = "no effect happens twice"
-	DrainsAreKept       Invariant = "drains are kept"
-	WarmupIsBounded     Invariant = "no cold replica is pushed over"
-	ChannelIsBounded    Invariant = "the queue stays short"
+	ProxiesHaveEndpoints Invariant = "no proxy is left without a replica"
+	EffectsAppliedOnce   Invariant = "no effect happens twice"
+	DrainGraceRespected  Invariant = "drains are kept"
+	WarmupLoadBounded    Invariant = "no cold replica is pushed over"
+	ChannelQueueBounded  Invariant = "the queue stays short"
 )
 
 // Violation is an invariant that did not hold.
@@ -155,7 +155,7 @@
 		if at == 0 || sim.now-at <= limit || !p.governor.hasUsableReplica(p, group, at) {
 			continue
 		}
-		m.violate(ProxiesHaveReplicas, "proxy %d of governor %d has no replica for %s since %.2f s", p.id, p.governor.index, sim.fleet.Groups[group].Name,
+		m.violate(ProxiesHaveEndpoints, "proxy %d of governor %d has no replica for %s since %.2f s", p.id, p.governor.index, sim.fleet.Groups[group].Name,
 			time.Duration(at-sim.start).Seconds())
 		since[group] = sim.now
 	}
@@ -173,7 +173,7 @@
 		return
 	}
 	if late := m.sim.now - max(since, p.joinedAt); late > rules.Time(m.sim.fleet.DrainGrace+timingTolerance) {
-		m.violate(DrainsAreKept, "proxy %d sends to replica %d %.2f s after governor %d was told that it drains or is gone", p.id, r.id,
+		m.violate(DrainGraceRespected, "proxy %d sends to replica %d %.2f s after governor %d was told that it drains or is gone", p.id, r.id,
 			time.Duration(m.sim.now-since).Seconds(), g.index)
 	}
 }
@@ -186,10 +186,10 @@
 	}
 	switch group := m.sim.fleet.Groups[f.group]; group.Effect {
 	case EffectNonRetriable:
-		m.violate(EffectsHappenOnce, "a flow of %s took effect %d times", group.Name, f.effects)
+		m.violate(EffectsAppliedOnce, "a flow of %s took effect %d times", group.Name, f.effects)
 	case EffectDeduped:
 		if m.sim.now-f.arrivedAt > rules.Time(group.DedupWindow) {
-			m.violate(EffectsHappenOnce, "a flow of %s was repeated outside its window", group.Name)
+			m.violate(EffectsAppliedOnce, "a flow of %s was repeated outside its window", group.Name)
 		}
 	}
 }
@@ -198,15 +198,15 @@
 func (m *monitor) checkChannel(g *governor) {
 	lines, capacity := g.queuedLines(), m.sim.fleet.ChannelCapacity
 	m.sim.current.ChannelFill = max(m.sim.current.ChannelFill, lines/capacity)
-	if !m.sim.config.FreeChannel && lines > capacity {
-		m.violate(ChannelIsBounded, "%.0f lines wait in the channel of governor %d, %.0f may", lines, g.index, capacity)
+	if !m.sim.config.UnlimitedChannel && lines > capacity {
+		m.violate(ChannelQueueBounded, "%.0f lines wait in the channel of governor %d, %.0f may", lines, g.index, capacity)
 	}
 }
 
 // checkMessages checks how many messages a proxy was sent within the message window.
 func (m *monitor) checkMessages(g *governor, session *proxySession) {
 	fleet := m.sim.fleet
-	if n := len(session.recentMessages); !m.sim.config.FreeChannel && fleet.MaxMessages > 0 && n > fleet.MaxMessages {
-		m.violate(ChannelIsBounded, "governor %d has sent proxy %d %d messages within %v", g.index, session.proxy.id, n, fleet.MessageWindow)
+	if n := len(session.recentMessages); !m.sim.config.UnlimitedChannel && fleet.MaxMessages > 0 && n > fleet.MaxMessages {
+		m.violate(ChannelQueueBounded, "governor %d has sent proxy %d %d messages within %v", g.index, session.proxy.id, n, fleet.MessageWindow)
 	}
 }
--- a/internal/tools/emulate/monitor_test.go
+++ b/internal/tools/emulate/monitor_test.go
@@ -17,7 +17,7 @@
 }
 
 func (b *violatingDecider) Step(now rules.Time, events []rules.Event) []rules.Order {
-	if b.violates == DrainsAreKept {
+	if b.violates == DrainGraceRespected {
 		events = slices.DeleteFunc(slices.Clone(events), func(e rules.Event) bool { l, is := e.(rules.List); return is && l.Scope == rules.Changes })
 	}
 	out := b.Governor.Step(now, events)
@@ -25,9 +25,9 @@
 		switch o := o.(type) {
 		case rules.EndpointWeight:
 			switch {
-			case b.violates == ProxiesHaveReplicas:
+			case b.violates == ProxiesHaveEndpoints:
 				o.Weight = 0
-			case b.violates == WarmupIsBounded && o.Weight > 0:
+			case b.violates == WarmupLoadBounded && o.Weight > 0:
 				o.Weight = 1
 				if o.Replica >= 12 {
 					o.Weight = 1000
@@ -35,13 +35,13 @@
 			}
 			out[i] = o
 		case rules.Admit:
-			if b.violates == EffectsHappenOnce {
+			if b.violates == EffectsAppliedOnce {
 				o.Retry = rules.RetryTwice
 				out[i] = o
 			}
 		}
 	}
-	if b.violates == ChannelIsBounded {
+	if b.violates == ChannelQueueBounded {
 		for r := range 40 {
 			out = append(out, rules.EndpointWeight{Table: 0, Replica: rules.ReplicaID(r % 12), Weight: float64(now%1000) + 1})
 		}
@@ -51,11 +51,11 @@
 
 // TestViolationsAreDetected has a governor violate each invariant on purpose, and one that violates none.
 func TestViolationsAreDetected(t *testing.T) {
-	for _, how := range []Invariant{ProxiesHaveReplicas, EffectsHappenOnce, DrainsAreKept, WarmupIsBounded, ChannelIsBounded, ""} {
+	for _, how := range []Invariant{ProxiesHaveEndpoints, EffectsAppliedOnce, DrainGraceRespected, WarmupLoadBounded, ChannelQueueBounded, ""} {
 		f := SmallFleet()
 		f.Load, f.Duration = 0.6, 30*time.Second
 		faults := []Fault{{Kind: "deploy", At: 8 * time.Second, Duration: 3 * time.Second, Share: 0.4}}
-		if how == EffectsHappenOnce {
+		if how == EffectsAppliedOnce {
 			f.Load = 0.2 // and work takes long, so that some is under way when a zone is cut off: its answers are lost
 			faults = append(faults, Fault{Kind: "slow", At: 3 * time.Second, Share: 1, Factor: 3}, Fault{Kind: "zone_cut", At: 6 * time.Second, Duration: 5 * time.Second},
 				Fault{Kind: "zone_cut", At: 15 * time.Second, Duration: 5 * time.Second})
--- a/internal/tools/emulate/overload.go
+++ b/internal/tools/emulate/overload.go
@@ -59,5 +59,5 @@
 	r.crash(false)
 	r.overloaded, r.state = true, rules.Deregistered
 	m.sim.discovery.update(r)
-	m.violate(WarmupIsBounded, "replica %d, %.1f s old, was brought %.1f times what it can do", r.id, time.Duration(m.sim.now-r.startedAt).Seconds(), arrived/possible)
+	m.violate(WarmupLoadBounded, "replica %d, %.1f s old, was brought %.1f times what it can do", r.id, time.Duration(m.sim.now-r.startedAt).Seconds(), arrived/possible)
 }
--- a/internal/tools/emulate/picker.go
+++ b/internal/tools/emulate/picker.go
@@ -25,7 +25,7 @@
 		id = p.drawAny(table)
 		found = !p.ejected[id]
 	}
-	if found && p.sim.config.PickPolicy == PickTwoChoices {
+	if found && p.sim.config.PickPolicy == PickPowerOfTwoChoices {
 		if other, is := p.drawEligible(f, table, true); is && p.inFlight[other] < p.inFlight[id] {
 			id = other
 		}
--- a/internal/tools/emulate/replica_test.go
+++ b/internal/tools/emulate/replica_test.go
@@ -47,7 +47,7 @@
 		cores int
 		load  float64
 		work  string
-	}{{1, 0.5, Exponential}, {1, 0.8, Exponential}, {2, 0.7, Exponential}, {4, 0.8, Exponential}, {1, 0.5, Constant}, {1, 0.8, Constant}} {
+	}{{1, 0.5, ExponentialWork}, {1, 0.8, ExponentialWork}, {2, 0.7, ExponentialWork}, {4, 0.8, ExponentialWork}, {1, 0.5, ConstantWork}, {1, 0.8, ConstantWork}} {
 		f := SmallFleet()
 		f.Governors, f.Zones, f.Proxies, f.Replicas = 1, 1, 20, 1
 		f.Kinds = []MachineKind{{Name: "one", Share: 1, Cores: x.cores, Speed: 1}}
@@ -62,7 +62,7 @@
 		}
 		got := mean / float64(n) / 50_000 // services
 		want := 1 + erlangWait(x.cores, x.load)
-		if x.work == Constant {
+		if x.work == ConstantWork {
 			want = 1 + x.load/(2*(1-x.load))
 		}
 		if math.Abs(got/want-1) > 0.04 {
--- a/internal/tools/emulate/simulation.go
+++ b/internal/tools/emulate/simulation.go
@@ -22,8 +22,8 @@
 const (
 	// PickWeighted draws one replica by weight.
 	PickWeighted PickPolicy = iota
-	// PickTwoChoices draws two by weight and takes the one at which the proxy itself has fewer flows in flight.
-	PickTwoChoices
+	// PickPowerOfTwoChoices draws two by weight and takes the one at which the proxy itself has fewer flows in flight.
+	PickPowerOfTwoChoices
 )
 
 // Config describes one run. Runs of equal configurations are equal, event by event.
@@ -38,8 +38,8 @@
 	AdjustSettings func(*rules.Settings)
 	// OnViolation is called with the simulation as it stands at the first violation of each invariant. It may be nil.
 	OnViolation func(*Simulation, Violation)
-	// FreeChannel makes channels infinitely fast and lifts the invariant on them, for deciders that do not know of channels.
-	FreeChannel bool
+	// UnlimitedChannel makes channels infinitely fast and lifts the invariant on them, for deciders that do not know of channels.
+	UnlimitedChannel bool
 }
 
 // simulationEpoch is the simulated clock at the start of a run. It is not 0, as 0 means "long ago" for the time of a
--- a/internal/tools/experiment/plan.go
+++ b/internal/tools/experiment/plan.go
@@ -10,8 +10,8 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Zincloft names the module, rules.Governor, as a decider. The other names are those of emulate.Baselines.
-const Zincloft = "zincloft"
+// GovernorDecider names the module, rules.Governor, as a decider. The other names are those of emulate.BaselinePolicies.
+const GovernorDecider = "zincloft"
 
 // Plan is an experiment: each scenario is run with each seed and each variant.
 type Plan struct {
@@ -59,11 +59,11 @@
 	if variant.Fleet != nil {
 		config.Fleet = *variant.Fleet
 	}
-	if variant.Decider != Zincloft {
-		config.NewDecider, config.FreeChannel = emulate.NewBaseline(variant.Decider), true
+	if variant.Decider != GovernorDecider {
+		config.NewDecider, config.UnlimitedChannel = emulate.NewBaseline(variant.Decider), true
 	}
 	if variant.Decider == emulate.TwoChoices {
-		config.PickPolicy = emulate.PickTwoChoices
+		config.PickPolicy = emulate.PickPowerOfTwoChoices
 	}
 	return config
 }
--- a/internal/tools/experiment/planfile.go
+++ b/internal/tools/experiment/planfile.go
@@ -78,7 +78,7 @@
 // variantFile is a decider, and what it may change of a governor's settings.
 type variantFile struct {
 	Name               string    `toml:"name"`
-	Decider            string    `toml:"decider"` // Zincloft, which is the default, or one of the baselines
+	Decider            string    `toml:"decider"` // GovernorDecider, which is the default, or one of the baselines
 	FailuresToAvoid    *int      `toml:"fails_to_avoid"`
 	MaxMessages        *int      `toml:"message_cap"`
 	ChannelRate        *float64  `toml:"line_pace"`
@@ -212,10 +212,10 @@
 func (v variantFile) variant() (Variant, error) {
 	decider := v.Decider
 	if decider == "" {
-		decider = Zincloft
+		decider = GovernorDecider
 	}
-	if decider != Zincloft && !slices.Contains(emulate.Baselines(), decider) {
-		return Variant{}, fmt.Errorf("decider: want %s or one of %v, got %q", Zincloft, emulate.Baselines(), decider)
+	if decider != GovernorDecider && !slices.Contains(emulate.BaselinePolicies(), decider) {
+		return Variant{}, fmt.Errorf("decider: want %s or one of %v, got %q", GovernorDecider, emulate.BaselinePolicies(), decider)
 	}
 	return Variant{Name: v.Name, Decider: decider, AdjustSettings: v.adjust}, nil
 }
--- a/internal/tools/experiment/search.go
+++ b/internal/tools/experiment/search.go
@@ -23,8 +23,8 @@
 
 // searchedKinds are the kinds of fault that a search draws from.
 var searchedKinds = []string{
-	emulate.FaultCrash, emulate.FaultVanish, emulate.FaultHang, emulate.FaultSlow, emulate.FaultStolenCPU, emulate.FaultErrors, emulate.FaultPartial,
-	emulate.FaultFalseReports, emulate.FaultZonePartition, emulate.FaultZoneLoss, emulate.FaultDeploy, emulate.FaultBurst, emulate.FaultImpatience,
+	emulate.FaultCrash, emulate.FaultSilentCrash, emulate.FaultHang, emulate.FaultSlow, emulate.FaultCPUSteal, emulate.FaultErrors, emulate.FaultPartialErrors,
+	emulate.FaultFalseReports, emulate.FaultZonePartition, emulate.FaultZoneLoss, emulate.FaultDeploy, emulate.FaultTrafficBurst, emulate.FaultShortClientTimeout,
 	emulate.FaultGovernorCrash, emulate.FaultProxyCrash, emulate.FaultDiscoveryOutage, emulate.FaultDiscoveryDelay, emulate.FaultSlowChannel,
 	emulate.FaultReportLoss, emulate.FaultReportDelay,
 }
