--- a/internal/testbeds/simulation/plantedbug.go
+++ b/internal/testbeds/simulation/plantedbug.go
@@ -15,24 +15,24 @@
 
 // Bugs that schedules without a Tolerance detect.
 const (
-	IgnoreViewNumber      PlantedBug = "chain messages are accepted regardless of their view number"
-	KeepVoteAfterWipe     PlantedBug = "a member with a wiped disk keeps its vote"
-	AcknowledgeBeforeSync PlantedBug = "a write is acknowledged before the sync"
-	SkipDirectorySync     PlantedBug = "the directory of a new file is not synced"
-	AcceptStaleState      PlantedBug = "a gateway accepts an older register"
-	DiscardReportedDrains PlantedBug = "drains reported by other members are confirmed but not stored"
-	UndividedWarmupQuota  PlantedBug = "each member grants the whole warm-up rate of a replica"
+	IgnoreViewNumber      PlantedBug = "a message along the chain is taken whatever view it is of"
+	KeepVoteAfterWipe     PlantedBug = "a member that lost its disk keeps its vote"
+	AcknowledgeBeforeSync PlantedBug = "a write is reported as done before the sync"
+	SkipDirectorySync     PlantedBug = "a new file's folder is not synced"
+	AcceptStaleState      PlantedBug = "a gateway takes an older register"
+	DiscardReportedDrains PlantedBug = "what another member says of a drain is confirmed and not kept"
+	UndividedWarmupQuota  PlantedBug = "each member deals out all that a warming replica bears"
 )
 
 // Bugs that only schedules with a Tolerance detect.
 const (
-	UnconfirmedFirstState   PlantedBug = "a gateway that connects receives state that no quorum has confirmed"
-	ConfirmSupersededView   PlantedBug = "a view is confirmed by members that know a newer one"
-	DropCommandID           PlantedBug = "a resubmitted command is treated as a new one"
-	AcceptDelayedCalls      PlantedBug = "calls delivered while a member was paused are handled as new"
-	HideConflict            PlantedBug = "the head does not report version conflicts"
-	DiscardClaimsOnRestart  PlantedBug = "claimed versions are discarded on restart"
-	ShutDownWithoutHandover PlantedBug = "a member shuts down without a handover"
+	UnconfirmedFirstState   PlantedBug = "a gateway that connects is sent what is held, without asking the other members"
+	ConfirmSupersededView   PlantedBug = "a view is confirmed by members that know of a later one"
+	DropCommandID           PlantedBug = "a command that is entered again is a new one"
+	AcceptDelayedCalls      PlantedBug = "what lay in the socket of a frozen member is taken for new"
+	HideConflict            PlantedBug = "the head does not say that a number belongs to another command"
+	DiscardClaimsOnRestart  PlantedBug = "numbers that were taken are forgotten at a restart"
+	ShutDownWithoutHandover PlantedBug = "a member that leaves ends without waiting for the others"
 )
 
 // hasBug reports whether the run contains a planted bug.
