--- a/internal/testbeds/soak/process.go
+++ b/internal/testbeds/soak/process.go
@@ -178,7 +178,7 @@
 	select {
 	case <-ended:
 	case <-time.After(stopTimeout):
-		d.reportFinding("did not exit within " + stopTimeout.String() + " of " + signal.String())
+		d.reportFinding("did not exit within " + stopTimeout.String() + " after the signal \"" + signal.String() + "\"")
 		_ = command.Process.Kill()
 		<-ended
 	}
