--- a/internal/governor/config/bounds.go
+++ b/internal/governor/config/bounds.go
@@ -7,42 +7,41 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Bounds are the limits that the network code sets itself. None of them influences a decision.
+// Bounds are the limits and timeouts of the network code. None of them affects routing decisions.
 type Bounds struct {
-	QueueLength int // reports that may wait for the next step, and as many other events
+	QueueLength int // maximum number of queued reports, and of other queued inputs
 
 	MaxConnections       int           // of proxies and collectors
-	MaxFirstMessageBytes int           // of a message before its connection has joined
-	MaxMessageBytes      int           // of any later message
-	MaxMessageElements   int           // bulk strings of a message
-	MaxReportedTime      time.Duration // longest time that a message may report
+	MaxFirstMessageBytes int           // size limit of messages before the connection has joined
+	MaxMessageBytes      int           // size limit of later messages
+	MaxMessageElements   int           // maximum number of bulk strings in a message
+	MaxReportedTime      time.Duration // longest duration accepted in a message
 	JoinTimeout          time.Duration // from accepting a connection to its join
-	MinEvictionAge       time.Duration // of a connection that has not joined, before it may be closed to make room
-	AcknowledgeTimeout   time.Duration // in which a proxy that owes an acknowledgement must send something
-	MaxCollectorsPerZone int           // connections
-	CollectorIdleTimeout time.Duration // after which a collector that has delivered nothing may be closed to make room
+	MinEvictionAge       time.Duration // minimum age of an unidentified connection that is closed to make room
+	AcknowledgeTimeout   time.Duration // maximum silence of a proxy that owes an acknowledgement
+	MaxCollectorsPerZone int           // maximum number of connections
+	CollectorIdleTimeout time.Duration // minimum idle time of a collector that is closed to make room
 	MaxUnsentBytes       int           // buffered for one peer
-	MaxTotalUnsentBytes  int64         // buffered for all peers together
+	MaxTotalUnsentBytes  int64         // buffered for all peers
 	WriteTimeout         time.Duration
-	AcceptRetryDelay     time.Duration // after a connection could not be accepted
-	CountLogInterval     time.Duration // between two log lines of counts
+	AcceptRetryDelay     time.Duration // after a failed accept or receive
+	CountLogInterval     time.Duration // between log lines of counts
 
 	LateTimerThreshold time.Duration // a timer later than this means that the process was suspended
 
-	DiscoveryWait       time.Duration // of a blocking request for changes
-	DiscoveryCallMargin time.Duration // that a request may take beyond its wait
-	MaxDiscoveryBytes   int64         // of an answer of discovery
+	DiscoveryWait       time.Duration // wait of a blocking request for changes
+	DiscoveryCallMargin time.Duration // time allowed for a request in addition to its wait
+	MaxDiscoveryBytes   int64         // size limit of an answer
 }
 
 const (
-	channelSlowdown      = 12 // a channel may be so many times slower than usual and still bring acknowledgements
-	collectorIdlePeriods = 5  // a zone's sums come every period, up to two periods late
-	reportedPeriods      = 60 // sums of a rarely used replica cover some periods; after a network partition, more
-	reservedDescriptors  = 7  // the poller's two, the listener, two requests, a file, a connection that waits for room
+	channelSlowdown      = 12 // how many times slower than specified the channel may deliver before a proxy times out
+	collectorIdlePeriods = 5  // a zone's statistics arrive every period, up to two periods late
+	reportedPeriods      = 60 // statistics of rarely used replicas, or after a network partition, cover many periods
+	reservedDescriptors  = 7  // poller (2), listener, discovery requests (2), a file, a connection waiting for room
 )
 
-// deriveBounds derives the bounds from the limits of the machine, the site's settings, and the number of descriptors that
-// are open already.
+// deriveBounds derives the bounds from the limits of the machine, the settings, and the number of open file descriptors.
 func deriveBounds(limits Limits, s rules.Settings, openDescriptors int) Bounds {
 	slowestAcknowledgement := channelSlowdown * s.EntryCapacity / s.EntryRate * float64(time.Second)
 	memory := limits.MemoryMB << 20
@@ -70,12 +69,11 @@
 	}
 }
 
-// openDescriptors returns the number of descriptors that are open at the start: the runtime has some, and others may be
-// inherited.
+// openDescriptors returns the number of file descriptors that are open at startup, including inherited ones.
 func openDescriptors() int {
-	const usual = 5 // the standard streams and the runtime's two
+	const usual = 5 // three standard streams and two of the Go runtime
 	open, err := os.ReadDir("/proc/self/fd")
-	if err != nil { // not every system has it
+	if err != nil { // not available on all systems
 		return usual
 	}
 	return len(open)
--- a/internal/governor/config/config.go
+++ b/internal/governor/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and validates the configuration of a governor and gives defaults: the environment, the file that
-// LB_CONFIG names, the settings object in it, and the operator file.
+// Package config reads and validates the configuration of a governor and sets defaults. Its sources are the environment, the
+// file that LB_CONFIG names with the settings object in it, and the operator file.
 package config
 
 import (
@@ -19,37 +19,37 @@
 	Listen     string // where proxies and collectors connect
 	Discovery  string // host and port
 	Seed       uint64
-	CachedList json.RawMessage // the list as last held, in discovery's form
+	CachedList json.RawMessage // endpoint list to start with, as discovery encodes it
 	Limits     Limits
 	Settings   Settings
 	Bounds     Bounds
 	Operator   Operator
 }
 
-// Limits are those of the machine.
+// Limits are the resource limits of the machine.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// defaultLimits hold where the file has none.
+// defaultLimits apply to limits that the file does not set.
 var defaultLimits = Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}
 
-// validate returns an error that names the first impossible limit.
+// validate returns an error that names the first invalid limit.
 func (l Limits) validate() error {
 	switch {
-	case !(l.Cores > 0): // not a number included
-		return fmt.Errorf("limits.cores: want a figure above 0, got %v", l.Cores)
+	case !(l.Cores > 0): // rejects NaN too
+		return fmt.Errorf("limits.cores: want a number above 0, got %v", l.Cores)
 	case l.MemoryMB <= 0:
-		return fmt.Errorf("limits.memory_mb: want a figure above 0, got %d", l.MemoryMB)
+		return fmt.Errorf("limits.memory_mb: want a number above 0, got %d", l.MemoryMB)
 	case l.Sockets <= 0:
-		return fmt.Errorf("limits.sockets: want a figure above 0, got %d", l.Sockets)
+		return fmt.Errorf("limits.sockets: want a number above 0, got %d", l.Sockets)
 	}
 	return nil
 }
 
-// configFile is the file that LB_CONFIG names, in JSON.
+// configFile is the JSON file that LB_CONFIG names.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -60,25 +60,25 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// Load reads the environment, the file that LB_CONFIG names and the operator file, at the start. For the name and the
-// addresses the environment takes precedence over the file. operator is the path of the operator file, "" for that of
-// ZINCLOFT_OPERATOR. Errors name the variable or key at fault.
+// Load reads the configuration at startup. For the name and the addresses, the environment takes precedence over the file.
+// operator is the path of the operator file; if it is empty, ZINCLOFT_OPERATOR names the file. Errors name the variable or
+// key at fault.
 func Load(getenv func(string) string, operator string) (Config, error) {
 	return readConfig(getenv, operator, false)
 }
 
-// Reload reads the files again while a governor runs on the configuration current. The file takes precedence over the
-// environment, which is as old as the process. Only the address of discovery can change: another name or listen address is
-// an error, and other changes wait for the next start; pending names them. On an error, current is returned.
+// Reload rereads the files while a governor runs with the configuration current. The file takes precedence over the
+// environment, which cannot have changed since startup. Only the address of discovery can change: a changed name or listen
+// address is an error, and other changes require a restart and are named in pending. On an error it returns current.
 func Reload(getenv func(string) string, current Config) (c Config, pending []string, err error) {
 	c, err = readConfig(getenv, current.Operator.Path, true)
 	switch {
 	case err != nil:
 		return current, nil, err
 	case c.Name != current.Name:
-		return current, nil, fmt.Errorf("name: %q can't become %q while the governor runs", current.Name, c.Name)
+		return current, nil, fmt.Errorf("name: changing %q to %q requires a restart", current.Name, c.Name)
 	case c.Listen != current.Listen:
-		return current, nil, fmt.Errorf("listen: %s can't become %s while the governor runs", current.Listen, c.Listen)
+		return current, nil, fmt.Errorf("listen: changing %s to %s requires a restart", current.Listen, c.Listen)
 	}
 	if c.Limits != current.Limits {
 		pending = append(pending, "limits")
@@ -93,16 +93,17 @@
 	return current, pending, nil
 }
 
-// OperatorPath returns the path of the operator file: the named one, or that of ZINCLOFT_OPERATOR; "" where there is none.
+// OperatorPath returns the path of the operator file: named or, if that is empty, the value of ZINCLOFT_OPERATOR. It is empty
+// if there is no operator file.
 func OperatorPath(getenv func(string) string, named string) string {
 	return cmp.Or(named, getenv("ZINCLOFT_OPERATOR"))
 }
 
-// readConfig reads and validates all parts. fileFirst gives the file precedence over the environment.
+// readConfig reads and validates the configuration. If fileFirst is set, the file takes precedence over the environment.
 func readConfig(getenv func(string) string, operator string, fileFirst bool) (Config, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
-		return Config{}, errors.New("LB_CONFIG is not set: it names the configuration file")
+		return Config{}, errors.New("LB_CONFIG is not set; it must name the configuration file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -110,7 +111,7 @@
 	}
 	f := configFile{Limits: defaultLimits}
 	if err := json.Unmarshal(text, &f); err != nil {
-		return Config{}, fmt.Errorf("LB_CONFIG: %s is not the expected JSON: %w", path, err)
+		return Config{}, fmt.Errorf("LB_CONFIG: decoding %s: %w", path, err)
 	}
 	c := Config{CachedList: f.Known, Limits: f.Limits}
 	if err := c.setNameAndAddresses(getenv, f, path, fileFirst); err != nil {
@@ -135,24 +136,24 @@
 	return c, nil
 }
 
-// setNameAndAddresses sets what both the environment and the file may hold.
+// setNameAndAddresses sets the fields that both the environment and the file can set.
 func (c *Config) setNameAndAddresses(getenv func(string) string, f configFile, path string, fileFirst bool) error {
 	for _, v := range []struct {
 		variable, key, inFile string
-		to                    *string
+		target                *string
 		isAddress             bool
 	}{
 		{"LB_NAME", "name", f.Name, &c.Name, false},
 		{"LB_LISTEN", "listen", f.Listen, &c.Listen, true},
 		{"LB_DISCOVERY", "discovery", f.Discovery, &c.Discovery, true},
 	} {
-		if *v.to = cmp.Or(getenv(v.variable), v.inFile); fileFirst {
-			*v.to = cmp.Or(v.inFile, *v.to)
+		if *v.target = cmp.Or(getenv(v.variable), v.inFile); fileFirst {
+			*v.target = cmp.Or(v.inFile, *v.target)
 		}
-		if *v.to == "" {
+		if *v.target == "" {
 			return fmt.Errorf("%s is not set, and %s lacks %s", v.variable, path, v.key)
 		}
-		if _, _, err := net.SplitHostPort(*v.to); v.isAddress && err != nil {
+		if _, _, err := net.SplitHostPort(*v.target); v.isAddress && err != nil {
 			return fmt.Errorf("%s (%s): %w", v.variable, v.key, err)
 		}
 	}
--- a/internal/governor/config/config_test.go
+++ b/internal/governor/config/config_test.go
@@ -14,7 +14,7 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// example returns a complete configuration, the one that README names.
+// example returns the complete configuration in deploy.
 func example(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../../deploy/example.json")
@@ -24,7 +24,7 @@
 	return string(text)
 }
 
-// load reads a configuration file with this text.
+// load writes text to a configuration file and loads it.
 func load(t *testing.T, text string, env map[string]string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -36,7 +36,7 @@
 	return Load(func(name string) string { return all[name] }, "")
 }
 
-// TestLoad reads the example, with a name from the environment.
+// TestLoad loads the example with a name from the environment.
 func TestLoad(t *testing.T) {
 	got, err := load(t, example(t), map[string]string{"LB_NAME": "n4"})
 	if err != nil {
@@ -61,13 +61,13 @@
 	if want.Operator, err = ReadOperator(""); err != nil {
 		t.Fatal(err)
 	}
-	opaque := cmp.Comparer(func(a, b netip.Prefix) bool { return a == b })
-	if d := cmp.Diff(want, got, opaque); d != "" {
+	comparePrefixes := cmp.Comparer(func(a, b netip.Prefix) bool { return a == b })
+	if d := cmp.Diff(want, got, comparePrefixes); d != "" {
 		t.Error(d)
 	}
 }
 
-// TestErrorsNameTheKey has faults that are reported in one line with the variable or key.
+// TestErrorsNameTheKey checks that errors are one line and name the variable or key at fault.
 func TestErrorsNameTheKey(t *testing.T) {
 	full := example(t)
 	for _, f := range []struct{ old, new, want string }{
@@ -89,23 +89,23 @@
 	}
 }
 
-// TestReload has changes that hold at once, that wait for the next start, and that are refused.
+// TestReload checks changes that apply at once, that require a restart, and that are rejected.
 func TestReload(t *testing.T) {
 	full := example(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := map[string]string{"LB_CONFIG": path, "LB_DISCOVERY": "127.0.0.9:1"}
-	put := func(text string) {
+	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	getenv := func(name string) string { return env[name] }
-	put(full)
+	write(full)
 	first, err := Load(getenv, "")
 	if err != nil || first.Discovery != "127.0.0.9:1" {
-		t.Fatal("the environment goes first at the start: ", first.Discovery, err)
+		t.Fatal("the environment does not take precedence at startup: ", first.Discovery, err)
 	}
-	for _, f := range []struct{ old, new, discovery, later, fault string }{
+	for _, f := range []struct{ old, new, discovery, pending, err string }{
 		{"", "", "127.0.0.1:8500", "", ""},
 		{":8500", ":8501", "127.0.0.1:8501", "", ""},
 		{`"discovery":"127.0.0.1:8500",`, ``, "127.0.0.9:1", "", ""},
@@ -115,17 +115,17 @@
 		{`127.0.0.1:8500`, `nowhere`, "", "", "LB_DISCOVERY (discovery)"}, {full, "{", "", "", "LB_CONFIG"},
 		{`"perMessage":6,`, ``, "", "", "familyInfo.perMessage"},
 	} {
-		put(strings.Replace(full, f.old, f.new, 1))
-		got, later, err := Reload(getenv, first)
+		write(strings.Replace(full, f.old, f.new, 1))
+		got, pending, err := Reload(getenv, first)
 		want := first
-		if f.fault == "" {
+		if f.err == "" {
 			want.Discovery = f.discovery
 		}
-		if d := cmp.Diff(want, got, cmp.Comparer(func(a, b netip.Prefix) bool { return a == b })); d != "" || strings.Join(later, " ") != f.later {
-			t.Errorf("%s for %s: %s, later %q", f.new, f.old, d, later)
+		if d := cmp.Diff(want, got, cmp.Comparer(func(a, b netip.Prefix) bool { return a == b })); d != "" || strings.Join(pending, " ") != f.pending {
+			t.Errorf("%s for %s: %s, pending %q", f.new, f.old, d, pending)
 		}
-		if (err != nil) != (f.fault != "") || err != nil && !strings.Contains(err.Error(), f.fault) {
-			t.Errorf("%s for %s: want a fault with %q, got %v", f.new, f.old, f.fault, err)
+		if (err != nil) != (f.err != "") || err != nil && !strings.Contains(err.Error(), f.err) {
+			t.Errorf("%s for %s: want an error with %q, got %v", f.new, f.old, f.err, err)
 		}
 	}
 }
--- a/internal/governor/config/derived.go
+++ b/internal/governor/config/derived.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	intakeCoreShare     = 0.2      // share of the cores that intake may use
-	recordCoreSeconds   = 1e-6     // core seconds of a record; measured: 0.65e-6 with its decoding
-	keptRecordBytes     = 256      // memory of a kept record, in both samples, with its share of the indexes
-	keptPairBytes       = 256      // memory of a remembered pair
-	intakeMemoryDivisor = 16       // of the memory: the part that records, and pairs, may each take
-	defaultStreamBytes  = 64 << 10 // per second and stream: a thousand records of 64 bytes
+	intakeCoreShare     = 0.2      // share of the cores available to the intake
+	recordCoreSeconds   = 1e-6     // CPU time per record, including decoding
+	keptRecordBytes     = 256      // memory per kept record, in both samples and their indexes
+	keptPairBytes       = 256      // memory per tracked pair
+	intakeMemoryDivisor = 16       // records and pairs may each use memory/intakeMemoryDivisor
+	defaultStreamBytes  = 64 << 10 // per second and stream
 )
 
 const (
-	queuedPointBytes      = 128 // memory of a queued point
-	graphiteMemoryDivisor = 32  // of the memory: the part that queued points may take
+	queuedPointBytes      = 128 // memory per queued point
+	graphiteMemoryDivisor = 32  // queued points may use memory/graphiteMemoryDivisor
 	graphiteWriteTimeout  = 5 * time.Second
 	graphiteDialTimeout   = 2 * time.Second
 	graphiteMaxRetryDelay = time.Minute
 )
 
-// IntakeSettings returns the settings of package intake: options, or what the limits of the machine allow.
+// IntakeSettings returns the settings of package intake, from the operator file or else derived from the limits.
 func (c Config) IntakeSettings() intake.Settings {
 	o, s := c.Operator.Intake, c.Settings.Settings
 	recordsPerSecond := c.Limits.Cores * intakeCoreShare / recordCoreSeconds
@@ -47,10 +47,10 @@
 	}
 }
 
-// intakeBytes returns the memory that records, and pairs, may each take.
+// intakeBytes returns the memory that records and pairs may each use.
 func (c Config) intakeBytes() int64 { return c.Limits.MemoryMB << 20 / intakeMemoryDivisor }
 
-// GraphiteOptions returns the options of package graphite: those set, or what the limits of the machine allow.
+// GraphiteOptions returns the options of package graphite, from the operator file or else derived from the limits.
 func (c Config) GraphiteOptions() graphite.Options {
 	o := c.Operator.Graphite
 	return graphite.Options{
@@ -64,7 +64,8 @@
 	}
 }
 
-// StreamBytesPerSecond returns the rate limit of reading one stream where batches are accepted; 0: no limit.
+// StreamBytesPerSecond returns the rate limit for reading from a stream, or 0 for none. There is one only if batches are
+// accepted.
 func (c Config) StreamBytesPerSecond() int {
 	if !c.Operator.Intake.Enabled() {
 		return 0
@@ -72,9 +73,9 @@
 	return cmp.Or(c.Operator.Intake.StreamBytesPerSecond, defaultStreamBytes)
 }
 
-// Effective returns the options in force, in the form of the operator file, with what was derived.
+// Effective returns the effective options, including derived ones, in the format of the operator file.
 func (c Config) Effective() string {
-	if c.Settings.Period == 0 { // no configuration: the default machine
+	if c.Settings.Period == 0 { // only the operator file was read
 		c.Limits, c.Settings.Period = defaultLimits, time.Second
 	}
 	o, in, g, d := c.Operator.Intake, c.IntakeSettings(), c.GraphiteOptions(), c.Operator.Collectd
@@ -110,7 +111,7 @@
 		g.Address, g.Prefix, g.Interval, g.MaxQueuedPoints, d.Listen, d.AllowedSources, securityName(d.Security), d.UsersFile, d.PacketsPerSecond, len(d.ReplicaByHost), len(d.Mappings), st.Dir, st.SyncInterval, st.HalfLife, st.MaxAge)
 }
 
-// securityName returns the name of a level in the file.
+// securityName returns the name of a level in the operator file.
 func securityName(level collectd.SecurityLevel) string {
 	for name, named := range securityLevels {
 		if named == level {
--- a/internal/governor/config/operator.go
+++ b/internal/governor/config/operator.go
@@ -14,9 +14,10 @@
 	"zincloft.example/zincloft/internal/governor/collectd"
 )
 
-// Operator holds the options of the operator file: what goes beyond the platform's protocol. All of it is off by default.
+// Operator holds the options of the operator file, which enable features beyond the platform's protocol. All are off by
+// default.
 type Operator struct {
-	Path     string // "": there is none
+	Path     string // "": no operator file
 	Intake   IntakeOptions
 	Graphite GraphiteOptions
 	Collectd CollectdOptions
@@ -27,30 +28,30 @@
 type IntakeOptions struct {
 	ReportsMode          ReportsMode
 	RecordsPerSecond     int           // 0: derived from the limits
-	HalfLife             time.Duration // a record this old counts for half
-	MaxAge               time.Duration // an older one counts for nothing
-	MaxPairs             int           // failing pairs of proxy and replica that are remembered; 0: derived
-	StreamBytesPerSecond int           // read from one stream; 0: derived
+	HalfLife             time.Duration // age at which a record has half its weight
+	MaxAge               time.Duration // older records are ignored
+	MaxPairs             int           // maximum number of failing proxy-replica pairs tracked; 0: derived from the limits
+	StreamBytesPerSecond int           // rate limit for reading from a stream; 0: the default
 }
 
-// ReportsMode is the use that is made of batches of single proxies.
+// ReportsMode selects the use of batches of single proxies.
 type ReportsMode string
 
-// Uses of batches.
+// Modes of using batches.
 const (
-	ReportsOff   ReportsMode = "off"   // not taken: the message is of an unknown kind
-	ReportsPairs ReportsMode = "pairs" // for pairs that fail; collectors' sums make the fleet's
-	ReportsSums  ReportsMode = "sums"  // for the fleet's sums too, in place of collectors'
+	ReportsOff   ReportsMode = "off"   // rejected as messages of an unknown kind
+	ReportsPairs ReportsMode = "pairs" // to find failing pairs; fleet statistics come from collectors
+	ReportsSums  ReportsMode = "sums"  // for fleet statistics too, instead of those from collectors
 )
 
-// Enabled reports whether batches of single proxies are accepted at all.
+// Enabled reports whether batches of single proxies are accepted.
 func (o IntakeOptions) Enabled() bool {
 	return o.ReportsMode == ReportsPairs || o.ReportsMode == ReportsSums
 }
 
 // GraphiteOptions are the section [graphite].
 type GraphiteOptions struct {
-	Address         string // "": nothing is sent
+	Address         string // "": disabled
 	Prefix          string // of each path
 	Interval        time.Duration
 	MaxQueuedPoints int // 0: derived from the limits
@@ -58,27 +59,27 @@
 
 // CollectdOptions are the section [collectd].
 type CollectdOptions struct {
-	Listen           string // "": nothing is listened on
+	Listen           string // "": disabled
 	AllowedSources   []netip.Prefix
 	Security         collectd.SecurityLevel
-	UsersFile        string // file of users and passwords; "": none are known
+	UsersFile        string // users and their passwords; "": no users
 	PacketsPerSecond int
-	ReplicaByHost    map[string]string // a host's replica, where the names differ
+	ReplicaByHost    map[string]string // replica names of hosts whose names differ
 	Mappings         []collectd.Mapping
 }
 
 // StateOptions are the section [state].
 type StateOptions struct {
-	Dir          string        // "": nothing is kept
-	SyncInterval time.Duration // between writes; what is newer is lost when the process is killed
-	HalfLife     time.Duration // a list of this age is trusted by half
-	MaxAge       time.Duration // an older one is not used
+	Dir          string        // "": state is not persisted
+	SyncInterval time.Duration // between writes; newer changes are lost if the process is killed
+	HalfLife     time.Duration // age at which a list has half its trust
+	MaxAge       time.Duration // an older list is not used
 }
 
-// OperatorError is a fault of the operator file, by key and line.
+// OperatorError is an error in the operator file.
 type OperatorError struct {
 	Path    string
-	Key     string // "": the file as a whole
+	Key     string // "": the whole file
 	Line    int    // 0: unknown
 	Problem string
 }
@@ -87,8 +88,8 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.Path, e.Line, cmp.Or(e.Key, "the file"), e.Problem)
 }
 
-// ReadOperator reads and validates an operator file. Every key may be left out; an unknown one is an OperatorError. The path
-// "" stands for no file, which gives the defaults.
+// ReadOperator reads and validates an operator file. All keys are optional, and an unknown key is an OperatorError. An empty
+// path returns the defaults.
 func ReadOperator(path string) (Operator, error) {
 	f := defaultOperatorFile()
 	var text []byte
@@ -108,18 +109,18 @@
 	return f.operator(path), nil
 }
 
-// decodeError converts an error of the TOML decoder into an OperatorError.
+// decodeError converts an error of the TOML decoder to an OperatorError.
 func decodeError(path string, err error) error {
-	var missing *toml.StrictMissingError
-	var bad *toml.DecodeError
-	if errors.As(err, &missing) && len(missing.Errors) > 0 {
-		first := missing.Errors[0]
+	var unknown *toml.StrictMissingError
+	var malformed *toml.DecodeError
+	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
+		first := unknown.Errors[0]
 		line, _ := first.Position()
 		return OperatorError{path, strings.Join(first.Key(), "."), line, "no such key"}
 	}
-	if errors.As(err, &bad) {
-		line, _ := bad.Position()
-		return OperatorError{path, strings.Join(bad.Key(), "."), line, strings.TrimPrefix(bad.Error(), "toml: ")}
+	if errors.As(err, &malformed) {
+		line, _ := malformed.Position()
+		return OperatorError{path, strings.Join(malformed.Key(), "."), line, strings.TrimPrefix(malformed.Error(), "toml: ")}
 	}
 	return fmt.Errorf("%s: %w", path, err)
 }
--- a/internal/governor/config/operator_test.go
+++ b/internal/governor/config/operator_test.go
@@ -14,8 +14,8 @@
 	"zincloft.example/zincloft/internal/governor/collectd"
 )
 
-// operatorFileOf writes an operator file and returns its path.
-func operatorFileOf(t *testing.T, text string) string {
+// writeOperatorFile writes an operator file and returns its path.
+func writeOperatorFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -24,18 +24,18 @@
 	return path
 }
 
-// TestOperatorDefaults checks that the file in deploy has every key, at its default.
+// TestOperatorDefaults checks that the operator file in deploy holds every key with its default.
 func TestOperatorDefaults(t *testing.T) {
-	kept, err := ReadOperator("../../../deploy/operator.toml")
+	deployed, err := ReadOperator("../../../deploy/operator.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	none, err := ReadOperator("")
+	defaults, err := ReadOperator("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept.Path = ""
-	if d := cmp.Diff(none, kept, cmp.Comparer(func(a, b netip.Prefix) bool { return a == b })); d != "" {
+	deployed.Path = ""
+	if d := cmp.Diff(defaults, deployed, cmp.Comparer(func(a, b netip.Prefix) bool { return a == b })); d != "" {
 		t.Error(d)
 	}
 	text, err := os.ReadFile("../../../deploy/operator.toml")
@@ -48,12 +48,12 @@
 			keys++
 		}
 	}
-	if at := keyLines(text); at["collectd.packets_per_s"] == 0 || len(at) != keys+strings.Count(string(text), "\n[") {
-		t.Errorf("%d keys in the file, found %v", keys, at)
+	if lines := keyLines(text); lines["collectd.packets_per_s"] == 0 || len(lines) != keys+strings.Count(string(text), "\n[") {
+		t.Errorf("%d keys in the file, found %v", keys, lines)
 	}
 }
 
-// TestOperatorErrors has faults that are reported by key and line.
+// TestOperatorErrors checks that errors name the key and line at fault.
 func TestOperatorErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"[intake]\nreports = \"all\"":                               ":2: intake.reports: want",
@@ -80,7 +80,7 @@
 		"[collectd]\n\n[[collectd.figures]]\nfigur = \"util\"":      ":4: collectd.figures.figur: no such key",
 		"[collectd]\npackets_per_s = 0":                             ":2: collectd.packets_per_s",
 	} {
-		_, err := ReadOperator(operatorFileOf(t, text))
+		_, err := ReadOperator(writeOperatorFile(t, text))
 		if err == nil || !strings.Contains(err.Error(), "operator.toml"+want) {
 			t.Errorf("%q: want an error with %q, got %v", text, want, err)
 		}
@@ -90,12 +90,12 @@
 	}
 }
 
-// TestIntakeSettings derives the budget from the limits of the machine, unless the file sets it.
+// TestIntakeSettings checks that the budget is derived from the limits of the machine unless the file sets it.
 func TestIntakeSettings(t *testing.T) {
 	c := Config{Seed: 5, Limits: Limits{Cores: 1, MemoryMB: 192}}
 	c.Settings.Period = time.Second
 	var err error
-	if c.Operator, err = ReadOperator(operatorFileOf(t, "[intake]\nreports = \"sums\"\nhalf_life = \"1s\"")); err != nil {
+	if c.Operator, err = ReadOperator(writeOperatorFile(t, "[intake]\nreports = \"sums\"\nhalf_life = \"1s\"")); err != nil {
 		t.Fatal(err)
 	}
 	got := c.IntakeSettings()
@@ -111,16 +111,16 @@
 		t.Errorf("set: %+v", got)
 	}
 	if got := c.StreamBytesPerSecond(); got != 64<<10 {
-		t.Errorf("%d bytes a second of a stream", got)
+		t.Errorf("got a rate limit of %d bytes per second and stream", got)
 	}
 	if c.Operator.Intake.ReportsMode = ReportsOff; c.StreamBytesPerSecond() != 0 {
-		t.Error("streams are bounded where no reports are taken")
+		t.Error("streams have a rate limit although batches are not accepted")
 	}
 }
 
-// TestCollectdMapping reads hosts and mappings, with defaults for what is left out.
+// TestCollectdMapping reads hosts and mappings, with defaults for omitted keys.
 func TestCollectdMapping(t *testing.T) {
-	o, err := ReadOperator(operatorFileOf(t, `[collectd]
+	o, err := ReadOperator(writeOperatorFile(t, `[collectd]
 listen = "127.0.0.1:25826"
 allow = ["10.1.2.3", "10.2.0.0/16"]
 [collectd.hosts]
--- a/internal/governor/config/operatorcheck.go
+++ b/internal/governor/config/operatorcheck.go
@@ -12,7 +12,7 @@
 
 var prefixPattern = regexp.MustCompile(`^[A-Za-z0-9_-]+(\.[A-Za-z0-9_-]+)*$`)
 
-// validate returns an OperatorError for the first value that can't be meant. lines has the line of each key.
+// validate returns an OperatorError for the first invalid value. lines holds the line of each key.
 func (f *operatorFile) validate(path string, lines map[string]int) error {
 	i, g, d := &f.Intake, &f.Graphite, &f.Collectd
 	_, knownLevel := securityLevels[d.Security]
@@ -23,22 +23,22 @@
 		{"graphite.address", "want a host and a port", validAddress(g.Address)},
 		{"graphite.prefix", "want words of letters, digits, - and _, joined by dots", prefixPattern.MatchString(g.Prefix)},
 		{"graphite.interval", "want a second or more", g.Interval >= duration(time.Second)},
-		{"graphite.points", "want 0 or more", g.Points >= 0},
+		{"graphite.points", "want 0 or more", g.MaxQueuedPoints >= 0},
 		{"collectd.listen", "want a host and a port", validAddress(d.Listen)},
 		{"collectd.allow", "want addresses or ranges, as in \"10.1.0.0/16\"", d.validSources()},
 		{"collectd.security", `want "none", "sign" or "encrypt"`, knownLevel},
 		{"collectd.users", "want a file that can be read; it is needed where packets must be signed or encrypted", d.validUsers()},
-		{"collectd.packets_per_s", "want 1 or more", d.PacketsPS >= 1},
-		{"state.sync", "want 100ms or more", f.State.Sync >= duration(100*time.Millisecond)},
+		{"collectd.packets_per_s", "want 1 or more", d.PacketsPerSecond >= 1},
+		{"state.sync", "want 100ms or more", f.State.SyncInterval >= duration(100*time.Millisecond)},
 		{"state.half_life", "want a time above 0", f.State.HalfLife > 0},
-		{"state.most_age", "want no less than state.half_life", f.State.MostAge >= f.State.HalfLife},
+		{"state.most_age", "want no less than state.half_life", f.State.MaxAge >= f.State.HalfLife},
 		{"collectd.figures", "want one or more, each with figure (util, inflight or latency_ms), plugin and type", d.validMappings()},
 		{"intake.reports", `want "off", "pairs" or "sums"`, i.Reports == string(ReportsOff) || i.Reports == string(ReportsPairs) || i.Reports == string(ReportsSums)},
-		{"intake.records_per_s", "want 0 or more", i.RecordsPerS >= 0},
+		{"intake.records_per_s", "want 0 or more", i.RecordsPerSecond >= 0},
 		{"intake.half_life", "want a time above 0", i.HalfLife > 0},
-		{"intake.most_age", "want no less than intake.half_life", i.MostAge >= i.HalfLife},
-		{"intake.pairs", "want 0 or more", i.Pairs >= 0},
-		{"intake.stream_bytes_per_s", "want 0 or more", i.StreamBytesPS >= 0},
+		{"intake.most_age", "want no less than intake.half_life", i.MaxAge >= i.HalfLife},
+		{"intake.pairs", "want 0 or more", i.MaxPairs >= 0},
+		{"intake.stream_bytes_per_s", "want 0 or more", i.StreamBytesPerSecond >= 0},
 	}
 	for _, check := range checks {
 		if !check.valid {
@@ -56,28 +56,28 @@
 }
 
 func (s *collectdSection) validSources() bool {
-	return !slices.ContainsFunc(s.Allow, func(text string) bool {
+	return !slices.ContainsFunc(s.AllowedSources, func(text string) bool {
 		_, err := parsePrefix(text)
 		return err != nil
 	})
 }
 
-// validUsers reports whether the users' file exists, or is not needed.
+// validUsers reports whether the users file exists or is not needed.
 func (s *collectdSection) validUsers() bool {
-	if s.Users == "" {
+	if s.UsersFile == "" {
 		return s.Listen == "" || s.Security == "none"
 	}
-	_, err := os.Stat(s.Users)
+	_, err := os.Stat(s.UsersFile)
 	return err == nil
 }
 
-// validMappings reports whether all mappings are complete, and whether there is one where they are needed.
+// validMappings reports whether all mappings are complete and, if collectd is enabled, there is at least one.
 func (s *collectdSection) validMappings() bool {
-	for _, m := range s.Figures {
-		_, known := figureNames[m.Figure]
+	for _, m := range s.Mappings {
+		_, known := metricsByName[m.Metric]
 		if !known || m.Plugin == "" || m.Type == "" || m.Value < 0 {
 			return false
 		}
 	}
-	return s.Listen == "" || len(s.Figures) > 0
+	return s.Listen == "" || len(s.Mappings) > 0
 }
--- a/internal/governor/config/operatorfile.go
+++ b/internal/governor/config/operatorfile.go
@@ -12,21 +12,21 @@
 	"zincloft.example/zincloft/internal/governor/collectd"
 )
 
-// operatorFile is the operator file in TOML. Its fields have no further meaning than those of Operator.
+// operatorFile is the operator file in TOML. Its fields correspond to those of Operator.
 type operatorFile struct {
 	Intake struct {
-		Reports       string   `toml:"reports"`
-		RecordsPerS   int      `toml:"records_per_s"`
-		HalfLife      duration `toml:"half_life"`
-		MostAge       duration `toml:"most_age"`
-		Pairs         int      `toml:"pairs"`
-		StreamBytesPS int      `toml:"stream_bytes_per_s"`
+		Reports              string   `toml:"reports"`
+		RecordsPerSecond     int      `toml:"records_per_s"`
+		HalfLife             duration `toml:"half_life"`
+		MaxAge               duration `toml:"most_age"`
+		MaxPairs             int      `toml:"pairs"`
+		StreamBytesPerSecond int      `toml:"stream_bytes_per_s"`
 	} `toml:"intake"`
 	Graphite struct {
-		Address  string   `toml:"address"`
-		Prefix   string   `toml:"prefix"`
-		Interval duration `toml:"interval"`
-		Points   int      `toml:"points"`
+		Address         string   `toml:"address"`
+		Prefix          string   `toml:"prefix"`
+		Interval        duration `toml:"interval"`
+		MaxQueuedPoints int      `toml:"points"`
 	} `toml:"graphite"`
 	Collectd collectdSection `toml:"collectd"`
 	State    stateSection    `toml:"state"`
@@ -34,26 +34,26 @@
 
 // collectdSection is the section [collectd].
 type collectdSection struct {
-	Listen    string            `toml:"listen"`
-	Allow     []string          `toml:"allow"`
-	Security  string            `toml:"security"`
-	Users     string            `toml:"users"`
-	PacketsPS int               `toml:"packets_per_s"`
-	Hosts     map[string]string `toml:"hosts"`
-	Figures   []figureMapping   `toml:"figures"`
+	Listen           string            `toml:"listen"`
+	AllowedSources   []string          `toml:"allow"`
+	Security         string            `toml:"security"`
+	UsersFile        string            `toml:"users"`
+	PacketsPerSecond int               `toml:"packets_per_s"`
+	ReplicaByHost    map[string]string `toml:"hosts"`
+	Mappings         []metricMapping   `toml:"figures"`
 }
 
 // stateSection is the section [state].
 type stateSection struct {
-	Dir      string   `toml:"dir"`
-	Sync     duration `toml:"sync"`
-	HalfLife duration `toml:"half_life"`
-	MostAge  duration `toml:"most_age"`
+	Dir          string   `toml:"dir"`
+	SyncInterval duration `toml:"sync"`
+	HalfLife     duration `toml:"half_life"`
+	MaxAge       duration `toml:"most_age"`
 }
 
-// figureMapping is one section [[collectd.figures]].
-type figureMapping struct {
-	Figure         string   `toml:"figure"`
+// metricMapping is one section [[collectd.figures]].
+type metricMapping struct {
+	Metric         string   `toml:"figure"`
 	Plugin         string   `toml:"plugin"`
 	PluginInstance string   `toml:"plugin_instance"`
 	Type           string   `toml:"type"`
@@ -63,7 +63,7 @@
 	Offset         float64  `toml:"offset"`
 }
 
-// duration is a time with its unit, as in "250ms".
+// duration is a duration with its unit, as in "250ms".
 type duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -77,17 +77,17 @@
 }
 
 var (
-	figureNames    = map[string]intake.LoadMetric{"util": intake.Utilization, "inflight": intake.InFlight, "latency_ms": intake.LatencyMS}
+	metricsByName  = map[string]intake.LoadMetric{"util": intake.Utilization, "inflight": intake.InFlight, "latency_ms": intake.LatencyMS}
 	securityLevels = map[string]collectd.SecurityLevel{"none": collectd.SecurityNone, "sign": collectd.SecuritySign, "encrypt": collectd.SecurityEncrypt}
 )
 
-// defaultOperatorFile returns the options that hold without an operator file.
+// defaultOperatorFile returns the options that apply without an operator file.
 func defaultOperatorFile() (f operatorFile) {
 	f.Intake.Reports = string(ReportsOff)
-	f.Intake.HalfLife, f.Intake.MostAge = duration(2*time.Second), duration(10*time.Second)
+	f.Intake.HalfLife, f.Intake.MaxAge = duration(2*time.Second), duration(10*time.Second)
 	f.Graphite.Prefix, f.Graphite.Interval = "zincloft", duration(10*time.Second)
-	f.Collectd.Allow, f.Collectd.Security, f.Collectd.PacketsPS = []string{"127.0.0.0/8"}, "none", 2000
-	f.State.Sync, f.State.HalfLife, f.State.MostAge = duration(5*time.Second), duration(10*time.Minute), duration(24*time.Hour)
+	f.Collectd.AllowedSources, f.Collectd.Security, f.Collectd.PacketsPerSecond = []string{"127.0.0.0/8"}, "none", 2000
+	f.State.SyncInterval, f.State.HalfLife, f.State.MaxAge = duration(5*time.Second), duration(10*time.Minute), duration(24*time.Hour)
 	return f
 }
 
@@ -100,9 +100,9 @@
 		Collectd: f.collectdOptions(),
 		State: StateOptions{
 			Dir:          f.State.Dir,
-			SyncInterval: time.Duration(f.State.Sync),
+			SyncInterval: time.Duration(f.State.SyncInterval),
 			HalfLife:     time.Duration(f.State.HalfLife),
-			MaxAge:       time.Duration(f.State.MostAge),
+			MaxAge:       time.Duration(f.State.MaxAge),
 		},
 	}
 }
@@ -110,11 +110,11 @@
 func (f *operatorFile) intakeOptions() IntakeOptions {
 	return IntakeOptions{
 		ReportsMode:          ReportsMode(f.Intake.Reports),
-		RecordsPerSecond:     f.Intake.RecordsPerS,
+		RecordsPerSecond:     f.Intake.RecordsPerSecond,
 		HalfLife:             time.Duration(f.Intake.HalfLife),
-		MaxAge:               time.Duration(f.Intake.MostAge),
-		MaxPairs:             f.Intake.Pairs,
-		StreamBytesPerSecond: f.Intake.StreamBytesPS,
+		MaxAge:               time.Duration(f.Intake.MaxAge),
+		MaxPairs:             f.Intake.MaxPairs,
+		StreamBytesPerSecond: f.Intake.StreamBytesPerSecond,
 	}
 }
 
@@ -123,7 +123,7 @@
 		Address:         f.Graphite.Address,
 		Prefix:          f.Graphite.Prefix,
 		Interval:        time.Duration(f.Graphite.Interval),
-		MaxQueuedPoints: f.Graphite.Points,
+		MaxQueuedPoints: f.Graphite.MaxQueuedPoints,
 	}
 }
 
@@ -131,29 +131,29 @@
 	options := CollectdOptions{
 		Listen:           f.Collectd.Listen,
 		Security:         securityLevels[f.Collectd.Security],
-		UsersFile:        f.Collectd.Users,
-		PacketsPerSecond: f.Collectd.PacketsPS,
-		ReplicaByHost:    f.Collectd.Hosts,
+		UsersFile:        f.Collectd.UsersFile,
+		PacketsPerSecond: f.Collectd.PacketsPerSecond,
+		ReplicaByHost:    f.Collectd.ReplicaByHost,
 	}
-	for _, text := range f.Collectd.Allow {
-		if prefix, err := parsePrefix(text); err == nil { // always, in a valid file
+	for _, text := range f.Collectd.AllowedSources {
+		if prefix, err := parsePrefix(text); err == nil { // validate has reported errors
 			options.AllowedSources = append(options.AllowedSources, prefix)
 		}
 	}
-	for _, m := range f.Collectd.Figures {
+	for _, m := range f.Collectd.Mappings {
 		options.Mappings = append(options.Mappings, m.mapping())
 	}
 	return options
 }
 
-// mapping returns the mapping of a valid section. The scale is 1 where it is left out.
-func (m figureMapping) mapping() collectd.Mapping {
+// mapping returns the mapping of a valid section. The scale defaults to 1.
+func (m metricMapping) mapping() collectd.Mapping {
 	scale := 1.0
 	if m.Scale != nil {
 		scale = *m.Scale
 	}
 	return collectd.Mapping{
-		Metric:         figureNames[m.Figure],
+		Metric:         metricsByName[m.Metric],
 		Plugin:         m.Plugin,
 		PluginInstance: m.PluginInstance,
 		Type:           m.Type,
@@ -164,7 +164,7 @@
 	}
 }
 
-// parsePrefix reads a range of addresses, or a single address.
+// parsePrefix parses an address prefix or a single address.
 func parsePrefix(text string) (netip.Prefix, error) {
 	if a, err := netip.ParseAddr(text); err == nil {
 		return a.Prefix(a.BitLen())
@@ -172,7 +172,7 @@
 	return netip.ParsePrefix(text)
 }
 
-// keyLines returns the line of each key and section of a file that has been decoded without an error.
+// keyLines returns the line of each key and section of a valid TOML file.
 func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	var p unstable.Parser
--- a/internal/governor/config/settings.go
+++ b/internal/governor/config/settings.go
@@ -8,70 +8,71 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// SettingsError is a fault of the site's settings: a required value that is missing or impossible.
+// SettingsError reports a required setting that is missing or a setting that is out of range.
 type SettingsError string
 
 func (e SettingsError) Error() string { return string(e) }
 
-// Settings are a site's settings in the types of package rules, with the names of what those number.
+// Settings are the settings of a fleet, with the names of zones, kinds and load metrics, which package rules identifies by
+// index.
 type Settings struct {
 	rules.Settings
 	Zones           []string
 	Kinds           []string
-	LoadMetricNames []string      // load figures in the order of the simulator's reports
-	Tick            time.Duration // what comes within it counts as arriving together
+	LoadMetricNames []string      // in the order of the values in the simulator's load reports
+	Tick            time.Duration // inputs within a tick are handled in one step
 }
 
-// laneSettings are the settings of one traffic group.
-type laneSettings struct {
-	Name       string        `json:"name"`
-	Aim        time.Duration `json:"aim"`
-	Deadline   time.Duration `json:"deadline"`
-	Effect     string        `json:"effect"`
-	Group      string        `json:"group"`
-	Importance float64       `json:"importance"`
-	LateWorth  float64       `json:"lateWorth"`
-	Window     time.Duration `json:"window"`
+// groupSettings are the settings of one traffic group in JSON.
+type groupSettings struct {
+	Name          string        `json:"name"`
+	LatencyBudget time.Duration `json:"aim"`
+	Expiry        time.Duration `json:"deadline"`
+	Effect        string        `json:"effect"`
+	Group         string        `json:"group"`
+	Utility       float64       `json:"importance"`
+	LateShare     float64       `json:"lateWorth"`
+	Window        time.Duration `json:"window"`
 }
 
 // settingsFile is the settings object in JSON.
 type settingsFile struct {
-	Balancers  int            `json:"balancers"`
-	Discovery  string         `json:"discovery"`
-	HostTypes  []string       `json:"hostTypes"`
-	Lanes      []laneSettings `json:"lanes"`
-	MyZone     int            `json:"myZone"`
-	Tick       time.Duration  `json:"tick"`
-	Zones      []string       `json:"zones"`
+	Governors  int             `json:"balancers"`
+	Discovery  string          `json:"discovery"`
+	Kinds      []string        `json:"hostTypes"`
+	Groups     []groupSettings `json:"lanes"`
+	Zone       int             `json:"myZone"`
+	Tick       time.Duration   `json:"tick"`
+	Zones      []string        `json:"zones"`
 	FamilyInfo struct {
-		Bare         *time.Duration `json:"bare"`
-		ClassWrites  []bool         `json:"classWrites"`
-		DataPlane    int            `json:"dataPlaneSize"`
-		FailsToEject int            `json:"failsToEject"`
-		FirstWait    float64        `json:"firstWait"`
-		HomeOnly     []bool         `json:"homeOnly"`
-		Interval     *time.Duration `json:"interval"`
-		LevelKind    string         `json:"levelKind"`
-		LinesPerS    *float64       `json:"linesPerS"`
-		PerMessage   *float64       `json:"perMessage"`
-		PushDelayMax time.Duration  `json:"pushDelayMax"`
-		QueueCap     *float64       `json:"queueCap"`
-		ReloadSpan   *time.Duration `json:"reloadSpan"`
-		Slices       int            `json:"slices"`
-		LinksLeast   float64        `json:"smallestConnTable"`
-		UpdateCap    int            `json:"updateCap"`
+		MaxUnboundTime      *time.Duration `json:"bare"`
+		Writes              []bool         `json:"classWrites"`
+		Proxies             int            `json:"dataPlaneSize"`
+		FailuresToAvoid     int            `json:"failsToEject"`
+		FirstAttemptBudgets float64        `json:"firstWait"`
+		HomeOnly            []bool         `json:"homeOnly"`
+		Period              *time.Duration `json:"interval"`
+		LevelKind           string         `json:"levelKind"`
+		EntryRate           *float64       `json:"linesPerS"`
+		MessageEntries      *float64       `json:"perMessage"`
+		MaxMessageDelay     time.Duration  `json:"pushDelayMax"`
+		EntryCapacity       *float64       `json:"queueCap"`
+		MessageSpan         *time.Duration `json:"reloadSpan"`
+		Slices              int            `json:"slices"`
+		MinConnections      float64        `json:"smallestConnTable"`
+		MessageLimit        int            `json:"updateCap"`
 	} `json:"familyInfo"`
 	Guarantees struct {
-		AskWithin         *time.Duration `json:"askWithin"`
-		ColdFrom          *float64       `json:"coldFrom"`
-		FallMultiple      *float64       `json:"fallMultiple"`
-		OverloadFor       *time.Duration `json:"overloadFor"`
-		StopSendingWithin *time.Duration `json:"stopSendingWithin"`
-		WarmAfter         *time.Duration `json:"warmAfter"`
+		ListRequestDeadline *time.Duration `json:"askWithin"`
+		ColdCapacity        *float64       `json:"coldFrom"`
+		OverloadMultiple    *float64       `json:"fallMultiple"`
+		OverloadTime        *time.Duration `json:"overloadFor"`
+		DrainGrace          *time.Duration `json:"stopSendingWithin"`
+		WarmupTime          *time.Duration `json:"warmAfter"`
 	} `json:"guarantees"`
 	Permissions struct {
-		Probing  bool          `json:"probing"`
-		LinkIdle time.Duration `json:"connIdle"`
+		ProbesAllowed         bool          `json:"probing"`
+		ConnectionIdleTimeout time.Duration `json:"connIdle"`
 	} `json:"permissions"`
 	Report struct {
 		Fields []string `json:"fields"`
@@ -92,86 +93,86 @@
 	return Settings{
 		Settings:        f.rulesSettings(),
 		Zones:           f.Zones,
-		Kinds:           f.HostTypes,
+		Kinds:           f.Kinds,
 		LoadMetricNames: f.Report.Fields,
 		Tick:            f.Tick,
 	}, nil
 }
 
-// listOnRequest reports whether discovery sends the list only when it is asked.
+// listOnRequest reports whether discovery sends the list only on request.
 func (f *settingsFile) listOnRequest() bool { return f.Discovery == "on_request" }
 
-// setDefaults sets what is required only with other settings.
+// setDefaults sets defaults for settings that are required only in combination with others.
 func (f *settingsFile) setDefaults() {
-	if !f.listOnRequest() && f.Guarantees.AskWithin == nil {
-		f.Guarantees.AskWithin = new(time.Duration)
+	if !f.listOnRequest() && f.Guarantees.ListRequestDeadline == nil {
+		f.Guarantees.ListRequestDeadline = new(time.Duration)
 	}
-	if f.FamilyInfo.UpdateCap == 0 && f.FamilyInfo.ReloadSpan == nil {
-		f.FamilyInfo.ReloadSpan = new(time.Duration)
+	if f.FamilyInfo.MessageLimit == 0 && f.FamilyInfo.MessageSpan == nil {
+		f.FamilyInfo.MessageSpan = new(time.Duration)
 	}
 }
 
-// validate returns a SettingsError for the first required value that is missing, or for an impossible one.
+// validate returns a SettingsError for the first required setting that is missing, or for one that is out of range.
 func (f *settingsFile) validate() error {
 	family, guarantees := &f.FamilyInfo, &f.Guarantees
 	for _, required := range []struct {
 		key   string
 		isSet bool
 	}{
-		{"familyInfo.bare", family.Bare != nil},
-		{"familyInfo.interval", family.Interval != nil},
-		{"familyInfo.linesPerS", family.LinesPerS != nil},
-		{"familyInfo.perMessage", family.PerMessage != nil},
-		{"familyInfo.queueCap", family.QueueCap != nil},
-		{"familyInfo.reloadSpan", family.ReloadSpan != nil},
-		{"guarantees.askWithin", guarantees.AskWithin != nil},
-		{"guarantees.coldFrom", guarantees.ColdFrom != nil},
-		{"guarantees.fallMultiple", guarantees.FallMultiple != nil},
-		{"guarantees.overloadFor", guarantees.OverloadFor != nil},
-		{"guarantees.stopSendingWithin", guarantees.StopSendingWithin != nil},
-		{"guarantees.warmAfter", guarantees.WarmAfter != nil},
-		{"lanes", len(f.Lanes) > 0},
+		{"familyInfo.bare", family.MaxUnboundTime != nil},
+		{"familyInfo.interval", family.Period != nil},
+		{"familyInfo.linesPerS", family.EntryRate != nil},
+		{"familyInfo.perMessage", family.MessageEntries != nil},
+		{"familyInfo.queueCap", family.EntryCapacity != nil},
+		{"familyInfo.reloadSpan", family.MessageSpan != nil},
+		{"guarantees.askWithin", guarantees.ListRequestDeadline != nil},
+		{"guarantees.coldFrom", guarantees.ColdCapacity != nil},
+		{"guarantees.fallMultiple", guarantees.OverloadMultiple != nil},
+		{"guarantees.overloadFor", guarantees.OverloadTime != nil},
+		{"guarantees.stopSendingWithin", guarantees.DrainGrace != nil},
+		{"guarantees.warmAfter", guarantees.WarmupTime != nil},
+		{"lanes", len(f.Groups) > 0},
 		{"zones", len(f.Zones) > 0},
 	} {
 		if !required.isSet {
 			return SettingsError("the settings lack " + required.key)
 		}
 	}
-	if *family.Interval <= 0 || *family.LinesPerS <= 0 || *family.QueueCap <= 0 {
+	if *family.Period <= 0 || *family.EntryRate <= 0 || *family.EntryCapacity <= 0 {
 		return SettingsError("familyInfo.interval, familyInfo.linesPerS and familyInfo.queueCap must be above 0")
 	}
 	return nil
 }
 
-// rulesSettings converts valid settings into those of package rules.
+// rulesSettings converts valid settings to those of package rules.
 func (f *settingsFile) rulesSettings() rules.Settings {
 	family, guarantees := &f.FamilyInfo, &f.Guarantees
 	s := rules.Settings{
-		Governors:             f.Balancers,
-		Proxies:               family.DataPlane,
-		Zone:                  rules.ZoneID(f.MyZone),
+		Governors:             f.Governors,
+		Proxies:               family.Proxies,
+		Zone:                  rules.ZoneID(f.Zone),
 		Zones:                 len(f.Zones),
 		Slices:                family.Slices,
 		ListOnRequest:         f.listOnRequest(),
-		ProbesAllowed:         f.Permissions.Probing,
-		Period:                *family.Interval,
-		EntryRate:             *family.LinesPerS,
-		EntryCapacity:         *family.QueueCap,
-		MessageEntries:        *family.PerMessage,
-		MessageLimit:          family.UpdateCap,
-		MessageSpan:           *family.ReloadSpan,
-		MaxMessageDelay:       family.PushDelayMax,
-		FirstAttemptBudgets:   family.FirstWait,
-		FailuresToAvoid:       family.FailsToEject,
-		MinConnections:        family.LinksLeast,
-		ConnectionIdleTimeout: f.Permissions.LinkIdle,
-		MaxUnboundTime:        *family.Bare,
-		DrainGrace:            *guarantees.StopSendingWithin,
-		ListRequestDeadline:   *guarantees.AskWithin,
-		WarmupTime:            *guarantees.WarmAfter,
-		ColdCapacity:          *guarantees.ColdFrom,
-		OverloadMultiple:      *guarantees.FallMultiple,
-		OverloadTime:          *guarantees.OverloadFor,
+		ProbesAllowed:         f.Permissions.ProbesAllowed,
+		Period:                *family.Period,
+		EntryRate:             *family.EntryRate,
+		EntryCapacity:         *family.EntryCapacity,
+		MessageEntries:        *family.MessageEntries,
+		MessageLimit:          family.MessageLimit,
+		MessageSpan:           *family.MessageSpan,
+		MaxMessageDelay:       family.MaxMessageDelay,
+		FirstAttemptBudgets:   family.FirstAttemptBudgets,
+		FailuresToAvoid:       family.FailuresToAvoid,
+		MinConnections:        family.MinConnections,
+		ConnectionIdleTimeout: f.Permissions.ConnectionIdleTimeout,
+		MaxUnboundTime:        *family.MaxUnboundTime,
+		DrainGrace:            *guarantees.DrainGrace,
+		ListRequestDeadline:   *guarantees.ListRequestDeadline,
+		WarmupTime:            *guarantees.WarmupTime,
+		ColdCapacity:          *guarantees.ColdCapacity,
+		OverloadMultiple:      *guarantees.OverloadMultiple,
+		OverloadTime:          *guarantees.OverloadTime,
 	}
 	switch family.LevelKind {
 	case "fraction":
@@ -179,22 +180,22 @@
 	case "per_second":
 		s.Levels = rules.LevelRate
 	}
-	for i, lane := range f.Lanes {
-		group := lane.trafficGroup()
+	for i, g := range f.Groups {
+		group := g.trafficGroup()
 		group.HomeOnly = i < len(family.HomeOnly) && family.HomeOnly[i]
-		group.Writes = i < len(family.ClassWrites) && family.ClassWrites[i]
+		group.Writes = i < len(family.Writes) && family.Writes[i]
 		s.Groups = append(s.Groups, group)
 	}
 	return s
 }
 
-func (l laneSettings) trafficGroup() rules.TrafficGroup {
+func (l groupSettings) trafficGroup() rules.TrafficGroup {
 	group := rules.TrafficGroup{
 		Name:          l.Name,
-		LatencyBudget: l.Aim,
-		Expiry:        l.Deadline,
-		Utility:       l.Importance,
-		LateShare:     l.LateWorth,
+		LatencyBudget: l.LatencyBudget,
+		Expiry:        l.Expiry,
+		Utility:       l.Utility,
+		LateShare:     l.LateShare,
 		DedupedByAll:  l.Group == "all",
 		Window:        l.Window,
 	}
@@ -207,8 +208,7 @@
 	return group
 }
 
-// SetLoadMetric sets a figure of a load report by its name, that of the settings or that of the protocol page. Unknown names
-// are ignored.
+// SetLoadMetric sets a metric of a load report by its name in the settings or in the protocol. Unknown names are ignored.
 func SetLoadMetric(r *rules.LoadReport, name []byte, v float64) {
 	switch string(name) {
 	case "cpu_share", "util":
