--- a/internal/testbeds/modelcheck/membershipmodel/doc.go
+++ b/internal/testbeds/modelcheck/membershipmodel/doc.go
@@ -1,15 +1,15 @@
 // Package membershipmodel checks the rules of packages membership and chainreplication by exhaustive exploration of two
 // models (docs/design/control-plane.md):
 //
-//   - The message model (messages_*.go) covers one or two agreements and the chain in every order of messages, which may be
-//     late, lost or repeated, of writes that reach the disk, of kills and of lost disks.
-//   - The reconfiguration model (reconfiguration_*.go) covers many views: replacements, removals, kills, lost disks and
-//     graceful shutdowns in any order, with commands that are proposed again and linearizable reads. The agreement on a
-//     view is reduced in it to what the message model shows.
+//   - The message model (messages_*.go) covers one or two agreements and the chain with every order of messages, which may be
+//     delayed, lost or duplicated, of disk writes, kills and disk losses.
+//   - The reconfiguration model (reconfiguration_*.go) covers many views: replacements, removals, kills, disk losses and
+//     graceful shutdowns in any order, with retried commands and linearizable reads. It abstracts the agreement on a view to
+//     the properties that the message model verifies.
 //
-// Both are explored breadth first within bounds, so that the trace of a violation is a shortest one. Each model can be given
-// a Fault; that the exploration finds every fault shows that it would find such a mistake in the rules.
+// Both are explored breadth first within bounds, so that the trace of a violation is as short as possible. A Fault can be
+// injected into each model to verify that the exploration detects it.
 //
-// The models state the rules independently of the implementation and on purpose more freely: a member may propose any view
-// that the rules allow, at any time. Only the size of a quorum is taken from package membership.
+// The models specify the rules independently of the implementation and are less restrictive: a member may propose any view
+// that the rules allow, at any time. Only the quorum size is taken from package membership.
 package membershipmodel
--- a/internal/testbeds/modelcheck/membershipmodel/messages_agreement.go
+++ b/internal/testbeds/modelcheck/membershipmodel/messages_agreement.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// propose has a member of the chain begin an agreement on the next view.
+// propose emits the step in which a chain member starts an agreement on the next view.
 func (model *messageModel) propose(n *node, i int) {
 	m := &n.state.members[i]
 	if m.view.position(i) < 0 || !m.hasOwnDisk(i) || n.state.proposals >= uint8(model.bounds.Proposals) || m.view.number >= maxView {
@@ -16,7 +16,8 @@
 	model.emit(next, "%d prepares view %d", i, number)
 }
 
-// handlePrepare has a voter promise. The view that the proposal builds on is decided, so it may be learnt from the message.
+// handlePrepare emits a voter's reply to a prepare message. The view that the proposal is based on is decided, so that a voter
+// with an older view installs it first.
 func (model *messageModel) handlePrepare(n *node, i int, m message) {
 	voter := &n.state.members[i]
 	if base := m.view; voter.view.number < base.number {
@@ -42,8 +43,8 @@
 	model.emit(next, "%d promises ballot %d of view %d", i, m.ballot, m.viewNumber)
 }
 
-// handlePromise has the proposer begin phase 2 once a quorum has promised: with the view accepted under the highest ballot
-// or, if none was, with any view that it may want.
+// handlePromise emits the start of phase 2 once a quorum has promised: with the view accepted under the highest ballot or, if
+// there is none, with each candidate view.
 func (model *messageModel) handlePromise(n *node, i int, m message) {
 	proposer := &n.state.members[i]
 	if proposer.view.number != m.viewNumber-1 || int(m.ballot%ballotsPerRound)-1 != i {
@@ -69,7 +70,7 @@
 	for _, v := range values {
 		next := n.clone()
 		model.send(next, message{kind: accept, viewNumber: m.viewNumber, ballot: m.ballot, view: v})
-		model.emit(next, "%d asks to accept view %d: chain %v", i, m.viewNumber, v.chain[:v.length()])
+		model.emit(next, "%d requests acceptance of view %d: chain %v", i, m.viewNumber, v.chain[:v.length()])
 	}
 }
 
@@ -92,8 +93,8 @@
 	model.emit(next, "%d accepts view %d", i, m.viewNumber)
 }
 
-// learnDecision has a member learn a view that a quorum has accepted. Two different decisions on one number violate
-// agreement.
+// learnDecision emits the step in which a member learns a view that a quorum has accepted. Two different decisions with the same
+// number violate agreement.
 func (model *messageModel) learnDecision(n *node, i int) {
 	for _, m := range model.messages {
 		if m.kind != accepted || m.viewNumber <= n.state.members[i].view.number {
@@ -104,7 +105,7 @@
 		}
 		decided := n.state.decided[m.viewNumber]
 		if decided != (view{}) && decided != m.view {
-			n.violation = fmt.Sprintf("view %d is decided as chain %v and as chain %v", m.viewNumber, decided.chain, m.view.chain)
+			n.violation = fmt.Sprintf("view %d was decided with chain %v and with chain %v", m.viewNumber, decided.chain, m.view.chain)
 			return
 		}
 		next := n.clone()
@@ -115,7 +116,7 @@
 	}
 }
 
-// votesNeeded returns how many voters must have accepted a view for it to be decided.
+// votesNeeded returns the number of acceptances that decide a view.
 func (model *messageModel) votesNeeded(n *node, m message) int {
 	if model.fault == QuorumOfNewChain {
 		return max(m.view.length()-1, 1)
@@ -126,7 +127,7 @@
 	return view{voters: firstMembers(model.bounds.Members)}.quorum()
 }
 
-// mayVote reports whether member i has a vote on the view after its own.
+// mayVote reports whether member i may vote on the view after its own.
 func (model *messageModel) mayVote(m *member, i int) bool {
 	if !m.view.voters.has(i) && model.fault != NonVoterVotes {
 		return false
@@ -134,12 +135,12 @@
 	return m.hasOwnDisk(i) || model.fault == WipedMemberVotes
 }
 
-// belongsTo reports whether a message is of a kind and belongs to the same proposal as another.
+// belongsTo reports whether a message is of the given kind and belongs to the same proposal as another.
 func (m message) belongsTo(kind messageKind, other message) bool {
 	return m.kind == kind && m.viewNumber == other.viewNumber && m.ballot == other.ballot
 }
 
-// count returns how many messages of a kind were sent for the proposal that a message belongs to.
+// count returns the number of messages of a kind that were sent for the proposal of m.
 func (model *messageModel) count(kind messageKind, m message) int {
 	count := 0
 	for _, other := range model.messages {
@@ -150,13 +151,13 @@
 	return count
 }
 
-// candidateViews lists the views that a proposer may want after its own: without one other member, with one more, or both.
-// This is wider than the implementation's choice (membership.Node), which also judges who is healthy.
+// candidateViews lists the views that a proposer may propose after its own: without one other member, with a joiner, or both.
+// The implementation (membership.Node) proposes only some of these, as it also considers which members are healthy.
 func (model *messageModel) candidateViews(n *node, proposer int) []view {
 	var candidates []view
-	for dropped := nobody; dropped < model.bounds.Members; dropped++ {
-		for joiner := nobody; joiner < model.bounds.Members; joiner++ {
-			if dropped == nobody && joiner == nobody || dropped == proposer {
+	for dropped := noMember; dropped < model.bounds.Members; dropped++ {
+		for joiner := noMember; joiner < model.bounds.Members; joiner++ {
+			if dropped == noMember && joiner == noMember || dropped == proposer {
 				continue
 			}
 			if candidate, ok := model.candidateView(n, proposer, dropped, joiner); ok {
@@ -169,7 +170,7 @@
 
 func (model *messageModel) candidateView(n *node, proposer, dropped, joiner int) (view, bool) {
 	current := n.state.members[proposer].view
-	if dropped != nobody && current.position(dropped) < 0 {
+	if dropped != noMember && current.position(dropped) < 0 {
 		return view{}, false
 	}
 	next := view{number: current.number + 1, chain: inOrder(0), incarnations: current.incarnations, voters: current.voters}
@@ -181,7 +182,7 @@
 			length++
 		}
 	}
-	if joiner != nobody {
+	if joiner != noMember {
 		if next.position(joiner) >= 0 {
 			return view{}, false
 		}
--- a/internal/testbeds/modelcheck/membershipmodel/messages_replication.go
+++ b/internal/testbeds/modelcheck/membershipmodel/messages_replication.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// forwardAndCommit has every member forward what it holds, and the tail acknowledge it, and reports whether that changed
-// the node. Messages stay for ever, so sending them at once excludes no other course of events, and acknowledging early
-// only makes promises that are harder to keep.
+// forwardAndCommit lets every member forward its register and the tail acknowledge it, and reports whether that changed the node.
+// Doing so immediately excludes no other behavior, as sent messages remain deliverable, and an earlier acknowledgement only
+// makes the invariants stricter.
 func (model *messageModel) forwardAndCommit(n *node) bool {
 	changed := false
 	for i := range model.bounds.Members {
@@ -31,8 +31,8 @@
 	return changed
 }
 
-// acknowledge has the tail of a view acknowledge what it holds and reports whether anything is acknowledged for the first time. What was acknowledged must
-// be in each later acknowledgement.
+// acknowledge lets the tail of a view acknowledge its register and reports whether that acknowledges anything new. Each
+// acknowledgement must include everything acknowledged before.
 func (n *node) acknowledge(tail int, viewNumber uint8, held slots) bool {
 	old := n.state.committed
 	known := held == old && n.state.committedView >= viewNumber
@@ -42,7 +42,7 @@
 	}
 	for i := range old {
 		if old[i] != 0 && held[i] != old[i] && n.violation == "" {
-			n.violation = fmt.Sprintf("sequence %d was acknowledged as %d; the tail %d of view %d now acknowledges %d",
+			n.violation = fmt.Sprintf("sequence %d was acknowledged as entry %d; the tail %d of view %d acknowledges entry %d",
 				i+1, old[i], tail, viewNumber, held[i])
 		}
 	}
@@ -50,7 +50,7 @@
 	return true
 }
 
-// syncOrKill has what a member holds in memory reach its disk, or get lost.
+// syncOrKill emits the steps in which a member's memory is written to disk, or is lost by a kill.
 func (model *messageModel) syncOrKill(n *node, i int) {
 	m := &n.state.members[i]
 	if m.memory == m.disk && m.memorySyncedView == m.syncedView {
@@ -64,8 +64,8 @@
 	model.emit(killed, "%d is killed before it syncs", i)
 }
 
-// syncAtOnce brings what a member holds to disk. Where nothing is sent before that, being killed between the two is the
-// same as not having received the message.
+// syncAtOnce writes a member's memory to disk in the same step. As nothing is sent before the write, a kill between the two is
+// equivalent to not having received the message.
 func (model *messageModel) syncAtOnce(m *member) {
 	if model.fault != AckBeforeSync {
 		m.disk, m.syncedView = m.memory, m.memorySyncedView
@@ -88,8 +88,8 @@
 	model.emit(next, "%d loses its disk", i)
 }
 
-// allSynced reports whether all members are in the chain of one view, synced and with the disks that they had when it was
-// agreed on. Only then may a disk be lost.
+// allSynced reports whether all members are synced in the chain of one view, with the disks that they had when the view was
+// decided. Disks are lost only in this state.
 func (model *messageModel) allSynced(n *node) bool {
 	for i := range model.bounds.Members {
 		m := &n.state.members[i]
@@ -101,8 +101,8 @@
 	return true
 }
 
-// enterCommand has the head take a command.
-func (model *messageModel) enterCommand(n *node, i int) {
+// appendCommand emits the step in which the head appends a command.
+func (model *messageModel) appendCommand(n *node, i int) {
 	m := &n.state.members[i]
 	isHead := m.view.position(i) == 0 && m.hasOwnDisk(i)
 	if !isHead || n.state.commands >= uint8(model.bounds.Commands) || m.memory.length() >= len(m.memory) {
@@ -114,10 +114,10 @@
 	head.memory[m.memory.length()] = entry(m.view.number, next.state.commands)
 	head.memorySyncedView = m.view.number
 	model.syncAtOnce(head)
-	model.emit(next, "command %d enters at %d in view %d", next.state.commands, i, m.view.number)
+	model.emit(next, "command %d is appended by %d in view %d", next.state.commands, i, m.view.number)
 }
 
-// handleForward has a member take the register from its predecessor in the chain.
+// handleForward emits the step in which a member accepts the register of its predecessor in the chain.
 func (model *messageModel) handleForward(n *node, i int, m message) {
 	receiver := &n.state.members[i]
 	position := receiver.view.position(i)
@@ -135,5 +135,5 @@
 	changed := &next.state.members[i]
 	changed.memory, changed.memorySyncedView = m.slots, receiver.view.number
 	model.syncAtOnce(changed)
-	model.emit(next, "%d takes the register of view %d from %d", i, m.viewNumber, m.from)
+	model.emit(next, "%d accepts the register of view %d from %d", i, m.viewNumber, m.from)
 }
--- a/internal/testbeds/modelcheck/membershipmodel/messages_search.go
+++ b/internal/testbeds/modelcheck/membershipmodel/messages_search.go
@@ -31,7 +31,7 @@
 	result := Result{Complete: true}
 	for head := 0; head < len(queue); head++ {
 		n := queue[head]
-		queue[head] = nil // Lets its memory be reclaimed.
+		queue[head] = nil // Allows garbage collection.
 		result.States++
 		if result.States >= bounds.MaxStates {
 			result.Complete = false
@@ -49,7 +49,7 @@
 	return result
 }
 
-// WalkMessages takes random walks through the message model, for faults that lie deeper than exploration reaches.
+// WalkMessages takes random walks through the message model to find faults beyond the depth that exploration reaches.
 func WalkMessages(bounds Bounds, fault Fault, seed uint64, walks int) Result {
 	type step struct {
 		next *node
--- a/internal/testbeds/modelcheck/membershipmodel/messages_state.go
+++ b/internal/testbeds/modelcheck/membershipmodel/messages_state.go
@@ -8,20 +8,20 @@
 	"zincloft.example/zincloft/controlplane/membership"
 )
 
-// Bounds limit what happens in a run of the message model.
+// Bounds limit a run of the message model.
 type Bounds struct {
-	Members    int // maxMembers at the most.
-	Commands   int // 2 at the most.
-	DiskLosses int // Each waits until the one before has been made good.
+	Members    int // At most maxMembers.
+	Commands   int // At most maxSequence.
+	DiskLosses int // Only while all members are synced.
 	Proposals  int
-	MaxStates  int // Exploration ends after so many.
+	MaxStates  int // Exploration ends at this number.
 
-	// StartsWithJoiner begins in view 2, whose second member has just joined and is empty, after a command was
+	// StartsWithJoiner starts in view 2, whose second member has just joined with an empty register, after a command was
 	// acknowledged in view 1.
 	StartsWithJoiner bool
 
-	// StartsWithReplacement begins in view 2, in which the last member has taken the seat of the one before it, which has
-	// not heard of that view.
+	// StartsWithReplacement starts in view 2, in which the last member has replaced the one before it, which has not learned
+	// of that view.
 	StartsWithReplacement bool
 }
 
@@ -30,16 +30,16 @@
 	maxView     = 4
 	maxSequence = 2
 
-	// ballotsPerRound separates rounds: a ballot is its round times this, plus 1 + its proposer's index.
+	// A ballot is round*ballotsPerRound + 1 + the proposer's index.
 	ballotsPerRound = 8
 
-	// entriesPerView separates views: an entry is 1 + its view's number times this, plus the command's number.
+	// An entry is 1 + view number*entriesPerView + command number.
 	entriesPerView = 8
 
-	nobody = -1 // Stands for a member's index where none is meant.
+	noMember = -1 // Index for no member.
 )
 
-// In the initial states.
+// Values of the initial states.
 const (
 	firstView    = 1
 	secondView   = 2
@@ -48,42 +48,42 @@
 )
 
 type (
-	// slots says which command was entered under each sequence number, and in which view; 0: none.
+	// slots holds the entry of each sequence number, or 0 for none.
 	slots [maxSequence]uint8
 
-	// chainOrder lists the indices of members, head first; nobody after the last.
+	// chainOrder lists the indices of the chain's members, head first, padded with noMember.
 	chainOrder [maxMembers]int8
 
-	// memberSet has a bit for each member's index.
+	// memberSet is a bit set of member indices.
 	memberSet uint8
 
 	view struct {
 		number       uint8
 		chain        chainOrder
-		incarnations [maxMembers]uint8 // Of the members' disks.
+		incarnations [maxMembers]uint8 // Disk incarnations of the members.
 		unsynced     memberSet
-		voters       memberSet // Who decide on the next view.
+		voters       memberSet // Decide the next view.
 	}
 
 	member struct {
-		incarnation      uint8 // Of its disk.
+		incarnation      uint8 // Incremented when the disk is lost.
 		view             view
 		promised         uint8
 		acceptedBallot   uint8
 		acceptedView     view
 		memory, disk     slots
-		syncedView       uint8 // On disk.
-		memorySyncedView uint8
+		syncedView       uint8 // The last view in which the member was synced, on disk.
+		memorySyncedView uint8 // As syncedView, in memory.
 	}
 
 	state struct {
 		members       [maxMembers]member
 		committed     slots
-		committedView uint8 // The newest view in which something was acknowledged.
+		committedView uint8 // The newest view with an acknowledgement.
 		commands      uint8
 		diskLosses    uint8
 		proposals     uint8
-		decided       [maxView + 2]view // By number, as somebody has learnt.
+		decided       [maxView + 2]view // Learned views, by number.
 	}
 
 	messageKind uint8
@@ -108,7 +108,7 @@
 	forward
 )
 
-// entry is what slots hold of a command.
+// entry returns the entry of a command in slots.
 func entry(viewNumber, command uint8) uint8 { return 1 + viewNumber*entriesPerView + command }
 
 func (s slots) length() int {
@@ -119,11 +119,11 @@
 	return n
 }
 
-// inOrder returns the chain of the first members, by index.
+// inOrder returns the chain of the members 0 to length-1.
 func inOrder(length int) chainOrder {
 	var chain chainOrder
 	for i := range chain {
-		chain[i] = nobody
+		chain[i] = noMember
 		if i < length {
 			chain[i] = int8(i)
 		}
@@ -133,26 +133,26 @@
 
 func (s memberSet) has(i int) bool { return s&(1<<i) != 0 }
 
-// firstMembers returns the set of so many members.
+// firstMembers returns the set of the members 0 to count-1.
 func firstMembers(count int) memberSet { return 1<<count - 1 }
 
 func (v view) position(i int) int { return slices.Index(v.chain[:], int8(i)) }
 
 func (v view) length() int {
 	n := 0
-	for n < maxMembers && v.chain[n] != nobody {
+	for n < maxMembers && v.chain[n] != noMember {
 		n++
 	}
 	return n
 }
 
-// quorum returns how many of the voters decide on the next view.
+// quorum returns the number of voters that decide the next view.
 func (v view) quorum() int { return membership.QuorumOf(bits.OnesCount8(uint8(v.voters))) }
 
-// hasOwnDisk reports whether member i still has the disk that it had when its view was agreed on.
+// hasOwnDisk reports whether member i still has the disk that it had when its view was decided.
 func (m *member) hasOwnDisk(i int) bool { return m.incarnation == m.view.incarnations[i] }
 
-// installView makes a decided view the present one of member i. The head has nobody to be synced by.
+// installView makes a decided view the current view of member i. The head is synced by definition.
 func (m *member) installView(i int, v view) {
 	m.view, m.promised, m.acceptedBallot, m.acceptedView = v, 0, 0, view{}
 	if v.position(i) == 0 && m.hasOwnDisk(i) {
@@ -161,17 +161,17 @@
 	}
 }
 
-// node is a state together with the messages that were ever sent. None is taken away, so each may arrive at any time, more
-// than once or never.
+// node is a state with all messages sent so far. Messages are never removed, so that each may arrive at any time, repeatedly or
+// never.
 type node struct {
 	state     state
-	sent      []uint16 // Numbers of messages in a messageTable, ascending.
+	sent      []uint16 // Message numbers of a messageTable, ascending.
 	violation string
 }
 
 func (n *node) clone() *node { return &node{state: n.state, sent: slices.Clone(n.sent)} }
 
-// fingerprint stands for a node in the set of those seen.
+// fingerprint identifies a node in the set of explored nodes.
 type fingerprint [2]uint64
 
 var fingerprintSeeds = [len(fingerprint{})]maphash.Seed{maphash.MakeSeed(), maphash.MakeSeed()}
@@ -190,7 +190,7 @@
 	return digest
 }
 
-// messageTable gives messages numbers.
+// messageTable assigns numbers to messages.
 type messageTable struct {
 	numbers  map[message]uint16
 	messages []message
@@ -208,7 +208,7 @@
 	return number
 }
 
-// initialNode returns the node in which a run begins.
+// initialNode returns the initial node of a run.
 func initialNode(bounds Bounds) *node {
 	first := view{number: firstView, chain: inOrder(bounds.Members), voters: firstMembers(bounds.Members)}
 	start := &node{}
@@ -217,10 +217,10 @@
 	}
 	start.state.members[firstHead].markSynced(firstView)
 	if bounds.StartsWithJoiner {
-		start.beginWithJoiner(bounds.Members, first)
+		start.startWithJoiner(bounds.Members, first)
 	}
 	if bounds.StartsWithReplacement {
-		start.beginWithReplacement(bounds.Members, first)
+		start.startWithReplacement(bounds.Members, first)
 	}
 	return start
 }
@@ -229,7 +229,7 @@
 	m.syncedView, m.memorySyncedView = viewNumber, viewNumber
 }
 
-func (n *node) beginWithJoiner(members int, first view) {
+func (n *node) startWithJoiner(members int, first view) {
 	joiner := members - 1
 	acknowledged := slots{entry(firstView, firstCommand)}
 	second := view{number: secondView, chain: inOrder(1), unsynced: 1 << joiner, voters: first.voters}
@@ -243,10 +243,10 @@
 	n.state.committed, n.state.committedView, n.state.commands = acknowledged, firstView, 1
 }
 
-func (n *node) beginWithReplacement(members int, first view) {
+func (n *node) startWithReplacement(members int, first view) {
 	joiner, leaver := members-1, members-2
 	first.voters &^= 1 << joiner
-	first.chain[joiner] = nobody
+	first.chain[joiner] = noMember
 	second := first
 	second.number = secondView
 	second.chain[leaver] = int8(joiner)
--- a/internal/testbeds/modelcheck/membershipmodel/messages_steps.go
+++ b/internal/testbeds/modelcheck/membershipmodel/messages_steps.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// messageModel is the rules of one agreement and of the chain, with all messages.
+// messageModel models one or two agreements and the chain at the level of messages.
 type messageModel struct {
 	bounds   Bounds
 	fault    Fault
 	table    *messageTable
-	messages []message // Those sent in the node at hand.
+	messages []message // Messages sent so far in the node being expanded.
 
-	// emit takes a node that may follow the one at hand, and the step that leads there as a format and its arguments.
+	// emit is called with each successor of the node being expanded, and the step that leads to it as a format and arguments.
 	emit func(next *node, step string, args ...any)
 }
 
-// expand emits every node that may follow and returns the invariant that is violated, if one is.
+// expand emits all successors of a node and returns the violated invariant, or "".
 //
-// What may happen at once without making anything else impossible does so before all else.
+// Forwarding and acknowledging take precedence over other steps, which does not exclude any behavior.
 func (model *messageModel) expand(n *node) string {
 	model.readMessages(n)
 	if model.forwardAndCommit(n) {
@@ -27,7 +27,7 @@
 	for i := range model.bounds.Members {
 		model.syncOrKill(n, i)
 		model.loseDisk(n, i)
-		model.enterCommand(n, i)
+		model.appendCommand(n, i)
 		model.propose(n, i)
 		for _, m := range model.messages {
 			model.deliver(n, i, m)
@@ -51,7 +51,7 @@
 	}
 }
 
-// deliver has a member receive a message.
+// deliver emits the steps in which a member receives a message.
 func (model *messageModel) deliver(n *node, i int, m message) {
 	switch m.kind {
 	case prepare:
@@ -62,6 +62,6 @@
 		model.handleAccept(n, i, m)
 	case forward:
 		model.handleForward(n, i, m)
-	case accepted: // See learnDecision.
+	case accepted: // Handled by learnDecision.
 	}
 }
