--- a/internal/tools/emulate/attempt.go
+++ b/internal/tools/emulate/attempt.go
@@ -2,32 +2,32 @@
 
 import "zincloft.example/zincloft/rules"
 
-// attemptOutcome is what became of an attempt, as its proxy learns it.
+// attemptOutcome is the result of an attempt as observed by its proxy.
 type attemptOutcome int
 
 const (
 	succeeded         attemptOutcome = iota
-	answeredBadly                    // it ran
-	connectionRefused                // the replica has no connection left: it never ran
-	unreachable                      // nobody there: it never ran
-	connectionReset                  // it may have run
-	timedOut                         // it may have run
+	errorResponse                    // executed by the replica
+	connectionRefused                // connection limit reached; not executed
+	unreachable                      // replica down or no eligible endpoint; not executed
+	connectionReset                  // possibly executed
+	timedOut                         // possibly executed
 )
 
-// neverRan reports whether the outcome proves that the replica did not begin.
-func (o attemptOutcome) neverRan() bool { return o == connectionRefused || o == unreachable }
+// notExecuted reports whether the outcome proves that the replica did not start executing the attempt.
+func (o attemptOutcome) notExecuted() bool { return o == connectionRefused || o == unreachable }
 
-// attempt is one sending of a flow to a replica.
+// attempt is one transmission of a flow to a replica.
 type attempt struct {
 	flow    *flow
 	proxy   *proxy
 	replica *replica
 	sentAt  rules.Time
-	work    float64 // seconds of a core at speed 1, with the connection's handshake
+	work    float64 // core-seconds at speed 1, including a connection handshake
 
-	replicaIncarnation int        // that received it
-	waiting            bool       // in the replica's queue
-	running            bool       // on one of its cores
-	startedAt          rules.Time // on the core
-	done               bool       // answered, given up or lost: nothing that comes later counts
+	replicaIncarnation int        // incarnation of the replica that received the attempt
+	queued             bool       // in the replica's queue
+	executing          bool       // on one of the replica's cores
+	startedAt          rules.Time // start of execution
+	done               bool       // completed, timed out or canceled; later callbacks are ignored
 }
--- a/internal/tools/emulate/baseline.go
+++ b/internal/tools/emulate/baseline.go
@@ -9,53 +9,54 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// The policies that rules.Governor is compared with. They know nothing of channels: run them with Config.UnlimitedChannel.
+// The baseline policies that rules.Governor is compared with. They do not respect channel limits and must be run with
+// Config.UnlimitedChannel.
 const (
-	// EqualWeights gives all replicas the same weight.
+	// EqualWeights assigns the same weight to every ready replica.
 	EqualWeights = "even"
-	// LeastLoaded sends everything to the quarter of the replicas that report the least load. Reports are late.
+	// LeastLoaded routes only to the quarter of the replicas with the lowest reported utilization, which may be stale.
 	LeastLoaded = "least_loaded"
-	// TwoChoices is EqualWeights with the proxies picking by PickPowerOfTwoChoices.
+	// TwoChoices is EqualWeights with proxies that use PickPowerOfTwoChoices.
 	TwoChoices = "two_choices"
-	// Oracle sees what each replica does and which are up, trueStateDelay late: an upper bound.
+	// Oracle derives weights from the true state of every replica, delayed by oracleDelay. It is an upper bound.
 	Oracle = "true_state"
 )
 
 const (
-	// baselineTableSize is how many replicas a table of a baseline names: proxies that meet all replicas open more connections
-	// than replicas accept.
+	// baselineTableSize is the number of replicas in a table of a baseline. If every proxy used every replica, the connection
+	// limits of the replicas would be exceeded.
 	baselineTableSize = 8
-	// leastLoadedPerTable is how many replicas of each table LeastLoaded uses.
+	// leastLoadedPerTable is the number of replicas of each table that LeastLoaded uses.
 	leastLoadedPerTable = baselineTableSize / 4
-	// trueStateDelay is how late Oracle sees the fleet.
-	trueStateDelay = 500 * time.Millisecond
-	// minIdleShare is the share of its cores that Oracle counts as idle on a replica that is busy, so that it keeps a weight.
+	// oracleDelay is the age of the fleet state that Oracle uses.
+	oracleDelay = 500 * time.Millisecond
+	// minIdleShare is the minimum share of cores that Oracle counts as idle, so that a fully busy replica keeps a weight.
 	minIdleShare = 0.15
-	// updateInterval is how often a baseline renews its tables, and updateMark marks the wake-ups for it.
-	updateInterval = trueStateDelay / 2
-	updateMark     = 1
+	// updateInterval is the interval of table updates, and updateTimerID identifies their timer.
+	updateInterval = oracleDelay / 2
+	updateTimerID  = 1
 )
 
-// BaselinePolicies returns the names of all baselines.
+// BaselinePolicies returns the names of all baseline policies.
 func BaselinePolicies() []string { return []string{EqualWeights, LeastLoaded, TwoChoices, Oracle} }
 
-// baseline is a Decider that gives each eight replicas a table, and each proxy one of the tables, by their numbers.
+// baseline is a Decider that partitions replicas into tables of baselineTableSize and assigns proxies to tables by ID.
 type baseline struct {
 	sim          *Simulation
 	policy       string
-	load         map[rules.ReplicaID]float64 // utilization last reported
+	load         map[rules.ReplicaID]float64 // last reported utilization
 	ready        map[rules.ReplicaID]bool
-	tables       map[rules.TableID]map[rules.ReplicaID]float64 // as ordered
-	observations []observation                                 // of Oracle, oldest first
+	tables       map[rules.TableID]map[rules.ReplicaID]float64 // as last ordered
+	observations []observation                                 // for Oracle, oldest first
 }
 
-// observation is the true state at a time.
+// observation holds the weights derived from the true state at a point in time.
 type observation struct {
 	at      rules.Time
 	weights map[rules.ReplicaID]float64
 }
 
-// NewBaseline returns a constructor of the baseline of a name, for Config.NewDecider; nil if there is none.
+// NewBaseline returns a constructor for Config.NewDecider, or nil if the policy is unknown.
 func NewBaseline(policy string) func(*Simulation, int) Decider {
 	if !slices.Contains(BaselinePolicies(), policy) {
 		return nil
@@ -77,7 +78,7 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case rules.Start:
-			orders = append(orders, rules.WatchList{On: true}, rules.WakeAfter{After: updateInterval, TimerID: updateMark})
+			orders = append(orders, rules.WatchList{On: true}, rules.WakeAfter{After: updateInterval, TimerID: updateTimerID})
 		case rules.List:
 			if e.Scope == rules.Failed {
 				orders = append(orders, rules.WatchList{On: true})
@@ -90,7 +91,7 @@
 			}
 		case rules.Wake:
 			orders = append(orders, b.updateTables(now)...)
-			orders = append(orders, rules.WakeAfter{After: updateInterval, TimerID: updateMark})
+			orders = append(orders, rules.WakeAfter{After: updateInterval, TimerID: updateTimerID})
 		case rules.Joined:
 			orders = append(orders, rules.Bind{Proxy: e.Proxy, Table: rules.TableID(int(e.Proxy) % b.tableCount())})
 		}
@@ -110,51 +111,52 @@
 
 func (b *baseline) tableCount() int { return max(b.sim.fleet.Replicas/baselineTableSize, 1) }
 
-// tableOf is the number of the table that names a replica.
-func (b *baseline) tableOf(id rules.ReplicaID) int { return int(id) % b.tableCount() }
+// tableIndex is the index of the table that contains a replica.
+func (b *baseline) tableIndex(id rules.ReplicaID) int { return int(id) % b.tableCount() }
 
-// updateTables orders what has changed in all tables. A table whose own replicas are all gone names all others.
+// updateTables returns the orders that bring all tables up to date. A table without ready replicas of its own falls back to
+// all ready replicas.
 func (b *baseline) updateTables(now rules.Time) []rules.Order {
 	var orders []rules.Order
 	all := b.weights(now)
 	for table := range b.tableCount() {
-		wanted := map[rules.ReplicaID]float64{}
+		desired := map[rules.ReplicaID]float64{}
 		for id, weight := range all {
-			if b.tableOf(id) == table {
-				wanted[id] = weight
+			if b.tableIndex(id) == table {
+				desired[id] = weight
 			}
 		}
-		if len(wanted) == 0 {
-			wanted = all
+		if len(desired) == 0 {
+			desired = all
 		}
-		orders = append(orders, b.updateTable(rules.TableID(table), wanted)...)
+		orders = append(orders, b.updateTable(rules.TableID(table), desired)...)
 	}
 	return orders
 }
 
-// updateTable orders what differs between a table and what is wanted of it, in the order of the replicas.
-func (b *baseline) updateTable(table rules.TableID, wanted map[rules.ReplicaID]float64) []rules.Order {
-	present := b.tables[table]
-	ids := slices.Collect(maps.Keys(wanted))
-	for id := range present {
+// updateTable returns the orders that change a table to the desired weights, sorted by replica.
+func (b *baseline) updateTable(table rules.TableID, desired map[rules.ReplicaID]float64) []rules.Order {
+	current := b.tables[table]
+	ids := slices.Collect(maps.Keys(desired))
+	for id := range current {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	var orders []rules.Order
 	for _, id := range slices.Compact(ids) {
-		if present[id] != wanted[id] {
-			orders = append(orders, rules.EndpointWeight{Table: table, Replica: id, Weight: wanted[id]})
+		if current[id] != desired[id] {
+			orders = append(orders, rules.EndpointWeight{Table: table, Replica: id, Weight: desired[id]})
 		}
 	}
-	b.tables[table] = wanted
+	b.tables[table] = desired
 	return orders
 }
 
-// weights are the weights of all replicas by the policy.
+// weights computes the weights of all replicas under the policy.
 func (b *baseline) weights(now rules.Time) map[rules.ReplicaID]float64 {
 	switch b.policy {
 	case Oracle:
-		return b.trueStateWeights(now)
+		return b.oracleWeights(now)
 	case LeastLoaded:
 		return b.leastLoadedWeights()
 	}
@@ -165,8 +167,8 @@
 	return weights
 }
 
-// trueStateWeights observes the fleet and returns the latest observation that is old enough.
-func (b *baseline) trueStateWeights(now rules.Time) map[rules.ReplicaID]float64 {
+// oracleWeights records the state of the fleet and returns the most recent observation that is at least oracleDelay old.
+func (b *baseline) oracleWeights(now rules.Time) map[rules.ReplicaID]float64 {
 	weights := map[rules.ReplicaID]float64{}
 	for _, r := range b.sim.replicas {
 		if r.up && r.state == rules.Ready && r.hung == 0 && r.errorShare == 0 {
@@ -176,20 +178,20 @@
 		}
 	}
 	b.observations = append(b.observations, observation{now, weights})
-	for len(b.observations) > 1 && b.observations[1].at <= now-rules.Time(trueStateDelay) {
+	for len(b.observations) > 1 && b.observations[1].at <= now-rules.Time(oracleDelay) {
 		b.observations = b.observations[1:]
 	}
 	return b.observations[0].weights
 }
 
-// leastLoadedWeights gives a weight to the replicas of each table that report the least load.
+// leastLoadedWeights assigns a weight to the replicas of each table that report the lowest utilization.
 func (b *baseline) leastLoadedWeights() map[rules.ReplicaID]float64 {
 	ids := slices.Collect(maps.Keys(b.ready))
 	slices.SortFunc(ids, func(x, y rules.ReplicaID) int { return cmp.Or(cmp.Compare(b.load[x], b.load[y]), cmp.Compare(x, y)) })
 	weights := map[rules.ReplicaID]float64{}
 	used := map[int]int{} // by table
 	for _, id := range ids {
-		if table := b.tableOf(id); used[table] < leastLoadedPerTable {
+		if table := b.tableIndex(id); used[table] < leastLoadedPerTable {
 			used[table]++
 			weights[id] = 1
 		}
--- a/internal/tools/emulate/clientbehavior.go
+++ b/internal/tools/emulate/clientbehavior.go
@@ -1,14 +1,14 @@
 package emulate
 
-// Bounds of the factors by which faults change the rate of arrivals.
+// Lower bounds of the factors by which faults scale the arrival rate.
 const (
-	minArrivalFactor   = 0.01
-	minElsewhereFactor = 0.05 // outside the zone that flows shift to
+	minArrivalFactor    = 0.01
+	minOtherZonesFactor = 0.05 // for zones other than the target of a traffic shift
 )
 
-// changeClients has clients behave differently: the functions below read the fault while it is active. It ends by becoming
-// a fault of no effect.
-func (f *activeFault) changeClients() {
+// alterClientBehavior schedules the end of a client fault, which is then turned into a fault without effect. While the fault is
+// active, the methods below read its parameters.
+func (f *activeFault) alterClientBehavior() {
 	f.whenOver(func() {
 		f.log("over: " + f.Kind)
 		f.Factor = 1
@@ -16,7 +16,7 @@
 	})
 }
 
-// eachActiveFault visits the faults of a kind that have begun.
+// eachActiveFault calls visit for each started fault of a kind.
 func (sim *Simulation) eachActiveFault(kind string, visit func(*activeFault)) {
 	for _, f := range sim.faults {
 		if f.began && f.Kind == kind {
@@ -25,7 +25,7 @@
 	}
 }
 
-// arrivalFactor is how many times its usual rate of flows a proxy has.
+// arrivalFactor returns the factor by which active faults scale the arrival rate of a proxy.
 func (sim *Simulation) arrivalFactor(p *proxy) float64 {
 	factor := 1.0
 	sim.eachActiveFault(FaultTrafficBurst, func(f *activeFault) { factor *= max(f.Factor, minArrivalFactor) })
@@ -37,22 +37,22 @@
 		zones := float64(sim.fleet.Zones)
 		if p.zone == target {
 			factor *= max(f.Factor, minArrivalFactor)
-		} else if zones > 1 { // the others lose what the zone gains
-			factor *= max((zones-f.Factor)/(zones-1), minElsewhereFactor)
+		} else if zones > 1 { // total traffic stays constant
+			factor *= max((zones-f.Factor)/(zones-1), minOtherZonesFactor)
 		}
 	})
 	return factor
 }
 
-// clientTimeoutShare is the share of a flow's expiry after which its client gives an attempt up.
+// clientTimeoutShare returns the client timeout as a share of a flow's expiry.
 func (sim *Simulation) clientTimeoutShare() float64 {
 	share := sim.fleet.ClientTimeoutShare
 	sim.eachActiveFault(FaultShortClientTimeout, func(f *activeFault) { share *= min(f.Factor, 1) })
 	return share
 }
 
-// clientRetries is how often a client retries.
-func (sim *Simulation) clientRetries() int {
+// maxClientRetries returns the maximum number of retries by a client.
+func (sim *Simulation) maxClientRetries() int {
 	retries := sim.fleet.ClientRetries
 	sim.eachActiveFault(FaultRetryStorm, func(f *activeFault) { retries *= int(max(f.Factor, 1)) })
 	return retries
--- a/internal/tools/emulate/connection.go
+++ b/internal/tools/emulate/connection.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// useConnection reports whether a connection to a replica is open, and renews its idle time-out.
+// useConnection reports whether a connection to a replica is open and, if so, resets its idle timeout.
 func (p *proxy) useConnection(r *replica) bool {
 	if _, open := p.connections[r.id]; !open {
 		return false
@@ -14,14 +14,14 @@
 	return true
 }
 
-// openConnection opens a connection. It closes once it has been idle for the fleet's time-out, and within twice that.
+// openConnection opens a connection that is closed after the fleet's idle timeout.
 func (p *proxy) openConnection(r *replica) {
 	p.connections[r.id] = p.sim.now
 	r.connections++
 	p.scheduleIdleClose(r, r.incarnation, p.incarnation)
 }
 
-// scheduleIdleClose checks a connection after the time-out, and closes it if it was not used meanwhile.
+// scheduleIdleClose closes a connection after the idle timeout unless it is used in the meantime.
 func (p *proxy) scheduleIdleClose(r *replica, replicaIncarnation, proxyIncarnation int) {
 	sim, timeout := p.sim, p.sim.fleet.ConnectionIdleTimeout
 	sim.schedule(timeout, func() {
@@ -38,10 +38,10 @@
 	})
 }
 
-// resetAttempts ends the attempts at a replica that has just crashed and reset its connections.
+// resetAttempts fails the accepted attempts at a replica that has just crashed.
 func (p *proxy) resetAttempts(r *replica) {
 	for _, t := range slices.Clone(p.activeAttempts) {
-		accepted := t.running || t.waiting
+		accepted := t.executing || t.queued
 		if t.replica == r && !t.done && t.replicaIncarnation == r.incarnation-1 && accepted {
 			r.respond(t, connectionReset)
 		}
--- a/internal/tools/emulate/discovery.go
+++ b/internal/tools/emulate/discovery.go
@@ -6,27 +6,27 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Delays of calls to discovery.
+// Delays of discovery calls.
 const (
-	maxCallDelay = 20 * time.Millisecond  // until an answer arrives, at most; half of it at least
-	refusalDelay = 500 * time.Millisecond // until a call to discovery that is down is known to have failed
+	maxCallDelay = 20 * time.Millisecond  // maximum response delay; the minimum is half of it
+	refusalDelay = 500 * time.Millisecond // until a call fails during an outage
 )
 
-// discovery is the service that lists replicas. It learns of changes late, and tells each governor that watches it.
+// discovery is the service that lists replicas. It observes changes with a delay and notifies all watching governors.
 type discovery struct {
 	sim            *Simulation
-	entries        []rules.Entry // by replica
+	entries        []rules.Entry // by replica ID
 	version        int
-	changeVersions []int // of the last change of each entry
+	changeVersions []int // version of the last change of each entry
 	notified       map[*governor]notification
-	outages        int           // faults in effect that take it down
-	extraDelay     time.Duration // added to its usual delay by faults
+	outages        int           // number of active faults that make it unavailable
+	extraDelay     time.Duration // delay added by faults
 }
 
-// notification is the version up to which an incarnation of a governor has been told.
+// notification is the last version sent to an incarnation of a governor.
 type notification struct{ incarnation, version int }
 
-// start lists the replicas that the run starts with.
+// start lists the initial replicas.
 func (d *discovery) start(sim *Simulation) {
 	d.sim, d.notified = sim, map[*governor]notification{}
 	for _, r := range sim.replicas {
@@ -36,12 +36,12 @@
 	d.version = 1
 }
 
-// entry is how a replica is listed in its present state.
+// entry returns the discovery entry for the current state of a replica.
 func (r *replica) entry() rules.Entry {
 	return rules.Entry{Replica: r.id, Zone: rules.ZoneID(r.zone), Kind: rules.KindID(r.kind), State: r.state, Listed: 1, StartedAt: r.startedAt}
 }
 
-// update has discovery learn of a replica's present state after a delay.
+// update publishes the current state of a replica after the discovery delay.
 func (d *discovery) update(r *replica) {
 	sim := d.sim
 	entry := r.entry()
@@ -60,15 +60,15 @@
 	})
 }
 
-// notify sends a governor what it has not been told yet, if anything.
+// notify sends a governor the changes that it has not received yet, if any.
 func (d *discovery) notify(g *governor) {
-	if last, told := d.notified[g]; told && last.incarnation == g.incarnation && last.version == d.version {
+	if last, ok := d.notified[g]; ok && last.incarnation == g.incarnation && last.version == d.version {
 		return
 	}
 	d.sendUpdate(g)
 }
 
-// sendUpdate sends the changes since the last update; all replicas that are not gone if this incarnation has had none.
+// sendUpdate sends the changes since the last update, or the full list if this incarnation has not received one.
 func (d *discovery) sendUpdate(g *governor) {
 	last := d.notified[g]
 	update := rules.List{Scope: rules.Changes}
@@ -76,8 +76,8 @@
 		update.Scope, last.version = rules.Full, -1
 	}
 	for i, entry := range d.entries {
-		needless := update.Scope == rules.Full && entry.State == rules.Deregistered
-		if d.changeVersions[i] > last.version && !needless {
+		omitted := update.Scope == rules.Full && entry.State == rules.Deregistered
+		if d.changeVersions[i] > last.version && !omitted {
 			update.Entries = append(update.Entries, entry)
 		}
 	}
@@ -85,7 +85,7 @@
 	g.post(update)
 }
 
-// watch begins a governor's watch. Its first answer comes at once; while discovery is down the call fails.
+// watch starts the watch of a governor, which first receives an update. During an outage the call fails.
 func (d *discovery) watch(g *governor) {
 	incarnation := g.incarnation
 	if d.outages > 0 {
@@ -104,13 +104,13 @@
 	})
 }
 
-// refetch has a governor sent the complete list again.
+// refetch sends the full list to a governor again.
 func (d *discovery) refetch(g *governor) {
 	delete(d.notified, g)
 	d.watch(g)
 }
 
-// startOutage takes discovery down. All watches end at the same time.
+// startOutage makes discovery unavailable and terminates all watches.
 func (d *discovery) startOutage() {
 	d.outages++
 	if d.outages > 1 {
--- a/internal/tools/emulate/eventqueue.go
+++ b/internal/tools/emulate/eventqueue.go
@@ -7,20 +7,20 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// event is an action at a simulated time.
+// event is an action scheduled at a simulated time.
 type event struct {
 	at       rules.Time
-	sequence uint64 // breaks ties: events of the same time run in the order in which they were scheduled
+	sequence uint64 // tie-breaker: simultaneous events run in scheduling order
 	action   func()
 }
 
-// eventQueue is a heap of future events, the next one first.
+// eventQueue is a min-heap of future events, ordered by time and sequence.
 type eventQueue []event
 
 // Len implements heap.Interface.
 func (q eventQueue) Len() int { return len(q) }
 
-// Less implements heap.Interface. The order is total, so that a run depends on nothing but its configuration.
+// Less implements heap.Interface. The order is total, which keeps runs deterministic.
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
@@ -35,12 +35,12 @@
 func (q *eventQueue) Pop() any {
 	last := len(*q) - 1
 	popped := (*q)[last]
-	(*q)[last] = event{} // lets the action be collected
+	(*q)[last] = event{} // releases the action for garbage collection
 	*q = (*q)[:last]
 	return popped
 }
 
-// schedule has an action run after a delay. A negative delay counts as none.
+// schedule runs an action after a delay. A negative delay counts as 0.
 func (sim *Simulation) schedule(delay time.Duration, action func()) {
 	sim.eventCount++
 	heap.Push(&sim.events, event{sim.now + rules.Time(max(delay, 0)), sim.eventCount, action})
--- a/internal/tools/emulate/fault.go
+++ b/internal/tools/emulate/fault.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The kinds of fault, as scenario files name them.
+// The fault kinds, with their names in scenario files.
 const (
 	FaultCrash               = "crash"
 	FaultSilentCrash         = "vanish"
@@ -40,20 +40,20 @@
 	FaultNone                = "clear_of_troubles"
 )
 
-// Fault is something that goes wrong, or changes, for a time.
+// Fault is a failure or a change of load or fleet that is injected into a run.
 type Fault struct {
 	Kind         string        `toml:"kind"`
-	At           time.Duration `toml:"at"`               // from the start, or from the moment that Trigger describes
-	Duration     time.Duration `toml:"for" json:"For"`   // how long it lasts, or over how long it is spread; 0: to the end
-	Share        float64       `toml:"share"`            // of the replicas, proxies or governors that it hits
-	Zone         *int          `toml:"zone"`             // it hits only this one; for faults of a zone: which one
-	Factor       float64       `toml:"factor"`           // how strong it is; see the kind's description
-	RecoverAfter time.Duration `toml:"back" json:"Back"` // what crashed comes back after this; 0: never
-	Trigger      string        `toml:"when" json:"When"` // a figure of the second before ("dropped > 0.1", "late > 0.2", "load > 0.8") or the name of a fault
-	Name         string        `toml:"name"`             // for the Trigger of others, which begin with this one
+	At           time.Duration `toml:"at"`               // offset from the start of the run or from the trigger
+	Duration     time.Duration `toml:"for" json:"For"`   // duration, or the period over which changes are spread; 0: until the end
+	Share        float64       `toml:"share"`            // of the replicas, proxies or governors that are affected
+	Zone         *int          `toml:"zone"`             // restricts the fault to a zone; for zone faults, the affected zone
+	Factor       float64       `toml:"factor"`           // magnitude; see DescribeFault
+	RecoverAfter time.Duration `toml:"back" json:"Back"` // time until a crashed process restarts; 0: never
+	Trigger      string        `toml:"when" json:"When"` // condition on the previous second ("dropped > 0.1", "late > 0.2", "load > 0.8") or the name of a fault
+	Name         string        `toml:"name"`             // referenced by the Trigger of other faults
 }
 
-// faultDescriptions describe the kinds to people. A result's log of faults has them too, so they stay as they are.
+// faultDescriptions describe the fault kinds. They are part of the fault log in results and must not change.
 var faultDescriptions = map[string]string{
 	FaultCrash:               "a share of the replicas dies; cold after back",
 	FaultSilentCrash:         "the same, without a word: nothing is reset",
@@ -83,16 +83,17 @@
 	FaultNone:                "nothing: a mark that others may wait for",
 }
 
-// FaultKinds returns all kinds of fault, sorted.
+// FaultKinds returns the names of all fault kinds, sorted.
 func FaultKinds() []string { return slices.Sorted(maps.Keys(faultDescriptions)) }
 
-// DescribeFault says what a kind of fault does, and what its share and factor mean; "" for an unknown one.
+// DescribeFault returns the description of a fault kind, including the meaning of its share and factor, or "" if the kind is
+// unknown.
 func DescribeFault(kind string) string { return faultDescriptions[kind] }
 
-// Validate returns an error that names the key of the first impossible value.
+// Validate returns an error that names the TOML key of the first invalid value.
 func (f *Fault) Validate(fleet *Fleet) error {
-	if _, is := faultDescriptions[f.Kind]; !is {
-		return fmt.Errorf("kind: there is no %q; there are %s", f.Kind, strings.Join(FaultKinds(), ", "))
+	if _, ok := faultDescriptions[f.Kind]; !ok {
+		return fmt.Errorf("kind: unknown kind %q, want one of %s", f.Kind, strings.Join(FaultKinds(), ", "))
 	}
 	if f.Share < 0 || f.Share > 1 {
 		return fmt.Errorf("share: want 0 to 1, got %v", f.Share)
@@ -101,30 +102,32 @@
 		return fmt.Errorf("zone: want 0 to %d, got %d", fleet.Zones-1, *f.Zone)
 	}
 	if f.Factor < 0 || math.IsInf(f.Factor, 0) || math.IsNaN(f.Factor) {
-		return fmt.Errorf("factor: want a figure of 0 or more, got %v", f.Factor)
+		return fmt.Errorf("factor: want a finite value of at least 0, got %v", f.Factor)
 	}
 	if f.At < 0 || f.Duration < 0 || f.RecoverAfter < 0 {
-		return errors.New("at, for and back must not be below 0")
+		return errors.New("at, for and back must not be negative")
 	}
 	_, err := parseTrigger(f.Trigger)
 	return err
 }
 
-// parseTrigger reads a trigger that compares a figure of the last second with a bound. It returns nil for any other text,
+// parseTrigger parses a trigger that compares a metric of the last second with a threshold. It returns nil for any other text,
 // which is the name of a fault.
 func parseTrigger(text string) (func(Second) bool, error) {
-	var figure string
-	var bound float64
-	if n, _ := fmt.Sscanf(text, "%s > %g", &figure, &bound); n != 2 { // the error says no more than n
+	var metric string
+	var threshold float64
+	if n, _ := fmt.Sscanf(text, "%s > %g", &metric, &threshold); n != 2 {
 		return nil, nil
 	}
-	switch figure {
+	switch metric {
 	case "dropped":
-		return func(s Second) bool { return s.Attempts > 0 && float64(s.FailedAttempts) > bound*float64(s.Attempts) }, nil
+		return func(s Second) bool {
+			return s.Attempts > 0 && float64(s.FailedAttempts) > threshold*float64(s.Attempts)
+		}, nil
 	case "late":
-		return func(s Second) bool { return s.Offered > 0 && float64(s.Late) > bound*float64(s.Offered) }, nil
+		return func(s Second) bool { return s.Offered > 0 && float64(s.Late) > threshold*float64(s.Offered) }, nil
 	case "load":
-		return func(s Second) bool { return s.Utilization > bound }, nil
+		return func(s Second) bool { return s.Utilization > threshold }, nil
 	}
-	return nil, fmt.Errorf("when: want dropped, late or load, got %q", figure)
+	return nil, fmt.Errorf("when: unknown metric %q, want dropped, late or load", metric)
 }
--- a/internal/tools/emulate/fault_test.go
+++ b/internal/tools/emulate/fault_test.go
@@ -62,14 +62,14 @@
 	at := map[string]float64{}
 	for _, n := range r.FaultLog {
 		kind, _, _ := strings.Cut(n.Text, ":")
-		if _, is := at[kind]; !is {
+		if _, ok := at[kind]; !ok {
 			at[kind] = n.At
 		}
 	}
 	if at["errors"] != 5 || at["burst"] != 6 || at["impatient"] < 6 || at["impatient"] > 8 {
 		t.Errorf("begun at %v", at)
 	}
-	if _, is := at["list_down"]; is {
+	if _, ok := at["list_down"]; ok {
 		t.Error("a fault begins whose condition is never met")
 	}
 	for _, bad := range []Fault{{Kind: "hung"}, {Kind: "hang", Share: 2}, {Kind: "hang", Trigger: "mood > 1"}, {Kind: "zone_cut", Zone: new(int), Factor: -1},
--- a/internal/tools/emulate/faultinjection.go
+++ b/internal/tools/emulate/faultinjection.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// drainExtraTime is how long a replica that drains stays after the grace, to finish what it has.
+	// drainExtraTime is how long a draining replica stays up after the drain grace to complete its attempts.
 	drainExtraTime = time.Second
-	// ageingSteps is in how many steps a replica that ages becomes slower.
-	ageingSteps = 20
-	// maxStolenShare is the largest share of a core that another program can use.
-	maxStolenShare = 0.95
-	// minReplacementDelay and maxReplacementDelay bound the time from a replica's drain to the start of its successor.
+	// progressiveSlowdownSteps is the number of steps of a progressive slowdown.
+	progressiveSlowdownSteps = 20
+	// maxCPUStealShare is the maximum share of a core that another process can use.
+	maxCPUStealShare = 0.95
+	// minReplacementDelay and maxReplacementDelay bound the time from the start of a drain to the start of the replacement.
 	minReplacementDelay = 500 * time.Millisecond
 	maxReplacementDelay = time.Second
 )
 
-// activeFault is a fault of a run.
+// activeFault is the state of a fault in a run.
 type activeFault struct {
 	Fault
 	sim       *Simulation
 	began     bool
-	triggered func(Second) bool // nil: begins at a time or with another fault
+	triggered func(Second) bool // nil if the fault starts at a fixed time or with another fault
 }
 
-// scheduleFaults schedules the faults that begin at a time. It fails if one is invalid.
+// scheduleFaults validates all faults and schedules those that start at a fixed time.
 func (sim *Simulation) scheduleFaults() error {
 	names := map[string]bool{}
 	for _, fault := range sim.config.Faults {
@@ -38,19 +38,19 @@
 		if err := f.Validate(sim.fleet); err != nil {
 			return fmt.Errorf("trouble %d: %w", i+1, err)
 		}
-		f.triggered, _ = parseTrigger(f.Trigger) // Validate has parsed it
+		f.triggered, _ = parseTrigger(f.Trigger) // validated above
 		sim.faults = append(sim.faults, f)
 		switch {
 		case f.Trigger == "":
 			sim.schedule(f.At, f.begin)
 		case f.triggered == nil && !names[f.Trigger]:
-			return fmt.Errorf("trouble %d: when: there is no trouble named %q", i+1, f.Trigger)
+			return fmt.Errorf("trouble %d: when: no trouble is named %q", i+1, f.Trigger)
 		}
 	}
 	return nil
 }
 
-// triggerFaults schedules the faults that the figures of a second trigger.
+// triggerFaults schedules the faults whose condition the last second meets.
 func (sim *Simulation) triggerFaults(second Second) {
 	for _, f := range sim.faults {
 		if f.triggered != nil && !f.began && f.triggered(second) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// begin puts a fault into effect, and schedules the faults that wait for it. Nothing begins after the end of arrivals.
+// begin injects a fault and schedules the faults that it triggers. No fault starts after the end of arrivals.
 func (f *activeFault) begin() {
 	sim := f.sim
 	if sim.now >= sim.end {
@@ -78,15 +78,15 @@
 	}
 }
 
-// injection returns what puts a fault of its kind into effect; nil where nothing has to be done.
+// injection returns the function that injects a fault of this kind, or nil if there is nothing to do.
 func (f *activeFault) injection() func() {
 	switch f.Kind {
 	case FaultCrash, FaultSilentCrash, FaultZoneLoss:
 		return f.crashReplicas
 	case FaultHang, FaultSlow, FaultCPUSteal, FaultErrors, FaultPartialErrors, FaultFalseReports:
-		return f.disturbReplicas
+		return f.degradeReplicas
 	case FaultProgressiveSlowdown:
-		return f.ageReplicas
+		return f.slowReplicasProgressively
 	case FaultZonePartition:
 		return f.partitionZone
 	case FaultScaleOut:
@@ -94,7 +94,7 @@
 	case FaultDeploy:
 		return f.replaceReplicas
 	case FaultTrafficBurst, FaultTrafficShift, FaultShortClientTimeout, FaultRetryStorm:
-		return f.changeClients
+		return f.alterClientBehavior
 	case FaultGovernorCrash:
 		return f.crashGovernors
 	case FaultProxyCrash:
@@ -119,7 +119,7 @@
 	f.sim.result.FaultLog = append(f.sim.result.FaultLog, LogEntry{f.sim.elapsedSeconds(), text})
 }
 
-// targetReplicas draws the replicas that a fault hits, of those that are in service.
+// targetReplicas draws the affected replicas from those in service.
 func (f *activeFault) targetReplicas() []*replica {
 	var candidates []*replica
 	for _, r := range f.sim.replicas {
@@ -130,7 +130,7 @@
 	return sample(f.sim, f.Share, candidates)
 }
 
-// targetZone is the zone that a fault hits, drawn if the fault names none.
+// targetZone returns the affected zone, which is drawn at random if the fault specifies none.
 func (f *activeFault) targetZone() int {
 	if f.Zone != nil {
 		return *f.Zone
@@ -138,14 +138,14 @@
 	return f.sim.randomStream.IntN(f.sim.fleet.Zones)
 }
 
-// whenOver schedules what ends a fault. A fault without a duration never ends.
+// whenOver schedules the reversal of a fault. A fault without a duration is never reversed.
 func (f *activeFault) whenOver(undo func()) {
 	if f.Duration > 0 {
 		f.sim.schedule(f.Duration, undo)
 	}
 }
 
-// scheduleRecovery schedules the return of something that crashed. Without RecoverAfter it never returns.
+// scheduleRecovery schedules the restart of a crashed process. Without RecoverAfter it never restarts.
 func (f *activeFault) scheduleRecovery(recovery func()) {
 	if f.RecoverAfter > 0 {
 		f.sim.schedule(f.sim.uniform(f.RecoverAfter*9/10, f.RecoverAfter*11/10), recovery)
@@ -155,7 +155,7 @@
 func (f *activeFault) crashReplicas() {
 	targets := f.targetReplicas()
 	if f.Kind == FaultZoneLoss {
-		f.Share = 1 // a second draw: the first one is kept for the sake of runs by seed
+		f.Share = 1 // the draw above must stay: it is part of the random sequence of a seed
 		targets = f.targetReplicas()
 	}
 	for _, r := range targets {
@@ -164,32 +164,32 @@
 		f.sim.discovery.update(r)
 		f.scheduleRecovery(func() {
 			r.state = rules.Ready
-			r.disturbances = undisturbed
+			r.degradations = noDegradation
 			r.restart()
 		})
 	}
 }
 
-// disturbReplicas disturbs one parameter of each replica that the fault hits.
-func (f *activeFault) disturbReplicas() {
+// degradeReplicas changes the parameter that the fault kind affects on each target replica.
+func (f *activeFault) degradeReplicas() {
 	switch f.Kind {
 	case FaultHang:
-		f.disturb(func(r *replica) *float64 { return &r.hung }, 1, 0)
+		f.degrade(func(r *replica) *float64 { return &r.hung }, 1, 0)
 	case FaultSlow:
-		f.disturb(func(r *replica) *float64 { return &r.slowdown }, max(f.Factor, 1), 1)
+		f.degrade(func(r *replica) *float64 { return &r.slowdown }, max(f.Factor, 1), 1)
 	case FaultCPUSteal:
-		f.disturb(func(r *replica) *float64 { return &r.stolenShare }, min(f.Factor, maxStolenShare), 0)
+		f.degrade(func(r *replica) *float64 { return &r.cpuStealShare }, min(f.Factor, maxCPUStealShare), 0)
 	case FaultErrors:
-		f.disturb(func(r *replica) *float64 { return &r.errorShare }, f.Factor, 0)
+		f.degrade(func(r *replica) *float64 { return &r.errorShare }, f.Factor, 0)
 	case FaultPartialErrors:
-		f.disturb(func(r *replica) *float64 { return &r.partialShare }, f.Factor, 0)
+		f.degrade(func(r *replica) *float64 { return &r.partialShare }, f.Factor, 0)
 	case FaultFalseReports:
-		f.disturb(func(r *replica) *float64 { return &r.falseReports }, 1, 0)
+		f.degrade(func(r *replica) *float64 { return &r.falseReports }, 1, 0)
 	}
 }
 
-// disturb sets a parameter of the target replicas to a value while the fault lasts.
-func (f *activeFault) disturb(parameter func(*replica) *float64, value, normal float64) {
+// degrade sets a parameter of the target replicas for the duration of the fault.
+func (f *activeFault) degrade(parameter func(*replica) *float64, value, normal float64) {
 	for _, r := range f.targetReplicas() {
 		*parameter(r) = value
 		incarnation := r.incarnation
@@ -202,16 +202,16 @@
 	}
 }
 
-func (f *activeFault) ageReplicas() {
+func (f *activeFault) slowReplicasProgressively() {
 	for _, r := range f.targetReplicas() {
 		incarnation, span := r.incarnation, f.Duration
 		if span == 0 {
 			span = time.Duration(f.sim.end - f.sim.now)
 		}
-		for i := range ageingSteps {
-			f.sim.schedule(span/ageingSteps*time.Duration(i), func() {
+		for i := range progressiveSlowdownSteps {
+			f.sim.schedule(span/progressiveSlowdownSteps*time.Duration(i), func() {
 				if r.incarnation == incarnation {
-					r.slowdown = 1 + (max(f.Factor, 1)-1)*float64(i+1)/ageingSteps
+					r.slowdown = 1 + (max(f.Factor, 1)-1)*float64(i+1)/progressiveSlowdownSteps
 				}
 			})
 		}
@@ -220,8 +220,8 @@
 
 func (f *activeFault) partitionZone() {
 	zone := f.targetZone()
-	f.sim.zoneCuts[zone]++
-	f.whenOver(func() { f.sim.zoneCuts[zone]-- })
+	f.sim.zonePartitions[zone]++
+	f.whenOver(func() { f.sim.zonePartitions[zone]-- })
 }
 
 func (f *activeFault) addReplicas() {
@@ -241,7 +241,7 @@
 	}
 }
 
-// replaceReplica drains a replica, starts its successor, and takes it away when the grace is over.
+// replaceReplica drains a replica, starts a replacement, and stops the drained replica after the drain grace.
 func (sim *Simulation) replaceReplica(r *replica) {
 	if r.state != rules.Ready {
 		return
--- a/internal/tools/emulate/fleet.go
+++ b/internal/tools/emulate/fleet.go
@@ -1,31 +1,30 @@
-// Package emulate simulates a fleet: clients, proxies, replicas, discovery, collectors and governors. It is a discrete-event
-// simulation: a simulated clock, an event queue and seeded random streams; nothing sleeps, and no clock, network or disk is
-// used. It is deterministic: the same configuration and seed give the same run, event by event, which experiments rely on when
-// they compare deciders. docs/design/emulator.md gives the reason for each model.
+// Package emulate is a discrete-event simulation of a fleet: clients, proxies, replicas, discovery, report collectors and
+// governors. It uses a simulated clock, an event queue and seeded random streams, and no real time, network or disk. Runs are
+// deterministic: the same configuration and seed produce the same sequence of events, which makes deciders comparable.
+// docs/design/emulator.md describes the models.
 package emulate
 
 import (
-	"errors"
 	"fmt"
 	"time"
 
 	"zincloft.example/zincloft/rules"
 )
 
-// The distributions of work around its traffic group's mean.
+// Distributions of the work of a flow around the mean of its traffic group.
 const (
 	ExponentialWork = "exponential"
 	ConstantWork    = "constant"
 )
 
-// What it means for a traffic group that a flow runs twice.
+// The effect of executing a flow of a traffic group twice.
 const (
-	EffectRetriable    = "retriable"     // nothing: it may always be retried
-	EffectDeduped      = "deduped"       // nothing within the group's window: replicas recognise it
-	EffectNonRetriable = "non-retriable" // a second effect: it may be retried only if it is known not to have run
+	EffectRetriable    = "retriable"     // none: always safe to retry
+	EffectDeduped      = "deduped"       // none within the group's window, in which replicas deduplicate
+	EffectNonRetriable = "non-retriable" // applied twice: retried only if known not to have been executed
 )
 
-// Bounds of a fleet. The identifiers of the rules package hold no more.
+// Limits imposed by the identifier types of the rules package.
 const (
 	maxProxies       = 1 << 16
 	maxTrafficGroups = 16
@@ -33,95 +32,95 @@
 	maxMachineKinds  = 256
 )
 
-// TrafficGroup is a group of flows that are alike.
+// TrafficGroup is a class of flows with common properties.
 type TrafficGroup struct {
 	Name          string        `toml:"name"`
-	Share         float64       `toml:"share"`          // of the flows, relative to the other groups'
-	MeanWork      time.Duration `toml:"work"`           // of a core at speed 1
-	LatencyBudget time.Duration `toml:"latency_budget"` // an answer within it earns the whole utility
-	Expiry        time.Duration `toml:"expiry"`         // an answer is of no use after it
-	Utility       float64       `toml:"utility"`        // of an answer in time
-	LateShare     float64       `toml:"late_share"`     // share of the utility that a late answer earns
+	Share         float64       `toml:"share"`          // of the flows, relative to the other groups
+	MeanWork      time.Duration `toml:"work"`           // core time at speed 1
+	LatencyBudget time.Duration `toml:"latency_budget"` // responses within it earn the full utility
+	Expiry        time.Duration `toml:"expiry"`         // responses after it are useless
+	Utility       float64       `toml:"utility"`        // of a response within the latency budget
+	LateShare     float64       `toml:"late_share"`     // share of the utility that a late response earns
 	Effect        string        `toml:"effect"`         // EffectRetriable, EffectDeduped or EffectNonRetriable
-	DedupWindow   time.Duration `toml:"window"`         // of EffectDeduped
-	HomeOnly      bool          `toml:"home_only"`      // flows stay in their proxy's zone
+	DedupWindow   time.Duration `toml:"window"`         // for EffectDeduped
+	HomeOnly      bool          `toml:"home_only"`      // flows must stay in their proxy's zone
 }
 
-// MachineKind is a kind of machine that replicas run on.
+// MachineKind is a machine type that replicas run on.
 type MachineKind struct {
 	Name  string  `toml:"name"`
-	Share float64 `toml:"share"` // of the replicas, relative to the other kinds'
+	Share float64 `toml:"share"` // of the replicas, relative to the other kinds
 	Cores int     `toml:"cores"`
-	Speed float64 `toml:"speed"` // 1: a second of work takes a second
+	Speed float64 `toml:"speed"` // 1: one second of work takes one second
 }
 
-// Fleet describes what is simulated. The TOML keys are those of scenario files.
+// Fleet is the configuration of a simulated fleet. The TOML keys are those of scenario files.
 type Fleet struct {
 	Governors int            `toml:"governors"`
 	Zones     int            `toml:"zones"`
-	Proxies   int            `toml:"proxies"` // of all governors together
+	Proxies   int            `toml:"proxies"` // total over all governors
 	Replicas  int            `toml:"replicas"`
 	Groups    []TrafficGroup `toml:"group"`
 	Kinds     []MachineKind  `toml:"kind"`
 
 	// Arrivals.
-	Load             float64       `toml:"load"`       // share of all cores that the flows would keep busy
-	ProxyRateCV      float64       `toml:"proxy_cv"`   // coefficient of variation of the proxies' rates of flows
+	Load             float64       `toml:"load"`       // offered load as a share of the total capacity
+	ProxyRateCV      float64       `toml:"proxy_cv"`   // coefficient of variation of the flow rates of proxies
 	WorkDistribution string        `toml:"work_model"` // ExponentialWork or ConstantWork
-	Duration         time.Duration `toml:"length"`     // of arrivals
-	SettleTime       time.Duration `toml:"settle"`     // after the last arrival, for flows under way to end
-
-	// Reports to governors, and the channel of each governor to its proxies, which is measured in table lines.
-	ReportPeriod        time.Duration `toml:"period"`       // of the collectors
-	MaxReportDelay      time.Duration `toml:"report_late"`  // of collected reports; half of it at least
-	LoadReportInterval  time.Duration `toml:"report_each"`  // mean interval between a replica's load reports
-	MaxReportsPerSecond float64       `toml:"hears"`        // delivered to a governor; 0: all
-	ChannelRate         float64       `toml:"pace"`         // lines a second
-	ChannelCapacity     float64       `toml:"queue_cap"`    // lines that may be queued
-	MessageOverhead     float64       `toml:"head"`         // lines that a message costs besides its own
-	MaxMessageDelay     time.Duration `toml:"travel"`       // after the channel; a quarter of it at least
-	MaxMessages         int           `toml:"message_cap"`  // to one proxy within MessageWindow; 0: no bound
-	MessageWindow       time.Duration `toml:"message_span"` //
-	ApplyTimePerLine    time.Duration `toml:"pause"`        // for which a proxy sends nothing
-	AdmissionLevels     bool          `toml:"levels"`       // governors may order admission levels
-	ProxyReports        bool          `toml:"met"`          // proxies report their attempts to an intake; MaxReportsPerSecond does not bound these
+	Duration         time.Duration `toml:"length"`     // period with arrivals
+	SettleTime       time.Duration `toml:"settle"`     // after the last arrival, for pending flows to complete
+
+	// Reports to governors, and the channel of each governor to its proxies, whose capacity is measured in table lines.
+	ReportPeriod        time.Duration `toml:"period"`      // collection interval
+	MaxReportDelay      time.Duration `toml:"report_late"` // of collected reports; the minimum is half of it
+	LoadReportInterval  time.Duration `toml:"report_each"` // mean interval between load reports of a replica
+	MaxReportsPerSecond float64       `toml:"hears"`       // limit of reports delivered to a governor; 0: unlimited
+	ChannelRate         float64       `toml:"pace"`        // lines per second
+	ChannelCapacity     float64       `toml:"queue_cap"`   // maximum number of queued lines
+	MessageOverhead     float64       `toml:"head"`        // lines added to the cost of each message
+	MaxMessageDelay     time.Duration `toml:"travel"`      // transit time after the channel; the minimum is a quarter of it
+	MaxMessages         int           `toml:"message_cap"` // to one proxy within MessageWindow; 0: unlimited
+	MessageWindow       time.Duration `toml:"message_span"`
+	ApplyTimePerLine    time.Duration `toml:"pause"`  // during which a proxy sends no flows
+	AdmissionLevels     bool          `toml:"levels"` // governors may order admission levels
+	ProxyReports        bool          `toml:"met"`    // proxies report their attempts to the governor's intake, without the limit of MaxReportsPerSecond
 
 	// Proxies, their network and their connections.
-	FailuresToAvoid       int           `toml:"fails"`      // in a row after which a proxy avoids a replica by itself; 0: never
-	AvoidDuration         time.Duration `toml:"avoid_for"`  //
-	AttemptTimeoutFactor  float64       `toml:"first_wait"` // time-out of an attempt that may be retried, in latency budgets
-	LocalDelay            time.Duration `toml:"net"`        // one way within a zone, on average
-	CrossZoneDelay        time.Duration `toml:"cross"`      // one way between zones, on average
-	HandshakeWork         time.Duration `toml:"handshake"`  // of a replica for a new connection
-	MaxConnectionsPerCore int           `toml:"links"`      // that a replica accepts
-	ConnectionIdleTimeout time.Duration `toml:"link_idle"`  //
+	FailuresToAvoid       int           `toml:"fails"` // consecutive failures after which a proxy avoids a replica locally; 0: never
+	AvoidDuration         time.Duration `toml:"avoid_for"`
+	AttemptTimeoutFactor  float64       `toml:"first_wait"` // timeout of an attempt that may be retried, in latency budgets
+	LocalDelay            time.Duration `toml:"net"`        // mean one-way delay within a zone
+	CrossZoneDelay        time.Duration `toml:"cross"`      // mean one-way delay between zones
+	HandshakeWork         time.Duration `toml:"handshake"`  // core time of a replica for a new connection
+	MaxConnectionsPerCore int           `toml:"links"`      // connection limit of a replica, per core
+	ConnectionIdleTimeout time.Duration `toml:"link_idle"`
 
 	// Clients.
-	ClientRetries      int           `toml:"retries"`   // of a flow
-	ClientBackoff      time.Duration `toml:"backoff"`   // mean of an exponential distribution
-	ClientTimeoutShare float64       `toml:"try_share"` // of the expiry, after which a client gives an attempt up
-
-	// Discovery and the detection of broken streams.
-	MaxDiscoveryDelay        time.Duration `toml:"list_late"` // until discovery tells of a change; half of it at least
-	DisconnectDetectionDelay time.Duration `toml:"noticed"`   // least time until a broken stream is noticed; twice of it at most
-
-	// What governors have to keep to.
-	MaxUnservedTime      time.Duration `toml:"bare_most"`     // a proxy may be without a replica
-	DrainGrace           time.Duration `toml:"drain_grace"`   // a replica that drains may still be sent flows
-	MaxDiscoveryInterval time.Duration `toml:"ask_within"`    // discovery has to be asked at least so often
-	WarmupDuration       time.Duration `toml:"warm_after"`    // from a replica's start
-	WarmupInitialShare   float64       `toml:"cold_from"`     // share of its speed at its start, from which it rises linearly
-	OverloadMultiple     float64       `toml:"fall_multiple"` // of what it can do, that crashes a replica that warms up
-	OverloadWindow       time.Duration `toml:"fall_after"`    // over which that is measured
+	ClientRetries      int           `toml:"retries"`   // maximum number of retries of a flow
+	ClientBackoff      time.Duration `toml:"backoff"`   // mean; exponentially distributed
+	ClientTimeoutShare float64       `toml:"try_share"` // client timeout, as a share of the expiry
+
+	// Discovery, and detection of broken streams.
+	MaxDiscoveryDelay        time.Duration `toml:"list_late"` // until discovery publishes a change; the minimum is half of it
+	DisconnectDetectionDelay time.Duration `toml:"noticed"`   // minimum time to detect a broken stream; the maximum is twice that
+
+	// Limits that governors must respect, and the warm-up of replicas.
+	MaxUnservedTime      time.Duration `toml:"bare_most"`     // maximum time for which a proxy may have no endpoint
+	DrainGrace           time.Duration `toml:"drain_grace"`   // time for which a draining replica may still receive flows
+	MaxDiscoveryInterval time.Duration `toml:"ask_within"`    // maximum time between requests to discovery
+	WarmupDuration       time.Duration `toml:"warm_after"`    // from the start of a replica
+	WarmupInitialShare   float64       `toml:"cold_from"`     // share of full speed at the start; rises linearly
+	OverloadMultiple     float64       `toml:"fall_multiple"` // multiple of its capacity that crashes a warming replica
+	OverloadWindow       time.Duration `toml:"fall_after"`    // window over which the overload is measured
 }
 
-// Validate returns an error that names the TOML key of the first impossible value.
+// Validate returns an error that names the TOML key of the first invalid value.
 func (f *Fleet) Validate() error {
 	if err := f.validatePositive(); err != nil {
 		return err
 	}
 	if f.Proxies > maxProxies || len(f.Groups) > maxTrafficGroups || f.Zones > maxZones || len(f.Kinds) > maxMachineKinds {
-		return errors.New("at most 65,536 proxies, 16 traffic groups, 256 zones and 256 kinds")
+		return fmt.Errorf("limits exceeded: want at most %d proxies, %d traffic groups, %d zones and %d kinds", maxProxies, maxTrafficGroups, maxZones, maxMachineKinds)
 	}
 	if f.WorkDistribution != ExponentialWork && f.WorkDistribution != ConstantWork {
 		return fmt.Errorf("work_model: want %s or %s, got %q", ExponentialWork, ConstantWork, f.WorkDistribution)
@@ -142,9 +141,9 @@
 	return nil
 }
 
-// validatePositive checks the figures that must be above 0, which NaN is not.
+// validatePositive checks the values that must be above 0. The comparison also rejects NaN.
 func (f *Fleet) validatePositive() error {
-	figures := []struct {
+	parameters := []struct {
 		key   string
 		value float64
 	}{
@@ -168,9 +167,9 @@
 		{"group", float64(len(f.Groups))},
 		{"kind", float64(len(f.Kinds))},
 	}
-	for _, figure := range figures {
-		if !(figure.value > 0) {
-			return fmt.Errorf("%s: want more than 0, got %v", figure.key, figure.value)
+	for _, parameter := range parameters {
+		if !(parameter.value > 0) {
+			return fmt.Errorf("%s: want more than 0, got %v", parameter.key, parameter.value)
 		}
 	}
 	return nil
@@ -188,7 +187,7 @@
 	return 0, fmt.Errorf("effect: want retriable, deduped or non-retriable, got %q", name)
 }
 
-// Settings returns the settings that a governor of the fleet is started with. The fleet must be valid.
+// Settings returns the initial settings of the fleet's governors. The fleet must be valid.
 func (f *Fleet) Settings() rules.Settings {
 	s := rules.Settings{
 		Governors: f.Governors, Proxies: f.Proxies, Zones: f.Zones, ListOnRequest: true, Period: f.ReportPeriod, EntryRate: f.ChannelRate, EntryCapacity: f.ChannelCapacity,
@@ -205,14 +204,14 @@
 	}
 	s.MinConnections *= float64(fewestCores)
 	for _, g := range f.Groups {
-		effect, _ := parseEffect(g.Effect) // Validate has parsed it
+		effect, _ := parseEffect(g.Effect) // Validate has checked it
 		s.Groups = append(s.Groups, rules.TrafficGroup{Name: g.Name, LatencyBudget: g.LatencyBudget, Expiry: g.Expiry, Utility: g.Utility,
 			LateShare: g.LateShare, Effect: effect, DedupedByAll: effect == rules.Deduped, Window: g.DedupWindow, HomeOnly: g.HomeOnly})
 	}
 	return s
 }
 
-// totalCapacity is the work that replicas do in a second once they are warm, in seconds of a core at speed 1.
+// totalCapacity returns the capacity of warm replicas, in core-seconds at speed 1 per second.
 func totalCapacity(replicas []*replica) float64 {
 	capacity := 0.0
 	for _, r := range replicas {
@@ -221,7 +220,7 @@
 	return capacity
 }
 
-// meanFlowWork is the mean work of a flow, in seconds of a core at speed 1.
+// meanFlowWork returns the mean work of a flow, in core-seconds at speed 1.
 func (f *Fleet) meanFlowWork() float64 {
 	work, shares := 0.0, 0.0
 	for _, group := range f.Groups {
@@ -231,23 +230,23 @@
 	return work / shares
 }
 
-// assignKinds returns the kind of each of n machines, so that every prefix of them is close to the kinds' shares.
+// assignKinds returns the kinds of n machines. Every prefix of the result approximates the shares of the kinds.
 func assignKinds(kinds []MachineKind, n int) []int {
 	total := 0.0
 	for _, kind := range kinds {
 		total += kind.Share
 	}
 	assigned := make([]int, 0, n)
-	owed := make([]float64, len(kinds)) // machines of each kind that the prefix lacks
+	deficits := make([]float64, len(kinds)) // by kind: expected minus assigned machines
 	for range n {
 		best := 0
 		for k := range kinds {
-			owed[k] += kinds[k].Share / total
-			if owed[k] > owed[best] {
+			deficits[k] += kinds[k].Share / total
+			if deficits[k] > deficits[best] {
 				best = k
 			}
 		}
-		owed[best]--
+		deficits[best]--
 		assigned = append(assigned, best)
 	}
 	return assigned
--- a/internal/tools/emulate/flow.go
+++ b/internal/tools/emulate/flow.go
@@ -6,25 +6,24 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// flow is a request of a client. Its client may attempt it several times at its proxy, and the proxy each time at several
-// replicas.
+// flow is a client request. The client may retry it at its proxy, and on each client attempt the proxy may try several replicas.
 type flow struct {
 	group         int
 	proxy         *proxy
 	arrivedAt     rules.Time
-	work          float64 // seconds of a core at speed 1
-	admissionDraw float64 // compared with the admission level; the same at each of the client's attempts
+	work          float64 // core-seconds at speed 1
+	admissionDraw float64 // compared with the admission level; constant across client attempts
 
-	clientAttempt int // retries of the client so far
-	generation    int // changes when the client's attempt ends: callbacks of an earlier one do nothing
-	effects       int // times that it took effect, in this attempt of the client
-	retries       int // of the proxy, in this attempt of the client
+	clientRetries int // so far
+	generation    int // incremented when a client attempt starts or ends; callbacks of earlier generations do nothing
+	effects       int // completed executions in this client attempt
+	retries       int // by the proxy in this client attempt
 	attempted     []rules.ReplicaID
 	current       *attempt
 	ended         bool
 }
 
-// scheduleArrival schedules the next flow of a proxy's arrival process, a Poisson process whose rate faults may change.
+// scheduleArrival schedules the next flow of a proxy. Arrivals are a Poisson process whose rate faults may scale.
 func (p *proxy) scheduleArrival() {
 	sim := p.sim
 	rate := p.rate * sim.arrivalFactor(p)
@@ -40,7 +39,7 @@
 	})
 }
 
-// drawFlow draws a flow's traffic group and work. The order of the draws is part of what a seed means.
+// drawFlow draws the traffic group and the work of a flow. The order of the draws must not change: it defines the runs of a seed.
 func (p *proxy) drawFlow() *flow {
 	sim := p.sim
 	f := &flow{proxy: p, arrivedAt: sim.now, admissionDraw: sim.arrivalStream.Float64()}
@@ -55,7 +54,7 @@
 	return f
 }
 
-// arrive is an attempt of the client: the proxy admits the flow and sends it on, once it is not busy applying a message.
+// arrive starts a client attempt. If the flow is admitted, the proxy sends it as soon as it is not busy applying a message.
 func (f *flow) arrive() {
 	p, sim := f.proxy, f.proxy.sim
 	f.generation++
@@ -66,13 +65,13 @@
 	}
 	p.usage[f.group].arrived++
 	if f.admissionDraw >= p.admissions[f.group].Level {
-		sim.current.Rejected++
+		sim.currentSecond.Rejected++
 		f.reject()
 		return
 	}
 	generation := f.generation
-	patience := time.Duration(sim.clientTimeoutShare() * float64(sim.fleet.Groups[f.group].Expiry))
-	sim.schedule(patience, func() {
+	timeout := time.Duration(sim.clientTimeoutShare() * float64(sim.fleet.Groups[f.group].Expiry))
+	sim.schedule(timeout, func() {
 		if f.generation == generation && !f.ended {
 			f.abandon()
 		}
@@ -88,7 +87,7 @@
 	p.sendAttempt(f)
 }
 
-// abandon ends an attempt of the client that took longer than the client waits.
+// abandon ends a client attempt that exceeded the client timeout.
 func (f *flow) abandon() {
 	p := f.proxy
 	if t := f.current; t != nil && !t.done {
@@ -98,16 +97,16 @@
 	f.fail(timedOut)
 }
 
-// fail ends an attempt of the client without a good answer. The client retries after a backoff, as often as it does.
+// fail ends an unsuccessful client attempt. The client retries after a backoff while it has retries left.
 func (f *flow) fail(outcome attemptOutcome) {
 	if f.ended {
 		return
 	}
 	sim := f.proxy.sim
 	f.generation++
-	if f.clientAttempt < sim.clientRetries() {
-		f.clientAttempt++
-		sim.current.ClientRetries++
+	if f.clientRetries < sim.maxClientRetries() {
+		f.clientRetries++
+		sim.currentSecond.ClientRetries++
 		sim.schedule(time.Duration(sim.randomStream.ExpFloat64()*float64(sim.fleet.ClientBackoff)), func() {
 			if !f.ended {
 				f.arrive()
@@ -123,7 +122,7 @@
 	}
 }
 
-// reject ends a flow that is not admitted. The answer is final: the same draw would be rejected again.
+// reject ends a flow that is not admitted. Clients do not retry it, because the admission draw of a flow is fixed.
 func (f *flow) reject() {
 	f.generation++
 	f.ended = true
--- a/internal/tools/emulate/governor.go
+++ b/internal/tools/emulate/governor.go
@@ -9,52 +9,51 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// stepDelay is how long a governor gathers events before it steps.
+// stepDelay is how long a governor batches events before a step.
 const stepDelay = 4 * time.Millisecond
 
-// governor is a simulated governor: a decider with its event inbox, the channel to its proxies and the reports on their way
-// to it.
+// governor is a simulated governor: a decider with its event inbox, its channel to proxies and its pending reports.
 type governor struct {
 	sim         *Simulation
 	index       int
 	up          bool
-	incarnation int // changes at each start and crash: callbacks of an earlier incarnation do nothing
+	incarnation int // incremented at each start and crash; callbacks of earlier incarnations do nothing
 	decider     Decider
 
-	channelSlowdown float64       // factor by faults; 1 usually
-	reportLoss      float64       // share of the reports that faults lose
-	reportDelay     time.Duration // added to reports by faults
+	channelSlowdown float64       // factor set by faults; 1 by default
+	reportLoss      float64       // share of reports lost to faults
+	reportDelay     time.Duration // delay added to reports by faults
 
 	inbox         []rules.Event
 	stepScheduled bool
 
-	tables       []*weightTable
-	allTables    map[rules.GroupID]rules.Admit // admission orders for all tables
-	withdrawn    map[rules.ReplicaID]bool      // ejected for all proxies
-	sessions     map[rules.ProxyID]*proxySession
-	sessionOrder []*proxySession // in the order of joining
+	tables           []*weightTable
+	globalAdmissions map[rules.GroupID]rules.Admit // admission orders for all tables
+	ejectedForAll    map[rules.ReplicaID]bool      // ejected for all proxies
+	sessions         map[rules.ProxyID]*proxySession
+	sessionOrder     []*proxySession // in join order
 
-	channelFreeAt  rules.Time // when the channel will have sent all that is in it
+	channelFreeAt  rules.Time // when the channel will have drained
 	channelBatches []channelBatch
 
 	listed            map[rules.ReplicaID]rules.Entry
-	unavailableSince  map[rules.ReplicaID]rules.Time // when discovery told it that a replica drains or is gone
+	unavailableSince  map[rules.ReplicaID]rules.Time // when discovery first reported a replica as draining or deregistered
 	watchingDiscovery bool
 
-	intake       *intake.Aggregator // takes the proxies' own reports; nil if they send none
-	zoneStats    [][]attemptStats   // by zone and replica, of the period under way
+	intake       *intake.Aggregator // aggregates reports of proxies; nil if proxies send none
+	zoneStats    [][]attemptStats   // by zone and replica, for the current period
 	reportQueues []reportQueue      // by zone
 }
 
-// proxySession is the stream of one proxy, as its governor sees it.
+// proxySession is the governor's state of one proxy stream.
 type proxySession struct {
 	proxy            *proxy
-	tables           []int          // by traffic group; unboundTable: none
-	rebound          rules.GroupSet // groups bound since the last message
+	tables           []int          // by traffic group; unboundTable if unbound
+	reboundGroups    rules.GroupSet // bound since the last message
 	ejected          map[rules.ReplicaID]bool
 	changedEjections int          // since the last message
-	recentMessages   []rules.Time // sent within the fleet's message window
-	lastArrival      rules.Time   // of a message at the proxy
+	recentMessages   []rules.Time // send times within the fleet's message window
+	lastArrival      rules.Time   // arrival time of the last message at the proxy
 	replicaStats     map[rules.ReplicaID]*attemptStats
 	batchSequence    uint32
 }
@@ -66,12 +65,12 @@
 	return &governor{sim: sim, index: index, channelSlowdown: 1}
 }
 
-// start begins an incarnation with empty state.
+// start starts a new incarnation with empty state.
 func (g *governor) start() {
 	sim := g.sim
 	g.up = true
 	g.incarnation++
-	g.tables, g.allTables, g.withdrawn = nil, map[rules.GroupID]rules.Admit{}, map[rules.ReplicaID]bool{}
+	g.tables, g.globalAdmissions, g.ejectedForAll = nil, map[rules.GroupID]rules.Admit{}, map[rules.ReplicaID]bool{}
 	g.sessions, g.sessionOrder = map[rules.ProxyID]*proxySession{}, nil
 	g.channelFreeAt, g.channelBatches = 0, nil
 	g.unavailableSince, g.listed = map[rules.ReplicaID]rules.Time{}, map[rules.ReplicaID]rules.Entry{}
@@ -92,7 +91,7 @@
 	g.intake = nil
 	if g.sim.fleet.ProxyReports {
 		g.intake = newIntake(g.sim)
-		g.scheduleIntakeCut(g.incarnation)
+		g.scheduleIntakeFlush(g.incarnation)
 	}
 	for zone := range g.sim.fleet.Zones {
 		g.scheduleCollection(zone, g.incarnation)
@@ -100,7 +99,7 @@
 	g.scheduleDelivery(g.incarnation)
 }
 
-// crash ends an incarnation. Its proxies notice after a delay and connect to another governor.
+// crash stops the governor. Its proxies detect this after a delay and connect to another one.
 func (g *governor) crash() {
 	if !g.up {
 		return
@@ -109,14 +108,14 @@
 	g.incarnation++
 	for _, session := range slices.Clone(g.sessionOrder) {
 		p := session.proxy
-		p.fresh = p.fresh && session.rebound == 0 && len(session.recentMessages) == 0
+		p.bootstrapOnly = p.bootstrapOnly && session.reboundGroups == 0 && len(session.recentMessages) == 0
 		p.governor = nil
 		p.scheduleReconnect()
 	}
 	g.sessions, g.sessionOrder = map[rules.ProxyID]*proxySession{}, nil
 }
 
-// post puts an event into the inbox of the next step, and schedules that step.
+// post adds an event to the inbox and schedules a step if none is pending.
 func (g *governor) post(e rules.Event) {
 	g.inbox = append(g.inbox, e)
 	if g.stepScheduled {
@@ -146,10 +145,10 @@
 		g.scheduleProxyReport(session, g.incarnation)
 	}
 	g.sim.monitor.updateUnserved(p, p.governor != nil)
-	g.post(rules.Joined{Proxy: p.id, Zone: rules.ZoneID(p.zone), FlowRate: p.rate, Fresh: p.fresh, MayHoldEjections: !p.fresh && g.intake != nil})
+	g.post(rules.Joined{Proxy: p.id, Zone: rules.ZoneID(p.zone), FlowRate: p.rate, Fresh: p.bootstrapOnly, MayHoldEjections: !p.bootstrapOnly && g.intake != nil})
 }
 
-// leave closes the session of a proxy. The decider hears of it after a delay, unless the proxy has come back by then.
+// leave closes the session of a proxy. The decider is notified after the detection delay unless the proxy has rejoined.
 func (g *governor) leave(p *proxy) {
 	session := g.sessions[p.id]
 	if session == nil {
@@ -169,20 +168,19 @@
 	})
 }
 
-// step hands the inbox to the decider and carries out its orders. All orders for proxies of one step go into one message a
-// proxy.
+// step passes the inbox to the decider and executes its orders. The orders of a step are sent as one message per proxy.
 func (g *governor) step() {
 	events := g.inbox
 	g.inbox, g.stepScheduled = nil, false
 	for _, e := range events {
-		if list, is := e.(rules.List); is {
+		if list, ok := e.(rules.List); ok {
 			g.recordList(list)
 		}
 	}
 	orders := g.decider.Step(g.sim.now, events)
 	g.traceStep(events, orders)
 	changesProxies := false
-	var mark *rules.AckRequest
+	var ack *rules.AckRequest
 	for _, o := range orders {
 		switch o := o.(type) {
 		case rules.WakeAfter:
@@ -197,15 +195,15 @@
 		case rules.Forget:
 			g.forget(o.Replica)
 		case rules.AckRequest:
-			mark = &o
+			ack = &o
 		case rules.Log:
 		default:
 			changesProxies = true
 			g.applyOrder(o)
 		}
 	}
-	if changesProxies || mark != nil {
-		g.publish(mark)
+	if changesProxies || ack != nil {
+		g.publish(ack)
 	}
 }
 
@@ -218,7 +216,7 @@
 	})
 }
 
-// forget drops what is kept of a replica that will not come back.
+// forget deletes the state of a replica that will not return.
 func (g *governor) forget(id rules.ReplicaID) {
 	delete(g.unavailableSince, id)
 	delete(g.listed, id)
@@ -227,7 +225,7 @@
 	}
 }
 
-// recordList keeps what discovery has told the governor: the time allowed for a drain counts from here on.
+// recordList records a discovery update. The drain grace of a replica starts when its governor is notified.
 func (g *governor) recordList(list rules.List) {
 	if list.Scope == rules.Failed {
 		return
@@ -245,22 +243,21 @@
 	if list.Scope == rules.Changes {
 		return
 	}
-	for id := range g.listed { // a complete list: what it leaves out is gone
+	for id := range g.listed { // a full list: replicas that it omits are deregistered
 		if !named[id] {
 			g.markUnavailable(id)
 		}
 	}
 }
 
-// markUnavailable keeps the first time at which a replica was known to drain or to be gone.
+// markUnavailable records when a replica was first known to be draining or deregistered.
 func (g *governor) markUnavailable(id rules.ReplicaID) {
 	if _, known := g.unavailableSince[id]; !known {
 		g.unavailableSince[id] = g.sim.now
 	}
 }
 
-// hasUsableReplica reports whether a governor's list has had a ready, warm replica for a proxy's traffic group ever since
-// a time.
+// hasUsableReplica reports whether the governor knows a ready replica for a proxy's traffic group that was warm at a given time.
 func (g *governor) hasUsableReplica(p *proxy, group int, since rules.Time) bool {
 	fleet := g.sim.fleet
 	for id, entry := range g.listed {
@@ -274,7 +271,7 @@
 	return false
 }
 
-// stepSummary counts the events and orders of a step for the trace.
+// stepSummary counts the events and orders of a step.
 type stepSummary struct {
 	joins, leaves, listed, unavailable int
 	lines, removals, binds, clears     int
@@ -313,7 +310,7 @@
 	return s
 }
 
-// traceStep adds a line to the trace for a step that says something about proxies, replicas or tables.
+// traceStep adds a trace line for a step that concerns proxies, replicas or tables.
 func (g *governor) traceStep(events []rules.Event, orders []rules.Order) {
 	s := summarizeStep(events, orders)
 	if s.joins+s.leaves+s.listed+s.lines+s.binds+s.clears == 0 {
--- a/internal/tools/emulate/largefleet_test.go
+++ b/internal/tools/emulate/largefleet_test.go
@@ -39,12 +39,12 @@
 		NewDecider: func(*Simulation, int) Decider {
 			return &spyDecider{step: func(now rules.Time, events []rules.Event, orders []rules.Order) {
 				for _, e := range events {
-					if j, is := e.(rules.Joined); is && now > died {
+					if j, ok := e.(rules.Joined); ok && now > died {
 						waits[j.Proxy] = &wait{joined: now}
 					}
 				}
 				for _, o := range orders {
-					if b, is := o.(rules.Bind); is && waits[b.Proxy] != nil {
+					if b, ok := o.(rules.Bind); ok && waits[b.Proxy] != nil {
 						waits[b.Proxy].bound = now
 					}
 				}
@@ -81,12 +81,12 @@
 			return &spyDecider{step: func(now rules.Time, events []rules.Event, orders []rules.Order) {
 				at := time.Duration(now - simulationEpoch)
 				for _, e := range events {
-					if l, is := e.(rules.List); is && at > 15*time.Second && slices.ContainsFunc(l.Entries, func(n rules.Entry) bool { return n.State == rules.Draining }) {
+					if l, ok := e.(rules.List); ok && at > 15*time.Second && slices.ContainsFunc(l.Entries, func(n rules.Entry) bool { return n.State == rules.Draining }) {
 						heard++
 					}
 				}
 				for _, o := range orders {
-					if o, is := o.(rules.WatchList); is && o.On && at > 7*time.Second {
+					if o, ok := o.(rules.WatchList); ok && o.On && at > 7*time.Second {
 						calls[int(at/(100*time.Millisecond))]++
 					}
 				}
--- a/internal/tools/emulate/metrics.go
+++ b/internal/tools/emulate/metrics.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// worstWindowSeconds is the length of the window whose service level is a result's worst.
+	// worstWindowSeconds is the window length of Result.WorstServiceLevel.
 	worstWindowSeconds = 10
-	// maxLatency and latencyDigits bound and resolve the histogram of latencies.
+	// maxLatency and latencyDigits are the range and precision of the latency histogram.
 	maxLatency    = 10 * time.Minute
 	latencyDigits = 3
 )
 
-// startMetrics begins the counts, and closes a second of them each simulated second.
+// startMetrics initializes the metrics and schedules the per-second snapshots.
 func (sim *Simulation) startMetrics() {
-	sim.current = &Second{}
+	sim.currentSecond = &Second{}
 	sim.result.latency = hdrhistogram.New(1, int64(maxLatency/time.Microsecond), latencyDigits)
 	for _, group := range sim.fleet.Groups {
 		sim.result.Groups = append(sim.result.Groups, GroupResult{Name: group.Name})
@@ -24,7 +24,7 @@
 	sim.schedule(time.Second, sim.closeSecond)
 }
 
-// closeSecond adds the second under way to the result. Faults may be triggered by its figures.
+// closeSecond adds the current second to the result and evaluates fault triggers on it.
 func (sim *Simulation) closeSecond() {
 	busy, cores := 0, 0
 	for _, r := range sim.replicas {
@@ -32,44 +32,44 @@
 			continue
 		}
 		busy, cores = busy+r.busy, cores+r.cores
-		sim.current.RunningReplicas++
+		sim.currentSecond.RunningReplicas++
 		if !r.isWarmingUp() {
-			sim.current.WarmReplicas++
+			sim.currentSecond.WarmReplicas++
 		}
 	}
-	sim.current.Utilization = float64(busy) / float64(max(cores, 1))
-	closed := *sim.current
+	sim.currentSecond.Utilization = float64(busy) / float64(max(cores, 1))
+	closed := *sim.currentSecond
 	sim.result.Seconds = append(sim.result.Seconds, closed)
-	*sim.current = Second{}
+	*sim.currentSecond = Second{}
 	sim.triggerFaults(closed)
 	sim.schedule(time.Second, sim.closeSecond)
 }
 
-// recordArrival counts a flow that arrives.
+// recordArrival counts an arriving flow as pending.
 func (sim *Simulation) recordArrival(f *flow) {
-	sim.current.Offered++
+	sim.currentSecond.Offered++
 	utility := sim.fleet.Groups[f.group].Utility
-	sim.current.RequestedUtility += utility
+	sim.currentSecond.RequestedUtility += utility
 	sim.result.Groups[f.group].RequestedUtility += utility
 	sim.result.Outcomes[Pending]++
 }
 
-// recordAttempt counts an attempt that is sent.
+// recordAttempt counts a sent attempt.
 func (sim *Simulation) recordAttempt(t *attempt) {
-	sim.current.Attempts++
+	sim.currentSecond.Attempts++
 	if t.replica.isWarmingUp() {
-		sim.current.WarmupAttempts++
+		sim.currentSecond.WarmupAttempts++
 	}
 	if t.replica.zone != t.proxy.zone {
-		sim.current.CrossZoneAttempts++
+		sim.currentSecond.CrossZoneAttempts++
 	}
 }
 
-// recordDelivery counts a flow that is answered well.
+// recordDelivery counts a successful response and its utility.
 func (sim *Simulation) recordDelivery(f *flow) {
 	group := sim.fleet.Groups[f.group]
 	latency := time.Duration(sim.now - f.arrivedAt)
-	_ = sim.result.latency.RecordValue(latency.Microseconds()) // fails beyond the histogram's range only, which no client waits for
+	_ = sim.result.latency.RecordValue(latency.Microseconds()) // only fails out of range, and clients time out earlier
 	utility := group.Utility
 	if latency > group.LatencyBudget {
 		utility *= group.LateShare
@@ -77,25 +77,25 @@
 	} else {
 		sim.recordOutcome(DeliveredInTime)
 	}
-	sim.current.DeliveredUtility += utility
+	sim.currentSecond.DeliveredUtility += utility
 	sim.result.Groups[f.group].DeliveredUtility += utility
 }
 
-// recordOutcome counts the end of a flow. The second's rejections are counted where they happen.
+// recordOutcome counts the final outcome of a flow. Rejections of the current second are counted in flow.arrive.
 func (sim *Simulation) recordOutcome(outcome FlowOutcome) {
 	sim.result.Outcomes[Pending]--
 	sim.result.Outcomes[outcome]++
 	switch outcome {
 	case DeliveredInTime:
-		sim.current.InTime++
+		sim.currentSecond.InTime++
 	case DeliveredLate:
-		sim.current.Late++
+		sim.currentSecond.Late++
 	case Dropped, Abandoned:
-		sim.current.Dropped++
+		sim.currentSecond.Dropped++
 	}
 }
 
-// summarize computes the figures of the whole run.
+// summarize computes the metrics of the whole run.
 func (sim *Simulation) summarize() *Result {
 	result := &sim.result
 	result.EventCount = sim.eventCount
@@ -116,7 +116,7 @@
 	return result
 }
 
-// worstServiceLevel is the lowest service level of all windows within the first so many seconds.
+// worstServiceLevel returns the lowest service level of any window within the first length seconds.
 func worstServiceLevel(seconds []Second, length int) float64 {
 	worst := 1.0
 	for from := 0; from+worstWindowSeconds <= length; from++ {
--- a/internal/tools/emulate/monitor.go
+++ b/internal/tools/emulate/monitor.go
@@ -8,10 +8,10 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Invariant is a rule that a governor must keep whatever happens. Its text is part of results.
+// Invariant is a property that a governor must maintain under all faults. Its text is part of results.
 type Invariant string
 
-// The invariants that every run checks.
+// The invariants checked in every run.
 const (
 	ProxiesHaveEndpoints Invariant = "no proxy is left without a replica"
 	EffectsAppliedOnce   Invariant = "no effect happens twice"
@@ -20,7 +20,7 @@
 	ChannelQueueBounded  Invariant = "the queue stays short"
 )
 
-// Violation is an invariant that did not hold.
+// Violation is a detected violation of an invariant.
 type Violation struct {
 	Invariant Invariant `json:"Rule"`
 	At        float64   // seconds from the start
@@ -28,22 +28,22 @@
 }
 
 const (
-	// timingTolerance is added to limits of time, as the platform adds it.
+	// timingTolerance is added to time limits, as on the platform.
 	timingTolerance = 300 * time.Millisecond
-	// checkInterval is how often invariants are checked that no event can violate by itself.
+	// checkInterval is the interval of the checks for time-based invariants.
 	checkInterval = 100 * time.Millisecond
-	// traceSeconds and maxTraceLines bound the trace that a result shows of the time before its first violation.
+	// traceSeconds and maxTraceLines limit the trace that precedes the first violation in a result.
 	traceSeconds  = 60.0
 	maxTraceLines = 400
 )
 
-// monitor checks the invariants all through a run.
+// monitor checks the invariants during a run.
 type monitor struct {
 	sim           *Simulation
-	unservedSince map[*proxy][]rules.Time // by traffic group; 0: has a replica
-	unservedOrder []*proxy                // keys of unservedSince, and some that are no longer in it
+	unservedSince map[*proxy][]rules.Time // by traffic group; 0 if it has an endpoint
+	unservedOrder []*proxy                // keys of unservedSince; may contain removed ones
 	violated      map[Invariant]bool
-	recentTrace   []LogEntry // what governors were told and ordered
+	recentTrace   []LogEntry // events and orders of governors
 }
 
 func (m *monitor) start(sim *Simulation) {
@@ -51,18 +51,18 @@
 	sim.schedule(checkInterval, m.check)
 }
 
-// trace keeps a line to be shown if an invariant is violated, until one is.
+// trace records a line for the trace of the first violation. It does nothing after that.
 func (m *monitor) trace(text string) {
 	if len(m.sim.result.Violations) > 0 {
 		return
 	}
 	m.recentTrace = append(m.recentTrace, LogEntry{m.sim.elapsedSeconds(), text})
-	if excess := len(m.recentTrace) - maxTraceLines; excess > maxTraceLines { // now and then, as it moves all others
+	if excess := len(m.recentTrace) - maxTraceLines; excess > maxTraceLines { // amortizes the cost of moving the remaining lines
 		m.recentTrace = slices.Delete(m.recentTrace, 0, excess)
 	}
 }
 
-// violate counts a violation, and keeps the first one of each invariant.
+// violate counts a violation and records the first one of each invariant.
 func (m *monitor) violate(invariant Invariant, format string, args ...any) {
 	result := &m.sim.result
 	violation := Violation{invariant, m.sim.elapsedSeconds(), fmt.Sprintf(format, args...)}
@@ -80,7 +80,7 @@
 	}
 }
 
-// traceBefore is the trace of the time before a violation; nil if there is none.
+// traceBefore returns the trace lines that precede a violation.
 func (m *monitor) traceBefore(violation Violation) []LogEntry {
 	var trace []LogEntry
 	for _, entry := range m.recentTrace[max(len(m.recentTrace)-maxTraceLines, 0):] {
@@ -91,13 +91,13 @@
 	return trace
 }
 
-// updateUnserved notes which traffic groups of a proxy have no replica left in their tables. A proxy that has not joined a
+// updateUnserved updates since when each traffic group of a proxy has had no usable endpoint. A proxy that has not joined a
 // governor counts as served.
 func (m *monitor) updateUnserved(p *proxy, joined bool) {
 	since := m.unservedSince[p]
 	unserved := false
 	for group, table := range p.tables {
-		if joined && !p.hasReplica(table) {
+		if joined && !p.hasEndpoint(table) {
 			unserved = true
 			if since == nil {
 				since = make([]rules.Time, len(p.tables))
@@ -119,12 +119,12 @@
 	m.unservedSince[p] = since
 }
 
-// hasReplica reports whether a table names a replica that is not ejected for the proxy.
-func (p *proxy) hasReplica(table *tableSnapshot) bool {
+// hasEndpoint reports whether a table contains a replica that is not ejected for the proxy.
+func (p *proxy) hasEndpoint(table *tableSnapshot) bool {
 	return table != nil && slices.ContainsFunc(table.replicas, func(id rules.ReplicaID) bool { return !p.ejected[id] })
 }
 
-// check runs the checks that time alone can violate.
+// check runs the checks of time-based invariants.
 func (m *monitor) check() {
 	m.sim.schedule(checkInterval, m.check)
 	kept := m.unservedOrder[:0]
@@ -146,8 +146,8 @@
 	}
 }
 
-// checkUnserved checks that no traffic group of a proxy has been without a replica for too long while its governor knew a
-// usable one. A violation starts the time anew.
+// checkUnserved reports traffic groups of a proxy that have had no endpoint for too long although the governor knew a usable
+// one. A violation restarts the period.
 func (m *monitor) checkUnserved(p *proxy, since []rules.Time) {
 	sim := m.sim
 	limit := rules.Time(sim.fleet.MaxUnservedTime + timingTolerance)
@@ -161,8 +161,8 @@
 	}
 }
 
-// checkDrain checks that an attempt does not go to a replica of which the governor has known for too long that it drains or
-// is gone.
+// checkDrain reports an attempt to a replica that the governor has known to be draining or deregistered for longer than the
+// drain grace.
 func (m *monitor) checkDrain(p *proxy, r *replica) {
 	g := p.governor
 	if g == nil {
@@ -172,13 +172,13 @@
 	if !unavailable {
 		return
 	}
-	if late := m.sim.now - max(since, p.joinedAt); late > rules.Time(m.sim.fleet.DrainGrace+timingTolerance) {
+	if elapsed := m.sim.now - max(since, p.joinedAt); elapsed > rules.Time(m.sim.fleet.DrainGrace+timingTolerance) {
 		m.violate(DrainGraceRespected, "proxy %d sends to replica %d %.2f s after governor %d was told that it drains or is gone", p.id, r.id,
 			time.Duration(m.sim.now-since).Seconds(), g.index)
 	}
 }
 
-// checkEffects checks that a flow that the proxy retried has not taken effect twice where that matters.
+// checkEffects reports a flow that was executed more than once because of proxy retries and is not safe to repeat.
 func (m *monitor) checkEffects(t *attempt) {
 	f := t.flow
 	if f.effects < 2 || f.retries == 0 {
@@ -194,16 +194,16 @@
 	}
 }
 
-// checkChannel checks the lines that are queued in a governor's channel.
+// checkChannel checks the queue length of a governor's channel.
 func (m *monitor) checkChannel(g *governor) {
 	lines, capacity := g.queuedLines(), m.sim.fleet.ChannelCapacity
-	m.sim.current.ChannelFill = max(m.sim.current.ChannelFill, lines/capacity)
+	m.sim.currentSecond.ChannelFill = max(m.sim.currentSecond.ChannelFill, lines/capacity)
 	if !m.sim.config.UnlimitedChannel && lines > capacity {
 		m.violate(ChannelQueueBounded, "%.0f lines wait in the channel of governor %d, %.0f may", lines, g.index, capacity)
 	}
 }
 
-// checkMessages checks how many messages a proxy was sent within the message window.
+// checkMessages checks the number of messages sent to a proxy within the message window.
 func (m *monitor) checkMessages(g *governor, session *proxySession) {
 	fleet := m.sim.fleet
 	if n := len(session.recentMessages); !m.sim.config.UnlimitedChannel && fleet.MaxMessages > 0 && n > fleet.MaxMessages {
--- a/internal/tools/emulate/monitor_test.go
+++ b/internal/tools/emulate/monitor_test.go
@@ -18,7 +18,7 @@
 
 func (b *violatingDecider) Step(now rules.Time, events []rules.Event) []rules.Order {
 	if b.violates == DrainGraceRespected {
-		events = slices.DeleteFunc(slices.Clone(events), func(e rules.Event) bool { l, is := e.(rules.List); return is && l.Scope == rules.Changes })
+		events = slices.DeleteFunc(slices.Clone(events), func(e rules.Event) bool { l, ok := e.(rules.List); return ok && l.Scope == rules.Changes })
 	}
 	out := b.Governor.Step(now, events)
 	for i, o := range out {
--- a/internal/tools/emulate/overload.go
+++ b/internal/tools/emulate/overload.go
@@ -6,58 +6,58 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// overloadWindowParts is how finely the load of a replica that warms up is watched.
-const overloadWindowParts = 20
+// overloadBuckets is the number of buckets of an overload window.
+const overloadBuckets = 20
 
-// overloadWindow compares the work that arrives at a replica with the work that it could do, over the fleet's overload
-// window in parts of equal length.
+// overloadWindow is a sliding window that compares the work arriving at a replica with its capacity. It covers the fleet's
+// overload window in buckets of equal length.
 type overloadWindow struct {
-	arrivedWork  [overloadWindowParts]float64
-	possibleWork [overloadWindowParts]float64
-	windowPart   int64 // number of the latest part
+	arrivedWork  [overloadBuckets]float64
+	capacity     [overloadBuckets]float64
+	latestBucket int64 // absolute number of the latest bucket
 }
 
-// currentPart is the number of the part of the overload window that now belongs to.
-func (m *monitor) currentPart() int64 {
-	return int64(m.sim.now) * overloadWindowParts / int64(m.sim.fleet.OverloadWindow)
+// currentBucket returns the absolute number of the bucket that contains the current time.
+func (m *monitor) currentBucket() int64 {
+	return int64(m.sim.now) * overloadBuckets / int64(m.sim.fleet.OverloadWindow)
 }
 
-// advanceWindow brings a replica's parts up to now. Parts are visited often enough that the capacity of each is the one at
-// its beginning.
+// advanceWindow advances a replica's window to the current time. It is called often enough that the current capacity is a good
+// approximation for each new bucket.
 func (m *monitor) advanceWindow(r *replica) {
-	part := m.currentPart()
-	if r.windowPart == 0 || part-r.windowPart >= overloadWindowParts {
-		r.arrivedWork, r.possibleWork = [overloadWindowParts]float64{}, [overloadWindowParts]float64{}
-		r.windowPart = part - 1
+	bucket := m.currentBucket()
+	if r.latestBucket == 0 || bucket-r.latestBucket >= overloadBuckets {
+		r.arrivedWork, r.capacity = [overloadBuckets]float64{}, [overloadBuckets]float64{}
+		r.latestBucket = bucket - 1
 	}
-	for r.windowPart < part {
-		r.windowPart++
-		i := r.windowPart % overloadWindowParts
+	for r.latestBucket < bucket {
+		r.latestBucket++
+		i := r.latestBucket % overloadBuckets
 		r.arrivedWork[i] = 0
-		r.possibleWork[i] = r.coreRate() * float64(r.cores) * m.sim.fleet.OverloadWindow.Seconds() / overloadWindowParts
+		r.capacity[i] = r.coreRate() * float64(r.cores) * m.sim.fleet.OverloadWindow.Seconds() / overloadBuckets
 	}
 }
 
-// recordWarmupWork adds the work of an attempt at a replica that warms up. The replica crashes for good, which violates an
-// invariant, once a whole window has brought it more than the fleet's multiple of what it can do.
+// recordWarmupWork adds the work of an attempt to the window of a warming replica. If the work of a full window exceeds the
+// fleet's overload multiple of the capacity, the replica crashes permanently, which violates an invariant.
 func (m *monitor) recordWarmupWork(r *replica, work float64) {
 	if !r.isWarmingUp() {
 		return
 	}
 	m.advanceWindow(r)
-	r.arrivedWork[r.windowPart%overloadWindowParts] += work
-	arrived, possible := 0.0, 0.0
+	r.arrivedWork[r.latestBucket%overloadBuckets] += work
+	arrived, capacity := 0.0, 0.0
 	for i := range r.arrivedWork {
-		if r.possibleWork[i] == 0 {
-			return // not watched for a whole window yet
+		if r.capacity[i] == 0 {
+			return // no full window yet
 		}
-		arrived, possible = arrived+r.arrivedWork[i], possible+r.possibleWork[i]
+		arrived, capacity = arrived+r.arrivedWork[i], capacity+r.capacity[i]
 	}
-	if arrived < possible*m.sim.fleet.OverloadMultiple {
+	if arrived < capacity*m.sim.fleet.OverloadMultiple {
 		return
 	}
 	r.crash(false)
 	r.overloaded, r.state = true, rules.Deregistered
 	m.sim.discovery.update(r)
-	m.violate(WarmupLoadBounded, "replica %d, %.1f s old, was brought %.1f times what it can do", r.id, time.Duration(m.sim.now-r.startedAt).Seconds(), arrived/possible)
+	m.violate(WarmupLoadBounded, "replica %d, %.1f s old, was brought %.1f times what it can do", r.id, time.Duration(m.sim.now-r.startedAt).Seconds(), arrived/capacity)
 }
--- a/internal/tools/emulate/picker.go
+++ b/internal/tools/emulate/picker.go
@@ -6,12 +6,11 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// maxRejectedDraws is how many draws by weight may fall on replicas that are not eligible before only the eligible ones
-// are drawn from.
+// maxRejectedDraws is the number of weighted draws that may hit ineligible replicas before the draw is restricted to eligible ones.
 const maxRejectedDraws = 8
 
-// pick chooses a replica for an attempt of a flow: one that is not ejected and that the flow has not attempted; one that the
-// proxy avoids only if there is no other; and one that was attempted before only if all were.
+// pick chooses a replica for an attempt. It prefers replicas that are not ejected, not avoided and not yet attempted for the flow,
+// then avoided ones, then ones that were already attempted.
 func (p *proxy) pick(f *flow) (id rules.ReplicaID, found bool) {
 	table := p.tables[f.group]
 	if table.totalWeight() <= 0 {
@@ -26,14 +25,14 @@
 		found = !p.ejected[id]
 	}
 	if found && p.sim.config.PickPolicy == PickPowerOfTwoChoices {
-		if other, is := p.drawEligible(f, table, true); is && p.inFlight[other] < p.inFlight[id] {
+		if other, ok := p.drawEligible(f, table, true); ok && p.inFlight[other] < p.inFlight[id] {
 			id = other
 		}
 	}
 	return id, found
 }
 
-// isEligible reports whether a flow may be sent to a replica.
+// isEligible reports whether a replica is neither ejected nor already attempted for a flow, nor avoided if skipAvoided is set.
 func (p *proxy) isEligible(f *flow, id rules.ReplicaID, skipAvoided bool) bool {
 	if p.ejected[id] || slices.Contains(f.attempted, id) {
 		return false
@@ -41,13 +40,13 @@
 	return !skipAvoided || p.avoidUntil[id] <= p.sim.now
 }
 
-// drawAny draws a replica by weight.
+// drawAny draws a replica by weight, whether or not it is eligible.
 func (p *proxy) drawAny(table *tableSnapshot) rules.ReplicaID {
 	return table.replicas[table.indexAt(p.sim.randomStream.Float64()*table.totalWeight())]
 }
 
-// drawEligible draws an eligible replica by weight: first by rejection, which is fast while nearly all are eligible, then
-// by a pass over the table.
+// drawEligible draws an eligible replica by weight: first by rejection sampling, which is fast while most replicas are eligible,
+// then by a scan of the table.
 func (p *proxy) drawEligible(f *flow, table *tableSnapshot, skipAvoided bool) (rules.ReplicaID, bool) {
 	for range maxRejectedDraws {
 		if id := p.drawAny(table); p.isEligible(f, id, skipAvoided) {
--- a/internal/tools/emulate/presets.go
+++ b/internal/tools/emulate/presets.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// SmallFleet returns a fleet of one governor, thirty proxies and twelve replicas at half their capacity.
+// SmallFleet returns a fleet of one governor, 30 proxies and 12 replicas at 50% load.
 func SmallFleet() Fleet {
 	return Fleet{
 		Governors: 1, Zones: 2, Proxies: 30, Replicas: 12,
@@ -24,8 +24,8 @@
 	}
 }
 
-// LargeFleet returns a fleet of five governors in four zones. As in the users' large scenarios, a governor is delivered far
-// fewer reports than its proxies and replicas make, and its channel grows with the number of proxies.
+// LargeFleet returns a fleet of five governors in four zones. Governors receive only a small share of all reports, and the channel
+// rate is proportional to the number of proxies.
 func LargeFleet(proxies, replicas int) Fleet {
 	fleet := SmallFleet()
 	fleet.Governors, fleet.Zones, fleet.Proxies, fleet.Replicas = 5, 4, proxies, replicas
--- a/internal/tools/emulate/proxy.go
+++ b/internal/tools/emulate/proxy.go
@@ -7,34 +7,34 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// maxStandingReplicas is how many replicas the table that a proxy starts with names.
-const maxStandingReplicas = 8
+// maxBootstrapReplicas is the number of replicas in the table that a proxy starts with.
+const maxBootstrapReplicas = 8
 
-// defaultAdmission holds for a traffic group without an admission order.
+// defaultAdmission applies to traffic groups without an admission order.
 var defaultAdmission = rules.Admit{Level: 1, Retry: rules.RetryUnprocessed}
 
-// proxy routes the flows of some clients by the tables of its governor.
+// proxy routes flows according to the tables of its governor.
 type proxy struct {
 	sim         *Simulation
 	id          rules.ProxyID
 	zone        int
-	rate        float64 // flows a second, on average
-	selector    float64 // drawn once; a partial fault hits the proxies with a low one
+	rate        float64 // mean flows per second
+	selector    float64 // drawn once; partial faults affect proxies with a low value
 	up          bool
-	incarnation int // changes at each crash
+	incarnation int // incremented at each crash
 
-	governor   *governor // nil: not connected
-	fresh      bool      // has only its standing table
-	joinedAt   rules.Time
-	busyUntil  rules.Time       // applies a message until then
-	tables     []*tableSnapshot // by traffic group
-	admissions []rules.Admit    // by traffic group
-	ejected    map[rules.ReplicaID]bool
+	governor      *governor // nil if not connected
+	bootstrapOnly bool      // has received no table from a governor
+	joinedAt      rules.Time
+	busyUntil     rules.Time       // end of applying messages
+	tables        []*tableSnapshot // by traffic group
+	admissions    []rules.Admit    // by traffic group
+	ejected       map[rules.ReplicaID]bool
 
-	failureStreaks map[rules.ReplicaID]int        // of its own attempts
-	avoidUntil     map[rules.ReplicaID]rules.Time // after a streak
-	connections    map[rules.ReplicaID]rules.Time // open ones, by last use
-	inFlight       map[rules.ReplicaID]int        // own attempts
+	failureStreaks map[rules.ReplicaID]int        // consecutive failures of its own attempts
+	avoidUntil     map[rules.ReplicaID]rules.Time // set after a failure streak
+	connections    map[rules.ReplicaID]rules.Time // last use of each open connection
+	inFlight       map[rules.ReplicaID]int        // its own attempts
 	activeAttempts []*attempt
 	usage          []groupUsage // by traffic group
 }
@@ -42,32 +42,32 @@
 func newProxy(sim *Simulation, index int) *proxy {
 	fleet := sim.fleet
 	p := &proxy{
-		sim:      sim,
-		id:       rules.ProxyID(index),
-		zone:     index % fleet.Zones,
-		rate:     gammaVariate(sim.arrivalStream, fleet.ProxyRateCV),
-		selector: sim.randomStream.Float64(),
-		up:       true,
-		fresh:    true,
+		sim:           sim,
+		id:            rules.ProxyID(index),
+		zone:          index % fleet.Zones,
+		rate:          gammaVariate(sim.arrivalStream, fleet.ProxyRateCV),
+		selector:      sim.randomStream.Float64(),
+		up:            true,
+		bootstrapOnly: true,
 	}
 	p.initialize()
 	return p
 }
 
-// initialize gives a proxy the state of its start: a standing table of some replicas of its zone, for all traffic groups.
+// initialize sets the initial state of a proxy: a bootstrap table of replicas in its zone for all traffic groups.
 func (p *proxy) initialize() {
 	groups := len(p.sim.fleet.Groups)
 	p.ejected, p.failureStreaks = map[rules.ReplicaID]bool{}, map[rules.ReplicaID]int{}
 	p.avoidUntil, p.connections = map[rules.ReplicaID]rules.Time{}, map[rules.ReplicaID]rules.Time{}
 	p.inFlight, p.activeAttempts = map[rules.ReplicaID]int{}, nil
 	p.usage = make([]groupUsage, groups)
-	standing := p.standingTable()
-	p.tables = slices.Repeat([]*tableSnapshot{standing}, groups)
+	bootstrap := p.bootstrapTable()
+	p.tables = slices.Repeat([]*tableSnapshot{bootstrap}, groups)
 	p.admissions = slices.Repeat([]rules.Admit{defaultAdmission}, groups)
 }
 
-// standingTable draws the table that a proxy has before any message.
-func (p *proxy) standingTable() *tableSnapshot {
+// bootstrapTable draws the table that a proxy uses until its first message.
+func (p *proxy) bootstrapTable() *tableSnapshot {
 	var local []*replica
 	for _, r := range p.sim.replicas {
 		if r.zone == p.zone && r.state == rules.Ready {
@@ -75,14 +75,14 @@
 		}
 	}
 	p.sim.randomStream.Shuffle(len(local), func(i, j int) { local[i], local[j] = local[j], local[i] })
-	standing := &tableSnapshot{}
-	for _, r := range local[:min(len(local), maxStandingReplicas)] {
-		standing.add(r.id, 1)
+	bootstrap := &tableSnapshot{}
+	for _, r := range local[:min(len(local), maxBootstrapReplicas)] {
+		bootstrap.add(r.id, 1)
 	}
-	return standing
+	return bootstrap
 }
 
-// connect joins a running governor, drawn at random, or tries again later.
+// connect joins a random running governor, or retries later if there is none.
 func (p *proxy) connect() {
 	if !p.up || p.governor != nil {
 		return
@@ -102,13 +102,13 @@
 	p.governor.join(p)
 }
 
-// scheduleReconnect connects again once the loss of the stream has been detected.
+// scheduleReconnect reconnects after the loss of the stream has been detected.
 func (p *proxy) scheduleReconnect() {
 	detection := p.sim.fleet.DisconnectDetectionDelay
 	p.sim.schedule(p.sim.uniform(detection, 2*detection), p.connect)
 }
 
-// disconnect breaks the stream to the governor.
+// disconnect breaks the stream to the governor and schedules a reconnect.
 func (p *proxy) disconnect() {
 	if p.governor == nil {
 		return
@@ -118,7 +118,7 @@
 	p.scheduleReconnect()
 }
 
-// crash takes a proxy down: its stream, its connections and the flows that it has.
+// crash stops a proxy. Its stream and connections are closed and its pending flows fail.
 func (p *proxy) crash() {
 	if !p.up {
 		return
@@ -141,17 +141,17 @@
 	clear(p.connections)
 }
 
-// restart starts a proxy again after a crash, with a standing table only.
+// restart starts a crashed proxy with a bootstrap table.
 func (p *proxy) restart() {
 	if p.up {
 		return
 	}
-	p.up, p.fresh = true, true
+	p.up, p.bootstrapOnly = true, true
 	p.initialize()
 	p.connect()
 }
 
-// applyMessage takes over the tables, admissions and ejections of a message.
+// applyMessage installs the tables, admissions and ejections of a message.
 func (p *proxy) applyMessage(message proxyMessage) {
 	for group, table := range message.tables {
 		if table != nil {
@@ -161,11 +161,11 @@
 	if message.ejected != nil {
 		p.ejected = message.ejected
 	}
-	p.fresh = false
+	p.bootstrapOnly = false
 	p.sim.monitor.updateUnserved(p, true)
 }
 
-// sendAttempt sends a flow to a replica of its table.
+// sendAttempt sends a flow to a replica chosen from its table.
 func (p *proxy) sendAttempt(f *flow) {
 	sim := p.sim
 	id, found := p.pick(f)
@@ -189,7 +189,7 @@
 			}
 		})
 	}
-	// An attempt that may be retried after any failure is given up early, so that time is left for the retry.
+	// Attempts that may be retried after any failure have a short timeout, which leaves time for the retry.
 	if p.retriesAnyFailure(f) {
 		timeout := time.Duration(sim.fleet.AttemptTimeoutFactor * float64(sim.fleet.Groups[f.group].LatencyBudget))
 		sim.schedule(timeout, func() {
@@ -201,7 +201,7 @@
 	}
 }
 
-// timeOut ends an attempt that nobody waits for any more.
+// timeOut cancels an attempt and records it as timed out.
 func (p *proxy) timeOut(t *attempt) {
 	t.done = true
 	t.replica.cancel(t)
@@ -209,7 +209,7 @@
 	p.recordOutcome(t, timedOut)
 }
 
-// handleOutcome takes in the answer or the failure of an attempt.
+// handleOutcome processes the response or failure of an attempt.
 func (p *proxy) handleOutcome(t *attempt, outcome attemptOutcome) {
 	if t.done || !p.up {
 		return
@@ -227,18 +227,18 @@
 	p.sim.recordDelivery(f)
 }
 
-// retriesAnyFailure reports whether the governor's retry policy allows a further attempt whatever becomes of this one.
+// retriesAnyFailure reports whether the retry policy allows another attempt after any failure, including timeouts.
 func (p *proxy) retriesAnyFailure(f *flow) bool {
 	policy := p.admissions[f.group].Retry
 	return policy >= rules.RetryOnce && f.retries < int(policy-rules.RetryUnprocessed)
 }
 
-// retry sends a flow again if the governor's retry policy allows it, and fails it otherwise.
+// retry sends a flow again if the retry policy allows it, and fails it otherwise.
 func (p *proxy) retry(f *flow, outcome attemptOutcome) {
 	allowed := false
 	switch p.admissions[f.group].Retry {
 	case rules.RetryUnprocessed:
-		allowed = outcome.neverRan() && f.retries < 1
+		allowed = outcome.notExecuted() && f.retries < 1
 	case rules.RetryOnce:
 		allowed = f.retries < 1
 	case rules.RetryTwice:
@@ -265,7 +265,7 @@
 	}
 }
 
-// recordOutcome counts an attempt that has ended, for reports and for what the proxy itself avoids.
+// recordOutcome records a completed attempt for reports and for the local avoidance of failing replicas.
 func (p *proxy) recordOutcome(t *attempt, outcome attemptOutcome) {
 	sim, id := p.sim, t.replica.id
 	if p.governor != nil {
@@ -275,7 +275,7 @@
 		delete(p.failureStreaks, id)
 		return
 	}
-	sim.current.FailedAttempts++
+	sim.currentSecond.FailedAttempts++
 	if sim.fleet.FailuresToAvoid == 0 {
 		return
 	}
--- a/internal/tools/emulate/proxyreports.go
+++ b/internal/tools/emulate/proxyreports.go
@@ -8,7 +8,7 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Bounds of an intake. The daemon derives its own from its machine.
+// Limits of a simulated intake. The daemon derives its limits from the machine.
 const (
 	intakeBudget   = 20_000
 	intakeMaxPairs = 2_000
@@ -20,7 +20,7 @@
 		MaxPairs: intakeMaxPairs, Zones: sim.fleet.Zones})
 }
 
-// scheduleProxyReport has a proxy report each period what it met at each replica.
+// scheduleProxyReport makes a proxy report its attempt statistics per replica in each period.
 func (g *governor) scheduleProxyReport(session *proxySession, incarnation int) {
 	sim, period := g.sim, g.sim.fleet.ReportPeriod
 	sim.schedule(sim.uniform(period*9/10, period*11/10), func() {
@@ -55,13 +55,13 @@
 	}
 }
 
-// scheduleIntakeCut posts what the intake has gathered, whenever it is due.
-func (g *governor) scheduleIntakeCut(incarnation int) {
+// scheduleIntakeFlush posts the aggregated reports of the intake when they are due.
+func (g *governor) scheduleIntakeFlush(incarnation int) {
 	g.sim.schedule(deliveryInterval, func() {
 		if g.incarnation != incarnation {
 			return
 		}
-		g.scheduleIntakeCut(incarnation)
+		g.scheduleIntakeFlush(incarnation)
 		if !g.intake.FlushDue(g.sim.now) {
 			return
 		}
--- a/internal/tools/emulate/proxyreports_test.go
+++ b/internal/tools/emulate/proxyreports_test.go
@@ -19,7 +19,7 @@
 		simulation = sim
 		return &spyDecider{step: func(_ rules.Time, _ []rules.Event, orders []rules.Order) {
 			for _, o := range orders {
-				if s, is := o.(rules.PairEjection); is && s.Ejected {
+				if s, ok := o.(rules.PairEjection); ok && s.Ejected {
 					ejections++
 					if sim.replicas[s.Replica].partialShare == 0 || sim.proxies[s.Proxy].selector >= 0.1 {
 						wrong++
--- a/internal/tools/emulate/random.go
+++ b/internal/tools/emulate/random.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// uniform draws a duration from [least, most).
-func (sim *Simulation) uniform(least, most time.Duration) time.Duration {
-	return least + time.Duration(sim.randomStream.Float64()*float64(most-least))
+// uniform draws a duration from [low, high).
+func (sim *Simulation) uniform(low, high time.Duration) time.Duration {
+	return low + time.Duration(sim.randomStream.Float64()*float64(high-low))
 }
 
-// sample draws a share of a list without replacement: at least one element where the share is above 0.
+// sample draws a share of a list without replacement, and at least one element if the share is above 0.
 func sample[T any](sim *Simulation, share float64, all []T) []T {
 	all = slices.Clone(all)
 	sim.randomStream.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -24,7 +24,7 @@
 }
 
 // gammaVariate draws from the gamma distribution with mean 1 and the given coefficient of variation, by the method of
-// Marsaglia and Tsang, "A simple method for generating gamma variables" (2000). It returns 1 where the coefficient is 0.
+// Marsaglia and Tsang, "A simple method for generating gamma variables" (2000). It returns 1 if the coefficient is 0.
 func gammaVariate(stream *rand.Rand, coefficientOfVariation float64) float64 {
 	if coefficientOfVariation <= 0 {
 		return 1
@@ -32,7 +32,7 @@
 	shape := 1 / (coefficientOfVariation * coefficientOfVariation)
 	boost := 1.0
 	a := shape
-	if a < 1 { // the method needs a shape of 1 or more: draw from shape+1 and scale down
+	if a < 1 { // the method requires shape >= 1: draw with shape+1 and scale down
 		boost, a = math.Pow(stream.Float64(), 1/a), a+1
 	}
 	d := a - 1.0/3
--- a/internal/tools/emulate/replica.go
+++ b/internal/tools/emulate/replica.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// errorResponseTime is how long a faulty replica takes to answer badly.
+	// errorResponseTime is the time until an injected error response.
 	errorResponseTime = 2 * time.Millisecond
-	// reportNoise is the standard deviation of a reported utilization, relative to the true one.
+	// reportNoise is the relative standard deviation of reported utilization.
 	reportNoise = 0.08
 )
 
-// replica is a machine that serves flows: some cores of a speed, and one queue in the order of arrival.
+// replica is a server with a number of cores of equal speed and a FIFO queue.
 type replica struct {
 	sim         *Simulation
 	id          rules.ReplicaID
@@ -21,39 +21,39 @@
 	kind        int // index into the fleet's kinds
 	cores       int
 	speed       float64
-	startedAt   rules.Time // 0: long ago
+	startedAt   rules.Time // 0: started long before the run
 	state       rules.State
 	up          bool
-	incarnation int  // changes at each crash
-	overloaded  bool // crashed by overload while it warmed up: it stays down
+	incarnation int  // incremented at each crash
+	overloaded  bool // crashed by overload during warm-up; never restarts
 
-	disturbances
+	degradations
 
 	queue       []*attempt
-	busy        int // cores
-	connections int // open ones, of all proxies
+	busy        int // busy cores
+	connections int // open connections of all proxies
 
-	busySeconds float64    // of cores, since busySince
-	busySince   rules.Time // of the last load report
+	busySeconds float64    // core-seconds since busySince
+	busySince   rules.Time // time of the last load report
 	report      rules.LoadReport
 	hasReport   bool
 
 	overloadWindow
 }
 
-// disturbances are what faults do to a replica. Their rest state is undisturbed.
-type disturbances struct {
-	hung         float64 // above 0: receives attempts and answers none
-	errorShare   float64 // of the attempts, answered badly
-	slowdown     float64 // factor
-	stolenShare  float64 // of each core, used by another program
-	falseReports float64 // above 0: reports no load
-	partialShare float64 // of the proxies, whose attempts are answered badly
+// degradations are the effects of faults on a replica. noDegradation is the default.
+type degradations struct {
+	hung          float64 // above 0: accepts attempts without responding
+	errorShare    float64 // share of attempts that receive an error response
+	slowdown      float64 // divisor of the speed
+	cpuStealShare float64 // share of each core used by another process
+	falseReports  float64 // above 0: reports zero load
+	partialShare  float64 // share of proxies that receive error responses
 }
 
-var undisturbed = disturbances{slowdown: 1}
+var noDegradation = degradations{slowdown: 1}
 
-// addReplica starts a replica and returns it. Discovery does not know of it yet.
+// addReplica starts a replica without registering it with discovery.
 func (sim *Simulation) addReplica(zone, kind int, startedAt rules.Time) *replica {
 	machine := sim.fleet.Kinds[kind]
 	r := &replica{
@@ -66,7 +66,7 @@
 		startedAt:    startedAt,
 		state:        rules.Ready,
 		up:           true,
-		disturbances: undisturbed,
+		degradations: noDegradation,
 		busySince:    sim.now,
 	}
 	sim.replicas = append(sim.replicas, r)
@@ -74,7 +74,7 @@
 	return r
 }
 
-// scheduleReport renews the replica's load report at intervals, as long as it lives.
+// scheduleReport updates the load report of a replica periodically until it crashes or is deregistered.
 func (r *replica) scheduleReport() {
 	incarnation := r.incarnation
 	interval := r.sim.fleet.LoadReportInterval
@@ -82,16 +82,16 @@
 		if r.incarnation != incarnation || r.state == rules.Deregistered {
 			return
 		}
-		r.renewReport()
+		r.updateReport()
 		r.scheduleReport()
 	})
 }
 
-// renewReport reports the utilization since the last report, with noise, and the attempts at the replica.
-func (r *replica) renewReport() {
+// updateReport sets the load report to the utilization since the last report, with noise, and the attempts in progress.
+func (r *replica) updateReport() {
 	utilization := 0.0
 	if span := time.Duration(r.sim.now - r.busySince).Seconds(); span > 0 {
-		utilization = min(r.busySeconds/span/float64(r.cores)+r.stolenShare, 1)
+		utilization = min(r.busySeconds/span/float64(r.cores)+r.cpuStealShare, 1)
 	}
 	noise := 1 + reportNoise*r.sim.randomStream.NormFloat64()
 	r.report = rules.LoadReport{
@@ -106,8 +106,8 @@
 	r.hasReport, r.busySeconds, r.busySince = true, 0, r.sim.now
 }
 
-// warmth is the share of its speed that a replica has: it rises linearly while it warms up.
-func (r *replica) warmth() float64 {
+// warmupFactor returns the current speed as a share of full speed. It rises linearly during warm-up.
+func (r *replica) warmupFactor() float64 {
 	fleet := r.sim.fleet
 	if r.startedAt == 0 {
 		return 1
@@ -120,12 +120,12 @@
 	return r.startedAt != 0 && r.sim.now-r.startedAt < rules.Time(r.sim.fleet.WarmupDuration)
 }
 
-// coreRate is the work that one core does in a second, in seconds of a core at speed 1.
+// coreRate returns the work per second of one core, in core-seconds at speed 1.
 func (r *replica) coreRate() float64 {
-	return r.speed * r.warmth() / r.slowdown * (1 - r.stolenShare)
+	return r.speed * r.warmupFactor() / r.slowdown * (1 - r.cpuStealShare)
 }
 
-// receive takes an attempt from the network: it is answered badly, refused, swallowed or queued.
+// receive handles an arriving attempt: it is dropped, answered with an error, refused or queued.
 func (r *replica) receive(t *attempt) {
 	sim := r.sim
 	t.replicaIncarnation = r.incarnation
@@ -136,8 +136,8 @@
 	if r.hung > 0 {
 		return
 	}
-	if r.answersBadly(t) {
-		sim.schedule(errorResponseTime, func() { r.respond(t, answeredBadly) })
+	if r.drawsErrorResponse(t) {
+		sim.schedule(errorResponseTime, func() { r.respond(t, errorResponse) })
 		return
 	}
 	if !t.proxy.useConnection(r) {
@@ -149,21 +149,21 @@
 		t.work += sim.fleet.HandshakeWork.Seconds() * r.speed
 	}
 	sim.monitor.recordWarmupWork(r, t.work)
-	if !r.up { // that work has pushed it over
+	if !r.up { // crashed by overload
 		r.respond(t, connectionReset)
 		return
 	}
-	t.waiting = true
+	t.queued = true
 	r.queue = append(r.queue, t)
 	r.serve()
 }
 
-// answersBadly draws whether a fault of the replica hits an attempt.
-func (r *replica) answersBadly(t *attempt) bool {
+// drawsErrorResponse draws whether an injected fault answers an attempt with an error.
+func (r *replica) drawsErrorResponse(t *attempt) bool {
 	return r.errorShare > 0 && r.sim.randomStream.Float64() < r.errorShare || r.partialShare > 0 && t.proxy.selector < r.partialShare
 }
 
-// serve starts queued attempts while cores are free.
+// serve starts queued attempts while cores are idle.
 func (r *replica) serve() {
 	for r.up && r.hung == 0 && r.busy < r.cores && len(r.queue) > 0 {
 		t := r.queue[0]
@@ -177,12 +177,12 @@
 
 // run occupies a core with an attempt until its work is done.
 func (r *replica) run(t *attempt) {
-	t.waiting, t.running = false, true
+	t.queued, t.executing = false, true
 	t.startedAt = r.sim.now
 	r.busy++
 	incarnation := r.incarnation
 	r.sim.schedule(time.Duration(t.work/r.coreRate()*float64(time.Second)), func() {
-		if r.incarnation != incarnation || !t.running {
+		if r.incarnation != incarnation || !t.executing {
 			return
 		}
 		r.release(t)
@@ -192,24 +192,24 @@
 	})
 }
 
-// release frees the core of an attempt for the next one.
+// release frees the core of an attempt and starts queued ones.
 func (r *replica) release(t *attempt) {
-	t.running = false
+	t.executing = false
 	r.busy--
 	r.busySeconds += time.Duration(r.sim.now - t.startedAt).Seconds()
 	r.serve()
 }
 
-// cancel ends the work on an attempt that nobody waits for any more. The queue passes over one that has not started.
+// cancel stops the execution of an attempt whose proxy no longer waits for it. Queued attempts that are done are skipped by serve.
 func (r *replica) cancel(t *attempt) {
-	if t.running && r.incarnation == t.replicaIncarnation {
+	if t.executing && r.incarnation == t.replicaIncarnation {
 		r.release(t)
 	}
-	t.waiting = false
+	t.queued = false
 }
 
-// respond sends the outcome of an attempt to its proxy. If the replica crashes while an answer is under way, the connection
-// is reset instead; if a zone is partitioned, the proxy hears nothing.
+// respond sends the outcome of an attempt to its proxy. If the replica crashes before a successful response arrives, the proxy
+// observes a connection reset; across a partition it observes nothing.
 func (r *replica) respond(t *attempt, outcome attemptOutcome) {
 	delay, partitioned := r.sim.networkDelay(r.zone, t.proxy.zone)
 	if partitioned {
@@ -224,7 +224,7 @@
 	})
 }
 
-// crash takes a replica down. Its connections are reset; where it vanishes silently, proxies hear nothing.
+// crash stops a replica. Its connections are reset unless it crashes silently.
 func (r *replica) crash(silently bool) {
 	if !r.up {
 		return
@@ -243,13 +243,13 @@
 	}
 }
 
-// restart starts a replica that was down: it warms up again.
+// restart starts a crashed replica, which warms up again.
 func (r *replica) restart() {
 	if r.up || r.overloaded || r.state == rules.Deregistered {
 		return
 	}
 	r.up, r.startedAt = true, r.sim.now
-	r.arrivedWork, r.possibleWork = [overloadWindowParts]float64{}, [overloadWindowParts]float64{}
+	r.arrivedWork, r.capacity = [overloadBuckets]float64{}, [overloadBuckets]float64{}
 	r.scheduleReport()
 	r.sim.discovery.update(r)
 }
--- a/internal/tools/emulate/replica_test.go
+++ b/internal/tools/emulate/replica_test.go
@@ -16,7 +16,7 @@
 
 func (e *evenDecider) Step(_ rules.Time, events []rules.Event) (out []rules.Order) {
 	for _, x := range events {
-		if j, is := x.(rules.Joined); is {
+		if j, ok := x.(rules.Joined); ok {
 			if !e.bound {
 				for r := range e.replicas {
 					out = append(out, rules.EndpointWeight{Replica: rules.ReplicaID(r), Weight: 1})
--- a/internal/tools/emulate/reportqueue.go
+++ b/internal/tools/emulate/reportqueue.go
@@ -6,14 +6,14 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// queuedReport is a report on its way to a governor.
+// queuedReport is a report queued for a governor.
 type queuedReport struct {
-	key   uint64 // of what it is about
+	key   uint64 // identifies the subject
 	event rules.Event
-	since rules.Time // start of the period that it covers
+	since rules.Time // start of the covered period
 }
 
-// usageKeyFlag keeps the keys of proxies apart from those of replicas.
+// usageKeyFlag distinguishes keys of proxies from those of replicas.
 const usageKeyFlag = 1 << 32
 
 func replicaKey(id int) uint64 { return uint64(id) }
@@ -22,15 +22,14 @@
 	return usageKeyFlag | uint64(proxy)<<8 | uint64(group)
 }
 
-// reportQueue holds the reports that a governor has yet to be delivered, oldest first. A report about something that is
-// queued already is merged into the queued one, so that the queue is bounded by the size of the fleet.
+// reportQueue holds undelivered reports, oldest first. Reports with the same key are merged, so the fleet size bounds the queue.
 type reportQueue struct {
 	pending       []queuedReport
-	positions     map[uint64]int // by key; counted from the first report ever queued
+	positions     map[uint64]int // by key; counted from the first report ever added
 	firstPosition int            // of pending[0]
 }
 
-// add queues a report or merges it.
+// add appends a report or merges it into the queued one with the same key.
 func (q *reportQueue) add(report queuedReport) {
 	if q.positions == nil {
 		q.positions = map[uint64]int{}
@@ -43,7 +42,7 @@
 	q.pending = append(q.pending, report)
 }
 
-// remove takes the oldest report off a queue that is not empty.
+// remove removes the oldest report. The queue must not be empty.
 func (q *reportQueue) remove() queuedReport {
 	report := q.pending[0]
 	q.pending = q.pending[1:]
@@ -52,11 +51,11 @@
 	return report
 }
 
-// merge adds a later report about the same.
+// merge adds a later report with the same key.
 func (r *queuedReport) merge(later rules.Event) {
 	switch earlier := r.event.(type) {
 	case rules.EndpointStats:
-		r.event = mergeSums(earlier, later.(rules.EndpointStats))
+		r.event = mergeStats(earlier, later.(rules.EndpointStats))
 	case rules.GroupTraffic:
 		usage := later.(rules.GroupTraffic)
 		earlier.Flows += usage.Flows
@@ -65,11 +64,11 @@
 	}
 }
 
-// mergeSums adds up counts, weighs mean latencies by their attempts and keeps the latest load report.
-func mergeSums(earlier, later rules.EndpointStats) rules.EndpointStats {
-	earlierGood, laterGood := earlier.Attempts-earlier.Dropped, later.Attempts-later.Dropped
-	if all := earlierGood + laterGood; all > 0 {
-		earlier.MeanLatency = (earlier.MeanLatency*time.Duration(earlierGood) + later.MeanLatency*time.Duration(laterGood)) / time.Duration(all)
+// mergeStats adds the counts, averages latencies weighted by successful attempts and keeps the latest load report.
+func mergeStats(earlier, later rules.EndpointStats) rules.EndpointStats {
+	earlierSuccesses, laterSuccesses := earlier.Attempts-earlier.Dropped, later.Attempts-later.Dropped
+	if all := earlierSuccesses + laterSuccesses; all > 0 {
+		earlier.MeanLatency = (earlier.MeanLatency*time.Duration(earlierSuccesses) + later.MeanLatency*time.Duration(laterSuccesses)) / time.Duration(all)
 	}
 	earlier.Attempts += later.Attempts
 	earlier.Dropped += later.Dropped
--- a/internal/tools/emulate/reports.go
+++ b/internal/tools/emulate/reports.go
@@ -6,14 +6,14 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// deliveryInterval is how often reports are delivered to a governor.
+// deliveryInterval is the interval of report deliveries to a governor.
 const deliveryInterval = 50 * time.Millisecond
 
-// attemptStats sums up the attempts at one replica.
+// attemptStats aggregates attempts at one replica.
 type attemptStats struct {
 	attempts     int
 	failures     int
-	totalLatency time.Duration    // of the others
+	totalLatency time.Duration    // of successful attempts
 	report       rules.LoadReport // the replica's latest load report
 	hasReport    bool
 }
@@ -30,7 +30,7 @@
 	}
 }
 
-// meanLatency is the mean latency of the successful attempts; 0 if there are none.
+// meanLatency returns the mean latency of successful attempts, or 0 if there are none.
 func (s *attemptStats) meanLatency() time.Duration {
 	if n := s.attempts - s.failures; n > 0 {
 		return s.totalLatency / time.Duration(n)
@@ -38,7 +38,7 @@
 	return 0
 }
 
-// loadReport is the replica's latest load report, with all figures absent if there is none.
+// loadReport returns the replica's latest load report, with all values absent if there is none.
 func (s *attemptStats) loadReport() rules.LoadReport {
 	if s.hasReport {
 		return s.report
@@ -46,13 +46,13 @@
 	return rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
 }
 
-// groupUsage counts the flows of a traffic group at a proxy since the last collection.
+// groupUsage counts flows of a traffic group at a proxy since the last collection.
 type groupUsage struct {
 	arrived  int
-	unserved int // admitted, but not answered well
+	unserved int // admitted, but without a successful response
 }
 
-// recordAttempt adds an attempt to the statistics of the proxy's zone, and to the proxy's own where it sends reports.
+// recordAttempt adds an attempt to the statistics of the proxy's zone and, if proxies send reports, to those of the proxy.
 func (g *governor) recordAttempt(p *proxy, t *attempt, outcome attemptOutcome) {
 	id := t.replica.id
 	if g.zoneStats[p.zone] == nil {
@@ -72,7 +72,7 @@
 	session.replicaStats[id].add(t, outcome, g.sim.now)
 }
 
-// scheduleCollection has the collector of a zone gather the reports of each period. They arrive at the governor's queue late.
+// scheduleCollection collects the reports of a zone in each period and queues them after the report delay.
 func (g *governor) scheduleCollection(zone, incarnation int) {
 	sim := g.sim
 	sim.schedule(sim.fleet.ReportPeriod, func() {
@@ -90,7 +90,7 @@
 	})
 }
 
-// collectStats takes the statistics of a zone's replicas of the period that ends now.
+// collectStats collects and resets the replica statistics of a zone for the period that ends now.
 func (g *governor) collectStats(zone int) []queuedReport {
 	since := g.sim.now - rules.Time(g.sim.fleet.ReportPeriod)
 	var batch []queuedReport
@@ -112,7 +112,7 @@
 	return batch
 }
 
-// collectUsage takes the counts of flows of a zone's proxies of the period that ends now.
+// collectUsage collects and resets the flow counts of a zone's proxies for the period that ends now.
 func (g *governor) collectUsage(zone int) []queuedReport {
 	since := g.sim.now - rules.Time(g.sim.fleet.ReportPeriod)
 	var batch []queuedReport
@@ -137,7 +137,7 @@
 	return batch
 }
 
-// enqueueReports queues a batch, less what faults lose of it.
+// enqueueReports queues the reports of a batch that are not lost to faults.
 func (g *governor) enqueueReports(zone int, batch []queuedReport) {
 	for _, r := range batch {
 		if g.reportLoss == 0 || g.sim.randomStream.Float64() >= g.reportLoss {
@@ -146,7 +146,7 @@
 	}
 }
 
-// scheduleDelivery delivers reports at intervals, as many as the fleet's bound allows.
+// scheduleDelivery delivers reports periodically, up to the fleet's rate limit.
 func (g *governor) scheduleDelivery(incarnation int) {
 	g.sim.schedule(deliveryInterval, func() {
 		if g.incarnation != incarnation {
@@ -169,7 +169,7 @@
 	})
 }
 
-// nextReport removes the oldest report of all zones.
+// nextReport removes and returns the oldest report of all zones.
 func (g *governor) nextReport() (report queuedReport, queued bool) {
 	var oldest *reportQueue
 	for zone := range g.reportQueues {
@@ -184,8 +184,8 @@
 	return oldest.remove(), true
 }
 
-// deliver posts a report with the time that it covers. It reports false where the intake has the same already from the
-// proxies: that does not count against the bound.
+// deliver posts a report with the window that it covers. It returns false if the intake already has the data from proxy reports;
+// such reports do not count against the rate limit.
 func (g *governor) deliver(report queuedReport) bool {
 	sim, period := g.sim, g.sim.fleet.ReportPeriod
 	age := time.Duration(sim.now-report.since) / period * period
--- a/internal/tools/emulate/simulation.go
+++ b/internal/tools/emulate/simulation.go
@@ -8,45 +8,45 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Decider decides for the proxies of one governor: it turns events into orders, without I/O and without a clock of its own.
-// rules.Governor is one.
+// Decider is the decision logic of one governor. It maps events to orders without I/O or a clock of its own. rules.Governor
+// implements it.
 type Decider interface {
-	// Step hands over what has happened since the last step, and returns what is to be done about it.
+	// Step processes the events since the last step and returns the resulting orders.
 	Step(now rules.Time, events []rules.Event) []rules.Order
 }
 
-// PickPolicy is how proxies choose among the endpoints of a table.
+// PickPolicy determines how proxies choose among the endpoints of a table.
 type PickPolicy int
 
-// The policies of choosing a replica.
+// The pick policies.
 const (
 	// PickWeighted draws one replica by weight.
 	PickWeighted PickPolicy = iota
-	// PickPowerOfTwoChoices draws two by weight and takes the one at which the proxy itself has fewer flows in flight.
+	// PickPowerOfTwoChoices draws two by weight and uses the one with fewer attempts of this proxy in flight.
 	PickPowerOfTwoChoices
 )
 
-// Config describes one run. Runs of equal configurations are equal, event by event.
+// Config is the configuration of one run. Equal configurations produce identical runs.
 type Config struct {
 	Fleet  Fleet
 	Faults []Fault
-	Seed   uint64 // of both random streams and of the governors
-	// NewDecider makes the decider of a governor each time that it starts. Nil means rules.Governor.
+	Seed   uint64 // for both random streams and the governors
+	// NewDecider creates the decider of a governor each time that the governor starts. If nil, rules.Governor is used.
 	NewDecider func(sim *Simulation, governor int) Decider
 	PickPolicy PickPolicy
-	// AdjustSettings may change the settings that governors are started with. Nil means no change.
+	// AdjustSettings, if not nil, modifies the initial settings of governors.
 	AdjustSettings func(*rules.Settings)
-	// OnViolation is called with the simulation as it stands at the first violation of each invariant. It may be nil.
+	// OnViolation, if not nil, is called at the first violation of each invariant.
 	OnViolation func(*Simulation, Violation)
-	// UnlimitedChannel makes channels infinitely fast and lifts the invariant on them, for deciders that do not know of channels.
+	// UnlimitedChannel makes channels infinitely fast and disables their invariant, for deciders that do not respect channel limits.
 	UnlimitedChannel bool
 }
 
-// simulationEpoch is the simulated clock at the start of a run. It is not 0, as 0 means "long ago" for the time of a
-// replica's start.
+// simulationEpoch is the simulated time at the start of a run. It is not 0, because a start time of 0 means that a replica started
+// long before the run.
 const simulationEpoch = rules.Time(1_000_000 * time.Second)
 
-// Simulation is a run under way. It belongs to one goroutine.
+// Simulation is the state of a run. It is not safe for concurrent use.
 type Simulation struct {
 	config   Config
 	fleet    *Fleet
@@ -54,30 +54,30 @@
 
 	now        rules.Time // simulated clock
 	start      rules.Time
-	end        rules.Time // no flow arrives from then on
+	end        rules.Time // end of arrivals
 	events     eventQueue
-	eventCount uint64 // events scheduled and executed so far; orders events of the same time
+	eventCount uint64 // events scheduled and executed so far; also the sequence of scheduled events
 
-	// The arrival process has a random stream of its own, so that every decider meets the same flows.
+	// Arrivals have a separate random stream, so that all deciders receive the same flows.
 	arrivalStream *rand.Rand
 	randomStream  *rand.Rand // everything else
 
 	replicas         []*replica
-	machineKinds     []int // of the replicas that the run starts with
+	machineKinds     []int // of the initial replicas
 	proxies          []*proxy
 	governors        []*governor
 	discovery        discovery
-	arrivalRate      float64   // flows a second, over all proxies
+	arrivalRate      float64   // total flows per second
 	cumulativeShares []float64 // of the traffic groups
 	faults           []*activeFault
-	zoneCuts         []int // faults in effect that partition a zone, by zone
+	zonePartitions   []int // by zone: number of active faults that partition it
 
-	monitor monitor
-	result  Result
-	current *Second // the second under way
+	monitor       monitor
+	result        Result
+	currentSecond *Second
 }
 
-// Run simulates a configuration to its end. It fails if the fleet or a fault is invalid.
+// Run executes a simulation. It returns an error if the fleet or a fault is invalid.
 func Run(config Config) (*Result, error) {
 	if err := config.Fleet.Validate(); err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 	return sim.summarize(), nil
 }
 
-// execute runs the events in their order until the settling time is over or none is left.
+// execute runs events in order until the end of the settling time.
 func (sim *Simulation) execute() {
 	for len(sim.events) > 0 {
 		next := heap.Pop(&sim.events).(event)
@@ -110,8 +110,8 @@
 	}
 }
 
-// build creates the fleet and schedules its first events. The order of its steps is part of what a seed means: each draws
-// from the random streams or schedules events.
+// build creates the fleet and schedules the initial events. The order of its steps must not change, as each step draws from the
+// random streams or schedules events.
 func (sim *Simulation) build() error {
 	fleet := sim.fleet
 	sim.settings = fleet.Settings()
@@ -119,7 +119,7 @@
 		sim.config.AdjustSettings(&sim.settings)
 	}
 	sim.end = sim.start + rules.Time(fleet.Duration)
-	sim.zoneCuts = make([]int, fleet.Zones)
+	sim.zonePartitions = make([]int, fleet.Zones)
 	sim.result = Result{Seed: sim.config.Seed}
 	sim.monitor.start(sim)
 	sim.buildReplicas()
@@ -139,7 +139,7 @@
 	return sim.scheduleFaults()
 }
 
-// buildReplicas creates the replicas and derives the arrival rate from their capacity.
+// buildReplicas creates the initial replicas and derives the arrival rate from their capacity.
 func (sim *Simulation) buildReplicas() {
 	fleet := sim.fleet
 	sim.machineKinds = assignKinds(fleet.Kinds, fleet.Replicas)
@@ -154,7 +154,7 @@
 	}
 }
 
-// buildProxies creates the proxies and scales their rates so that together they have the arrival rate.
+// buildProxies creates the proxies and scales their rates to the total arrival rate.
 func (sim *Simulation) buildProxies() {
 	sum := 0.0
 	for i := range sim.fleet.Proxies {
@@ -167,20 +167,20 @@
 	}
 }
 
-// elapsedSeconds is the time since the start of the run.
+// elapsedSeconds returns the simulated time since the start of the run.
 func (sim *Simulation) elapsedSeconds() float64 { return time.Duration(sim.now - sim.start).Seconds() }
 
-// networkDelay draws the one-way delay of a message between two zones. Partitioned reports that the message is lost.
+// networkDelay draws the one-way delay between two zones. If partitioned is true, the message is lost.
 func (sim *Simulation) networkDelay(from, to int) (delay time.Duration, partitioned bool) {
 	delay = sim.fleet.LocalDelay
 	if from != to {
 		delay = sim.fleet.CrossZoneDelay
-		partitioned = sim.zoneCuts[from] > 0 || sim.zoneCuts[to] > 0
+		partitioned = sim.zonePartitions[from] > 0 || sim.zonePartitions[to] > 0
 	}
 	return sim.uniform(delay*3/4, delay*5/4), partitioned
 }
 
-// warmReplicas returns the replicas that are up, in service and no longer warming up.
+// warmReplicas returns the replicas that are up, ready and not warming up.
 func (sim *Simulation) warmReplicas() []*replica {
 	var warm []*replica
 	for _, r := range sim.replicas {
@@ -191,12 +191,12 @@
 	return warm
 }
 
-// GovernorViews returns what each running governor knows, for those decided by a rules.Governor.
+// GovernorViews returns the views of all running governors whose decider is a rules.Governor.
 func (sim *Simulation) GovernorViews() []rules.View {
 	var views []rules.View
 	for _, g := range sim.governors {
-		decider, is := g.decider.(*rules.Governor)
-		if !is || !g.up {
+		decider, ok := g.decider.(*rules.Governor)
+		if !ok || !g.up {
 			continue
 		}
 		var view rules.View
--- a/internal/tools/emulate/simulation_test.go
+++ b/internal/tools/emulate/simulation_test.go
@@ -89,7 +89,7 @@
 		for _, x := range simulation.replicas {
 			open := 0
 			for _, p := range simulation.proxies {
-				if _, is := p.connections[x.id]; is {
+				if _, ok := p.connections[x.id]; ok {
 					open++
 				}
 			}
--- a/internal/tools/emulate/summary.go
+++ b/internal/tools/emulate/summary.go
@@ -6,11 +6,10 @@
 	"io"
 )
 
-// summaryInterval is how many seconds a line of a summary covers.
+// summaryInterval is the number of seconds per line of a summary.
 const summaryInterval = 5
 
-// WriteSummary writes a result for people: the figures of the run, violations, a line for each five seconds, and the log of
-// faults.
+// WriteSummary writes a human-readable summary: metrics of the run, violations, one line per five seconds, and the fault log.
 func (r *Result) WriteSummary(out io.Writer) error {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "service %.4f  worst ten seconds %.4f  median %v  99th percentile %v  crossing zones %.3f\n",
@@ -36,13 +35,13 @@
 		fmt.Fprintf(&text, "%7.2f s  %s\n", entry.At, entry.Text)
 	}
 	if _, err := out.Write(text.Bytes()); err != nil {
-		return fmt.Errorf("writing a summary: %w", err)
+		return fmt.Errorf("write summary: %w", err)
 	}
 	return nil
 }
 
-// aggregate adds up the counts that a summary shows, with the mean utilization, the highest fill of a channel and the warm
-// replicas at the end.
+// aggregate combines seconds into one line of a summary: the sum of the counts, the mean utilization, the highest channel fill
+// and the final number of warm replicas.
 func aggregate(seconds []Second) Second {
 	var total Second
 	for _, second := range seconds {
--- a/internal/tools/emulate/weighttable.go
+++ b/internal/tools/emulate/weighttable.go
@@ -7,20 +7,19 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// weightTable is a table of endpoint weights as a governor's decider has ordered it, with what has changed in the step
-// under way.
+// weightTable is a table of endpoint weights and admissions as ordered by a decider. It tracks the changes of the current step.
 type weightTable struct {
 	weights           map[rules.ReplicaID]float64
-	order             []rules.ReplicaID // in the order of their first weight
+	order             []rules.ReplicaID // in insertion order
 	admissions        []rules.Admit     // by traffic group
 	admissionGroups   rules.GroupSet    // groups with an admission order
-	cached            *tableSnapshot    // nil: has to be made again
+	cached            *tableSnapshot    // nil if outdated
 	changedLines      int
 	cleared           bool
 	changedAdmissions rules.GroupSet
 }
 
-// setWeight gives a replica a weight; 0 removes it.
+// setWeight sets the weight of a replica; 0 removes it.
 func (t *weightTable) setWeight(id rules.ReplicaID, weight float64) {
 	_, present := t.weights[id]
 	switch {
@@ -43,7 +42,7 @@
 	t.order, t.cached, t.cleared, t.changedLines, t.admissionGroups = nil, nil, true, 0, 0
 }
 
-// snapshot returns the table as it stands. Proxies share snapshots, so nobody may change one.
+// snapshot returns the current table. Snapshots are shared by proxies and must not be modified.
 func (t *weightTable) snapshot() *tableSnapshot {
 	if t.cached == nil {
 		snapshot := &tableSnapshot{}
@@ -55,7 +54,7 @@
 	return t.cached
 }
 
-// tableSnapshot is a weight table as it stood when a message was written. It is immutable once a proxy has it.
+// tableSnapshot is an immutable copy of the weights of a table.
 type tableSnapshot struct {
 	replicas          []rules.ReplicaID
 	weights           []float64
@@ -68,7 +67,7 @@
 	s.cumulativeWeights = append(s.cumulativeWeights, s.totalWeight()+weight)
 }
 
-// totalWeight is the sum of the weights; 0 for a nil snapshot.
+// totalWeight returns the sum of the weights, or 0 for a nil snapshot.
 func (s *tableSnapshot) totalWeight() float64 {
 	if s == nil || len(s.cumulativeWeights) == 0 {
 		return 0
@@ -76,12 +75,12 @@
 	return s.cumulativeWeights[len(s.cumulativeWeights)-1]
 }
 
-// indexAt returns the index of the replica that a draw from [0, totalWeight) falls on.
+// indexAt returns the index of the replica selected by a draw from [0, totalWeight).
 func (s *tableSnapshot) indexAt(draw float64) int {
 	return min(sort.SearchFloat64s(s.cumulativeWeights, draw), len(s.cumulativeWeights)-1)
 }
 
-// table returns the table of an ID, which it makes if needed.
+// table returns the table with an ID and creates it if needed.
 func (g *governor) table(id rules.TableID) *weightTable {
 	for int(id) >= len(g.tables) {
 		g.tables = append(g.tables, &weightTable{weights: map[rules.ReplicaID]float64{}, admissions: make([]rules.Admit, len(g.sim.fleet.Groups))})
@@ -89,10 +88,10 @@
 	return g.tables[id]
 }
 
-// inGroupSet reports whether a set names a traffic group. The empty set names all.
+// inGroupSet reports whether a set contains a traffic group. The empty set stands for all groups.
 func inGroupSet(set rules.GroupSet, group int) bool { return set == 0 || set&(1<<group) != 0 }
 
-// applyOrder changes tables and sessions by an order that concerns proxies. Proxies see it with the next message.
+// applyOrder applies an order to tables and sessions. Proxies receive the change with the next message.
 func (g *governor) applyOrder(o rules.Order) {
 	switch o := o.(type) {
 	case rules.EndpointWeight:
@@ -104,7 +103,7 @@
 	case rules.Bind:
 		g.bind(o)
 	case rules.ReplicaEjection:
-		g.withdrawn[o.Replica] = o.Ejected
+		g.ejectedForAll[o.Replica] = o.Ejected
 		for _, session := range g.sessionOrder {
 			session.changedEjections++
 		}
@@ -116,14 +115,14 @@
 	}
 }
 
-// setAdmission sets the admission level and retry policy of traffic groups, in one table or in all.
+// setAdmission sets the admission level and retry policy of traffic groups in one table or globally.
 func (g *governor) setAdmission(order rules.Admit) {
 	for group := range g.sim.fleet.Groups {
 		if !inGroupSet(order.Groups, group) {
 			continue
 		}
 		if order.Table == rules.AllTables {
-			g.allTables[rules.GroupID(group)] = order
+			g.globalAdmissions[rules.GroupID(group)] = order
 			for _, t := range g.tables {
 				t.changedAdmissions |= 1 << group
 			}
@@ -136,7 +135,7 @@
 	}
 }
 
-// bind has a proxy use a table for traffic groups.
+// bind assigns a table to a proxy for traffic groups.
 func (g *governor) bind(order rules.Bind) {
 	session := g.sessions[order.Proxy]
 	if session == nil {
@@ -145,7 +144,7 @@
 	for group := range g.sim.fleet.Groups {
 		if inGroupSet(order.Groups, group) {
 			session.tables[group] = int(order.Table)
-			session.rebound |= 1 << group
+			session.reboundGroups |= 1 << group
 		}
 	}
 	g.table(order.Table)
--- a/internal/tools/experiment/compare.go
+++ b/internal/tools/experiment/compare.go
@@ -102,7 +102,7 @@
 	for _, seed := range seeds {
 		value := metric.Value(runs[seed])
 		values = append(values, value)
-		if paired, is := referenceRuns[seed]; is {
+		if paired, ok := referenceRuns[seed]; ok {
 			differences = append(differences, value-metric.Value(paired))
 		}
 	}
--- a/internal/tools/experiment/plan_test.go
+++ b/internal/tools/experiment/plan_test.go
@@ -44,10 +44,10 @@
 func TestInvalidPlans(t *testing.T) {
 	for _, x := range []struct{ old, new, want string }{
 		{"seeds = 3", "seeds = \"3\"", "line 3"},
-		{"proxies = 10", "proxys = 10", "line 5: there is no key fleet.proxys"},
+		{"proxies = 10", "proxys = 10", "line 5: unknown key fleet.proxys"},
 		{"length = \"8s\"", "length = \"8\"", "line 7"},
 		{"proxies = 10", "proxies = -1", "fleet: proxies: want more than 0"},
-		{"kind = \"hang\"", "kind = \"hung\"", "scenario hang: trouble 1: kind: there is no \"hung\""},
+		{"kind = \"hang\"", "kind = \"hung\"", "scenario hang: trouble 1: kind: unknown kind \"hung\""},
 		{"share = 0.2", "share = 2.0", "share: want 0 to 1"},
 		{"decider = \"even\"", "decider = \"odd\"", "variant even: decider"},
 		{"name = \"calm\"", "", "scenario 1: name is missing"},
--- a/internal/tools/experiment/planfile.go
+++ b/internal/tools/experiment/planfile.go
@@ -112,7 +112,7 @@
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
 		line, _ := unknown.Errors[0].Position()
-		return fmt.Errorf("line %d: there is no key %s", line, strings.Join(unknown.Errors[0].Key(), "."))
+		return fmt.Errorf("line %d: unknown key %s", line, strings.Join(unknown.Errors[0].Key(), "."))
 	}
 	var malformed *toml.DecodeError
 	if errors.As(err, &malformed) {
