--- a/internal/tools/emulate/fault_test.go
+++ b/internal/tools/emulate/fault_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// TestEachFaultShows runs a short simulation with each kind of fault: it differs from the one without, from the begin of the fault
-// on and no sooner, and faults that end leave a fleet that delivers nearly all again.
-func TestEachFaultShows(t *testing.T) {
+// TestEveryFaultKindAffectsRun guards against faults without effect: a run with the fault differs from one without it once the fault
+// begins and not before, and the fleet recovers after the fault ends.
+func TestEveryFaultKindAffectsRun(t *testing.T) {
 	f := SmallFleet()
 	f.Governors, f.Duration = 2, 40*time.Second
-	calm := run(t, Config{Fleet: f, Seed: 8})
+	baseline := run(t, Config{Fleet: f, Seed: 8})
 	for _, kind := range FaultKinds() {
 		if kind == FaultNone {
 			continue
@@ -32,25 +32,25 @@
 			faults = append(faults, Fault{Kind: "hang", At: 6 * time.Second, Duration: 4 * time.Second, Share: 0.3})
 		}
 		r := run(t, Config{Fleet: f, Seed: 8, Faults: faults})
-		if !reflect.DeepEqual(r.Seconds[:6], calm.Seconds[:6]) {
+		if !reflect.DeepEqual(r.Seconds[:6], baseline.Seconds[:6]) {
 			t.Errorf("%s: the run differs before the fault begins", kind)
 		}
-		if reflect.DeepEqual(r.Seconds[6:30], calm.Seconds[6:30]) {
-			t.Errorf("%s shows nothing", kind)
+		if reflect.DeepEqual(r.Seconds[6:30], baseline.Seconds[6:30]) {
+			t.Errorf("%s: the run does not differ while the fault is active", kind)
 		}
 		offered, inTime := 0, 0
 		for _, s := range r.Seconds[34:40] {
 			offered, inTime = offered+s.Offered, inTime+s.InTime
 		}
-		if lasting := kind == "ageing"; !lasting && float64(inTime) < 0.85*float64(offered) {
-			t.Errorf("%s: 23 s after its end %d of %d flows are delivered in time", kind, inTime, offered)
+		if permanent := kind == "ageing"; !permanent && float64(inTime) < 0.85*float64(offered) {
+			t.Errorf("%s: 23 s after the fault ended, %d of %d flows are delivered in time", kind, inTime, offered)
 		}
 	}
 }
 
-// TestTriggers has one fault begin with another that is named, and one once so many attempts fail; one whose condition is never
-// met does not begin.
-func TestTriggers(t *testing.T) {
+// TestFaultTriggers checks that faults start with a named fault or when a metric crosses a threshold, and do not start otherwise.
+// Invalid faults are rejected.
+func TestFaultTriggers(t *testing.T) {
 	f := SmallFleet()
 	f.Duration = 20 * time.Second
 	r := run(t, Config{Fleet: f, Seed: 9, Faults: []Fault{
@@ -59,23 +59,23 @@
 		{Kind: "impatient", Trigger: "dropped > 0.1", Duration: time.Second, Factor: 0.9},
 		{Kind: "list_down", Trigger: "dropped > 0.99", Duration: time.Second},
 	}})
-	at := map[string]float64{}
-	for _, n := range r.FaultLog {
-		kind, _, _ := strings.Cut(n.Text, ":")
-		if _, ok := at[kind]; !ok {
-			at[kind] = n.At
+	startedAt := map[string]float64{}
+	for _, entry := range r.FaultLog {
+		kind, _, _ := strings.Cut(entry.Text, ":")
+		if _, ok := startedAt[kind]; !ok {
+			startedAt[kind] = entry.At
 		}
 	}
-	if at["errors"] != 5 || at["burst"] != 6 || at["impatient"] < 6 || at["impatient"] > 8 {
-		t.Errorf("begun at %v", at)
+	if startedAt["errors"] != 5 || startedAt["burst"] != 6 || startedAt["impatient"] < 6 || startedAt["impatient"] > 8 {
+		t.Errorf("faults started at %v", startedAt)
 	}
-	if _, ok := at["list_down"]; ok {
-		t.Error("a fault begins whose condition is never met")
+	if _, ok := startedAt["list_down"]; ok {
+		t.Error("a fault started although its condition was never met")
 	}
-	for _, bad := range []Fault{{Kind: "hung"}, {Kind: "hang", Share: 2}, {Kind: "hang", Trigger: "mood > 1"}, {Kind: "zone_cut", Zone: new(int), Factor: -1},
-		{Kind: "hang", Trigger: "nobody"}} {
-		if _, err := Run(Config{Fleet: f, Seed: 1, Faults: []Fault{bad}}); err == nil {
-			t.Errorf("%+v is taken", bad)
+	for _, invalid := range []Fault{{Kind: "hung"}, {Kind: "hang", Share: 2}, {Kind: "hang", Trigger: "unknown_metric > 1"}, {Kind: "zone_cut", Zone: new(int), Factor: -1},
+		{Kind: "hang", Trigger: "unknown_fault"}} {
+		if _, err := Run(Config{Fleet: f, Seed: 1, Faults: []Fault{invalid}}); err == nil {
+			t.Errorf("invalid fault %+v is accepted", invalid)
 		}
 	}
 }
--- a/internal/tools/emulate/monitor_test.go
+++ b/internal/tools/emulate/monitor_test.go
@@ -10,69 +10,69 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// violatingDecider violates one invariant on purpose.
+// violatingDecider is a rules.Governor that deliberately violates one invariant.
 type violatingDecider struct {
 	rules.Governor
 	violates Invariant
 }
 
-func (b *violatingDecider) Step(now rules.Time, events []rules.Event) []rules.Order {
-	if b.violates == DrainGraceRespected {
-		events = slices.DeleteFunc(slices.Clone(events), func(e rules.Event) bool { l, ok := e.(rules.List); return ok && l.Scope == rules.Changes })
+func (d *violatingDecider) Step(now rules.Time, events []rules.Event) []rules.Order {
+	if d.violates == DrainGraceRespected {
+		events = slices.DeleteFunc(slices.Clone(events), func(e rules.Event) bool { list, ok := e.(rules.List); return ok && list.Scope == rules.Changes })
 	}
-	out := b.Governor.Step(now, events)
-	for i, o := range out {
+	orders := d.Governor.Step(now, events)
+	for i, o := range orders {
 		switch o := o.(type) {
 		case rules.EndpointWeight:
 			switch {
-			case b.violates == ProxiesHaveEndpoints:
+			case d.violates == ProxiesHaveEndpoints:
 				o.Weight = 0
-			case b.violates == WarmupLoadBounded && o.Weight > 0:
+			case d.violates == WarmupLoadBounded && o.Weight > 0:
 				o.Weight = 1
 				if o.Replica >= 12 {
 					o.Weight = 1000
 				}
 			}
-			out[i] = o
+			orders[i] = o
 		case rules.Admit:
-			if b.violates == EffectsAppliedOnce {
+			if d.violates == EffectsAppliedOnce {
 				o.Retry = rules.RetryTwice
-				out[i] = o
+				orders[i] = o
 			}
 		}
 	}
-	if b.violates == ChannelQueueBounded {
+	if d.violates == ChannelQueueBounded {
 		for r := range 40 {
-			out = append(out, rules.EndpointWeight{Table: 0, Replica: rules.ReplicaID(r % 12), Weight: float64(now%1000) + 1})
+			orders = append(orders, rules.EndpointWeight{Table: 0, Replica: rules.ReplicaID(r % 12), Weight: float64(now%1000) + 1})
 		}
 	}
-	return out
+	return orders
 }
 
-// TestViolationsAreDetected has a governor violate each invariant on purpose, and one that violates none.
+// TestViolationsAreDetected guards against a monitor that misses a violation or reports a false one.
 func TestViolationsAreDetected(t *testing.T) {
-	for _, how := range []Invariant{ProxiesHaveEndpoints, EffectsAppliedOnce, DrainGraceRespected, WarmupLoadBounded, ChannelQueueBounded, ""} {
+	for _, violated := range []Invariant{ProxiesHaveEndpoints, EffectsAppliedOnce, DrainGraceRespected, WarmupLoadBounded, ChannelQueueBounded, ""} {
 		f := SmallFleet()
 		f.Load, f.Duration = 0.6, 30*time.Second
 		faults := []Fault{{Kind: "deploy", At: 8 * time.Second, Duration: 3 * time.Second, Share: 0.4}}
-		if how == EffectsAppliedOnce {
-			f.Load = 0.2 // and work takes long, so that some is under way when a zone is cut off: its answers are lost
+		if violated == EffectsAppliedOnce {
+			f.Load = 0.2 // with slow replicas, so that the partitions drop responses of executing attempts
 			faults = append(faults, Fault{Kind: "slow", At: 3 * time.Second, Share: 1, Factor: 3}, Fault{Kind: "zone_cut", At: 6 * time.Second, Duration: 5 * time.Second},
 				Fault{Kind: "zone_cut", At: 15 * time.Second, Duration: 5 * time.Second})
 		}
 		reported := ""
-		r := run(t, Config{Fleet: f, Seed: 5, Faults: faults, NewDecider: func(*Simulation, int) Decider { return &violatingDecider{violates: how} },
-			OnViolation: func(sim *Simulation, b Violation) {
-				reported += fmt.Sprintf("%s at %.2f; ", b.Invariant, sim.elapsedSeconds())
+		r := run(t, Config{Fleet: f, Seed: 5, Faults: faults, NewDecider: func(*Simulation, int) Decider { return &violatingDecider{violates: violated} },
+			OnViolation: func(sim *Simulation, v Violation) {
+				reported += fmt.Sprintf("%s at %.2f; ", v.Invariant, sim.elapsedSeconds())
 			}})
-		if how == "" {
+		if violated == "" {
 			if len(r.Violations) > 0 {
-				t.Errorf("no invariant is violated, and %v is reported", r.Violations)
+				t.Errorf("false violations reported: %v", r.Violations)
 			}
 			continue
 		}
-		if !slices.ContainsFunc(r.Violations, func(b Violation) bool { return b.Invariant == how }) || !strings.Contains(reported, string(how)) || len(r.Trace) == 0 {
-			t.Errorf("%s: found %v, reported %s", how, r.Violations, reported)
+		if !slices.ContainsFunc(r.Violations, func(v Violation) bool { return v.Invariant == violated }) || !strings.Contains(reported, string(violated)) || len(r.Trace) == 0 {
+			t.Errorf("%s: found %v, reported %s", violated, r.Violations, reported)
 		}
 	}
 }
--- a/internal/tools/emulate/proxyreports_test.go
+++ b/internal/tools/emulate/proxyreports_test.go
@@ -7,40 +7,40 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// TestProxyReportsEjectPairs has a replica answer the flows of one proxy in ten badly. These proxies report it: through the intake the
-// governor finds the pairs and ejects the replica for them alone, and service is no worse than without such reports.
+// TestProxyReportsEjectPairs injects errors at one replica for a tenth of the proxies. With proxy reports, the governor must eject the
+// replica for the affected proxies only, without reducing the service level.
 func TestProxyReportsEjectPairs(t *testing.T) {
 	f := SmallFleet()
 	f.Proxies, f.Load, f.Duration = 60, 0.4, 60*time.Second
 	faults := []Fault{{Kind: "partial", At: 8 * time.Second, Share: 0.08, Factor: 0.1}}
 	ejections, wrong := 0, 0
 	var simulation *Simulation
-	p := Config{Fleet: f, Seed: 6, Faults: faults, NewDecider: func(sim *Simulation, _ int) Decider {
+	config := Config{Fleet: f, Seed: 6, Faults: faults, NewDecider: func(sim *Simulation, _ int) Decider {
 		simulation = sim
-		return &spyDecider{step: func(_ rules.Time, _ []rules.Event, orders []rules.Order) {
+		return &observedDecider{observe: func(_ rules.Time, _ []rules.Event, orders []rules.Order) {
 			for _, o := range orders {
-				if s, ok := o.(rules.PairEjection); ok && s.Ejected {
+				if ejection, ok := o.(rules.PairEjection); ok && ejection.Ejected {
 					ejections++
-					if sim.replicas[s.Replica].partialShare == 0 || sim.proxies[s.Proxy].selector >= 0.1 {
+					if sim.replicas[ejection.Replica].partialShare == 0 || sim.proxies[ejection.Proxy].selector >= 0.1 {
 						wrong++
 					}
 				}
 			}
 		}}
 	}}
-	without := run(t, p)
+	without := run(t, config)
 	if ejections > 0 {
-		t.Errorf("%d ejections for single proxies, and no proxy reports", ejections)
+		t.Errorf("%d ejections for single proxies without proxy reports", ejections)
 	}
-	p.Fleet.ProxyReports = true
-	with := run(t, p)
-	few := 0
-	for _, x := range simulation.proxies {
-		if x.selector < 0.1 {
-			few++
+	config.Fleet.ProxyReports = true
+	with := run(t, config)
+	affected := 0
+	for _, proxy := range simulation.proxies {
+		if proxy.selector < 0.1 {
+			affected++
 		}
 	}
-	if few == 0 || ejections < few/2 || wrong > 1 || with.ServiceLevel < without.ServiceLevel-0.005 {
-		t.Errorf("%d proxies fail there: %d ejections, %d of them wrong; service %.4f, without %.4f", few, ejections, wrong, with.ServiceLevel, without.ServiceLevel)
+	if affected == 0 || ejections < affected/2 || wrong > 1 || with.ServiceLevel < without.ServiceLevel-0.005 {
+		t.Errorf("%d affected proxies: %d ejections, %d of them wrong; service level %.4f, without reports %.4f", affected, ejections, wrong, with.ServiceLevel, without.ServiceLevel)
 	}
 }
--- a/internal/tools/emulate/simulation_test.go
+++ b/internal/tools/emulate/simulation_test.go
@@ -12,50 +12,51 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// init has rapid draw the same configurations each time, unless a seed is given, so that CI has one verdict.
+// init fixes the default seed of rapid, so that test results are reproducible.
 func init() {
 	if err := flag.Set("rapid.seed", "7"); err != nil {
 		panic(err)
 	}
 }
 
-func run(t testing.TB, p Config) *Result {
+func run(t testing.TB, config Config) *Result {
 	t.Helper()
-	r, err := Run(p)
+	r, err := Run(config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// TestSameSeedSameRun runs a configuration with faults twice at a time on one core and on four: every second is the same.
-func TestSameSeedSameRun(t *testing.T) {
-	p := Config{Fleet: LargeFleet(250, 30), Seed: 3, Faults: []Fault{
+// TestRunIsDeterministic guards against results that depend on anything but the configuration: concurrent runs on one core and on
+// four must be identical.
+func TestRunIsDeterministic(t *testing.T) {
+	config := Config{Fleet: LargeFleet(250, 30), Seed: 3, Faults: []Fault{
 		{Kind: "deploy", At: 5 * time.Second, Duration: 4 * time.Second, Share: 0.5}, {Kind: "governors_die", At: 8 * time.Second, Share: 0.4, RecoverAfter: 5 * time.Second},
 		{Kind: "hang", At: 12 * time.Second, Duration: 5 * time.Second, Share: 0.1}, {Kind: "burst", At: 15 * time.Second, Duration: 4 * time.Second, Factor: 1.5}}}
 	var all []*Result
 	for _, cores := range []int{1, 4} {
-		before := runtime.GOMAXPROCS(cores)
-		found := make(chan *Result, 2)
+		previous := runtime.GOMAXPROCS(cores)
+		results := make(chan *Result, 2)
 		for range 2 {
-			go func() { r, _ := Run(p); found <- r }()
+			go func() { r, _ := Run(config); results <- r }()
 		}
-		all = append(all, <-found, <-found)
-		runtime.GOMAXPROCS(before)
+		all = append(all, <-results, <-results)
+		runtime.GOMAXPROCS(previous)
 	}
 	for _, r := range all[1:] {
 		if !reflect.DeepEqual(all[0].Seconds, r.Seconds) || all[0].EventCount != r.EventCount {
-			t.Error("two runs of one seed differ")
+			t.Error("two runs with the same seed differ")
 		}
 	}
-	p.Seed = 4
-	if r := run(t, p); reflect.DeepEqual(r.Seconds, all[0].Seconds) {
-		t.Error("another seed gives the same run")
+	config.Seed = 4
+	if r := run(t, config); reflect.DeepEqual(r.Seconds, all[0].Seconds) {
+		t.Error("a run with another seed is identical")
 	}
 }
 
-// TestEachFlowHasOneOutcome draws configurations at random: every flow has exactly one outcome, the utility delivered is never more
-// than requested, and connections and cores are all released.
+// TestEachFlowHasOneOutcome checks on random configurations that every flow has exactly one outcome, delivered utility never exceeds
+// requested utility, and no connection or core leaks.
 func TestEachFlowHasOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := SmallFleet()
@@ -79,38 +80,38 @@
 			offered += s.Offered
 		}
 		if r.Offered() != offered || r.Outcomes[Pending] != 0 {
-			t.Fatalf("%d flows came, endings %v", offered, r.Outcomes)
+			t.Fatalf("%d flows arrived, outcomes %v", offered, r.Outcomes)
 		}
 		for _, g := range r.Groups {
 			if g.DeliveredUtility > g.RequestedUtility+1e-9 {
-				t.Fatalf("%s: %.1f served of %.1f", g.Name, g.DeliveredUtility, g.RequestedUtility)
+				t.Fatalf("%s: delivered utility %.1f exceeds requested utility %.1f", g.Name, g.DeliveredUtility, g.RequestedUtility)
 			}
 		}
-		for _, x := range simulation.replicas {
+		for _, replica := range simulation.replicas {
 			open := 0
 			for _, p := range simulation.proxies {
-				if _, ok := p.connections[x.id]; ok {
+				if _, ok := p.connections[replica.id]; ok {
 					open++
 				}
 			}
-			if x.connections != open || x.busy < 0 {
-				t.Fatalf("replica %d counts %d connections, %d are open; %d cores busy", x.id, x.connections, open, x.busy)
+			if replica.connections != open || replica.busy < 0 {
+				t.Fatalf("replica %d counts %d connections, %d are open; %d cores busy", replica.id, replica.connections, open, replica.busy)
 			}
 		}
 	})
 }
 
-// TestClientRetriesAreNotProxyRetries has a flow that a client retries take effect again without a violation: only what the proxy
-// retries by order of the governor counts.
-func TestClientRetriesAreNotProxyRetries(t *testing.T) {
+// TestClientRetriesViolateNoInvariant checks that a repeated effect due to a client retry is no violation. Only proxy retries, which
+// governors control, count.
+func TestClientRetriesViolateNoInvariant(t *testing.T) {
 	f := SmallFleet()
 	f.ClientRetries = 3
 	r := run(t, Config{Fleet: f, Seed: 2, Faults: []Fault{{Kind: "hang", At: 5 * time.Second, Duration: 10 * time.Second, Share: 0.3}}})
-	again := 0
+	retries := 0
 	for _, s := range r.Seconds {
-		again += s.ClientRetries
+		retries += s.ClientRetries
 	}
-	if len(r.Violations) > 0 || again == 0 {
-		t.Errorf("%d retries of clients, violations %v", again, r.Violations)
+	if len(r.Violations) > 0 || retries == 0 {
+		t.Errorf("%d client retries, violations %v", retries, r.Violations)
 	}
 }
