--- a/internal/tools/experiment/compare.go
+++ b/internal/tools/experiment/compare.go
@@ -8,17 +8,16 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// upperQuantile is the quantile of Student's t that bounds a two-sided 95% interval.
+// upperQuantile is the quantile of Student's t-distribution for a two-sided 95% confidence interval.
 const upperQuantile = 0.975
 
-// Metric is a figure of a run.
+// Metric is a named value computed from a record.
 type Metric struct {
 	Name  string
 	Value func(Record) float64
 }
 
-// Metrics returns the figures that variants are compared by. The first one, the service level, is what tables give differences
-// of.
+// Metrics returns the metrics by which variants are compared. Tables show differences of the first one, the service level.
 func Metrics() []Metric {
 	return []Metric{
 		{"service", func(r Record) float64 { return r.Result.ServiceLevel }},
@@ -29,14 +28,14 @@
 	}
 }
 
-// Interval is a mean with its 95% confidence interval by Student's t.
+// Interval is a mean with its 95% confidence interval by Student's t-distribution.
 type Interval struct {
 	Mean      float64
 	HalfWidth float64 // infinite for fewer than two values
-	Count     int     // of values
+	Count     int     // number of values
 }
 
-// ExcludesZero reports whether the mean differs from 0 significantly.
+// ExcludesZero reports whether the mean differs significantly from 0.
 func (i Interval) ExcludesZero() bool { return math.Abs(i.Mean) > i.HalfWidth }
 
 func newInterval(values []float64) Interval {
@@ -49,18 +48,18 @@
 	return Interval{Mean: mean, HalfWidth: t * deviation / math.Sqrt(float64(n)), Count: n}
 }
 
-// Summary sums up the runs of a variant in a scenario.
+// Summary aggregates the runs of a variant in a scenario.
 type Summary struct {
 	Scenario, Variant string
 	Metrics           []Interval // in the order of Metrics
-	Differences       []Interval // from the reference variant, paired by seed; nil for the reference itself
+	Differences       []Interval // from the reference variant, paired by seed; nil for the reference
 }
 
-// cell is what a summary is about.
+// cell identifies the runs of one variant in one scenario.
 type cell struct{ scenario, variant string }
 
-// Compare sums up records, in the order in which scenarios and variants first appear. Each variant is compared with a reference
-// variant, paired by seed, so that what the runs of a seed have in common cancels out.
+// Compare summarizes records, with scenarios and variants in order of first appearance. Each variant is compared with the reference
+// variant. Differences are paired by seed, which removes the variance between seeds.
 func Compare(records []Record, reference string) []Summary {
 	bySeed := map[cell]map[uint64]Record{}
 	var order []cell
@@ -91,8 +90,7 @@
 	return summaries
 }
 
-// pairedValues returns a metric of runs in the order of their seeds, and the differences from the reference runs of the same
-// seeds.
+// pairedValues returns a metric of runs in seed order, and the differences from the reference runs with the same seeds.
 func pairedValues(metric Metric, runs, referenceRuns map[uint64]Record) (values, differences []float64) {
 	seeds := make([]uint64, 0, len(runs))
 	for seed := range runs {
@@ -102,8 +100,8 @@
 	for _, seed := range seeds {
 		value := metric.Value(runs[seed])
 		values = append(values, value)
-		if paired, ok := referenceRuns[seed]; ok {
-			differences = append(differences, value-metric.Value(paired))
+		if reference, ok := referenceRuns[seed]; ok {
+			differences = append(differences, value-metric.Value(reference))
 		}
 	}
 	return values, differences
--- a/internal/tools/experiment/page.go
+++ b/internal/tools/experiment/page.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// pageTemplate is a page without references to other files.
+// pageTemplate is a self-contained page without external references.
 var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{.Name}}</title>
 <style>body{font-family:sans-serif;max-width:60em;margin:2em auto}table{border-collapse:collapse}td,th{border:1px solid #bbb;padding:.2em .6em;text-align:right}
@@ -21,7 +21,7 @@
 </html>
 `))
 
-// pageData is what the template shows.
+// pageData is the input of pageTemplate.
 type pageData struct {
 	Plan
 	Build     string
@@ -31,20 +31,20 @@
 	Scenarios []pageScenario
 }
 
-// pageRow is a line of the table of comparisons.
+// pageRow is a row of the comparison table.
 type pageRow struct {
 	Scenario, Variant, Difference string
 	Cells                         []string
 }
 
-// pageScenario is the section of a scenario.
+// pageScenario is the section of one scenario.
 type pageScenario struct {
 	Name   string
 	Charts []template.HTML
 }
 
-// WritePage writes one self-contained HTML page of an experiment. There must be at least one record; variants are compared with
-// the plan's first one.
+// WritePage writes a self-contained HTML page of an experiment. There must be at least one record. The first variant of the plan is
+// the reference.
 func WritePage(out io.Writer, plan Plan, records []Record) error {
 	reference := plan.Variants[0].Name
 	data := pageData{Plan: plan, Build: records[0].Build, Reference: reference, Metrics: Metrics()}
@@ -59,7 +59,7 @@
 		data.Scenarios = append(data.Scenarios, section)
 	}
 	if err := pageTemplate.Execute(out, data); err != nil {
-		return fmt.Errorf("page: %w", err)
+		return fmt.Errorf("write page: %w", err)
 	}
 	return nil
 }
--- a/internal/tools/experiment/plan.go
+++ b/internal/tools/experiment/plan.go
@@ -1,5 +1,5 @@
-// Package experiment runs scenarios of the emulator with several seeds and variants, keeps each result in a file, compares
-// variants by seed, searches for scenarios that go badly, and writes tables and a page with charts.
+// Package experiment runs emulator scenarios with multiple seeds and variants and stores each result in a file. It compares
+// variants, searches for and shrinks scenarios with bad results, and writes tables and HTML pages with charts.
 package experiment
 
 import (
@@ -10,20 +10,20 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// GovernorDecider names the module, rules.Governor, as a decider. The other names are those of emulate.BaselinePolicies.
+// GovernorDecider is the decider name of rules.Governor. The other names are those of emulate.BaselinePolicies.
 const GovernorDecider = "zincloft"
 
-// Plan is an experiment: each scenario is run with each seed and each variant.
+// Plan is an experiment. Each scenario is run with each seed and each variant.
 type Plan struct {
 	Name      string
 	FirstSeed uint64
-	Seeds     int // how many, from FirstSeed on
+	Seeds     int // number of consecutive seeds
 	Fleet     emulate.Fleet
 	Scenarios []Scenario
 	Variants  []Variant
 }
 
-// Scenario is a set of faults.
+// Scenario is a named set of faults.
 type Scenario struct {
 	Name   string
 	Faults []emulate.Fault
@@ -34,14 +34,14 @@
 	Name           string
 	Decider        string
 	AdjustSettings func(*rules.Settings)
-	Fleet          *emulate.Fleet // in place of the plan's; nil: the plan's
+	Fleet          *emulate.Fleet // overrides the fleet of the plan if not nil
 }
 
-// ReadPlan reads a plan from a TOML file. An error names the key, and the line if the text is at fault.
+// ReadPlan reads a plan from a TOML file. Errors name the key, and the line if the file cannot be decoded.
 func ReadPlan(path string) (Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Plan{}, fmt.Errorf("experiment: %w", err)
+		return Plan{}, fmt.Errorf("read plan: %w", err)
 	}
 	plan, err := ParsePlan(text)
 	if err != nil {
@@ -50,10 +50,10 @@
 	return plan, nil
 }
 
-// ParsePlan parses the text of a plan, with the errors of ReadPlan.
+// ParsePlan parses a plan from TOML. Errors are as described for ReadPlan.
 func ParsePlan(text []byte) (Plan, error) { return parsePlan(text, "") }
 
-// config is the configuration of one run of a plan.
+// config returns the configuration of one run.
 func (p *Plan) config(scenario Scenario, seed uint64, variant Variant) emulate.Config {
 	config := emulate.Config{Fleet: p.Fleet, Faults: scenario.Faults, Seed: seed, AdjustSettings: variant.AdjustSettings}
 	if variant.Fleet != nil {
--- a/internal/tools/experiment/plan_test.go
+++ b/internal/tools/experiment/plan_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// smallPlan takes two seconds to run. Its two first variants are the same.
+// smallPlan is a fast plan whose first two variants are identical.
 const smallPlan = `
 name = "x"
 seeds = 3
@@ -40,9 +40,9 @@
 	return p
 }
 
-// TestInvalidPlans has each error name its key, and its line where the text is at fault.
+// TestInvalidPlans checks that errors name the key, and the line if the text cannot be decoded.
 func TestInvalidPlans(t *testing.T) {
-	for _, x := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{"seeds = 3", "seeds = \"3\"", "line 3"},
 		{"proxies = 10", "proxys = 10", "line 5: unknown key fleet.proxys"},
 		{"length = \"8s\"", "length = \"8\"", "line 7"},
@@ -52,8 +52,8 @@
 		{"decider = \"even\"", "decider = \"odd\"", "variant even: decider"},
 		{"name = \"calm\"", "", "scenario 1: name is missing"},
 	} {
-		if _, err := ParsePlan([]byte(strings.Replace(smallPlan, x.old, x.new, 1))); err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%s: %v, want %s", x.new, err, x.want)
+		if _, err := ParsePlan([]byte(strings.Replace(smallPlan, test.old, test.new, 1))); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: %v, want %s", test.new, err, test.want)
 		}
 	}
 }
--- a/internal/tools/experiment/planfile.go
+++ b/internal/tools/experiment/planfile.go
@@ -14,10 +14,10 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// errIncompletePlan is returned for a plan without anything to run.
-var errIncompletePlan = errors.New("scenario and variant: at least one of each is needed")
+// errIncompletePlan is returned for a plan without scenarios or variants.
+var errIncompletePlan = errors.New("scenario and variant: at least one of each is required")
 
-// duration is a time in a plan's file, as time.ParseDuration reads it: "1.5s".
+// duration is a time.Duration that is decoded by time.ParseDuration, such as "1.5s".
 type duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -27,7 +27,7 @@
 	return err
 }
 
-// planFile is a plan as it is written. Pointers tell keys that are left out from zeros.
+// planFile is the TOML schema of a plan. Pointers distinguish absent keys from zero values.
 type planFile struct {
 	Name      string         `toml:"name"`
 	Seeds     int            `toml:"seeds"`
@@ -37,7 +37,7 @@
 	Variants  []variantFile  `toml:"variant"`
 }
 
-// fleetFile is what a plan may change of a fleet.
+// fleetFile lists the fleet parameters that a plan may override.
 type fleetFile struct {
 	Base                string    `toml:"base"` // small or large
 	Governors           *int      `toml:"governors"`
@@ -62,7 +62,7 @@
 	Faults []faultFile `toml:"trouble"`
 }
 
-// faultFile has the keys of emulate.Fault.
+// faultFile is the TOML schema of emulate.Fault.
 type faultFile struct {
 	Kind         string   `toml:"kind"`
 	Name         string   `toml:"name"`
@@ -75,10 +75,10 @@
 	Zone         *int     `toml:"zone"`
 }
 
-// variantFile is a decider, and what it may change of a governor's settings.
+// variantFile is a decider and the governor settings that it may override.
 type variantFile struct {
 	Name               string    `toml:"name"`
-	Decider            string    `toml:"decider"` // GovernorDecider, which is the default, or one of the baselines
+	Decider            string    `toml:"decider"` // GovernorDecider (default) or a baseline policy
 	FailuresToAvoid    *int      `toml:"fails_to_avoid"`
 	MaxMessages        *int      `toml:"message_cap"`
 	ChannelRate        *float64  `toml:"line_pace"`
@@ -87,14 +87,14 @@
 	WarmupInitialShare *float64  `toml:"cold_from"`
 }
 
-// parsePlan parses the text of a plan, and then another text whose keys take precedence.
-func parsePlan(text []byte, overriding string) (Plan, error) {
+// parsePlan parses a plan, and then a second text whose keys take precedence.
+func parsePlan(text []byte, overrides string) (Plan, error) {
 	var file planFile
 	if err := decodeStrictly(text, &file); err != nil {
 		return Plan{}, locateError(err)
 	}
-	if overriding != "" {
-		if err := decodeStrictly([]byte(overriding), &file); err != nil {
+	if overrides != "" {
+		if err := decodeStrictly([]byte(overrides), &file); err != nil {
 			return Plan{}, err
 		}
 	}
@@ -107,7 +107,7 @@
 	return decoder.Decode(file)
 }
 
-// locateError adds the line and the key to an error of the TOML decoder.
+// locateError adds the line and key to an error of the TOML decoder.
 func locateError(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
@@ -122,7 +122,7 @@
 	return err
 }
 
-// plan checks a file and makes the plan of it.
+// plan validates the file and converts it to a plan.
 func (f *planFile) plan() (Plan, error) {
 	plan := Plan{Name: f.Name, FirstSeed: max(f.FirstSeed, 1), Seeds: max(f.Seeds, 1)}
 	var err error
@@ -155,7 +155,7 @@
 	return plan, nil
 }
 
-// fleet makes a valid fleet from a base. Its size comes first, as the large base depends on it.
+// fleet applies the overrides to the base fleet and validates the result. The size is set first, as the large base depends on it.
 func (f *fleetFile) fleet() (emulate.Fleet, error) {
 	fleet := emulate.SmallFleet()
 	override(&fleet.Proxies, f.Proxies)
@@ -220,7 +220,7 @@
 	return Variant{Name: v.Name, Decider: decider, AdjustSettings: v.adjust}, nil
 }
 
-// adjust changes a governor's settings as the variant has it.
+// adjust applies the overrides of the variant to the settings of a governor.
 func (v variantFile) adjust(settings *rules.Settings) {
 	override(&settings.FailuresToAvoid, v.FailuresToAvoid)
 	override(&settings.MessageLimit, v.MaxMessages)
@@ -230,7 +230,7 @@
 	override(&settings.ColdCapacity, v.WarmupInitialShare)
 }
 
-// override sets a value to one of a file, if the file has it.
+// override sets a value if the file specifies it.
 func override[T any](value *T, from *T) {
 	if from != nil {
 		*value = *from
--- a/internal/tools/experiment/run.go
+++ b/internal/tools/experiment/run.go
@@ -10,15 +10,15 @@
 	"zincloft.example/zincloft/internal/tools/emulate"
 )
 
-// Run runs what of a plan a folder has no result for, on so many cores, and returns all records in order. Each record is kept
-// in a file of its own as soon as its run ends, so an experiment that was interrupted goes on where it was; results of another
-// build are replaced. Progress is called after each run, by one goroutine at a time.
+// Run executes the runs of a plan, up to cores at a time, and returns all records in order. Each record is written to a file in the
+// folder when its run ends. Runs whose result is in the folder are skipped, so an interrupted experiment can be resumed; results of
+// other builds are replaced. Progress is called after each run and never concurrently.
 func Run(ctx context.Context, plan Plan, folder string, cores int, progress func(done, all int)) ([]Record, error) {
 	if err := os.MkdirAll(folder, resultFolderMode); err != nil {
-		return nil, fmt.Errorf("experiment: %w", err)
+		return nil, fmt.Errorf("create result folder: %w", err)
 	}
 	records := plan.records()
-	var mu sync.Mutex // guards the two below
+	var mu sync.Mutex // guards firstErr and done
 	var firstErr error
 	done := 0
 	finish := func(err error) {
@@ -37,8 +37,7 @@
 	return records, firstErr
 }
 
-// forEach calls a function for each index below n, on so many goroutines, and returns when all calls have. Once ctx is done no
-// further call begins.
+// forEach calls a function for each index below n on a pool of workers and waits for all calls. No call starts after ctx is done.
 func forEach(ctx context.Context, n, workers int, call func(int)) {
 	indices := make(chan int)
 	var running sync.WaitGroup
@@ -62,7 +61,7 @@
 	}
 }
 
-// records lists all runs of a plan, in order and without results.
+// records returns the records of all runs of a plan in order, without results.
 func (p *Plan) records() []Record {
 	build := BuildRevision()
 	var records []Record
@@ -82,10 +81,10 @@
 	return records
 }
 
-// complete gives a record its result: from its file, or else by a run whose result it keeps there.
+// complete loads the result of a record from its file, or executes the run and saves the result.
 func (p *Plan) complete(record *Record, folder string) error {
-	kept, err := record.load(folder)
-	if err != nil || kept {
+	loaded, err := record.load(folder)
+	if err != nil || loaded {
 		return err
 	}
 	scenario := p.Scenarios[slices.IndexFunc(p.Scenarios, func(s Scenario) bool { return s.Name == record.Scenario })]
--- a/internal/tools/experiment/search.go
+++ b/internal/tools/experiment/search.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// maxFindings is how many findings a search returns at most.
+	// maxFindings is the maximum number of findings of a search.
 	maxFindings = 10
-	// searchStream is the stream of the seed that scenarios are drawn from; the emulator uses others.
+	// searchStream is the random stream that scenarios are drawn from. It differs from those of the emulator.
 	searchStream = 9
-	// maxSearchedFaults is how many faults a scenario that is drawn has at most.
+	// maxSearchedFaults is the maximum number of faults of a random scenario.
 	maxSearchedFaults = 3
 )
 
-// searchedKinds are the kinds of fault that a search draws from.
+// searchedKinds are the fault kinds that a search draws from. Their order must not change, as it is part of what a seed stands for.
 var searchedKinds = []string{
 	emulate.FaultCrash, emulate.FaultSilentCrash, emulate.FaultHang, emulate.FaultSlow, emulate.FaultCPUSteal, emulate.FaultErrors, emulate.FaultPartialErrors,
 	emulate.FaultFalseReports, emulate.FaultZonePartition, emulate.FaultZoneLoss, emulate.FaultDeploy, emulate.FaultTrafficBurst, emulate.FaultShortClientTimeout,
@@ -29,17 +29,17 @@
 	emulate.FaultReportLoss, emulate.FaultReportDelay,
 }
 
-// Finding is a scenario that goes badly, with the seed of its run.
+// Finding is a scenario with a bad result, and the seed of its run.
 type Finding struct {
 	Seed   uint64
 	Faults []emulate.Fault
 	Result *emulate.Result
 }
 
-// Search runs scenarios drawn by seed with the plan's first variant, until so many were run or ctx is done. It returns those
-// with the worst results, at most ten: the ones that violate an invariant first, then by service level. Played is how many were
-// run. An error of a run does not end the search; the first one is returned.
-func Search(ctx context.Context, plan Plan, scenarios int, cores int) (found []Finding, played int, err error) {
+// Search runs random scenarios with the first variant of a plan until the given number has been run or ctx is done. It returns the
+// maxFindings worst results, those with violations first, then by service level, and the number of completed runs. An error of a
+// run does not stop the search; the first one is returned.
+func Search(ctx context.Context, plan Plan, scenarios int, cores int) (worst []Finding, completed int, err error) {
 	findings := make([]Finding, scenarios)
 	errs := make([]error, scenarios)
 	forEach(ctx, scenarios, cores, func(i int) {
@@ -47,7 +47,7 @@
 		faults := drawFaults(rand.New(rand.NewPCG(seed, searchStream)), &plan.Fleet)
 		result, err := emulate.Run(plan.config(Scenario{Faults: faults}, seed, plan.Variants[0]))
 		if err != nil {
-			errs[i] = fmt.Errorf("day %d: %w", seed, err)
+			errs[i] = fmt.Errorf("seed %d: %w", seed, err)
 			return
 		}
 		findings[i] = Finding{seed, faults, result}
@@ -57,7 +57,7 @@
 	return findings[:min(len(findings), maxFindings)], len(findings), cmp.Or(errs...)
 }
 
-// drawFaults draws one to three faults. The order of the draws is part of what a seed means.
+// drawFaults draws one to three faults. The order of the draws must not change, as it defines the scenario of a seed.
 func drawFaults(random *rand.Rand, fleet *emulate.Fleet) []emulate.Fault {
 	var faults []emulate.Fault
 	for range 1 + random.IntN(maxSearchedFaults) {
@@ -78,7 +78,7 @@
 	return faults
 }
 
-// compareFindings orders violations first, then by service level to a millionth, the lowest first.
+// compareFindings orders findings with violations first, then by ascending service level with a resolution of 1e-6.
 func compareFindings(a, b Finding) int {
 	aViolates, bViolates := len(a.Result.Violations) > 0, len(b.Result.Violations) > 0
 	switch {
--- a/internal/tools/experiment/shrink.go
+++ b/internal/tools/experiment/shrink.go
@@ -6,17 +6,17 @@
 	"zincloft.example/zincloft/internal/tools/emulate"
 )
 
-// maxHalvings is how often a figure of a fault is halved.
+// maxHalvings is the maximum number of times that a parameter of a fault is halved.
 const maxHalvings = 4
 
-// halvings make a fault smaller.
+// halvings are the steps that reduce one parameter of a fault.
 var halvings = []func(*emulate.Fault){
 	func(f *emulate.Fault) { f.Share /= 2 },
 	func(f *emulate.Fault) { f.Factor = 1 + (f.Factor-1)/2 },
 	func(f *emulate.Fault) { f.Duration /= 2 },
 }
 
-// shrinker looks for a smaller scenario that violates the same invariant.
+// shrinker searches for a minimal scenario that violates an invariant.
 type shrinker struct {
 	plan      Plan
 	invariant emulate.Invariant
@@ -24,8 +24,8 @@
 	runs      int
 }
 
-// Shrink makes a finding that violates an invariant as small as it can while its first violation remains: without faults that
-// are not needed, with smaller shares and factors and shorter times. It returns the smallest one, and how many runs that took.
+// Shrink minimizes a finding with a violation while its first violated invariant is still violated. It removes faults and reduces
+// their share, factor and duration. It returns the smallest finding and the number of runs.
 func Shrink(plan Plan, finding Finding) (Finding, int) {
 	s := &shrinker{plan: plan, invariant: finding.Result.Violations[0].Invariant, smallest: finding}
 	s.removeFaults()
@@ -37,7 +37,7 @@
 	return s.smallest, s.runs
 }
 
-// removeFaults leaves out each fault that is not needed.
+// removeFaults removes each fault that the violation does not depend on.
 func (s *shrinker) removeFaults() {
 	for i := 0; i < len(s.smallest.Faults); {
 		if len(s.smallest.Faults) == 1 || !s.accept(slices.Delete(slices.Clone(s.smallest.Faults), i, i+1)) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// halve makes one figure of a fault smaller, as often as the violation remains.
+// halve repeatedly reduces one parameter of a fault while the violation remains.
 func (s *shrinker) halve(i int, halve func(*emulate.Fault)) {
 	for range maxHalvings {
 		faults := slices.Clone(s.smallest.Faults)
@@ -58,7 +58,7 @@
 	}
 }
 
-// accept runs a scenario and keeps it if the invariant is still violated.
+// accept runs a scenario and makes it the smallest finding if the invariant is still violated.
 func (s *shrinker) accept(faults []emulate.Fault) bool {
 	s.runs++
 	result, err := emulate.Run(s.plan.config(Scenario{Faults: faults}, s.smallest.Seed, s.plan.Variants[0]))
--- a/internal/tools/experiment/sweep.go
+++ b/internal/tools/experiment/sweep.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// Sweep parses a plan, and replaces its variants by one for each value of a key of its fleet, all with the decider of the
-// plan's first variant. An error names the key and the value.
+// Sweep parses a plan and replaces its variants with one per value of a fleet key, based on the first variant of the plan. Errors
+// name the key and the value.
 func Sweep(text []byte, key string, values []string) (Plan, error) {
 	plan, err := ParsePlan(text)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return plan, nil
 }
 
-// tomlValue writes a value of the command line as TOML: numbers and booleans as they are, all else as a string.
+// tomlValue formats a command-line value as TOML: numbers and booleans unchanged, all others as strings.
 func tomlValue(value string) string {
 	if _, err := strconv.ParseFloat(value, 64); err == nil || value == "true" || value == "false" {
 		return value
--- a/internal/tools/experiment/table.go
+++ b/internal/tools/experiment/table.go
@@ -7,7 +7,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// WriteTable writes a comparison for a terminal.
+// WriteTable writes a comparison as a text table.
 func WriteTable(out io.Writer, summaries []Summary, reference string) {
 	writer := table.NewWriter()
 	writer.SetOutputMirror(out)
@@ -34,7 +34,7 @@
 	return texts
 }
 
-// formatDifference tells how much a variant's service level differs from the reference's, and whether that is significant.
+// formatDifference formats the difference of a variant's service level from the reference and whether it is significant.
 func formatDifference(summary Summary) string {
 	if len(summary.Differences) == 0 {
 		return ""
