--- a/internal/tools/daydraw/catalogue.go
+++ b/internal/tools/daydraw/catalogue.go
@@ -1,9 +1,9 @@
-// Package daydraw draws random days of faults for the bench: harsher ones than it draws itself, and the same ones for the same
-// seed. It is free of I/O.
+// Package daydraw generates random fault scenarios ("days") for the bench, with more and denser faults than the bench generates
+// itself. Scenarios are reproducible by seed. The package performs no I/O.
 package daydraw
 
 import (
-	_ "embed" // for the built-in catalogue
+	_ "embed" // embeds the built-in catalogue
 	"fmt"
 	"slices"
 	"strings"
@@ -14,25 +14,26 @@
 //go:embed kinds.toml
 var builtInCatalogue []byte
 
-// FamilyAll is the family of all fault kinds.
+// FamilyAll is the family that contains all fault kinds.
 const FamilyAll = "all"
 
-// Families are the names that Options.Family may have.
+// Families lists the valid values of Options.Family.
 var Families = []string{"cuts", "races", "losses", "changes", "requests", FamilyAll}
 
-// Range is the least and the greatest value of a figure.
+// Range is the minimum and maximum of a parameter.
 type Range [2]float64
 
 func (r Range) valid() bool { return r[0] >= 0 && r[0] <= r[1] }
 
-// FaultKind is a kind of fault, or of planned work, and the variants that are drawn of it. A nil Range is left out of entries.
+// FaultKind is a kind of fault or planned operation, with the parameters that are drawn for its entries. Parameters with a nil
+// Range are omitted.
 type FaultKind struct {
 	Name      string     `toml:"name"`
 	Families  []string   `toml:"families"`
-	Planned   bool       `toml:"plan"`  // planned work, not a fault
-	Targets   []string   `toml:"on"`    // classes of machines, of which one is drawn; "" is none
-	Variants  [][]string `toml:"how"`   // of each list one word is drawn; "" is none
-	NamesZone bool       `toml:"zone"`  // a zone is named, at times
+	Planned   bool       `toml:"plan"`  // planned operation instead of a fault
+	Targets   []string   `toml:"on"`    // machine classes, one of which is drawn; "" omits the field
+	Variants  [][]string `toml:"how"`   // one word is drawn from each list; "" adds none
+	NamesZone bool       `toml:"zone"`  // entries may name a zone
 	Duration  *Range     `toml:"for_s"` // seconds
 	Share     *Range     `toml:"share"`
 	Count     *Range     `toml:"count"`
@@ -41,13 +42,13 @@
 	Downtime  *Range     `toml:"down_s"` // seconds
 }
 
-// Catalogue is what days are drawn from.
+// Catalogue lists the fault kinds that scenarios are drawn from.
 type Catalogue struct {
 	Kinds   []FaultKind `toml:"kind"`
-	Closing []FaultKind `toml:"closing"` // faults that may end a day
+	Closing []FaultKind `toml:"closing"` // faults that may end a scenario
 }
 
-// ParseCatalogue reads a catalogue in TOML; nil stands for the built-in one. The error names what is wrong.
+// ParseCatalogue parses a TOML catalogue, or the built-in one if raw is nil.
 func ParseCatalogue(raw []byte) (Catalogue, error) {
 	if raw == nil {
 		raw = builtInCatalogue
@@ -71,24 +72,24 @@
 func (k FaultKind) validate() error {
 	for _, family := range k.Families {
 		if !slices.Contains(Families, family) {
-			return fmt.Errorf("no family %q", family)
+			return fmt.Errorf("unknown family %q, want one of %s", family, strings.Join(Families, ", "))
 		}
 	}
 	for _, words := range k.Variants {
 		if len(words) == 0 {
-			return fmt.Errorf("how holds an empty list")
+			return fmt.Errorf("how: list is empty")
 		}
 	}
-	for _, figure := range []*Range{k.Duration, k.Share, k.Count, k.Strength, k.Interval, k.Downtime} {
-		if figure != nil && !figure.valid() {
-			return fmt.Errorf("%v is not a least and a most", *figure)
+	for _, values := range []*Range{k.Duration, k.Share, k.Count, k.Strength, k.Interval, k.Downtime} {
+		if values != nil && !values.valid() {
+			return fmt.Errorf("invalid range %v, want 0 <= minimum <= maximum", *values)
 		}
 	}
 	return nil
 }
 
-// RestrictTo keeps the kinds whose names begin a line of a text, followed by a colon or nothing, such as the bench's own list
-// of what a site knows. Closing faults stay.
+// RestrictTo returns a catalogue with only the kinds named in a text, such as the bench's list of the kinds that a site supports.
+// Each line holds a name, optionally followed by a colon and a description. Closing faults are kept.
 func (c Catalogue) RestrictTo(text string) Catalogue {
 	named := map[string]bool{}
 	for line := range strings.Lines(text) {
@@ -104,7 +105,7 @@
 	return restricted
 }
 
-// family returns the kinds of a family.
+// family returns the fault kinds of a family.
 func (c Catalogue) family(name string) []FaultKind {
 	var kinds []FaultKind
 	for _, kind := range c.Kinds {
--- a/internal/tools/daydraw/draw.go
+++ b/internal/tools/daydraw/draw.go
@@ -10,26 +10,27 @@
 	"strings"
 )
 
-// ErrNoKinds is returned by Draw where no kind is left in the family.
-var ErrNoKinds = errors.New("no fault kind is left")
+// ErrNoKinds is returned by Draw if the catalogue contains no kind of the family.
+var ErrNoKinds = errors.New("no fault kinds in the catalogue")
 
-// configChange is the kind of which days get a series.
+// configChange is the fault kind that addConfigChanges draws a series of.
 const configChange = "config_change"
 
-// Scenario is one drawn day as text, written like a day of a site file.
+// Scenario is a generated scenario as TOML text, in the format of a day in a site file.
 type Scenario struct {
 	Name string
 	Text string
 }
 
-// Draw draws day number n, from 1, by options that Validate accepts. The same options and catalogue always give the same day.
+// Draw generates scenario number n, starting at 1. The options must be valid. Equal options and catalogues produce the same
+// scenario.
 func (c Catalogue) Draw(options Options, n int) (Scenario, error) {
 	kinds := c.family(options.Family)
 	if len(kinds) == 0 {
 		return Scenario{}, fmt.Errorf("family %s: %w", options.Family, ErrNoKinds)
 	}
 	hash := fnv.New64a()
-	_, _ = fmt.Fprintf(hash, "%s %d", options.Family, n) // a hash never fails
+	_, _ = fmt.Fprintf(hash, "%s %d", options.Family, n) // writes to a hash never fail
 	g := generator{Rand: rand.New(rand.NewPCG(options.Seed, hash.Sum64())), options: options}
 	for range options.MinEntries + g.IntN(options.MaxEntries-options.MinEntries+1) {
 		g.addEntry(kinds[g.IntN(len(kinds))])
@@ -39,20 +40,20 @@
 	return Scenario{Name: name, Text: g.text(name, c.Closing)}, nil
 }
 
-// entry is a fault or planned work.
+// entry is a fault or planned operation.
 type entry struct {
 	at     float64 // seconds
 	fields string
 }
 
-// generator draws one day. The order of its draws is part of what a seed stands for and must not change.
+// generator generates one scenario. The order of its draws must not change, as it defines the scenarios of a seed.
 type generator struct {
 	*rand.Rand
 	options         Options
 	planned, faults []entry
 }
 
-// addEntry draws an entry of a kind at a random time.
+// addEntry adds an entry of a kind at a random time.
 func (g *generator) addEntry(kind FaultKind) {
 	g.addEntryAt(kind, g.uniform(firstEntrySeconds, g.options.Length-quietEndSeconds))
 }
@@ -66,23 +67,23 @@
 	}
 }
 
-// addConfigChanges adds a series of configuration changes, spread over the day: to each day of the family "changes", and to one
-// in four of the other families that know such changes.
+// addConfigChanges adds a series of configuration changes spread over the scenario: always in the family "changes", and with
+// probability 1/4 in other families that contain the kind.
 func (g *generator) addConfigChanges(kinds []FaultKind) {
 	i := slices.IndexFunc(kinds, func(kind FaultKind) bool { return kind.Name == configChange })
-	most := g.options.MaxConfigChanges
-	if i < 0 || most == 0 || (g.options.Family != "changes" && g.IntN(4) > 0) {
+	maximum := g.options.MaxConfigChanges
+	if i < 0 || maximum == 0 || (g.options.Family != "changes" && g.IntN(4) > 0) {
 		return
 	}
 	span := g.options.Length - (firstEntrySeconds + quietEndSeconds)
-	count := most/2 + g.IntN(most-most/2+1)
+	count := maximum/2 + g.IntN(maximum-maximum/2+1)
 	for k := range count {
-		share := (float64(k) + g.Float64()) / float64(count)
-		g.addEntryAt(kinds[i], firstEntrySeconds+span*share)
+		position := (float64(k) + g.Float64()) / float64(count)
+		g.addEntryAt(kinds[i], firstEntrySeconds+span*position)
 	}
 }
 
-// text draws what a day has besides its entries, and writes it all.
+// text draws the remaining fields of the scenario and formats it as TOML.
 func (g *generator) text(name string, closing []FaultKind) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "name = %q\nslot = \"trouble\"\nseed = %d\none = %s\nzero = %s\n",
@@ -105,7 +106,7 @@
 	out.WriteString("]\n")
 }
 
-// entryFields draws the fields of an entry besides its time.
+// entryFields draws the fields of an entry other than its time.
 func (g *generator) entryFields(kind FaultKind) string {
 	fields := []string{fmt.Sprintf("kind = %q", kind.Name)}
 	if len(kind.Targets) > 0 {
@@ -118,10 +119,10 @@
 		fields = append(fields, fmt.Sprintf("zone = %q", zone))
 	}
 	if kind.Count != nil {
-		least, most := int(kind.Count[0]), int(kind.Count[1]-kind.Count[0])
-		fields = append(fields, fmt.Sprintf("count = %d", least+g.IntN(most+1)))
+		minimum, span := int(kind.Count[0]), int(kind.Count[1]-kind.Count[0])
+		fields = append(fields, fmt.Sprintf("count = %d", minimum+g.IntN(span+1)))
 	}
-	for _, figure := range []struct {
+	for _, parameter := range []struct {
 		key    string
 		values *Range
 	}{
@@ -131,9 +132,9 @@
 		{"for_s", kind.Duration},
 		{"down_s", kind.Downtime},
 	} {
-		if figure.values != nil {
-			value := g.uniform(figure.values[0], figure.values[1])
-			fields = append(fields, fmt.Sprintf("%s = %s", figure.key, formatDecimal(value)))
+		if parameter.values != nil {
+			value := g.uniform(parameter.values[0], parameter.values[1])
+			fields = append(fields, fmt.Sprintf("%s = %s", parameter.key, formatDecimal(value)))
 		}
 	}
 	if len(kind.Variants) > 0 {
@@ -142,7 +143,7 @@
 	return strings.Join(fields, ", ")
 }
 
-// variant draws a word of each list.
+// variant draws one word from each list and joins them.
 func (g *generator) variant(lists [][]string) string {
 	var drawn []string
 	for _, words := range lists {
@@ -153,9 +154,9 @@
 	return strings.Join(drawn, " ")
 }
 
-func (g *generator) uniform(least, most float64) float64 { return least + (most-least)*g.Float64() }
+func (g *generator) uniform(low, high float64) float64 { return low + (high-low)*g.Float64() }
 
-// formatDecimal writes a number with two decimals at most, and always with a point, as TOML wants a float.
+// formatDecimal formats a number with at most two decimals and always with a decimal point, so that TOML reads a float.
 func formatDecimal(value float64) string {
 	text := strings.TrimRight(fmt.Sprintf("%.2f", value), "0")
 	if strings.HasSuffix(text, ".") {
--- a/internal/tools/daydraw/draw_test.go
+++ b/internal/tools/daydraw/draw_test.go
@@ -9,11 +9,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// enoughDays is the number of days in which everything of a family comes about.
-const enoughDays = 200
+// scenarioCount is the number of scenarios in which every kind and variant of a family is expected to occur.
+const scenarioCount = 200
 
-// parsedDay is a day as the bench reads it.
-type parsedDay struct {
+// parsedScenario has the fields of a scenario that the bench reads.
+type parsedScenario struct {
 	Name, Slot   string
 	Seed         int64
 	One, Zero    float64
@@ -35,25 +35,24 @@
 	return catalogue
 }
 
-func draw(t *testing.T, catalogue Catalogue, options Options, n int) (Scenario, parsedDay) {
+func draw(t *testing.T, catalogue Catalogue, options Options, n int) (Scenario, parsedScenario) {
 	t.Helper()
 	if err := options.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	day, err := catalogue.Draw(options, n)
+	scenario, err := catalogue.Draw(options, n)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var parsed parsedDay
-	if err := toml.Unmarshal([]byte(day.Text), &parsed); err != nil {
-		t.Fatalf("%s is not TOML: %v\n%s", day.Name, err, day.Text)
+	var parsed parsedScenario
+	if err := toml.Unmarshal([]byte(scenario.Text), &parsed); err != nil {
+		t.Fatalf("%s is not valid TOML: %v\n%s", scenario.Name, err, scenario.Text)
 	}
-	return day, parsed
+	return scenario, parsed
 }
 
-// A day that broke a rule is found again by its seed and number alone, so the same ones must give the same day, and others
-// another one.
-func TestSameSeedGivesSameDays(t *testing.T) {
+// TestDrawIsDeterministic guards against scenarios that their seed and number do not reproduce, and against duplicates.
+func TestDrawIsDeterministic(t *testing.T) {
 	seen := map[string]string{}
 	for _, family := range Families {
 		for n := 1; n <= 20; n++ {
@@ -61,21 +60,21 @@
 			first, _ := draw(t, parseCatalogue(t, nil), options, n)
 			second, _ := draw(t, parseCatalogue(t, nil), options, n)
 			if first != second {
-				t.Fatalf("%s differs from itself:\n%s\n%s", first.Name, first.Text, second.Text)
+				t.Fatalf("%s differs between two draws:\n%s\n%s", first.Name, first.Text, second.Text)
 			}
 			options.Seed++
 			other, _ := draw(t, parseCatalogue(t, nil), options, n)
 			_, content, _ := strings.Cut(first.Text, "slot")
 			_, otherContent, _ := strings.Cut(other.Text, "slot")
 			if content == otherContent || seen[content] != "" {
-				t.Fatalf("%s is the same day as another", first.Name)
+				t.Fatalf("%s has the same content as another scenario", first.Name)
 			}
 			seen[content] = first.Name
 		}
 	}
 }
 
-// set is a set of names of kinds and variants.
+// set is a set of fault kinds and variants, by name.
 type set map[string]bool
 
 // addKind adds a kind and each word of its variants.
@@ -90,49 +89,48 @@
 	}
 }
 
-// addEntry adds the kind and the variants of a parsed entry.
+// addEntry adds the kind and variants of a parsed entry.
 func (s set) addEntry(fields map[string]any) {
 	how, _ := fields["how"].(string)
 	s.addKind(FaultKind{Name: fields["kind"].(string), Variants: [][]string{strings.Fields(how)}})
 }
 
-// drawnDays sums up what many days hold.
-type drawnDays struct {
-	names                set
-	mostChanges          int  // configuration changes in one day
-	overlaps, repeatKind bool // of faults in one day
+// drawStats aggregates the contents of scenarios.
+type drawStats struct {
+	names                 set
+	maxChanges            int  // maximum number of configuration changes in one scenario
+	overlaps, repeatsKind bool // of faults in one scenario
 }
 
-func (d *drawnDays) add(t *testing.T, day parsedDay) {
+func (d *drawStats) add(t *testing.T, scenario parsedScenario) {
 	t.Helper()
 	changes := 0
-	for _, fields := range slices.Concat(day.Plan, day.Faults) {
+	for _, fields := range slices.Concat(scenario.Plan, scenario.Faults) {
 		d.names.addEntry(fields)
 		if at := fields["at"].(float64); at < 0 || at > 32 {
-			t.Fatalf("%v is outside of the day", fields)
+			t.Fatalf("entry %v is outside of the scenario", fields)
 		}
 		if fields["kind"] == configChange {
 			changes++
 		}
 	}
-	d.mostChanges = max(d.mostChanges, changes)
+	d.maxChanges = max(d.maxChanges, changes)
 	kinds, until := map[string]int{}, 0.0
-	for _, fields := range day.Faults {
+	for _, fields := range scenario.Faults {
 		kind, at := fields["kind"].(string), fields["at"].(float64)
 		kinds[kind]++
-		d.repeatKind = d.repeatKind || kinds[kind] > 1
+		d.repeatsKind = d.repeatsKind || kinds[kind] > 1
 		d.overlaps = d.overlaps || at < until
 		if duration, ok := fields["for_s"].(float64); ok {
 			until = max(until, at+duration)
 		}
 	}
-	if day.Closing != nil {
-		d.names.addEntry(day.Closing)
+	if scenario.Closing != nil {
+		d.names.addEntry(scenario.Closing)
 	}
 }
 
-// Whatever the catalogue names must come about, each word of how as well: a variant that is never drawn is a fault that is never
-// looked for.
+// TestEveryKindAndVariantIsDrawn guards against kinds and variants of the catalogue that are never tested.
 func TestEveryKindAndVariantIsDrawn(t *testing.T) {
 	catalogue := parseCatalogue(t, nil)
 	for _, family := range Families {
@@ -140,37 +138,38 @@
 		for _, kind := range slices.Concat(catalogue.family(family), catalogue.Closing) {
 			want.addKind(kind)
 		}
-		got := drawnDays{names: set{}}
-		for n := 1; n <= enoughDays; n++ {
-			_, day := draw(t, catalogue, testOptions(family), n)
-			got.add(t, day)
+		got := drawStats{names: set{}}
+		for n := 1; n <= scenarioCount; n++ {
+			_, scenario := draw(t, catalogue, testOptions(family), n)
+			got.add(t, scenario)
 		}
 		for name := range want {
 			if !got.names[name] {
-				t.Errorf("%s: %s is never drawn in %d days", family, name, enoughDays)
+				t.Errorf("%s: %s is not drawn in %d scenarios", family, name, scenarioCount)
 			}
 		}
 		for name := range got.names {
 			if !want[name] {
-				t.Errorf("%s: %s is drawn, and not in the catalogue", family, name)
+				t.Errorf("%s: %s is drawn but not in the catalogue", family, name)
 			}
 		}
-		if !got.overlaps || !got.repeatKind {
-			t.Errorf("%s: overlapping %v, the same kind twice %v", family, got.overlaps, got.repeatKind)
+		if !got.overlaps || !got.repeatsKind {
+			t.Errorf("%s: overlapping faults %v, repeated kinds %v; want both", family, got.overlaps, got.repeatsKind)
 		}
-		if family != "requests" && got.mostChanges < 100 {
-			t.Errorf("%s: %d changes at most", family, got.mostChanges)
+		if family != "requests" && got.maxChanges < 100 {
+			t.Errorf("%s: at most %d configuration changes in a scenario, want at least 100", family, got.maxChanges)
 		}
 	}
 }
 
-// Partitions of 20 s are longer than the time for which a machine may still believe to be in contact, so they must be drawn.
+// TestLongPartitionsAreDrawn checks that partitions of up to 20 s are drawn, which outlast the period in which a
+// partitioned machine may still consider itself connected.
 func TestLongPartitionsAreDrawn(t *testing.T) {
 	catalogue := parseCatalogue(t, nil)
 	longest := map[string]float64{}
-	for n := 1; n <= enoughDays; n++ {
-		_, day := draw(t, catalogue, testOptions("cuts"), n)
-		for _, fields := range day.Faults {
+	for n := 1; n <= scenarioCount; n++ {
+		_, scenario := draw(t, catalogue, testOptions("cuts"), n)
+		for _, fields := range scenario.Faults {
 			kind := fields["kind"].(string)
 			if seconds, ok := fields["for_s"].(float64); ok {
 				longest[kind] = max(longest[kind], seconds)
@@ -179,7 +178,7 @@
 	}
 	for _, kind := range []string{"core_cut", "node_cut"} {
 		if longest[kind] < 19 || longest[kind] > 20 {
-			t.Errorf("the longest %s takes %v s", kind, longest[kind])
+			t.Errorf("the longest %s lasts %v s, want 19 to 20", kind, longest[kind])
 		}
 	}
 }
@@ -187,9 +186,9 @@
 func ExampleCatalogue_Draw() {
 	catalogue, _ := ParseCatalogue([]byte("[[kind]]\nname = \"core_cut\"\nhow = [[\"one_way\"]]\ncount = [1, 1]\nfor_s = [20.0, 20.0]\n"))
 	options := Options{Seed: 1, Family: FamilyAll, Zones: []string{"a"}, Length: 32, MinEntries: 1, MaxEntries: 1, FullScoreNetValue: 0.95, ZeroScoreNetValue: 0.6}
-	day, _ := catalogue.Draw(options, 1)
-	_, fields, _ := strings.Cut(day.Text, "kind")
+	scenario, _ := catalogue.Draw(options, 1)
+	_, fields, _ := strings.Cut(scenario.Text, "kind")
 	fields, _, _ = strings.Cut(fields, "\n")
-	fmt.Println(day.Name + ": kind" + fields)
+	fmt.Println(scenario.Name + ": kind" + fields)
 	// Output: all-1-1: kind = "core_cut", count = 1, for_s = 20.0, how = "one_way" },
 }
