--- a/internal/tools/daydraw/options.go
+++ b/internal/tools/daydraw/options.go
@@ -13,7 +13,7 @@
 	maxEntries        = 1000
 	maxConfigChanges  = 10000
 	firstEntrySeconds = 0.5 // earliest start of an entry
-	quietEndSeconds   = 2   // at the end of a scenario, in which no entry starts
+	quietEndSeconds   = 2   // period at the end of a scenario in which no entry starts
 )
 
 // Options are the parameters of generated scenarios.
--- a/internal/tools/emulate/clientbehavior.go
+++ b/internal/tools/emulate/clientbehavior.go
@@ -9,7 +9,7 @@
 // alterClientBehavior schedules the end of a client fault, which is then turned into a fault without effect. While the fault is
 // active, the methods below read its parameters.
 func (f *activeFault) alterClientBehavior() {
-	f.whenOver(func() {
+	f.scheduleEnd(func() {
 		f.log("over: " + f.Kind)
 		f.Factor = 1
 		f.Kind = FaultNone
@@ -19,7 +19,7 @@
 // eachActiveFault calls visit for each started fault of a kind.
 func (sim *Simulation) eachActiveFault(kind string, visit func(*activeFault)) {
 	for _, f := range sim.faults {
-		if f.began && f.Kind == kind {
+		if f.started && f.Kind == kind {
 			visit(f)
 		}
 	}
--- a/internal/tools/emulate/fault.go
+++ b/internal/tools/emulate/fault.go
@@ -116,7 +116,7 @@
 func parseTrigger(text string) (func(Second) bool, error) {
 	var metric string
 	var threshold float64
-	if n, _ := fmt.Sscanf(text, "%s > %g", &metric, &threshold); n != 2 {
+	if n, _ := fmt.Sscanf(text, "%s > %g", &metric, &threshold); n != 2 { // any mismatch means a fault name
 		return nil, nil
 	}
 	switch metric {
--- a/internal/tools/emulate/faultinjection.go
+++ b/internal/tools/emulate/faultinjection.go
@@ -23,7 +23,7 @@
 type activeFault struct {
 	Fault
 	sim       *Simulation
-	began     bool
+	started   bool
 	triggered func(Second) bool // nil if the fault starts at a fixed time or with another fault
 }
 
@@ -42,7 +42,7 @@
 		sim.faults = append(sim.faults, f)
 		switch {
 		case f.Trigger == "":
-			sim.schedule(f.At, f.begin)
+			sim.schedule(f.At, f.start)
 		case f.triggered == nil && !names[f.Trigger]:
 			return fmt.Errorf("trouble %d: when: no trouble is named %q", i+1, f.Trigger)
 		}
@@ -53,24 +53,24 @@
 // triggerFaults schedules the faults whose condition the last second meets.
 func (sim *Simulation) triggerFaults(second Second) {
 	for _, f := range sim.faults {
-		if f.triggered != nil && !f.began && f.triggered(second) {
-			f.began = true
-			sim.schedule(f.At, f.begin)
+		if f.triggered != nil && !f.started && f.triggered(second) {
+			f.started = true
+			sim.schedule(f.At, f.start)
 		}
 	}
 }
 
-// begin injects a fault and schedules the faults that it triggers. No fault starts after the end of arrivals.
-func (f *activeFault) begin() {
+// start injects a fault and schedules the faults that it triggers. No fault starts after the end of arrivals.
+func (f *activeFault) start() {
 	sim := f.sim
 	if sim.now >= sim.end {
 		return
 	}
-	f.began = true
+	f.started = true
 	f.log(fmt.Sprintf("%s: %s", f.Kind, DescribeFault(f.Kind)))
 	for _, other := range sim.faults {
-		if f.Name != "" && other.Trigger == f.Name && !other.began {
-			sim.schedule(other.At, other.begin)
+		if f.Name != "" && other.Trigger == f.Name && !other.started {
+			sim.schedule(other.At, other.start)
 		}
 	}
 	if inject := f.injection(); inject != nil {
@@ -138,8 +138,8 @@
 	return f.sim.randomStream.IntN(f.sim.fleet.Zones)
 }
 
-// whenOver schedules the reversal of a fault. A fault without a duration is never reversed.
-func (f *activeFault) whenOver(undo func()) {
+// scheduleEnd schedules the reversal of a fault. A fault without a duration is never reversed.
+func (f *activeFault) scheduleEnd(undo func()) {
 	if f.Duration > 0 {
 		f.sim.schedule(f.Duration, undo)
 	}
@@ -193,7 +193,7 @@
 	for _, r := range f.targetReplicas() {
 		*parameter(r) = value
 		incarnation := r.incarnation
-		f.whenOver(func() {
+		f.scheduleEnd(func() {
 			if r.incarnation == incarnation {
 				*parameter(r) = normal
 				r.serve()
@@ -221,7 +221,7 @@
 func (f *activeFault) partitionZone() {
 	zone := f.targetZone()
 	f.sim.zonePartitions[zone]++
-	f.whenOver(func() { f.sim.zonePartitions[zone]-- })
+	f.scheduleEnd(func() { f.sim.zonePartitions[zone]-- })
 }
 
 func (f *activeFault) addReplicas() {
@@ -280,32 +280,32 @@
 
 func (f *activeFault) stopDiscovery() {
 	f.sim.discovery.startOutage()
-	f.whenOver(func() { f.sim.discovery.outages-- })
+	f.scheduleEnd(func() { f.sim.discovery.outages-- })
 }
 
 func (f *activeFault) delayDiscovery() {
 	extra := time.Duration((max(f.Factor, 1) - 1) * float64(f.sim.fleet.MaxDiscoveryDelay))
 	f.sim.discovery.extraDelay += extra
-	f.whenOver(func() { f.sim.discovery.extraDelay -= extra })
+	f.scheduleEnd(func() { f.sim.discovery.extraDelay -= extra })
 }
 
 func (f *activeFault) slowChannels() {
 	for _, g := range f.sim.governors {
 		g.channelSlowdown = max(f.Factor, 1)
-		f.whenOver(func() { g.channelSlowdown = 1 })
+		f.scheduleEnd(func() { g.channelSlowdown = 1 })
 	}
 }
 
 func (f *activeFault) loseReports() {
 	for _, g := range f.sim.governors {
 		g.reportLoss = f.Factor
-		f.whenOver(func() { g.reportLoss = 0 })
+		f.scheduleEnd(func() { g.reportLoss = 0 })
 	}
 }
 
 func (f *activeFault) delayReports() {
 	for _, g := range f.sim.governors {
 		g.reportDelay = time.Duration(f.Factor * float64(f.sim.fleet.ReportPeriod))
-		f.whenOver(func() { g.reportDelay = 0 })
+		f.scheduleEnd(func() { g.reportDelay = 0 })
 	}
 }
--- a/internal/tools/emulate/monitor.go
+++ b/internal/tools/emulate/monitor.go
@@ -28,7 +28,7 @@
 }
 
 const (
-	// timingTolerance is added to time limits, as on the platform.
+	// timingTolerance is added to time limits. The platform applies the same tolerance.
 	timingTolerance = 300 * time.Millisecond
 	// checkInterval is the interval of the checks for time-based invariants.
 	checkInterval = 100 * time.Millisecond
@@ -91,8 +91,8 @@
 	return trace
 }
 
-// updateUnserved updates since when each traffic group of a proxy has had no usable endpoint. A proxy that has not joined a
-// governor counts as served.
+// updateUnserved records the time since which each traffic group of a proxy has had no usable endpoint. A proxy that has not
+// joined a governor counts as served.
 func (m *monitor) updateUnserved(p *proxy, joined bool) {
 	since := m.unservedSince[p]
 	unserved := false
--- a/internal/tools/emulate/proxy.go
+++ b/internal/tools/emulate/proxy.go
@@ -19,7 +19,7 @@
 	id          rules.ProxyID
 	zone        int
 	rate        float64 // mean flows per second
-	selector    float64 // drawn once; partial faults affect proxies with a low value
+	faultDraw   float64 // drawn once; partial faults affect proxies with a low value
 	up          bool
 	incarnation int // incremented at each crash
 
@@ -46,7 +46,7 @@
 		id:            rules.ProxyID(index),
 		zone:          index % fleet.Zones,
 		rate:          gammaVariate(sim.arrivalStream, fleet.ProxyRateCV),
-		selector:      sim.randomStream.Float64(),
+		faultDraw:     sim.randomStream.Float64(),
 		up:            true,
 		bootstrapOnly: true,
 	}
--- a/internal/tools/emulate/proxyreports_test.go
+++ b/internal/tools/emulate/proxyreports_test.go
@@ -21,7 +21,7 @@
 			for _, o := range orders {
 				if ejection, ok := o.(rules.PairEjection); ok && ejection.Ejected {
 					ejections++
-					if sim.replicas[ejection.Replica].partialShare == 0 || sim.proxies[ejection.Proxy].selector >= 0.1 {
+					if sim.replicas[ejection.Replica].partialShare == 0 || sim.proxies[ejection.Proxy].faultDraw >= 0.1 {
 						wrong++
 					}
 				}
@@ -36,7 +36,7 @@
 	with := run(t, config)
 	affected := 0
 	for _, proxy := range simulation.proxies {
-		if proxy.selector < 0.1 {
+		if proxy.faultDraw < 0.1 {
 			affected++
 		}
 	}
--- a/internal/tools/emulate/replica.go
+++ b/internal/tools/emulate/replica.go
@@ -160,7 +160,7 @@
 
 // drawsErrorResponse draws whether an injected fault answers an attempt with an error.
 func (r *replica) drawsErrorResponse(t *attempt) bool {
-	return r.errorShare > 0 && r.sim.randomStream.Float64() < r.errorShare || r.partialShare > 0 && t.proxy.selector < r.partialShare
+	return r.errorShare > 0 && r.sim.randomStream.Float64() < r.errorShare || r.partialShare > 0 && t.proxy.faultDraw < r.partialShare
 }
 
 // serve starts queued attempts while cores are idle.
