--- a/internal/testbeds/modelcheck/membershipmodel/messages_replication.go
+++ b/internal/testbeds/modelcheck/membershipmodel/messages_replication.go
@@ -64,9 +64,9 @@
 	model.emit(killed, "%d is killed before it syncs", i)
 }
 
-// syncAtOnce writes a member's memory to disk in the same step. As nothing is sent before the write, a kill between the two is
+// syncImmediately writes a member's memory to disk in the same step. As nothing is sent before the write, a kill between the two is
 // equivalent to not having received the message.
-func (model *messageModel) syncAtOnce(m *member) {
+func (model *messageModel) syncImmediately(m *member) {
 	if model.fault != AckBeforeSync {
 		m.disk, m.syncedView = m.memory, m.memorySyncedView
 	}
@@ -113,7 +113,7 @@
 	head := &next.state.members[i]
 	head.memory[m.memory.length()] = entry(m.view.number, next.state.commands)
 	head.memorySyncedView = m.view.number
-	model.syncAtOnce(head)
+	model.syncImmediately(head)
 	model.emit(next, "command %d is appended by %d in view %d", next.state.commands, i, m.view.number)
 }
 
@@ -134,6 +134,6 @@
 	next := n.clone()
 	changed := &next.state.members[i]
 	changed.memory, changed.memorySyncedView = m.slots, receiver.view.number
-	model.syncAtOnce(changed)
+	model.syncImmediately(changed)
 	model.emit(next, "%d accepts the register of view %d from %d", i, m.viewNumber, m.from)
 }
--- a/internal/testbeds/modelcheck/membershipmodel/reconfiguration_leaving.go
+++ b/internal/testbeds/modelcheck/membershipmodel/reconfiguration_leaving.go
@@ -2,8 +2,8 @@
 
 // expandConfirmations emits the steps in which a member confirms to a leaving machine that it has seen a commit in the machine's
 // view and knows of no later view.
-func (model *reconfigurationModel) expandConfirmations(cs *clusterState, leavingMember int) {
-	m := &cs.machines[leavingMember]
+func (model *reconfigurationModel) expandConfirmations(cs *clusterState, leaving int) {
+	m := &cs.machines[leaving]
 	if m.view == 0 {
 		return
 	}
@@ -11,15 +11,15 @@
 	for i := range int(cs.started) {
 		other := &cs.machines[i]
 		sawCommit := other.status == running && other.view == m.view && other.commitsSeen > 0
-		if i == leavingMember || !sawCommit || m.confirmedBy.has(i) || !v.hasInChain(i) || !v.voters.has(i) {
+		if i == leaving || !sawCommit || m.confirmedBy.has(i) || !v.hasInChain(i) || !v.voters.has(i) {
 			continue
 		}
 		if other.accepted != acceptedNothing && model.fault != LeavingMemberIgnoresNewerView {
 			continue
 		}
 		next := *cs
-		next.machines[leavingMember].confirmedBy |= 1 << i
-		model.emitNormalized(&next, newStep("%d confirms to %d that view %d has a commit and is the latest it knows", i, leavingMember, int(m.view)))
+		next.machines[leaving].confirmedBy |= 1 << i
+		model.emitNormalized(&next, newStep("%d confirms to %d that view %d has a commit and is the latest it knows", i, leaving, int(m.view)))
 	}
 }
 
--- a/internal/testbeds/modelcheck/membershipmodel/reconfiguration_liveness.go
+++ b/internal/testbeds/modelcheck/membershipmodel/reconfiguration_liveness.go
@@ -60,7 +60,7 @@
 		}
 	}
 	if voters := v.voters.count(); voters > max(2*model.tolerance+1, staying) {
-		return fmt.Sprintf("%d voters for %d running machines (%v)", voters, staying, v)
+		return fmt.Sprintf("%d voters for %d running machines that are not leaving (%v)", voters, staying, v)
 	}
 	return ""
 }
