--- a/internal/governor/collectd/parser.go
+++ b/internal/governor/collectd/parser.go
@@ -10,36 +10,36 @@
 	"zincloft.example/zincloft/intake"
 )
 
-// ValueList are one list of values of a host.
+// ValueList is a list of values of a host, in collectd's terms.
 type ValueList struct {
 	Host, Plugin, PluginInstance, Type, TypeInstance string
 
 	Time     time.Time
 	Interval time.Duration
 	Kinds    []intake.Kind
-	Raw      []uint64 // of a gauge, the bits of its float
+	Raw      []uint64 // a gauge as the bits of its float64
 }
 
-// Gauge returns the value at i read as a gauge.
+// Gauge returns value i as a gauge.
 func (v *ValueList) Gauge(i int) float64 { return math.Float64frombits(v.Raw[i]) }
 
-// Parser reads packets. It keeps nothing of a packet but buffers.
+// Parser parses packets. It retains only buffers between packets.
 type Parser struct {
 	MinLevel   SecurityLevel
-	PasswordOf func(user string) (password string, known bool) // nil: no users are known
+	PasswordOf func(user string) (password string, known bool) // nil: there are no users
 
 	values    ValueList
 	plaintext []byte
 }
 
-// Parse calls handle for each list of values of a packet, which is valid until handle returns. Parts of unknown types are
-// skipped by their length.
+// Parse calls handle for each value list in a packet. The list is valid only until handle returns. Parts of unknown types are
+// skipped.
 func (p *Parser) Parse(packet []byte, handle func(*ValueList)) error {
 	p.values = ValueList{Kinds: p.values.Kinds[:0], Raw: p.values.Raw[:0]}
 	return p.parseParts(packet, SecurityNone, handle)
 }
 
-// parseParts reads parts that are protected at this level. A signature raises it for the parts that follow.
+// parseParts parses parts that are protected at the given level. A signature raises the level of the parts that follow it.
 func (p *Parser) parseParts(packet []byte, level SecurityLevel, handle func(*ValueList)) error {
 	for len(packet) > 0 {
 		kind, body, rest, err := nextPart(packet)
@@ -63,7 +63,7 @@
 			if err != nil {
 				return err
 			}
-			return p.parseParts(parts, SecurityEncrypt, handle) // it stands for the rest of the packet
+			return p.parseParts(parts, SecurityEncrypt, handle) // anything after an encrypted part is ignored
 		case partValues:
 			if err := p.values.parseValues(body); err != nil {
 				return err
@@ -88,7 +88,7 @@
 	}
 	length := int(binary.BigEndian.Uint16(packet[2:]))
 	if length < partHeaderBytes {
-		return 0, nil, nil, ErrLength // the next part can't be found
+		return 0, nil, nil, ErrLength // the start of the next part is unknown
 	}
 	if length > len(packet) {
 		return 0, nil, nil, ErrTruncated
@@ -96,7 +96,7 @@
 	return binary.BigEndian.Uint16(packet), packet[partHeaderBytes:length], packet[length:], nil
 }
 
-// parseAttribute reads a part that holds for the values that follow. One of an unknown type is ignored.
+// parseAttribute parses a part that applies to the values after it. Parts of unknown types are ignored.
 func (v *ValueList) parseAttribute(kind uint16, body []byte) (err error) {
 	switch kind {
 	case partHost:
@@ -115,7 +115,7 @@
 	return err
 }
 
-// parseString reads a string with its terminating zero.
+// parseString parses a zero-terminated string.
 func parseString(b []byte) (string, error) {
 	if len(b) == 0 || b[len(b)-1] != 0 {
 		return "", ErrUnterminated
@@ -126,7 +126,7 @@
 	return string(b[:len(b)-1]), nil
 }
 
-// parseTime reads a time or an interval: seconds, or 2^-30 seconds in the parts of high resolution.
+// parseTime parses a time or an interval, in seconds or, in high-resolution parts, in units of 2^-30 seconds.
 func (v *ValueList) parseTime(kind uint16, body []byte) error {
 	if len(body) != numberBytes {
 		return ErrLength
@@ -138,7 +138,7 @@
 		high, low := bits.Mul64(number&(1<<30-1), uint64(time.Second))
 		nanoseconds = high<<34 | low>>30
 	}
-	if seconds > math.MaxInt32*4 { // centuries from now; in nanoseconds it would overflow
+	if seconds > math.MaxInt32*4 { // would overflow in nanoseconds
 		return ErrLength
 	}
 	switch kind {
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// parseValues reads a list of values: their number, the kind of each, and each. All are big-endian but gauges.
+// parseValues parses a list of values: the count, the kinds and the values. Gauges are little-endian, all else is big-endian.
 func (v *ValueList) parseValues(body []byte) error {
 	if len(body) < countBytes {
 		return ErrLength
--- a/internal/governor/collectd/parser_test.go
+++ b/internal/governor/collectd/parser_test.go
@@ -18,13 +18,13 @@
 	"zincloft.example/zincloft/internal/testbeds/testkit"
 )
 
-// users are the known users and their passwords.
+// users holds the users and their passwords.
 var users = map[string]string{"web": "secret"}
 
 func password(user string) (string, bool) { p, ok := users[user]; return p, ok }
 
-// show parses a packet and writes down the values.
-func show(level SecurityLevel, b []byte) string {
+// formatPacket parses a packet and returns its values, and the error if there is one, as text.
+func formatPacket(level SecurityLevel, b []byte) string {
 	var out strings.Builder
 	p := Parser{MinLevel: level, PasswordOf: password}
 	err := p.Parse(b, func(v *ValueList) {
@@ -52,11 +52,11 @@
 		AppendTime(time.Unix(1_700_000_001, 500_000_000)).AppendNumber(9, 3<<29).AppendString(3, "").AppendCounters(0, 7, math.MaxUint64).AppendCounters(2, 8).AppendCounters(3, 9)
 }
 
-// TestPacket compares what is read of valid and invalid packets with the kept trace.
+// TestPacket compares the values parsed from valid and invalid packets with the trace in testdata.
 func TestPacket(t *testing.T) {
 	var trace strings.Builder
 	add := func(what string, level SecurityLevel, p standin.CollectdPacket) {
-		fmt.Fprintf(&trace, "# %s\n%s", what, show(level, p))
+		fmt.Fprintf(&trace, "# %s\n%s", what, formatPacket(level, p))
 	}
 	add("whole", SecurityNone, fullPacket())
 	add("unsigned, where signatures are required", SecuritySign, fullPacket())
@@ -72,7 +72,7 @@
 	testkit.CompareTrace(t, trace.String())
 }
 
-// protectedPacket makes a packet by another implementation of the protocol.
+// protectedPacket returns a packet encoded by the independent implementation collectd.org/network.
 func protectedPacket(t testing.TB, level SecurityLevel, user, pass string) []byte {
 	b := network.NewBuffer(1452)
 	switch level {
@@ -95,8 +95,8 @@
 	return out
 }
 
-// TestProtection parses packets of another implementation, plain, signed and encrypted, at each level that may be required;
-// with a wrong password, of an unknown user, and with any one bit of them flipped.
+// TestProtection parses plain, signed and encrypted packets of another implementation at each required level, with a wrong
+// password, from an unknown user, and with each single bit flipped.
 func TestProtection(t *testing.T) {
 	count := func(level SecurityLevel, b []byte) (n int, err error) {
 		p := Parser{MinLevel: level, PasswordOf: password}
@@ -107,8 +107,8 @@
 		good := protectedPacket(t, have, "web", "secret")
 		for want := SecurityNone; want <= SecurityEncrypt; want++ {
 			n, err := count(want, good)
-			if passes := have >= want; passes != (n == 3 && err == nil) || !passes && (n != 0 || !errors.Is(err, ErrUnprotected)) {
-				t.Errorf("level %d where %d is required: %d sets of values, %v", have, want, n, err)
+			if accepted := have >= want; accepted != (n == 3 && err == nil) || !accepted && (n != 0 || !errors.Is(err, ErrUnprotected)) {
+				t.Errorf("level %d where %d is required: %d value lists, %v", have, want, n, err)
 			}
 		}
 		if have == SecurityNone {
@@ -125,7 +125,7 @@
 			bad := append([]byte{}, good...)
 			bad[bit/8] ^= 1 << (bit % 8)
 			if n, _ := count(have, bad); n != 0 {
-				t.Fatalf("level %d with bit %d changed: %d sets of values are taken", have, bit, n)
+				t.Fatalf("level %d with bit %d flipped: %d value lists were accepted", have, bit, n)
 			}
 		}
 	}
@@ -134,35 +134,34 @@
 		err = p.Parse(protectedPacket(t, SecuritySign, "web", "secret"), func(*ValueList) { n++ })
 		return n, err
 	})(); n != 0 || err == nil {
-		t.Error("where no users are known a signature counts for something: ", n, err)
+		t.Error("a signature was accepted without any users: ", n, err)
 	}
 }
 
-// TestTruncatedPackets truncates packets at each byte: what is read is a prefix of what the full packet gives.
+// TestTruncatedPackets truncates packets at each byte: the values parsed must be a prefix of those in the full packet.
 func TestTruncatedPackets(t *testing.T) {
 	for _, b := range [][]byte{fullPacket(), protectedPacket(t, SecurityNone, "", "")} {
-		all := strings.Split(show(SecurityNone, b), "\n")
+		all := strings.Split(formatPacket(SecurityNone, b), "\n")
 		for n := range b {
-			got := strings.Split(show(SecurityNone, b[:n]), "\n")
+			got := strings.Split(formatPacket(SecurityNone, b[:n]), "\n")
 			for i, line := range got {
 				if !strings.Contains(line, "error") && line != "" && line != all[i] {
-					t.Fatalf("cut at %d: %q where the full packet has %q", n, line, all[i])
+					t.Fatalf("truncated at %d: %q where the full packet has %q", n, line, all[i])
 				}
 			}
 		}
 	}
 }
 
-// FuzzParse checks that a packet is never read past its end, that there are no more values than fit, and that what is not
-// protected is never accepted where protection is required.
+// FuzzParse checks that parsing never panics and returns no more values than the packet can hold, all in range.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(fullPacket()))
 	for level := SecurityNone; level <= SecurityEncrypt; level++ {
 		f.Add(protectedPacket(f, level, "web", "secret"))
 	}
-	chance := rand.New(rand.NewPCG(1, 1))
+	rng := rand.New(rand.NewPCG(1, 1))
 	for range 20 {
-		f.Add([]byte(fullPacket().Corrupt(chance)))
+		f.Add([]byte(fullPacket().Corrupt(rng)))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for level := SecurityNone; level <= SecurityEncrypt; level++ {
--- a/internal/governor/collectd/protection.go
+++ b/internal/governor/collectd/protection.go
@@ -4,14 +4,14 @@
 	"crypto/aes"
 	"crypto/cipher"
 	"crypto/hmac"
-	"crypto/sha1" //nolint:gosec // the protocol's checksum, inside what is encrypted
+	"crypto/sha1" //nolint:gosec // required by the protocol as a checksum inside encrypted data
 	"crypto/sha256"
 	"encoding/binary"
 	"fmt"
 )
 
-// verifySignature checks a signature, which covers the user's name and the rest of the packet, and returns the level that
-// it gives. Where no users are known it gives none.
+// verifySignature verifies a signature, which covers the user name and the rest of the packet, and returns the level that it
+// provides: SecurityNone if there are no users.
 func (p *Parser) verifySignature(body, rest []byte) (SecurityLevel, error) {
 	if len(body) <= sha256.Size {
 		return SecurityNone, ErrLength
@@ -33,8 +33,8 @@
 	return SecuritySign, nil
 }
 
-// decrypt returns the parts inside an encrypted one: AES-256 in OFB mode under the hash of the user's password, with a
-// checksum before the parts. The result is valid until the next call.
+// decrypt returns the parts inside an encrypted part, which is encrypted with AES-256 in OFB mode under the hash of the user's
+// password and holds a checksum before the parts. The result is valid until the next call.
 func (p *Parser) decrypt(body []byte) ([]byte, error) {
 	if len(body) < countBytes {
 		return nil, ErrLength
@@ -57,9 +57,9 @@
 	}
 	iv, ciphertext := body[nameBytes:nameBytes+ivBytes], body[nameBytes+ivBytes:]
 	p.plaintext = append(p.plaintext[:0], ciphertext...)
-	cipher.NewOFB(block, iv).XORKeyStream(p.plaintext, p.plaintext) //nolint:staticcheck // the protocol's mode
+	cipher.NewOFB(block, iv).XORKeyStream(p.plaintext, p.plaintext) //nolint:staticcheck // required by the protocol
 	parts := p.plaintext[sha1.Size:]
-	sum := sha1.Sum(parts) //nolint:gosec // the protocol's checksum
+	sum := sha1.Sum(parts) //nolint:gosec // required by the protocol
 	if !hmac.Equal(sum[:], p.plaintext[:sha1.Size]) {
 		return nil, ErrDecryption
 	}
--- a/internal/governor/collectd/protocol.go
+++ b/internal/governor/collectd/protocol.go
@@ -3,7 +3,7 @@
 
 import "errors"
 
-// Types of parts, as https://collectd.org/wiki/index.php/Binary_protocol numbers them.
+// Part types, see https://collectd.org/wiki/index.php/Binary_protocol.
 const (
 	partHost           = 0x0000
 	partTime           = 0x0001
@@ -22,25 +22,25 @@
 // Sizes in bytes.
 const (
 	partHeaderBytes = 4   // type and length of a part
-	maxStringBytes  = 128 // of a string with its terminating zero
+	maxStringBytes  = 128 // maximum length of a string, including its terminating zero
 	numberBytes     = 8
-	countBytes      = 2 // of a number of values, or of the length of a user's name
-	valueBytes      = 9 // of a value with its kind
+	countBytes      = 2 // number of values, or length of a user name
+	valueBytes      = 9 // a value and its kind
 	ivBytes         = 16
 )
 
-// SecurityLevel is how a packet is protected, or must be. A higher level satisfies a lower one.
+// SecurityLevel is the protection that a packet has or requires. A higher level satisfies a lower requirement.
 type SecurityLevel int
 
-// Security levels, in rising order.
+// Security levels, in ascending order.
 const (
-	SecurityNone    SecurityLevel = iota // not at all; a signature that is there must be valid if users are known
+	SecurityNone    SecurityLevel = iota // unprotected; if there are users, an optional signature must be valid
 	SecuritySign                         // signed or encrypted
 	SecurityEncrypt                      // encrypted
 )
 
-// Errors of packets. Values that were read before the error stand, except in a packet that is protected less than it must
-// be.
+// Errors of packets, whose texts are causes in the counts log. Values parsed before an error are kept; a packet below the
+// required security level yields none.
 var (
 	ErrTruncated    = errors.New("a part that is cut")
 	ErrLength       = errors.New("a length that can't be")
--- a/internal/governor/collectd/server.go
+++ b/internal/governor/collectd/server.go
@@ -18,35 +18,35 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Mapping maps one value of a list to a figure of a replica: value*Scale + Offset.
+// Mapping maps one value of a value list to a load metric of a replica, as value*Scale + Offset.
 type Mapping struct {
 	Metric         intake.LoadMetric
 	Plugin         string
 	PluginInstance string // "": any
 	Type           string
 	TypeInstance   string // "": any
-	Value          int    // index in the list
+	Value          int    // index in the value list
 	Scale, Offset  float64
 }
 
-// Options are what a Server accepts.
+// Options configure a Server.
 type Options struct {
 	AllowedSources   []netip.Prefix
 	MinLevel         SecurityLevel
 	PasswordOf       func(user string) (string, bool)
 	PacketsPerSecond int               // rate limit of packets that are parsed
-	ReplicaByHost    map[string]string // a host's replica, where the names differ
+	ReplicaByHost    map[string]string // replica names of hosts whose names differ
 	Mappings         []Mapping
-	ReadRetryDelay   time.Duration // after a packet could not be received
+	ReadRetryDelay   time.Duration // after a failed receive
 }
 
-// Inbox takes events and knows the replicas' names. Its methods never wait.
+// Inbox receives inputs and resolves replica names. Its methods never block.
 type Inbox interface {
 	eventqueue.ReplicaNames
 	TryPost(eventqueue.Input) bool
 }
 
-// Server receives load reports and offers them as events. Its methods must not be called concurrently.
+// Server receives load reports and posts them as inputs. Its methods must not be called concurrently.
 type Server struct {
 	options Options
 	allowed bart.Lite
@@ -56,10 +56,10 @@
 	parser  Parser
 }
 
-// Categories of counts, which are keys of the log.
+// Categories of counts, which are log keys.
 const (
-	skippedPackets counts.Category = "collectd"          // packets that were skipped, all or in part
-	mappedValues   counts.Category = "collectd, figures" // values of a mapped figure
+	skippedPackets counts.Category = "collectd"          // packets that were skipped or only partly used
+	mappedValues   counts.Category = "collectd, figures" // values that match a mapping
 )
 
 // New returns a Server that receives nothing before Serve.
@@ -77,11 +77,11 @@
 	return s
 }
 
-const maxDatagramBytes = 1 << 16 // the longest datagram
+const maxDatagramBytes = 1 << 16
 
-// Serve handles packets until ctx ends, and closes the connection then.
+// Serve handles packets until ctx is done, and then closes the connection.
 func (s *Server) Serve(ctx context.Context, c net.PacketConn, log zerolog.Logger) {
-	defer context.AfterFunc(ctx, func() { _ = c.Close() })() // nothing can be lost by it
+	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
 	log.Info().Str("collectd", c.LocalAddr().String()).Msg("listening")
 	b := make([]byte, maxDatagramBytes)
 	for {
@@ -100,8 +100,8 @@
 	}
 }
 
-// HandlePacket handles one packet. Packets of other sources, and those over the rate limit, are skipped before they are
-// parsed.
+// HandlePacket handles one packet. Packets from sources that are not allowed, and those over the rate limit, are skipped
+// without being parsed.
 func (s *Server) HandlePacket(from net.Addr, b []byte, read time.Time) {
 	udp, isUDP := from.(*net.UDPAddr)
 	if !isUDP || !s.allowed.Contains(udp.AddrPort().Addr().Unmap()) {
@@ -122,7 +122,7 @@
 	}
 }
 
-// causeOf reduces an error to one of a fixed set of causes, without text of the peer.
+// causeOf maps an error to one of a fixed set of causes, without text of the peer.
 func causeOf(err error) string {
 	for _, known := range []error{ErrTruncated, ErrLength, ErrUnterminated, ErrSignature, ErrDecryption, ErrUnknownUser, ErrUnprotected, ErrNested} {
 		if errors.Is(err, known) {
@@ -132,7 +132,7 @@
 	return "can't be read"
 }
 
-// appendLoads adds the figures that a list of values gives. Hosts and values that map to nothing leave no trace but a count.
+// appendLoads appends the load reports that a value list maps to. Unknown hosts and missing values are only counted.
 func (s *Server) appendLoads(loads []intake.MachineLoad, v *ValueList) []intake.MachineLoad {
 	for i := range s.options.Mappings {
 		mapping := &s.options.Mappings[i]
@@ -154,7 +154,7 @@
 	return loads
 }
 
-// matches reports whether a list of values has the mapped value.
+// matches reports whether the mapping applies to a value list.
 func (m *Mapping) matches(v *ValueList) bool {
 	return m.Plugin == v.Plugin && m.Type == v.Type &&
 		(m.PluginInstance == "" || m.PluginInstance == v.PluginInstance) &&
@@ -180,7 +180,7 @@
 	return l
 }
 
-// replica returns the replica of a host, whose name may be mapped.
+// replica returns the replica of a host, after applying ReplicaByHost.
 func (s *Server) replica(host string) (rules.ReplicaID, bool) {
 	if name, mapped := s.options.ReplicaByHost[host]; mapped {
 		host = name
@@ -188,7 +188,7 @@
 	return s.inbox.ID([]byte(host))
 }
 
-// Listen opens the address for packets.
+// Listen opens the UDP address for packets.
 func Listen(ctx context.Context, address string) (net.PacketConn, error) {
 	var config net.ListenConfig
 	c, err := config.ListenPacket(ctx, "udp", address)
--- a/internal/governor/collectd/server_test.go
+++ b/internal/governor/collectd/server_test.go
@@ -22,7 +22,7 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// inbox knows web-1 and keeps what it is offered.
+// inbox knows the replica web-1 and keeps the loads that are posted.
 type inbox struct{ loads []intake.MachineLoad }
 
 func (*inbox) ID(name []byte) (rules.ReplicaID, bool) { return 1, string(name) == "web-1" }
@@ -40,28 +40,28 @@
 			{Metric: intake.InFlight, Plugin: "http", Type: "requests", Value: 1, Scale: 1}}}
 }
 
-// TestMapping has hosts and values that map to a figure, and others that don't; sources that are allowed, and others, whose
-// packets are not even parsed; and a flood, of which no more is parsed than the rate limit allows.
+// TestMapping checks which hosts and values map to a metric, that packets from other sources are skipped unparsed, and that a
+// flood is limited to the packet rate.
 func TestMapping(t *testing.T) {
 	x, n := &inbox{}, &counts.Counter{}
 	s := New(options(), x, n)
 	now := time.Unix(1_700_000_000, 0)
-	one := func(host string) standin.CollectdPacket {
+	packet := func(host string) standin.CollectdPacket {
 		return standin.CollectdPacket{}.AppendString(0, host).AppendNumber(1, 1_700_000_000).AppendString(2, "cpu").AppendString(4, "percent").AppendString(5, "idle").AppendGauges(40).
 			AppendString(5, "user").AppendGauges(30).AppendString(2, "http").AppendString(4, "requests").AppendString(5, "").AppendGauges(9, 12).AppendGauges(9)
 	}
-	s.HandlePacket(from("127.0.0.1:1"), one("web-1"), now)
-	s.HandlePacket(from("[::ffff:127.0.0.1]:1"), one("w1.example"), now)
-	s.HandlePacket(from("127.0.0.1:1"), one("elsewhere"), now)
-	s.HandlePacket(from("10.0.0.1:1"), one("web-1"), now)
+	s.HandlePacket(from("127.0.0.1:1"), packet("web-1"), now)
+	s.HandlePacket(from("[::ffff:127.0.0.1]:1"), packet("w1.example"), now)
+	s.HandlePacket(from("127.0.0.1:1"), packet("elsewhere"), now)
+	s.HandlePacket(from("10.0.0.1:1"), packet("web-1"), now)
 	if len(x.loads) != 4 || x.loads[0].Replica != 1 || x.loads[0].Metric != intake.Utilization || x.loads[0].Value != 40 || x.loads[1].Value != 12 {
 		t.Fatalf("%+v", x.loads)
 	}
 	for range 1000 {
-		s.HandlePacket(from("127.0.0.1:1"), one("web-1"), now)
+		s.HandlePacket(from("127.0.0.1:1"), packet("web-1"), now)
 	}
 	if len(x.loads) > 2*(50+2) {
-		t.Errorf("%d figures of a flood", len(x.loads))
+		t.Errorf("%d loads from a flood", len(x.loads))
 	}
 	for range 10 {
 		s.HandlePacket(from("127.0.0.1:1"), []byte{0, 0, 0}, now.Add(time.Second))
@@ -71,14 +71,14 @@
 	testkit.CompareTrace(t, log.String())
 }
 
-// TestServe receives packets on a socket and ends with its context.
+// TestServe receives packets on a socket and checks that Serve frees the address when its context is canceled.
 func TestServe(t *testing.T) {
 	c, err := Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard := make(chan intake.MachineLoad, 10)
-	s := New(options(), loadChannel(heard), &counts.Counter{})
+	loads := make(chan intake.MachineLoad, 10)
+	s := New(options(), loadChannel(loads), &counts.Counter{})
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { s.Serve(ctx, c, testkit.Logger(&strings.Builder{})); close(done) }()
@@ -93,7 +93,7 @@
 			t.Fatal(err)
 		}
 	}
-	if l := <-heard; l.Value != 40 || l.MeasuredAt != 5*rules.Time(time.Second) {
+	if l := <-loads; l.Value != 40 || l.MeasuredAt != 5*rules.Time(time.Second) {
 		t.Errorf("%+v", l)
 	}
 	stop()
@@ -106,7 +106,7 @@
 	}
 }
 
-// loadChannel knows any host and hands over the first load of each event.
+// loadChannel knows every host and receives the first load of each input.
 type loadChannel chan intake.MachineLoad
 
 func (loadChannel) ID([]byte) (rules.ReplicaID, bool) { return 1, true }
@@ -115,13 +115,13 @@
 
 func (o loadChannel) TryPost(e eventqueue.Input) bool { o <- e.Loads[0]; return true }
 
-// BenchmarkPacket measures a packet of 30 values, of which two are mapped, plain, signed and encrypted.
+// BenchmarkPacket measures a packet of 30 values, of which two are mapped, at each security level.
 func BenchmarkPacket(b *testing.B) {
 	for level, name := range []string{"plain", "signed", "encrypted"} {
 		b.Run(name, func(b *testing.B) {
 			o := options()
 			o.PacketsPerSecond, o.PasswordOf = math.MaxInt32, password
-			s := New(o, &drain{}, &counts.Counter{})
+			s := New(o, &discardInbox{}, &counts.Counter{})
 			buf := network.NewBuffer(1452)
 			switch SecurityLevel(level) {
 			case SecuritySign:
@@ -151,12 +151,12 @@
 	}
 }
 
-// drain knows what inbox does and keeps nothing.
-type drain struct{ inbox }
+// discardInbox is an inbox that keeps no loads.
+type discardInbox struct{ inbox }
 
-func (*drain) TryPost(eventqueue.Input) bool { return true }
+func (*discardInbox) TryPost(eventqueue.Input) bool { return true }
 
-// TestReplay has a signed packet come twice, and again an hour later: its figures count once.
+// TestReplay checks that a signed packet that is replayed, at once or an hour later, counts only once.
 func TestReplay(t *testing.T) {
 	x := &inbox{}
 	o := options()
--- a/internal/governor/counts/counts.go
+++ b/internal/governor/counts/counts.go
@@ -1,5 +1,4 @@
-// Package counts aggregates events that are too frequent for a log line each. They are counted by category and cause and
-// written at intervals as one log line.
+// Package counts counts events that are too frequent to be logged one by one, and logs the counts by category and cause.
 package counts
 
 import (
@@ -10,18 +9,17 @@
 	"github.com/rs/zerolog"
 )
 
-// Category is what is counted. It is a key of the log line.
+// Category is a class of events. It is a key in the log line.
 type Category string
 
-// Counter counts events by category and cause. The zero value is ready to use, and all methods may be called
-// concurrently.
+// Counter counts events by category and cause. The zero value is ready to use. Its methods may be called concurrently.
 type Counter struct {
 	mu         sync.Mutex
 	byCategory map[Category]map[string]int
 }
 
-// Add counts one event. The set of causes must be small and fixed: memory grows with it, so a cause never contains text
-// that a peer has sent.
+// Add counts one event. Causes must be from a small, fixed set and must not contain text from a peer, because memory grows
+// with the number of causes.
 func (c *Counter) Add(category Category, cause string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,7 +32,7 @@
 	c.byCategory[category][cause]++
 }
 
-// Log writes the counts since the previous call as one line and resets them. It writes nothing where nothing was counted.
+// Log writes the counts since the previous call as one line and resets them. It writes nothing if there are none.
 func (c *Counter) Log(log zerolog.Logger) {
 	c.mu.Lock()
 	counted := c.byCategory
--- a/internal/governor/counts/counts_test.go
+++ b/internal/governor/counts/counts_test.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 )
 
-// TestLog writes each category with its causes in one line, and starts from zero after it.
+// TestLog checks that Log writes all categories and causes in one line and resets the counts.
 func TestLog(t *testing.T) {
 	var out strings.Builder
 	log := zerolog.New(&out)
--- a/internal/governor/graphite/path.go
+++ b/internal/governor/graphite/path.go
@@ -8,9 +8,9 @@
 
 const maxPathPartBytes = 64
 
-// SanitizePathPart makes one part of a path of any text. Letters, digits, - and _ stay; a dot would begin another part, and
-// other characters may have a meaning in queries. A text that is changed gets its hash as a suffix, so that different texts
-// never become equal parts.
+// SanitizePathPart converts text to a path component. It replaces all characters other than letters, digits, - and _, because
+// dots separate components and other characters may have a meaning in queries. A text that is changed gets a suffix with its
+// hash, so that different texts stay distinct.
 func SanitizePathPart(text string) string {
 	safe := []byte(text)
 	if len(safe) > maxPathPartBytes {
--- a/internal/governor/graphite/path_test.go
+++ b/internal/governor/graphite/path_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestSanitizePathPart makes valid and different parts of a path of any two different texts.
+// TestSanitizePathPart checks that any two different texts give valid and different path components.
 func TestSanitizePathPart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.String().Draw(t, "a"), rapid.String().Draw(t, "b")
@@ -22,9 +22,9 @@
 			t.Fatalf("%q and %q both become %q", a, b, SanitizePathPart(a))
 		}
 	})
-	for _, same := range []string{"s-5be2a07c", "A_b-9"} {
-		if SanitizePathPart(same) != same {
-			t.Errorf("%q becomes %q", same, SanitizePathPart(same))
+	for _, valid := range []string{"s-5be2a07c", "A_b-9"} {
+		if SanitizePathPart(valid) != valid {
+			t.Errorf("%q becomes %q", valid, SanitizePathPart(valid))
 		}
 	}
 }
--- a/internal/governor/graphite/plaintext.go
+++ b/internal/governor/graphite/plaintext.go
@@ -9,17 +9,17 @@
 	"zincloft.example/zincloft/rules"
 )
 
-const chunkBytes = 8 << 10 // points are sent, and dropped, in chunks of about this size
+const chunkBytes = 8 << 10 // approximate size of the chunks in which points are queued, sent and dropped
 
-// pointWriter formats points as lines and hands them over in chunks of complete lines.
+// pointWriter formats points as lines and emits them in chunks of complete lines.
 type pointWriter struct {
 	prefix      string // of each path; ends with a dot
 	lines       []byte
 	unixSeconds int64
-	points      int // in lines
+	points      int // number of lines
 }
 
-// point adds a point with the path that the parts make. Values that Graphite has no form for are left out.
+// point adds a point whose path consists of the parts. It omits NaN and infinite values, which Graphite does not support.
 func (w *pointWriter) point(value float64, parts ...string) {
 	if math.IsNaN(value) || math.IsInf(value, 0) {
 		return
@@ -39,8 +39,8 @@
 	w.points++
 }
 
-// writeSnapshot writes the points of a snapshot and of the sender itself. It calls emit with each chunk and the number of
-// its points.
+// writeSnapshot writes the points of a snapshot and of the sender's own statistics. It calls emit with each chunk and the
+// number of points in it.
 func (w *pointWriter) writeSnapshot(s *Snapshot, labels Labels, own Stats, emit func([]byte, int)) {
 	w.unixSeconds = s.At.Unix()
 	w.writeFleet(s, labels)
@@ -52,7 +52,7 @@
 		replica := &s.View.Replicas[i]
 		name, known := labels.ReplicaName(replica.Replica)
 		if !known {
-			continue // it has gone meanwhile
+			continue // removed since the snapshot
 		}
 		w.writeReplica(SanitizePathPart(name), s.View.At, replica)
 		w.flush(chunkBytes, emit)
@@ -60,7 +60,7 @@
 	w.flush(0, emit)
 }
 
-// flush emits the lines if they are longer than minBytes.
+// flush emits the buffered lines if they are longer than minBytes.
 func (w *pointWriter) flush(minBytes int, emit func([]byte, int)) {
 	if len(w.lines) > minBytes {
 		emit(w.lines, w.points)
--- a/internal/governor/graphite/plaintext_test.go
+++ b/internal/governor/graphite/plaintext_test.go
@@ -14,14 +14,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// names are labels of two groups and three replicas; two names of replicas become alike in a path but for their hash.
+// names returns labels for two groups and three replicas. Two replica names differ only by their hash in a path.
 func names() Labels {
 	return Labels{GroupNames: []string{"look", "pay order"}, ReplicaName: func(id rules.ReplicaID) (string, bool) {
 		return map[rules.ReplicaID]string{1: "web-1", 2: "web.2", 3: "web_2"}[id], id < 4
 	}}
 }
 
-// fill fills a snapshot of a moment in seconds, with so many replicas.
+// fill fills a snapshot at the given Unix time with a number of replicas.
 func fill(s *Snapshot, at int64, replicas int) {
 	s.At = time.Unix(at, 0)
 	s.View = rules.View{At: rules.Time(at) * rules.Time(time.Second), EntriesWaiting: 3, EntryCapacity: 100, Proxies: 2, MostMessages: 4, MessageLimit: 20, Tables: 1, Steps: 9,
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestPoints compares the points of a snapshot with the kept ones: three replicas of which two have names that become alike,
-// one that has gone, one without a load, and a value that Graphite has no form for.
+// TestPoints compares the points of a snapshot with the trace in testdata. The snapshot has replicas with similar names, one
+// that has been removed, one without a load, and a value that is not a number.
 func TestPoints(t *testing.T) {
 	var trace strings.Builder
 	var s Snapshot
@@ -48,7 +48,7 @@
 	testkit.CompareTrace(t, trace.String())
 }
 
-// BenchmarkPoints measures making points of a snapshot of 1,000 replicas, beside the deciding goroutine.
+// BenchmarkPoints measures formatting the points of a snapshot of 1,000 replicas.
 func BenchmarkPoints(b *testing.B) {
 	var s Snapshot
 	fill(&s, 1_700_000_000, 1000)
--- a/internal/governor/graphite/queue.go
+++ b/internal/governor/graphite/queue.go
@@ -1,12 +1,12 @@
 package graphite
 
-// chunk is a number of points, formatted.
+// chunk is a sequence of formatted points.
 type chunk struct {
 	lines  []byte
 	points int
 }
 
-// enqueue queues points. Where there is no room the oldest are dropped: the newest are of most use.
+// enqueue queues points. If there is no room, the oldest points are dropped.
 func (s *Sender) enqueue(lines []byte, points int) {
 	s.mu.Lock()
 	s.queue = append(s.queue, chunk{lines, points})
@@ -23,7 +23,7 @@
 	}
 }
 
-// dequeue returns the oldest chunk.
+// dequeue removes and returns the oldest chunk.
 func (s *Sender) dequeue() (oldest chunk, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,7 +36,8 @@
 	return oldest, true
 }
 
-// requeue puts a chunk that was not sent back to the front. It is dropped where newer points have taken its room.
+// requeue puts a chunk that could not be sent back at the front of the queue, or drops it if newer points have taken its
+// room.
 func (s *Sender) requeue(c chunk) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +48,7 @@
 	s.queue = append([]chunk{c}, s.queue...)
 }
 
-// countDropped takes points off the queue's count. The caller holds mu.
+// countDropped subtracts dropped points from the queue's count. The caller holds mu.
 func (s *Sender) countDropped(points int) {
 	s.queuedPoints -= points
 	s.stats.Dropped += points
--- a/internal/governor/graphite/sender.go
+++ b/internal/governor/graphite/sender.go
@@ -13,29 +13,29 @@
 	"github.com/rs/zerolog"
 )
 
-// snapshotPoolSize lets one snapshot be filled while another is made into points.
+// snapshotPoolSize allows one snapshot to be filled while another is formatted.
 const snapshotPoolSize = 2
 
-// Options are the address of Graphite and the limits of a Sender.
+// Options configure a Sender.
 type Options struct {
 	Address         string
 	Prefix          string        // of each path
 	Interval        time.Duration // between snapshots
-	MaxQueuedPoints int           // beyond it the oldest points are dropped
+	MaxQueuedPoints int           // the oldest points above this limit are dropped
 	WriteTimeout    time.Duration
 	DialTimeout     time.Duration
-	MaxRetryDelay   time.Duration // between two attempts to connect
+	MaxRetryDelay   time.Duration // between attempts to connect
 }
 
-// Stats count points and what became of them since the start.
+// Stats are counts since the start.
 type Stats struct {
 	Sent             int // points written to a connection
-	Dropped          int // points dropped unsent, the oldest first
-	SkippedSnapshots int // snapshots not taken, as the ones before were still being made into points
+	Dropped          int // points dropped before they were sent
+	SkippedSnapshots int // snapshots not taken because earlier ones were still being formatted
 	Failures         int // connections that failed or could not be opened
 }
 
-// Sender makes points of snapshots and sends them. AcquireSnapshot and SubmitSnapshot never wait.
+// Sender formats snapshots as points and sends them. AcquireSnapshot and SubmitSnapshot never block.
 type Sender struct {
 	options Options
 	labels  Labels
@@ -43,7 +43,7 @@
 	dial    func(ctx context.Context) (net.Conn, error)
 
 	freeSnapshots, filledSnapshots chan *Snapshot
-	wake                           chan struct{} // the queue is not empty
+	wake                           chan struct{} // signals that the queue is not empty
 
 	mu           sync.Mutex
 	queue        []chunk // oldest first
@@ -51,7 +51,7 @@
 	stats        Stats
 }
 
-// New returns a Sender that sends nothing before Run.
+// New returns a Sender that does nothing until Run.
 func New(o Options, labels Labels, log zerolog.Logger) *Sender {
 	s := &Sender{
 		options:         o,
@@ -69,8 +69,7 @@
 	return s
 }
 
-// AcquireSnapshot returns a snapshot to fill, which must then be submitted. It returns nil if none is free; the snapshot is
-// then counted as skipped.
+// AcquireSnapshot returns a snapshot to fill and submit. If none is free, it returns nil and counts a skipped snapshot.
 func (s *Sender) AcquireSnapshot() *Snapshot {
 	select {
 	case snapshot := <-s.freeSnapshots:
@@ -83,7 +82,7 @@
 	}
 }
 
-// SubmitSnapshot hands over a snapshot from AcquireSnapshot. The channel has room for all of them.
+// SubmitSnapshot submits a snapshot from AcquireSnapshot. It does not block, as the channel has room for all snapshots.
 func (s *Sender) SubmitSnapshot(snapshot *Snapshot) { s.filledSnapshots <- snapshot }
 
 // Stats returns the counts so far.
@@ -93,7 +92,7 @@
 	return s.stats
 }
 
-// Run makes points of snapshots and sends them, each in a goroutine of its own, until ctx ends.
+// Run formats and sends snapshots, in two goroutines, until ctx is done.
 func (s *Sender) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	running.Go(func() { s.sendLoop(ctx) })
@@ -110,8 +109,8 @@
 	}
 }
 
-// sendLoop connects, sends what is queued, and connects again with exponential backoff when that fails. A chunk that failed
-// is sent again as a whole: Graphite keeps one value for a path and second, so repeated lines do no harm.
+// sendLoop sends queued points and reconnects with exponential backoff after failures. A chunk that failed is sent again as a
+// whole, which is harmless because Graphite keeps one value per path and second.
 func (s *Sender) sendLoop(ctx context.Context) {
 	retryDelay := backoff.NewExponentialBackOff()
 	retryDelay.MaxInterval = s.options.MaxRetryDelay
@@ -139,20 +138,20 @@
 	}
 }
 
-// sendOnConnection opens a connection and sends until something fails. It calls onHealthy once the connection is older than
-// one write may take: earlier writes fit into buffers, whether anybody reads or not.
+// sendOnConnection opens a connection and sends on it until it fails. It calls onHealthy after each write once the connection
+// is older than WriteTimeout, because earlier writes may succeed into socket buffers although the receiver does not read.
 func (s *Sender) sendOnConnection(ctx context.Context, onHealthy func()) error {
 	conn, err := s.dial(ctx)
 	if err != nil {
 		return fmt.Errorf("dialing: %w", err)
 	}
-	closeConn := func() { _ = conn.Close() } // what has not been acknowledged is of no further use
+	closeConn := func() { _ = conn.Close() } // the error does not matter: nothing is sent afterwards
 	defer closeConn()
 	openedAt := time.Now()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	context.AfterFunc(ctx, closeConn)
-	go func() { // the receiver never sends, so the end of a read is the end of the connection
+	go func() { // the receiver sends nothing, so a read ends only when the connection does
 		_, err := io.Copy(io.Discard, conn)
 		cancel(fmt.Errorf("closed by the receiver: %w", cmp.Or(err, io.EOF)))
 	}()
--- a/internal/governor/graphite/sender_test.go
+++ b/internal/governor/graphite/sender_test.go
@@ -14,32 +14,32 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// senderOptions have short time-outs and a queue of 5,000 points.
+// senderOptions returns options with short timeouts and a queue of 5,000 points.
 func senderOptions(address string) Options {
 	return Options{Address: address, Prefix: "z", MaxQueuedPoints: 5000, WriteTimeout: 200 * time.Millisecond, DialTimeout: time.Second, MaxRetryDelay: 100 * time.Millisecond}
 }
 
-// runSender runs a sender against a receiver and feeds it snapshots until enough says so.
-func runSender(t *testing.T, s *Sender, replicas int, enough func(Stats) bool) {
+// runSender runs a sender and submits snapshots until done returns true.
+func runSender(t *testing.T, s *Sender, replicas int, done func(Stats) bool) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
-	done := make(chan struct{})
-	go func() { s.Run(ctx); close(done) }()
-	for at := int64(1_700_000_000); !enough(s.Stats()) && ctx.Err() == nil; at++ {
+	ended := make(chan struct{})
+	go func() { s.Run(ctx); close(ended) }()
+	for at := int64(1_700_000_000); !done(s.Stats()) && ctx.Err() == nil; at++ {
 		if x := s.AcquireSnapshot(); x != nil {
 			fill(x, at, replicas)
 			s.SubmitSnapshot(x)
 		}
-		time.Sleep(10 * time.Millisecond) // the receiver is a socket: there is no clock to hold
+		time.Sleep(10 * time.Millisecond) // real time, as the receiver is a socket
 	}
 	if ctx.Err() != nil {
 		t.Errorf("after 20 s: %+v", s.Stats())
 	}
 	stop()
-	<-done
+	<-ended
 }
 
-// lockedBuffer is a log that is read while it is written.
+// lockedBuffer is a log that may be read while it is written.
 type lockedBuffer struct {
 	sync.Mutex
 	b strings.Builder
@@ -57,17 +57,17 @@
 	return l.b.String()
 }
 
-// TestReceivers has receivers that read, close their half, read slowly, reset and stall, and one that comes and goes: the
-// sender never queues more than it may, counts what it drops, and sends whenever somebody reads.
+// TestReceivers runs a sender against receivers that read, half-close, read slowly, reset, stall, or start late: the queue
+// stays within its limit, drops are counted, and sending resumes when the receiver reads.
 func TestReceivers(t *testing.T) {
-	for name, m := range map[string]standin.ConnectionBehaviour{"reads": standin.ReadsLines, "half ends": standin.HalfCloses, "trickles": standin.ReadsSlowly} {
+	for name, behaviour := range map[string]standin.ConnectionBehaviour{"reads": standin.ReadsLines, "half ends": standin.HalfCloses, "trickles": standin.ReadsSlowly} {
 		t.Run(name, func(t *testing.T) {
 			g, err := standin.ListenGraphite("127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer g.Close()
-			g.SetBehaviour(m)
+			g.SetBehaviour(behaviour)
 			runSender(t, New(senderOptions(g.Address()), names(), testkit.Logger(&strings.Builder{})), 3, func(c Stats) bool { return c.Sent > 300 && len(g.Lines()) > 50 })
 			if !slices.ContainsFunc(g.Lines(), func(l string) bool { return strings.HasPrefix(l, "z.replica.web-1.load 0.4 17") }) {
 				t.Error(g.Lines()[:10])
@@ -92,24 +92,24 @@
 		g.SetBehaviour(standin.StallsReading)
 		var log lockedBuffer
 		s := New(senderOptions(g.Address()), Labels{ReplicaName: func(id rules.ReplicaID) (string, bool) { return fmt.Sprint("r", id), true }}, testkit.Logger(&log))
-		var read time.Time
+		var readingSince time.Time
 		runSender(t, s, 100, func(c Stats) bool {
 			s.mu.Lock()
-			waiting := s.queuedPoints
+			queued := s.queuedPoints
 			s.mu.Unlock()
-			if waiting > s.options.MaxQueuedPoints {
-				t.Fatalf("%d points wait", waiting)
+			if queued > s.options.MaxQueuedPoints {
+				t.Fatalf("%d points are queued", queued)
 			}
-			if c.Failures > 1 && c.Dropped > 3000 && read.IsZero() {
-				read = time.Now()
+			if c.Failures > 1 && c.Dropped > 3000 && readingSince.IsZero() {
+				readingSince = time.Now()
 				g.SetBehaviour(standin.ReadsLines)
 			}
-			said := strings.Split(strings.TrimSpace(log.String()), "\n") // its line comes after one period, on a busy machine later
-			return !read.IsZero() && len(g.Lines()) > 100 && time.Since(read) > 4*s.options.WriteTimeout && strings.Contains(said[len(said)-1], "graphite is back")
+			logged := strings.Split(strings.TrimSpace(log.String()), "\n") // the recovery is logged only after WriteTimeout
+			return !readingSince.IsZero() && len(g.Lines()) > 100 && time.Since(readingSince) > 4*s.options.WriteTimeout && strings.Contains(logged[len(logged)-1], "graphite is back")
 		})
 		lines := strings.Split(strings.TrimSpace(log.String()), "\n")
 		if !strings.Contains(lines[0], "graphite failure") || !strings.Contains(lines[len(lines)-1], "graphite is back") || len(lines) > 2*s.Stats().Failures {
-			t.Error("lines of the log: ", log.String())
+			t.Error("log: ", log.String())
 		}
 	})
 	t.Run("gone at the start", func(t *testing.T) {
@@ -132,8 +132,8 @@
 	})
 }
 
-// TestAcquireSnapshotNeverWaits has nobody make points of snapshots: those that can't be taken are counted.
-func TestAcquireSnapshotNeverWaits(t *testing.T) {
+// TestAcquireSnapshotNeverBlocks checks that AcquireSnapshot returns nil and counts when all snapshots are in use.
+func TestAcquireSnapshotNeverBlocks(t *testing.T) {
 	s := New(senderOptions("nobody"), names(), testkit.Logger(&strings.Builder{}))
 	for i := range 5 {
 		if x := s.AcquireSnapshot(); (x != nil) != (i < snapshotPoolSize) {
--- a/internal/governor/graphite/snapshot.go
+++ b/internal/governor/graphite/snapshot.go
@@ -1,5 +1,5 @@
-// Package graphite sends a governor's view of the fleet to Graphite, in its plaintext protocol over TCP: a line
-// "path value seconds" for each point. Nothing that the receiver does delays a decision.
+// Package graphite exports a governor's view of the fleet to Graphite in the plaintext protocol over TCP, one line
+// "path value seconds" per point. A slow or failing receiver never delays the event loop.
 package graphite
 
 import (
@@ -9,24 +9,24 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Snapshot is the state of a governor at one moment. The deciding goroutine only fills it; the points are made elsewhere.
+// Snapshot is the state of a governor at one time. The event loop fills it; a goroutine of the Sender formats it.
 type Snapshot struct {
 	At       time.Time
 	View     rules.View
-	Duration time.Duration // of the deciding goroutine, to fill the snapshot
+	Duration time.Duration // time that the event loop took to fill it
 
-	HasIntake    bool          // the governor takes reports of single proxies; the following is zero otherwise
+	HasIntake    bool          // the intake is enabled; otherwise the fields below are zero
 	IntakeCounts intake.Counts // since the start
 	IntakeSizes  IntakeSizes
 }
 
-// IntakeSizes is what the intake has in memory.
+// IntakeSizes are the numbers of items that the intake holds in memory.
 type IntakeSizes struct {
 	Records, Senders, Pairs int
 }
 
-// Labels give the names that stand for numbers in paths.
+// Labels give the names that replace IDs in paths.
 type Labels struct {
 	ReplicaName func(rules.ReplicaID) (string, bool)
-	GroupNames  []string // of traffic groups, by number
+	GroupNames  []string // of traffic groups, by ID
 }
