--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter runs governors on the simulator's protocol: events on standard input, orders on standard output.
+// Command simadapter runs governors for the simulator. It reads events from standard input and writes orders to standard
+// output.
 package main
 
 import (
@@ -21,7 +22,7 @@
 	}
 }
 
-// run answers each batch of in with one reply, until in ends.
+// run answers each batch from in with one reply until in ends.
 func run(in io.Reader, out io.Writer) error {
 	decoder := simadapter.NewDecoder(in)
 	governors := map[simadapter.InstanceID]*rules.Governor{}
@@ -50,7 +51,7 @@
 	}
 }
 
-// answer adds one governor's orders to the reply. A failure of the decision code becomes a bug report.
+// answer adds the orders of one governor to the reply. A failure of the decision code is reported as a bug.
 func answer(reply *simadapter.Reply, governor *rules.Governor, now rules.Time, instance *simadapter.InstanceEvents) error {
 	orders, err := step(governor, now, instance)
 	if err == nil && len(orders) == 0 {
@@ -74,7 +75,7 @@
 
 func (e panicError) Error() string { return fmt.Sprint("panic: ", e.value) }
 
-// step lets a governor handle its events. It fails where the settings can't be used or the decision code panics.
+// step runs one step of a governor. It returns an error if the settings are invalid or the decision code panics.
 func step(governor *rules.Governor, now rules.Time, instance *simadapter.InstanceEvents) (orders []rules.Order, err error) {
 	defer func() {
 		if value := recover(); value != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -16,21 +16,21 @@
 	}
 }
 
-func TestNoHalfWrittenReply(t *testing.T) {
+func TestNoPartialReply(t *testing.T) {
 	var out bytes.Buffer
 	empty := "\x10\x00\x00\x00\x90\xbf\x68\xf5\x01\x00\x00\x00\x00\x00\x00\x00"
 	if err := run(strings.NewReader(empty+empty[:9]), &out); err == nil {
-		t.Error("a truncated frame passed")
+		t.Error("a truncated frame was accepted")
 	}
 	if got, want := out.String(), "\x08\x00\x00\x00\x00\x00\x00\x00"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
 
-func TestPanicBecomesBug(t *testing.T) {
+func TestPanicIsError(t *testing.T) {
 	instance := &simadapter.InstanceEvents{Events: []rules.Event{rules.Start{Settings: rules.Settings{Zones: 1}}, rules.Joined{Proxy: 1}}}
-	var broken *rules.Governor
-	_, err := step(broken, 0, instance)
+	var governor *rules.Governor
+	_, err := step(governor, 0, instance)
 	var failure panicError
 	if !errors.As(err, &failure) || !strings.HasPrefix(err.Error(), "panic: ") {
 		t.Errorf("got %v", err)
--- a/cmd/zincloft/export_test.go
+++ b/cmd/zincloft/export_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestStateExport compares what is printed of a kept governor's store with what commit 2705c65 printed of it. See
-// package compatibility.
+// TestStateExport compares the export of a stored state with the output of an earlier version, so that the format stays
+// compatible. See package compatibility.
 func TestStateExport(t *testing.T) {
 	dir := t.TempDir() // the database is opened on a copy
 	if err := os.CopyFS(dir, os.DirFS("../../internal/testbeds/compatibility/testdata/governorstore")); err != nil {
--- a/cmd/zincloft/linkage_test.go
+++ b/cmd/zincloft/linkage_test.go
@@ -13,8 +13,8 @@
 	"zincloft.example/zincloft/internal/testbeds/testkit"
 )
 
-// TestLinkage builds the governor with the flags of the deploy file: the platform preloads a library, which reaches only
-// programs that are linked dynamically with the C library.
+// TestLinkage builds the governor with the flags in the deploy file and checks that it is linked dynamically with the C
+// library: the platform preloads a library, which has no effect on static binaries.
 func TestLinkage(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("the platform is Linux")
--- a/cmd/zincloft/main.go
+++ b/cmd/zincloft/main.go
@@ -1,4 +1,4 @@
-// Command zincloft is the governor: it publishes routing tables to a fleet of proxies. Without arguments it serves.
+// Command zincloft runs a governor, which publishes routing tables to a fleet of proxies. Without a subcommand it serves.
 package main
 
 import (
@@ -25,20 +25,19 @@
 	exitInvalidInput = 2 // the configuration, the command line or a file is invalid
 )
 
-// logTimeFormat has milliseconds.
+// logTimeFormat is RFC 3339 with milliseconds.
 const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// exitError is an error with its exit status.
+// exitError is an error with an exit status.
 type exitError struct {
 	error
 	status int
 }
 
-// Unwrap returns the error without its status.
 func (e exitError) Unwrap() error { return e.error }
 
 func main() {
-	reloadSignals := make(chan os.Signal, 1) // one that waits stands for all since
+	reloadSignals := make(chan os.Signal, 1) // further signals are redundant while one is pending
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	err := rootCommand(reloadSignals).Execute()
 	if err == nil {
@@ -46,36 +45,36 @@
 	}
 	exit := exitError{err, exitInvalidInput}
 	errors.As(err, &exit)
-	if exit.status == exitInvalidInput { // otherwise the log has it
+	if exit.status == exitInvalidInput { // otherwise the error has been logged
 		fmt.Fprintln(os.Stderr, "zincloft:", err)
 	}
 	os.Exit(exit.status)
 }
 
-// rootCommand returns the command line. Each value of reloadSignals has a serving governor read its configuration again.
+// rootCommand returns the root command. A serving governor reloads its configuration on each value from reloadSignals.
 func rootCommand(reloadSignals <-chan os.Signal) *cobra.Command {
 	var operator string
 	serve := func(*cobra.Command, []string) error { return serve(operator, reloadSignals) }
 	root := &cobra.Command{
 		Use:           "zincloft",
-		Short:         "A governor: publishes routing tables to a fleet of proxies; without a command it serves",
+		Short:         "Publish routing tables to a fleet of proxies; serves if no command is given",
 		Args:          cobra.NoArgs,
 		RunE:          serve,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	root.PersistentFlags().StringVar(&operator, "operator", "", "the operator file (TOML); else ZINCLOFT_OPERATOR, else none")
+	root.PersistentFlags().StringVar(&operator, "operator", "", "operator file in TOML (default: $ZINCLOFT_OPERATOR)")
 	root.AddCommand(
 		stateCommand(&operator),
 		&cobra.Command{
 			Use:   "serve",
-			Short: "Serve as LB_CONFIG and the operator file say, until SIGTERM",
+			Short: "Serve with the configuration in LB_CONFIG and the operator file until SIGTERM",
 			Args:  cobra.NoArgs,
 			RunE:  serve,
 		},
 		&cobra.Command{
 			Use:   "check",
-			Short: "Print what would hold, or what is wrong; listen on nothing",
+			Short: "Check the configuration and print the effective options without serving",
 			Args:  cobra.NoArgs,
 			RunE:  func(c *cobra.Command, _ []string) error { return check(c.OutOrStdout(), operator) },
 		},
@@ -92,8 +91,8 @@
 	return root
 }
 
-// check reads all that serve would and prints the options in force. Without LB_CONFIG it reads the operator file alone, with
-// the default limits.
+// check reads the configuration as serve does and prints the effective options. Without LB_CONFIG it reads only the operator
+// file and uses the default limits.
 func check(out io.Writer, operator string) error {
 	var conf config.Config
 	var err error
@@ -109,7 +108,7 @@
 	return err
 }
 
-// version returns the version of the module, the revision if it is known, and the version of Go.
+// version returns the version of the module, the VCS revision if it is known, and the Go version.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -136,7 +135,8 @@
 	defer stop()
 	listen := func() (net.Listener, error) {
 		var listenConfig net.ListenConfig
-		return listenConfig.Listen(context.WithoutCancel(ctx), "tcp", conf.Listen) // a signal during the start is no failure of it
+		// A stop signal during startup must not be reported as a failure to listen.
+		return listenConfig.Listen(context.WithoutCancel(ctx), "tcp", conf.Listen)
 	}
 	reload := func(current config.Config) (config.Config, []string, error) { return config.Reload(os.Getenv, current) }
 	if err := daemon.New(conf, log).Run(ctx, listen, reloadSignals, reload); err != nil {
--- a/cmd/zincloft/main_test.go
+++ b/cmd/zincloft/main_test.go
@@ -12,7 +12,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// TestMain lets tests start this program as a process of its own.
+// TestMain runs the tests, or the program itself if ZINCLOFT_MAIN is set or a script calls it.
 func TestMain(m *testing.M) {
 	if os.Getenv("ZINCLOFT_MAIN") != "" {
 		main()
@@ -21,7 +21,7 @@
 	testscript.Main(m, map[string]func(){"zincloft": main})
 }
 
-// TestCommands runs the scripts in testdata, each of which is a session in a shell.
+// TestCommands runs the scripts in testdata.
 func TestCommands(t *testing.T) {
 	example, err := filepath.Abs("../../deploy/example.json")
 	if err != nil {
@@ -33,7 +33,8 @@
 	}})
 }
 
-// TestSignals sends SIGHUP from the first line of the log on, which never ends the program, and then SIGTERM, which does.
+// TestSignals checks that SIGHUP during startup reloads the configuration without ending the process, and that SIGTERM ends
+// it cleanly.
 func TestSignals(t *testing.T) {
 	c := exec.CommandContext(t.Context(), os.Args[0])
 	c.Env = append(os.Environ(), "ZINCLOFT_MAIN=1", "LB_CONFIG=../../deploy/example.json", "LB_LISTEN=127.0.0.1:0")
--- a/cmd/zincloft/state.go
+++ b/cmd/zincloft/state.go
@@ -15,42 +15,42 @@
 	"zincloft.example/zincloft/recovery"
 )
 
-// stateNames are the names of rules.State, by number.
+// stateNames are the names of the values of rules.State.
 var stateNames = [...]string{"gone", "ready", "draining"}
 
-// stateCommand returns the commands on the state that a governor keeps on disk. Only compact changes the file, and none
-// works on one that a governor has open.
+// stateCommand returns the commands for a governor's persisted state. Only compact changes the file, and none works while a
+// governor has it open.
 func stateCommand(operator *string) *cobra.Command {
 	var dir string
-	root := &cobra.Command{Use: "state", Short: "Look at what a governor keeps on disk"}
-	root.PersistentFlags().StringVar(&dir, "dir", "", "the folder; else state.dir of the operator file")
+	root := &cobra.Command{Use: "state", Short: "Inspect the persisted state of a governor"}
+	root.PersistentFlags().StringVar(&dir, "dir", "", "state directory (default: state.dir in the operator file)")
 	for _, command := range []struct {
 		use, short string
 		run        func(out io.Writer, dir string) error
 	}{
-		{"show", "Print what is kept, for people", showState},
-		{"export", "Print what is kept, as JSON", exportState},
-		{"verify", "Read the file whole and say whether it is sound", verifyState},
-		{"compact", "Write the file anew without its free pages", compactState},
+		{"show", "Print the state as text", showState},
+		{"export", "Print the state as JSON", exportState},
+		{"verify", "Check the file for damage", verifyState},
+		{"compact", "Rewrite the file without free pages", compactState},
 	} {
 		root.AddCommand(&cobra.Command{
 			Use:   command.use,
 			Short: command.short,
 			Args:  cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
-				folder, err := stateFolder(dir, *operator)
+				stateDir, err := stateDirectory(dir, *operator)
 				if err != nil {
 					return err
 				}
-				return command.run(c.OutOrStdout(), folder)
+				return command.run(c.OutOrStdout(), stateDir)
 			},
 		})
 	}
 	return root
 }
 
-// stateFolder returns the named folder, or that of the operator file.
-func stateFolder(named, operator string) (string, error) {
+// stateDirectory returns named or, if that is empty, the directory in the operator file.
+func stateDirectory(named, operator string) (string, error) {
 	if named != "" {
 		return named, nil
 	}
@@ -59,21 +59,21 @@
 		return "", err
 	}
 	if options.State.Dir == "" {
-		return "", errors.New("state.dir is not set: name a folder by --dir, or an operator file")
+		return "", errors.New("state.dir is not set; use --dir or an operator file")
 	}
 	return options.State.Dir, nil
 }
 
 func showState(out io.Writer, dir string) error {
-	kept, err := store.Read(dir)
+	state, err := store.Read(dir)
 	if err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintf(out, "governor %s, discovery %s, version %d, heard %s, written %s, %d replicas\n", kept.Governor, kept.Discovery,
-		kept.Version, formatTime(int64(kept.ConfirmedAt)), formatTime(int64(kept.WrittenAt)), len(kept.Replicas)); err != nil {
+	if _, err := fmt.Fprintf(out, "governor %s, discovery %s, version %d, heard %s, written %s, %d replicas\n", state.Governor, state.Discovery,
+		state.Version, formatTime(int64(state.ConfirmedAt)), formatTime(int64(state.WrittenAt)), len(state.Replicas)); err != nil {
 		return err
 	}
-	for _, replica := range kept.Replicas {
+	for _, replica := range state.Replicas {
 		if err := showReplica(out, replica); err != nil {
 			return err
 		}
@@ -94,7 +94,7 @@
 func formatTime(unixNano int64) string { return time.Unix(0, unixNano).UTC().Format(time.RFC3339) }
 
 func exportState(out io.Writer, dir string) error {
-	kept, err := store.Read(dir)
+	state, err := store.Read(dir)
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 	if err := encoder.Encode(struct {
 		Schema int `json:"schema"`
 		recovery.State
-	}{store.SchemaVersion, kept}); err != nil {
+	}{store.SchemaVersion, state}); err != nil {
 		return fmt.Errorf("writing: %w", err)
 	}
 	return nil
--- a/internal/tools/simadapter/decoder.go
+++ b/internal/tools/simadapter/decoder.go
@@ -1,8 +1,6 @@
-// Package simadapter reads and writes the simulator's frames and translates them to and from the events and orders of package
-// rules. It decides nothing.
+// Package simadapter translates between the simulator's binary protocol and the events and orders of package rules.
 //
-// A frame of events is a header, records of a fixed size, and a tail of bytes that records point into; a reply likewise. All
-// numbers are little-endian.
+// A frame consists of a header, fixed-size records, and a tail of bytes that records refer to. All numbers are little-endian.
 package simadapter
 
 import (
@@ -17,41 +15,41 @@
 const (
 	batchHeaderSize = 16
 	eventSize       = 48
-	entrySize       = 21 // of a replica in the tail
+	entrySize       = 21 // size of a list entry in the tail
 	maxFrameSize    = 1 << 30
 )
 
-// Errors of a frame. They are wrapped with what was met.
+// Errors that Decoder.Next wraps with details.
 var (
 	ErrTruncatedFrame = errors.New("truncated frame")
 	ErrMalformedFrame = errors.New("malformed frame")
 )
 
-// InstanceID is the simulator's number for one governor.
+// InstanceID is the simulator's ID of a governor.
 type InstanceID uint16
 
-// InstanceEvents is what one batch holds for one instance.
+// InstanceEvents are the events for one instance in a batch.
 type InstanceEvents struct {
 	Instance      InstanceID
 	Events        []rules.Event
-	SettingsError error // the instance cannot run on its settings
+	SettingsError error // set if the settings of the instance are invalid
 }
 
-// Batch is one frame of events. Instances stand in the order in which they are first named.
+// Batch is one frame of events. Instances are in the order in which they are first selected.
 type Batch struct {
 	Now       rules.Time
 	Instances []*InstanceEvents
 }
 
-// Decoder reads batches. It remembers which load figures each instance's site reports.
+// Decoder reads batches. It keeps the names of the load metrics in the settings of each instance.
 type Decoder struct {
-	reader     io.Reader
-	loadFields map[InstanceID][]string
+	reader      io.Reader
+	loadMetrics map[InstanceID][]string
 }
 
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{reader: r, loadFields: map[InstanceID][]string{}}
+	return &Decoder{reader: r, loadMetrics: map[InstanceID][]string{}}
 }
 
 // Next reads one batch. It returns io.EOF at a clean end of input.
@@ -65,7 +63,7 @@
 	var current *InstanceEvents
 	for offset := 0; offset < len(frame.records); offset += eventSize {
 		event := record{bytes: frame.records[offset : offset+eventSize], tail: frame.tail}
-		if event.code() == eventSelect {
+		if event.code() == eventSelectInstance {
 			id := InstanceID(event.uint16(1))
 			if current = byID[id]; current == nil {
 				current = &InstanceEvents{Instance: id}
@@ -75,7 +73,7 @@
 			continue
 		}
 		if current == nil {
-			return nil, fmt.Errorf("%w: event code %d before any instance is named", ErrMalformedFrame, event.code())
+			return nil, fmt.Errorf("%w: event code %d before any instance is selected", ErrMalformedFrame, event.code())
 		}
 		if err := d.decodeEvent(current, event); err != nil {
 			return nil, err
@@ -84,7 +82,7 @@
 	return batch, nil
 }
 
-// frame is a frame of events as it was read.
+// frame is an undecoded frame of events.
 type frame struct {
 	now           rules.Time
 	records, tail []byte
--- a/internal/tools/simadapter/decoder_test.go
+++ b/internal/tools/simadapter/decoder_test.go
@@ -14,7 +14,7 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// encodeFrame builds a batch from its records and tail, written as hex with spaces; records are filled up with zeros.
+// encodeFrame encodes a frame from records and a tail, given as hex with spaces. Records are padded with zeros.
 func encodeFrame(t *testing.T, tail string, records ...string) []byte {
 	t.Helper()
 	var body []byte
@@ -45,7 +45,7 @@
 		"01 0500", "0c 2900", "06 2900 00 0000d040 01",
 		"01 0300", "07 01000000 903ce00200000000 00ca9a3b00000000 00 0e000000 074a1203 03 52b81e3f 0000e040 00006841")...)
 	d := NewDecoder(bytes.NewReader(in))
-	d.loadFields[3] = []string{"cpu_share", "busy_reqs", "svc_ms"}
+	d.loadMetrics[3] = []string{"cpu_share", "busy_reqs", "svc_ms"}
 	var got []*Batch
 	for {
 		b, err := d.Next()
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestDecoderNamesWhatIsWrong(t *testing.T) {
+func TestDecoderErrors(t *testing.T) {
 	for name, in := range map[string][]byte{
 		"truncated frame":         encodeFrame(t, "", "01 0300")[:40],
 		"inside a header":         encodeFrame(t, "")[:7],
--- a/internal/tools/simadapter/events.go
+++ b/internal/tools/simadapter/events.go
@@ -9,29 +9,29 @@
 	"zincloft.example/zincloft/rules"
 )
 
-// Event codes, by the simulator's names.
+// Event codes of the simulator's protocol.
 const (
-	eventTenure = iota
-	eventSelect
-	eventHeld
+	eventSliceAssigned = iota
+	eventSelectInstance
+	eventSliceWeight
 	eventKilled
-	eventDeadlineHit
-	eventPeerData
-	eventSubscribed
-	eventStats
+	eventWake
+	eventPeerMessage
+	eventJoined
+	eventEndpointStats
 	eventStart
-	eventCaughtUp
-	eventEcho
-	eventPressure
-	eventDroppedOff
-	eventUpdate
-	eventIntake
+	eventApplied
+	eventProbed
+	eventSliceTraffic
+	eventLeft
+	eventList
+	eventGroupTraffic
 )
 
-// maxLoadValues is how many figures a load report has room for.
+// maxLoadValues is the number of values in a load report.
 const maxLoadValues = 4
 
-// decodeEvent adds the event of a record to an instance's events.
+// decodeEvent decodes a record and adds its event to the instance.
 func (d *Decoder) decodeEvent(instance *InstanceEvents, r record) error {
 	event, err := d.event(instance.Instance, r)
 	var settingsError config.SettingsError
@@ -48,48 +48,48 @@
 
 func (d *Decoder) event(id InstanceID, r record) (rules.Event, error) {
 	switch r.code() {
-	case eventTenure:
+	case eventSliceAssigned:
 		return rules.SliceAssigned{Slice: rules.SliceID(r.uint16(1)), Assigned: r.bytes[3] != 0}, nil
-	case eventHeld:
+	case eventSliceWeight:
 		return rules.SliceWeight{Slice: rules.SliceID(r.uint16(1)), Replica: rules.ReplicaID(r.uint32(3)), Weight: r.float32(7)}, nil
 	case eventKilled:
 		return rules.Killed{}, nil
-	case eventDeadlineHit:
+	case eventWake:
 		return rules.Wake{TimerID: r.uint64(1)}, nil
-	case eventPeerData:
-		return peerData(r)
-	case eventSubscribed:
+	case eventPeerMessage:
+		return peerMessage(r)
+	case eventJoined:
 		return rules.Joined{Proxy: rules.ProxyID(r.uint16(1)), Zone: rules.ZoneID(r.bytes[3]), FlowRate: r.float32(4), Fresh: r.bytes[8] != 0}, nil
-	case eventStats:
+	case eventEndpointStats:
 		return rules.EndpointStats{Dropped: int(r.uint32(1)), MeanLatency: r.duration(5), Window: r.duration(13), Zone: rules.ZoneID(r.bytes[21]),
 			Attempts: int(r.uint32(22)), Replica: rules.ReplicaID(r.uint32(26)), Report: d.loadReport(id, r, 30)}, nil
 	case eventStart:
 		return d.start(id, r)
-	case eventCaughtUp:
+	case eventApplied:
 		return rules.Applied{Proxy: rules.ProxyID(r.uint16(1)), Version: uint16(r.uint64(3)), Delay: r.duration(11)}, nil
-	case eventEcho:
+	case eventProbed:
 		return rules.Probed{Replica: rules.ReplicaID(r.uint32(1)), Healthy: r.uint16(5) == 1, Latency: r.duration(7),
 			Report: d.loadReport(id, r, 15)}, nil
-	case eventPressure:
+	case eventSliceTraffic:
 		return rules.SliceTraffic{Group: rules.GroupID(r.bytes[1]), Slice: rules.SliceID(r.uint16(2)), Window: r.duration(4),
 			Flows: int(r.uint32(12)), Dropped: int(r.uint32(16))}, nil
-	case eventDroppedOff:
+	case eventLeft:
 		return rules.Left{Proxy: rules.ProxyID(r.uint16(1))}, nil
-	case eventUpdate:
+	case eventList:
 		return replicaList(r)
-	case eventIntake:
+	case eventGroupTraffic:
 		return rules.GroupTraffic{Proxy: rules.ProxyID(r.uint16(1)), Group: rules.GroupID(r.bytes[3]), Flows: int(r.uint32(4)),
 			Dropped: int(r.uint32(8)), Window: r.duration(12)}, nil
 	}
 	return nil, fmt.Errorf("%w: unknown event code %d", ErrMalformedFrame, r.code())
 }
 
-func peerData(r record) (rules.Event, error) {
+func peerMessage(r record) (rules.Event, error) {
 	data, err := r.tailBytes(5, 1)
 	return rules.PeerMessage{From: rules.PeerID(r.uint32(1)), Data: data}, err
 }
 
-// start reads an instance's settings. The error is a config.SettingsError where the instance cannot run on them.
+// start decodes a start event with the settings of an instance. The error is a config.SettingsError if they are invalid.
 func (d *Decoder) start(id InstanceID, r record) (rules.Event, error) {
 	text, err := r.tailBytes(9, 1)
 	if err != nil {
@@ -99,15 +99,16 @@
 	if err != nil {
 		return nil, err
 	}
-	d.loadFields[id] = settings.LoadMetricNames
+	d.loadMetrics[id] = settings.LoadMetricNames
 	return rules.Start{Seed: r.uint64(1), Settings: settings.Settings}, nil
 }
 
-// loadReport reads a count and up to four values, in the site's order of load figures. Values that are no load are skipped.
+// loadReport decodes a count and up to four values, in the order of the load metrics in the settings. It skips values that are
+// negative or not finite.
 func (d *Decoder) loadReport(id InstanceID, r record, at int) rules.LoadReport {
 	report := rules.LoadReport{Utilization: rules.Absent, InFlight: rules.Absent, ServiceTime: rules.Absent, Rate: rules.Absent}
-	count := min(int(r.bytes[at]), maxLoadValues, len(d.loadFields[id]))
-	for i, name := range d.loadFields[id][:count] {
+	count := min(int(r.bytes[at]), maxLoadValues, len(d.loadMetrics[id]))
+	for i, name := range d.loadMetrics[id][:count] {
 		value := r.float32(at + 1 + 4*i)
 		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
 			continue
--- a/internal/tools/simadapter/reply.go
+++ b/internal/tools/simadapter/reply.go
@@ -13,89 +13,91 @@
 	orderSize       = 24
 )
 
-// Order codes, by the simulator's names.
+// Order codes of the simulator's protocol.
 const (
-	orderDefer = iota
-	orderAskLoad
-	orderWritePeer
-	orderSayLog
+	orderWakeAfter = iota
+	orderProbe
+	orderSendToPeer
+	orderLog
 	orderBug
-	orderObserve
-	orderRefresh
-	orderLine
-	orderResetTable
-	orderBench
-	orderAttachTable
-	orderLevel
-	orderNonce
-	orderContext
+	orderWatchList
+	orderFetchList
+	orderEndpointWeight
+	orderClearTable
+	orderReplicaEjection
+	orderBind
+	orderAdmit
+	orderAckRequest
+	orderSelectInstance
 )
 
-// Reply collects the orders that answer one batch. The zero Reply is empty.
+// Reply collects the orders that answer one batch. The zero value is an empty reply.
 type Reply struct {
 	records, tail []byte
 	count         uint32
 }
 
-// SelectInstance names the instance of the orders that follow.
-func (r *Reply) SelectInstance(id InstanceID) { r.addRecord(orderContext).putUint16(1, uint16(id)) }
+// SelectInstance selects the instance that the following orders belong to.
+func (r *Reply) SelectInstance(id InstanceID) {
+	r.addRecord(orderSelectInstance).putUint16(1, uint16(id))
+}
 
-// AddBug reports that the decision code has failed.
+// AddBug reports a failure of the decision code.
 func (r *Reply) AddBug(text string) { r.addText(r.addRecord(orderBug), 1, []byte(text)) }
 
-// AddOrder adds one order. It fails on an order that the simulator does not know.
+// AddOrder adds one order. It returns an error if the protocol has no code for it.
 func (r *Reply) AddOrder(order rules.Order) error {
 	switch o := order.(type) {
 	case rules.EndpointWeight:
-		record := r.addRecord(orderLine)
+		record := r.addRecord(orderEndpointWeight)
 		record.putUint16(1, uint16(o.Table))
 		record.putFloat32(3, o.Weight)
 		record.putUint32(7, uint32(o.Replica))
 	case rules.Admit:
-		record := r.addRecord(orderLevel)
+		record := r.addRecord(orderAdmit)
 		record.putFloat32(1, o.Level)
 		record.putUint16(5, uint16(o.Table))
 		record[7] = byte(o.Retry)
 		record.putUint16(8, uint16(o.Groups))
 	case rules.Bind:
-		record := r.addRecord(orderAttachTable)
+		record := r.addRecord(orderBind)
 		record.putUint16(1, uint16(o.Groups))
 		record.putUint16(3, uint16(o.Table))
 		record.putUint16(5, uint16(o.Proxy))
 	case rules.ClearTable:
-		r.addRecord(orderResetTable).putUint16(1, uint16(o.Table))
+		r.addRecord(orderClearTable).putUint16(1, uint16(o.Table))
 	case rules.ReplicaEjection:
-		record := r.addRecord(orderBench)
+		record := r.addRecord(orderReplicaEjection)
 		record.putUint32(1, uint32(o.Replica))
 		record.putBool(5, o.Ejected)
 	case rules.AckRequest:
-		record := r.addRecord(orderNonce)
+		record := r.addRecord(orderAckRequest)
 		record.putUint64(1, uint64(o.Version))
 		record.putBool(9, o.AllProxies)
 	case rules.WakeAfter:
-		record := r.addRecord(orderDefer)
+		record := r.addRecord(orderWakeAfter)
 		record.putUint64(1, uint64(o.After))
 		record.putUint64(9, o.TimerID)
 	case rules.WatchList:
-		r.addRecord(orderObserve).putBool(1, o.On)
+		r.addRecord(orderWatchList).putBool(1, o.On)
 	case rules.FetchList:
-		r.addRecord(orderRefresh)
+		r.addRecord(orderFetchList)
 	case rules.Probe:
-		r.addRecord(orderAskLoad).putUint32(1, uint32(o.Replica))
+		r.addRecord(orderProbe).putUint32(1, uint32(o.Replica))
 	case rules.SendToPeer:
-		record := r.addRecord(orderWritePeer)
+		record := r.addRecord(orderSendToPeer)
 		record.putUint16(1, uint16(o.To))
 		r.addText(record, 3, o.Data)
-	case rules.Forget: // the simulator numbers replicas itself
+	case rules.Forget: // the simulator assigns replica IDs, so there are no names to release
 	case rules.Log:
-		r.addText(r.addRecord(orderSayLog), 1, []byte(o.Text))
+		r.addText(r.addRecord(orderLog), 1, []byte(o.Text))
 	default:
-		return fmt.Errorf("no code for the order %T", order)
+		return fmt.Errorf("no code for order %T", order)
 	}
 	return nil
 }
 
-// Encode returns the reply's frame.
+// Encode returns the encoded frame.
 func (r *Reply) Encode() []byte {
 	frame := make(orderRecord, replyHeaderSize, replyHeaderSize+len(r.records)+len(r.tail))
 	frame = append(append(frame, r.records...), r.tail...)
@@ -104,7 +106,7 @@
 	return frame
 }
 
-// addRecord appends an empty record; it is valid until the next one is added.
+// addRecord appends an empty record, which is valid until the next one is added.
 func (r *Reply) addRecord(code byte) orderRecord {
 	r.count++
 	r.records = append(r.records, make([]byte, orderSize)...)
@@ -113,7 +115,7 @@
 	return record
 }
 
-// addText appends a text to the tail and has a record point to it.
+// addText appends text to the tail and stores its offset and length in the record.
 func (r *Reply) addText(record orderRecord, at int, text []byte) {
 	record.putUint32(at, uint32(len(r.tail)))
 	record.putUint32(at+4, uint32(len(text)))
