--- a/internal/governor/clients/reason_test.go
+++ b/internal/governor/clients/reason_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// TestReasonOf lists what the errors of a connection are reduced to; what is none of the known ones is kept as a detail.
+// TestReasonOf checks the cause and detail for each kind of connection error. Unknown errors are reported in the detail.
 func TestReasonOf(t *testing.T) {
 	for _, test := range []struct {
 		err           error
--- a/internal/governor/daemon/integrations_test.go
+++ b/internal/governor/daemon/integrations_test.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"net/netip"
@@ -9,6 +10,7 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+	"github.com/rs/zerolog"
 
 	"zincloft.example/zincloft/intake"
 	"zincloft.example/zincloft/internal/governor/collectd"
@@ -17,10 +19,6 @@
 	"zincloft.example/zincloft/internal/testbeds/standin"
 	"zincloft.example/zincloft/internal/testbeds/testkit"
 	"zincloft.example/zincloft/rules"
-
-	"context"
-
-	"github.com/rs/zerolog"
 )
 
 // TestIntegrationsOffByDefault checks that without an operator file, and with one that has the defaults, there is no intake,
@@ -127,22 +125,22 @@
 			if err := d.step(first); err != nil {
 				b.Fatal(err)
 			}
-			took := hdrhistogram.New(1, 1e9, 3)
+			latencies := hdrhistogram.New(1, 1e9, 3)
 			steps := 0
 			for b.Loop() {
 				p := rules.ProxyID(steps % 200)
 				events := []rules.Event{rules.Left{Proxy: p}, rules.Joined{Proxy: p, FlowRate: 10, Fresh: true}}
-				from := time.Now()
+				start := time.Now()
 				if err := d.step(events); err != nil {
 					b.Fatal(err)
 				}
 				d.sendSnapshot()
-				_ = took.RecordValue(time.Since(from).Nanoseconds()) // under a second
+				_ = latencies.RecordValue(time.Since(start).Nanoseconds()) // fails only above a second
 				steps++
 			}
-			b.ReportMetric(float64(took.ValueAtQuantile(50)), "p50-ns")
-			b.ReportMetric(float64(took.ValueAtQuantile(99)), "p99-ns")
-			b.ReportMetric(float64(took.Max()), "most-ns")
+			b.ReportMetric(float64(latencies.ValueAtQuantile(50)), "p50-ns")
+			b.ReportMetric(float64(latencies.ValueAtQuantile(99)), "p99-ns")
+			b.ReportMetric(float64(latencies.Max()), "most-ns")
 		})
 	}
 }
--- a/internal/governor/daemon/reports.go
+++ b/internal/governor/daemon/reports.go
@@ -36,11 +36,11 @@
 		d.addReports(now, e)
 		return nil
 	case rules.EndpointStats:
-		sums, counts := d.intake.AdjustStats(now, d.toRulesTime(e.ReceivedAt), event)
-		if !counts {
+		stats, accepted := d.intake.AdjustStats(now, d.toRulesTime(e.ReceivedAt), event)
+		if !accepted {
 			return nil
 		}
-		return sums
+		return stats
 	case rules.Joined:
 		d.intake.Join(event.Proxy, event.Zone)
 	case rules.Left:
--- a/internal/governor/daemon/state.go
+++ b/internal/governor/daemon/state.go
@@ -58,8 +58,8 @@
 		}
 		before, trust := d.recovery.Stage(), d.recovery.Trust(d.now())
 		passed = append(passed, d.recovery.Handle(event)...)
-		if step := d.recovery.Stage(); step != before {
-			d.log.Info().Str("step", string(step)).Float64("trust", trust).Msg("recovery")
+		if stage := d.recovery.Stage(); stage != before {
+			d.log.Info().Str("step", string(stage)).Float64("trust", trust).Msg("recovery")
 		}
 		if d.recovery.Stage() == recovery.Confirmed {
 			d.recovery = nil
@@ -97,7 +97,7 @@
 
 // collectState returns the state to persist for the next start.
 func (d *Daemon) collectState(version discoveryclient.Version, confirmedAt time.Time) recovery.State {
-	k := recovery.State{
+	state := recovery.State{
 		Governor:      d.config.Name,
 		Discovery:     d.config.Discovery,
 		Version:       uint64(version),
@@ -111,8 +111,8 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
 		if name, known := d.discovery.Name(id); known {
-			k.Replicas = append(k.Replicas, recovery.Replica{Name: name, Entry: d.entries[id], Learned: learned[id]})
+			state.Replicas = append(state.Replicas, recovery.Replica{Name: name, Entry: d.entries[id], Learned: learned[id]})
 		}
 	}
-	return k
+	return state
 }
--- a/internal/governor/store/schema.go
+++ b/internal/governor/store/schema.go
@@ -38,15 +38,15 @@
 }
 
 // headerOf returns the header of a state.
-func headerOf(k recovery.State) header {
+func headerOf(state recovery.State) header {
 	return header{
-		Governor:      k.Governor,
-		Discovery:     k.Discovery,
-		Version:       k.Version,
-		ConfirmedAt:   k.ConfirmedAt,
-		WrittenAt:     k.WrittenAt,
-		NextReplicaID: k.NextReplicaID,
-		Replicas:      len(k.Replicas),
+		Governor:      state.Governor,
+		Discovery:     state.Discovery,
+		Version:       state.Version,
+		ConfirmedAt:   state.ConfirmedAt,
+		WrittenAt:     state.WrittenAt,
+		NextReplicaID: state.NextReplicaID,
+		Replicas:      len(state.Replicas),
 	}
 }
 
--- a/internal/governor/store/store.go
+++ b/internal/governor/store/store.go
@@ -47,11 +47,11 @@
 	if !errors.Is(err, ErrDamaged) {
 		return s, state, nil, err
 	}
-	aside := fmt.Sprintf("%s.damaged-%s", path, now.UTC().Format("20060102T150405.000"))
-	if renameErr := os.Rename(path, aside); renameErr != nil {
-		return nil, recovery.State{}, err, fmt.Errorf("setting aside: %w", renameErr)
+	renamed := fmt.Sprintf("%s.damaged-%s", path, now.UTC().Format("20060102T150405.000"))
+	if renameErr := os.Rename(path, renamed); renameErr != nil {
+		return nil, recovery.State{}, err, fmt.Errorf("renaming the damaged file: %w", renameErr)
 	}
-	damaged = fmt.Errorf("%w; set aside as %s", err, filepath.Base(aside))
+	damaged = fmt.Errorf("%w; set aside as %s", err, filepath.Base(renamed))
 	s, state, err = openStore(path)
 	return s, state, damaged, err
 }
@@ -116,14 +116,14 @@
 }
 
 // Write replaces the state in one transaction, which writes only the changes. It returns the size of the values written.
-func (s *Store) Write(k recovery.State) (bytes int, err error) {
-	values := make(map[string][]byte, len(k.Replicas))
-	for _, r := range k.Replicas {
+func (s *Store) Write(state recovery.State) (bytes int, err error) {
+	values := make(map[string][]byte, len(state.Replicas))
+	for _, r := range state.Replicas {
 		if values[r.Name], err = encodeValue(recordOf(r)); err != nil {
 			return 0, err
 		}
 	}
-	encodedHeader, err := encodeValue(headerOf(k))
+	encodedHeader, err := encodeValue(headerOf(state))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/governor/store/writer.go
+++ b/internal/governor/store/writer.go
@@ -26,9 +26,9 @@
 func (w *Writer) Ready() bool { return len(w.pending) == 0 }
 
 // Offer queues a state to be written unless another is pending. It never blocks.
-func (w *Writer) Offer(k recovery.State) {
+func (w *Writer) Offer(state recovery.State) {
 	select {
-	case w.pending <- k:
+	case w.pending <- state:
 	default:
 	}
 }
@@ -38,8 +38,8 @@
 func (w *Writer) Run(ctx context.Context) {
 	for {
 		select {
-		case k := <-w.pending:
-			w.write(k)
+		case state := <-w.pending:
+			w.write(state)
 		case <-ctx.Done():
 			w.finish()
 			return
@@ -49,8 +49,8 @@
 
 func (w *Writer) finish() {
 	select {
-	case k := <-w.pending:
-		w.write(k)
+	case state := <-w.pending:
+		w.write(state)
 	default:
 	}
 	if err := w.store.Close(); err != nil {
@@ -58,8 +58,8 @@
 	}
 }
 
-func (w *Writer) write(k recovery.State) {
-	_, err := w.store.Write(k)
+func (w *Writer) write(state recovery.State) {
+	_, err := w.store.Write(state)
 	if err != nil && !w.failing {
 		w.log.Warn().Err(err).Msg("state can't be written")
 	} else if err == nil && w.failing {
