--- a/internal/governor/clients/routingstate.go
+++ b/internal/governor/clients/routingstate.go
@@ -15,6 +15,7 @@
 	proxyIDs       []rules.ProxyID // keys of proxies, ascending
 	tables         map[rules.TableID]*table
 	fleetEjections map[rules.ReplicaID]bool // replicas ejected for all proxies
+
 	// Changes of the current step.
 	ackRequest            *rules.AckRequest // nil: no acknowledgement is requested
 	fleetEjectionsChanged bool
--- a/internal/governor/clients/server.go
+++ b/internal/governor/clients/server.go
@@ -41,12 +41,13 @@
 
 	inbox       Inbox
 	unsentBytes atomic.Int64 // total of all connections
-	mu          sync.Mutex
-	conns       map[*conn]struct{}
-	connClosed  chan struct{} // signals that a connection has been removed
-	collectors  map[rules.ZoneID][]*conn
-	closing     chan struct{}
-	handlers    sync.WaitGroup
+
+	mu         sync.Mutex
+	conns      map[*conn]struct{}
+	connClosed chan struct{} // signals that a connection has been removed
+	collectors map[rules.ZoneID][]*conn
+	closing    chan struct{}
+	handlers   sync.WaitGroup
 }
 
 // Inbox receives the events of connections. Post blocks while the queue is full; TryPost reports false instead.
--- a/internal/governor/discoveryclient/client_test.go
+++ b/internal/governor/discoveryclient/client_test.go
@@ -117,17 +117,21 @@
 	testkit.CompareTrace(t, trace.String())
 }
 
-const known = `{"version":41,"full":true,"servers":[{"id":"s-1","zone":"a","kind":"m1","cell":1,"state":"ready","started_ms":0}]}`
+const cachedList = `{"version":41,"full":true,"servers":[{"id":"s-1","zone":"a","kind":"m1","cell":1,"state":"ready","started_ms":0}]}`
 
+// TestWatch follows the list from a cached version through changes, an answer without changes, and a full list.
 func TestWatch(t *testing.T) {
-	runWatch(t, known, 0, answers(41, false), after(3*time.Second, answers(42, false, server("s-2", "ready"))),
+	runWatch(t, cachedList, 0, answers(41, false), after(3*time.Second, answers(42, false, server("s-2", "ready"))),
 		after(20*time.Second, answers(42, false)), answers(43, false, server("s-1", "gone")), answers(50, true, server("s-2", "draining")))
 }
 
+// TestNothingKnown checks that without a cached list the first request is for the full list.
 func TestNothingKnown(t *testing.T) {
 	runWatch(t, "", 0, answers(5, true, server("s-1", "ready")), answers(6, false, server("s-1", "draining")))
 }
 
+// TestFailures checks that error statuses, resets, timeouts, and truncated, oversized or invalid answers are reported as
+// failures and change nothing.
 func TestFailures(t *testing.T) {
 	status := func(_ *Client, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	reset := func(*Client, http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
@@ -138,17 +142,20 @@
 	}
 	notJSON := func(_ *Client, w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "no list") }
 	long := answers(42, true, strings.Repeat(" ", 3000))
-	runWatch(t, known, 0, status, reset, truncated, notJSON, long, after(30*time.Second, status), answers(42, false, `{"id":"s-9","state":"lost"}`),
+	runWatch(t, cachedList, 0, status, reset, truncated, notJSON, long, after(30*time.Second, status), answers(42, false, `{"id":"s-9","state":"lost"}`),
 		answers(42, false, server("s-3", "ready")))
 }
 
+// TestVersionsGoBack checks that an answer older than the current version is a failure, and that the full list requested next
+// is accepted although its version is lower.
 func TestVersionsGoBack(t *testing.T) {
-	runWatch(t, known, 0, answers(45, false, server("s-2", "ready")), answers(44, false, server("s-2", "gone")),
+	runWatch(t, cachedList, 0, answers(45, false, server("s-2", "ready")), answers(44, false, server("s-2", "gone")),
 		answers(3, true, server("s-2", "ready")), answers(4, false, server("s-2", "draining")))
 }
 
+// TestConnectionsDoNotComeUp checks that the watch continues once discovery accepts connections after a delay.
 func TestConnectionsDoNotComeUp(t *testing.T) {
-	runWatch(t, known, 20500*time.Millisecond, answers(42, false, server("s-2", "ready")))
+	runWatch(t, cachedList, 20500*time.Millisecond, answers(42, false, server("s-2", "ready")))
 }
 
 // TestMove changes the address before the first answer, during a request, twice in a row, and during a request for the full
@@ -163,7 +170,7 @@
 		time.AfterFunc(500*time.Millisecond, c.Fetch)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	runWatch(t, known, 0, movesTo("10.2.0.2:8500"), answers(42, false, server("s-2", "ready")), after(time.Second, movesTo("10.2.0.4:8500")),
+	runWatch(t, cachedList, 0, movesTo("10.2.0.2:8500"), answers(42, false, server("s-2", "ready")), after(time.Second, movesTo("10.2.0.4:8500")),
 		answers(43, false, server("s-2", "draining")), failed, movesTo("10.2.0.3:8500"), answers(44, true, server("s-2", "draining")), twice,
 		answers(45, false, server("s-3", "ready")))
 }
