--- a/cmd/zinclab/load.go
+++ b/cmd/zinclab/load.go
@@ -39,7 +39,7 @@
 	flags.BoolVar(&plan.Flood, "flood", false, "a proxy floods while a replica drains")
 	flags.DurationVar(&plan.HangAt, "hang", 12*time.Second, "a replica swallows flows from then on")
 	flags.DurationVar(&plan.DrainAt, "drain", 22*time.Second, "a replica drains")
-	flags.DurationVar(&plan.PartialAt, "part", 26*time.Second, "a replica swallows the flows of 1% of the proxies")
+	flags.DurationVar(&plan.PartialHangAt, "part", 26*time.Second, "a replica swallows the flows of 1% of the proxies")
 	flags.DurationVar(&plan.Duration, "length", 45*time.Second, "the run's length")
 	flags.StringVar(&plan.OperatorFile, "operator", "", "the governor's operator file")
 	flags.StringVar(&plan.ProfilePath, "profile", "", "where a governor that can writes its CPU profile")
@@ -69,9 +69,9 @@
 }
 
 func formatLoad(plan load.Plan, r load.Result) string {
-	return fmt.Sprintf("| %s | %d | %.2f | %d | %d | %.3f | %.0f | %.2f | %d | %d | %.2f | %d | %d | %d |\n", plan.Binary, plan.Proxies, r.BoundAfter.Seconds(),
-		r.CalmWeightCuts, r.WeightCuts, r.CPU, r.MemoryMB, r.HangDetectedAfter.Seconds(), r.DrainP99.Milliseconds(), r.DrainMax.Milliseconds(),
-		r.PartialDetectedAfter.Seconds(), r.PartialEjections, r.WrongEjections, r.Messages)
+	return fmt.Sprintf("| %s | %d | %.2f | %d | %d | %.3f | %.0f | %.2f | %d | %d | %.2f | %d | %d | %d |\n", plan.Binary, plan.Proxies, r.TableDelay.Seconds(),
+		r.BaselineWeightCuts, r.WeightCuts, r.CPUUsage, r.PeakMemoryMB, r.HangDetectedAfter.Seconds(), r.DrainP99.Milliseconds(), r.DrainMax.Milliseconds(),
+		r.PartialHangDetectedAfter.Seconds(), r.CorrectEjections, r.WrongEjections, r.Messages)
 }
 
 // printer writes text and keeps the first error.
--- a/cmd/zinclab/restart.go
+++ b/cmd/zinclab/restart.go
@@ -71,6 +71,6 @@
 	if err != nil {
 		return err
 	}
-	out.printf("| %d | %s | %d of %d | %.2f | %.2f | %.2f |\n", plan.Replicas, state, r.BoundProxies, plan.Proxies, r.BoundAfter.Seconds(), r.RestartedShare, r.FasterShare)
+	out.printf("| %d | %s | %d of %d | %.2f | %.2f | %.2f |\n", plan.Replicas, state, r.ProxiesWithTable, plan.Proxies, r.TableDelay.Seconds(), r.RestartedShare, r.FasterShare)
 	return nil
 }
--- a/internal/tools/load/collector.go
+++ b/internal/tools/load/collector.go
@@ -14,11 +14,11 @@
 	reportPeriod = time.Second
 	// collectorOffset is how long after the end of a period its reports are written.
 	collectorOffset = 230 * time.Millisecond
-	// collectorPauses is in how many parts a collector writes its reports, with pauses between them.
-	collectorPauses = 8
+	// collectorChunks is in how many parts a collector writes its reports, with pauses between them.
+	collectorChunks = 8
 	// attemptsPerInFlight derives the attempts in flight from those of a second, by Little's law with answers after 50 ms.
 	attemptsPerInFlight = 20
-	usualUtilization    = "0.50"
+	defaultUtilization  = "0.50"
 	fastUtilization     = "0.25"
 	reportWindow        = "1000.0" // milliseconds
 	meanLatency         = "50.0"   // milliseconds
@@ -34,12 +34,12 @@
 	if _, err := conn.Write(resp.Append(nil, "telemetry", "az", zoneName(zone))); err != nil {
 		return
 	}
-	shift := time.Duration(zone)*s.plan.CollectorPhase + collectorOffset
+	offset := time.Duration(zone)*s.plan.CollectorPhase + collectorOffset
 	if zone == s.plan.Zones-1 {
-		shift += s.plan.LastCollectorDelay
+		offset += s.plan.LastCollectorDelay
 	}
-	for period := 1; s.wait(ctx, time.Duration(period)*reportPeriod+shift); period++ {
-		if s.writeSpread(conn, s.takeReports(zone)) != nil {
+	for period := 1; s.wait(ctx, time.Duration(period)*reportPeriod+offset); period++ {
+		if s.writePaced(conn, s.takeReports(zone)) != nil {
 			return
 		}
 	}
@@ -68,22 +68,22 @@
 
 // loadReport is what a replica reports of itself.
 func (s *site) loadReport(replica, attempts int) string {
-	utilization := usualUtilization
+	utilization := defaultUtilization
 	if s.plan.FastReplicas && isFast(replica) {
 		utilization = fastUtilization
 	}
 	return fmt.Sprintf("inflight:%d,util:%s", 1+attempts/attemptsPerInFlight, utilization)
 }
 
-// writeSpread writes reports over the time that the plan gives a collector.
-func (s *site) writeSpread(conn net.Conn, reports [][]byte) error {
-	part := 1 + len(reports)/collectorPauses
+// writePaced writes reports over the time that the plan gives a collector.
+func (s *site) writePaced(conn net.Conn, reports [][]byte) error {
+	part := 1 + len(reports)/collectorChunks
 	for i, report := range reports {
 		if _, err := conn.Write(report); err != nil {
 			return err
 		}
 		if s.plan.CollectorWriteTime > 0 && i%part == part-1 {
-			time.Sleep(s.plan.CollectorWriteTime / collectorPauses)
+			time.Sleep(s.plan.CollectorWriteTime / collectorChunks)
 		}
 	}
 	return nil
--- a/internal/tools/load/discovery.go
+++ b/internal/tools/load/discovery.go
@@ -70,7 +70,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.drained != noReplica {
-		d.site.drainTold.CompareAndSwap(0, time.Now().UnixNano())
+		d.site.drainSentAt.CompareAndSwap(0, time.Now().UnixNano())
 	}
 	// A caller that has gone needs no answer.
 	_, _ = fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[%s]}`, d.version, index == 0, strings.Join(d.entries(index), ","))
--- a/internal/tools/load/flows.go
+++ b/internal/tools/load/flows.go
@@ -55,13 +55,13 @@
 	defer p.mu.Unlock()
 	stats.mu.Lock()
 	defer stats.mu.Unlock()
-	for _, id := range p.unanswered {
+	for _, id := range p.pendingFailures {
 		stats.attempts[id]++
 		stats.failures[id]++
 		p.attempts[id]++
 		p.failures[id]++
 	}
-	p.unanswered = p.unanswered[:0]
+	p.pendingFailures = p.pendingFailures[:0]
 	total := float32(0)
 	for id, weight := range p.weights {
 		if !p.ejected[id] {
@@ -74,7 +74,7 @@
 			continue
 		}
 		if p.hangs(id, now) {
-			p.unanswered = append(p.unanswered, id)
+			p.pendingFailures = append(p.pendingFailures, id)
 			continue
 		}
 		stats.attempts[id]++
@@ -99,7 +99,7 @@
 // hangs reports whether a replica answers nothing to this proxy.
 func (p *proxy) hangs(id int, now time.Duration) bool {
 	plan := p.site.plan
-	return id == hangingReplica && now > plan.HangAt || id == partialReplica && isPartial(p.id) && now > plan.PartialAt
+	return id == hangingReplica && now > plan.HangAt || id == partialHangReplica && hasPartialHang(p.id) && now > plan.PartialHangAt
 }
 
 // reportAttempts reports what the proxy met at each replica since the last batch. A broken stream shows at the next write.
@@ -127,8 +127,8 @@
 		}
 		burst = resp.Append(burst, "client_stats", "sidecar", strconv.Itoa(p.id), "kind", trafficGroups[0], "n", "1", "bad", "0", "window", reportWindow)
 	}
-	p.writing.Lock()
-	defer p.writing.Unlock()
+	p.writeMu.Lock()
+	defer p.writeMu.Unlock()
 	if p.conn.SetWriteDeadline(time.Now().Add(floodWriteTime)) != nil {
 		return // closed: without a deadline the loop might not end
 	}
--- a/internal/tools/load/plan.go
+++ b/internal/tools/load/plan.go
@@ -23,34 +23,34 @@
 	FastReplicas        bool          // every fourth replica does the same work at half the load
 	ProxyReports        bool          // proxies report what each met at each replica
 
-	HangAt    time.Duration // a replica answers nothing from then on
-	DrainAt   time.Duration // a replica drains
-	PartialAt time.Duration // a replica answers nothing to 1% of the proxies from then on
-	Flood     bool          // one proxy writes without end while the replica drains
-	Duration  time.Duration
+	HangAt        time.Duration // a replica answers nothing from then on
+	DrainAt       time.Duration // a replica drains
+	PartialHangAt time.Duration // a replica answers nothing to 1% of the proxies from then on
+	Flood         bool          // one proxy writes without end while the replica drains
+	Duration      time.Duration
 }
 
 // Result is what a run has shown. Durations of 0 mean never.
 type Result struct {
-	Proxies              int
-	BoundAfter           time.Duration // until the last proxy held a table
-	WeightCuts           int           // weights of healthy replicas that fell below a quarter at once
-	CalmWeightCuts       int           // of these, before the first fault
-	CPU                  float64       // seconds of CPU a second, before the first fault
-	MemoryMB             float64       // resident memory at its highest
-	HangDetectedAfter    time.Duration // until the replica that hangs had lost three quarters of its weight at 99% of the proxies
-	DrainP99             time.Duration // 99th percentile from discovery's answer to a proxy's message
-	DrainMax             time.Duration
-	PartialDetectedAfter time.Duration // until the first ejection for a proxy of the 1% alone
-	PartialEjections     int           // proxies of the 1% that were told to eject the replica
-	WrongEjections       int           // other ejections
-	Messages             int
+	Proxies                  int
+	TableDelay               time.Duration // until the last proxy held a table
+	WeightCuts               int           // weights of healthy replicas that fell below a quarter at once
+	BaselineWeightCuts       int           // of these, before the first fault
+	CPUUsage                 float64       // seconds of CPU a second, before the first fault
+	PeakMemoryMB             float64       // resident memory at its highest
+	HangDetectedAfter        time.Duration // until the replica that hangs had lost three quarters of its weight at 99% of the proxies
+	DrainP99                 time.Duration // 99th percentile from discovery's answer to a proxy's message
+	DrainMax                 time.Duration
+	PartialHangDetectedAfter time.Duration // until the first ejection for a proxy of the 1% alone
+	CorrectEjections         int           // proxies of the 1% that were told to eject the replica
+	WrongEjections           int           // other ejections
+	Messages                 int
 }
 
 // RestartResult is what a restart without discovery has shown.
 type RestartResult struct {
-	BoundAfter     time.Duration // from the start of the second incarnation until the last proxy held a table
-	BoundProxies   int           // proxies that did within the time allowed
-	RestartedShare float64       // of the weights, at replicas that restarted meanwhile
-	FasterShare    float64       // of the others' weights, at their faster half; 0.5: nothing is known of speeds
+	TableDelay       time.Duration // from the start of the second incarnation until the last proxy held a table
+	ProxiesWithTable int           // proxies that did within the time allowed
+	RestartedShare   float64       // of the weights, at replicas that restarted meanwhile
+	FasterShare      float64       // of the others' weights, at their faster half; 0.5: nothing is known of speeds
 }
--- a/internal/tools/load/proxy.go
+++ b/internal/tools/load/proxy.go
@@ -25,23 +25,23 @@
 
 // proxy is one stream to the governor, and the flows behind it.
 type proxy struct {
-	site    *site
-	id      int
-	conn    net.Conn
-	writing sync.Mutex  // one message at a time
-	bound   atomic.Bool // has held a table
-	random  *rand.Rand  // of the goroutine that generates flows
+	site     *site
+	id       int
+	conn     net.Conn
+	writeMu  sync.Mutex  // one message at a time
+	hasTable atomic.Bool // has held a table
+	random   *rand.Rand  // of the goroutine that generates flows
 
 	mu           sync.Mutex // guards the fields below
 	weights      []float32  // by replica
 	ejected      map[int]bool
-	hangSeen     bool    // the replica that hangs has lost most of its weight here
+	hangDetected bool    // the replica that hangs has lost most of its weight here
 	weightBefore float32 // of the replica that is to hang, before it does
 
 	// Of the goroutine that generates flows.
-	attempts   []int // by replica, since the last batch
-	failures   []int
-	unanswered []int // replicas of the attempts that will have failed by the next second
+	attempts        []int // by replica, since the last batch
+	failures        []int
+	pendingFailures []int // replicas of the attempts that will have failed by the next second
 }
 
 // connectProxies connects all proxies, which register with a standing table only.
@@ -74,8 +74,8 @@
 func (p *proxy) close() { closeQuietly(p.conn) }
 
 func (p *proxy) write(words ...string) error {
-	p.writing.Lock()
-	defer p.writing.Unlock()
+	p.writeMu.Lock()
+	defer p.writeMu.Unlock()
 	_, err := p.conn.Write(resp.Append(nil, words...))
 	return err
 }
@@ -129,18 +129,18 @@
 		clear(p.weights)
 	}
 	change := p.updateWeights(fields["endpoints"], now)
-	drainTold := s.drainTold.Load()
+	drainSentAt := s.drainSentAt.Load()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.result.Messages++
 	s.result.WeightCuts += change.cuts
-	if change.drained && drainTold > 0 {
-		delay := time.Duration(time.Now().UnixNano() - drainTold)
+	if change.drained && drainSentAt > 0 {
+		delay := time.Duration(time.Now().UnixNano() - drainSentAt)
 		_ = s.drainDelays.RecordValue(delay.Microseconds()) // fails beyond the histogram's range only, which no run reaches
 	}
 	if change.hangDetected {
-		s.hangSeen++
-		if s.hangSeen == percentOf(s.plan.Proxies, detectedPercent) {
+		s.hangDetections++
+		if s.hangDetections == percentOf(s.plan.Proxies, detectedPercent) {
 			s.result.HangDetectedAfter = now - s.plan.HangAt
 		}
 	}
@@ -173,14 +173,14 @@
 		}
 	}
 	if p.totalWeight() > 0 {
-		p.bound.Store(true)
+		p.hasTable.Store(true)
 	}
 	if now < plan.HangAt {
 		p.weightBefore = p.weights[hangingReplica]
 	}
-	seenBefore := p.hangSeen
-	p.hangSeen = now > plan.HangAt && p.weights[hangingReplica] <= p.weightBefore/4
-	change.hangDetected = p.hangSeen && !seenBefore
+	detectedBefore := p.hangDetected
+	p.hangDetected = now > plan.HangAt && p.weights[hangingReplica] <= p.weightBefore/4
+	change.hangDetected = p.hangDetected && !detectedBefore
 	return change
 }
 
@@ -209,13 +209,13 @@
 		if !eject {
 			continue
 		}
-		if id != partialReplica || !isPartial(p.id) || now <= s.plan.PartialAt {
+		if id != partialHangReplica || !hasPartialHang(p.id) || now <= s.plan.PartialHangAt {
 			s.result.WrongEjections++
 			continue
 		}
-		s.result.PartialEjections++
-		if s.result.PartialDetectedAfter == 0 {
-			s.result.PartialDetectedAfter = now - s.plan.PartialAt
+		s.result.CorrectEjections++
+		if s.result.PartialHangDetectedAfter == 0 {
+			s.result.PartialHangDetectedAfter = now - s.plan.PartialHangAt
 		}
 	}
 }
--- a/internal/tools/load/proxy_test.go
+++ b/internal/tools/load/proxy_test.go
@@ -10,7 +10,7 @@
 func newTestProxy(id int) *proxy {
 	const replicas = 6
 	s := &site{
-		plan:      Plan{Proxies: 200, Replicas: replicas, Zones: 1, HangAt: time.Second, DrainAt: 2 * time.Second, PartialAt: 3 * time.Second},
+		plan:      Plan{Proxies: 200, Replicas: replicas, Zones: 1, HangAt: time.Second, DrainAt: 2 * time.Second, PartialHangAt: 3 * time.Second},
 		zoneStats: []zoneStats{{attempts: make([]int, replicas), failures: make([]int, replicas)}},
 	}
 	return &proxy{site: s, id: id, random: rand.New(rand.NewPCG(1, uint64(id))), weights: make([]float32, replicas),
@@ -37,8 +37,8 @@
 		if got := p.updateWeights(x.after, x.at); got != x.want {
 			t.Errorf("%s: %+v, want %+v", x.name, got, x.want)
 		}
-		if !p.bound.Load() {
-			t.Errorf("%s: the proxy does not count as bound", x.name)
+		if !p.hasTable.Load() {
+			t.Errorf("%s: the proxy does not count as ready", x.name)
 		}
 	}
 }
@@ -52,16 +52,16 @@
 		right int
 		wrong int
 	}{
-		{partialProxyOffset, "r-0002", 4 * time.Second, 1, 0},
-		{partialProxyOffset, "r-0002", 2 * time.Second, 0, 1},
-		{partialProxyOffset, "r-0002,r-0003", 4 * time.Second, 1, 1},
+		{partialHangProxyOffset, "r-0002", 4 * time.Second, 1, 0},
+		{partialHangProxyOffset, "r-0002", 2 * time.Second, 0, 1},
+		{partialHangProxyOffset, "r-0002,r-0003", 4 * time.Second, 1, 1},
 		{1, "r-0002", 4 * time.Second, 0, 1},
 		{1, "", 4 * time.Second, 0, 0},
 	} {
 		p := newTestProxy(x.proxy)
 		p.applyEjections(x.names, true, x.at)
-		if r := p.site.result; r.PartialEjections != x.right || r.WrongEjections != x.wrong {
-			t.Errorf("proxy %d, %q at %v: %d right, %d wrong; want %d and %d", x.proxy, x.names, x.at, r.PartialEjections, r.WrongEjections, x.right, x.wrong)
+		if r := p.site.result; r.CorrectEjections != x.right || r.WrongEjections != x.wrong {
+			t.Errorf("proxy %d, %q at %v: %d right, %d wrong; want %d and %d", x.proxy, x.names, x.at, r.CorrectEjections, r.WrongEjections, x.right, x.wrong)
 		}
 		p.applyEjections(x.names, false, x.at)
 		for id, ejected := range p.ejected {
@@ -81,8 +81,8 @@
 	p.ejected = map[int]bool{4: true}
 	stats := &p.site.zoneStats[0]
 	p.sendFlows(5)
-	if stats.attempts[hangingReplica] != 0 || len(p.unanswered) != 5 {
-		t.Fatalf("%d attempts counted at once, %d unanswered", stats.attempts[hangingReplica], len(p.unanswered))
+	if stats.attempts[hangingReplica] != 0 || len(p.pendingFailures) != 5 {
+		t.Fatalf("%d attempts counted at once, %d unanswered", stats.attempts[hangingReplica], len(p.pendingFailures))
 	}
 	p.sendFlows(0)
 	if stats.attempts[hangingReplica] != 5 || stats.failures[hangingReplica] != 5 || stats.attempts[4] != 0 {
--- a/internal/tools/load/restart.go
+++ b/internal/tools/load/restart.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// maxRestartBindTime is how long proxies may take to hold a table after a restart.
-const maxRestartBindTime = 10 * time.Second
+// maxRestartTableDelay is how long proxies may take to hold a table after a restart.
+const maxRestartTableDelay = 10 * time.Second
 
 // RunRestart runs a governor for the plan's duration, kills it and takes discovery away, has every second replica restart, and
 // starts the governor again: all proxies connect at once and know only their standing tables.
 func RunRestart(ctx context.Context, plan Plan) (RestartResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, plan.Duration+runMargin)
 	defer cancel()
-	plan.HangAt, plan.DrainAt, plan.PartialAt = plan.Duration, plan.Duration, plan.Duration // no faults
+	plan.HangAt, plan.DrainAt, plan.PartialHangAt = plan.Duration, plan.Duration, plan.Duration // no faults
 	s, err := newSite(plan)
 	if err != nil {
 		return RestartResult{}, err
@@ -35,7 +35,7 @@
 		return RestartResult{}, err
 	}
 	var result RestartResult
-	result.BoundAfter, result.BoundProxies = waitUntilBound(ctx, proxies, restarted, maxRestartBindTime)
+	result.TableDelay, result.ProxiesWithTable = waitForTables(ctx, proxies, restarted, maxRestartTableDelay)
 	result.addWeights(proxies)
 	return result, nil
 }
@@ -51,8 +51,8 @@
 	if err != nil {
 		return err
 	}
-	if _, bound := waitUntilBound(ctx, proxies, time.Now(), maxBindTime); bound < len(proxies) {
-		return fmt.Errorf("%d of %d proxies hold a table", bound, len(proxies))
+	if _, ready := waitForTables(ctx, proxies, time.Now(), maxTableDelay); ready < len(proxies) {
+		return fmt.Errorf("%d of %d proxies hold a table", ready, len(proxies))
 	}
 	running := s.startTraffic(ctx, proxies)
 	time.Sleep(s.plan.Duration)
--- a/internal/tools/load/run.go
+++ b/internal/tools/load/run.go
@@ -10,10 +10,10 @@
 const (
 	// runMargin is added to a plan's duration for the start and the end of a run.
 	runMargin = 2 * time.Minute
-	// maxBindTime is how long proxies may take to hold their first table.
-	maxBindTime = time.Minute
-	// calmFrom is when the measurement of CPU time begins, after the first tables.
-	calmFrom = 3 * time.Second
+	// maxTableDelay is how long proxies may take to hold their first table.
+	maxTableDelay = time.Minute
+	// baselineStart is when the measurement of CPU time begins, after the first tables.
+	baselineStart = 3 * time.Second
 )
 
 // Run runs a plan to its end. It fails if the governor doesn't start or if a proxy gets no table.
@@ -35,17 +35,17 @@
 	if err != nil {
 		return Result{}, err
 	}
-	took, bound := waitUntilBound(ctx, proxies, joined, maxBindTime)
-	if bound < len(proxies) {
-		return Result{}, fmt.Errorf("%d of %d proxies hold a table after %v", bound, len(proxies), took.Round(time.Second))
+	took, ready := waitForTables(ctx, proxies, joined, maxTableDelay)
+	if ready < len(proxies) {
+		return Result{}, fmt.Errorf("%d of %d proxies hold a table after %v", ready, len(proxies), took.Round(time.Second))
 	}
-	s.result.BoundAfter = took
+	s.result.TableDelay = took
 	running := s.startTraffic(ctx, proxies)
-	s.measureCalm(governor)
+	s.measureBaseline(governor)
 	s.sleepUntil(plan.DrainAt)
 	s.discovery.drain(drainingReplica)
 	s.sleepUntil(plan.Duration)
-	s.result.MemoryMB = governor.peakMemoryMB()
+	s.result.PeakMemoryMB = governor.peakMemoryMB()
 	close(s.stopped)
 	for _, p := range proxies {
 		p.close()
@@ -54,16 +54,16 @@
 	return s.finalResult(), nil
 }
 
-// measureCalm measures the governor's CPU time between the first tables and the first fault.
-func (s *site) measureCalm(governor *governor) {
-	from, to := s.timeAt(calmFrom), s.timeAt(s.plan.HangAt)
+// measureBaseline measures the governor's CPU time between the first tables and the first fault.
+func (s *site) measureBaseline(governor *governor) {
+	from, to := s.timeAt(baselineStart), s.timeAt(s.plan.HangAt)
 	time.Sleep(time.Until(from))
 	before := governor.cpuSeconds()
 	time.Sleep(time.Until(to))
-	s.result.CPU = (governor.cpuSeconds() - before) / to.Sub(from).Seconds()
+	s.result.CPUUsage = (governor.cpuSeconds() - before) / to.Sub(from).Seconds()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.result.CalmWeightCuts = s.result.WeightCuts
+	s.result.BaselineWeightCuts = s.result.WeightCuts
 }
 
 func (s *site) finalResult() Result {
@@ -74,18 +74,18 @@
 	return s.result
 }
 
-// waitUntilBound waits until all proxies hold a table, and returns how long that took since a time. After a limit, or when ctx
+// waitForTables waits until all proxies hold a table, and returns how long that took since a time. After a limit, or when ctx
 // is done, it returns how many do.
-func waitUntilBound(ctx context.Context, proxies []*proxy, since time.Time, limit time.Duration) (took time.Duration, bound int) {
+func waitForTables(ctx context.Context, proxies []*proxy, since time.Time, limit time.Duration) (took time.Duration, ready int) {
 	for ; ; time.Sleep(5 * time.Millisecond) {
-		bound = 0
+		ready = 0
 		for _, p := range proxies {
-			if p.bound.Load() {
-				bound++
+			if p.hasTable.Load() {
+				ready++
 			}
 		}
-		if took = time.Since(since); bound == len(proxies) || ctx.Err() != nil || took > limit {
-			return took, bound
+		if took = time.Since(since); ready == len(proxies) || ctx.Err() != nil || took > limit {
+			return took, ready
 		}
 	}
 }
--- a/internal/tools/load/site.go
+++ b/internal/tools/load/site.go
@@ -13,15 +13,15 @@
 
 // The replicas that faults hit.
 const (
-	hangingReplica  = 0
-	drainingReplica = 1
-	partialReplica  = 2 // hangs for the proxies of which isPartial is true
+	hangingReplica     = 0
+	drainingReplica    = 1
+	partialHangReplica = 2 // hangs for the proxies of which hasPartialHang is true
 )
 
 const (
-	fastReplicaInterval  = 4   // every fourth replica is fast
-	partialProxyInterval = 100 // every hundredth proxy is hit by the partial fault
-	partialProxyOffset   = 7
+	fastReplicaInterval      = 4   // every fourth replica is fast
+	partialHangProxyInterval = 100 // every hundredth proxy is hit by the partial fault
+	partialHangProxyOffset   = 7
 	// maxDrainDelay bounds the histogram of drain delays.
 	maxDrainDelay = time.Minute
 	// histogramDigits are its significant digits.
@@ -30,7 +30,7 @@
 
 func isFast(replica int) bool { return replica%fastReplicaInterval == 0 }
 
-func isPartial(proxy int) bool { return proxy%partialProxyInterval == partialProxyOffset }
+func hasPartialHang(proxy int) bool { return proxy%partialHangProxyInterval == partialHangProxyOffset }
 
 // replicaPrefix begins the name of each replica.
 const replicaPrefix = "r-"
@@ -41,19 +41,19 @@
 
 // site is a run under way: what governor, proxies, collectors and discovery have in common.
 type site struct {
-	plan      Plan
-	folder    string
-	address   string       // of the governor
-	start     atomic.Int64 // unix nanoseconds at which the plan's time begins; 0: not yet
-	drainTold atomic.Int64 // unix nanoseconds at which discovery answered with the drain; 0: not yet
-	discovery *discovery
-	zoneStats []zoneStats
-	stopped   chan struct{} // closed when traffic has to end
-
-	mu          sync.Mutex              // guards the fields below
-	drainDelays *hdrhistogram.Histogram // microseconds
-	result      Result
-	hangSeen    int // proxies at which the replica that hangs has lost most of its weight
+	plan        Plan
+	folder      string
+	address     string       // of the governor
+	start       atomic.Int64 // unix nanoseconds at which the plan's time begins; 0: not yet
+	drainSentAt atomic.Int64 // unix nanoseconds at which discovery answered with the drain; 0: not yet
+	discovery   *discovery
+	zoneStats   []zoneStats
+	stopped     chan struct{} // closed when traffic has to end
+
+	mu             sync.Mutex              // guards the fields below
+	drainDelays    *hdrhistogram.Histogram // microseconds
+	result         Result
+	hangDetections int // proxies at which the replica that hangs has lost most of its weight
 }
 
 // zoneStats sums up the attempts of a zone's proxies since its collector last wrote.
