--- a/cmd/zincloftctl/command.go
+++ b/cmd/zincloftctl/command.go
@@ -8,22 +8,22 @@
 	"github.com/integrii/flaggy"
 )
 
-// errNoVerb is returned where the arguments name a group of commands and none of them.
-var errNoVerb = errors.New("no verb; see --help")
+// errMissingSubcommand is returned if the arguments name a group of commands without one of its subcommands.
+var errMissingSubcommand = errors.New("missing subcommand; see --help")
 
-// command is an entry of the table of commands: one that runs, or a group of others.
+// command is either a command that runs or a group of subcommands.
 type command struct {
 	name, description string
-	positionals       []positional
-	flags             func(*flaggy.Subcommand) // adds flags; nil: none
+	arguments         []argument
+	flags             func(*flaggy.Subcommand) // adds flags; may be nil
 	run               func(out io.Writer) error
 	subcommands       []*command
 
 	parsed *flaggy.Subcommand
 }
 
-// positional is a required argument.
-type positional struct {
+// argument is a required positional argument.
+type argument struct {
 	value             *string
 	name, description string
 }
@@ -32,8 +32,8 @@
 	for _, sub := range c.subcommands {
 		sub.parsed = flaggy.NewSubcommand(sub.name)
 		sub.parsed.Description = sub.description
-		for i, argument := range sub.positionals {
-			sub.parsed.AddPositionalValue(argument.value, argument.name, i+1, true, argument.description)
+		for i, arg := range sub.arguments {
+			sub.parsed.AddPositionalValue(arg.value, arg.name, i+1, true, arg.description)
 		}
 		if sub.flags != nil {
 			sub.flags(sub.parsed)
@@ -43,7 +43,7 @@
 	}
 }
 
-// execute runs the command that was parsed.
+// execute runs the command or the subcommand selected by the arguments.
 func (c *command) execute(out io.Writer) error {
 	if c.run != nil {
 		return c.run(out)
@@ -54,13 +54,13 @@
 		}
 	}
 	if c.name == "" {
-		return errNoVerb
+		return errMissingSubcommand
 	}
-	return fmt.Errorf("%s: %w", c.name, errNoVerb)
+	return fmt.Errorf("%s: %w", c.name, errMissingSubcommand)
 }
 
-// membersArgument is the positional argument for the control addresses of members.
-func membersArgument(addresses *string) positional {
-	return positional{value: addresses, name: "ADDRESS",
-		description: "control addresses of control-plane members, separated by commas; one that does not answer is skipped"}
+// membersArgument returns the positional argument for the control addresses of members.
+func membersArgument(addresses *string) argument {
+	return argument{value: addresses, name: "ADDRESS",
+		description: "comma-separated control addresses of control-plane members; members that do not respond are skipped"}
 }
--- a/cmd/zincloftctl/configuration.go
+++ b/cmd/zincloftctl/configuration.go
@@ -8,27 +8,27 @@
 	"zincloft.example/zincloft/gatewayconfig"
 )
 
-// configurationCommands are check, put and show.
+// configurationCommands returns the commands check, put and show.
 func configurationCommands() []*command {
 	var file, addresses string
-	fileArgument := positional{value: &file, name: "FILE", description: "a configuration, in JSON"}
+	fileArgument := argument{value: &file, name: "FILE", description: "configuration file in JSON"}
 	return []*command{
 		{
 			name:        "check",
-			description: "check a configuration file and tell what it holds, or the path at fault",
-			positionals: []positional{fileArgument},
+			description: "validate a configuration file and print a summary or the path of the invalid key",
+			arguments:   []argument{fileArgument},
 			run:         func(out io.Writer) error { return checkConfiguration(out, file) },
 		},
 		{
 			name:        "put",
 			description: "replace the configuration",
-			positionals: []positional{membersArgument(&addresses), fileArgument},
+			arguments:   []argument{membersArgument(&addresses), fileArgument},
 			run:         func(out io.Writer) error { return putConfiguration(out, addresses, file) },
 		},
 		{
 			name:        "show",
-			description: "print the newest configuration",
-			positionals: []positional{membersArgument(&addresses)},
+			description: "print the current configuration",
+			arguments:   []argument{membersArgument(&addresses)},
 			run: func(out io.Writer) error {
 				return printCall(out, addresses, "configuration.describe", "", nil)
 			},
--- a/cmd/zincloftctl/demo.go
+++ b/cmd/zincloftctl/demo.go
@@ -12,30 +12,30 @@
 	"zincloft.example/zincloft/internal/tools/demo"
 )
 
-// demoArguments are the arguments of the demo.
-type demoArguments struct {
+// demoOptions are the flags of the demo command.
+type demoOptions struct {
 	replicas int
 	logs     bool
 	faults   demo.FaultInjection
 }
 
-// demoCommand runs a small gateway on loopback.
+// demoCommand returns the command that runs a demo cluster on loopback.
 func demoCommand() *command {
-	a := &demoArguments{replicas: 3}
+	a := &demoOptions{replicas: 3}
 	return &command{
 		name:        "demo",
-		description: "run one control-plane member, two gateways and stand-in replicas on loopback, until Ctrl-C",
+		description: "run one control-plane member, two gateways and simulated replicas on loopback until interrupted",
 		flags: func(sub *flaggy.Subcommand) {
-			sub.Int(&a.replicas, "n", "replicas", "stand-in replicas")
-			sub.Float64(&a.faults.Rate, "H", "hostile", "share of requests at which the replicas misbehave, 0 to 1")
-			sub.UInt64(&a.faults.Seed, "S", "seed", "of the replicas' misbehaviour")
+			sub.Int(&a.replicas, "n", "replicas", "number of simulated replicas")
+			sub.Float64(&a.faults.Rate, "H", "hostile", "fraction of requests that the replicas answer with an injected fault, 0 to 1")
+			sub.UInt64(&a.faults.Seed, "S", "seed", "random seed of the injected faults")
 			sub.Bool(&a.logs, "l", "logs", "print the logs of the member and the gateways")
 		},
 		run: a.run,
 	}
 }
 
-func (a *demoArguments) run(out io.Writer) (err error) {
+func (a *demoOptions) run(out io.Writer) (err error) {
 	dir, err := os.MkdirTemp("", "zincloft-demo-")
 	if err != nil {
 		return err
@@ -60,11 +60,11 @@
 	return cluster.Stop()
 }
 
-// printAddresses tells how to try the demo out. It goes on where nobody reads it.
+// printAddresses prints how to reach the demo. Write errors are ignored.
 func printAddresses(out io.Writer, cluster *demo.Cluster) {
 	for _, front := range cluster.FrontAddresses {
-		_, _ = fmt.Fprintf(out, "a gateway answers at http://%s/   (curl -H 'X-Attempt-Id: 1' http://%s/)\n", front, front)
+		_, _ = fmt.Fprintf(out, "gateway listening on http://%s/   (curl -H 'X-Attempt-Id: 1' http://%s/)\n", front, front)
 	}
 	control := cluster.ControlAddress
-	_, _ = fmt.Fprintf(out, "the control plane is called at %s   (bin/zincloftctl show %s)\n", control, control)
+	_, _ = fmt.Fprintf(out, "control plane listening on %s   (bin/zincloftctl show %s)\n", control, control)
 }
--- a/cmd/zincloftctl/main.go
+++ b/cmd/zincloftctl/main.go
@@ -1,4 +1,4 @@
-// Command zincloftctl is the operators' command line of the gateway.
+// Command zincloftctl is the gateway's command-line tool for operators.
 package main
 
 import (
@@ -18,11 +18,11 @@
 	}
 }
 
-// run executes the command that the arguments name.
+// run parses the arguments and executes the selected command.
 func run(args []string, out io.Writer) error {
 	root := &command{subcommands: allCommands()}
 	parser := flaggy.NewParser("zincloftctl")
-	parser.Description = "operators' tool of the gateway"
+	parser.Description = "command-line tool for operating the gateway"
 	parser.Version = program.Version
 	root.attachSubcommands(&parser.Subcommand)
 	if err := parser.ParseArgs(args); err != nil {
@@ -31,7 +31,7 @@
 	return root.execute(out)
 }
 
-// allCommands lists the commands in the order of the help.
+// allCommands returns the commands in the order in which the help lists them.
 func allCommands() []*command {
 	var all []*command
 	all = append(all, configurationCommands()...)
--- a/cmd/zincloftctl/main_test.go
+++ b/cmd/zincloftctl/main_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestCommands(t *testing.T) {
-	Convey("Given a small gateway", t, func() {
+	Convey("Given a demo cluster", t, func() {
 		dir := t.TempDir()
 		cluster, err := demo.Start(dir, io.Discard, 1)
 		So(err, ShouldBeNil)
@@ -25,7 +25,7 @@
 			err := run(args, &out)
 			return out.String(), err
 		}
-		Convey("its control plane is shown, and what lies on its disk", func() {
+		Convey("the state of its control plane and the store on disk are printed", func() {
 			out, err := execute("core", cluster.ControlAddress)
 			So(err, ShouldBeNil)
 			So(out, ShouldContainSubstring, `"in_touch": true`)
@@ -39,7 +39,7 @@
 			_, err = execute("store", "verify", dir)
 			So(err, ShouldNotBeNil)
 		})
-		Convey("a configuration is shown, checked and replaced", func() {
+		Convey("the configuration is printed, checked and replaced", func() {
 			out, err := execute("show", cluster.ControlAddress)
 			So(err, ShouldBeNil)
 			file := filepath.Join(dir, "c.json")
@@ -55,11 +55,11 @@
 			_, err = execute("put", cluster.ControlAddress, file)
 			So(err.Error(), ShouldContainSubstring, "virtual_hosts.0.hostname")
 		})
-		Convey("a member that does not answer is skipped", func() {
-			nobody, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+		Convey("a member that does not respond is skipped", func() {
+			listener, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
-			So(nobody.Close(), ShouldBeNil)
-			out, err := execute("show", nobody.Addr().String()+","+cluster.ControlAddress)
+			So(listener.Close(), ShouldBeNil)
+			out, err := execute("show", listener.Addr().String()+","+cluster.ControlAddress)
 			So(err, ShouldBeNil)
 			So(out, ShouldContainSubstring, "00000001")
 			_, err = execute("show", "nobody")
@@ -78,10 +78,10 @@
 	})
 }
 
-func TestGroupWithoutVerb(t *testing.T) {
+func TestMissingSubcommand(t *testing.T) {
 	for _, args := range [][]string{nil, {"store"}, {"windows"}} {
-		if err := run(args, io.Discard); !errors.Is(err, errNoVerb) {
-			t.Errorf("%q: %v, want errNoVerb", args, err)
+		if err := run(args, io.Discard); !errors.Is(err, errMissingSubcommand) {
+			t.Errorf("%q: %v, want errMissingSubcommand", args, err)
 		}
 	}
 }
--- a/cmd/zincloftctl/store.go
+++ b/cmd/zincloftctl/store.go
@@ -13,35 +13,34 @@
 	"zincloft.example/zincloft/internal/daemons/statestore"
 )
 
-// stateKey is the key under which a member's store holds the coordinator's state.
+// stateKey is the key of the coordinator's state in a member's store.
 const stateKey = "state"
 
-// storeCommand reads a member's store on disk.
+// storeCommand returns the commands that read a member's store on disk.
 func storeCommand() *command {
 	var folder string
-	folderArgument := positional{value: &folder, name: "FOLDER", description: "data_directory of the member"}
+	folderArgument := argument{value: &folder, name: "FOLDER", description: "the member's data_directory"}
 	return &command{
 		name:        "store",
-		description: "read a member's folder on disk, changing nothing: verify, or export as JSON",
+		description: "verify a member's data directory or export it as JSON, without modifying it",
 		subcommands: []*command{
 			{
 				name:        "verify",
-				description: "check every copy; status 1 if none is intact",
-				positionals: []positional{folderArgument},
+				description: "check every copy; exits with status 1 if none is intact",
+				arguments:   []argument{folderArgument},
 				run:         func(out io.Writer) error { return verifyStore(out, folder) },
 			},
 			{
 				name:        "export",
 				description: "print the newest intact copy",
-				positionals: []positional{folderArgument},
+				arguments:   []argument{folderArgument},
 				run:         func(out io.Writer) error { return exportStore(out, folder) },
 			},
 		},
 	}
 }
 
-// decodeCopy decodes the state of an intact copy.
-func decodeCopy(fileCopy statestore.FileCopy) (coordinator.PersistentState, error) {
+func decodeState(fileCopy statestore.FileCopy) (coordinator.PersistentState, error) {
 	state, err := coordinator.DecodePersistentState(fileCopy.Values[stateKey])
 	if err != nil {
 		return state, merry.Prepend(err, fileCopy.Name)
@@ -49,7 +48,7 @@
 	return state, nil
 }
 
-// verifyStore prints a line for each copy.
+// verifyStore prints one line per copy and fails if no copy is intact.
 func verifyStore(out io.Writer, folder string) error {
 	copies, err := statestore.Inspect(folder)
 	if err != nil {
@@ -63,7 +62,7 @@
 			}
 			continue
 		}
-		state, err := decodeCopy(fileCopy)
+		state, err := decodeState(fileCopy)
 		if err != nil {
 			return err
 		}
@@ -79,12 +78,12 @@
 	return nil
 }
 
-// noIntactCopyError tells that a folder holds no copy that can be read.
+// noIntactCopyError is returned for a folder without a readable copy of the store.
 type noIntactCopyError struct{ folder string }
 
 func (e noIntactCopyError) Error() string { return e.folder + ": no intact copy" }
 
-// export is the document that store export prints. Its keys are read by operators' scripts; docs/operate/core.md names them.
+// export is the output of store export. Its keys are a documented interface, see docs/operate/core.md.
 type export struct {
 	Configuration json.RawMessage  `json:"configuration"`
 	Disk          string           `json:"disk"`
@@ -118,8 +117,8 @@
 	return err
 }
 
-// newestState returns the state of the newest intact copy. An intact copy whose state can't be decoded is an error, also where it
-// is not the newest.
+// newestState returns the state of the newest intact copy. It fails if the state of any intact copy can't be decoded, even if a
+// newer copy can be.
 func newestState(folder string) (newest coordinator.PersistentState, err error) {
 	copies, err := statestore.Inspect(folder)
 	if err != nil {
@@ -131,7 +130,7 @@
 		if fileCopy.Err != nil {
 			continue
 		}
-		state, err := decodeCopy(fileCopy)
+		state, err := decodeState(fileCopy)
 		if err != nil {
 			return newest, err
 		}
--- a/cmd/zincloftctl/export_test.go
+++ b/cmd/zincloftctl/store_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestStoreExport compares the export of a kept state store with what commit 2705c65 printed of it. See package
+// TestStoreExport checks that the export of an existing state store does not change between releases. See package
 // compatibility.
 func TestStoreExport(t *testing.T) {
 	var got bytes.Buffer
--- a/cmd/zincloftctl/windows.go
+++ b/cmd/zincloftctl/windows.go
@@ -18,93 +18,93 @@
 	"zincloft.example/zincloft/internal/tools/maintenancefile"
 )
 
-// windowsArguments are the arguments of the commands on maintenance windows.
-type windowsArguments struct {
+// windowsOptions are the arguments and flags of the windows commands.
+type windowsOptions struct {
 	addresses string
 	file      string
-	chart     string // path; empty: none is drawn
-	nodes     string // names, separated by commas
+	chart     string // path of the chart; empty: none
+	nodes     string // comma-separated names
 	name      string // of the window
 	duration  time.Duration
 }
 
-// windowsCommand is the group of commands on maintenance windows.
+// windowsCommand returns the group of commands for maintenance windows.
 func windowsCommand() *command {
-	a := &windowsArguments{name: "by hand"}
+	a := &windowsOptions{name: "by hand"}
 	members := membersArgument(&a.addresses)
-	file := positional{value: &a.file, name: "FILE", description: "agreed capacity, forecasts and requested windows, in YAML"}
-	nodes := positional{value: &a.nodes, name: "NODES", description: "names, separated by commas"}
+	file := argument{value: &a.file, name: "FILE", description: "YAML file with agreed capacity, forecasts and requested windows"}
+	nodes := argument{value: &a.nodes, name: "NODES", description: "comma-separated names of nodes"}
 	return &command{
 		name:        "windows",
-		description: "plan maintenance windows, and have nodes drained when the control plane grants it",
+		description: "plan maintenance windows and drain nodes as the control plane grants them",
 		subcommands: []*command{
 			{
 				name:        "plan",
-				description: "make a timetable of a file, or tell which floor forbids it",
-				positionals: []positional{file},
+				description: "compute a schedule from a file, or report the capacity floor that prevents one",
+				arguments:   []argument{file},
 				flags: func(sub *flaggy.Subcommand) {
-					sub.String(&a.chart, "c", "chart", "draw it too: a path that ends with .svg, .png or .pdf")
+					sub.String(&a.chart, "c", "chart", "also write a chart to this path; its extension is .svg, .png or .pdf")
 				},
 				run: a.plan,
 			},
 			{
 				name:        "agree",
-				description: "have the control plane keep what a file says is agreed",
-				positionals: []positional{members, file},
+				description: "store the agreed capacity from a file in the control plane",
+				arguments:   []argument{members, file},
 				run:         a.agree,
 			},
 			{
 				name:        "start",
-				description: "request each window of a file's timetable when its time has come, until all are over",
-				positionals: []positional{members, file},
+				description: "request each window of a file's schedule at its start time, until all have ended",
+				arguments:   []argument{members, file},
 				run:         a.start,
 			},
 			{
 				name:        "show",
-				description: "print windows, nodes, their capacity, what is missing, and why each grant was given or withheld",
-				positionals: []positional{members},
+				description: "print windows, nodes, their capacity, shortfalls and the reason for each grant or refusal",
+				arguments:   []argument{members},
 				run:         func(out io.Writer) error { return printCall(out, a.addresses, "windows.describe", "", nil) },
 			},
 			{
 				name:        "pause",
-				description: "grant nothing more; what has begun goes on",
-				positionals: []positional{members},
-				run:         a.sender(maintenance.VerbPause),
+				description: "stop granting windows; windows already started continue",
+				arguments:   []argument{members},
+				run:         a.commandSender(maintenance.VerbPause),
 			},
 			{
 				name:        "resume",
-				description: "grant again",
-				positionals: []positional{members},
-				run:         a.sender(maintenance.VerbResume),
+				description: "resume granting windows",
+				arguments:   []argument{members},
+				run:         a.commandSender(maintenance.VerbResume),
 			},
 			{
 				name:        "ask",
-				description: "request windows of some nodes now",
-				positionals: []positional{members, nodes},
+				description: "request windows for nodes now",
+				arguments:   []argument{members, nodes},
 				flags: func(sub *flaggy.Subcommand) {
-					sub.String(&a.name, "n", "name", "of the window")
-					sub.Duration(&a.duration, "t", "takes", "from drained until a node serves again; none: until finish")
+					sub.String(&a.name, "n", "name", "name of the window")
+					sub.Duration(&a.duration, "t", "takes", "time from drained until a node serves again; if omitted, until finish")
 				},
 				run: a.ask,
 			},
 			{
 				name:        "finish",
-				description: "have nodes serve again",
-				positionals: []positional{members, nodes},
-				run:         a.sender(maintenance.VerbFinish),
+				description: "end windows and return the nodes to service",
+				arguments:   []argument{members, nodes},
+				run:         a.commandSender(maintenance.VerbFinish),
 			},
 			{
 				name:        "cancel",
-				description: "drop requested windows; have nodes serve again",
-				positionals: []positional{members, nodes},
-				run:         a.sender(maintenance.VerbCancel),
+				description: "drop requested windows and return the nodes to service",
+				arguments:   []argument{members, nodes},
+				run:         a.commandSender(maintenance.VerbCancel),
 			},
 		},
 	}
 }
 
-// schedule reads the file and plans its windows.
-func (a *windowsArguments) schedule() (*maintenancefile.File, maintenanceplanner.Schedule, error) {
+// schedule reads the file and computes its schedule.
+func (a *windowsOptions) schedule() (*maintenancefile.File, maintenanceplanner.Schedule, error) {
 	file, err := maintenancefile.Read(a.file)
 	if err != nil {
 		return nil, maintenanceplanner.Schedule{}, err
@@ -113,7 +113,7 @@
 	return file, schedule, err
 }
 
-func (a *windowsArguments) plan(out io.Writer) error {
+func (a *windowsOptions) plan(out io.Writer) error {
 	file, schedule, err := a.schedule()
 	if err != nil {
 		return err
@@ -127,7 +127,7 @@
 	return file.WriteChart(schedule, a.chart)
 }
 
-func (a *windowsArguments) agree(io.Writer) error {
+func (a *windowsOptions) agree(io.Writer) error {
 	file, err := maintenancefile.Read(a.file)
 	if err != nil {
 		return err
@@ -135,7 +135,7 @@
 	return a.send(file.AgreeCommand())
 }
 
-func (a *windowsArguments) start(out io.Writer) error {
+func (a *windowsOptions) start(out io.Writer) error {
 	file, schedule, err := a.schedule()
 	if err != nil {
 		return err
@@ -146,7 +146,7 @@
 	return follower.run(ctx)
 }
 
-func (a *windowsArguments) ask(io.Writer) error {
+func (a *windowsOptions) ask(io.Writer) error {
 	return a.send(maintenance.Command{
 		Verb:            maintenance.VerbAsk,
 		Nodes:           a.nodeNames(),
@@ -155,21 +155,21 @@
 	})
 }
 
-// sender returns a run function that sends a command of a verb; of nodes where they are named.
-func (a *windowsArguments) sender(verb string) func(io.Writer) error {
+// commandSender returns a run function that sends a command with a verb and the nodes from the arguments, if any.
+func (a *windowsOptions) commandSender(verb string) func(io.Writer) error {
 	return func(io.Writer) error {
 		return a.send(maintenance.Command{Verb: verb, Nodes: a.nodeNames()})
 	}
 }
 
-func (a *windowsArguments) nodeNames() []string {
+func (a *windowsOptions) nodeNames() []string {
 	if a.nodes == "" {
 		return nil
 	}
 	return strings.Split(a.nodes, ",")
 }
 
-func (a *windowsArguments) send(command maintenance.Command) error {
+func (a *windowsOptions) send(command maintenance.Command) error {
 	body, err := json.Marshal(command)
 	if err != nil {
 		return err
--- a/cmd/zincloftctl/windows_follow.go
+++ b/cmd/zincloftctl/windows_follow.go
@@ -14,30 +14,30 @@
 	"zincloft.example/zincloft/internal/tools/maintenancefile"
 )
 
-// followInterval is the time between two looks at the windows.
-const followInterval = time.Second
+// pollInterval is the time between two queries of the windows' status.
+const pollInterval = time.Second
 
-// scheduleFollower requests each window of a schedule at its time and prints what becomes of it. The control plane ends a window
-// that has taken its time, so nothing hangs if the follower ends early.
+// scheduleFollower requests each window of a schedule at its start time and prints the audit log. The control plane ends a window
+// after its duration, so no window stays open if the follower exits early.
 type scheduleFollower struct {
-	arguments *windowsArguments
+	arguments *windowsOptions
 	file      *maintenancefile.File
 	schedule  maintenanceplanner.Schedule
 	out       io.Writer
 
-	requested int    // assignments so far
-	lastAudit string // last entry of the audit log that was printed
+	requested      int    // number of assignments requested so far
+	lastAuditEntry string // last audit log entry printed
 }
 
-// run follows the schedule until all windows are over or ctx ends.
+// run follows the schedule until all windows have ended or ctx is done.
 func (f *scheduleFollower) run(ctx context.Context) error {
 	for {
 		if err := f.requestDue(); err != nil {
 			return err
 		}
 		status, err := f.status(ctx)
-		if err == nil { // else no member answers now, and the next look may find one
-			if err := f.printNews(status.AuditLog); err != nil {
+		if err == nil { // a failed query is retried at the next poll
+			if err := f.printNewAuditEntries(status.AuditLog); err != nil {
 				return err
 			}
 			if f.requested == len(f.schedule.Assignments) && len(status.Windows) == 0 {
@@ -46,14 +46,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			_, err := fmt.Fprintln(f.out, "ended; windows that have begun go on")
+			_, err := fmt.Fprintln(f.out, "stopped; windows already started continue")
 			return err
-		case <-time.After(followInterval):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// requestDue requests the windows whose time has come.
+// requestDue requests the windows whose start time has passed.
 func (f *scheduleFollower) requestDue() error {
 	for ; f.requested < len(f.schedule.Assignments); f.requested++ {
 		due := f.schedule.Assignments[f.requested]
@@ -69,7 +69,7 @@
 		if err != nil {
 			return err
 		}
-		if _, err := fmt.Fprintf(f.out, "%s asked for %s\n", due.Window, due.Node); err != nil {
+		if _, err := fmt.Fprintf(f.out, "requested window %s for node %s\n", due.Window, due.Node); err != nil {
 			return err
 		}
 	}
@@ -86,14 +86,14 @@
 	return status, err
 }
 
-// printNews prints the entries of the audit log that follow the last one printed, all of them if that has been dropped.
-func (f *scheduleFollower) printNews(auditLog []string) error {
-	news := auditLog[slices.Index(auditLog, f.lastAudit)+1:]
-	for _, entry := range news {
+// printNewAuditEntries prints the audit log entries after the last one printed, or all entries if that one is no longer in the log.
+func (f *scheduleFollower) printNewAuditEntries(auditLog []string) error {
+	newEntries := auditLog[slices.Index(auditLog, f.lastAuditEntry)+1:]
+	for _, entry := range newEntries {
 		if _, err := fmt.Fprintln(f.out, entry); err != nil {
 			return err
 		}
-		f.lastAudit = entry
+		f.lastAuditEntry = entry
 	}
 	return nil
 }
