--- a/internal/tools/maintenancefile/file.go
+++ b/internal/tools/maintenancefile/file.go
@@ -1,5 +1,5 @@
-// Package maintenancefile reads the file in which operators write down agreed capacity, forecasts and the maintenance windows that
-// they want, and shows the schedule made of it.
+// Package maintenancefile reads the file in which operators declare agreed capacity, forecasts and requested maintenance windows,
+// and renders the schedule planned from it.
 package maintenancefile
 
 import (
@@ -11,15 +11,15 @@
 	"zincloft.example/zincloft/controlplane/maintenanceplanner"
 )
 
-// File is a valid file.
+// File is a parsed and validated maintenance file.
 type File struct {
-	Start      time.Time     // of slot 0
-	SlotLength time.Duration // of the schedule's slots
+	Start      time.Time     // start of slot 0
+	SlotLength time.Duration // length of each slot of the schedule
 	Request    maintenanceplanner.Request
-	Durations  map[string]time.Duration // of windows by name, before they are rounded up to slots
+	Durations  map[string]time.Duration // by window name, not rounded up to slots
 }
 
-// Read reads the file at path.
+// Read parses the file at path.
 func Read(path string) (*File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return Parse(raw)
 }
 
-// AgreeCommand returns the command that has the control plane keep what the file says is agreed.
+// AgreeCommand returns the command that stores the file's agreed capacity, fault tolerance and nodes in the control plane.
 func (f *File) AgreeCommand() maintenance.Command {
 	command := maintenance.Command{
 		Verb:           maintenance.VerbAgree,
@@ -42,13 +42,13 @@
 	return command
 }
 
-// SlotStart returns when a slot begins.
+// SlotStart returns the start time of a slot.
 func (f *File) SlotStart(slot int) time.Time {
 	return f.Start.Add(time.Duration(slot) * f.SlotLength)
 }
 
-// slotFrom returns the first slot that begins at t or later, slotBefore the last one that begins at t or earlier.
-func (f *File) slotFrom(t time.Time) int {
+// ceilSlot returns the first slot that starts at or after t.
+func (f *File) ceilSlot(t time.Time) int {
 	offset := t.Sub(f.Start)
 	if offset%f.SlotLength != 0 {
 		offset += f.SlotLength
@@ -56,4 +56,5 @@
 	return int(offset / f.SlotLength)
 }
 
-func (f *File) slotBefore(t time.Time) int { return int(t.Sub(f.Start) / f.SlotLength) }
+// floorSlot returns the last slot that starts at or before t.
+func (f *File) floorSlot(t time.Time) int { return int(t.Sub(f.Start) / f.SlotLength) }
--- a/internal/tools/maintenancefile/parse.go
+++ b/internal/tools/maintenancefile/parse.go
@@ -14,28 +14,28 @@
 
 const (
 	defaultSlotLength = 30 * time.Minute
-	maxSlots          = 20000 // of a schedule
+	maxSlots          = 20000 // maximum length of a schedule
 	hoursPerDay       = 24
 )
 
 const (
-	unknownKey   = "is no known key"
-	unknownGroup = "is neither lookups nor orders"
+	unknownKeyProblem   = "unknown key"
+	unknownGroupProblem = "must be \"lookups\" or \"orders\""
 )
 
 // groups are the traffic groups that a file may name.
 var groups = []string{capacity.Lookups, capacity.Orders}
 
-// Parse reads what a file holds. Where a value is wrong the error is a *FieldError of the first one, or wraps the one of
+// Parse parses and validates the content of a file. Its error is a *FieldError for the first invalid value, or wraps the error of
 // Request.Validate.
 func Parse(raw []byte) (*File, error) {
 	document, err := yaml.YAMLToJSON(raw)
 	if err != nil {
-		return nil, merry.Errorf("windows: not YAML: %w", err)
+		return nil, merry.Errorf("windows: must be valid YAML: %w", err)
 	}
 	root := mapping{value: gjson.ParseBytes(document), errors: &errorRecorder{}}
 	if !root.value.IsObject() {
-		return nil, merry.New("windows: the file holds no table")
+		return nil, merry.New("windows: must be a YAML mapping")
 	}
 	file := parseRoot(root)
 	if root.errors.err != nil {
@@ -48,100 +48,100 @@
 }
 
 func parseRoot(root mapping) *File {
-	root.checkKeys(unknownKey, "begins", "slot", "losses", "agreed", "nodes", "forecast", "windows")
+	root.checkKeys(unknownKeyProblem, "begins", "slot", "losses", "agreed", "nodes", "forecast", "windows")
 	file := &File{
-		Start:      root.moment("begins", time.Time{}),
+		Start:      root.timestamp("begins", time.Time{}),
 		SlotLength: root.duration("slot", defaultSlotLength),
 		Durations:  map[string]time.Duration{},
 	}
 	request := &file.Request
 	request.FaultTolerance = parseFaultTolerance(root.submapping("losses"))
-	for _, agreed := range root.list("agreed") {
+	for _, agreed := range root.mappings("agreed") {
 		request.Demands = append(request.Demands, parseFloor(agreed))
 	}
-	for _, node := range root.list("nodes") {
+	for _, node := range root.mappings("nodes") {
 		request.Nodes = append(request.Nodes, parseNode(node))
 	}
 	end := file.Start
-	for _, window := range root.list("windows") {
+	for _, window := range root.mappings("windows") {
 		latest := file.addWindow(window)
 		if latest.After(end) {
 			end = latest
 		}
 	}
-	request.SlotCount = file.slotFrom(end)
+	request.SlotCount = file.ceilSlot(end)
 	if request.SlotCount > maxSlots {
-		root.fail("slot", fmt.Sprintf("is too short: %d slots up to the latest end", request.SlotCount))
+		root.fail("slot", fmt.Sprintf("must be longer: %d slots until the latest end, at most %d allowed", request.SlotCount, maxSlots))
 	}
-	for _, forecast := range root.list("forecast") {
+	for _, forecast := range root.mappings("forecast") {
 		file.addForecast(forecast)
 	}
 	return file
 }
 
 func parseFaultTolerance(losses mapping) capacity.FaultTolerance {
-	losses.checkKeys(unknownKey, "machines", "zones")
+	losses.checkKeys(unknownKeyProblem, "machines", "zones")
 	return capacity.FaultTolerance{
-		Machines: int(losses.number("machines", 1)),
-		Zones:    int(losses.number("zones", 0)),
+		Machines: int(losses.nonNegative("machines", 1)),
+		Zones:    int(losses.nonNegative("zones", 0)),
 	}
 }
 
 func parseGroup(m mapping) string {
-	group := m.text("group")
+	group := m.requiredString("group")
 	if group != capacity.Lookups && group != capacity.Orders {
-		m.fail("group", unknownGroup)
+		m.fail("group", unknownGroupProblem)
 	}
 	return group
 }
 
 func parseFloor(agreed mapping) maintenanceplanner.Demand {
-	agreed.checkKeys(unknownKey, "region", "group", "least")
+	agreed.checkKeys(unknownKeyProblem, "region", "group", "least")
 	return maintenanceplanner.Demand{
-		Region: agreed.text("region"),
+		Region: agreed.requiredString("region"),
 		Group:  parseGroup(agreed),
-		Floor:  agreed.number("least", 0),
+		Floor:  agreed.nonNegative("least", 0),
 	}
 }
 
 func parseNode(node mapping) capacity.Node {
-	node.checkKeys(unknownKey, "node", "zone", "region", "carries")
+	node.checkKeys(unknownKeyProblem, "node", "zone", "region", "carries")
 	parsed := capacity.Node{
-		Name:     node.text("node"),
-		Zone:     node.text("zone"),
-		Region:   node.text("region"),
+		Name:     node.requiredString("node"),
+		Zone:     node.requiredString("zone"),
+		Region:   node.requiredString("region"),
 		Capacity: map[string]float64{},
 	}
 	carries := node.submapping("carries")
-	carries.checkKeys(unknownGroup, groups...)
+	carries.checkKeys(unknownGroupProblem, groups...)
 	for _, group := range groups {
-		parsed.Capacity[group] = carries.number(group, 0)
+		parsed.Capacity[group] = carries.nonNegative(group, 0)
 	}
 	return parsed
 }
 
-// addWindow adds a window request and returns its latest end.
+// addWindow adds a window request and returns the latest time at which it may end.
 func (f *File) addWindow(window mapping) (latest time.Time) {
-	window.checkKeys(unknownKey, "window", "nodes", "earliest", "latest", "takes", "together", "after", "apart")
+	window.checkKeys(unknownKeyProblem, "window", "nodes", "earliest", "latest", "takes", "together", "after", "apart")
 	request := maintenanceplanner.WindowRequest{
-		Name:          window.text("window"),
-		Nodes:         window.texts("nodes"),
-		MaxConcurrent: int(window.number("together", 0)),
-		After:         window.texts("after"),
-		Conflicts:     window.texts("apart"),
-	}
-	earliest := window.moment("earliest", f.Start)
-	latest = window.moment("latest", time.Time{})
+		Name:          window.requiredString("window"),
+		Nodes:         window.stringArray("nodes"),
+		MaxConcurrent: int(window.nonNegative("together", 0)),
+		After:         window.stringArray("after"),
+		Conflicts:     window.stringArray("apart"),
+	}
+	earliest := window.timestamp("earliest", f.Start)
+	latest = window.timestamp("latest", time.Time{})
 	if latest.IsZero() {
-		window.fail("latest", "is missing")
+		window.fail("latest", "must be set")
 	}
 	if earliest.Before(f.Start) {
-		window.fail("earliest", "is before begins")
+		window.fail("earliest", "must not be before begins")
 	}
 	duration := window.duration("takes", 0)
 	f.Durations[request.Name] = duration
-	request.Earliest = f.slotFrom(earliest)
-	request.Latest = f.slotBefore(latest)
+	request.Earliest = f.ceilSlot(earliest)
+	request.Latest = f.floorSlot(latest)
 	request.DurationSlots = int((duration + f.SlotLength - 1) / f.SlotLength)
 	f.Request.Windows = append(f.Request.Windows, request)
 	return latest
@@ -149,14 +149,14 @@
 
 // addForecast adds a forecast to the demand of its region and group.
 func (f *File) addForecast(forecast mapping) {
-	forecast.checkKeys(unknownKey, "region", "group", "spread", "by_hour")
-	region, group := forecast.text("region"), parseGroup(forecast)
+	forecast.checkKeys(unknownKeyProblem, "region", "group", "spread", "by_hour")
+	region, group := forecast.requiredString("region"), parseGroup(forecast)
 	byHour := forecast.value.Get("by_hour").Array()
 	if len(byHour) != hoursPerDay {
-		forecast.fail("by_hour", "is not a list of 24 numbers")
+		forecast.fail("by_hour", "must be an array of 24 numbers")
 		return
 	}
-	spread := forecast.number("spread", 0)
+	spread := forecast.nonNegative("spread", 0)
 	var bySlot []float64
 	for slot := range min(f.Request.SlotCount, maxSlots) {
 		hour := f.SlotStart(slot).UTC().Hour()
--- a/internal/tools/maintenancefile/parse_test.go
+++ b/internal/tools/maintenancefile/parse_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestParse(t *testing.T) {
-	Convey("The worked week of the operators' page", t, func() {
+	Convey("The example file", t, func() {
 		raw, err := os.ReadFile("../../../examples/windows.yaml")
 		So(err, ShouldBeNil)
 		file, err := Parse(raw)
@@ -20,7 +20,7 @@
 		schedule, err := maintenanceplanner.Plan(&file.Request)
 		So(err, ShouldBeNil)
 		So(file.Request.Verify(schedule), ShouldBeNil)
-		Convey("is shown with a bar for each node and drawn as a chart", func() {
+		Convey("is rendered as a table with a bar for each node and as a chart", func() {
 			So(strings.Count(file.Render(schedule), "#"), ShouldBeGreaterThan, len(schedule.Assignments))
 			path := filepath.Join(t.TempDir(), "week.svg")
 			So(file.WriteChart(schedule, path), ShouldBeNil)
@@ -28,15 +28,15 @@
 			So(err, ShouldBeNil)
 			So(string(drawn), ShouldContainSubstring, "edge-ikeja-1")
 		})
-		Convey("names the path of what is wrong in it", func() {
+		Convey("with an invalid value is rejected with the path of that value", func() {
 			for _, fault := range []struct{ old, new, want string }{
-				{"group: orders", "group: payments", "group: is neither lookups nor orders"},
-				{"least: 60", "least: many", "agreed.0.least: is not a number"},
-				{"takes: 2h", "takes: soon", `takes: is not a time such as "30m"`},
-				{"together: 2", "togetherness: 2", "windows.0.togetherness: is no known key"},
-				{"latest: 2026-12-08T06:00:00Z", "latest: tomorrow", "latest: is not a moment"},
+				{"group: orders", "group: payments", `group: must be "lookups" or "orders"`},
+				{"least: 60", "least: many", "agreed.0.least: must be a number of at least 0"},
+				{"takes: 2h", "takes: soon", `takes: must be a positive duration such as "30m"`},
+				{"together: 2", "togetherness: 2", "windows.0.togetherness: unknown key"},
+				{"latest: 2026-12-08T06:00:00Z", "latest: tomorrow", `latest: must be a time such as "2026-12-07T01:00:00Z"`},
 				{"nodes: [edge-ikeja-1", "nodes: [nobody, edge-ikeja-1", "nobody is not known"},
-				{"by_hour: [", "by_hour: [7, ", "by_hour: is not a list of 24 numbers"},
+				{"by_hour: [", "by_hour: [7, ", "by_hour: must be an array of 24 numbers"},
 			} {
 				So(string(raw), ShouldContainSubstring, fault.old)
 				_, err := Parse([]byte(strings.Replace(string(raw), fault.old, fault.new, 1)))
--- a/internal/tools/maintenancefile/reader.go
+++ b/internal/tools/maintenancefile/reader.go
@@ -8,15 +8,15 @@
 	"github.com/tidwall/gjson"
 )
 
-// FieldError names a path of the file and what is wrong with its value.
+// FieldError describes an invalid value of the file.
 type FieldError struct {
-	Path    string
+	Path    string // of the key, with array indexes, such as windows.0.takes
 	Problem string
 }
 
 func (e *FieldError) Error() string { return "windows: " + e.Path + ": " + e.Problem }
 
-// errorRecorder keeps the first error.
+// errorRecorder records the first error.
 type errorRecorder struct{ err error }
 
 func (r *errorRecorder) fail(path, problem string) {
@@ -25,16 +25,16 @@
 	}
 }
 
-// mapping is a mapping of the file, and where it stands.
+// mapping is a YAML mapping of the file.
 type mapping struct {
 	value  gjson.Result
-	prefix string // of the paths of its keys
+	prefix string // prefix of its keys' paths
 	errors *errorRecorder
 }
 
 func (m mapping) fail(key, problem string) { m.errors.fail(m.prefix+key, problem) }
 
-// checkKeys fails on the first key that is not known: a typing error must not pass unnoticed.
+// checkKeys rejects the first unknown key, so that misspelled keys are not silently ignored.
 func (m mapping) checkKeys(problem string, known ...string) {
 	m.value.ForEach(func(key, _ gjson.Result) bool {
 		if slices.Contains(known, key.Str) {
@@ -45,73 +45,73 @@
 	})
 }
 
-// submapping returns the mapping at a key; what is missing is empty.
+// submapping returns the mapping at a key, empty if the key is missing.
 func (m mapping) submapping(key string) mapping {
 	return mapping{value: m.value.Get(key), prefix: m.prefix + key + ".", errors: m.errors}
 }
 
-// list returns the mappings of the list at a key; what is missing is empty.
-func (m mapping) list(key string) []mapping {
-	list := m.value.Get(key)
-	if list.Exists() && !list.IsArray() {
-		m.fail(key, "is not a list")
+// mappings returns the mappings in the array at a key, none if the key is missing.
+func (m mapping) mappings(key string) []mapping {
+	array := m.value.Get(key)
+	if array.Exists() && !array.IsArray() {
+		m.fail(key, "must be an array")
 		return nil
 	}
 	var mappings []mapping
-	for i, value := range list.Array() {
+	for i, value := range array.Array() {
 		mappings = append(mappings, mapping{value: value, prefix: m.prefix + key + "." + strconv.Itoa(i) + ".", errors: m.errors})
 	}
 	return mappings
 }
 
-// text reads a string that may be neither missing nor empty.
-func (m mapping) text(key string) string {
+// requiredString reads a string that must be set and not empty.
+func (m mapping) requiredString(key string) string {
 	value := m.value.Get(key)
 	if value.Type != gjson.String || value.Str == "" {
-		m.fail(key, "is missing, empty or not a text")
+		m.fail(key, "must be a non-empty string")
 	}
 	return value.Str
 }
 
-// texts reads a list of strings; what is missing is empty.
-func (m mapping) texts(key string) []string {
-	list := m.value.Get(key)
-	if list.Exists() && !list.IsArray() {
-		m.fail(key, "is not a list")
+// stringArray reads an array of strings, empty if the key is missing.
+func (m mapping) stringArray(key string) []string {
+	array := m.value.Get(key)
+	if array.Exists() && !array.IsArray() {
+		m.fail(key, "must be an array")
 	}
-	var texts []string
-	for _, value := range list.Array() {
-		texts = append(texts, value.String())
+	var values []string
+	for _, value := range array.Array() {
+		values = append(values, value.String())
 	}
-	return texts
+	return values
 }
 
-// number reads a number of 0 or more.
-func (m mapping) number(key string, defaultValue float64) float64 {
+// nonNegative reads a number that must not be negative.
+func (m mapping) nonNegative(key string, defaultValue float64) float64 {
 	value := m.value.Get(key)
 	if !value.Exists() {
 		return defaultValue
 	}
 	if value.Type != gjson.Number || value.Num < 0 {
-		m.fail(key, "is not a number of 0 or more")
+		m.fail(key, "must be a number of at least 0")
 	}
 	return value.Num
 }
 
-// moment reads a time of RFC 3339.
-func (m mapping) moment(key string, defaultValue time.Time) time.Time {
+// timestamp reads a time in RFC 3339 format.
+func (m mapping) timestamp(key string, defaultValue time.Time) time.Time {
 	value := m.value.Get(key)
 	if !value.Exists() {
 		return defaultValue
 	}
-	moment, err := time.Parse(time.RFC3339, value.String())
+	parsed, err := time.Parse(time.RFC3339, value.String())
 	if err != nil {
-		m.fail(key, `is not a moment such as "2026-12-07T01:00:00Z"`)
+		m.fail(key, `must be a time such as "2026-12-07T01:00:00Z"`)
 	}
-	return moment
+	return parsed
 }
 
-// duration reads a duration above zero. Without a default (0) it may not be missing.
+// duration reads a duration greater than zero. It is required if the default is 0.
 func (m mapping) duration(key string, defaultValue time.Duration) time.Duration {
 	value := m.value.Get(key)
 	if !value.Exists() && defaultValue > 0 {
@@ -119,7 +119,7 @@
 	}
 	duration, err := time.ParseDuration(value.String())
 	if err != nil || duration <= 0 {
-		m.fail(key, `is not a time such as "30m"`)
+		m.fail(key, `must be a positive duration such as "30m"`)
 		return defaultSlotLength
 	}
 	return duration
--- a/internal/tools/maintenancefile/render.go
+++ b/internal/tools/maintenancefile/render.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	maxBarWidth = 60 // characters
+	maxBarWidth = 60 // columns
 	timeFormat  = "Mon 15:04"
 
 	chartWidth     = 18 * vg.Centimeter
@@ -24,7 +24,7 @@
 	chartLineWidth = 5  // points
 )
 
-// Render writes a schedule as a table: a line and a bar for each assignment.
+// Render formats a schedule as a table with a row and a bar for each assignment.
 func (f *File) Render(schedule maintenanceplanner.Schedule) string {
 	bars := newBarScale(f.Request.SlotCount, schedule.Assignments)
 	writer := table.NewWriter()
@@ -41,7 +41,7 @@
 	return text + "\n"
 }
 
-// barScale maps the slots from the first start to the last end to columns of a bar.
+// barScale maps the slots between the first start and the last end to the columns of a bar.
 type barScale struct{ first, last int }
 
 func newBarScale(slotCount int, assignments []maintenanceplanner.Assignment) barScale {
@@ -65,7 +65,7 @@
 	return strings.Repeat(".", start) + strings.Repeat("#", end-start) + strings.Repeat(".", after)
 }
 
-// WriteChart draws a schedule, a line for each assignment. The path's extension names the format: svg, png or pdf.
+// WriteChart draws a schedule with a line for each assignment. The path's extension selects the format: svg, png or pdf.
 func (f *File) WriteChart(schedule maintenanceplanner.Schedule, path string) error {
 	chart := plot.New()
 	chart.Title.Text = "maintenance windows"
@@ -76,7 +76,7 @@
 		y := float64(i)
 		line, err := plotter.NewLine(plotter.XYs{{X: hours(assignment.Start), Y: y}, {X: hours(assignment.End), Y: y}})
 		if err != nil {
-			return merry.Prepend(err, "drawing")
+			return merry.Prepend(err, "draw chart")
 		}
 		line.Width = vg.Points(chartLineWidth)
 		chart.Add(line)
