--- a/internal/tools/demo/calls.go
+++ b/internal/tools/demo/calls.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	startTimeout      = 20 * time.Second // of each step of the start
+	startTimeout      = 20 * time.Second // limit of each startup step
 	pollInterval      = 20 * time.Millisecond
 	heartbeatInterval = 300 * time.Millisecond
 	replicaSlots      = 4
 )
 
-// call makes a control call and returns the status of the answer.
+// call makes a control call and returns the HTTP status of the response.
 func (c *Cluster) call(ctx context.Context, name, target string, body []byte) (status int, err error) {
 	query := url.Values{"call": {name}, "of": {target}}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.ControlAddress+"/api/rpc?"+query.Encode(), bytes.NewReader(body))
@@ -32,18 +32,18 @@
 	return send(request)
 }
 
-// send sends a request and reads the whole response, so that its connection can be used again.
+// send sends a request and drains the response body, so that the connection can be reused.
 func send(request *http.Request) (status int, err error) {
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = response.Body.Close() }() // nothing is left to be read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	_, err = io.Copy(io.Discard, response.Body)
 	return response.StatusCode, err
 }
 
-// sendHeartbeats registers a replica until ctx ends. A heartbeat that fails is made up for by the next one.
+// sendHeartbeats keeps a replica registered until ctx is done. A failed heartbeat is not retried; the next one takes its place.
 func (c *Cluster) sendHeartbeats(ctx context.Context, replica *upstream.Replica) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -60,32 +60,32 @@
 	}
 }
 
-// poll calls a condition until it holds.
-func poll(what string, condition func() bool) error {
+// poll waits until a condition holds. It fails after startTimeout.
+func poll(description string, condition func() bool) error {
 	for deadline := time.Now().Add(startTimeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			return merry.Errorf("%s: not within %v", what, startTimeout)
+			return merry.Errorf("timed out after %v waiting for %s", startTimeout, description)
 		}
 	}
 	return nil
 }
 
 func (c *Cluster) replaceConfiguration(ctx context.Context) error {
-	return poll("replacing the configuration", func() bool {
+	return poll("the configuration to be replaced", func() bool {
 		status, err := c.call(ctx, "configuration.replace", "", []byte(configuration))
 		return err == nil && status == http.StatusOK
 	})
 }
 
-// awaitAnswers waits until each gateway has forwarded a request.
-func (c *Cluster) awaitAnswers(ctx context.Context) error {
+// waitForGateways waits until each gateway has forwarded a request.
+func (c *Cluster) waitForGateways(ctx context.Context) error {
 	for _, front := range c.FrontAddresses {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+front+"/", nil)
 		if err != nil {
 			return err
 		}
 		request.Header.Set("X-Attempt-Id", "demo")
-		err = poll("an answer at "+front, func() bool {
+		err = poll("a response from "+front, func() bool {
 			status, err := send(request)
 			return err == nil && status == http.StatusOK
 		})
--- a/internal/tools/demo/cluster.go
+++ b/internal/tools/demo/cluster.go
@@ -1,4 +1,4 @@
-// Package demo runs a small gateway in one process on loopback: one control-plane member, two gateways and stand-in replicas.
+// Package demo runs a small cluster in one process on loopback: one control-plane member, two gateways and simulated replicas.
 package demo
 
 import (
@@ -22,41 +22,40 @@
 const (
 	gatewayCount = 2
 
-	// maxInternalPort bounds the first internal port, so that the range of them ends below 65536.
+	// maxInternalPort limits the first internal port, so that internalPortRange ends below 65536.
 	maxInternalPort   = 65530
 	internalPortRange = 4
 )
 
-// Cluster is a running demo.
+// Cluster is a running demo cluster.
 type Cluster struct {
-	FrontAddresses     []string // of the gateways, for clients
-	ReadinessAddresses []string // of the gateways, in the same order
+	FrontAddresses     []string // client addresses of the gateways
+	ReadinessAddresses []string // readiness addresses of the gateways, in the same order
 	ControlAddress     string
 	Replicas           []*upstream.Replica
 
 	cancel  context.CancelFunc
-	daemons int        // that were started
-	ended   chan error // one for each daemon
+	daemons int        // number started
+	results chan error // result of each daemon's Run
 }
 
-// FaultInjection makes the replicas close, truncate, duplicate and forge responses: at a rate of their requests, from 0 to 1, by
-// a seed.
+// FaultInjection makes the replicas drop connections and truncate, duplicate or forge responses.
 type FaultInjection struct {
-	Rate float64
-	Seed uint64
+	Rate float64 // fraction of requests with a fault, 0 to 1
+	Seed uint64  // of the random choice of faults
 }
 
-// Start runs the demo; its logs go to logs, its state under dir. It returns when all gateways answer.
+// Start starts a demo cluster that writes its logs to logs and its state under dir. It returns once all gateways forward requests.
 func Start(dir string, logs io.Writer, replicas int) (*Cluster, error) {
 	return StartWithFaults(dir, logs, replicas, FaultInjection{})
 }
 
-// StartWithFaults runs the demo with replicas that misbehave.
+// StartWithFaults starts a demo cluster whose replicas inject faults.
 func StartWithFaults(dir string, logs io.Writer, replicas int, faults FaultInjection) (*Cluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Cluster{cancel: cancel, ended: make(chan error, 1+gatewayCount)}
+	c := &Cluster{cancel: cancel, results: make(chan error, 1+gatewayCount)}
 	if err := c.start(ctx, dir, logs, replicas, faults); err != nil {
-		_ = c.Stop() // the error of the start is the cause of what the daemons may report
+		_ = c.Stop() // errors of the daemons result from the startup error
 		return nil, err
 	}
 	return c, nil
@@ -65,7 +64,7 @@
 func (c *Cluster) start(ctx context.Context, dir string, logs io.Writer, replicas int, faults FaultInjection) error {
 	ports, err := freePorts(ctx, 2+2*gatewayCount)
 	if err != nil {
-		return merry.Prepend(err, "looking for free ports")
+		return merry.Prepend(err, "find free ports")
 	}
 	c.ControlAddress = loopback(ports[0])
 	internalPort := min(ports[1], maxInternalPort)
@@ -84,15 +83,15 @@
 	if err := c.replaceConfiguration(ctx); err != nil {
 		return err
 	}
-	return c.awaitAnswers(ctx)
+	return c.waitForGateways(ctx)
 }
 
 func (c *Cluster) startMember(ctx context.Context, dir string, logs io.Writer, internalPort int) error {
-	data := filepath.Join(dir, "controlplane")
-	if err := os.MkdirAll(data, 0o700); err != nil {
-		return merry.Prepend(err, "making the member's data directory")
+	dataDirectory := filepath.Join(dir, "controlplane")
+	if err := os.MkdirAll(dataDirectory, 0o700); err != nil {
+		return merry.Prepend(err, "create the member's data directory")
 	}
-	settings, err := nodesettings.Parse(c.settings(nodeAddresses{name: "controlplane-1", data: data, control: c.ControlAddress}, internalPort))
+	settings, err := nodesettings.Parse(c.settings(nodeSettings{name: "controlplane-1", dataDirectory: dataDirectory, control: c.ControlAddress}, internalPort))
 	if err != nil {
 		return err
 	}
@@ -105,7 +104,7 @@
 }
 
 func (c *Cluster) startGateway(ctx context.Context, name string, logs io.Writer, front, readiness string, internalPort int) error {
-	settings, err := nodesettings.Parse(c.settings(nodeAddresses{name: name, front: front, readiness: readiness}, internalPort))
+	settings, err := nodesettings.Parse(c.settings(nodeSettings{name: name, front: front, readiness: readiness}, internalPort))
 	if err != nil {
 		return err
 	}
@@ -119,21 +118,21 @@
 	return nil
 }
 
-// run runs a daemon until ctx ends.
+// run runs a daemon in the background until ctx is done.
 func (c *Cluster) run(ctx context.Context, daemon program.Runner) {
 	c.daemons++
-	go func() { c.ended <- daemon.Run(ctx, make(chan os.Signal)) }()
+	go func() { c.results <- daemon.Run(ctx, make(chan os.Signal)) }()
 }
 
 func (c *Cluster) startReplicas(ctx context.Context, count int, faults FaultInjection) error {
-	ledger := hostile.NewRecorder()
+	recorder := hostile.NewRecorder()
 	for i := range count {
 		replica, err := upstream.Start(fmt.Sprintf("i-demo-%d", i+1))
 		if err != nil {
 			return err
 		}
 		if faults.Rate > 0 {
-			replica.SetConnectionHandler(hostile.New(replica.ID, faults.Seed+uint64(i), faults.Rate, ledger).Serve)
+			replica.SetConnectionHandler(hostile.New(replica.ID, faults.Seed+uint64(i), faults.Rate, recorder).Serve)
 		}
 		c.Replicas = append(c.Replicas, replica)
 		go c.sendHeartbeats(ctx, replica)
@@ -141,12 +140,12 @@
 	return nil
 }
 
-// Stop ends the demo and returns the first error with which a daemon has ended.
+// Stop stops the cluster and returns the first error that a daemon returned.
 func (c *Cluster) Stop() error {
 	c.cancel()
 	var first error
 	for range c.daemons {
-		if err := <-c.ended; err != nil && first == nil {
+		if err := <-c.results; err != nil && first == nil {
 			first = err
 		}
 	}
@@ -158,7 +157,7 @@
 
 func loopback(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// freePorts returns ports that nobody listened at a moment ago.
+// freePorts returns distinct ports that are currently free.
 func freePorts(ctx context.Context, count int) ([]int, error) {
 	var ports []int
 	for range count {
@@ -166,7 +165,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = listener.Close() }() // all are held until the last one is found; a listener has nothing to flush
+		defer func() { _ = listener.Close() }() // held until return, so that the ports are distinct
 		ports = append(ports, listener.Addr().(*net.TCPAddr).Port)
 	}
 	return ports, nil
--- a/internal/tools/demo/cluster_test.go
+++ b/internal/tools/demo/cluster_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// newRequest returns a request of a client to a gateway.
+// newRequest returns a client request to a gateway.
 func newRequest(t *testing.T, method, front, path, attempt string, body io.Reader) *http.Request {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, "http://"+front+path, body)
@@ -20,7 +20,7 @@
 }
 
 func TestCluster(t *testing.T) {
-	Convey("One control-plane member, two gateways and three replicas answer on loopback", t, func() {
+	Convey("One control-plane member, two gateways and three replicas serve requests on loopback", t, func() {
 		cluster, err := Start(t.TempDir(), io.Discard, 3)
 		So(err, ShouldBeNil)
 		for _, front := range cluster.FrontAddresses {
@@ -34,22 +34,22 @@
 				So(string(body), ShouldContainSubstring, "body of t"+path)
 			}
 		}
-		Convey("a replica that deregisters gets nothing more", func() {
-			leaving := cluster.Replicas[0]
-			status, err := cluster.call(t.Context(), "instances.deregister", leaving.ID, nil)
+		Convey("a deregistered replica receives no more requests", func() {
+			deregistered := cluster.Replicas[0]
+			status, err := cluster.call(t.Context(), "instances.deregister", deregistered.ID, nil)
 			So(err, ShouldBeNil)
 			So(status, ShouldEqual, 200)
-			So(poll("the deregistration at the gateways", func() bool {
-				before := len(leaving.Requests())
+			So(poll("the gateways to apply the deregistration", func() bool {
+				before := len(deregistered.Requests())
 				for _, front := range cluster.FrontAddresses {
 					for range 6 {
-						_, _ = send(newRequest(t, http.MethodGet, front, "/", "x", nil)) // its outcome does not matter here
+						_, _ = send(newRequest(t, http.MethodGet, front, "/", "x", nil)) // the result is irrelevant
 					}
 				}
-				return len(leaving.Requests()) == before
+				return len(deregistered.Requests()) == before
 			}), ShouldBeNil)
 		})
-		Convey("an invalid configuration is rejected and not in force", func() {
+		Convey("an invalid configuration is rejected", func() {
 			status, err := cluster.call(t.Context(), "configuration.replace", "", []byte(`{"version":"000000ff"}`))
 			So(err, ShouldBeNil)
 			So(status, ShouldEqual, 400)
--- a/internal/tools/demo/faults_test.go
+++ b/internal/tools/demo/faults_test.go
@@ -7,7 +7,8 @@
 	"zincloft.example/zincloft/internal/testbeds/standin/hostile"
 )
 
-// With replicas that misbehave the demo comes up, and no client receives the response to another's request.
+// TestFaultInjection checks that the demo starts with faulty replicas and that no client receives the response to another client's
+// request.
 func TestFaultInjection(t *testing.T) {
 	cluster, err := StartWithFaults(t.TempDir(), io.Discard, 6, FaultInjection{Rate: 0.2, Seed: 1})
 	if err != nil {
--- a/internal/tools/demo/maintenance_test.go
+++ b/internal/tools/demo/maintenance_test.go
@@ -19,13 +19,13 @@
 	"zincloft.example/zincloft/fleet"
 )
 
-// operator makes an operator's calls to a cluster.
+// operator makes control calls to a cluster.
 type operator struct {
 	t       *testing.T
 	cluster *Cluster
 }
 
-// command gives a command and returns the status of the answer.
+// command sends a maintenance command and returns the HTTP status of the response.
 func (o operator) command(command maintenance.Command) int {
 	o.t.Helper()
 	body, err := json.Marshal(command)
@@ -39,7 +39,7 @@
 	return status
 }
 
-// status is empty where it can't be had now.
+// status returns the maintenance status, empty if it is not available.
 func (o operator) status() (status controller.MaintenanceStatus) {
 	o.t.Helper()
 	request, err := http.NewRequestWithContext(o.t.Context(), http.MethodPost, "http://"+o.cluster.ControlAddress+"/api/rpc?call=windows.describe", nil)
@@ -57,7 +57,7 @@
 	return status
 }
 
-// phase is the phase of a node's window; empty where it has none.
+// phase returns the phase of a node's window, empty if it has none.
 func (o operator) phase(node string) fleet.Phase {
 	for _, window := range o.status().Windows {
 		if window.Node == node {
@@ -67,7 +67,7 @@
 	return ""
 }
 
-// ready tells whether a gateway wants more requests.
+// ready reports whether a gateway's readiness check passes.
 func (o operator) ready(gateway int) bool {
 	o.t.Helper()
 	request, err := http.NewRequestWithContext(o.t.Context(), http.MethodGet, "http://"+o.cluster.ReadinessAddresses[gateway]+"/api/readiness", nil)
@@ -83,16 +83,16 @@
 	attemptsPerOrder = 40
 )
 
-// orderLoad places orders until it is stopped, as the platform and its clients do: at one gateway, and again at the other one only
-// after proof that the order was not executed.
+// orderLoad sends unsafe requests (orders) until it is stopped. It retries an order at the other gateway only if the response proves
+// that the order was not executed.
 type orderLoad struct {
 	t       *testing.T
 	cluster *Cluster
 	stopped atomic.Bool
 	running sync.WaitGroup
 
-	sent, answered, unknown, lost atomic.Int64 // orders
-	rejected                      atomic.Int64 // attempts, of which each is repeated
+	sent, answered, unknown, lost atomic.Int64 // counts of orders
+	rejected                      atomic.Int64 // count of attempts, each of which is retried
 }
 
 func (l *orderLoad) start() {
@@ -111,7 +111,7 @@
 	l.running.Wait()
 }
 
-// place places an order, beginning at a gateway.
+// place sends an order, first to the given gateway.
 func (l *orderLoad) place(firstGateway int, order string) {
 	for attempt := range attemptsPerOrder {
 		front := l.cluster.FrontAddresses[(firstGateway+attempt)%len(l.cluster.FrontAddresses)]
@@ -134,8 +134,8 @@
 	}
 }
 
-// executedTwice counts the orders that replicas executed more than once.
-func (l *orderLoad) executedTwice() int {
+// duplicateExecutions counts the orders that were executed more than once.
+func (l *orderLoad) duplicateExecutions() int {
 	executions := map[string]int{}
 	for _, replica := range l.cluster.Replicas {
 		for attempt, count := range replica.Executions() {
@@ -143,18 +143,18 @@
 			executions[order] += count
 		}
 	}
-	twice := 0
+	duplicates := 0
 	for order, count := range executions {
 		if count > 1 && strings.HasPrefix(order, "w") {
-			twice++
+			duplicates++
 		}
 	}
-	return twice
+	return duplicates
 }
 
-// Drains each of two gateways in turn while orders come, with stand-in replicas that count every execution.
-func TestMaintenanceUnderOrders(t *testing.T) {
-	Convey("Given a gateway under orders, with an agreed floor that one gateway can serve", t, func() {
+// TestMaintenanceUnderLoad checks that draining two gateways in turn under load neither loses an order nor executes one twice.
+func TestMaintenanceUnderLoad(t *testing.T) {
+	Convey("Given a cluster under load, with an agreed capacity floor that one gateway can serve", t, func() {
 		cluster, err := Start(t.TempDir(), io.Discard, 3)
 		So(err, ShouldBeNil)
 		for _, replica := range cluster.Replicas {
@@ -165,25 +165,25 @@
 		op := operator{t: t, cluster: cluster}
 		So(op.command(maintenance.Command{Verb: maintenance.VerbAsk, Nodes: []string{"gateway-1"}}), ShouldEqual, http.StatusConflict)
 		So(op.command(maintenance.Command{Verb: maintenance.VerbAgree, AgreedFloors: []capacity.Floor{{Region: "here", Group: capacity.Orders, Minimum: 1}}}), ShouldEqual, http.StatusOK)
-		So(poll("both measured", func() bool {
+		So(poll("the capacity of both gateways to be measured", func() bool {
 			nodes := op.status().Nodes
 			return len(nodes) == 2 && nodes[0].Capacity[capacity.Orders] > 1 && nodes[1].Capacity[capacity.Orders] > 1
 		}), ShouldBeNil)
 		So(op.command(maintenance.Command{Verb: maintenance.VerbAsk, WindowName: "kernel", Nodes: []string{"gateway-1", "gateway-2"}}), ShouldEqual, http.StatusOK)
-		So(poll("the first drained", func() bool { return op.phase("gateway-1") == fleet.PhaseDrained }), ShouldBeNil)
+		So(poll("gateway-1 to be drained", func() bool { return op.phase("gateway-1") == fleet.PhaseDrained }), ShouldBeNil)
 		So(op.phase("gateway-2"), ShouldEqual, fleet.PhaseRequested)
 		So(op.ready(0), ShouldBeFalse)
 		So(op.ready(1), ShouldBeTrue)
 		So(op.command(maintenance.Command{Verb: maintenance.VerbFinish, Nodes: []string{"gateway-1"}}), ShouldEqual, http.StatusOK)
-		So(poll("the second drained", func() bool { return op.phase("gateway-2") == fleet.PhaseDrained }), ShouldBeNil)
+		So(poll("gateway-2 to be drained", func() bool { return op.phase("gateway-2") == fleet.PhaseDrained }), ShouldBeNil)
 		So(op.ready(0), ShouldBeTrue)
 		So(op.command(maintenance.Command{Verb: maintenance.VerbFinish, Nodes: []string{"gateway-2"}}), ShouldEqual, http.StatusOK)
-		So(poll("all serving", func() bool { return len(op.status().Windows) == 0 && op.ready(0) && op.ready(1) }), ShouldBeNil)
+		So(poll("both gateways to serve again", func() bool { return len(op.status().Windows) == 0 && op.ready(0) && op.ready(1) }), ShouldBeNil)
 		load.stop()
-		twice := load.executedTwice()
+		duplicates := load.duplicateExecutions()
 		t.Logf("%d orders, %d answered, %d attempts rejected, %d unknown, %d lost, %d executed twice", load.sent.Load(), load.answered.Load(),
-			load.rejected.Load(), load.unknown.Load(), load.lost.Load(), twice)
-		So(twice, ShouldEqual, 0)
+			load.rejected.Load(), load.unknown.Load(), load.lost.Load(), duplicates)
+		So(duplicates, ShouldEqual, 0)
 		So(load.answered.Load(), ShouldEqual, load.sent.Load())
 		So(load.rejected.Load(), ShouldBeGreaterThan, 0)
 		So(cluster.Stop(), ShouldBeNil)
