--- a/internal/tools/load/collector.go
+++ b/internal/tools/load/collector.go
@@ -12,11 +12,11 @@
 
 const (
 	reportPeriod = time.Second
-	// collectorOffset is how long after the end of a period its reports are written.
+	// collectorOffset is the delay from the end of a period until its reports are written.
 	collectorOffset = 230 * time.Millisecond
-	// collectorChunks is in how many parts a collector writes its reports, with pauses between them.
+	// collectorChunks is the number of chunks in which a collector writes its reports, with pauses between them.
 	collectorChunks = 8
-	// attemptsPerInFlight derives the attempts in flight from those of a second, by Little's law with answers after 50 ms.
+	// attemptsPerInFlight is the number of attempts per second for each attempt in flight, by Little's law with a latency of 50 ms.
 	attemptsPerInFlight = 20
 	defaultUtilization  = "0.50"
 	fastUtilization     = "0.25"
@@ -24,7 +24,7 @@
 	meanLatency         = "50.0"   // milliseconds
 )
 
-// collect writes the reports of a zone's proxies each second, until traffic has to end or the governor has gone.
+// collect writes the reports of a zone's proxies every second until traffic is stopped or the connection fails.
 func (s *site) collect(ctx context.Context, zone int) {
 	conn, err := dial(ctx, s.address)
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// takeReports makes the reports of a zone's replicas, and starts their next period.
+// takeReports returns the reports on a zone's replicas for the current period and resets the counters.
 func (s *site) takeReports(zone int) [][]byte {
 	stats := &s.zoneStats[zone]
 	stats.mu.Lock()
@@ -56,17 +56,17 @@
 		if attempts == 0 {
 			continue
 		}
-		words := []string{"upstream_stats", "az", zoneName(zone), "host", replicaName(id), "n", strconv.Itoa(attempts), "bad", strconv.Itoa(failures), "window", reportWindow}
+		fields := []string{"upstream_stats", "az", zoneName(zone), "host", replicaName(id), "n", strconv.Itoa(attempts), "bad", strconv.Itoa(failures), "window", reportWindow}
 		if failures < attempts {
-			words = append(words, "avg", meanLatency, "report", s.loadReport(id, attempts))
+			fields = append(fields, "avg", meanLatency, "report", s.loadReport(id, attempts))
 		}
-		reports = append(reports, resp.Append(nil, words...))
+		reports = append(reports, resp.Append(nil, fields...))
 		stats.attempts[id], stats.failures[id] = 0, 0
 	}
 	return reports
 }
 
-// loadReport is what a replica reports of itself.
+// loadReport returns the load that a replica reports.
 func (s *site) loadReport(replica, attempts int) string {
 	utilization := defaultUtilization
 	if s.plan.FastReplicas && isFast(replica) {
@@ -75,14 +75,14 @@
 	return fmt.Sprintf("inflight:%d,util:%s", 1+attempts/attemptsPerInFlight, utilization)
 }
 
-// writePaced writes reports over the time that the plan gives a collector.
+// writePaced writes reports spread over the plan's CollectorWriteTime.
 func (s *site) writePaced(conn net.Conn, reports [][]byte) error {
-	part := 1 + len(reports)/collectorChunks
+	chunk := 1 + len(reports)/collectorChunks
 	for i, report := range reports {
 		if _, err := conn.Write(report); err != nil {
 			return err
 		}
-		if s.plan.CollectorWriteTime > 0 && i%part == part-1 {
+		if s.plan.CollectorWriteTime > 0 && i%chunk == chunk-1 {
 			time.Sleep(s.plan.CollectorWriteTime / collectorChunks)
 		}
 	}
--- a/internal/tools/load/collector_test.go
+++ b/internal/tools/load/collector_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestTakeReports makes a report for each replica that was met, without a latency where all attempts failed, and starts anew.
+// TestTakeReports checks that there is a report for each replica with attempts, that it has no latency if all attempts failed, and
+// that the counters are reset.
 func TestTakeReports(t *testing.T) {
 	s := newTestProxy(1).site
 	s.plan.FastReplicas = true
@@ -24,9 +25,9 @@
 		}
 	}
 	if strings.Contains(texts[1], "avg") {
-		t.Errorf("report %q has a latency, and all attempts failed", texts[1])
+		t.Errorf("report %q has a latency although all attempts failed", texts[1])
 	}
 	if again := s.takeReports(0); len(again) != 0 {
-		t.Errorf("%d reports of a period without attempts", len(again))
+		t.Errorf("%d reports for a period without attempts", len(again))
 	}
 }
--- a/internal/tools/load/conn.go
+++ b/internal/tools/load/conn.go
@@ -10,5 +10,5 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// closeQuietly closes a connection that is no longer needed. An error would say no more than that it was broken.
+// closeQuietly closes a connection and ignores the error, as the connection is no longer needed.
 func closeQuietly(conn net.Conn) { _ = conn.Close() }
--- a/internal/tools/load/discovery.go
+++ b/internal/tools/load/discovery.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// noReplica stands for a replica's number where there is none.
+// noReplica is the number used where there is no replica.
 const noReplica = -1
 
-// discovery is the site's discovery service: an HTTP server whose answers wait for a change.
+// discovery is the site's discovery service, an HTTP server with long polling.
 type discovery struct {
 	site    *site
 	server  *http.Server
@@ -22,8 +22,8 @@
 
 	mu      sync.Mutex // guards the fields below
 	version int
-	changed chan struct{} // closed at the change
-	drained int           // the replica that drains; noReplica: none
+	changed chan struct{} // closed when the replicas change
+	drained int           // the draining replica or noReplica
 }
 
 func startDiscovery(s *site) (*discovery, error) {
@@ -35,16 +35,16 @@
 	}
 	d.address = listener.Addr().String()
 	d.server = &http.Server{Handler: http.HandlerFunc(d.serve), ReadHeaderTimeout: time.Second}
-	go func() { _ = d.server.Serve(listener) }() // returns when the server is closed
+	go func() { _ = d.server.Serve(listener) }() // returns an error when the server is closed
 	return d, nil
 }
 
-// close ends the server and its connections. It may be called more than once.
+// close stops the server and closes its connections. It may be called more than once.
 func (d *discovery) close() {
-	_ = d.server.Close() // the listener's error: it is closed either way
+	_ = d.server.Close() // the listener is closed even if this fails
 }
 
-// drain lists a replica as draining. There is one such change in a run.
+// drain marks a replica as draining. It may be called once per run.
 func (d *discovery) drain(replica int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,9 +52,9 @@
 	close(d.changed)
 }
 
-// serve answers a blocking query: with all replicas at index 0, and else with what has changed since, as soon as something has.
+// serve handles a long poll. It returns all replicas at index 0, and otherwise the changes since the index once there are any.
 func (d *discovery) serve(w http.ResponseWriter, r *http.Request) {
-	index, _ := strconv.Atoi(r.URL.Query().Get("index")) // 0 if missing
+	index, _ := strconv.Atoi(r.URL.Query().Get("index")) // 0 if missing or invalid
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 	d.mu.Lock()
 	version := d.version
@@ -72,11 +72,11 @@
 	if d.drained != noReplica {
 		d.site.drainSentAt.CompareAndSwap(0, time.Now().UnixNano())
 	}
-	// A caller that has gone needs no answer.
+	// A write fails only if the client has disconnected.
 	_, _ = fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[%s]}`, d.version, index == 0, strings.Join(d.entries(index), ","))
 }
 
-// entries are the replicas that a caller at an index has to be told of. The mutex must be held.
+// entries returns the replicas that changed since the index, or all replicas at index 0. The caller must hold d.mu.
 func (d *discovery) entries(index int) []string {
 	var entries []string
 	for id := range d.site.plan.Replicas {
--- a/internal/tools/load/flows.go
+++ b/internal/tools/load/flows.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// floodMargin is how long before and after the drain a proxy floods.
+	// floodMargin is the duration of the flood before and after the drain.
 	floodMargin = 3 * time.Second
-	// floodWriteTime is how long one burst of a flood goes on, and floodReports how many reports are written at a time.
+	// floodWriteTime is the duration of one burst of a flood, and floodReports the number of reports in one write.
 	floodWriteTime = 900 * time.Millisecond
 	floodReports   = 200
-	// floodSequence keeps the sequence numbers of a flood's reports apart from the usual ones.
+	// floodSequence is the first sequence number of a flood's reports, above those of the regular reports.
 	floodSequence = 1000
 )
 
-// trafficGroups are the groups of the configuration, which a proxy's flows belong to in turn.
+// trafficGroups are the configured traffic groups, which a proxy uses in turn.
 var trafficGroups = []string{"look", "edit", "pay"}
 
-// generateFlows generates a second's flows at a time and reports them, until traffic has to end or the governor has gone.
+// generateFlows generates and reports flows once per second until traffic is stopped or the connection fails.
 func (p *proxy) generateFlows(ctx context.Context) {
 	s := p.site
 	offset := time.Duration(p.random.Int64N(int64(time.Second)))
@@ -46,8 +46,8 @@
 	}
 }
 
-// sendFlows picks a replica by weight for each of so many flows, and counts the attempts. Those at a replica that hangs fail a
-// second later.
+// sendFlows picks a replica by weight for each flow and counts the attempts. Attempts at a hanging replica are counted as failed by
+// the next call.
 func (p *proxy) sendFlows(count int) {
 	stats := &p.site.zoneStats[p.id%p.site.plan.Zones]
 	now := p.site.elapsed()
@@ -82,27 +82,29 @@
 	}
 }
 
-// pick returns the replica that a draw by weight falls on, of those that are not ejected. The mutex must be held.
-func (p *proxy) pick(draw float32) (id int, found bool) {
+// pick returns the replica at a random position in the cumulative weights of the replicas that are not ejected. The caller must hold
+// p.mu.
+func (p *proxy) pick(position float32) (id int, found bool) {
 	for id, weight := range p.weights {
 		if p.ejected[id] {
 			continue
 		}
-		draw -= weight
-		if draw <= 0 {
+		position -= weight
+		if position <= 0 {
 			return id, true
 		}
 	}
 	return 0, false
 }
 
-// hangs reports whether a replica answers nothing to this proxy.
+// hangs reports whether a replica does not respond to this proxy.
 func (p *proxy) hangs(id int, now time.Duration) bool {
 	plan := p.site.plan
 	return id == hangingReplica && now > plan.HangAt || id == partialHangReplica && hasPartialHang(p.id) && now > plan.PartialHangAt
 }
 
-// reportAttempts reports what the proxy met at each replica since the last batch. A broken stream shows at the next write.
+// reportAttempts reports the attempts and failures at each replica since the last report. A write error is ignored because the next
+// write by generateFlows fails too.
 func (p *proxy) reportAttempts(sequence int) {
 	var records []string
 	for id, attempts := range p.attempts {
@@ -117,7 +119,7 @@
 	}
 }
 
-// flood writes reports as fast as the governor takes them, for about a second. Its writes end by a deadline.
+// flood writes reports as fast as the governor reads them, until floodWriteTime has passed.
 func (p *proxy) flood() {
 	var burst []byte
 	for i := range floodReports {
@@ -130,12 +132,12 @@
 	p.writeMu.Lock()
 	defer p.writeMu.Unlock()
 	if p.conn.SetWriteDeadline(time.Now().Add(floodWriteTime)) != nil {
-		return // closed: without a deadline the loop might not end
+		return // without a deadline the loop might not end
 	}
 	for {
 		if _, err := p.conn.Write(burst); err != nil {
 			break
 		}
 	}
-	_ = p.conn.SetWriteDeadline(time.Time{}) // fails on a closed stream only, which shows at the next write
+	_ = p.conn.SetWriteDeadline(time.Time{}) // fails only if the connection is closed, which the next write reports
 }
--- a/internal/tools/load/governor.go
+++ b/internal/tools/load/governor.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	governorLog      = "zinclab-governor.log" // in the temporary folder; kept after the run
+	governorLog      = "zinclab-governor.log" // in the temporary directory; kept after the run
 	configMode       = 0o600
 	governorMemoryMB = 192
-	extraSockets     = 200 // besides one a proxy
+	extraSockets     = 200 // in addition to one per proxy
 	listenAttempts   = 200
 	listenInterval   = 20 * time.Millisecond
-	clockTicks       = 100 // a second, in /proc
-	cpuUserField     = 11  // of /proc/PID/stat, after the program's name
+	clockTicks       = 100 // per second, in /proc/PID/stat
+	cpuUserField     = 11  // index in /proc/PID/stat after the process name
 	cpuSystemField   = 12
 	peakMemoryKey    = "VmHWM:"
 	kilobytesPerMB   = 1024
 )
 
-var errNotListening = errors.New("the governor does not listen")
+var errNotListening = errors.New("governor is not listening")
 
-// governor is a process of the governor's program.
+// governor is a governor process.
 type governor struct {
 	command *exec.Cmd
 }
@@ -52,12 +52,12 @@
 	command.Env = append(os.Environ(), "LB_CONFIG="+configPath, "ZINCLOFT_OPERATOR="+s.plan.OperatorFile, "ZINCLOFT_PROFILE="+s.plan.ProfilePath)
 	log, err := os.Create(filepath.Join(os.TempDir(), governorLog))
 	if err != nil {
-		return nil, fmt.Errorf("the governor's log: %w", err)
+		return nil, fmt.Errorf("create governor log: %w", err)
 	}
-	defer log.Close() //nolint:errcheck // the process has a descriptor of its own
+	defer log.Close() //nolint:errcheck // the process has its own descriptor
 	command.Stderr = log
 	if err := command.Start(); err != nil {
-		return nil, fmt.Errorf("the governor: %w", err)
+		return nil, fmt.Errorf("start governor: %w", err)
 	}
 	for range listenAttempts {
 		if conn, err := dial(ctx, s.address); err == nil {
@@ -69,29 +69,29 @@
 	return nil, fmt.Errorf("%w on %s", errNotListening, s.address)
 }
 
-// freeAddress finds a loopback port that is free now.
+// freeAddress returns a loopback address with a port that is currently free.
 func freeAddress(ctx context.Context) (string, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("an address for the governor: %w", err)
+		return "", fmt.Errorf("find free port for governor: %w", err)
 	}
 	address := listener.Addr().String()
 	if err := listener.Close(); err != nil {
-		return "", fmt.Errorf("an address for the governor: %w", err)
+		return "", fmt.Errorf("find free port for governor: %w", err)
 	}
 	return address, nil
 }
 
-// writeConfig writes the configuration that the platform would give the governor.
+// writeConfig writes the governor's configuration file and returns its path.
 func (s *site) writeConfig() (string, error) {
 	config, err := json.Marshal(s.config())
 	if err != nil {
-		return "", fmt.Errorf("the configuration: %w", err)
+		return "", fmt.Errorf("encode governor configuration: %w", err)
 	}
-	path := filepath.Join(s.folder, "config.json")
+	path := filepath.Join(s.directory, "config.json")
 	if err := os.WriteFile(path, config, configMode); err != nil {
-		return "", fmt.Errorf("the configuration: %w", err)
+		return "", fmt.Errorf("write governor configuration: %w", err)
 	}
 	return path, nil
 }
@@ -121,23 +121,22 @@
 		}}
 }
 
-// stop signals the process and waits for its end. Its exit status says nothing, as it was asked to end. A second stop does
-// nothing.
+// stop sends a signal to the process and waits until it exits. It does nothing if the process was stopped before.
 func (g *governor) stop(signal syscall.Signal) {
 	if g.command.ProcessState != nil {
 		return
 	}
-	_ = g.command.Process.Signal(signal) // fails if it has ended already, which Wait tells
-	_ = g.command.Wait()
+	_ = g.command.Process.Signal(signal) // fails only if the process has exited
+	_ = g.command.Wait()                 // a process that was signalled has no meaningful exit status
 }
 
-// cpuSeconds is the CPU time that the process has used; 0 if that can't be read.
+// cpuSeconds returns the CPU time of the process, or 0 if it can't be read.
 func (g *governor) cpuSeconds() float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", g.command.Process.Pid))
 	if err != nil {
 		return 0
 	}
-	afterName := string(text[bytes.LastIndexByte(text, ')')+1:]) // the program's name may hold anything
+	afterName := string(text[bytes.LastIndexByte(text, ')')+1:]) // the process name may contain spaces
 	fields := strings.Fields(afterName)
 	if len(fields) <= cpuSystemField {
 		return 0
@@ -147,7 +146,7 @@
 	return (user + system) / clockTicks
 }
 
-// peakMemoryMB is the highest resident memory that the process has had; 0 if that can't be read.
+// peakMemoryMB returns the peak resident memory of the process, or 0 if it can't be read.
 func (g *governor) peakMemoryMB() float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", g.command.Process.Pid))
 	if err != nil {
--- a/internal/tools/load/plan.go
+++ b/internal/tools/load/plan.go
@@ -1,56 +1,56 @@
-// Package load runs the proxies, collectors and discovery of one site on loopback against a governor's binary, by the platform's
-// protocol, and measures what the governor makes of them. It is a tool of measurement: nothing in the daemon imports it.
+// Package load measures a governor under load. It runs the proxies, collectors and discovery of one site on loopback against a
+// governor process, using the platform's protocol.
 package load
 
 import "time"
 
-// Plan describes one run. Times of faults count from the moment at which all proxies hold their tables.
+// Plan describes a run. Fault times are relative to the time at which all proxies have received a table.
 type Plan struct {
-	Binary       string // the governor's program
-	OperatorFile string // the governor's operator file; none if empty
-	ProfilePath  string // where the governor's CPU profile goes, with a binary that can write one
+	Binary       string // path of the governor's executable
+	OperatorFile string // path of the governor's operator file; empty: none
+	ProfilePath  string // path of the governor's CPU profile, if the executable can write one; empty: none
 	Seed         uint64
 
-	Proxies  int // streams
-	Replicas int // listed, all healthy at first
-	Zones    int // a collector each
+	Proxies  int
+	Replicas int // all healthy initially
+	Zones    int // each has one collector
 
-	FlowRate            float64       // flows a second at each proxy
-	ChannelRatePerProxy float64       // lines a second that the governor's channel takes, for each proxy
-	CollectorPhase      time.Duration // between one collector's writing and the next one's
-	CollectorWriteTime  time.Duration // that a collector takes to write its reports
-	LastCollectorDelay  time.Duration // by which the last collector is later than its phase
-	FastReplicas        bool          // every fourth replica does the same work at half the load
-	ProxyReports        bool          // proxies report what each met at each replica
+	FlowRate            float64       // flows per second and proxy
+	ChannelRatePerProxy float64       // capacity of the governor's channel in lines per second and proxy
+	CollectorPhase      time.Duration // delay between the reports of successive collectors
+	CollectorWriteTime  time.Duration // time over which a collector spreads its reports
+	LastCollectorDelay  time.Duration // additional delay of the last collector
+	FastReplicas        bool          // every fourth replica has half the utilization at the same work
+	ProxyReports        bool          // proxies report their attempts at each replica
 
-	HangAt        time.Duration // a replica answers nothing from then on
-	DrainAt       time.Duration // a replica drains
-	PartialHangAt time.Duration // a replica answers nothing to 1% of the proxies from then on
-	Flood         bool          // one proxy writes without end while the replica drains
+	HangAt        time.Duration // a replica stops responding
+	DrainAt       time.Duration // a replica starts draining
+	PartialHangAt time.Duration // a replica stops responding to 1% of the proxies
+	Flood         bool          // a proxy floods the governor with reports around DrainAt
 	Duration      time.Duration
 }
 
-// Result is what a run has shown. Durations of 0 mean never.
+// Result holds the measurements of a run. A duration of 0 means that the event did not occur.
 type Result struct {
 	Proxies                  int
-	TableDelay               time.Duration // until the last proxy held a table
-	WeightCuts               int           // weights of healthy replicas that fell below a quarter at once
-	BaselineWeightCuts       int           // of these, before the first fault
-	CPUUsage                 float64       // seconds of CPU a second, before the first fault
-	PeakMemoryMB             float64       // resident memory at its highest
-	HangDetectedAfter        time.Duration // until the replica that hangs had lost three quarters of its weight at 99% of the proxies
-	DrainP99                 time.Duration // 99th percentile from discovery's answer to a proxy's message
+	TableDelay               time.Duration // until every proxy had received a table
+	WeightCuts               int           // updates that cut the weight of a healthy replica to less than a quarter
+	BaselineWeightCuts       int           // weight cuts before the first fault
+	CPUUsage                 float64       // CPU seconds per second before the first fault
+	PeakMemoryMB             float64       // peak resident memory
+	HangDetectedAfter        time.Duration // until 99% of the proxies had cut the hanging replica's weight to a quarter or less
+	DrainP99                 time.Duration // 99th percentile of the delay from discovery's response to the update at a proxy
 	DrainMax                 time.Duration
-	PartialHangDetectedAfter time.Duration // until the first ejection for a proxy of the 1% alone
-	CorrectEjections         int           // proxies of the 1% that were told to eject the replica
-	WrongEjections           int           // other ejections
+	PartialHangDetectedAfter time.Duration // until the first correct ejection
+	CorrectEjections         int           // ejections of the partially hanging replica at an affected proxy
+	WrongEjections           int           // all other ejections
 	Messages                 int
 }
 
-// RestartResult is what a restart without discovery has shown.
+// RestartResult holds the measurements of a restart without discovery.
 type RestartResult struct {
-	TableDelay       time.Duration // from the start of the second incarnation until the last proxy held a table
-	ProxiesWithTable int           // proxies that did within the time allowed
-	RestartedShare   float64       // of the weights, at replicas that restarted meanwhile
-	FasterShare      float64       // of the others' weights, at their faster half; 0.5: nothing is known of speeds
+	TableDelay       time.Duration // from the restart until every proxy had received a table or the time limit had passed
+	ProxiesWithTable int           // proxies that received a table within the time limit
+	RestartedShare   float64       // fraction of the weights on replicas that restarted while the governor was down
+	FasterShare      float64       // fraction of the other weights on fast replicas; 0.5 means that no speeds are known
 }
--- a/internal/tools/load/proxy.go
+++ b/internal/tools/load/proxy.go
@@ -14,37 +14,37 @@
 	"zincloft.example/zincloft/internal/governor/resp"
 )
 
-// Bounds of a message to a proxy.
+// Limits of a message to a proxy.
 const (
 	maxMessageBytes    = 64 << 20
 	maxMessageElements = 64
 )
 
-// detectedPercent is the percentage of the proxies at which the replica that hangs must have lost most of its weight.
+// detectedPercent is the percentage of the proxies that must have detected the hanging replica.
 const detectedPercent = 99
 
-// proxy is one stream to the governor, and the flows behind it.
+// proxy is a simulated proxy: a connection to the governor and the flows that it routes.
 type proxy struct {
 	site     *site
 	id       int
 	conn     net.Conn
-	writeMu  sync.Mutex  // one message at a time
-	hasTable atomic.Bool // has held a table
-	random   *rand.Rand  // of the goroutine that generates flows
+	writeMu  sync.Mutex  // guards writes to conn
+	hasTable atomic.Bool // has received a table
+	random   *rand.Rand  // used only by generateFlows
 
 	mu           sync.Mutex // guards the fields below
 	weights      []float32  // by replica
 	ejected      map[int]bool
-	hangDetected bool    // the replica that hangs has lost most of its weight here
-	weightBefore float32 // of the replica that is to hang, before it does
+	hangDetected bool    // the hanging replica's weight was cut to a quarter or less
+	weightBefore float32 // weight of the hanging replica before the fault
 
-	// Of the goroutine that generates flows.
-	attempts        []int // by replica, since the last batch
+	// Used only by generateFlows.
+	attempts        []int // by replica, since the last report
 	failures        []int
-	pendingFailures []int // replicas of the attempts that will have failed by the next second
+	pendingFailures []int // replicas of attempts that fail in the next second
 }
 
-// connectProxies connects all proxies, which register with a standing table only.
+// connectProxies connects and registers all proxies with a standing table only.
 func (s *site) connectProxies(ctx context.Context) ([]*proxy, error) {
 	proxies := make([]*proxy, s.plan.Proxies)
 	for id := range proxies {
@@ -80,14 +80,14 @@
 	return err
 }
 
-// currentWeights is a copy of the proxy's table.
+// currentWeights returns a copy of the weights.
 func (p *proxy) currentWeights() []float32 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]float32(nil), p.weights...)
 }
 
-// readMessages applies what the governor orders, and acknowledges it, until the stream ends.
+// readMessages applies and acknowledges the governor's updates until the connection fails.
 func (p *proxy) readMessages() {
 	reader := resp.NewReader(p.conn, maxMessageBytes, maxMessageElements)
 	for {
@@ -113,14 +113,14 @@
 	}
 }
 
-// tableChange is what a message has changed of a table, as far as a run measures it.
+// tableChange describes the effects of an update that a run measures.
 type tableChange struct {
-	cuts         int  // weights of healthy replicas that fell below a quarter
-	drained      bool // the replica that drains was taken out
-	hangDetected bool // the replica that hangs has lost most of its weight with this message
+	cuts         int  // weights of healthy replicas cut to less than a quarter
+	drained      bool // the draining replica's weight became 0
+	hangDetected bool // the hanging replica was detected by this update
 }
 
-// apply applies a message and measures it.
+// apply applies an update and records measurements.
 func (p *proxy) apply(fields map[string]string) {
 	s, now := p.site, p.site.elapsed()
 	p.mu.Lock()
@@ -136,7 +136,7 @@
 	s.result.WeightCuts += change.cuts
 	if change.drained && drainSentAt > 0 {
 		delay := time.Duration(time.Now().UnixNano() - drainSentAt)
-		_ = s.drainDelays.RecordValue(delay.Microseconds()) // fails beyond the histogram's range only, which no run reaches
+		_ = s.drainDelays.RecordValue(delay.Microseconds()) // fails only beyond maxDrainDelay, which no run reaches
 	}
 	if change.hangDetected {
 		s.hangDetections++
@@ -148,10 +148,10 @@
 	p.applyEjections(fields["restore"], false, now)
 }
 
-// percentOf is a percentage of a number, rounded up.
+// percentOf returns a percentage of n, rounded up.
 func percentOf(n, percent int) int { return (n*percent + 99) / 100 }
 
-// updateWeights sets the weights that a message names. The proxy's mutex must be held.
+// updateWeights sets the weights listed in an update. The caller must hold p.mu.
 func (p *proxy) updateWeights(endpoints string, now time.Duration) tableChange {
 	plan := p.site.plan
 	var change tableChange
@@ -184,7 +184,7 @@
 	return change
 }
 
-// totalWeight is the sum of all weights, those of ejected replicas included. The mutex must be held.
+// totalWeight returns the sum of all weights, including those of ejected replicas. The caller must hold p.mu.
 func (p *proxy) totalWeight() float32 {
 	total := float32(0)
 	for _, weight := range p.weights {
@@ -193,8 +193,8 @@
 	return total
 }
 
-// applyEjections ejects or restores the replicas of a list for this proxy, and counts ejections as right or wrong. Both the
-// proxy's and the site's mutex must be held.
+// applyEjections ejects or restores the listed replicas and counts ejections as correct or wrong. The caller must hold the mutexes of
+// the proxy and the site.
 func (p *proxy) applyEjections(names string, eject bool, now time.Duration) {
 	s := p.site
 	for name := range strings.SplitSeq(names, ",") {
@@ -220,8 +220,8 @@
 	}
 }
 
-// replicaNumber is the number in a name of replicaName.
+// replicaNumber is the inverse of replicaName.
 func replicaNumber(name string) int {
-	id, _ := strconv.Atoi(strings.TrimPrefix(name, replicaPrefix)) // governors name only replicas that discovery listed
+	id, _ := strconv.Atoi(strings.TrimPrefix(name, replicaPrefix)) // names are those that discovery listed
 	return id
 }
--- a/internal/tools/load/proxy_test.go
+++ b/internal/tools/load/proxy_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newTestProxy makes a proxy without a stream, of a site with faults at 1, 2 and 3 s.
+// newTestProxy returns a proxy without a connection, of a site with faults at 1, 2 and 3 s.
 func newTestProxy(id int) *proxy {
 	const replicas = 6
 	s := &site{
@@ -17,7 +17,7 @@
 		attempts: make([]int, replicas), failures: make([]int, replicas)}
 }
 
-// TestUpdateWeights measures messages: cuts count for healthy replicas only, and each fault's replica by what is expected of it.
+// TestUpdateWeights checks that weight cuts are counted only for healthy replicas and that the effects of faults are detected.
 func TestUpdateWeights(t *testing.T) {
 	for _, x := range []struct {
 		name          string
@@ -25,12 +25,12 @@
 		at            time.Duration
 		want          tableChange
 	}{
-		{"before the plan's time", "r-0003:1", "r-0003:0.1", -1, tableChange{}},
-		{"a cut", "r-0003:1,r-0004:1", "r-0003:0.2,r-0004:0.3", time.Millisecond, tableChange{cuts: 1}},
-		{"the hanging replica while it is healthy", "r-0000:1", "r-0000:0.2", time.Millisecond, tableChange{cuts: 1}},
-		{"the hanging replica", "r-0000:1", "r-0000:0.2", time.Second + 1, tableChange{hangDetected: true}},
-		{"the hanging replica, not enough", "r-0000:1", "r-0000:0.3", time.Second + 1, tableChange{}},
-		{"the draining replica", "r-0000:1,r-0001:1", "r-0001:0", 2*time.Second + 1, tableChange{drained: true}},
+		{"before the plan starts", "r-0003:1", "r-0003:0.1", -1, tableChange{}},
+		{"weight cut", "r-0003:1,r-0004:1", "r-0003:0.2,r-0004:0.3", time.Millisecond, tableChange{cuts: 1}},
+		{"hanging replica before the fault", "r-0000:1", "r-0000:0.2", time.Millisecond, tableChange{cuts: 1}},
+		{"hanging replica", "r-0000:1", "r-0000:0.2", time.Second + 1, tableChange{hangDetected: true}},
+		{"hanging replica above the threshold", "r-0000:1", "r-0000:0.3", time.Second + 1, tableChange{}},
+		{"draining replica", "r-0000:1,r-0001:1", "r-0001:0", 2*time.Second + 1, tableChange{drained: true}},
 	} {
 		p := newTestProxy(1)
 		p.updateWeights(x.before, 0)
@@ -38,19 +38,20 @@
 			t.Errorf("%s: %+v, want %+v", x.name, got, x.want)
 		}
 		if !p.hasTable.Load() {
-			t.Errorf("%s: the proxy does not count as ready", x.name)
+			t.Errorf("%s: the proxy has no table", x.name)
 		}
 	}
 }
 
-// TestApplyEjections counts an ejection as right only at a proxy that the partial fault hits, of its replica, while it lasts.
+// TestApplyEjections checks that only ejections of the partially hanging replica by an affected proxy during the fault count as
+// correct.
 func TestApplyEjections(t *testing.T) {
 	for _, x := range []struct {
-		proxy int
-		names string
-		at    time.Duration
-		right int
-		wrong int
+		proxy   int
+		names   string
+		at      time.Duration
+		correct int
+		wrong   int
 	}{
 		{partialHangProxyOffset, "r-0002", 4 * time.Second, 1, 0},
 		{partialHangProxyOffset, "r-0002", 2 * time.Second, 0, 1},
@@ -60,21 +61,21 @@
 	} {
 		p := newTestProxy(x.proxy)
 		p.applyEjections(x.names, true, x.at)
-		if r := p.site.result; r.CorrectEjections != x.right || r.WrongEjections != x.wrong {
-			t.Errorf("proxy %d, %q at %v: %d right, %d wrong; want %d and %d", x.proxy, x.names, x.at, r.CorrectEjections, r.WrongEjections, x.right, x.wrong)
+		if r := p.site.result; r.CorrectEjections != x.correct || r.WrongEjections != x.wrong {
+			t.Errorf("proxy %d, %q at %v: %d correct, %d wrong; want %d and %d", x.proxy, x.names, x.at, r.CorrectEjections, r.WrongEjections, x.correct, x.wrong)
 		}
 		p.applyEjections(x.names, false, x.at)
 		for id, ejected := range p.ejected {
 			if ejected {
-				t.Errorf("replica %d is ejected after it was restored", id)
+				t.Errorf("replica %d is still ejected after it was restored", id)
 			}
 		}
 	}
 }
 
-// TestHangingAttemptsFailLater has attempts at the replica that hangs counted as failures with the next second's flows, and none sent
-// to a replica that is ejected.
-func TestHangingAttemptsFailLater(t *testing.T) {
+// TestSendFlows checks that attempts at a hanging replica are counted as failures by the next call, and that no flow is sent to an
+// ejected replica.
+func TestSendFlows(t *testing.T) {
 	p := newTestProxy(1)
 	p.site.start.Store(time.Now().Add(-90 * time.Second).UnixNano())
 	p.updateWeights("r-0000:1,r-0004:1", 0)
@@ -82,7 +83,7 @@
 	stats := &p.site.zoneStats[0]
 	p.sendFlows(5)
 	if stats.attempts[hangingReplica] != 0 || len(p.pendingFailures) != 5 {
-		t.Fatalf("%d attempts counted at once, %d unanswered", stats.attempts[hangingReplica], len(p.pendingFailures))
+		t.Fatalf("%d attempts counted immediately, %d pending failures", stats.attempts[hangingReplica], len(p.pendingFailures))
 	}
 	p.sendFlows(0)
 	if stats.attempts[hangingReplica] != 5 || stats.failures[hangingReplica] != 5 || stats.attempts[4] != 0 {
--- a/internal/tools/load/restart.go
+++ b/internal/tools/load/restart.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// maxRestartTableDelay is how long proxies may take to hold a table after a restart.
+// maxRestartTableDelay is the time limit for all proxies to receive a table after a restart.
 const maxRestartTableDelay = 10 * time.Second
 
-// RunRestart runs a governor for the plan's duration, kills it and takes discovery away, has every second replica restart, and
-// starts the governor again: all proxies connect at once and know only their standing tables.
+// RunRestart runs a governor for the plan's duration, kills it, stops discovery and starts the governor again. Every second replica
+// counts as restarted meanwhile. All proxies reconnect at once and register with a standing table only.
 func RunRestart(ctx context.Context, plan Plan) (RestartResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, plan.Duration+runMargin)
 	defer cancel()
@@ -21,7 +21,7 @@
 		return RestartResult{}, err
 	}
 	defer s.close()
-	if err := s.runFirstIncarnation(ctx); err != nil {
+	if err := s.runBeforeRestart(ctx); err != nil {
 		return RestartResult{}, err
 	}
 	restarted := time.Now()
@@ -40,8 +40,8 @@
 	return result, nil
 }
 
-// runFirstIncarnation runs the governor with discovery and traffic, and ends all of it.
-func (s *site) runFirstIncarnation(ctx context.Context) error {
+// runBeforeRestart runs the governor with discovery and traffic for the plan's duration and stops all of them.
+func (s *site) runBeforeRestart(ctx context.Context) error {
 	governor, err := s.startGovernor(ctx)
 	if err != nil {
 		return err
@@ -52,25 +52,25 @@
 		return err
 	}
 	if _, ready := waitForTables(ctx, proxies, time.Now(), maxTableDelay); ready < len(proxies) {
-		return fmt.Errorf("%d of %d proxies hold a table", ready, len(proxies))
+		return fmt.Errorf("%d of %d proxies received a table", ready, len(proxies))
 	}
-	running := s.startTraffic(ctx, proxies)
+	traffic := s.startTraffic(ctx, proxies)
 	time.Sleep(s.plan.Duration)
 	governor.stop(syscall.SIGKILL)
 	close(s.stopped)
 	s.discovery.close()
-	running.Wait()
+	traffic.Wait()
 	return nil
 }
 
-// addWeights sums up where the proxies' tables send flows. Replicas with odd numbers have restarted; of the others every second
-// one is fast, see Plan.FastReplicas.
+// addWeights computes the weight shares from the proxies' tables. Replicas with odd numbers have restarted; every second one of the
+// others is fast, see Plan.FastReplicas.
 func (r *RestartResult) addWeights(proxies []*proxy) {
-	all, restarted, faster, slower := 0.0, 0.0, 0.0, 0.0
+	total, restarted, faster, slower := 0.0, 0.0, 0.0, 0.0
 	for _, p := range proxies {
 		for id, weight := range p.currentWeights() {
 			w := float64(weight)
-			all += w
+			total += w
 			switch {
 			case id%2 == 1:
 				restarted += w
@@ -81,7 +81,7 @@
 			}
 		}
 	}
-	if all > 0 {
-		r.RestartedShare, r.FasterShare = restarted/all, faster/(faster+slower)
+	if total > 0 {
+		r.RestartedShare, r.FasterShare = restarted/total, faster/(faster+slower)
 	}
 }
--- a/internal/tools/load/run.go
+++ b/internal/tools/load/run.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// runMargin is added to a plan's duration for the start and the end of a run.
+	// runMargin is the time allowed for startup and shutdown in addition to a plan's duration.
 	runMargin = 2 * time.Minute
-	// maxTableDelay is how long proxies may take to hold their first table.
+	// maxTableDelay is the time limit for all proxies to receive their first table.
 	maxTableDelay = time.Minute
-	// baselineStart is when the measurement of CPU time begins, after the first tables.
+	// baselineStart is the plan time at which the baseline measurement starts, after the initial tables were sent.
 	baselineStart = 3 * time.Second
 )
 
-// Run runs a plan to its end. It fails if the governor doesn't start or if a proxy gets no table.
+// Run executes a plan. It fails if the governor does not start or if any proxy receives no table.
 func Run(ctx context.Context, plan Plan) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, plan.Duration+runMargin)
 	defer cancel()
@@ -30,17 +30,17 @@
 		return Result{}, err
 	}
 	defer governor.stop(syscall.SIGTERM)
-	joined := time.Now()
+	connecting := time.Now()
 	proxies, err := s.connectProxies(ctx)
 	if err != nil {
 		return Result{}, err
 	}
-	took, ready := waitForTables(ctx, proxies, joined, maxTableDelay)
+	delay, ready := waitForTables(ctx, proxies, connecting, maxTableDelay)
 	if ready < len(proxies) {
-		return Result{}, fmt.Errorf("%d of %d proxies hold a table after %v", ready, len(proxies), took.Round(time.Second))
+		return Result{}, fmt.Errorf("%d of %d proxies received a table within %v", ready, len(proxies), delay.Round(time.Second))
 	}
-	s.result.TableDelay = took
-	running := s.startTraffic(ctx, proxies)
+	s.result.TableDelay = delay
+	traffic := s.startTraffic(ctx, proxies)
 	s.measureBaseline(governor)
 	s.sleepUntil(plan.DrainAt)
 	s.discovery.drain(drainingReplica)
@@ -50,17 +50,17 @@
 	for _, p := range proxies {
 		p.close()
 	}
-	running.Wait()
+	traffic.Wait()
 	return s.finalResult(), nil
 }
 
-// measureBaseline measures the governor's CPU time between the first tables and the first fault.
+// measureBaseline measures the governor's CPU usage before the first fault.
 func (s *site) measureBaseline(governor *governor) {
-	from, to := s.timeAt(baselineStart), s.timeAt(s.plan.HangAt)
-	time.Sleep(time.Until(from))
+	start, end := s.timeAt(baselineStart), s.timeAt(s.plan.HangAt)
+	time.Sleep(time.Until(start))
 	before := governor.cpuSeconds()
-	time.Sleep(time.Until(to))
-	s.result.CPUUsage = (governor.cpuSeconds() - before) / to.Sub(from).Seconds()
+	time.Sleep(time.Until(end))
+	s.result.CPUUsage = (governor.cpuSeconds() - before) / end.Sub(start).Seconds()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.result.BaselineWeightCuts = s.result.WeightCuts
@@ -74,9 +74,9 @@
 	return s.result
 }
 
-// waitForTables waits until all proxies hold a table, and returns how long that took since a time. After a limit, or when ctx
-// is done, it returns how many do.
-func waitForTables(ctx context.Context, proxies []*proxy, since time.Time, limit time.Duration) (took time.Duration, ready int) {
+// waitForTables waits until all proxies have received a table, the time limit has passed or ctx is done. It returns the time elapsed
+// since the given time and the number of proxies with a table.
+func waitForTables(ctx context.Context, proxies []*proxy, since time.Time, limit time.Duration) (elapsed time.Duration, ready int) {
 	for ; ; time.Sleep(5 * time.Millisecond) {
 		ready = 0
 		for _, p := range proxies {
@@ -84,8 +84,8 @@
 				ready++
 			}
 		}
-		if took = time.Since(since); ready == len(proxies) || ctx.Err() != nil || took > limit {
-			return took, ready
+		if elapsed = time.Since(since); ready == len(proxies) || ctx.Err() != nil || elapsed > limit {
+			return elapsed, ready
 		}
 	}
 }
--- a/internal/tools/load/site.go
+++ b/internal/tools/load/site.go
@@ -11,20 +11,20 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The replicas that faults hit.
+// Replicas affected by faults.
 const (
 	hangingReplica     = 0
 	drainingReplica    = 1
-	partialHangReplica = 2 // hangs for the proxies of which hasPartialHang is true
+	partialHangReplica = 2 // hangs for the proxies selected by hasPartialHang
 )
 
 const (
 	fastReplicaInterval      = 4   // every fourth replica is fast
-	partialHangProxyInterval = 100 // every hundredth proxy is hit by the partial fault
+	partialHangProxyInterval = 100 // every hundredth proxy is affected by the partial hang
 	partialHangProxyOffset   = 7
-	// maxDrainDelay bounds the histogram of drain delays.
+	// maxDrainDelay is the upper bound of the drain delay histogram.
 	maxDrainDelay = time.Minute
-	// histogramDigits are its significant digits.
+	// histogramDigits is the histogram's precision in significant digits.
 	histogramDigits = 3
 )
 
@@ -32,31 +32,30 @@
 
 func hasPartialHang(proxy int) bool { return proxy%partialHangProxyInterval == partialHangProxyOffset }
 
-// replicaPrefix begins the name of each replica.
 const replicaPrefix = "r-"
 
 func replicaName(id int) string { return fmt.Sprintf("%s%04d", replicaPrefix, id) }
 
 func zoneName(zone int) string { return string(rune('a' + zone)) }
 
-// site is a run under way: what governor, proxies, collectors and discovery have in common.
+// site is the shared state of a run's governor, proxies, collectors and discovery.
 type site struct {
 	plan        Plan
-	folder      string
+	directory   string
 	address     string       // of the governor
-	start       atomic.Int64 // unix nanoseconds at which the plan's time begins; 0: not yet
-	drainSentAt atomic.Int64 // unix nanoseconds at which discovery answered with the drain; 0: not yet
+	start       atomic.Int64 // start of the plan's time in Unix nanoseconds; 0: not started
+	drainSentAt atomic.Int64 // Unix nanoseconds of discovery's first response with the drain; 0: none
 	discovery   *discovery
 	zoneStats   []zoneStats
-	stopped     chan struct{} // closed when traffic has to end
+	stopped     chan struct{} // closed to stop traffic
 
 	mu             sync.Mutex              // guards the fields below
 	drainDelays    *hdrhistogram.Histogram // microseconds
 	result         Result
-	hangDetections int // proxies at which the replica that hangs has lost most of its weight
+	hangDetections int // number of proxies that have detected the hanging replica
 }
 
-// zoneStats sums up the attempts of a zone's proxies since its collector last wrote.
+// zoneStats counts the attempts of a zone's proxies since its collector's last report.
 type zoneStats struct {
 	mu       sync.Mutex
 	attempts []int // by replica
@@ -64,13 +63,13 @@
 }
 
 func newSite(plan Plan) (*site, error) {
-	folder, err := os.MkdirTemp("", "zinclab")
+	directory, err := os.MkdirTemp("", "zinclab")
 	if err != nil {
-		return nil, fmt.Errorf("a folder for the run: %w", err)
+		return nil, fmt.Errorf("create directory for the run: %w", err)
 	}
 	s := &site{
 		plan:        plan,
-		folder:      folder,
+		directory:   directory,
 		zoneStats:   make([]zoneStats, plan.Zones),
 		stopped:     make(chan struct{}),
 		drainDelays: hdrhistogram.New(1, int64(maxDrainDelay/time.Microsecond), histogramDigits),
@@ -80,40 +79,40 @@
 		s.zoneStats[zone].attempts, s.zoneStats[zone].failures = make([]int, plan.Replicas), make([]int, plan.Replicas)
 	}
 	if s.discovery, err = startDiscovery(s); err != nil {
-		s.removeFolder()
+		s.removeDirectory()
 		return nil, err
 	}
 	return s, nil
 }
 
-// close ends discovery and removes the run's folder.
+// close stops discovery and removes the run's directory.
 func (s *site) close() {
 	s.discovery.close()
-	s.removeFolder()
+	s.removeDirectory()
 }
 
-func (s *site) removeFolder() {
-	_ = os.RemoveAll(s.folder) // a leftover in the temporary folder does no harm
+func (s *site) removeDirectory() {
+	_ = os.RemoveAll(s.directory) // a leftover temporary directory is harmless
 }
 
-// startTraffic begins the plan's time, the collectors' writing and the proxies' flows. The wait group is done when they have
-// ended, after stopped is closed.
+// startTraffic starts the plan's time, the collectors and the proxies' flows. Its wait group is done when all of them have ended after
+// stopped is closed.
 func (s *site) startTraffic(ctx context.Context, proxies []*proxy) *sync.WaitGroup {
 	s.start.Store(time.Now().UnixNano())
-	running := &sync.WaitGroup{}
+	traffic := &sync.WaitGroup{}
 	for zone := range s.plan.Zones {
-		running.Go(func() { s.collect(ctx, zone) })
+		traffic.Go(func() { s.collect(ctx, zone) })
 	}
 	for _, p := range proxies {
-		running.Go(func() { p.generateFlows(ctx) })
+		traffic.Go(func() { p.generateFlows(ctx) })
 	}
-	return running
+	return traffic
 }
 
-// timeAt is the wall-clock time of a time of the plan, once it has begun.
+// timeAt converts a plan time to wall-clock time. The plan's time must have started.
 func (s *site) timeAt(at time.Duration) time.Time { return time.Unix(0, s.start.Load()).Add(at) }
 
-// elapsed is the time of the plan, below 0 before it begins.
+// elapsed returns the current plan time, negative before it starts.
 func (s *site) elapsed() time.Duration {
 	start := s.start.Load()
 	if start == 0 {
@@ -124,7 +123,7 @@
 
 func (s *site) sleepUntil(at time.Duration) { time.Sleep(time.Until(s.timeAt(at))) }
 
-// wait waits for a time of the plan. It reports false if traffic has to end before.
+// wait waits until a plan time. It returns false if traffic is stopped or ctx is done before.
 func (s *site) wait(ctx context.Context, at time.Duration) bool {
 	select {
 	case <-time.After(time.Until(s.timeAt(at))):
