--- a/cmd/zinclab/main.go
+++ b/cmd/zinclab/main.go
@@ -1,5 +1,5 @@
-// Command zinclab measures governors: it simulates fleets, runs experiments on them, and puts load on governors and gateways on
-// loopback.
+// Command zinclab tests and measures governors and gateways. It simulates fleets, runs experiments on them, and runs load and fault
+// tests on loopback.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	}
 }
 
-// run runs the command line until it ends or a signal asks for its end.
+// run executes the command line until it completes or is interrupted by a signal.
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -29,7 +29,7 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "zinclab",
-		Short:         "Plays loads against a governor, and days of a fleet in simulated time",
+		Short:         "Measures governors under load and simulates fleets",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
