--- a/controlplane/controller/replication.go
+++ b/controlplane/controller/replication.go
@@ -22,8 +22,8 @@
 func (h instanceHints) Instances() []fleet.Instance {
 	instances := h.controller.registry.ChangesSince(h.controller.lastTickAt, registry.AllRevisions)
 	for i, instance := range instances {
-		if instance.WarmthUnknown || slices.Contains(h.controller.evacuatedZones, instance.Zone) {
-			instances[i].WarmthUnknown = false
+		if instance.WarmupStateUnknown || slices.Contains(h.controller.evacuatedZones, instance.Zone) {
+			instances[i].WarmupStateUnknown = false
 			instances[i].Stale = true
 		}
 	}
@@ -116,7 +116,7 @@
 func (c *Controller) updateEvacuations(now time.Duration, register chainreplication.Register) {
 	for _, zone := range c.evacuatedZones {
 		if !register.EvacuatedZones[zone] {
-			c.registry.MarkWarmthUnknown(now, zone)
+			c.registry.MarkWarmupStateUnknown(now, zone)
 		}
 	}
 	if evacuated := sortedKeys(register.EvacuatedZones); !slices.Equal(evacuated, c.evacuatedZones) {
--- a/controlplane/controller/replication_test.go
+++ b/controlplane/controller/replication_test.go
@@ -35,10 +35,10 @@
 				instance, ok := restarted.registry.Get(0, "i1")
 				So(ok, ShouldBeTrue)
 				So(instance.Stale, ShouldBeTrue)
-				restarted.registry.Merge(0, []fleet.Instance{{ID: "i1", Sequence: 1, WarmthUnknown: true}})
+				restarted.registry.Merge(0, []fleet.Instance{{ID: "i1", Sequence: 1, WarmupStateUnknown: true}})
 				instance, _ = restarted.registry.Get(0, "i1")
 				So(instance.Stale, ShouldBeFalse)
-				So(instance.WarmthUnknown, ShouldBeTrue)
+				So(instance.WarmupStateUnknown, ShouldBeTrue)
 			})
 		}
 	})
--- a/controlplane/controller/warmup.go
+++ b/controlplane/controller/warmup.go
@@ -68,5 +68,5 @@
 
 // warmingUp reports whether requests to an instance are limited to its warm-up rate.
 func warmingUp(instance fleet.Instance) bool {
-	return !instance.Draining && (instance.WarmupMillis != 0 || instance.WarmthUnknown || instance.Stale)
+	return !instance.Draining && (instance.WarmupMillis != 0 || instance.WarmupStateUnknown || instance.Stale)
 }
--- a/controlplane/registry/expiry_test.go
+++ b/controlplane/registry/expiry_test.go
@@ -44,16 +44,16 @@
 			So(known, ShouldBeFalse)
 		})
 		// Regression: when a zone's evacuation ends, its replicas may have become cold without having reported it yet.
-		Convey("when its zone's evacuation ends, its warmth is unknown until a later heartbeat", func() {
-			registry.MarkWarmthUnknown(2*second, "a")
+		Convey("when its zone's evacuation ends, its warm-up state is unknown until a later heartbeat", func() {
+			registry.MarkWarmupStateUnknown(2*second, "a")
 			registry.Heartbeat(2*second+10*time.Millisecond, newHeartbeat("i1", 2)) // sent before
 			got, _ := lookup(registry, 2*second, "i1")
-			So(got.WarmthUnknown, ShouldBeTrue)
+			So(got.WarmupStateUnknown, ShouldBeTrue)
 			heartbeat := newHeartbeat("i1", 3)
 			heartbeat.WarmupMillis = 2500
 			registry.Heartbeat(3*second, heartbeat)
 			got, _ = lookup(registry, 3*second, "i1")
-			So(got.WarmthUnknown, ShouldBeFalse)
+			So(got.WarmupStateUnknown, ShouldBeFalse)
 			So(got.WarmupMillis, ShouldEqual, 2500)
 			got, _ = lookup(registry, 4*second, "i1")
 			So(got.WarmupMillis, ShouldEqual, 1500)
--- a/controlplane/registry/instance.go
+++ b/controlplane/registry/instance.go
@@ -12,13 +12,13 @@
 // record is the registry's entry for one instance. Its times are readings of the local monotonic clock.
 type record struct {
 	fleet.Instance
-	revision              uint64 // registry revision of the latest change
-	lastHeartbeat         time.Duration
-	lastDirectHeartbeat   time.Duration // sent to this process
-	warmupUntil           time.Duration
-	deregisteredAt        time.Duration
-	warmthUnknownSince    time.Duration
-	warmthUnknownSequence uint64 // sequence at the time the warmth became unknown
+	revision                   uint64 // registry revision of the latest change
+	lastHeartbeat              time.Duration
+	lastDirectHeartbeat        time.Duration // sent to this process
+	warmupUntil                time.Duration
+	deregisteredAt             time.Duration
+	warmupStateUnknownSince    time.Duration
+	warmupStateUnknownSequence uint64 // sequence at the time the warm-up state became unknown
 }
 
 // snapshot returns the instance with its relative durations computed for now.
@@ -29,9 +29,9 @@
 	return instance
 }
 
-// markWarmthUnknown records that the instance may have become cold after the heartbeat with the given sequence.
-func (r *record) markWarmthUnknown(now time.Duration, sequence uint64) {
-	r.WarmthUnknown = true
-	r.warmthUnknownSince = now
-	r.warmthUnknownSequence = sequence
+// markWarmupStateUnknown records that the instance may have become cold after the heartbeat with the given sequence.
+func (r *record) markWarmupStateUnknown(now time.Duration, sequence uint64) {
+	r.WarmupStateUnknown = true
+	r.warmupStateUnknownSince = now
+	r.warmupStateUnknownSequence = sequence
 }
--- a/controlplane/registry/merge.go
+++ b/controlplane/registry/merge.go
@@ -17,16 +17,16 @@
 	// has become cold again.
 	warmupLaterThreshold = 20 * time.Millisecond
 
-	// warmthUnknownMergeInterval is how long after the warmth became unknown another member's report of unknown warmth is ignored, as
-	// that member may not have received the later heartbeat yet.
-	warmthUnknownMergeInterval = 10 * time.Second
+	// warmupStateUnknownMergeInterval is how long after the warm-up state became unknown another member's report of an unknown state
+	// is ignored, as that member may not have received the later heartbeat yet.
+	warmupStateUnknownMergeInterval = 10 * time.Second
 
-	// warmthUnknownGrace is how long after the warmth became unknown a heartbeat may still describe the previous state.
-	warmthUnknownGrace = 50 * time.Millisecond
+	// warmupStateUnknownGrace is how long after the warm-up state became unknown a heartbeat may still describe the previous state.
+	warmupStateUnknownGrace = 50 * time.Millisecond
 
-	// warmthUnknownSequenceGap is how much higher than warmthUnknownSequence the sequence of an indirect heartbeat must be for it to
-	// clear the unknown warmth.
-	warmthUnknownSequenceGap = 2
+	// warmupStateUnknownSequenceGap is how much higher than warmupStateUnknownSequence the sequence of an indirect heartbeat must be
+	// for it to clear the unknown state.
+	warmupStateUnknownSequenceGap = 2
 )
 
 // instanceReport is a report about an instance by the replica itself, another member or a gateway.
@@ -45,7 +45,7 @@
 // Heartbeat applies a heartbeat that a replica sent to this process.
 func (r *Registry) Heartbeat(now time.Duration, heartbeat fleet.Instance) Change {
 	heartbeat.HeartbeatAgeMillis = 0
-	heartbeat.WarmthUnknown = false
+	heartbeat.WarmupStateUnknown = false
 	heartbeat.Stale = false
 	change := r.apply(&instanceReport{Instance: heartbeat, receivedAt: now, direct: true})
 	if known := r.records[heartbeat.ID]; known != nil {
@@ -101,12 +101,12 @@
 // add adds an unknown instance.
 func (r *Registry) add(report *instanceReport) Change {
 	added := &record{
-		Instance:              report.Instance,
-		lastHeartbeat:         report.sentAt(),
-		lastDirectHeartbeat:   neverReceived,
-		warmupUntil:           report.warmupUntil(),
-		warmthUnknownSince:    report.receivedAt,
-		warmthUnknownSequence: report.Sequence,
+		Instance:                   report.Instance,
+		lastHeartbeat:              report.sentAt(),
+		lastDirectHeartbeat:        neverReceived,
+		warmupUntil:                report.warmupUntil(),
+		warmupStateUnknownSince:    report.receivedAt,
+		warmupStateUnknownSequence: report.Sequence,
 	}
 	if report.Deregistered {
 		added.deregisteredAt = report.receivedAt
@@ -150,22 +150,22 @@
 	}
 	r.Stale = false
 	r.warmupUntil = max(r.warmupUntil, report.warmupUntil())
-	if report.WarmthUnknown {
-		r.markWarmthUnknown(report.receivedAt, report.Sequence)
+	if report.WarmupStateUnknown {
+		r.markWarmupStateUnknown(report.receivedAt, report.Sequence)
 	}
 	return true
 }
 
 // advance applies a report with a higher sequence, and reports whether anything other than the heartbeat has changed.
 func (r *record) advance(report *instanceReport, heartbeatTimeout time.Duration) bool {
-	changed := r.mergeWarmthUnknown(report)
+	changed := r.mergeWarmupStateUnknown(report)
 	r.Sequence = report.Sequence
 	r.lastHeartbeat = max(r.lastHeartbeat, report.sentAt())
 	if r.HeartbeatTimedOut && report.receivedAt-r.lastHeartbeat < heartbeatTimeout {
 		r.HeartbeatTimedOut = false
 		changed = true
 	}
-	if r.clearWarmthUnknown(report) {
+	if r.clearWarmupStateUnknown(report) {
 		changed = true
 	}
 	if r.updateWarmup(report) {
@@ -177,25 +177,26 @@
 	return changed
 }
 
-// mergeWarmthUnknown adopts unknown warmth from a report, if this process missed the end of the zone's evacuation.
-func (r *record) mergeWarmthUnknown(report *instanceReport) bool {
-	if !report.WarmthUnknown || r.WarmthUnknown || report.Stale || report.receivedAt-r.warmthUnknownSince <= warmthUnknownMergeInterval {
+// mergeWarmupStateUnknown adopts an unknown warm-up state from a report if this process missed the end of the zone's evacuation, and
+// reports whether it did.
+func (r *record) mergeWarmupStateUnknown(report *instanceReport) bool {
+	if !report.WarmupStateUnknown || r.WarmupStateUnknown || report.Stale || report.receivedAt-r.warmupStateUnknownSince <= warmupStateUnknownMergeInterval {
 		return false
 	}
-	r.markWarmthUnknown(report.receivedAt, report.Sequence)
+	r.markWarmupStateUnknown(report.receivedAt, report.Sequence)
 	return true
 }
 
-// clearWarmthUnknown clears unknown warmth if the report is based on a heartbeat sent after the warmth became unknown. For indirect heartbeats
-// the send time alone is not reliable, so the sequence must have advanced as well.
-func (r *record) clearWarmthUnknown(report *instanceReport) bool {
-	if !r.WarmthUnknown || report.sentAt() <= r.warmthUnknownSince+warmthUnknownGrace {
+// clearWarmupStateUnknown clears an unknown warm-up state if the report is based on a heartbeat sent after the state became unknown, and
+// reports whether it did. For indirect heartbeats the send time alone is not reliable, so the sequence must have advanced as well.
+func (r *record) clearWarmupStateUnknown(report *instanceReport) bool {
+	if !r.WarmupStateUnknown || report.sentAt() <= r.warmupStateUnknownSince+warmupStateUnknownGrace {
 		return false
 	}
-	if !report.direct && report.Sequence < r.warmthUnknownSequence+warmthUnknownSequenceGap {
+	if !report.direct && report.Sequence < r.warmupStateUnknownSequence+warmupStateUnknownSequenceGap {
 		return false
 	}
-	r.WarmthUnknown = false
+	r.WarmupStateUnknown = false
 	return true
 }
 
--- a/controlplane/registry/merge_test.go
+++ b/controlplane/registry/merge_test.go
@@ -69,11 +69,11 @@
 			})
 			Convey("by a report with the same sequence, whose warm-up state is adopted", func() {
 				heartbeat := newHeartbeat("i1", 1)
-				heartbeat.WarmupMillis, heartbeat.WarmthUnknown = 2000, true
+				heartbeat.WarmupMillis, heartbeat.WarmupStateUnknown = 2000, true
 				registry.Merge(2*second, []fleet.Instance{heartbeat})
 				got, _ = lookup(registry, 2*second, "i1")
 				So(got.Stale, ShouldBeFalse)
-				So(got.WarmthUnknown, ShouldBeTrue)
+				So(got.WarmupStateUnknown, ShouldBeTrue)
 				So(got.WarmupMillis, ShouldEqual, 2000)
 			})
 			Convey("but not by a stale report or one with a lower sequence", func() {
@@ -85,17 +85,17 @@
 			})
 		})
 		// Regression: a member was down during the evacuation of a zone and its end.
-		Convey("unknown warmth is adopted from a newer report, but not again shortly after", func() {
+		Convey("an unknown warm-up state is adopted from a newer report, but not again shortly after", func() {
 			heartbeat := newHeartbeat("i1", 2)
-			heartbeat.WarmthUnknown = true
+			heartbeat.WarmupStateUnknown = true
 			registry.Merge(30*second, []fleet.Instance{heartbeat})
 			got, _ := lookup(registry, 30*second, "i1")
-			So(got.WarmthUnknown, ShouldBeTrue)
+			So(got.WarmupStateUnknown, ShouldBeTrue)
 			registry.Heartbeat(31*second, newHeartbeat("i1", 3))
 			heartbeat.Sequence = 4
 			registry.Merge(31*second, []fleet.Instance{heartbeat})
 			got, _ = lookup(registry, 31*second, "i1")
-			So(got.WarmthUnknown, ShouldBeFalse)
+			So(got.WarmupStateUnknown, ShouldBeFalse)
 		})
 		// Regression: a replica restarted at the same address, or its address was reassigned to another service.
 		Convey("a new instance at the same address deregisters it immediately", func() {
--- a/controlplane/weighting/manager.go
+++ b/controlplane/weighting/manager.go
@@ -131,7 +131,7 @@
 	case instance.Draining || instance.HeartbeatTimedOut:
 		entry.State = rules.Draining
 	}
-	if instance.WarmupMillis > 0 || instance.WarmthUnknown {
+	if instance.WarmupMillis > 0 || instance.WarmupStateUnknown {
 		entry.StartedAt = governorTime(now) // ramp up its weight; the warm-up rate limits requests separately
 	}
 	return entry
--- a/dataplane/loadbalancer/balancer_test.go
+++ b/dataplane/loadbalancer/balancer_test.go
@@ -141,10 +141,10 @@
 			So(float64(n), ShouldBeLessThanOrEqualTo, perSecond*overage+slack)
 		}
 	})
-	Convey("Without a warm-up rate an endpoint of unknown warmth receives no requests", t, func() {
+	Convey("Without a warm-up rate an endpoint of unknown warm-up state receives no requests", t, func() {
 		balancer := New("a")
 		reported := instance("c1", "a")
-		reported.WarmthUnknown = true
+		reported.WarmupStateUnknown = true
 		balancer.UpdateInstances(0, true, []fleet.Instance{reported})
 		So(fmt.Sprint(picks(balancer, s, 50)), ShouldEqual, "map[:50]")
 	})
--- a/dataplane/loadbalancer/endpoint.go
+++ b/dataplane/loadbalancer/endpoint.go
@@ -54,16 +54,16 @@
 // Instance returns the endpoint's state in the form that is reported to control-plane members.
 func (e *Endpoint) Instance(now time.Duration) fleet.Instance {
 	return fleet.Instance{
-		ID:            e.ID,
-		Service:       e.Service,
-		Addr:          e.Addr,
-		Zone:          e.Zone,
-		Slots:         e.Slots,
-		Draining:      e.Draining,
-		Sequence:      e.warmup.sequence,
-		WarmthUnknown: e.warmup.unknown && now < e.warmup.unknownUntil,
-		Stale:         e.warmup.stale && now < e.warmup.unknownUntil,
-		WarmupMillis:  max((e.warmup.until - now).Milliseconds(), 0),
+		ID:                 e.ID,
+		Service:            e.Service,
+		Addr:               e.Addr,
+		Zone:               e.Zone,
+		Slots:              e.Slots,
+		Draining:           e.Draining,
+		Sequence:           e.warmup.sequence,
+		WarmupStateUnknown: e.warmup.unknown && now < e.warmup.unknownUntil,
+		Stale:              e.warmup.stale && now < e.warmup.unknownUntil,
+		WarmupMillis:       max((e.warmup.until - now).Milliseconds(), 0),
 	}
 }
 
--- a/dataplane/loadbalancer/warmup.go
+++ b/dataplane/loadbalancer/warmup.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// unknownWarmthTimeout is how long an endpoint of unknown warmth counts as warming up if no update resolves it. The members
+	// unknownWarmupStateTimeout is how long an endpoint of unknown warm-up state counts as warming up if no update resolves it. The members
 	// that knew may have lost their state.
-	unknownWarmthTimeout = 10 * time.Second
+	unknownWarmupStateTimeout = 10 * time.Second
 
 	// restoredZoneWarmup is how long endpoints count as warming up after the evacuation of their zone has ended: two
 	// heartbeats at the usual interval.
@@ -27,7 +27,7 @@
 	stale    bool          // the state comes from a stale update
 
 	unknown      bool          // the endpoint may be warming up
-	unknownSince uint64        // heartbeats with a greater sequence number resolve the unknown warmth
+	unknownSince uint64        // heartbeats with a greater sequence number resolve the unknown warm-up state
 	unknownUntil time.Duration // time at which an unresolved endpoint counts as warm
 
 	rate     float64 // requests per second that this gateway may send during the warm-up
@@ -61,25 +61,25 @@
 }
 
 // update applies an update of the instance. An update with an older heartbeat is ignored, one with the same heartbeat can only
-// extend the warm-up, and a stale one applies only if no fresh state is known. Unknown warmth is always applied.
+// extend the warm-up, and a stale one applies only if no fresh state is known. An unknown warm-up state is always applied.
 func (w *warmup) update(now time.Duration, instance fleet.Instance) {
 	until := now + time.Duration(instance.WarmupMillis)*time.Millisecond
 	known := w.sequence > 0 && !w.stale
 	if known && instance.Stale {
 		w.until = max(w.until, until)
-		if instance.WarmthUnknown { // the evacuation may have been ended by a member that has just started and sends stale updates
-			w.markUnknown(max(w.sequence, instance.Sequence), now+unknownWarmthTimeout)
+		if instance.WarmupStateUnknown { // the evacuation may have been ended by a member that has just started and sends stale updates
+			w.markUnknown(max(w.sequence, instance.Sequence), now+unknownWarmupStateTimeout)
 		}
 		return
 	}
 	switch {
-	case instance.WarmthUnknown: // the evacuation of the zone ended after the last heartbeat
+	case instance.WarmupStateUnknown: // the evacuation of the zone ended after the last heartbeat
 		w.unknown, w.unknownSince = true, instance.Sequence
 	case !known || instance.Sequence == 0 || instance.Sequence > w.unknownSince:
 		w.unknown = false
 	}
-	if instance.WarmthUnknown || instance.Stale {
-		w.unknownUntil = now + unknownWarmthTimeout
+	if instance.WarmupStateUnknown || instance.Stale {
+		w.unknownUntil = now + unknownWarmupStateTimeout
 	}
 	switch {
 	case known && instance.Sequence > 0 && instance.Sequence < w.sequence:
@@ -106,7 +106,7 @@
 func (b *Balancer) WarmupRate(id string) float64 { return b.warmupRates[id] }
 
 // SetEvacuatedZones sets the zones whose endpoints receive no requests. Endpoints may have become cold during the evacuation
-// of their zone, so their warmth is unknown after its end, until their second new heartbeat. The balancer marks this itself,
+// of their zone, so their warm-up state is unknown after its end, until their second new heartbeat. The balancer marks this itself,
 // because a restarted member may not know of the evacuation.
 func (b *Balancer) SetEvacuatedZones(now time.Duration, zones []string) {
 	for _, endpoint := range b.endpoints {
--- a/dataplane/loadbalancer/warmup_test.go
+++ b/dataplane/loadbalancer/warmup_test.go
@@ -18,7 +18,7 @@
 		update := func(now time.Duration, sequence uint64, warmupMillis int64, flags string) bool {
 			reported := instance("c1", "a")
 			reported.Sequence, reported.WarmupMillis = sequence, warmupMillis
-			reported.WarmthUnknown, reported.Stale = strings.Contains(flags, "unknown"), strings.Contains(flags, "stale")
+			reported.WarmupStateUnknown, reported.Stale = strings.Contains(flags, "unknown"), strings.Contains(flags, "stale")
 			balancer.UpdateInstances(now, flags == "stale", []fleet.Instance{reported})
 			return balancer.Get("c1").WarmingUp(now)
 		}
@@ -32,17 +32,17 @@
 			update(s, 6, 0, "")
 			So(update(s, 5, 3000, ""), ShouldBeFalse)
 		})
-		Convey("unknown warmth applies with any heartbeat, until a newer heartbeat", func() {
+		Convey("an unknown warm-up state applies with any heartbeat, until a newer heartbeat", func() {
 			update(s, 6, 0, "")
 			So(update(s, 5, 0, "unknown"), ShouldBeTrue)
 			So(update(s, 5, 0, ""), ShouldBeTrue) // from a lagging member
 			So(update(s, 6, 0, ""), ShouldBeFalse)
 		})
-		Convey("unknown warmth that no update resolves expires", func() {
+		Convey("an unknown warm-up state that no update resolves expires", func() {
 			update(s, 6, 0, "")
 			update(s, 6, 0, "unknown")
-			So(balancer.Get("c1").WarmingUp(s+unknownWarmthTimeout-1), ShouldBeTrue)
-			So(balancer.Get("c1").WarmingUp(s+unknownWarmthTimeout), ShouldBeFalse)
+			So(balancer.Get("c1").WarmingUp(s+unknownWarmupStateTimeout-1), ShouldBeTrue)
+			So(balancer.Get("c1").WarmingUp(s+unknownWarmupStateTimeout), ShouldBeFalse)
 		})
 		// Guards against stale updates from a member that has just restarted from disk.
 		Convey("a stale update does not override fresh state", func() {
@@ -51,8 +51,8 @@
 			So(update(s, 9, 0, "stale"), ShouldBeFalse)
 		})
 		// Guards against cold endpoints that receive full load when the whole control plane restarts from disk and then ends an
-		// evacuation: its updates are stale, but their unknown warmth must be applied.
-		Convey("unknown warmth in a stale update applies, until a newer heartbeat", func() {
+		// evacuation: its updates are stale, but their unknown warm-up state must be applied.
+		Convey("an unknown warm-up state in a stale update applies, until a newer heartbeat", func() {
 			update(s, 6, 0, "")
 			So(update(s, 5, 0, "stale unknown"), ShouldBeTrue)
 			So(update(s, 6, 0, ""), ShouldBeTrue)
@@ -60,7 +60,7 @@
 		})
 	})
 	// Guards against cold endpoints that receive full load when the control plane restarts around the end of an evacuation, and
-	// no member marks their warmth as unknown.
+	// no member marks their warm-up state as unknown.
 	Convey("Given a gateway for which zones a and b are evacuated", t, func() {
 		balancer := New("a")
 		heartbeat := func(now time.Duration, sequence uint64) bool {
@@ -87,9 +87,9 @@
 			balancer.SetEvacuatedZones(s, []string{"a"})
 			So(balancer.Get("c1").WarmingUp(s), ShouldBeFalse)
 		})
-		Convey("unknown warmth from a member lasts longer than that from the gateway", func() {
+		Convey("an unknown warm-up state from a member lasts longer than that from the gateway", func() {
 			reported := instance("c1", "a")
-			reported.Sequence, reported.WarmthUnknown = 5, true
+			reported.Sequence, reported.WarmupStateUnknown = 5, true
 			balancer.UpdateInstances(s, false, []fleet.Instance{reported})
 			balancer.SetEvacuatedZones(s, []string{"b"})
 			So(balancer.Get("c1").WarmingUp(s+restoredZoneWarmup), ShouldBeTrue)
--- a/fleet/instance.go
+++ b/fleet/instance.go
@@ -24,9 +24,9 @@
 	// HeartbeatAgeMillis is the time since the latest heartbeat, in milliseconds.
 	HeartbeatAgeMillis int64 `cbor:"10,keyasint,omitempty" json:"Age"`
 
-	// WarmthUnknown is set if the instance may have become cold since its latest heartbeat, because the evacuation of its zone has
-	// just finished.
-	WarmthUnknown bool `cbor:"11,keyasint,omitempty" json:"Doubt"`
+	// WarmupStateUnknown is set if the instance may need another warm-up although its latest heartbeat reports none, because the
+	// evacuation of its zone has just finished.
+	WarmupStateUnknown bool `cbor:"11,keyasint,omitempty" json:"Doubt"`
 
 	// HeartbeatTimedOut is the local view of one process, and ends with the next heartbeat. Others do not adopt it, because a member
 	// that was frozen has received no heartbeats and must not deregister the entire fleet when it resumes.
