--- a/intake/tally.go
+++ b/intake/decayingcount.go
@@ -10,22 +10,22 @@
 
 func (c count) total() float64 { return c.attempts }
 
-// tally is a decaying count and the count of the latest period with attempts. The latter shows a replica that has just begun
-// to fail before its earlier successes have decayed.
-type tally struct {
+// decayingCount is an exponentially decaying count, together with the count of the latest period with attempts. The latter
+// shows a replica that has just begun to fail before its earlier successes have decayed. Both are scaled by pairTable.scale.
+type decayingCount struct {
 	count
-	latest count
-	at     rules.Time
+	latest   count
+	latestAt rules.Time // time of the period counted in latest
 }
 
 // addCurrent adds a count of the current period.
-func (t *pairTable) addCurrent(y tally, c count) tally {
-	if y.at != t.now {
-		y.latest, y.at = count{}, t.now
+func (t *pairTable) addCurrent(d decayingCount, c count) decayingCount {
+	if d.latestAt != t.now {
+		d.latest, d.latestAt = count{}, t.now
 	}
 	c.attempts, c.dropped = c.attempts*t.scale, c.dropped*t.scale
-	y.count, y.latest = y.plus(c), y.latest.plus(c)
-	return y
+	d.count, d.latest = d.plus(c), d.latest.plus(c)
+	return d
 }
 
 // scaleAndPrune scales counts and deletes those that have decayed to almost nothing.
--- a/intake/pairs.go
+++ b/intake/pairs.go
@@ -30,8 +30,8 @@
 	scale            float64 // of counts added now
 	pairs            map[pairKey]*pair
 	byDrops          pairHeap
-	byReplica        map[rules.ReplicaID]tally
-	byProxy          map[rules.ProxyID]tally
+	byReplica        map[rules.ReplicaID]decayingCount
+	byProxy          map[rules.ProxyID]decayingCount
 	retries          map[rules.ReplicaID]count // attempts at pairs after their first drop
 	current, pending []*pair                   // pairs with drops in this period; in the previous one, not yet reported
 }
@@ -49,8 +49,8 @@
 }
 
 func newPairTable(capacity int, halfLife time.Duration) pairTable {
-	return pairTable{capacity: capacity, halfLife: halfLife, scale: 1, pairs: map[pairKey]*pair{}, byReplica: map[rules.ReplicaID]tally{},
-		byProxy: map[rules.ProxyID]tally{}, retries: map[rules.ReplicaID]count{}}
+	return pairTable{capacity: capacity, halfLife: halfLife, scale: 1, pairs: map[pairKey]*pair{}, byReplica: map[rules.ReplicaID]decayingCount{},
+		byProxy: map[rules.ProxyID]decayingCount{}, retries: map[rules.ReplicaID]count{}}
 }
 
 // advance sets the current time and deletes decayed pairs.
@@ -74,8 +74,12 @@
 	for _, p := range t.pairs { // preserves the heap order
 		p.attempts, p.dropped = p.attempts*by, p.dropped*by
 	}
-	scaleAndPrune(t.byReplica, func(y tally) tally { return tally{y.scaled(by), y.latest.scaled(by), y.at} })
-	scaleAndPrune(t.byProxy, func(y tally) tally { return tally{y.scaled(by), y.latest.scaled(by), y.at} })
+	scaleAndPrune(t.byReplica, func(d decayingCount) decayingCount {
+		return decayingCount{d.scaled(by), d.latest.scaled(by), d.latestAt}
+	})
+	scaleAndPrune(t.byProxy, func(d decayingCount) decayingCount {
+		return decayingCount{d.scaled(by), d.latest.scaled(by), d.latestAt}
+	})
 	scaleAndPrune(t.retries, func(c count) count { return c.scaled(by) })
 }
 
@@ -91,8 +95,8 @@
 
 // dropShare is the share of attempts that a replica drops.
 func (t *pairTable) dropShare(r rules.ReplicaID) float64 {
-	y := t.byReplica[r]
-	return min(max(y.dropped/max(y.attempts, t.scale), y.latest.dropped/max(y.latest.attempts, t.scale)), 1)
+	d := t.byReplica[r]
+	return min(max(d.dropped/max(d.attempts, t.scale), d.latest.dropped/max(d.latest.attempts, t.scale)), 1)
 }
 
 // add adds a proxy's attempts at a replica and reports whether a pair was evicted, or not added, because the table is full.
@@ -191,7 +195,7 @@
 
 // dropShareWithout is the share of dropped attempts without those of a pair: over all counts or the latest period, whichever
 // is higher.
-func (t *pairTable) dropShareWithout(all tally, pair count) (most float64) {
+func (t *pairTable) dropShareWithout(all decayingCount, pair count) (most float64) {
 	for _, c := range []count{all.count, all.latest} {
 		if attempts := c.attempts - pair.attempts; attempts >= t.scale { // at least one attempt
 			most = max(most, min(max(c.dropped-pair.dropped, 0)/attempts, 1))
