--- a/dataplane/overflow/borrower.go
+++ b/dataplane/overflow/borrower.go
@@ -83,19 +83,19 @@
 		if site.MaxBorrow > 0 {
 			wanted = min(wanted, site.MaxBorrow)
 		}
-		lease, held := d.leases[site.Site]
-		held = held && now < lease.ExpiresAt
-		if held {
+		lease, leased := d.leases[site.Site]
+		leased = leased && now < lease.ExpiresAt
+		if leased {
 			missing -= lease.Rate
 		}
 		deniedAt, denied := d.deniedAt[site.Site]
 		if denied && now-deniedAt < deniedRetryDelay {
 			continue
 		}
-		if !denied && !held {
+		if !denied && !leased {
 			missing -= wanted // farther sites are asked only after this site has responded
 		}
-		if !held || lease.ExpiresAt-now < renewBelow || lease.Rate < sufficientLeaseShare*wanted {
+		if !leased || lease.ExpiresAt-now < renewBelow || lease.Rate < sufficientLeaseShare*wanted {
 			requests = append(requests, LeaseRequest{Site: site.Site, Service: service, Rate: wanted})
 		}
 	}
--- a/internal/daemons/gateway/bench_test.go
+++ b/internal/daemons/gateway/bench_test.go
@@ -90,7 +90,7 @@
 					b.Fatal(err)
 				}
 				_, err = io.Copy(io.Discard, resp.Body)
-				_ = resp.Body.Close() // the body has been read
+				_ = resp.Body.Close() // Copy reports read errors
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/daemons/gateway/clientconn.go
+++ b/internal/daemons/gateway/clientconn.go
@@ -152,8 +152,8 @@
 
 // releaseHead releases the memory reserved for the last head.
 func (c *clientConn) releaseHead() {
-	if held := c.headReserved.Swap(0); held > 0 {
-		c.gateway.headBudget.Release(held)
+	if reserved := c.headReserved.Swap(0); reserved > 0 {
+		c.gateway.headBudget.Release(reserved)
 	}
 }
 
--- a/internal/daemons/gateway/connectionhogs_test.go
+++ b/internal/daemons/gateway/connectionhogs_test.go
@@ -40,16 +40,16 @@
 		sendSlowly(conn, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\n", stop)
 	}},
 	{"a body byte by byte", func(conn net.Conn, stop <-chan struct{}) {
-		_, _ = io.WriteString(conn, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: slow\r\nContent-Length: 900\r\n\r\n") // as above
+		_, _ = io.WriteString(conn, "POST /x/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: slow\r\nContent-Length: 900\r\n\r\n") // the gateway may have closed it
 		sendSlowly(conn, strings.Repeat("b", 900), stop)
 	}},
 	{"idle after a response", func(conn net.Conn, stop <-chan struct{}) {
-		_, _ = io.WriteString(conn, rawPost("idle", "2")) // as above
+		_, _ = io.WriteString(conn, rawPost("idle", "2")) // the gateway may have closed it
 		_, _, _ = readResponse(bufio.NewReader(conn))
 		<-stop
 	}},
 	{"unread response", func(conn net.Conn, stop <-chan struct{}) {
-		_, _ = io.WriteString(conn, rawPost("unread", "2")) // as above
+		_, _ = io.WriteString(conn, rawPost("unread", "2")) // the gateway may have closed it
 		<-stop
 	}},
 	{"connect and reset", func(conn net.Conn, stop <-chan struct{}) {
--- a/internal/daemons/gateway/hostile_test.go
+++ b/internal/daemons/gateway/hostile_test.go
@@ -67,12 +67,12 @@
 		t.Fatal(err)
 	}
 	f.frontListener = listen(t)
-	ledger := hostile.NewRecorder()
+	recorder := hostile.NewRecorder()
 	var replicas []*hostile.Replica
 	var addrs []string
 	for i := range 24 {
 		upstreamReplica := startReplica(t, fmt.Sprint(i))
-		r := hostile.New("", seed+uint64(i), hostileRate, ledger)
+		r := hostile.New("", seed+uint64(i), hostileRate, recorder)
 		upstreamReplica.SetConnectionHandler(r.Serve)
 		replicas, addrs = append(replicas, r), append(addrs, upstreamReplica.Addr())
 	}
@@ -164,7 +164,7 @@
 
 	twice, rejectedExecuted, smuggled := 0, 0, 0
 	for id, x := range results {
-		executions := ledger.Executions(id)
+		executions := recorder.Executions(id)
 		switch {
 		case x.Invalid && executions > 0:
 			smuggled++
@@ -179,10 +179,10 @@
 		}
 	}
 	counts := f.counters.String()
-	behaviours := ledger.Behaviours()
+	behaviours := recorder.Behaviours()
 	identities := len(results)
 	results = nil
-	ledger.Reset()
+	recorder.Reset()
 	_, _, heap := resourceUsage()
 	if heap > heapBefore+8<<20 {
 		t.Errorf("%d KiB on the heap, before %d", heap>>10, heapBefore>>10)
--- a/internal/daemons/telemetry/telemetry_test.go
+++ b/internal/daemons/telemetry/telemetry_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatalf("the metrics were not served: %v", err)
 	}
-	defer func() { _ = response.Body.Close() }() // the body has been read
+	defer func() { _ = response.Body.Close() }() // ReadAll reports read errors
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbeds/modelcheck/membershipmodel/messages_replication.go
+++ b/internal/testbeds/modelcheck/membershipmodel/messages_replication.go
@@ -13,40 +13,40 @@
 		if position < 0 || !m.hasOwnDisk(i) {
 			continue
 		}
-		held, syncedView := m.disk, m.syncedView
+		register, syncedView := m.disk, m.syncedView
 		if model.fault == AckBeforeSync {
-			held, syncedView = m.memory, m.memorySyncedView
+			register, syncedView = m.memory, m.memorySyncedView
 		}
 		if syncedView != m.view.number {
 			continue
 		}
 		if position+1 < m.view.length() {
 			before := len(n.sent)
-			model.send(n, message{kind: forward, viewNumber: m.view.number, from: int8(i), slots: held})
+			model.send(n, message{kind: forward, viewNumber: m.view.number, from: int8(i), slots: register})
 			changed = changed || len(n.sent) > before
 			continue
 		}
-		changed = n.acknowledge(i, m.view.number, held) || changed
+		changed = n.acknowledge(i, m.view.number, register) || changed
 	}
 	return changed
 }
 
 // acknowledge lets the tail of a view acknowledge its register and reports whether that acknowledges anything new. Each
 // acknowledgement must include everything acknowledged before.
-func (n *node) acknowledge(tail int, viewNumber uint8, held slots) bool {
+func (n *node) acknowledge(tail int, viewNumber uint8, acknowledged slots) bool {
 	old := n.state.committed
-	known := held == old && n.state.committedView >= viewNumber
-	ofOlderView := held.length() < old.length() && viewNumber <= n.state.committedView && (held[0] == 0 || held[0] == old[0])
+	known := acknowledged == old && n.state.committedView >= viewNumber
+	ofOlderView := acknowledged.length() < old.length() && viewNumber <= n.state.committedView && (acknowledged[0] == 0 || acknowledged[0] == old[0])
 	if known || ofOlderView {
 		return false
 	}
 	for i := range old {
-		if old[i] != 0 && held[i] != old[i] && n.violation == "" {
+		if old[i] != 0 && acknowledged[i] != old[i] && n.violation == "" {
 			n.violation = fmt.Sprintf("sequence %d was acknowledged as entry %d; the tail %d of view %d acknowledges entry %d",
-				i+1, old[i], tail, viewNumber, held[i])
+				i+1, old[i], tail, viewNumber, acknowledged[i])
 		}
 	}
-	n.state.committed, n.state.committedView = held, max(n.state.committedView, viewNumber)
+	n.state.committed, n.state.committedView = acknowledged, max(n.state.committedView, viewNumber)
 	return true
 }
 
--- a/internal/testbeds/modelcheck/membershipmodel/reconfiguration_invariants.go
+++ b/internal/testbeds/modelcheck/membershipmodel/reconfiguration_invariants.go
@@ -35,7 +35,7 @@
 			runningVoters++
 		}
 		synced := v.hasInChain(i) && (!v.unsynced.has(i) || m.syncedView == cs.newestView)
-		if synced && m.held.startsWith(cs.committed) {
+		if synced && m.register.startsWith(cs.committed) {
 			holderRuns = true
 		}
 	}
@@ -118,10 +118,10 @@
 		v := &cs.views[m.view]
 		isTail := v.length() > 0 && v.position(i) == v.length()-1
 		if m.status == running && m.view > 0 && m.isSynced() && isTail {
-			model.commit(cs, m.view, m.held)
+			model.commit(cs, m.view, m.register)
 		}
 	}
-	oldest := cs.oldestViewHeld()
+	oldest := cs.oldestView()
 	for i := range int(cs.started) {
 		model.updateFlags(cs, i, oldest)
 	}
@@ -132,22 +132,22 @@
 }
 
 // commit lets the tail of a view acknowledge a register, which must include everything acknowledged before and no command twice.
-func (model *reconfigurationModel) commit(cs *clusterState, number uint8, held register) {
+func (model *reconfigurationModel) commit(cs *clusterState, number uint8, acknowledged register) {
 	old := cs.committed
 	switch {
-	case old.startsWith(held) && (number <= cs.committedView || held == old):
-	case !held.startsWith(old):
-		model.violation = fmt.Sprintf("register %v was acknowledged; the tail of view %d acknowledges %v", old, number, held)
+	case old.startsWith(acknowledged) && (number <= cs.committedView || acknowledged == old):
+	case !acknowledged.startsWith(old):
+		model.violation = fmt.Sprintf("register %v was acknowledged; the tail of view %d acknowledges %v", old, number, acknowledged)
 	default:
-		cs.committed = held
-		if command, twice := held.appliedTwice(); twice {
-			model.violation = fmt.Sprintf("command %d is applied twice: %v", command+1, held)
+		cs.committed = acknowledged
+		if command, twice := acknowledged.appliedTwice(); twice {
+			model.violation = fmt.Sprintf("command %d is applied twice: %v", command+1, acknowledged)
 		}
 	}
 	cs.committedView = max(cs.committedView, number)
 	for i := range cs.pending {
 		p := &cs.pending[i]
-		if p.view == number && int(p.sequence) <= held.length() {
+		if p.view == number && int(p.sequence) <= acknowledged.length() {
 			model.answerCommand(cs, *p)
 			*p = pendingCommand{}
 		}
@@ -186,8 +186,8 @@
 	}
 }
 
-// oldestViewHeld returns the number of the oldest view held by a machine that is not lost.
-func (cs *clusterState) oldestViewHeld() uint8 {
+// oldestView returns the number of the oldest view among the machines that are not lost.
+func (cs *clusterState) oldestView() uint8 {
 	oldest := cs.newestView
 	for i := range int(cs.started) {
 		if m := &cs.machines[i]; m.status != lost && m.view > 0 {
@@ -241,7 +241,7 @@
 	return set
 }
 
-// sortPending drops the pending commands of views that are no longer held, and sorts the others.
+// sortPending drops the pending commands of views older than oldest, and sorts the others.
 func (cs *clusterState) sortPending(oldest uint8) {
 	kept := 0
 	for _, p := range cs.pending {
--- a/internal/testbeds/modelcheck/membershipmodel/reconfiguration_liveness.go
+++ b/internal/testbeds/modelcheck/membershipmodel/reconfiguration_liveness.go
@@ -166,7 +166,7 @@
 		from, to := &cs.machines[v.at(position-1)], &cs.machines[v.at(position)]
 		bothRun := from.status == running && to.status == running
 		if bothRun && from.view == cs.newestView && from.canForwardTo(to) {
-			to.held, to.syncedView = from.held, cs.newestView
+			to.register, to.syncedView = from.register, cs.newestView
 		}
 	}
 }
@@ -180,7 +180,7 @@
 	}
 	for i := range cs.machines {
 		if m := &cs.machines[i]; m.status == running && m.view == cs.newestView {
-			m.commitsSeen = uint8(1 + tail.held.length())
+			m.commitsSeen = uint8(1 + tail.register.length())
 		}
 	}
 }
--- a/internal/testbeds/modelcheck/membershipmodel/reconfiguration_reads.go
+++ b/internal/testbeds/modelcheck/membershipmodel/reconfiguration_reads.go
@@ -18,7 +18,7 @@
 				active:             true,
 				member:             uint8(i),
 				view:               m.view,
-				heldLength:         uint8(m.held.length()),
+				registerLength:     uint8(m.register.length()),
 				acknowledgedLength: uint8(cs.committed.length()),
 			}
 			model.emitNormalized(&next, newStep("read starts at %d in view %d", i, int(m.view)))
@@ -34,7 +34,7 @@
 		model.emitNormalized(&next, newStep("%d confirms that view %d is the latest it knows", i, int(read.view)))
 	}
 	confirmed := read.confirmedBy.count() >= v.quorum() || model.fault == LeaseRead
-	if int(read.member) == i && m.commitsSeen > read.heldLength && confirmed {
+	if int(read.member) == i && m.commitsSeen > read.registerLength && confirmed {
 		next := *cs
 		next.read = readRequest{}
 		if m.commitsSeen-1 < read.acknowledgedLength {
--- a/internal/testbeds/modelcheck/membershipmodel/reconfiguration_replication.go
+++ b/internal/testbeds/modelcheck/membershipmodel/reconfiguration_replication.go
@@ -42,17 +42,17 @@
 	m := &next.machines[head]
 	next.submissions[command]++
 	pending := pendingCommand{command: uint8(command), view: m.view}
-	length := m.held.length()
+	length := m.register.length()
 	switch {
-	case m.held.hasCommand(command) && model.fault != CommandAppliedTwice:
-	case mayConflict(command) && m.held.hasCommand(conflictingCommand(command)):
+	case m.register.hasCommand(command) && model.fault != CommandAppliedTwice:
+	case mayConflict(command) && m.register.hasCommand(conflictingCommand(command)):
 		pending.conflict = model.fault != ConflictAcknowledged
 	case length < maxCommands:
-		m.held[length] = newEntry(command, m.view)
+		m.register[length] = newEntry(command, m.view)
 	default:
 		return
 	}
-	pending.sequence = uint8(m.held.length())
+	pending.sequence = uint8(m.register.length())
 	if pending.conflict && model.fault == ConflictReportedEarly {
 		pending.sequence = 0
 		model.answerCommand(&next, pending)
@@ -81,14 +81,14 @@
 		return
 	}
 	next := *cs
-	next.machines[i].held, next.machines[i].syncedView = cs.machines[predecessor].held, m.view
+	next.machines[i].register, next.machines[i].syncedView = cs.machines[predecessor].register, m.view
 	model.emitNormalized(&next, newStep("%d accepts the register of view %d from %d", i, int(m.view), predecessor))
 }
 
 // canForwardTo reports whether a machine is synced and holds more than its successor in the same view.
 func (m *machine) canForwardTo(successor *machine) bool {
 	return m.view == successor.view && m.isSynced() &&
-		(!successor.isSynced() || m.held.length() > successor.held.length())
+		(!successor.isSynced() || m.register.length() > successor.register.length())
 }
 
 // expandCommit emits the step in which a machine learns what the tail of its view has committed.
@@ -96,12 +96,12 @@
 	m := &cs.machines[i]
 	v := &cs.views[m.view]
 	tail := &cs.machines[v.at(v.length()-1)]
-	if tail.view != m.view || !tail.isSynced() || int(m.commitsSeen) >= 1+tail.held.length() {
+	if tail.view != m.view || !tail.isSynced() || int(m.commitsSeen) >= 1+tail.register.length() {
 		return
 	}
 	next := *cs
-	next.machines[i].commitsSeen = uint8(1 + tail.held.length())
-	model.emitNormalized(&next, newStep("%d learns that in view %d the tail has committed %d commands", i, int(m.view), tail.held.length()))
+	next.machines[i].commitsSeen = uint8(1 + tail.register.length())
+	model.emitNormalized(&next, newStep("%d learns that in view %d the tail has committed %d commands", i, int(m.view), tail.register.length()))
 }
 
 // mayConflict reports whether another command is for the same configuration version.
--- a/internal/testbeds/modelcheck/membershipmodel/reconfiguration_state.go
+++ b/internal/testbeds/modelcheck/membershipmodel/reconfiguration_state.go
@@ -55,7 +55,7 @@
 		suspected   bool
 		view        uint8
 		syncedView  uint8
-		held        register
+		register    register
 		commitsSeen uint8 // 1 + the number of commands known to be committed in its view, or 0 if it has seen no commit.
 		accepted    acceptance
 		confirmedBy idSet // Which members notified this one, which is leaving, that they saw a commit in its view.
@@ -81,7 +81,7 @@
 		active             bool
 		member             uint8
 		view               uint8
-		heldLength         uint8 // Number of commands held by the member when the read started.
+		registerLength     uint8 // Number of commands in the member's register when the read started.
 		acknowledgedLength uint8 // Number of commands acknowledged when the read started.
 		confirmedBy        idSet // Voters that know of no later view.
 	}
@@ -90,7 +90,7 @@
 	clusterState struct {
 		machines      [maxIdentities]machine
 		started       uint8                       // Number of identities that have started.
-		views         [maxViews + 1]configuration // By number. Views that are no longer held are cleared.
+		views         [maxViews + 1]configuration // By number. Views older than oldestView are cleared.
 		newestView    uint8
 		proposal      configuration // The only view that can be decided next, if any.
 		superseded    uint8         // Number of proposals that it has replaced.
@@ -217,7 +217,7 @@
 			caughtUp:   true,
 			view:       firstView,
 			syncedView: firstView,
-			held:       acknowledged,
+			register:   acknowledged,
 		}
 		if model.scope.StartsUnsynced && i > 0 {
 			first.unsynced |= 1 << i
--- a/internal/testbeds/soak/client.go
+++ b/internal/testbeds/soak/client.go
@@ -93,7 +93,7 @@
 		return
 	}
 	body, err := io.ReadAll(response.Body)
-	_ = response.Body.Close() // it was read
+	_ = response.Body.Close() // ReadAll reports read errors
 	if err != nil {
 		c.fail(request, err)
 		return
--- a/internal/testbeds/soak/cluster.go
+++ b/internal/testbeds/soak/cluster.go
@@ -188,7 +188,7 @@
 	if err != nil {
 		return 0, "", err.Error()
 	}
-	defer func() { _ = response.Body.Close() }() // it was read
+	defer func() { _ = response.Body.Close() }() // ReadAll reports read errors
 	read, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, "", err.Error()
@@ -241,7 +241,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = response.Body.Close() }() // it was read
+	defer func() { _ = response.Body.Close() }() // ReadAll reports read errors
 	body, err := io.ReadAll(response.Body)
 	return string(body), err
 }
--- a/internal/testbeds/soak/exhaustion.go
+++ b/internal/testbeds/soak/exhaustion.go
@@ -65,7 +65,7 @@
 // sendBodySlowly sends a head at once and its body byte by byte. The path matches no route and no control call, so nothing is
 // executed.
 func sendBodySlowly(ctx context.Context, conn net.Conn, host string) {
-	_, _ = fmt.Fprintf(conn, "POST /hoard HTTP/1.1\r\nHost: %s\r\nContent-Length: 1000\r\n\r\n", host) // as above
+	_, _ = fmt.Fprintf(conn, "POST /hoard HTTP/1.1\r\nHost: %s\r\nContent-Length: 1000\r\n\r\n", host) // the daemon may have closed it
 	sendSlowly(ctx, conn, "0123456789")
 }
 
@@ -85,7 +85,7 @@
 
 // holdKeepAlive sends a valid request, reads the response and keeps the connection idle.
 func holdKeepAlive(ctx context.Context, conn net.Conn, host string) {
-	_, _ = fmt.Fprintf(conn, "GET /hoard HTTP/1.1\r\nHost: %s\r\n\r\n", host) // as above
+	_, _ = fmt.Fprintf(conn, "GET /hoard HTTP/1.1\r\nHost: %s\r\n\r\n", host) // the daemon may have closed it
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return
@@ -96,6 +96,6 @@
 }
 
 func holdUnreadResponse(ctx context.Context, conn net.Conn, host string) {
-	_, _ = fmt.Fprintf(conn, "GET /metrics HTTP/1.1\r\nHost: %s\r\n\r\n", host) // as above
+	_, _ = fmt.Fprintf(conn, "GET /metrics HTTP/1.1\r\nHost: %s\r\n\r\n", host) // the daemon may have closed it
 	<-ctx.Done()
 }
--- a/internal/testbeds/soak/faults.go
+++ b/internal/testbeds/soak/faults.go
@@ -163,7 +163,7 @@
 func keepDown(ctx context.Context, daemons ...*daemon) {
 	var killed sync.WaitGroup
 	for _, d := range daemons {
-		release := d.holdDown()
+		release := d.blockRestart()
 		defer release()
 		killed.Go(d.kill)
 	}
@@ -188,7 +188,7 @@
 
 // wipe kills a member, deletes its data directory and keeps it down until ctx ends.
 func wipe(ctx context.Context, member *daemon) error {
-	release := member.holdDown()
+	release := member.blockRestart()
 	defer release()
 	member.kill()
 	err := member.wipe()
--- a/internal/testbeds/soak/operator.go
+++ b/internal/testbeds/soak/operator.go
@@ -224,7 +224,7 @@
 	if err != nil {
 		return 0, nil, ""
 	}
-	defer func() { _ = response.Body.Close() }() // it was read
+	defer func() { _ = response.Body.Close() }() // ReadAll reports read errors
 	responseBody, err = io.ReadAll(response.Body)
 	if err != nil {
 		return 0, nil, ""
--- a/internal/testbeds/soak/process.go
+++ b/internal/testbeds/soak/process.go
@@ -29,7 +29,7 @@
 	maxFindings      = 20 // per process
 )
 
-// daemon is the process of one host. It is restarted whenever it exits, except while a fault holds it down.
+// daemon is the process of one host. It is restarted whenever it exits, except while a fault prevents it.
 type daemon struct {
 	host
 	program       string
@@ -42,7 +42,7 @@
 	command       *exec.Cmd
 	ended         chan struct{}
 	expectedEvent ProcessEventKind // recorded at the next exit; empty: no exit is expected
-	heldDown      int              // number of faults that prevent a restart
+	restartBlocks int              // number of faults that prevent a restart
 	firstStart    bool
 	finished      bool // the run is over
 	restarting    sync.WaitGroup
@@ -64,7 +64,7 @@
 func (d *daemon) start() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.finished || d.heldDown > 0 || d.command != nil && !hasEnded(d.ended) {
+	if d.finished || d.restartBlocks > 0 || d.command != nil && !hasEnded(d.ended) {
 		return nil // a concurrent call may have started it already
 	}
 	if err := d.prepare(); err != nil {
@@ -184,15 +184,15 @@
 	}
 }
 
-// holdDown prevents a restart of the process until release is called.
-func (d *daemon) holdDown() (release func()) {
+// blockRestart prevents a restart of the process until release is called.
+func (d *daemon) blockRestart() (release func()) {
 	d.mu.Lock()
-	d.heldDown++
+	d.restartBlocks++
 	d.mu.Unlock()
 	return func() {
 		d.mu.Lock()
-		d.heldDown--
-		down := d.heldDown == 0 && hasEnded(d.ended)
+		d.restartBlocks--
+		down := d.restartBlocks == 0 && hasEnded(d.ended)
 		d.mu.Unlock()
 		if !down {
 			return
@@ -264,6 +264,6 @@
 	if err != nil {
 		return false
 	}
-	_ = response.Body.Close() // nothing was read from it
+	_ = response.Body.Close() // only the status is needed
 	return response.StatusCode == http.StatusOK
 }
--- a/internal/testbeds/soak/relay.go
+++ b/internal/testbeds/soak/relay.go
@@ -77,7 +77,7 @@
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
-	_ = r.listener.Close() // only fails when it is closed already
+	_ = r.listener.Close() // fails only if it is closed already
 	r.reset()
 }
 
@@ -85,7 +85,7 @@
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails on a closed connection only
 	}
-	_ = conn.Close() // likewise
+	_ = conn.Close() // fails only if it is closed already
 }
 
 func (r *relay) accept() {
--- a/internal/testbeds/standin/graphite.go
+++ b/internal/testbeds/standin/graphite.go
@@ -1,4 +1,4 @@
-// Package standin provides test fakes of external systems. They follow the published protocols and can also be told to misbehave.
+// Package standin provides test fakes of external systems. They follow the published protocols and can be made to misbehave.
 package standin
 
 import (
--- a/internal/testbeds/standin/upstream/upstream.go
+++ b/internal/testbeds/standin/upstream/upstream.go
@@ -105,7 +105,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for conn := range r.connections {
-		_ = conn.Close() // likewise
+		_ = conn.Close() // fails only if it is closed already
 	}
 }
 
--- a/rules/proxy.go
+++ b/rules/proxy.go
@@ -11,7 +11,7 @@
 	id        ProxyID
 	zone      ZoneID
 	rate      float64 // flows per second at the time of joining
-	fresh     bool    // held only its default tables when it joined
+	fresh     bool    // had only its default tables when it joined
 	entryCost float64 // channel entries per table entry when it is bound
 	table     [2]*table
 	messages  []Time         // send times of messages within the message span
