--- a/controlplane/controller/actions.go
+++ b/controlplane/controller/actions.go
@@ -4,7 +4,7 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// Actions are the side effects that the caller of Step must perform, in field order.
+// Actions are the side effects that the caller of Step must perform, in field order. LogEvents may be written at any time.
 type Actions struct {
 	Send             []Send        `cbor:"1,keyasint,omitempty"`
 	Write            []byte        `cbor:"2,keyasint,omitempty"` // to be written to stable storage; the caller then reports a WriteResult event
--- a/controlplane/controller/gossip.go
+++ b/controlplane/controller/gossip.go
@@ -76,7 +76,7 @@
 		c.connectedPeers[peer.ID] = reachable
 		c.send(peer.Addr, Message{Instances: appendHeartbeats(instances, heartbeats), Fleet: &summary})
 	}
-	c.removeUnreachablePeers(now)
+	c.pruneGatewaySummaries(now)
 }
 
 // recentChanges returns the instances that changed within the last gossipRepeatPeriod.
@@ -88,8 +88,8 @@
 	return c.registry.ChangesSince(now, c.gossipRevisions[0].revision)
 }
 
-// removeUnreachablePeers drops the gateway summaries of unreachable members, as their gateways reconnect to other members.
-func (c *Controller) removeUnreachablePeers(now time.Duration) {
+// pruneGatewaySummaries drops the gateway counts and summaries of unreachable members, as their gateways reconnect to other members.
+func (c *Controller) pruneGatewaySummaries(now time.Duration) {
 	for _, id := range sortedKeys(c.peerGatewayCounts) {
 		if !c.coordinator.IsReachable(now, id) {
 			delete(c.peerGatewayCounts, id)
--- a/controlplane/controller/instances.go
+++ b/controlplane/controller/instances.go
@@ -21,7 +21,7 @@
 		if change.Urgent {
 			c.logInfo("draining", "instance", heartbeat.ID)
 		}
-		// Other members may consider the instance warm, or assume a shorter warm-up. Draining is sent by replicateRemoval.
+		// Other members may consider the instance warm, or assume a shorter warm-up. A drain is sent to them by replicateRemoval.
 		if !heartbeat.Draining && heartbeat.WarmupMillis > 0 {
 			c.broadcastInstances(now, []fleet.Instance{heartbeat})
 		}
--- a/controlplane/controller/removals.go
+++ b/controlplane/controller/removals.go
@@ -20,8 +20,8 @@
 }
 
 // removalCall is a replica's call to drain or deregister. It is acknowledged only after a quorum has persisted the removal, so that
-// the replica receives no further requests even if the member that it called fails. A deregistered replica sends no further
-// heartbeats, so the removal would not be learned again.
+// the replica receives no further requests even if the member that it called fails. The replica would not report a lost
+// deregistration again, as it sends no further heartbeats.
 type removalCall struct {
 	removal
 	instance fleet.Instance // as sent to the other members
--- a/controlplane/controller/replication.go
+++ b/controlplane/controller/replication.go
@@ -17,8 +17,8 @@
 // Revision returns the revision of the registry.
 func (h instanceHints) Revision() uint64 { return h.controller.registry.Revision() }
 
-// Instances returns all instances. Those that may have to warm up after the evacuation of their zone ends are marked as stale, because the write
-// that includes them may be the one that commits that end.
+// Instances returns all instances. Those in an evacuated zone are marked as stale, because the write that includes them may also commit the end
+// of the evacuation, after which they may have to warm up. Those of unknown warm-up state are marked as stale instead.
 func (h instanceHints) Instances() []fleet.Instance {
 	instances := h.controller.registry.ChangesSince(h.controller.lastTickAt, registry.AllRevisions)
 	for i, instance := range instances {
--- a/dataplane/router/report.go
+++ b/dataplane/router/report.go
@@ -10,8 +10,8 @@
 // staleAfter is the time without updates after which a gateway reports its instances as stale.
 const staleAfter = 3 * time.Second
 
-// Report returns the load report for the period since the last report and resets the statistics. The share of its CPU that the
-// gateway used in this period, cpuUtilization, is a number in [0, 1].
+// Report returns the load report for the period since the last report and resets the statistics. cpuUtilization is the share of
+// its CPU that the gateway used in this period, a number in [0, 1].
 func (r *Router) Report(now, period time.Duration, cpuUtilization float64) *messages.LoadReport {
 	report := &messages.LoadReport{PeriodMillis: period.Milliseconds(), Requests: r.requestCounts}
 	if r.maintenanceEnabled {
@@ -50,7 +50,7 @@
 	report := &messages.LoadReport{Sequence: r.sequence}
 	for _, endpoint := range r.balancer.All() {
 		instance := endpoint.Instance(now)
-		instance.Stale = instance.Stale || r.silenceBeforeStream > staleAfter
+		instance.Stale = instance.Stale || r.gapBeforeStream > staleAfter
 		report.Instances = append(report.Instances, instance)
 	}
 	return report
--- a/dataplane/router/request.go
+++ b/dataplane/router/request.go
@@ -9,8 +9,8 @@
 	"zincloft.example/zincloft/dataplane/retry"
 )
 
-// budgetDivisor divides the retry limits of the settings, of which gateways use only half. Half the ratio is kept in reserve
-// because a deposit may be withdrawn in the window after its request, and half the slack because gateways may not know of each
+// budgetDivisor divides the retry limits of the settings, so that gateways use only half of them: half of the ratio, because a
+// deposit may be withdrawn in a later window than its request, and half of the slack, because gateways may not know of each
 // other.
 const budgetDivisor = 2
 
--- a/dataplane/router/router.go
+++ b/dataplane/router/router.go
@@ -22,7 +22,7 @@
 // ReadinessPropagation is the time that the platform needs to redirect clients after a gateway has become unready.
 const ReadinessPropagation = 2500 * time.Millisecond
 
-// minGateways is the smallest number of gateways that shares are computed with, as only a few gateways are known initially.
+// minGateways is a lower bound on the number of gateways that shares are computed for, as only a few are known initially.
 const minGateways = 8
 
 // Settings are the fixed settings of a gateway. Limits apply to all gateways together.
@@ -46,19 +46,19 @@
 	random   func() float64 // returns numbers in [0, 1) from source
 
 	// State from the control plane.
-	config              *gatewayconfig.Config // nil until one is received
-	sequence            uint64                // sequence number of the replicated register in force
-	members             []fleet.Member        // control-plane members
-	gateways            int                   // number of gateways connected to all members together; 0 if unknown
-	maxGateways         int                   // greatest value of gateways so far
-	gatewaysKnownSince  time.Duration         // when the number of gateways was first received
-	hasTable            bool                  // a full update was applied
-	lastUpdateAt        time.Duration
-	updateCount         uint64        // number of applied updates
-	streaming           bool          // the current stream began with a full update
-	silenceBeforeStream time.Duration // time without updates before the current stream
-	hasWarmupRates      bool          // some warm-up rate has not expired
-	isolated            bool          // no member is reachable, so send rates are limited; see updateIsolation
+	config             *gatewayconfig.Config // nil until one is received
+	sequence           uint64                // sequence number of the replicated register in force
+	members            []fleet.Member        // control-plane members
+	gateways           int                   // number of gateways connected to all members together; 0 if unknown
+	maxGateways        int                   // greatest value of gateways so far
+	gatewaysKnownSince time.Duration         // when the number of gateways was first received
+	hasTable           bool                  // a full update was applied
+	lastUpdateAt       time.Duration
+	updateCount        uint64        // number of applied updates
+	streaming          bool          // the current stream began with a full update
+	gapBeforeStream    time.Duration // time without updates before the current stream
+	hasWarmupRates     bool          // some warm-up rate has not expired
+	isolated           bool          // no member is reachable, so send rates are limited; see updateIsolation
 
 	// Requests and attempts.
 	balancer      *loadbalancer.Balancer
--- a/dataplane/router/update.go
+++ b/dataplane/router/update.go
@@ -21,12 +21,12 @@
 // Apply applies an update from a control-plane member. A register or configuration that is older than the one in force is
 // ignored.
 //
-// If no update arrived within the stream for more than WarmupRateLifetime, this gateway or the member was stalled and buffered
+// If no update arrived on the stream for more than WarmupRateLifetime, this gateway or the member was stalled and buffered
 // updates may be stale. Apply then ignores the update and ends the stream.
 func (r *Router) Apply(now time.Duration, update *messages.StateUpdate) (result UpdateResult) {
 	switch {
 	case update.Full:
-		r.streaming, r.silenceBeforeStream = true, now-r.lastUpdateAt
+		r.streaming, r.gapBeforeStream = true, now-r.lastUpdateAt
 	case r.streaming && now-r.lastUpdateAt > messages.WarmupRateLifetime:
 		r.StreamEnded(now)
 		return UpdateResult{Stale: true}
--- a/dataplane/router/warmup.go
+++ b/dataplane/router/warmup.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// isolatedAfter is the time without updates after which a gateway limits its send rates. It is the longest that an update
-	// about an endpoint that is warming up may take.
+	// isolatedAfter is the time without updates after which a gateway limits its send rates. An update about an endpoint that is
+	// warming up may take at most this long.
 	isolatedAfter = 2 * time.Second
 
-	// isolatedRateShare is the rate at which all isolated gateways together send to an endpoint, as a fraction of what an
-	// endpoint that is warming up may be sent.
+	// isolatedRateShare is the rate at which all isolated gateways together send to an endpoint, as a fraction of the maximum
+	// rate to an endpoint that is warming up.
 	isolatedRateShare = 0.9
 )
 
@@ -35,8 +35,8 @@
 }
 
 // updateIsolation limits the send rates of a gateway that has received no update for longer than isolatedAfter. Such a gateway
-// does not learn which endpoints are warming up, so it sends to each endpoint at most its share of what one that is warming up
-// may be sent. Services whose replicas need no warm-up are not limited.
+// does not learn which endpoints are warming up, so it sends to each endpoint at most its share of the maximum rate to one that
+// is warming up. Services whose replicas need no warm-up are not limited.
 func (r *Router) updateIsolation(now time.Duration) {
 	isolated := r.hasTable && r.config != nil && now-r.lastUpdateAt > isolatedAfter
 	if isolated == r.isolated {
--- a/internal/daemons/gateway/clientconn.go
+++ b/internal/daemons/gateway/clientconn.go
@@ -45,8 +45,8 @@
 	idle      atomic.Bool
 	idleSince time.Time
 
-	headBytes    int          // read of the current head; used only by the server's goroutine
-	headReserved atomic.Int64 // bytes reserved for it in headBudget
+	headBytes    int          // bytes read of the current head; used only by the server's goroutine
+	headReserved atomic.Int64 // bytes reserved for the current head in headBudget
 
 	busy       bool // a handler is running and sets the deadlines; used only by the server's goroutine
 	hadRequest bool // a request has been received; used only by the server's goroutine
@@ -75,7 +75,7 @@
 	if state == http.StateNew || state == http.StateIdle {
 		c.idle.Store(true)
 	}
-	if state == http.StateActive {
+	if state == http.StateActive { // the head has been parsed or rejected
 		c.headBytes = 0
 		c.releaseHead()
 	}
--- a/internal/daemons/gateway/lifecycle.go
+++ b/internal/daemons/gateway/lifecycle.go
@@ -30,7 +30,7 @@
 	exitTimeReserve            = 300 * time.Millisecond // part of the grace period reserved for process exit
 	closeUnusedInterval        = 20 * time.Millisecond
 	minServerHeaderBytes       = 64 << 10               // limit of http.Server; handleRequest enforces the configured one
-	unconfiguredServeDelay     = 500 * time.Millisecond // after the start without a configuration; clients wait a second for their request to be read
+	unconfiguredServeDelay     = 500 * time.Millisecond // after the start, until clients are served without a configuration; less than the second that they wait for their request to be read
 	gcMemoryShare              = 0.6                    // of the memory limit, passed to the garbage collector
 )
 
--- a/internal/testbeds/soak/check_test.go
+++ b/internal/testbeds/soak/check_test.go
@@ -16,7 +16,7 @@
 		Instances:  []*Instance{{ID: "i-1", Service: "orders", Zone: "c"}},
 		Operations: []Operation{
 			{Kind: PutOperation, Member: "member-1", Version: 5, Call: 1 * second, Return: 2 * second, Status: 200},
-			{Operator: operatorCount, Kind: ReadOperation, Member: "member-2", Version: 5, Call: 60 * second, Return: 61 * second, Status: 200},
+			{Operator: finalReadOperator, Kind: ReadOperation, Member: "member-2", Version: 5, Call: 60 * second, Return: 61 * second, Status: 200},
 		},
 		RecoveredAt: 50 * second,
 		EndedAt:     70 * second,
--- a/internal/testbeds/soak/checkconfig.go
+++ b/internal/testbeds/soak/checkconfig.go
@@ -81,7 +81,7 @@
 func (c *checker) checkFinalReads() {
 	answered := false
 	for _, read := range c.record.Operations {
-		if read.Operator != operatorCount || read.Kind != ReadOperation || !read.Acknowledged() {
+		if read.Operator != finalReadOperator || read.Kind != ReadOperation || !read.Acknowledged() {
 			continue
 		}
 		answered = true
--- a/internal/testbeds/soak/client.go
+++ b/internal/testbeds/soak/client.go
@@ -22,7 +22,7 @@
 	clientDialTimeout = time.Second
 	unsafeShare       = 0.4
 	probeShare        = 0.25
-	hostSafe          = "shop.example"
+	shopHost          = "shop.example"
 	safePath          = "/read/"
 	unsafePath        = "/order/"
 	probePath         = "/probe-"
@@ -147,7 +147,7 @@
 	case SafeRequest:
 	}
 	return fmt.Sprintf("%s %sx HTTP/1.1\r\nHost: %s\r\nX-Attempt-Id: %s\r\nX-Deadline-Ms: %d\r\nContent-Length: %d\r\n\r\n%s",
-		r.method(), path, hostSafe, r.ID, requestDeadline.Milliseconds(), len(body), body)
+		r.method(), path, shopHost, r.ID, requestDeadline.Milliseconds(), len(body), body)
 }
 
 // malformedRequests are truncated requests, garbage, and requests with ambiguous framing.
--- a/internal/testbeds/soak/cluster.go
+++ b/internal/testbeds/soak/cluster.go
@@ -172,7 +172,7 @@
 	if err != nil {
 		return false
 	}
-	request.Host, request.Close = hostSafe, true
+	request.Host, request.Close = shopHost, true
 	sent := Request{Gateway: gateway.name, Kind: SafeRequest, SentAt: c.now()}
 	sent.ID = fmt.Sprintf("settled-%s-%d", gateway.name, sent.SentAt)
 	request.Header.Set("X-Attempt-Id", sent.ID)
@@ -201,7 +201,7 @@
 	c.stopTraffic()
 	c.traffic.Wait()
 	for _, member := range c.members {
-		c.operators.call(Operation{Operator: operatorCount, Kind: ReadOperation, Member: member.name})
+		c.operators.call(Operation{Operator: finalReadOperator, Kind: ReadOperation, Member: member.name})
 	}
 	c.checkInvariantMetrics(ctx)
 	c.fleet.close()
@@ -246,7 +246,7 @@
 	return string(body), err
 }
 
-// close ends everything that is still running. After finish only the relays are.
+// close ends everything that is still running. After finish, that is only the relays.
 func (c *cluster) close() {
 	c.cancel()
 	if c.stopTraffic != nil {
--- a/internal/testbeds/soak/operator.go
+++ b/internal/testbeds/soak/operator.go
@@ -17,6 +17,7 @@
 
 const (
 	operatorCount        = 2
+	finalReadOperator    = operatorCount          // recorded for the reads at the end of a run
 	operatorPause        = 250 * time.Millisecond // mean pause between two calls of an operator
 	callTimeout          = time.Second
 	probeRoutes          = 40 // a configuration routes the probe paths of this many newest versions
@@ -27,7 +28,7 @@
 )
 
 const (
-	configurationHead = `{"version":"%08x","services":[{"name":"reads","health_check_path":"/health","max_connections":100},{"name":"orders","health_check_path":"/health","max_connections":100}],` +
+	configurationTemplate = `{"version":"%08x","services":[{"name":"reads","health_check_path":"/health","max_connections":100},{"name":"orders","health_check_path":"/health","max_connections":100}],` +
 		`"limits":{"max_header_bytes":16384,"max_body_bytes":1048576,"header_timeout":"3000ms","idle_timeout":"15000ms"},"virtual_hosts":[{"hostname":"shop.example","path_routes":[%s]}]}`
 	routeTemplate = `{"name":%q,"path_prefix":%q,"kind":%q,"timeout":"3000ms","target_latency":"600ms","max_attempts":2,"service":%q}`
 )
@@ -43,7 +44,7 @@
 		name := fmt.Sprintf("%s%08x/", probePath, v)
 		routes = append(routes, fmt.Sprintf(routeTemplate, name, name, "safe", "reads"))
 	}
-	return fmt.Appendf(nil, configurationHead, version, strings.Join(routes, ","))
+	return fmt.Appendf(nil, configurationTemplate, version, strings.Join(routes, ","))
 }
 
 // operators write configurations with increasing versions, occasionally evacuate a zone, and read the configuration from random
@@ -57,7 +58,7 @@
 	ackCallbacks []func(member string)
 }
 
-// acknowledgedVersion is a configuration version that was the highest acknowledged one at a time.
+// acknowledgedVersion is a configuration version and when it became the highest acknowledged one.
 type acknowledgedVersion struct {
 	version uint64
 	at      time.Duration
--- a/internal/testbeds/soak/replica.go
+++ b/internal/testbeds/soak/replica.go
@@ -180,8 +180,8 @@
 	r.link.close()
 }
 
-// leave makes a replica leave as planned: it announces a drain or deregisters, continues to serve and stops. member receives the first
-// announcement; if it is empty, the target of the heartbeats does.
+// leave makes a replica leave as planned: it announces a drain or deregisters, continues to serve for departureServingTime and then stops.
+// member receives the first announcement; if it is empty, the target of the heartbeats does.
 func (f *fleet) leave(ctx context.Context, position int, departure, member string) {
 	leaving := f.detach(ctx, position)
 	if member != "" {
