--- a/controlplane/controller/replication.go
+++ b/controlplane/controller/replication.go
@@ -17,13 +17,13 @@
 // Revision returns the revision of the registry.
 func (h instanceHints) Revision() uint64 { return h.controller.registry.Revision() }
 
-// Instances returns all instances. Those that may have to warm up after the evacuation of their zone ends are marked as stale, because the write
-// that includes them may be the one that commits that end.
+// Instances returns all instances. Those in an evacuated zone are marked as stale, because the write that includes them may also commit the end
+// of the evacuation, after which they may have to warm up. Those of unknown warm-up state are marked as stale instead.
 func (h instanceHints) Instances() []fleet.Instance {
 	instances := h.controller.registry.ChangesSince(h.controller.lastTickAt, registry.AllRevisions)
 	for i, instance := range instances {
-		if instance.WarmthUnknown || slices.Contains(h.controller.evacuatedZones, instance.Zone) {
-			instances[i].WarmthUnknown = false
+		if instance.WarmupStateUnknown || slices.Contains(h.controller.evacuatedZones, instance.Zone) {
+			instances[i].WarmupStateUnknown = false
 			instances[i].Stale = true
 		}
 	}
@@ -116,7 +116,7 @@
 func (c *Controller) updateEvacuations(now time.Duration, register chainreplication.Register) {
 	for _, zone := range c.evacuatedZones {
 		if !register.EvacuatedZones[zone] {
-			c.registry.MarkWarmthUnknown(now, zone)
+			c.registry.MarkWarmupStateUnknown(now, zone)
 		}
 	}
 	if evacuated := sortedKeys(register.EvacuatedZones); !slices.Equal(evacuated, c.evacuatedZones) {
--- a/internal/testbeds/soak/cluster.go
+++ b/internal/testbeds/soak/cluster.go
@@ -172,7 +172,7 @@
 	if err != nil {
 		return false
 	}
-	request.Host, request.Close = hostSafe, true
+	request.Host, request.Close = shopHost, true
 	sent := Request{Gateway: gateway.name, Kind: SafeRequest, SentAt: c.now()}
 	sent.ID = fmt.Sprintf("settled-%s-%d", gateway.name, sent.SentAt)
 	request.Header.Set("X-Attempt-Id", sent.ID)
@@ -188,7 +188,7 @@
 	if err != nil {
 		return 0, "", err.Error()
 	}
-	defer func() { _ = response.Body.Close() }() // it was read
+	defer func() { _ = response.Body.Close() }() // ReadAll reports read errors
 	read, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, "", err.Error()
@@ -201,7 +201,7 @@
 	c.stopTraffic()
 	c.traffic.Wait()
 	for _, member := range c.members {
-		c.operators.call(Operation{Operator: operatorCount, Kind: ReadOperation, Member: member.name})
+		c.operators.call(Operation{Operator: finalReadOperator, Kind: ReadOperation, Member: member.name})
 	}
 	c.checkInvariantMetrics(ctx)
 	c.fleet.close()
@@ -241,12 +241,12 @@
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = response.Body.Close() }() // it was read
+	defer func() { _ = response.Body.Close() }() // ReadAll reports read errors
 	body, err := io.ReadAll(response.Body)
 	return string(body), err
 }
 
-// close ends everything that is still running. After finish only the relays are.
+// close ends everything that is still running. After finish, that is only the relays.
 func (c *cluster) close() {
 	c.cancel()
 	if c.stopTraffic != nil {
