--- a/internal/testbeds/simulation/plantedbug.go
+++ b/internal/testbeds/simulation/plantedbug.go
@@ -10,29 +10,30 @@
 	"zincloft.example/zincloft/messages"
 )
 
-// PlantedBug is a bug that a run contains on purpose, to verify that the invariants detect it.
+// PlantedBug is a bug that a run contains on purpose, to verify that the invariants detect it. The values are stored in
+// schedules (JSON key "Fault"), so they must not change.
 type PlantedBug string
 
 // Bugs that schedules without a Tolerance detect.
 const (
-	IgnoreViewNumber      PlantedBug = "a message along the chain is accepted from any view"
+	IgnoreViewNumber      PlantedBug = "a message along the chain is taken whatever view it is of"
 	KeepVoteAfterWipe     PlantedBug = "a member that lost its disk keeps its vote"
-	AcknowledgeBeforeSync PlantedBug = "a write is acknowledged before it is synced"
-	SkipDirectorySync     PlantedBug = "the directory of a new file is not synced"
-	AcceptStaleState      PlantedBug = "a gateway accepts an older register"
-	DiscardReportedDrains PlantedBug = "a drain reported by another member is acknowledged but discarded"
-	UndividedWarmupQuota  PlantedBug = "each member assigns the entire warm-up rate of a replica"
+	AcknowledgeBeforeSync PlantedBug = "a write is reported as done before the sync"
+	SkipDirectorySync     PlantedBug = "a new file's folder is not synced"
+	AcceptStaleState      PlantedBug = "a gateway takes an older register"
+	DiscardReportedDrains PlantedBug = "what another member says of a drain is confirmed and not kept"
+	UndividedWarmupQuota  PlantedBug = "each member deals out all that a warming replica bears"
 )
 
 // Bugs that only schedules with a Tolerance detect.
 const (
-	UnconfirmedFirstState   PlantedBug = "a gateway that connects is sent the local state, without confirmation by a quorum"
-	ConfirmSupersededView   PlantedBug = "a view is confirmed by members that know a later one"
-	DropCommandID           PlantedBug = "a command that is submitted again counts as a new one"
-	AcceptDelayedCalls      PlantedBug = "a member that was frozen accepts calls buffered in its sockets"
-	HideConflict            PlantedBug = "the head does not report that a version belongs to another command"
-	DiscardClaimsOnRestart  PlantedBug = "claimed versions are forgotten at a restart"
-	ShutDownWithoutHandover PlantedBug = "a member that leaves exits before the handover to the others is complete"
+	UnconfirmedFirstState   PlantedBug = "a gateway that connects is sent what is held, without asking the other members"
+	ConfirmSupersededView   PlantedBug = "a view is confirmed by members that know of a later one"
+	DropCommandID           PlantedBug = "a command that is entered again is a new one"
+	AcceptDelayedCalls      PlantedBug = "what lay in the socket of a frozen member is taken for new"
+	HideConflict            PlantedBug = "the head does not say that a number belongs to another command"
+	DiscardClaimsOnRestart  PlantedBug = "numbers that were taken are forgotten at a restart"
+	ShutDownWithoutHandover PlantedBug = "a member that leaves ends without waiting for the others"
 )
 
 // hasBug reports whether the run contains a planted bug.
