--- a/internal/governor/daemon/state.go
+++ b/internal/governor/daemon/state.go
@@ -23,7 +23,7 @@
 		d.log.Warn().Err(damaged).Msg("state")
 	}
 	if err != nil {
-		d.log.Warn().Err(err).Msg("state is not saved")
+		d.log.Warn().Err(err).Msg("state is not kept")
 		return nil, nil
 	}
 	d.entries = map[rules.ReplicaID]rules.Entry{}
--- a/recovery/plan.go
+++ b/recovery/plan.go
@@ -39,9 +39,9 @@
 const (
 	Used         Assessment = "used"
 	NoState      Assessment = "nothing is kept"
-	TooOld       Assessment = "older than the maximum age"
+	TooOld       Assessment = "older than it may be"
 	Mismatch     Assessment = "of another governor or discovery"
-	ClockSetBack Assessment = "dated in the future, as the clock was set back; used without trust"
+	ClockSetBack Assessment = "of the future: the clock went back; used without trust"
 	Inconsistent Assessment = "impossible"
 )
 
