--- a/cmd/zinclab/days.go
+++ b/cmd/zinclab/days.go
@@ -22,7 +22,7 @@
 type scenarioGenerator struct {
 	options   daydraw.Options
 	first     int    // number of the first scenario
-	count     int    // of scenarios
+	count     int    // number of scenarios
 	catalogue string // path of a catalogue of fault kinds; empty: the built-in one
 	among     string // path of a file with the names of the kinds to use; empty: all
 	directory string // output directory
--- a/cmd/zinclab/experiment.go
+++ b/cmd/zinclab/experiment.go
@@ -17,14 +17,14 @@
 
 // experimentFlags are the flags of the commands that run an experiment or write its report.
 type experimentFlags struct {
-	folder string // results directory
-	page   string // path of the report; empty: none
-	cores  int
+	resultsDir string // results directory
+	reportPath string // path of the report; empty: none
+	cores      int
 }
 
 func (f *experimentFlags) addOutputs(command *cobra.Command) {
-	command.Flags().StringVar(&f.folder, "out", "found/experiment", "results directory, with one file per run")
-	command.Flags().StringVar(&f.page, "page", "", "write a report with charts to this path")
+	command.Flags().StringVar(&f.resultsDir, "out", "found/experiment", "results directory, with one file per run")
+	command.Flags().StringVar(&f.reportPath, "page", "", "write a report with charts to this path")
 }
 
 func (f *experimentFlags) addCores(command *cobra.Command) {
@@ -80,11 +80,11 @@
 		if err != nil {
 			return err
 		}
-		records, err := experiment.LoadRecords(flags.folder)
+		records, err := experiment.LoadRecords(flags.resultsDir)
 		if err != nil {
 			return err
 		}
-		return writeReport(flags.page, plan, records)
+		return writeReport(flags.reportPath, plan, records)
 	}
 	flags.addOutputs(command)
 	return command
@@ -111,7 +111,7 @@
 // run runs a plan with a progress bar and writes the comparison and the report.
 func (f *experimentFlags) run(command *cobra.Command, plan experiment.Plan) error {
 	bar := progressbar.NewOptions(-1, progressbar.OptionSetWriter(command.ErrOrStderr()), progressbar.OptionSetDescription(plan.Name), progressbar.OptionClearOnFinish())
-	records, err := experiment.Run(command.Context(), plan, f.folder, f.cores, func(done, all int) {
+	records, err := experiment.Run(command.Context(), plan, f.resultsDir, f.cores, func(done, all int) {
 		bar.ChangeMax(all)
 		_ = bar.Set(done) // errors of the progress bar are not fatal
 	})
@@ -120,10 +120,10 @@
 	}
 	reference := plan.Variants[0].Name
 	experiment.WriteTable(command.OutOrStdout(), experiment.Compare(records, reference), reference)
-	if f.page == "" {
+	if f.reportPath == "" {
 		return nil
 	}
-	return writeReport(f.page, plan, records)
+	return writeReport(f.reportPath, plan, records)
 }
 
 func writeReport(path string, plan experiment.Plan, records []experiment.Record) (err error) {
--- a/cmd/zincloftctl/demo.go
+++ b/cmd/zincloftctl/demo.go
@@ -21,21 +21,21 @@
 
 // demoCommand returns the command that runs a demo cluster on loopback.
 func demoCommand() *command {
-	a := &demoOptions{replicas: 3}
+	o := &demoOptions{replicas: 3}
 	return &command{
 		name:        "demo",
 		description: "run one control-plane member, two gateways and simulated replicas on loopback until interrupted",
 		flags: func(sub *flaggy.Subcommand) {
-			sub.Int(&a.replicas, "n", "replicas", "number of simulated replicas")
-			sub.Float64(&a.faults.Rate, "H", "hostile", "fraction of requests that the replicas answer with an injected fault, 0 to 1")
-			sub.UInt64(&a.faults.Seed, "S", "seed", "random seed of the injected faults")
-			sub.Bool(&a.logs, "l", "logs", "print the logs of the member and the gateways")
+			sub.Int(&o.replicas, "n", "replicas", "number of simulated replicas")
+			sub.Float64(&o.faults.Rate, "H", "hostile", "fraction of requests that the replicas answer with an injected fault, 0 to 1")
+			sub.UInt64(&o.faults.Seed, "S", "seed", "random seed of the injected faults")
+			sub.Bool(&o.logs, "l", "logs", "print the logs of the member and the gateways")
 		},
-		run: a.run,
+		run: o.run,
 	}
 }
 
-func (a *demoOptions) run(out io.Writer) (err error) {
+func (o *demoOptions) run(out io.Writer) (err error) {
 	dir, err := os.MkdirTemp("", "zincloft-demo-")
 	if err != nil {
 		return err
@@ -46,10 +46,10 @@
 		}
 	}()
 	logs := io.Discard
-	if a.logs {
+	if o.logs {
 		logs = os.Stderr
 	}
-	cluster, err := demo.StartWithFaults(dir, logs, max(a.replicas, 1), a.faults)
+	cluster, err := demo.StartWithFaults(dir, logs, max(o.replicas, 1), o.faults)
 	if err != nil {
 		return err
 	}
--- a/cmd/zincloftctl/store.go
+++ b/cmd/zincloftctl/store.go
@@ -18,8 +18,8 @@
 
 // storeCommand returns the commands that read a member's store on disk.
 func storeCommand() *command {
-	var folder string
-	folderArgument := argument{value: &folder, name: "FOLDER", description: "the member's data_directory"}
+	var directory string
+	directoryArgument := argument{value: &directory, name: "FOLDER", description: "the member's data_directory"}
 	return &command{
 		name:        "store",
 		description: "verify a member's data directory or export it as JSON, without modifying it",
@@ -27,14 +27,14 @@
 			{
 				name:        "verify",
 				description: "check every copy; exits with status 1 if none is intact",
-				arguments:   []argument{folderArgument},
-				run:         func(out io.Writer) error { return verifyStore(out, folder) },
+				arguments:   []argument{directoryArgument},
+				run:         func(out io.Writer) error { return verifyStore(out, directory) },
 			},
 			{
 				name:        "export",
 				description: "print the newest intact copy",
-				arguments:   []argument{folderArgument},
-				run:         func(out io.Writer) error { return exportStore(out, folder) },
+				arguments:   []argument{directoryArgument},
+				run:         func(out io.Writer) error { return exportStore(out, directory) },
 			},
 		},
 	}
@@ -49,8 +49,8 @@
 }
 
 // verifyStore prints one line per copy and fails if no copy is intact.
-func verifyStore(out io.Writer, folder string) error {
-	copies, err := statestore.Inspect(folder)
+func verifyStore(out io.Writer, directory string) error {
+	copies, err := statestore.Inspect(directory)
 	if err != nil {
 		return err
 	}
@@ -73,15 +73,15 @@
 		}
 	}
 	if intact == 0 {
-		return noIntactCopyError{folder}
+		return noIntactCopyError{directory}
 	}
 	return nil
 }
 
-// noIntactCopyError is returned for a folder without a readable copy of the store.
-type noIntactCopyError struct{ folder string }
+// noIntactCopyError is returned for a directory without a readable copy of the store.
+type noIntactCopyError struct{ directory string }
 
-func (e noIntactCopyError) Error() string { return e.folder + ": no intact copy" }
+func (e noIntactCopyError) Error() string { return e.directory + ": no intact copy" }
 
 // export is the output of store export. Its keys are a documented interface, see docs/operate/core.md.
 type export struct {
@@ -93,8 +93,8 @@
 	View          membership.View  `json:"view"`
 }
 
-func exportStore(out io.Writer, folder string) error {
-	newest, err := newestState(folder)
+func exportStore(out io.Writer, directory string) error {
+	newest, err := newestState(directory)
 	if err != nil {
 		return err
 	}
@@ -119,8 +119,8 @@
 
 // newestState returns the state of the newest intact copy. It fails if the state of any intact copy can't be decoded, even if a
 // newer copy can be.
-func newestState(folder string) (newest coordinator.PersistentState, err error) {
-	copies, err := statestore.Inspect(folder)
+func newestState(directory string) (newest coordinator.PersistentState, err error) {
+	copies, err := statestore.Inspect(directory)
 	if err != nil {
 		return newest, err
 	}
@@ -139,7 +139,7 @@
 		}
 	}
 	if !found {
-		return newest, noIntactCopyError{folder}
+		return newest, noIntactCopyError{directory}
 	}
 	return newest, nil
 }
--- a/cmd/zincloftctl/windows_follow.go
+++ b/cmd/zincloftctl/windows_follow.go
@@ -20,10 +20,10 @@
 // scheduleFollower requests each window of a schedule at its start time and prints the audit log. The control plane ends a window
 // after its duration, so no window stays open if the follower exits early.
 type scheduleFollower struct {
-	arguments *windowsOptions
-	file      *maintenancefile.File
-	schedule  maintenanceplanner.Schedule
-	out       io.Writer
+	options  *windowsOptions
+	file     *maintenancefile.File
+	schedule maintenanceplanner.Schedule
+	out      io.Writer
 
 	requested      int    // number of assignments requested so far
 	lastAuditEntry string // last audit log entry printed
@@ -60,7 +60,7 @@
 		if time.Now().Before(f.file.SlotStart(due.Start)) {
 			return nil
 		}
-		err := f.arguments.send(maintenance.Command{
+		err := f.options.send(maintenance.Command{
 			Verb:            maintenance.VerbAsk,
 			Nodes:           []string{due.Node},
 			WindowName:      due.Window,
@@ -78,7 +78,7 @@
 
 func (f *scheduleFollower) status(ctx context.Context) (controller.MaintenanceStatus, error) {
 	var status controller.MaintenanceStatus
-	body, err := callMembers(ctx, f.arguments.addresses, "windows.describe", "", nil)
+	body, err := callMembers(ctx, f.options.addresses, "windows.describe", "", nil)
 	if err != nil {
 		return status, err
 	}
--- a/internal/tools/load/proxy.go
+++ b/internal/tools/load/proxy.go
@@ -44,7 +44,7 @@
 	pendingFailures []int // replicas of attempts that fail in the next second
 }
 
-// connectProxies connects and registers all proxies with a standing table only.
+// connectProxies connects all proxies and registers them as holding only their default table.
 func (s *site) connectProxies(ctx context.Context) ([]*proxy, error) {
 	proxies := make([]*proxy, s.plan.Proxies)
 	for id := range proxies {
--- a/internal/tools/load/restart.go
+++ b/internal/tools/load/restart.go
@@ -11,7 +11,7 @@
 const maxRestartTableDelay = 10 * time.Second
 
 // RunRestart runs a governor for the plan's duration, kills it, stops discovery and starts the governor again. Every second replica
-// counts as restarted meanwhile. All proxies reconnect at once and register with a standing table only.
+// counts as restarted meanwhile. All proxies reconnect at once, holding only their default table.
 func RunRestart(ctx context.Context, plan Plan) (RestartResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, plan.Duration+runMargin)
 	defer cancel()
