--- a/controlplane/controller/controller.go
+++ b/controlplane/controller/controller.go
@@ -31,7 +31,7 @@
 	Seeds             []string      `cbor:"4,keyasint"` // addresses of the initial members
 	LinkMbps          float64       `cbor:"5,keyasint"`
 	DrainDeadline     time.Duration `cbor:"6,keyasint"`
-	HeartbeatInterval time.Duration `cbor:"7,keyasint"` // of replicas
+	HeartbeatInterval time.Duration `cbor:"7,keyasint"` // interval at which replicas send heartbeats
 	RandomSeed        uint64        `cbor:"8,keyasint"`
 
 	RegionByZone map[string]string `cbor:"9,keyasint,omitempty"`
--- a/controlplane/controller/events.go
+++ b/controlplane/controller/events.go
@@ -29,7 +29,7 @@
 	Stream            uint64                    `cbor:"13,keyasint,omitempty"` // with Report
 	From              *fleet.Member             `cbor:"14,keyasint,omitempty"` // with Message
 
-	MaintenanceCommand *maintenance.Command `cbor:"15,keyasint,omitempty"` // from an operator
+	MaintenanceCommand *maintenance.Command `cbor:"15,keyasint,omitempty"` // command received from an operator
 
 	Shutdown  bool          `cbor:"16,keyasint,omitempty"` // graceful shutdown was requested
 	WallClock time.Duration `cbor:"17,keyasint,omitempty"` // with any event: time of day; 0 if unknown
--- a/controlplane/controller/maintenance.go
+++ b/controlplane/controller/maintenance.go
@@ -27,7 +27,7 @@
 // maintenanceTracker holds the member's decoded maintenance state, its pending proposals and the gateway summaries of other members.
 type maintenanceTracker struct {
 	state         maintenance.State // decoded from the register's record
-	revision      uint64            // of that record
+	revision      uint64            // revision of that record
 	nextAdvanceAt time.Duration
 	drainedSince  map[string]time.Duration // by node: when this member first saw it drained, by its own clock
 
--- a/controlplane/controller/removals.go
+++ b/controlplane/controller/removals.go
@@ -24,7 +24,7 @@
 // deregistration again, as it sends no further heartbeats.
 type removalCall struct {
 	removal
-	instance fleet.Instance // as sent to the other members
+	instance fleet.Instance // state that was sent to the other members
 	token    uint64
 	address  string // where the replica should send further heartbeats
 	sentAt   time.Duration
--- a/controlplane/maintenance/state.go
+++ b/controlplane/maintenance/state.go
@@ -31,7 +31,7 @@
 
 // State is the replicated state of the maintenance windows. It is immutable; methods return a new state.
 type State struct {
-	FencingToken   uint64                  `json:"fence" cbor:"1,keyasint"` // of the latest grant or return
+	FencingToken   uint64                  `json:"fence" cbor:"1,keyasint"` // token of the latest grant or return
 	AgreedFloors   []capacity.Floor        `json:"agreed" cbor:"2,keyasint,omitempty"`
 	FaultTolerance capacity.FaultTolerance `json:"losses" cbor:"3,keyasint,omitempty"`
 	DeclaredNodes  []capacity.Node         `json:"nodes,omitempty" cbor:"4,keyasint,omitempty"` // operator-declared capacities of nodes without a measured one
--- a/intake/cause.go
+++ b/intake/cause.go
@@ -13,7 +13,7 @@
 	TooLate              // so far behind later batches that duplicates cannot be detected
 	TooOld               // older than Settings.MaxAge
 	OverQuota            // over the sender's quota
-	NotJoined            // from a proxy that is not joined
+	NotJoined            // the record is from a proxy that has not joined
 	Superseded           // statistics of collectors, if statistics are derived from records
 	PairsEvicted         // pairs evicted, or not added, for lack of space
 	PairsOmitted         // pairs omitted from a period's evidence by its limit
--- a/intake/pairs.go
+++ b/intake/pairs.go
@@ -27,7 +27,7 @@
 	halfLife         time.Duration
 	landmark         rules.Time
 	now              rules.Time
-	scale            float64 // of counts added now
+	scale            float64 // weight of counts that are added now
 	pairs            map[pairKey]*pair
 	byDrops          pairHeap
 	byReplica        map[rules.ReplicaID]decayingCount
--- a/internal/daemons/gateway/failures.go
+++ b/internal/daemons/gateway/failures.go
@@ -20,7 +20,7 @@
 const (
 	endedByGateway  endedBy = "gateway"  // see FailedRequest.Reason
 	endedByReplica  endedBy = "replica"  // its error response was returned to the client
-	endedByClient   endedBy = "client"   // it disconnected
+	endedByClient   endedBy = "client"   // the client disconnected
 	endedByDeadline endedBy = "deadline" // set by the client, or by the route's timeout
 )
 
--- a/internal/daemons/gateway/gateway.go
+++ b/internal/daemons/gateway/gateway.go
@@ -68,7 +68,7 @@
 	headBudget      *bodybuffer.Budget // memory of incomplete heads beyond uncountedHeadBytes
 
 	// Each listener has its own share of the file descriptors.
-	frontConns     *connlimit.Limiter // of clients
+	frontConns     *connlimit.Limiter // limits client connections
 	readinessConns *connlimit.Limiter
 	metricsConns   *connlimit.Limiter
 
--- a/internal/daemons/replica/head.go
+++ b/internal/daemons/replica/head.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	maxHeadBytes     = 64 << 10 // of a response
+	maxHeadBytes     = 64 << 10 // maximum size of a response head
 	encodedHeadBytes = 1024     // initial buffer size for a request
 )
 
--- a/internal/daemons/statestore/store.go
+++ b/internal/daemons/statestore/store.go
@@ -24,7 +24,7 @@
 type Store struct {
 	fileSystem      FileSystem
 	db              *buntdb.DB
-	generation      uint64          // of the newest valid copy
+	generation      uint64          // generation of the newest valid copy
 	nextSlot        int             // the slot to write next, which does not hold the newest valid copy
 	directorySynced [slotCount]bool // whether this process has synced the directory since it first wrote the slot's file
 
--- a/internal/tools/emulate/result.go
+++ b/internal/tools/emulate/result.go
@@ -37,7 +37,7 @@
 	FailedAttempts    int     `json:"Bad"`     // ended without a successful response
 	WarmupAttempts    int     `json:"Cold"`    // sent to replicas that were warming up
 	CrossZoneAttempts int     `json:"Crossed"` // sent to another zone
-	RequestedUtility  float64 `json:"Asked"`   // of the arrived flows
+	RequestedUtility  float64 `json:"Asked"`   // total utility of the arrived flows
 	DeliveredUtility  float64 `json:"Served"`  // of the responses
 	ChannelLines      float64 `json:"Lines"`   // sent through all channels
 	Messages          int     // sent through all channels
--- a/rules/governor.go
+++ b/rules/governor.go
@@ -39,7 +39,7 @@
 	bindAfter                  Time    // until then, proxies that hold tables of an earlier run are not bound
 	newFlows                   float64 // received by proxies since the last review
 
-	meanLoad, dropShare float64 // of the replicas in service
+	meanLoad, dropShare float64 // mean load of the replicas in service; share of dropped attempts
 	demand              float64 // attempts relative to the fleet's capacity, or its load if higher
 	speed               float64 // flows that a replica of size 1 answers in a fully utilized period
 	saturated           bool
